--- /dev/null
+++ b/core/src/test/java/shelffront/decide/DecisionModuleSourceTest.java
@@ -0,0 +1,57 @@
+package shelffront.decide;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.TreeSet;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Holds the sources of the decision module to a size that can be read, and the deploy file to it.
+ */
+class DecisionModuleSourceTest {
+
+  private static final Path REPOSITORY = Path.of("..");
+  private static final Path MODULE = Path.of("src/main/java/shelffront/decide");
+  private static final int MAX_LINE_CHARACTERS = 110;
+  private static final int MAX_FILE_LINES = 250;
+
+  @Test
+  void keepsEveryFileShort() throws IOException {
+    for (Path file : sources()) {
+      List<String> lines = Files.readAllLines(file);
+      long filledLines = lines.stream().filter(line -> !line.isBlank()).count();
+      assertTrue(filledLines > 0 && filledLines <= MAX_FILE_LINES, file + " is too long");
+      for (int i = 0; i < lines.size(); i++) {
+        int length = lines.get(i).length();
+        assertTrue(length <= MAX_LINE_CHARACTERS, file + ": line " + (i + 1) + " is too long");
+      }
+    }
+  }
+
+  @Test
+  void deployFileNamesExactlyTheSourcesOfTheModule() throws IOException {
+    String deployFile = Files.readString(REPOSITORY.resolve("deploy/balancer.toml"));
+    String policy =
+        deployFile.lines().filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
+    TreeSet<String> named = new TreeSet<>();
+    Pattern.compile("\"([^\"]+)\"").matcher(policy).results().forEach(m -> named.add(m.group(1)));
+    TreeSet<String> present = new TreeSet<>();
+    sources().forEach(file -> present.add("core/" + file.toString().replace('\\', '/')));
+    assertFalse(present.isEmpty());
+    assertEquals(present, named);
+  }
+
+  private static List<Path> sources() throws IOException {
+    try (Stream<Path> files = Files.list(MODULE)) {
+      return files.filter(file -> file.toString().endsWith(".java")).sorted().toList();
+    }
+  }
+}
