--- a/core/src/main/java/shelffront/count/AnswerTimes.java
+++ b/core/src/main/java/shelffront/count/AnswerTimes.java
@@ -1,39 +1,40 @@
 package shelffront.count;
 
 /**
- * What the answer times of a member come to: their smoothed length, and their load, which is the length as a share of
- * the aim that each answer had. A new one counts for 15 % at least, and for more the longer the last one is past.
+ * What the answer times of a member come to: their smoothed length, and their load, which is the
+ * length as a share of the aim that each answer had. A new one counts for 15 % at least, and for
+ * more the longer the last one is past.
  */
 public final class AnswerTimes {
 
-    private static final double LEAST_WEIGHT = 0.15;
+  private static final double LEAST_WEIGHT = 0.15;
 
-    private final double smoothing;
-    private double took;
-    private double load;
-    private double at = Double.NEGATIVE_INFINITY;
+  private final double smoothing;
+  private double took;
+  private double load;
+  private double at = Double.NEGATIVE_INFINITY;
 
-    /** The smoothing is in microseconds: the time after which what is past counts for a third. */
-    public AnswerTimes(double smoothing, double took, double load) {
-        this.smoothing = smoothing;
-        this.took = took;
-        this.load = load;
-    }
+  /** The smoothing is in microseconds: the time after which what is past counts for a third. */
+  public AnswerTimes(double smoothing, double took, double load) {
+    this.smoothing = smoothing;
+    this.took = took;
+    this.load = load;
+  }
 
-    /** Takes in an answer, or how long one was waited for; all in microseconds. */
-    public void take(long now, double answer, long aim) {
-        double weight = Math.max(LEAST_WEIGHT, 1 - Math.exp((at - now) / smoothing));
-        at = now;
-        took += weight * (answer - took);
-        load += weight * (answer / aim - load);
-    }
+  /** Takes in an answer, or how long one was waited for; all in microseconds. */
+  public void take(long now, double answer, long aim) {
+    double weight = Math.max(LEAST_WEIGHT, 1 - Math.exp((at - now) / smoothing));
+    at = now;
+    took += weight * (answer - took);
+    load += weight * (answer / aim - load);
+  }
 
-    /** Microseconds. */
-    public double took() {
-        return took;
-    }
+  /** Microseconds. */
+  public double took() {
+    return took;
+  }
 
-    public double load() {
-        return load;
-    }
+  public double load() {
+    return load;
+  }
 }
--- a/core/src/main/java/shelffront/decide/Guards.java
+++ b/core/src/main/java/shelffront/decide/Guards.java
@@ -5,66 +5,102 @@
 import shelffront.route.Router.Read;
 import shelffront.route.Router.Scope;
 
-/** The rules that every attempt is held against, whatever chose its member; cold members among them. */
+/**
+ * The rules that every attempt is held against, whatever chose its member; cold members among them.
+ */
 record Guards(State state) {
 
-    /** Counts anew what a warm member gets. */
-    void recount() {
-        state.usualSends = state.nodes.values().stream()
-                .filter(n -> n.open && warmth(n) >= 1 && state.now >= n.bannedUntil)
-                .mapToDouble(n -> n.sends.count(state.now) / n.size()).average().orElse(state.usualSends);
-    }
+  /** Counts anew what a warm member gets. */
+  void recount() {
+    state.usualSends =
+        state.nodes.values().stream()
+            .filter(n -> n.open && warmth(n) >= 1 && state.now >= n.bannedUntil)
+            .mapToDouble(n -> n.sends.count(state.now) / n.size())
+            .average()
+            .orElse(state.usualSends);
+  }
 
-    /** Share of its capacity that a member has at least, by the time since it started. */
-    double warmth(Node n) {
-        return n.entry.startedAt() <= 0 ? 1 : ColdBudget.warmth(state.now - n.entry.startedAt(),
-                state.settings.rules().coldFrom(), state.settings.rules().coldTime());
-    }
+  /** Share of its capacity that a member has at least, by the time since it started. */
+  double warmth(Node n) {
+    return n.entry.startedAt() <= 0
+        ? 1
+        : ColdBudget.warmth(
+            state.now - n.entry.startedAt(),
+            state.settings.rules().coldFrom(),
+            state.settings.rules().coldTime());
+  }
 
-    /** Cold members keep to the budget of {@link ColdBudget}; no request tries one twice: in search of a
-     *  primary, tries that are turned away are work for it too. */
-    boolean withinColdBudget(Pending p, Node n) {
-        if (warmth(n) >= 1 || p.tried(n)) {
-            return warmth(n) >= 1;
-        }
-        Node first = n.group.primary; // its arc comes last
-        double before = n.group.nodes.values().stream().filter(e -> e.open && e != first && warmth(e) < 1
-                && (n == first || e.id.compareTo(n.id) < 0)).mapToDouble(this::budget).sum();
-        return n.group.cold.admits(state.now, p.request.id(), p.type.needsPrimary(), n == first,
-                first != null, before, budget(n));
+  /**
+   * Cold members keep to the budget of {@link ColdBudget}; no request tries one twice: in search of
+   * a primary, tries that are turned away are work for it too.
+   */
+  boolean withinColdBudget(Pending p, Node n) {
+    if (warmth(n) >= 1 || p.tried(n)) {
+      return warmth(n) >= 1;
     }
+    Node first = n.group.primary; // its arc comes last
+    double before =
+        n.group.nodes.values().stream()
+            .filter(
+                e ->
+                    e.open
+                        && e != first
+                        && warmth(e) < 1
+                        && (n == first || e.id.compareTo(n.id) < 0))
+            .mapToDouble(this::budget)
+            .sum();
+    return n.group.cold.admits(
+        state.now,
+        p.request.id(),
+        p.type.needsPrimary(),
+        n == first,
+        first != null,
+        before,
+        budget(n));
+  }
 
-    private double budget(Node n) {
-        return n.group.cold.budget(state.now, warmth(n), state.settings.rules().fallMultiple(),
-                state.usualSends * n.size() + 1.0 / n.group.nodes.size(), n == n.group.primary);
-    }
+  private double budget(Node n) {
+    return n.group.cold.budget(
+        state.now,
+        warmth(n),
+        state.settings.rules().fallMultiple(),
+        state.usualSends * n.size() + 1.0 / n.group.nodes.size(),
+        n == n.group.primary);
+  }
 
-    boolean allows(Pending p, Node n) {
-        Attempt ran = p.mayHaveRun();
-        return p.open && state.now < p.deadline && p.attempts.size() < state.settings.limits().attempts()
-                && n.open && n.entry.group() == p.request.group() && mayTryAgain(p)
-                && (ran == null || !p.type.keyedFor(Scope.ZONE)
-                        || ran.node.entry.zone().equals(n.entry.zone()))
-                && (p.outstanding() == 0 || p.type.repeatable() && state.settings.limits().duplicate())
-                && withinColdBudget(p, n) && freshEnough(p, n);
-    }
+  boolean allows(Pending p, Node n) {
+    Attempt ran = p.mayHaveRun();
+    return p.open
+        && state.now < p.deadline
+        && p.attempts.size() < state.settings.limits().attempts()
+        && n.open
+        && n.entry.group() == p.request.group()
+        && mayTryAgain(p)
+        && (ran == null
+            || !p.type.keyedFor(Scope.ZONE)
+            || ran.node.entry.zone().equals(n.entry.zone()))
+        && (p.outstanding() == 0 || p.type.repeatable() && state.settings.limits().duplicate())
+        && withinColdBudget(p, n)
+        && freshEnough(p, n);
+  }
 
-    /** Whether earlier attempts leave the class free to try again. */
-    boolean mayTryAgain(Pending p) {
-        Attempt ran = p.mayHaveRun();
-        return ran == null || switch (p.type.effect()) {
-            case REPEATABLE -> true;
-            case KEYED -> state.now + state.settings.tick() < ran.sentAt + p.type.window();
-            case ONCE -> false;
+  /** Whether earlier attempts leave the class free to try again. */
+  boolean mayTryAgain(Pending p) {
+    Attempt ran = p.mayHaveRun();
+    return ran == null
+        || switch (p.type.effect()) {
+          case REPEATABLE -> true;
+          case KEYED -> state.now + state.settings.tick() < ran.sentAt + p.type.window();
+          case ONCE -> false;
         };
-    }
+  }
 
-    /** Stale reads: only the primary, or a member that has the position or refuses for itself. */
-    boolean freshEnough(Pending p, Node n) {
-        if (n == p.group.primary || p.type.read() == Read.ANY || p.type.writes()) {
-            return true;
-        }
-        return p.type.read() != Read.FRESH
-                && (state.settings.check() != LagCheck.NONE || n.progress.has(p.need(state.now)));
+  /** Stale reads: only the primary, or a member that has the position or refuses for itself. */
+  boolean freshEnough(Pending p, Node n) {
+    if (n == p.group.primary || p.type.read() == Read.ANY || p.type.writes()) {
+      return true;
     }
+    return p.type.read() != Read.FRESH
+        && (state.settings.check() != LagCheck.NONE || n.progress.has(p.need(state.now)));
+  }
 }
--- a/core/src/main/java/shelffront/decide/Membership.java
+++ b/core/src/main/java/shelffront/decide/Membership.java
@@ -12,82 +12,94 @@
 /** The members that the list names, and the probes sent to them. */
 record Membership(State state) {
 
-    static final double FIRST_LIMIT = 24; // Of all instances to a member of which nothing is known.
-    static final int PROBES_AT_ONCE = 2; // In a group whose reads wait.
+  static final double FIRST_LIMIT = 24; // Of all instances to a member of which nothing is known.
+  static final int PROBES_AT_ONCE = 2; // In a group whose reads wait.
 
-    void open(Member m) {
-        Node before = state.nodes.get(m.id());
-        if (before != null && before.entry.group() != m.group()) {
-            before.open = false;
-            close(before, true); // what is known of it is of another set's log
-        }
-        Node n = state.nodes.computeIfAbsent(m.id(), Node::new);
-        boolean fresh = n.entry == null || !n.open || n.entry.startedAt() != m.startedAt();
-        n.entry = m;
-        n.open = true;
-        n.limit.open(Math.max(1, FIRST_LIMIT / state.settings.routers()));
-        n.group = state.group(m.group());
-        n.group.nodes.put(n.id, n);
-        if (m.primary() && n.group.primary == null && n.group.primaryAt == UNKNOWN) {
-            n.group.primary = n;
-        }
-        n.group.own = null;
-        if (fresh) {
-            n.bannedUntil = UNKNOWN;
-            n.probedAt = UNKNOWN;
-            if (Subsets.wholeFor(state.settings.routers())) {
-                probe(n);
-            }
-        }
+  void open(Member m) {
+    Node before = state.nodes.get(m.id());
+    if (before != null && before.entry.group() != m.group()) {
+      before.open = false;
+      close(before, true); // what is known of it is of another set's log
     }
+    Node n = state.nodes.computeIfAbsent(m.id(), Node::new);
+    boolean fresh = n.entry == null || !n.open || n.entry.startedAt() != m.startedAt();
+    n.entry = m;
+    n.open = true;
+    n.limit.open(Math.max(1, FIRST_LIMIT / state.settings.routers()));
+    n.group = state.group(m.group());
+    n.group.nodes.put(n.id, n);
+    if (m.primary() && n.group.primary == null && n.group.primaryAt == UNKNOWN) {
+      n.group.primary = n;
+    }
+    n.group.own = null;
+    if (fresh) {
+      n.bannedUntil = UNKNOWN;
+      n.probedAt = UNKNOWN;
+      if (Subsets.wholeFor(state.settings.routers())) {
+        probe(n);
+      }
+    }
+  }
 
-    /** The replicas that this instance prefers; those newly listed are probed now that one is wanted. */
-    List<String> own(Group g) {
-        if (g.own == null) {
-            List<String> replicas = g.nodes.values().stream().filter(n -> n.open && n != g.primary)
-                    .map(n -> n.id).collect(toList());
-            g.own = Subsets.of(state.settings.self(), state.settings.routers(), replicas);
-            g.own.stream().map(g.nodes::get).filter(n -> n.probedAt == UNKNOWN).forEach(this::probe);
-        }
-        return g.own;
+  /**
+   * The replicas that this instance prefers; those newly listed are probed now that one is wanted.
+   */
+  List<String> own(Group g) {
+    if (g.own == null) {
+      List<String> replicas =
+          g.nodes.values().stream()
+              .filter(n -> n.open && n != g.primary)
+              .map(n -> n.id)
+              .collect(toList());
+      g.own = Subsets.of(state.settings.self(), state.settings.routers(), replicas);
+      g.own.stream().map(g.nodes::get).filter(n -> n.probedAt == UNKNOWN).forEach(this::probe);
     }
+    return g.own;
+  }
 
-    void close(Node n, boolean gone) {
-        if (gone && n.open && state.settings.rules().softRemoval()) {
-            return; // the list does not prove it down (rule 6): own attempts tell
-        }
-        n.open = false;
-        if (gone) {
-            state.nodes.remove(n.id);
-            n.group.nodes.remove(n.id);
-        }
-        n.group.own = null;
-        n.group.primary = n.group.primary == n ? null : n.group.primary;
+  void close(Node n, boolean gone) {
+    if (gone && n.open && state.settings.rules().softRemoval()) {
+      return; // the list does not prove it down (rule 6): own attempts tell
+    }
+    n.open = false;
+    if (gone) {
+      state.nodes.remove(n.id);
+      n.group.nodes.remove(n.id);
     }
+    n.group.own = null;
+    n.group.primary = n.group.primary == n ? null : n.group.primary;
+  }
 
-    void probe(Node n) {
-        if (state.settings.limits().probe() && n.open) {
-            n.probedAt = state.now;
-            n.probing = true;
-            state.actions.probe(n.id);
-        }
+  void probe(Node n) {
+    if (state.settings.limits().probe() && n.open) {
+      n.probedAt = state.now;
+      n.probing = true;
+      state.actions.probe(n.id);
     }
+  }
 
-    /** Probes for a held request, within the allowance: a few at a time, any while no primary is known. */
-    void wantPositions(Group g) {
-        boolean lost = g.primary == null || state.now < g.primary.bannedUntil || g.primary.onTrial;
-        long out = g.nodes.values().stream().filter(n -> n.probing).count();
-        List<Node> old = g.nodes.values().stream().filter(n -> lost || n != g.primary)
-                .filter(n -> n.progress.newsIsDue(state.now, n.probedAt, lost))
-                .collect(toList());
-        Collections.shuffle(old, state.random);
-        // What waits for the primary has no other; then those that are used most.
-        old.sort(Comparator.comparing((Node n) -> n != g.primary).thenComparing(n -> !own(g).contains(n.id)));
-        for (Node n : old) {
-            if (out < PROBES_AT_ONCE && state.probes.take()) {
-                out++;
-                probe(n);
-            }
-        }
+  /**
+   * Probes for a held request, within the allowance: a few at a time, any while no primary is
+   * known.
+   */
+  void wantPositions(Group g) {
+    boolean lost = g.primary == null || state.now < g.primary.bannedUntil || g.primary.onTrial;
+    long out = g.nodes.values().stream().filter(n -> n.probing).count();
+    List<Node> old =
+        g.nodes.values().stream()
+            .filter(n -> lost || n != g.primary)
+            .filter(n -> n.progress.newsIsDue(state.now, n.probedAt, lost))
+            .collect(toList());
+    Collections.shuffle(old, state.random);
+    // What waits for the primary has no other; then those that are used most.
+    old.sort(
+        Comparator.comparing((Node n) -> n != g.primary)
+            .thenComparing(n -> !own(g).contains(n.id)));
+    for (Node n : old) {
+      if (out < PROBES_AT_ONCE && state.probes.take()) {
+        out++;
+        probe(n);
+      }
     }
+  }
 }
--- a/core/src/main/java/shelffront/decide/Pending.java
+++ b/core/src/main/java/shelffront/decide/Pending.java
@@ -9,49 +9,51 @@
 /** A request that still owes its final answer. */
 final class Pending {
 
-    static final double LATE_WORTH = 0.5; // A class with less late is dropped at its aim.
-
-    final Request request;
-    final ClassSettings type;
-    final Group group;
-    final long arrival;
-    final long deadline;
-    final long token; // position that a session read must see
-    final ArrayList<Attempt> attempts = new ArrayList<>(2);
-    boolean open = true;
-    LinkedHashSet<Pending> queue; // where it is held, or null
-    boolean missed; // a replica turned it away: the hold is over
-
-    Pending(Request request, ClassSettings type, Group group, long token, long now) {
-        this.request = request;
-        this.type = type;
-        this.group = group;
-        arrival = now;
-        this.deadline = arrival + request.left();
-        this.token = token;
-    }
-
-    /** Position that a replica must have to answer this now. */
-    long need(long now) {
-        return type.read() == Read.BOUNDED ? now - type.bound() : token;
-    }
-
-    int outstanding() {
-        return (int) attempts.stream().filter(a -> a.status == null).count();
-    }
-
-    /** First attempt that ran or may have run; null when it is known that none did. */
-    Attempt mayHaveRun() {
-        return attempts.stream().filter(a -> a.status == null || !a.status.neverRan).findFirst()
-                .orElse(null);
-    }
-
-    boolean tried(Node node) {
-        return attempts.stream().anyMatch(a -> a.node == node);
-    }
-
-    /** After this time an answer is worth little or nothing. */
-    long usefulUntil() {
-        return type.lateShare() < LATE_WORTH ? Math.min(deadline, arrival + type.aim()) : deadline;
-    }
+  static final double LATE_WORTH = 0.5; // A class with less late is dropped at its aim.
+
+  final Request request;
+  final ClassSettings type;
+  final Group group;
+  final long arrival;
+  final long deadline;
+  final long token; // position that a session read must see
+  final ArrayList<Attempt> attempts = new ArrayList<>(2);
+  boolean open = true;
+  LinkedHashSet<Pending> queue; // where it is held, or null
+  boolean missed; // a replica turned it away: the hold is over
+
+  Pending(Request request, ClassSettings type, Group group, long token, long now) {
+    this.request = request;
+    this.type = type;
+    this.group = group;
+    arrival = now;
+    this.deadline = arrival + request.left();
+    this.token = token;
+  }
+
+  /** Position that a replica must have to answer this now. */
+  long need(long now) {
+    return type.read() == Read.BOUNDED ? now - type.bound() : token;
+  }
+
+  int outstanding() {
+    return (int) attempts.stream().filter(a -> a.status == null).count();
+  }
+
+  /** First attempt that ran or may have run; null when it is known that none did. */
+  Attempt mayHaveRun() {
+    return attempts.stream()
+        .filter(a -> a.status == null || !a.status.neverRan)
+        .findFirst()
+        .orElse(null);
+  }
+
+  boolean tried(Node node) {
+    return attempts.stream().anyMatch(a -> a.node == node);
+  }
+
+  /** After this time an answer is worth little or nothing. */
+  long usefulUntil() {
+    return type.lateShare() < LATE_WORTH ? Math.min(deadline, arrival + type.aim()) : deadline;
+  }
 }
--- a/core/src/main/java/shelffront/distribution/ChangeLog.java
+++ b/core/src/main/java/shelffront/distribution/ChangeLog.java
@@ -7,54 +7,54 @@
 /** The last changes of one incarnation, without a gap; bounded in number and in characters. */
 final class ChangeLog {
 
-    private final int mostChanges;
-    private final long mostCharacters;
-    private final ArrayDeque<Change> changes = new ArrayDeque<>();
-    private long characters;
-    private Version start; // changes after this one are here
-
-    ChangeLog(int mostChanges, long mostCharacters, Version start) {
-        this.mostChanges = mostChanges;
-        this.mostCharacters = mostCharacters;
-        this.start = start;
+  private final int mostChanges;
+  private final long mostCharacters;
+  private final ArrayDeque<Change> changes = new ArrayDeque<>();
+  private long characters;
+  private Version start; // changes after this one are here
+
+  ChangeLog(int mostChanges, long mostCharacters, Version start) {
+    this.mostChanges = mostChanges;
+    this.mostCharacters = mostCharacters;
+    this.start = start;
+  }
+
+  /** Takes the change that follows the last one. */
+  void append(Change change) {
+    changes.addLast(change);
+    characters += change.size();
+    while (changes.size() > mostChanges || characters > mostCharacters) {
+      Change oldest = changes.removeFirst();
+      characters -= oldest.size();
+      start = oldest.version();
     }
-
-    /** Takes the change that follows the last one. */
-    void append(Change change) {
-        changes.addLast(change);
-        characters += change.size();
-        while (changes.size() > mostChanges || characters > mostCharacters) {
-            Change oldest = changes.removeFirst();
-            characters -= oldest.size();
-            start = oldest.version();
-        }
-    }
-
-    /** Forgets all; what follows comes after this version. */
-    void restart(Version version) {
-        changes.clear();
-        characters = 0;
-        start = version;
-    }
-
-    /** Whether every change after this version is here. */
-    boolean reaches(Version after) {
-        return after.incarnation() == start.incarnation() && !after.isBefore(start);
-    }
-
-    /** The changes after a version that it {@link #reaches}, of what is followed. */
-    List<Change> after(Version version, Interest interest) {
-        List<Change> found = new ArrayList<>();
-        // From the newest: a subscriber lacks few of many.
-        for (var each = changes.descendingIterator(); each.hasNext();) {
-            Change change = each.next();
-            if (!version.isBefore(change.version())) {
-                break;
-            }
-            if (interest.covers(change.name())) {
-                found.add(0, change);
-            }
-        }
-        return found;
+  }
+
+  /** Forgets all; what follows comes after this version. */
+  void restart(Version version) {
+    changes.clear();
+    characters = 0;
+    start = version;
+  }
+
+  /** Whether every change after this version is here. */
+  boolean reaches(Version after) {
+    return after.incarnation() == start.incarnation() && !after.isBefore(start);
+  }
+
+  /** The changes after a version that it {@link #reaches}, of what is followed. */
+  List<Change> after(Version version, Interest interest) {
+    List<Change> found = new ArrayList<>();
+    // From the newest: a subscriber lacks few of many.
+    for (var each = changes.descendingIterator(); each.hasNext(); ) {
+      Change change = each.next();
+      if (!version.isBefore(change.version())) {
+        break;
+      }
+      if (interest.covers(change.name())) {
+        found.add(0, change);
+      }
     }
+    return found;
+  }
 }
--- a/core/src/main/java/shelffront/distribution/EndpointChoice.java
+++ b/core/src/main/java/shelffront/distribution/EndpointChoice.java
@@ -9,103 +9,113 @@
 import java.util.SplittableRandom;
 
 /**
- * Which distributor a subscriber asks next, and when: those of its own zone first, then of its region, then any;
- * within each group in the order of rendezvous hashing over the subscriber's name, so that the subscribers of one
- * that fails spread evenly over the others. One that failed is left out for a pause that doubles. Times are
- * microseconds.
+ * Which distributor a subscriber asks next, and when: those of its own zone first, then of its
+ * region, then any; within each group in the order of rendezvous hashing over the subscriber's
+ * name, so that the subscribers of one that fails spread evenly over the others. One that failed is
+ * left out for a pause that doubles. Times are microseconds.
  */
 public final class EndpointChoice {
 
-    /** The pause after a first failure. */
-    public static final long FIRST_PAUSE = 500_000;
-    /** The longest pause. */
-    public static final long LONGEST_PAUSE = 2_000_000;
+  /** The pause after a first failure. */
+  public static final long FIRST_PAUSE = 500_000;
 
-    /** Whom to ask, and from when on. */
-    public record Next(Endpoint endpoint, long at) {}
+  /** The longest pause. */
+  public static final long LONGEST_PAUSE = 2_000_000;
 
-    private static final class Health {
-        private long pause;
-        private long leftOutUntil;
-    }
+  /** Whom to ask, and from when on. */
+  public record Next(Endpoint endpoint, long at) {}
 
-    private final List<Endpoint> order;
-    private final Map<Endpoint, Health> health = new HashMap<>();
-    private final long spread;
-    private final Random random;
+  private static final class Health {
+    private long pause;
+    private long leftOutUntil;
+  }
 
-    /**
-     * @param spread reconnects begin at a random moment within so many microseconds
-     */
-    public EndpointChoice(String subscriber, String region, String zone, List<Endpoint> endpoints, long spread,
-            Random random) {
-        if (endpoints.isEmpty()) {
-            throw new IllegalArgumentException("there is no distributor to ask");
-        }
-        order = new ArrayList<>(endpoints);
-        order.sort(Comparator.<Endpoint>comparingInt(e -> distance(e, region, zone))
-                .thenComparingDouble(e -> -rank(subscriber, e)));
-        order.forEach(e -> health.put(e, new Health()));
-        this.spread = spread;
-        this.random = random;
-    }
+  private final List<Endpoint> order;
+  private final Map<Endpoint, Health> health = new HashMap<>();
+  private final long spread;
+  private final Random random;
 
-    private static int distance(Endpoint endpoint, String region, String zone) {
-        if (!endpoint.region().equals(region)) {
-            return 2;
-        }
-        return endpoint.zone().equals(zone) ? 0 : 1;
+  /**
+   * @param spread reconnects begin at a random moment within so many microseconds
+   */
+  public EndpointChoice(
+      String subscriber,
+      String region,
+      String zone,
+      List<Endpoint> endpoints,
+      long spread,
+      Random random) {
+    if (endpoints.isEmpty()) {
+      throw new IllegalArgumentException("there is no distributor to ask");
     }
+    order = new ArrayList<>(endpoints);
+    order.sort(
+        Comparator.<Endpoint>comparingInt(e -> distance(e, region, zone))
+            .thenComparingDouble(e -> -rank(subscriber, e)));
+    order.forEach(e -> health.put(e, new Health()));
+    this.spread = spread;
+    this.random = random;
+  }
 
-    private static double rank(String subscriber, Endpoint endpoint) {
-        long own = new SplittableRandom(subscriber.hashCode()).nextLong();
-        return new SplittableRandom(own ^ endpoint.address().hashCode()).nextDouble();
+  private static int distance(Endpoint endpoint, String region, String zone) {
+    if (!endpoint.region().equals(region)) {
+      return 2;
     }
+    return endpoint.zone().equals(zone) ? 0 : 1;
+  }
 
-    /** All of them, the preferred first. */
-    public List<Endpoint> order() {
-        return List.copyOf(order);
-    }
+  private static double rank(String subscriber, Endpoint endpoint) {
+    long own = new SplittableRandom(subscriber.hashCode()).nextLong();
+    return new SplittableRandom(own ^ endpoint.address().hashCode()).nextDouble();
+  }
 
-    /** The first that is not left out, at a moment within the spread; else the one that comes back first. */
-    public Next next(long now) {
-        long start = now + (spread == 0 ? 0 : random.nextLong(spread));
-        Endpoint soonest = order.get(0);
-        for (Endpoint endpoint : order) {
-            if (health.get(endpoint).leftOutUntil <= start) {
-                return new Next(endpoint, start);
-            }
-            if (health.get(endpoint).leftOutUntil < health.get(soonest).leftOutUntil) {
-                soonest = endpoint;
-            }
-        }
-        return new Next(soonest, health.get(soonest).leftOutUntil);
-    }
+  /** All of them, the preferred first. */
+  public List<Endpoint> order() {
+    return List.copyOf(order);
+  }
 
-    /** It broke, was silent, or its view was older than another's. */
-    public void failed(Endpoint endpoint, long now) {
-        Health h = health.get(endpoint);
-        h.pause = h.pause == 0 ? FIRST_PAUSE : Math.min(LONGEST_PAUSE, 2 * h.pause);
-        h.leftOutUntil = now + h.pause;
+  /**
+   * The first that is not left out, at a moment within the spread; else the one that comes back
+   * first.
+   */
+  public Next next(long now) {
+    long start = now + (spread == 0 ? 0 : random.nextLong(spread));
+    Endpoint soonest = order.get(0);
+    for (Endpoint endpoint : order) {
+      if (health.get(endpoint).leftOutUntil <= start) {
+        return new Next(endpoint, start);
+      }
+      if (health.get(endpoint).leftOutUntil < health.get(soonest).leftOutUntil) {
+        soonest = endpoint;
+      }
     }
+    return new Next(soonest, health.get(soonest).leftOutUntil);
+  }
 
-    /** It gave a fresh answer. */
-    public void succeeded(Endpoint endpoint) {
-        Health h = health.get(endpoint);
-        h.pause = 0;
-        h.leftOutUntil = 0;
-    }
+  /** It broke, was silent, or its view was older than another's. */
+  public void failed(Endpoint endpoint, long now) {
+    Health h = health.get(endpoint);
+    h.pause = h.pause == 0 ? FIRST_PAUSE : Math.min(LONGEST_PAUSE, 2 * h.pause);
+    h.leftOutUntil = now + h.pause;
+  }
+
+  /** It gave a fresh answer. */
+  public void succeeded(Endpoint endpoint) {
+    Health h = health.get(endpoint);
+    h.pause = 0;
+    h.leftOutUntil = 0;
+  }
 
-    /** Whether one that is preferred to this could be tried again. */
-    public boolean hasBetter(Endpoint present, long now) {
-        for (Endpoint endpoint : order) {
-            if (endpoint.equals(present)) {
-                return false;
-            }
-            if (health.get(endpoint).leftOutUntil <= now) {
-                return true;
-            }
-        }
+  /** Whether one that is preferred to this could be tried again. */
+  public boolean hasBetter(Endpoint present, long now) {
+    for (Endpoint endpoint : order) {
+      if (endpoint.equals(present)) {
         return false;
+      }
+      if (health.get(endpoint).leftOutUntil <= now) {
+        return true;
+      }
     }
+    return false;
+  }
 }
--- a/core/src/main/java/shelffront/distribution/RecordTable.java
+++ b/core/src/main/java/shelffront/distribution/RecordTable.java
@@ -6,98 +6,102 @@
 import java.util.Map;
 
 /**
- * All records at one version, and the last changes that led there. Holds no record's older state. Not safe for several
- * threads: its owner has a lock.
+ * All records at one version, and the last changes that led there. Holds no record's older state.
+ * Not safe for several threads: its owner has a lock.
  */
 public final class RecordTable {
 
-    /** What became of a change that was offered. */
-    public enum Applied {
-        /** It was the next one and is in force. */
-        DONE,
-        /** It stands already, or a newer history does. */
-        KNOWN,
-        /** Changes before it are missing; only a snapshot helps. */
-        GAP
-    }
+  /** What became of a change that was offered. */
+  public enum Applied {
+    /** It was the next one and is in force. */
+    DONE,
+    /** It stands already, or a newer history does. */
+    KNOWN,
+    /** Changes before it are missing; only a snapshot helps. */
+    GAP
+  }
 
-    private final Map<String, Change> records = new HashMap<>();
-    private final ChangeLog log;
-    private Version version = Version.NONE;
+  private final Map<String, Change> records = new HashMap<>();
+  private final ChangeLog log;
+  private Version version = Version.NONE;
 
-    /** Keeps so many changes of so many characters for subscribers that lag. */
-    public RecordTable(int mostChanges, long mostCharacters) {
-        log = new ChangeLog(mostChanges, mostCharacters, Version.NONE);
-    }
+  /** Keeps so many changes of so many characters for subscribers that lag. */
+  public RecordTable(int mostChanges, long mostCharacters) {
+    log = new ChangeLog(mostChanges, mostCharacters, Version.NONE);
+  }
 
-    public Version version() {
-        return version;
-    }
+  public Version version() {
+    return version;
+  }
 
-    public int size() {
-        return records.size();
-    }
+  public int size() {
+    return records.size();
+  }
 
-    /** The record of a name; null where there is none. */
-    public Change record(String name) {
-        return records.get(name);
-    }
+  /** The record of a name; null where there is none. */
+  public Change record(String name) {
+    return records.get(name);
+  }
 
-    /** Takes the change that follows the present version. */
-    public Applied apply(Change change) {
-        if (!version.isBefore(change.version())) {
-            return Applied.KNOWN;
-        }
-        if (!version.next().equals(change.version())) {
-            return Applied.GAP;
-        }
-        version = change.version();
-        log.append(change);
-        put(change);
-        return Applied.DONE;
+  /** Takes the change that follows the present version. */
+  public Applied apply(Change change) {
+    if (!version.isBefore(change.version())) {
+      return Applied.KNOWN;
+    }
+    if (!version.next().equals(change.version())) {
+      return Applied.GAP;
     }
+    version = change.version();
+    log.append(change);
+    put(change);
+    return Applied.DONE;
+  }
 
-    /**
-     * Takes all records as of a version in place of what it has; false, and nothing is changed, where that would be a
-     * step back. Subscribers that stand at older versions need a snapshot from here on.
-     */
-    public boolean install(Update.Snapshot snapshot) {
-        if (snapshot.version().isBefore(version)) {
-            return false;
-        }
-        version = snapshot.version();
-        log.restart(version);
-        records.clear();
-        snapshot.records().forEach(this::put);
-        return true;
+  /**
+   * Takes all records as of a version in place of what it has; false, and nothing is changed, where
+   * that would be a step back. Subscribers that stand at older versions need a snapshot from here
+   * on.
+   */
+  public boolean install(Update.Snapshot snapshot) {
+    if (snapshot.version().isBefore(version)) {
+      return false;
     }
+    version = snapshot.version();
+    log.restart(version);
+    records.clear();
+    snapshot.records().forEach(this::put);
+    return true;
+  }
 
-    private void put(Change change) {
-        if (change.isRemoval()) {
-            records.remove(change.name());
-        } else {
-            records.put(change.name(), change);
-        }
+  private void put(Change change) {
+    if (change.isRemoval()) {
+      records.remove(change.name());
+    } else {
+      records.put(change.name(), change);
     }
+  }
 
-    /** What a subscriber at a version lacks; null where it is ahead of this table, which then has nothing to say. */
-    public Update updateFor(Version subscriber, Interest interest) {
-        if (version.isBefore(subscriber)) {
-            return null;
-        }
-        return log.reaches(subscriber)
-                ? new Update.Changes(subscriber, version, log.after(subscriber, interest))
-                : snapshot(interest);
+  /**
+   * What a subscriber at a version lacks; null where it is ahead of this table, which then has
+   * nothing to say.
+   */
+  public Update updateFor(Version subscriber, Interest interest) {
+    if (version.isBefore(subscriber)) {
+      return null;
     }
+    return log.reaches(subscriber)
+        ? new Update.Changes(subscriber, version, log.after(subscriber, interest))
+        : snapshot(interest);
+  }
 
-    /** All that there is of what is followed. */
-    public Update.Snapshot snapshot(Interest interest) {
-        List<Change> found = new ArrayList<>();
-        if (interest.all()) {
-            found.addAll(records.values());
-        } else {
-            interest.names().stream().map(records::get).filter(r -> r != null).forEach(found::add);
-        }
-        return new Update.Snapshot(version, found);
+  /** All that there is of what is followed. */
+  public Update.Snapshot snapshot(Interest interest) {
+    List<Change> found = new ArrayList<>();
+    if (interest.all()) {
+      found.addAll(records.values());
+    } else {
+      interest.names().stream().map(records::get).filter(r -> r != null).forEach(found::add);
     }
+    return new Update.Snapshot(version, found);
+  }
 }
--- a/core/src/main/java/shelffront/distribution/SubscribedView.java
+++ b/core/src/main/java/shelffront/distribution/SubscribedView.java
@@ -10,165 +10,175 @@
 import java.util.Set;
 
 /**
- * The records of the names that a subscriber follows, as of a version that never steps back. What is in force changes
- * by what {@link #take} and {@link #added} give, in that order. Not safe for several threads: its owner has a lock.
+ * The records of the names that a subscriber follows, as of a version that never steps back. What
+ * is in force changes by what {@link #take} and {@link #added} give, in that order. Not safe for
+ * several threads: its owner has a lock.
  *
- * <p>The set of names has an edition. A distributor answers for the edition that it was told; an answer for another one
- * is of no use, since changes of a name that it does not know of would be missing between two versions.
+ * <p>The set of names has an edition. A distributor answers for the edition that it was told; an
+ * answer for another one is of no use, since changes of a name that it does not know of would be
+ * missing between two versions.
  */
 public final class SubscribedView {
 
-    /** What keeps the view right; tests switch single ones off to see that each is missed. */
-    enum Guard {
-        /** Nothing older than the view is taken. */
-        VIEW_NEVER_STEPS_BACK,
-        /** Changes are taken only on top of the version that they follow. */
-        CHANGES_FOLLOW,
-        /** An older state of a record does not replace a newer one. */
-        RECORD_NEVER_STEPS_BACK,
-        /** What a snapshot does not hold is removed. */
-        ABSENT_IS_REMOVED,
-        /** An answer for another set of names is not taken. */
-        EDITION,
-        /** A record that was fetched from a distributor behind this view is not taken. */
-        FETCHED_NOT_BEHIND
-    }
-
-    private final Set<Guard> guards;
-    private final Set<String> names = new HashSet<>();
-    private final Map<String, Change> records = new HashMap<>();
-    private Version version = Version.NONE;
-    private long edition;
-
-    public SubscribedView() {
-        this(EnumSet.allOf(Guard.class));
-    }
-
-    SubscribedView(Set<Guard> guards) {
-        this.guards = guards;
-    }
-
-    /** Begins with what was kept from an earlier run. */
-    public void restore(Version keptVersion, Collection<Change> keptRecords) {
-        version = keptVersion;
-        for (Change record : keptRecords) {
-            names.add(record.name());
-            records.put(record.name(), record);
-        }
-    }
-
-    public Version version() {
-        return version;
-    }
-
-    /** Counts how often names were added to those that distributors are told. */
-    public long edition() {
-        return edition;
-    }
-
-    public Set<String> names() {
-        return Set.copyOf(names);
-    }
-
-    public Collection<Change> records() {
-        return List.copyOf(records.values());
-    }
-
-    /** The record of a name that it follows; null where there is none. */
-    public Change record(String name) {
-        return records.get(name);
-    }
-
-    public boolean follows(String name) {
-        return names.contains(name);
-    }
-
-    /** Begins to ask for names, from this edition on; each is followed once {@link #added} has been told its record. */
-    public long beginAdding() {
-        return ++edition;
-    }
-
-    /**
-     * Follows a name, with its record as a distributor had it at a version. False where that distributor is behind this
-     * view: changes of the name that this view has passed may be missing, and it has to be fetched again.
-     */
-    public boolean added(String name, Change fetched, Version asOf) {
-        if (asOf.isBefore(version) && guards.contains(Guard.FETCHED_NOT_BEHIND)) {
-            return false;
-        }
-        names.add(name);
-        put(fetched);
-        return true;
-    }
-
-    /**
-     * Follows a name no longer. The edition stays: a distributor that still counts the name among those followed gives
-     * more than is wanted, and never less.
-     */
-    public void forget(String name) {
-        names.remove(name);
-        records.remove(name);
-    }
-
-    /**
-     * Takes what a distributor gave for an edition of the names, and gives the changes that come into force by it. What
-     * does not fit changes nothing and gives nothing.
-     */
-    public List<Change> take(Update update, long forEdition) {
-        if (!fits(update, forEdition)) {
-            return List.of();
-        }
-        List<Change> inForce = new ArrayList<>();
-        if (update instanceof Update.Snapshot snapshot) {
-            removeAbsent(snapshot, inForce);
-            putAll(snapshot.records(), inForce);
-        } else if (update instanceof Update.Changes changes) {
-            putAll(changes.changes(), inForce);
-        }
-        version = update.version();
-        return inForce;
-    }
-
-    private boolean fits(Update update, long forEdition) {
-        if (forEdition != edition && guards.contains(Guard.EDITION)) {
-            return false;
-        }
-        if (update instanceof Update.Changes c && !c.after().equals(version) && guards.contains(Guard.CHANGES_FOLLOW)) {
-            return false;
-        }
-        return !update.version().isBefore(version) || !guards.contains(Guard.VIEW_NEVER_STEPS_BACK);
-    }
-
-    private void removeAbsent(Update.Snapshot snapshot, List<Change> inForce) {
-        Set<String> present = new HashSet<>();
-        snapshot.records().forEach(r -> present.add(r.name()));
-        for (Change held : List.copyOf(records.values())) {
-            boolean ahead = snapshot.version().isBefore(held.version()); // fetched from a distributor that is further
-            if (!present.contains(held.name()) && !ahead && guards.contains(Guard.ABSENT_IS_REMOVED)) {
-                records.remove(held.name());
-                inForce.add(new Change(snapshot.version(), held.name(), null));
-            }
-        }
-    }
-
-    private void putAll(List<Change> changes, List<Change> inForce) {
-        for (Change change : changes) {
-            if (names.contains(change.name()) && put(change)) {
-                inForce.add(change);
-            }
-        }
-    }
-
-    private boolean put(Change change) {
-        Change present = records.get(change.name());
-        if (present != null && !present.version().isBefore(change.version())
-                && guards.contains(Guard.RECORD_NEVER_STEPS_BACK)) {
-            return false;
-        }
-        if (change.isRemoval()) {
-            return records.remove(change.name()) != null;
-        }
-        records.put(change.name(), change);
-        return true;
-    }
+  /** What keeps the view right; tests switch single ones off to see that each is missed. */
+  enum Guard {
+    /** Nothing older than the view is taken. */
+    VIEW_NEVER_STEPS_BACK,
+    /** Changes are taken only on top of the version that they follow. */
+    CHANGES_FOLLOW,
+    /** An older state of a record does not replace a newer one. */
+    RECORD_NEVER_STEPS_BACK,
+    /** What a snapshot does not hold is removed. */
+    ABSENT_IS_REMOVED,
+    /** An answer for another set of names is not taken. */
+    EDITION,
+    /** A record that was fetched from a distributor behind this view is not taken. */
+    FETCHED_NOT_BEHIND
+  }
+
+  private final Set<Guard> guards;
+  private final Set<String> names = new HashSet<>();
+  private final Map<String, Change> records = new HashMap<>();
+  private Version version = Version.NONE;
+  private long edition;
+
+  public SubscribedView() {
+    this(EnumSet.allOf(Guard.class));
+  }
+
+  SubscribedView(Set<Guard> guards) {
+    this.guards = guards;
+  }
+
+  /** Begins with what was kept from an earlier run. */
+  public void restore(Version keptVersion, Collection<Change> keptRecords) {
+    version = keptVersion;
+    for (Change record : keptRecords) {
+      names.add(record.name());
+      records.put(record.name(), record);
+    }
+  }
+
+  public Version version() {
+    return version;
+  }
+
+  /** Counts how often names were added to those that distributors are told. */
+  public long edition() {
+    return edition;
+  }
+
+  public Set<String> names() {
+    return Set.copyOf(names);
+  }
+
+  public Collection<Change> records() {
+    return List.copyOf(records.values());
+  }
+
+  /** The record of a name that it follows; null where there is none. */
+  public Change record(String name) {
+    return records.get(name);
+  }
+
+  public boolean follows(String name) {
+    return names.contains(name);
+  }
+
+  /**
+   * Begins to ask for names, from this edition on; each is followed once {@link #added} has been
+   * told its record.
+   */
+  public long beginAdding() {
+    return ++edition;
+  }
+
+  /**
+   * Follows a name, with its record as a distributor had it at a version. False where that
+   * distributor is behind this view: changes of the name that this view has passed may be missing,
+   * and it has to be fetched again.
+   */
+  public boolean added(String name, Change fetched, Version asOf) {
+    if (asOf.isBefore(version) && guards.contains(Guard.FETCHED_NOT_BEHIND)) {
+      return false;
+    }
+    names.add(name);
+    put(fetched);
+    return true;
+  }
+
+  /**
+   * Follows a name no longer. The edition stays: a distributor that still counts the name among
+   * those followed gives more than is wanted, and never less.
+   */
+  public void forget(String name) {
+    names.remove(name);
+    records.remove(name);
+  }
+
+  /**
+   * Takes what a distributor gave for an edition of the names, and gives the changes that come into
+   * force by it. What does not fit changes nothing and gives nothing.
+   */
+  public List<Change> take(Update update, long forEdition) {
+    if (!fits(update, forEdition)) {
+      return List.of();
+    }
+    List<Change> inForce = new ArrayList<>();
+    if (update instanceof Update.Snapshot snapshot) {
+      removeAbsent(snapshot, inForce);
+      putAll(snapshot.records(), inForce);
+    } else if (update instanceof Update.Changes changes) {
+      putAll(changes.changes(), inForce);
+    }
+    version = update.version();
+    return inForce;
+  }
+
+  private boolean fits(Update update, long forEdition) {
+    if (forEdition != edition && guards.contains(Guard.EDITION)) {
+      return false;
+    }
+    if (update instanceof Update.Changes c
+        && !c.after().equals(version)
+        && guards.contains(Guard.CHANGES_FOLLOW)) {
+      return false;
+    }
+    return !update.version().isBefore(version) || !guards.contains(Guard.VIEW_NEVER_STEPS_BACK);
+  }
+
+  private void removeAbsent(Update.Snapshot snapshot, List<Change> inForce) {
+    Set<String> present = new HashSet<>();
+    snapshot.records().forEach(r -> present.add(r.name()));
+    for (Change held : List.copyOf(records.values())) {
+      boolean ahead =
+          snapshot.version().isBefore(held.version()); // fetched from a distributor that is further
+      if (!present.contains(held.name()) && !ahead && guards.contains(Guard.ABSENT_IS_REMOVED)) {
+        records.remove(held.name());
+        inForce.add(new Change(snapshot.version(), held.name(), null));
+      }
+    }
+  }
+
+  private void putAll(List<Change> changes, List<Change> inForce) {
+    for (Change change : changes) {
+      if (names.contains(change.name()) && put(change)) {
+        inForce.add(change);
+      }
+    }
+  }
+
+  private boolean put(Change change) {
+    Change present = records.get(change.name());
+    if (present != null
+        && !present.version().isBefore(change.version())
+        && guards.contains(Guard.RECORD_NEVER_STEPS_BACK)) {
+      return false;
+    }
+    if (change.isRemoval()) {
+      return records.remove(change.name()) != null;
+    }
+    records.put(change.name(), change);
+    return true;
+  }
 }
--- a/core/src/main/java/shelffront/distribution/package-info.java
+++ b/core/src/main/java/shelffront/distribution/package-info.java
@@ -1,12 +1,13 @@
 /**
  * Distribution of configuration to a fleet, without I/O, clock or thread.
  *
- * <p>An engine (outside of this package) gives every change a {@link shelffront.distribution.Version}. A distributor
- * keeps the latest record of every name and a bounded log of changes in a {@link
- * shelffront.distribution.RecordTable}, and answers subscribers with what they lack: changes where its log reaches
- * back far enough, else a snapshot. A subscriber keeps the records that it asked for in a {@link
- * shelffront.distribution.SubscribedView}, which never steps back, whichever distributor speaks. {@link
- * shelffront.distribution.Freshness} tells how old a view may be, and {@link shelffront.distribution.EndpointChoice}
- * which distributor to ask next.
+ * <p>An engine (outside of this package) gives every change a {@link
+ * shelffront.distribution.Version}. A distributor keeps the latest record of every name and a
+ * bounded log of changes in a {@link shelffront.distribution.RecordTable}, and answers subscribers
+ * with what they lack: changes where its log reaches back far enough, else a snapshot. A subscriber
+ * keeps the records that it asked for in a {@link shelffront.distribution.SubscribedView}, which
+ * never steps back, whichever distributor speaks. {@link shelffront.distribution.Freshness} tells
+ * how old a view may be, and {@link shelffront.distribution.EndpointChoice} which distributor to
+ * ask next.
  */
 package shelffront.distribution;
--- a/core/src/main/java/shelffront/route/Router.java
+++ b/core/src/main/java/shelffront/route/Router.java
@@ -3,178 +3,296 @@
 import java.util.List;
 
 /**
- * The interface of the decision module: the events an embedding proxy reports and the actions it carries out.
+ * The interface of the decision module: the events an embedding proxy reports and the actions it
+ * carries out.
  *
- * <p>All times are microseconds on one clock that never moves backwards, passed in with each event. Positions are
- * times on the same clock: a member at position {@code p} has applied every commit up to {@code p}. The module keeps
- * no clock, thread or random source of its own, so the same events always give the same actions.
+ * <p>All times are microseconds on one clock that never moves backwards, passed in with each event.
+ * Positions are times on the same clock: a member at position {@code p} has applied every commit up
+ * to {@code p}. The module keeps no clock, thread or random source of its own, so the same events
+ * always give the same actions.
  */
 public interface Router {
 
-    /** A time or position that was not given, long before any other; far enough from the limits to subtract. */
-    long UNKNOWN = Long.MIN_VALUE / 4;
-
-    /** What a request class needs of the member that answers it. */
-    enum Read { WRITE, FRESH, SESSION, BOUNDED, ANY }
-
-    /** Whether a request may run more than once. */
-    enum Effect { REPEATABLE, KEYED, ONCE }
-
-    /** The members that discard repeats of a keyed request. */
-    enum Scope { ALL, ZONE, GROUP }
-
-    /** What a member does with a read for which it lags too far. */
-    enum LagCheck { NONE, REFUSE, WAIT }
-
-    /** Where members' reports about themselves arrive. */
-    enum ReportSource { NONE, ANSWERS, PROBES }
-
-    /** How the list of members follows the roles. */
-    enum ListRole { NONE, AT_START, LATE }
-
-    /** What a member is, as far as a message told. */
-    enum Role { UNKNOWN, PRIMARY, REPLICA }
-
-    /** State of a member in the list. */
-    enum Availability { LIVE, DRAINING, GONE }
-
-    /** Kind of news about the list; {@code REMEMBERED} is the last list before a restart, maybe outdated. */
-    enum ListKind {
-        CHANGES, ALL, REMEMBERED, FAILED
+  /**
+   * A time or position that was not given, long before any other; far enough from the limits to
+   * subtract.
+   */
+  long UNKNOWN = Long.MIN_VALUE / 4;
+
+  /** What a request class needs of the member that answers it. */
+  enum Read {
+    WRITE,
+    FRESH,
+    SESSION,
+    BOUNDED,
+    ANY
+  }
+
+  /** Whether a request may run more than once. */
+  enum Effect {
+    REPEATABLE,
+    KEYED,
+    ONCE
+  }
+
+  /** The members that discard repeats of a keyed request. */
+  enum Scope {
+    ALL,
+    ZONE,
+    GROUP
+  }
+
+  /** What a member does with a read for which it lags too far. */
+  enum LagCheck {
+    NONE,
+    REFUSE,
+    WAIT
+  }
+
+  /** Where members' reports about themselves arrive. */
+  enum ReportSource {
+    NONE,
+    ANSWERS,
+    PROBES
+  }
+
+  /** How the list of members follows the roles. */
+  enum ListRole {
+    NONE,
+    AT_START,
+    LATE
+  }
+
+  /** What a member is, as far as a message told. */
+  enum Role {
+    UNKNOWN,
+    PRIMARY,
+    REPLICA
+  }
+
+  /** State of a member in the list. */
+  enum Availability {
+    LIVE,
+    DRAINING,
+    GONE
+  }
+
+  /**
+   * Kind of news about the list; {@code REMEMBERED} is the last list before a restart, maybe
+   * outdated.
+   */
+  enum ListKind {
+    CHANGES,
+    ALL,
+    REMEMBERED,
+    FAILED
+  }
+
+  /** How an attempt or a probe ended. */
+  enum Status {
+    OK(false),
+    ERROR(false),
+    FULL(true),
+    TIMEOUT(false),
+    CONNECT_FAILED(true),
+    RESET(false),
+    CANCELLED(false),
+    NOT_SENT(true),
+    MISS(true);
+
+    /** True when this outcome proves that the request never ran. */
+    public final boolean neverRan;
+
+    Status(boolean neverRan) {
+      this.neverRan = neverRan;
     }
-
-    /** How an attempt or a probe ended. */
-    enum Status {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false), CANCELLED(false),
-        NOT_SENT(true), MISS(true);
-
-        /** True when this outcome proves that the request never ran. */
-        public final boolean neverRan;
-
-        Status(boolean neverRan) {
-            this.neverRan = neverRan;
-        }
+  }
+
+  /** One request class. {@code bound} is the greatest age of data, for bounded reads. */
+  record ClassSettings(
+      String name,
+      long aim,
+      long deadline,
+      double worth,
+      double lateShare,
+      Effect effect,
+      Scope scope,
+      long window,
+      Read read,
+      long bound) {
+
+    public boolean repeatable() {
+      return effect == Effect.REPEATABLE;
     }
 
-    /** One request class. {@code bound} is the greatest age of data, for bounded reads. */
-    record ClassSettings(String name, long aim, long deadline, double worth, double lateShare, Effect effect,
-            Scope scope, long window, Read read, long bound) {
-
-        public boolean repeatable() {
-            return effect == Effect.REPEATABLE;
-        }
-
-        public boolean once() {
-            return effect == Effect.ONCE;
-        }
-
-        /** Whether those of the given scope drop a repeat of a request of this class. */
-        public boolean keyedFor(Scope given) {
-            return effect == Effect.KEYED && scope == given;
-        }
-
-        public boolean writes() {
-            return read == Read.WRITE;
-        }
-
-        /** Whether only the primary may answer it. */
-        public boolean needsPrimary() {
-            return read == Read.WRITE || read == Read.FRESH;
-        }
+    public boolean once() {
+      return effect == Effect.ONCE;
     }
 
-    /** The figures of the rules. */
-    record Rules(long drainGrace, double coldFrom, long coldTime, double fallMultiple, long fallTime,
-            boolean softRemoval, long askWithin, long answerSlack) {}
-
-    /** What the site permits; a connection that takes longer than its limit to set up fails. */
-    record Limits(int attempts, long maxRetryAfter, boolean retryAfter, boolean cancel, boolean duplicate,
-            boolean probe, boolean tell, long connectTimeout, long connectionIdle) {
-
-        /** The wait that a refusal may tell of; 0, which is no advice, where the site does not permit any. */
-        public long toldWait(long wait) {
-            return retryAfter ? Math.min(maxRetryAfter, wait) : 0;
-        }
+    /** Whether those of the given scope drop a repeat of a request of this class. */
+    public boolean keyedFor(Scope given) {
+      return effect == Effect.KEYED && scope == given;
     }
 
-    /** Everything an instance is told at its start. {@code tick} is the shortest time between two events. */
-    record Settings(int self, int routers, String zone, long tick, List<ClassSettings> classes, LagCheck check,
-            long hold, boolean answersStamped, boolean tokensCarried, ListRole listRole, boolean listAsked,
-            ReportSource reports, Rules rules, Limits limits, double crossZonePrice, double probePrice) {}
-
-    /** A line of the list. {@code startedAt} is 0 when the member has been up for long. */
-    record Member(String id, String kind, String zone, int group, double size, long startedAt, boolean primary,
-            Availability availability) {
-
-        public Member as(Availability other) {
-            return new Member(id, kind, zone, group, size, startedAt, primary, other);
-        }
+    public boolean writes() {
+      return read == Read.WRITE;
     }
 
-    /** A member's report about itself; negative figures and {@link #UNKNOWN} were not given. */
-    record Load(long position, Role role, double outstanding, double queued, double utilization) {}
+    /** Whether only the primary may answer it. */
+    public boolean needsPrimary() {
+      return read == Read.WRITE || read == Read.FRESH;
+    }
+  }
+
+  /** The figures of the rules. */
+  record Rules(
+      long drainGrace,
+      double coldFrom,
+      long coldTime,
+      double fallMultiple,
+      long fallTime,
+      boolean softRemoval,
+      long askWithin,
+      long answerSlack) {}
+
+  /** What the site permits; a connection that takes longer than its limit to set up fails. */
+  record Limits(
+      int attempts,
+      long maxRetryAfter,
+      boolean retryAfter,
+      boolean cancel,
+      boolean duplicate,
+      boolean probe,
+      boolean tell,
+      long connectTimeout,
+      long connectionIdle) {
 
     /**
-     * A request. {@code left} is the time until the client gives up, {@code after} the carried position of the
-     * session's last write ({@link #UNKNOWN}: none).
+     * The wait that a refusal may tell of; 0, which is no advice, where the site does not permit
+     * any.
      */
-    record Request(String id, int classIndex, String session, int group, long left, long after,
-            boolean repeat) {}
+    public long toldWait(long wait) {
+      return retryAfter ? Math.min(maxRetryAfter, wait) : 0;
+    }
+  }
+
+  /**
+   * Everything an instance is told at its start. {@code tick} is the shortest time between two
+   * events.
+   */
+  record Settings(
+      int self,
+      int routers,
+      String zone,
+      long tick,
+      List<ClassSettings> classes,
+      LagCheck check,
+      long hold,
+      boolean answersStamped,
+      boolean tokensCarried,
+      ListRole listRole,
+      boolean listAsked,
+      ReportSource reports,
+      Rules rules,
+      Limits limits,
+      double crossZonePrice,
+      double probePrice) {}
+
+  /** A line of the list. {@code startedAt} is 0 when the member has been up for long. */
+  record Member(
+      String id,
+      String kind,
+      String zone,
+      int group,
+      double size,
+      long startedAt,
+      boolean primary,
+      Availability availability) {
+
+    public Member as(Availability other) {
+      return new Member(id, kind, zone, group, size, startedAt, primary, other);
+    }
+  }
 
-    /** How an attempt ended; {@code finished} when the client has had its answer. */
-    record Outcome(String requestId, int attempt, String member, Status status, boolean finished, long took,
-            Role role, long position, Load load) {}
+  /** A member's report about itself; negative figures and {@link #UNKNOWN} were not given. */
+  record Load(long position, Role role, double outstanding, double queued, double utilization) {}
 
-    void onStart(long now, long seed, Settings settings);
+  /**
+   * A request. {@code left} is the time until the client gives up, {@code after} the carried
+   * position of the session's last write ({@link #UNKNOWN}: none).
+   */
+  record Request(
+      String id,
+      int classIndex,
+      String session,
+      int group,
+      long left,
+      long after,
+      boolean repeat) {}
 
-    void onMembers(long now, ListKind kind, long version, List<Member> members);
+  /** How an attempt ended; {@code finished} when the client has had its answer. */
+  record Outcome(
+      String requestId,
+      int attempt,
+      String member,
+      Status status,
+      boolean finished,
+      long took,
+      Role role,
+      long position,
+      Load load) {}
 
-    void onRequest(long now, Request request);
+  void onStart(long now, long seed, Settings settings);
 
-    void onOutcome(long now, Outcome outcome);
+  void onMembers(long now, ListKind kind, long version, List<Member> members);
 
-    /**
-     * Whether an attempt may be written now that a connection is there for it: while it waited its client may have
-     * gone, its member may have begun to drain, lost its role or become too old, the window for repeats may have
-     * ended. Where not, it ends as NOT_SENT, and its request, if it is open, is looked at again.
-     */
-    boolean mayStart(long now, String requestId, int attempt);
+  void onRequest(long now, Request request);
 
-    void onProbeResult(long now, String member, Status status, long took, Load load);
+  void onOutcome(long now, Outcome outcome);
 
-    void onMessage(long now, int from, byte[] payload);
+  /**
+   * Whether an attempt may be written now that a connection is there for it: while it waited its
+   * client may have gone, its member may have begun to drain, lost its role or become too old, the
+   * window for repeats may have ended. Where not, it ends as NOT_SENT, and its request, if it is
+   * open, is looked at again.
+   */
+  boolean mayStart(long now, String requestId, int attempt);
 
-    void onTimer(long now, String name);
+  void onProbeResult(long now, String member, Status status, long took, Load load);
 
-    void onClientGone(long now, String requestId);
+  void onMessage(long now, int from, byte[] payload);
 
-    /** What the embedding proxy does for the module. */
-    interface Actions {
+  void onTimer(long now, String name);
 
-        /** Starts an attempt; {@code timeout} 0 means until the client gives up. */
-        void send(String requestId, String member, long timeout);
+  void onClientGone(long now, String requestId);
 
-        void cancel(String requestId, int attempt);
+  /** What the embedding proxy does for the module. */
+  interface Actions {
 
-        /** Final answer: refused, a further try does no harm. {@code retryAfter} 0 means no advice. */
-        void reject(String requestId, long retryAfter);
+    /** Starts an attempt; {@code timeout} 0 means until the client gives up. */
+    void send(String requestId, String member, long timeout);
 
-        /** Final answer: failed, with no promise about its effect. */
-        void fail(String requestId);
+    void cancel(String requestId, int attempt);
 
-        void probe(String member);
+    /** Final answer: refused, a further try does no harm. {@code retryAfter} 0 means no advice. */
+    void reject(String requestId, long retryAfter);
 
-        void setTimer(String name, long at);
+    /** Final answer: failed, with no promise about its effect. */
+    void fail(String requestId);
 
-        void subscribe(boolean on);
+    void probe(String member);
 
-        void fetchList();
+    void setTimer(String name, long at);
 
-        /** Sends a message to one peer, or to all for a negative number. */
-        void tellPeers(int peer, byte[] payload);
+    void subscribe(boolean on);
 
-        void closeIdle(String member);
+    void fetchList();
 
-        void log(String text);
-    }
+    /** Sends a message to one peer, or to all for a negative number. */
+    void tellPeers(int peer, byte[] payload);
+
+    void closeIdle(String member);
+
+    void log(String text);
+  }
 }
--- a/core/src/main/java/shelffront/share/DeficitRoundRobin.java
+++ b/core/src/main/java/shelffront/share/DeficitRoundRobin.java
@@ -3,79 +3,82 @@
 import java.util.ArrayDeque;
 
 /**
- * Deficit round robin (Shreedhar and Varghese, 1996) over flows whose items' costs are known only once they are done:
- * a flow whose credit is used up waits until it has had its rounds. Items of one flow keep their order. A flow alone
- * is never held back.
+ * Deficit round robin (Shreedhar and Varghese, 1996) over flows whose items' costs are known only
+ * once they are done: a flow whose credit is used up waits until it has had its rounds. Items of
+ * one flow keep their order. A flow alone is never held back.
  */
 public final class DeficitRoundRobin<T> {
 
-    /** The most that a flow may owe, in rounds of its own: bounds how long it waits for what its items cost. */
-    private static final long MOST_QUANTA = 64;
+  /**
+   * The most that a flow may owe, in rounds of its own: bounds how long it waits for what its items
+   * cost.
+   */
+  private static final long MOST_QUANTA = 64;
 
-    /** One that has its turn: items that wait, and its credit. */
-    public static final class Flow<T> {
+  /** One that has its turn: items that wait, and its credit. */
+  public static final class Flow<T> {
 
-        private final ArrayDeque<T> waiting = new ArrayDeque<>();
-        private double weight;
-        private double credit;
-        private boolean inRing;
+    private final ArrayDeque<T> waiting = new ArrayDeque<>();
+    private double weight;
+    private double credit;
+    private boolean inRing;
 
-        public Flow(double weight) {
-            this.weight = weight;
-        }
+    public Flow(double weight) {
+      this.weight = weight;
+    }
 
-        /** Above 0. */
-        public void weight(double given) {
-            weight = given;
-        }
+    /** Above 0. */
+    public void weight(double given) {
+      weight = given;
     }
+  }
 
-    private final long quantum;
-    private final ArrayDeque<Flow<T>> ring = new ArrayDeque<>();
-    private Flow<T> current;
-    private int waiting; // items of all flows
+  private final long quantum;
+  private final ArrayDeque<Flow<T>> ring = new ArrayDeque<>();
+  private Flow<T> current;
+  private int waiting; // items of all flows
 
-    /** The quantum is the cost that a flow of weight 1 may run up in a round. */
-    public DeficitRoundRobin(long quantum) {
-        this.quantum = quantum;
-    }
+  /** The quantum is the cost that a flow of weight 1 may run up in a round. */
+  public DeficitRoundRobin(long quantum) {
+    this.quantum = quantum;
+  }
 
-    public void add(Flow<T> flow, T item) {
-        flow.waiting.add(item);
-        waiting++;
-        if (!flow.inRing) {
-            flow.inRing = true;
-            flow.credit = Math.min(flow.credit, 0) + quantum * flow.weight; // no saving up while idle
-            ring.add(flow);
-        }
+  public void add(Flow<T> flow, T item) {
+    flow.waiting.add(item);
+    waiting++;
+    if (!flow.inRing) {
+      flow.inRing = true;
+      flow.credit = Math.min(flow.credit, 0) + quantum * flow.weight; // no saving up while idle
+      ring.add(flow);
     }
+  }
 
-    /** The next item, whose cost is to be told by {@link #charge}; null where none waits. */
-    public T next() {
-        while (!ring.isEmpty()) {
-            Flow<T> flow = ring.peek();
-            if (flow.waiting.isEmpty()) {
-                ring.poll();
-                flow.inRing = false;
-            } else if (flow.credit <= 0 && ring.size() > 1) {
-                flow.credit += quantum * flow.weight;
-                ring.add(ring.poll());
-            } else {
-                current = flow;
-                waiting--;
-                return flow.waiting.poll();
-            }
-        }
-        return null;
+  /** The next item, whose cost is to be told by {@link #charge}; null where none waits. */
+  public T next() {
+    while (!ring.isEmpty()) {
+      Flow<T> flow = ring.peek();
+      if (flow.waiting.isEmpty()) {
+        ring.poll();
+        flow.inRing = false;
+      } else if (flow.credit <= 0 && ring.size() > 1) {
+        flow.credit += quantum * flow.weight;
+        ring.add(ring.poll());
+      } else {
+        current = flow;
+        waiting--;
+        return flow.waiting.poll();
+      }
     }
+    return null;
+  }
 
-    /** What the item given last has cost, in the unit of the quantum. */
-    public void charge(long cost) {
-        double least = -quantum * MOST_QUANTA * current.weight;
-        current.credit = Math.max(least, current.credit - Math.max(1, cost));
-    }
+  /** What the item given last has cost, in the unit of the quantum. */
+  public void charge(long cost) {
+    double least = -quantum * MOST_QUANTA * current.weight;
+    current.credit = Math.max(least, current.credit - Math.max(1, cost));
+  }
 
-    public boolean isEmpty() {
-        return waiting == 0;
-    }
+  public boolean isEmpty() {
+    return waiting == 0;
+  }
 }
--- a/core/src/main/java/shelffront/share/Holdings.java
+++ b/core/src/main/java/shelffront/share/Holdings.java
@@ -7,165 +7,172 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Divides things that are held for long, such as sockets, among tenants by weight. Work conserving: what others leave
- * may be held too, up to a part of all; the rest is there for whoever holds less than its own part. Where that is used
- * up, the one furthest beyond its part is asked to give one back, and whoever waits is told when one has come.
+ * Divides things that are held for long, such as sockets, among tenants by weight. Work conserving:
+ * what others leave may be held too, up to a part of all; the rest is there for whoever holds less
+ * than its own part. Where that is used up, the one furthest beyond its part is asked to give one
+ * back, and whoever waits is told when one has come.
  *
- * <p>A tenant's part counts those who hold anything now or wait for it. Any thread may call; nothing waits. Both
- * callbacks are called by whichever thread gives back or takes, so they only pass the word on.
+ * <p>A tenant's part counts those who hold anything now or wait for it. Any thread may call;
+ * nothing waits. Both callbacks are called by whichever thread gives back or takes, so they only
+ * pass the word on.
  */
 public final class Holdings {
 
-    /** Part of all that holders may fill beyond their own parts. */
-    private static final double LENT = 0.75;
-    private static final double UNIT = 1000; // weights are summed in thousandths, to the same sum in any order
-
-    /** What came of asking for one. */
-    public enum Verdict {
-        /** It holds one more. */
-        TAKEN,
-        /** It holds all that its own bound allows, or what is lent out is used up; it has its part. */
-        REFUSED,
-        /** Others hold what is its own; it is told when one has been given back. */
-        OWED
+  /** Part of all that holders may fill beyond their own parts. */
+  private static final double LENT = 0.75;
+
+  private static final double UNIT =
+      1000; // weights are summed in thousandths, to the same sum in any order
+
+  /** What came of asking for one. */
+  public enum Verdict {
+    /** It holds one more. */
+    TAKEN,
+    /** It holds all that its own bound allows, or what is lent out is used up; it has its part. */
+    REFUSED,
+    /** Others hold what is its own; it is told when one has been given back. */
+    OWED
+  }
+
+  /** One tenant's. Its figures belong to its own thread. */
+  public final class Holding {
+
+    private final Runnable giveOneBack;
+    private final Runnable oneCame;
+    private final AtomicInteger mine = new AtomicInteger();
+    private volatile long units;
+    private volatile int most;
+    private boolean waits;
+    private volatile boolean counted; // its weight is in the sum
+
+    private Holding(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
+      units = Math.max(1, Math.round(weight * UNIT));
+      this.most = most;
+      this.giveOneBack = giveOneBack;
+      this.oneCame = oneCame;
     }
 
-    /** One tenant's. Its figures belong to its own thread. */
-    public final class Holding {
-
-        private final Runnable giveOneBack;
-        private final Runnable oneCame;
-        private final AtomicInteger mine = new AtomicInteger();
-        private volatile long units;
-        private volatile int most;
-        private boolean waits;
-        private volatile boolean counted; // its weight is in the sum
-
-        private Holding(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
-            units = Math.max(1, Math.round(weight * UNIT));
-            this.most = most;
-            this.giveOneBack = giveOneBack;
-            this.oneCame = oneCame;
-        }
-
-        /** Changes the figures; what is held beyond them is not taken away at once. */
-        public void change(double weight, int newMost) {
-            long next = Math.max(1, Math.round(weight * UNIT));
-            if (counted) {
-                weights.addAndGet(next - units);
-            }
-            units = next;
-            most = newMost;
-        }
-
-        /** Asks for one. With {@code instead} it has just given one back for this, and its part is not asked after. */
-        public Verdict take(boolean instead) {
-            int now = mine.get();
-            boolean own = now < part();
-            if (now >= most || !take(own || instead ? total : total * LENT)) {
-                return now < most && own && owed() ? Verdict.OWED : Verdict.REFUSED;
-            }
-            mine.incrementAndGet();
-            count();
-            return Verdict.TAKEN;
-        }
-
-        private void count() {
-            if (counted != (waits || mine.get() > 0)) {
-                counted = !counted;
-                weights.addAndGet(counted ? units : -units);
-            }
-            if (mine.get() > 0) {
-                holders.add(this);
-            } else {
-                holders.remove(this);
-            }
-        }
-
-        private boolean take(double bound) {
-            int before = held.get();
-            while (before < bound && !held.compareAndSet(before, before + 1)) {
-                before = held.get();
-            }
-            return before < bound;
-        }
-
-        /** Asks the one furthest beyond its part for one; false where nobody is beyond. */
-        private boolean owed() {
-            boolean already = waits;
-            waits = true;
-            count(); // its weight makes the others' parts smaller
-            Holding furthest = null;
-            for (Holding h : holders) {
-                furthest = h.beyond() > (furthest == null ? 0 : furthest.beyond()) ? h : furthest;
-            }
-            if (furthest == null) {
-                waits = already;
-                count();
-                return false;
-            }
-            if (!already) {
-                waiting.add(this);
-            }
-            furthest.giveOneBack.run();
-            return true;
-        }
-
-        /** Gives one back. */
-        public void giveBack() {
-            mine.decrementAndGet();
-            count();
-            held.decrementAndGet();
-            Holding next = waiting.poll();
-            if (next != null) {
-                next.oneCame.run();
-            }
-        }
-
-        /** To be called by its own thread once {@code oneCame} has reached it. */
-        public void told() {
-            waits = false;
-            count();
-        }
-
-        /** How many it holds beyond its part; 0 or less where it has not more than that. */
-        public int beyond() {
-            return mine.get() - part();
-        }
-
-        public int held() {
-            return mine.get();
-        }
-
-        private int part() {
-            long all = weights.get() + (counted ? 0 : units);
-            return (int) Math.max(1, total * units / Math.max(units, all));
-        }
+    /** Changes the figures; what is held beyond them is not taken away at once. */
+    public void change(double weight, int newMost) {
+      long next = Math.max(1, Math.round(weight * UNIT));
+      if (counted) {
+        weights.addAndGet(next - units);
+      }
+      units = next;
+      most = newMost;
     }
 
-    private final int total;
-    private final AtomicInteger held = new AtomicInteger();
-    private final AtomicLong weights = new AtomicLong(); // of those that hold any
-    private final Set<Holding> holders = ConcurrentHashMap.newKeySet();
-    private final ConcurrentLinkedQueue<Holding> waiting = new ConcurrentLinkedQueue<>();
+    /**
+     * Asks for one. With {@code instead} it has just given one back for this, and its part is not
+     * asked after.
+     */
+    public Verdict take(boolean instead) {
+      int now = mine.get();
+      boolean own = now < part();
+      if (now >= most || !take(own || instead ? total : total * LENT)) {
+        return now < most && own && owed() ? Verdict.OWED : Verdict.REFUSED;
+      }
+      mine.incrementAndGet();
+      count();
+      return Verdict.TAKEN;
+    }
 
-    /** So many for all together. */
-    public Holdings(int total) {
-        this.total = total;
+    private void count() {
+      if (counted != (waits || mine.get() > 0)) {
+        counted = !counted;
+        weights.addAndGet(counted ? units : -units);
+      }
+      if (mine.get() > 0) {
+        holders.add(this);
+      } else {
+        holders.remove(this);
+      }
     }
 
-    /**
-     * A new tenant's; its weight is above 0.
-     *
-     * @param giveOneBack asks it to give one back, soon, if it can
-     * @param oneCame tells it that one has come free after {@link Verdict#OWED}
-     */
-    public Holding join(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
-        return new Holding(weight, most, giveOneBack, oneCame);
+    private boolean take(double bound) {
+      int before = held.get();
+      while (before < bound && !held.compareAndSet(before, before + 1)) {
+        before = held.get();
+      }
+      return before < bound;
+    }
+
+    /** Asks the one furthest beyond its part for one; false where nobody is beyond. */
+    private boolean owed() {
+      boolean already = waits;
+      waits = true;
+      count(); // its weight makes the others' parts smaller
+      Holding furthest = null;
+      for (Holding h : holders) {
+        furthest = h.beyond() > (furthest == null ? 0 : furthest.beyond()) ? h : furthest;
+      }
+      if (furthest == null) {
+        waits = already;
+        count();
+        return false;
+      }
+      if (!already) {
+        waiting.add(this);
+      }
+      furthest.giveOneBack.run();
+      return true;
+    }
+
+    /** Gives one back. */
+    public void giveBack() {
+      mine.decrementAndGet();
+      count();
+      held.decrementAndGet();
+      Holding next = waiting.poll();
+      if (next != null) {
+        next.oneCame.run();
+      }
+    }
+
+    /** To be called by its own thread once {@code oneCame} has reached it. */
+    public void told() {
+      waits = false;
+      count();
+    }
+
+    /** How many it holds beyond its part; 0 or less where it has not more than that. */
+    public int beyond() {
+      return mine.get() - part();
     }
 
-    /** Held by all. */
     public int held() {
-        return held.get();
+      return mine.get();
+    }
+
+    private int part() {
+      long all = weights.get() + (counted ? 0 : units);
+      return (int) Math.max(1, total * units / Math.max(units, all));
     }
+  }
+
+  private final int total;
+  private final AtomicInteger held = new AtomicInteger();
+  private final AtomicLong weights = new AtomicLong(); // of those that hold any
+  private final Set<Holding> holders = ConcurrentHashMap.newKeySet();
+  private final ConcurrentLinkedQueue<Holding> waiting = new ConcurrentLinkedQueue<>();
+
+  /** So many for all together. */
+  public Holdings(int total) {
+    this.total = total;
+  }
+
+  /**
+   * A new tenant's; its weight is above 0.
+   *
+   * @param giveOneBack asks it to give one back, soon, if it can
+   * @param oneCame tells it that one has come free after {@link Verdict#OWED}
+   */
+  public Holding join(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
+    return new Holding(weight, most, giveOneBack, oneCame);
+  }
+
+  /** Held by all. */
+  public int held() {
+    return held.get();
+  }
 }
--- a/core/src/main/java/shelffront/share/Shares.java
+++ b/core/src/main/java/shelffront/share/Shares.java
@@ -8,245 +8,287 @@
 import java.util.stream.DoubleStream;
 
 /**
- * Divides what a gateway can take among its tenants by weight: requests a second, and requests open at a time. Work
- * conserving: what one leaves idle others use, and it has its own back within {@link #WINDOW} for the rate, and as
- * fast as others' open requests end for the places. Where a tenant gives its classes shares, its own part is divided
- * again in the same way.
+ * Divides what a gateway can take among its tenants by weight: requests a second, and requests open
+ * at a time. Work conserving: what one leaves idle others use, and it has its own back within
+ * {@link #WINDOW} for the rate, and as fast as others' open requests end for the places. Where a
+ * tenant gives its classes shares, its own part is divided again in the same way.
  *
- * <p>Costs nothing for tenants that ask for nothing: figures are counted anew at the first request after a window has
- * passed, and only over those who asked of late. Times are microseconds and never step back.
+ * <p>Costs nothing for tenants that ask for nothing: figures are counted anew at the first request
+ * after a window has passed, and only over those who asked of late. Times are microseconds and
+ * never step back.
  *
- * <p>Where several event loops serve tenants, each has its own and all have one {@link Common}: each tells there what
- * its tenants ask for whenever it divides, counts what the others told as asked for too, and takes its own tenants'
- * parts. So all come to the same division, one window late at most, and none waits for another.
+ * <p>Where several event loops serve tenants, each has its own and all have one {@link Common}:
+ * each tells there what its tenants ask for whenever it divides, counts what the others told as
+ * asked for too, and takes its own tenants' parts. So all come to the same division, one window
+ * late at most, and none waits for another.
  */
 public final class Shares {
 
-    /** The rate is divided anew this often; the time within which a change of demand or weight takes effect. */
-    public static final long WINDOW = 100_000;
-    /** Windows without a request after which a tenant no longer counts among those who ask. */
-    private static final int FORGOTTEN = 20;
-    /** Windows' worth of requests that may come at once. */
-    private static final double BURST = 2;
-    /** Part of all places that requests beyond their tenants' own places may fill; the rest is kept for the others. */
-    private static final double LENT = 0.75;
-
-    /** Windows after which what another loop told of its demand no longer counts: it tells anew while it is asked. */
-    private static final int STALE = 3;
-
-    /** What one loop's tenants asked for when it last divided. */
-    private record Told(long at, double[] weights, double[] demands) {}
-
-    /** What several loops share. The only part that more than one thread touches; nothing in it waits. */
-    public static final class Common {
-
-        private final double rate;
-        private final int places;
-        private final AtomicInteger open = new AtomicInteger();
-        private final AtomicReferenceArray<Told> told;
-
-        /** So many requests a second, 0 for no such bound, and so many open at a time for all together. */
-        public Common(double rate, int places, int loops) {
-            this.rate = rate;
-            this.places = places;
-            told = new AtomicReferenceArray<>(loops);
-        }
-
-        /** Requests that hold a place now, of all tenants of all loops. */
-        public int open() {
-            return open.get();
-        }
+  /**
+   * The rate is divided anew this often; the time within which a change of demand or weight takes
+   * effect.
+   */
+  public static final long WINDOW = 100_000;
 
-        private boolean take(double most) {
-            int before = open.get();
-            while (before < most && !open.compareAndSet(before, before + 1)) {
-                before = open.get();
-            }
-            return before < most;
-        }
-    }
+  /** Windows without a request after which a tenant no longer counts among those who ask. */
+  private static final int FORGOTTEN = 20;
 
-    /** One that shares: a tenant, or a class of one. */
-    public final class Share {
+  /** Windows' worth of requests that may come at once. */
+  private static final double BURST = 2;
 
-        private double weight;
-        private Share[] parts;
-        private final RateLimit limit = new RateLimit(0, 1, 0);
-        private double asked; // since the window began
-        private double demand; // a second
-        private int idle; // windows without a request
-        private boolean listed;
-        private int open;
+  /**
+   * Part of all places that requests beyond their tenants' own places may fill; the rest is kept
+   * for the others.
+   */
+  private static final double LENT = 0.75;
 
-        private Share(double weight, double[] classWeights) {
-            set(weight, classWeights);
-        }
+  /**
+   * Windows after which what another loop told of its demand no longer counts: it tells anew while
+   * it is asked.
+   */
+  private static final int STALE = 3;
 
-        private void set(double newWeight, double[] classWeights) {
-            weight = newWeight;
-            if (classWeights == null || classWeights.length == 0) {
-                parts = new Share[0];
-            } else if (parts == null || parts.length != classWeights.length) {
-                parts = Arrays.stream(classWeights).mapToObj(w -> new Share(w, null)).toArray(Share[]::new);
-            } else {
-                for (int i = 0; i < parts.length; i++) {
-                    parts[i].weight = classWeights[i];
-                }
-            }
-        }
+  /** What one loop's tenants asked for when it last divided. */
+  private record Told(long at, double[] weights, double[] demands) {}
 
-        private void count(double seconds) {
-            double last = asked / seconds;
-            // The greater of the last window and the mean: a tenant that grows is not held back by its past.
-            demand = Math.max(last, (demand + last) / 2);
-            idle = asked > 0 ? 0 : idle + 1;
-            asked = 0;
-        }
-    }
+  /**
+   * What several loops share. The only part that more than one thread touches; nothing in it waits.
+   */
+  public static final class Common {
 
-    private final Common common;
-    private final int loop;
     private final double rate;
     private final int places;
-    private final List<Share> asking = new ArrayList<>();
-    private double weights; // of those who ask here
-    private double elsewhere; // of those who ask of other loops
-    private long windowFrom;
-    private boolean dirty; // a weight has changed: the rate is divided at the next request
-
-    /** Of the only loop: so many requests a second, 0 for no such bound, and so many open at a time for all. */
-    public Shares(double rate, int places, long now) {
-        this(new Common(rate, places, 1), 0, now);
-    }
+    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicReferenceArray<Told> told;
 
-    /** Of one loop of several, by its number from 0. */
-    public Shares(Common common, int loop, long now) {
-        this.common = common;
-        this.loop = loop;
-        rate = common.rate;
-        places = common.places;
-        windowFrom = now;
+    /**
+     * So many requests a second, 0 for no such bound, and so many open at a time for all together.
+     */
+    public Common(double rate, int places, int loops) {
+      this.rate = rate;
+      this.places = places;
+      told = new AtomicReferenceArray<>(loops);
     }
 
-    /** A new tenant. Weights are above 0; one for each class, or null where its classes have no shares. */
-    public Share join(double weight, double[] classWeights) {
-        return new Share(weight, classWeights);
+    /** Requests that hold a place now, of all tenants of all loops. */
+    public int open() {
+      return open.get();
     }
 
-    /** Changes a tenant's weights; both follow with the next request. */
-    public void change(Share share, double weight, double[] classWeights) {
-        weights += share.listed ? weight - share.weight : 0;
-        share.set(weight, classWeights);
-        dirty = true;
+    private boolean take(double most) {
+      int before = open.get();
+      while (before < most && !open.compareAndSet(before, before + 1)) {
+        before = open.get();
+      }
+      return before < most;
     }
+  }
 
-    /** Forgets a tenant; its open requests still end by {@link #end}. */
-    public void leave(Share share) {
-        if (asking.remove(share)) {
-            share.listed = false;
-            weights -= share.weight;
-        }
+  /** One that shares: a tenant, or a class of one. */
+  public final class Share {
+
+    private double weight;
+    private Share[] parts;
+    private final RateLimit limit = new RateLimit(0, 1, 0);
+    private double asked; // since the window began
+    private double demand; // a second
+    private int idle; // windows without a request
+    private boolean listed;
+    private int open;
+
+    private Share(double weight, double[] classWeights) {
+      set(weight, classWeights);
     }
 
-    /**
-     * Whether a request may be taken now: 0, and it holds a place until {@link #end}; else the microseconds after
-     * which it is worth coming again.
-     */
-    public long admit(Share share, int classIndex, long now) {
-        if (!share.listed) {
-            share.listed = true;
-            asking.add(share);
-            weights += share.weight;
-            share.idle = 0;
-            // Its own part at once: others give it back when the rate is next divided.
-            double part = rate * share.weight / (weights + elsewhere);
-            share.limit.set(part, part * BURST * WINDOW / 1e6, now);
-        }
-        if (dirty || now - windowFrom >= WINDOW) {
-            dirty = false;
-            divide(now);
+    private void set(double newWeight, double[] classWeights) {
+      weight = newWeight;
+      if (classWeights == null || classWeights.length == 0) {
+        parts = new Share[0];
+      } else if (parts == null || parts.length != classWeights.length) {
+        parts = Arrays.stream(classWeights).mapToObj(w -> new Share(w, null)).toArray(Share[]::new);
+      } else {
+        for (int i = 0; i < parts.length; i++) {
+          parts[i].weight = classWeights[i];
         }
-        share.asked++;
-        Share part = share.parts.length == 0 ? null : share.parts[classIndex];
-        if (part != null) {
-            part.asked++;
-        }
-        double most = share.open >= own(share) ? places * LENT : places;
-        long wait = Math.max(share.limit.waitTime(now), part == null ? 0 : part.limit.waitTime(now));
-        if (wait > 0 || !common.take(most)) {
-            return Math.max(wait, WINDOW);
-        }
-        share.limit.take();
-        if (part != null) {
-            part.limit.take();
-        }
-        share.open++;
-        return 0;
+      }
     }
 
-    /** Places that are a tenant's own; one that asks alone leaves some all the same, for whoever comes next. */
-    private double own(Share share) {
-        return Math.max(1, Math.min(places * LENT, Math.floor(places * share.weight / (weights + elsewhere))));
+    private void count(double seconds) {
+      double last = asked / seconds;
+      // The greater of the last window and the mean: a tenant that grows is not held back by its
+      // past.
+      demand = Math.max(last, (demand + last) / 2);
+      idle = asked > 0 ? 0 : idle + 1;
+      asked = 0;
     }
+  }
+
+  private final Common common;
+  private final int loop;
+  private final double rate;
+  private final int places;
+  private final List<Share> asking = new ArrayList<>();
+  private double weights; // of those who ask here
+  private double elsewhere; // of those who ask of other loops
+  private long windowFrom;
+  private boolean dirty; // a weight has changed: the rate is divided at the next request
+
+  /**
+   * Of the only loop: so many requests a second, 0 for no such bound, and so many open at a time
+   * for all.
+   */
+  public Shares(double rate, int places, long now) {
+    this(new Common(rate, places, 1), 0, now);
+  }
 
-    /** The request has had its answer. */
-    public void end(Share share) {
-        share.open--;
-        common.open.decrementAndGet();
+  /** Of one loop of several, by its number from 0. */
+  public Shares(Common common, int loop, long now) {
+    this.common = common;
+    this.loop = loop;
+    rate = common.rate;
+    places = common.places;
+    windowFrom = now;
+  }
+
+  /**
+   * A new tenant. Weights are above 0; one for each class, or null where its classes have no
+   * shares.
+   */
+  public Share join(double weight, double[] classWeights) {
+    return new Share(weight, classWeights);
+  }
+
+  /** Changes a tenant's weights; both follow with the next request. */
+  public void change(Share share, double weight, double[] classWeights) {
+    weights += share.listed ? weight - share.weight : 0;
+    share.set(weight, classWeights);
+    dirty = true;
+  }
+
+  /** Forgets a tenant; its open requests still end by {@link #end}. */
+  public void leave(Share share) {
+    if (asking.remove(share)) {
+      share.listed = false;
+      weights -= share.weight;
     }
+  }
 
-    /** Requests that hold a place now, of all tenants of all loops. */
-    public int open() {
-        return common.open();
+  /**
+   * Whether a request may be taken now: 0, and it holds a place until {@link #end}; else the
+   * microseconds after which it is worth coming again.
+   */
+  public long admit(Share share, int classIndex, long now) {
+    if (!share.listed) {
+      share.listed = true;
+      asking.add(share);
+      weights += share.weight;
+      share.idle = 0;
+      // Its own part at once: others give it back when the rate is next divided.
+      double part = rate * share.weight / (weights + elsewhere);
+      share.limit.set(part, part * BURST * WINDOW / 1e6, now);
     }
+    if (dirty || now - windowFrom >= WINDOW) {
+      dirty = false;
+      divide(now);
+    }
+    share.asked++;
+    Share part = share.parts.length == 0 ? null : share.parts[classIndex];
+    if (part != null) {
+      part.asked++;
+    }
+    double most = share.open >= own(share) ? places * LENT : places;
+    long wait = Math.max(share.limit.waitTime(now), part == null ? 0 : part.limit.waitTime(now));
+    if (wait > 0 || !common.take(most)) {
+      return Math.max(wait, WINDOW);
+    }
+    share.limit.take();
+    if (part != null) {
+      part.limit.take();
+    }
+    share.open++;
+    return 0;
+  }
+
+  /**
+   * Places that are a tenant's own; one that asks alone leaves some all the same, for whoever comes
+   * next.
+   */
+  private double own(Share share) {
+    return Math.max(
+        1, Math.min(places * LENT, Math.floor(places * share.weight / (weights + elsewhere))));
+  }
 
-    private void divide(long now) {
-        // After a rest the last window's count says little of the time since: it is taken over one window at least.
-        double seconds = Math.min(10 * WINDOW, Math.max(WINDOW, now - windowFrom)) / 1e6;
-        windowFrom = now;
-        asking.forEach(s -> s.count(seconds));
-        asking.removeIf(s -> {
-            boolean forgotten = s.idle > FORGOTTEN && s.open == 0;
-            s.listed = !forgotten;
-            return forgotten;
+  /** The request has had its answer. */
+  public void end(Share share) {
+    share.open--;
+    common.open.decrementAndGet();
+  }
+
+  /** Requests that hold a place now, of all tenants of all loops. */
+  public int open() {
+    return common.open();
+  }
+
+  private void divide(long now) {
+    // After a rest the last window's count says little of the time since: it is taken over one
+    // window at least.
+    double seconds = Math.min(10 * WINDOW, Math.max(WINDOW, now - windowFrom)) / 1e6;
+    windowFrom = now;
+    asking.forEach(s -> s.count(seconds));
+    asking.removeIf(
+        s -> {
+          boolean forgotten = s.idle > FORGOTTEN && s.open == 0;
+          s.listed = !forgotten;
+          return forgotten;
         });
-        weights = asking.stream().mapToDouble(s -> s.weight).sum();
-        common.told.set(loop, new Told(now, asking.stream().mapToDouble(s -> s.weight).toArray(),
-                asking.stream().mapToDouble(s -> s.demand).toArray()));
-        List<Told> others = new ArrayList<>();
-        for (int i = 0; i < common.told.length(); i++) {
-            Told t = common.told.get(i);
-            if (i != loop && t != null && now - t.at < STALE * WINDOW) {
-                others.add(t);
-            }
-        }
-        elsewhere = others.stream().flatMapToDouble(t -> Arrays.stream(t.weights)).sum();
-        if (rate > 0) {
-            grant(rate, asking, others, now);
-            for (Share s : asking) {
-                if (s.parts.length > 0) {
-                    for (Share part : s.parts) {
-                        part.count(seconds);
-                    }
-                    grant(s.limit.perSecond(), Arrays.asList(s.parts), List.of(), now);
-                }
-            }
+    weights = asking.stream().mapToDouble(s -> s.weight).sum();
+    common.told.set(
+        loop,
+        new Told(
+            now,
+            asking.stream().mapToDouble(s -> s.weight).toArray(),
+            asking.stream().mapToDouble(s -> s.demand).toArray()));
+    List<Told> others = new ArrayList<>();
+    for (int i = 0; i < common.told.length(); i++) {
+      Told t = common.told.get(i);
+      if (i != loop && t != null && now - t.at < STALE * WINDOW) {
+        others.add(t);
+      }
+    }
+    elsewhere = others.stream().flatMapToDouble(t -> Arrays.stream(t.weights)).sum();
+    if (rate > 0) {
+      grant(rate, asking, others, now);
+      for (Share s : asking) {
+        if (s.parts.length > 0) {
+          for (Share part : s.parts) {
+            part.count(seconds);
+          }
+          grant(s.limit.perSecond(), Arrays.asList(s.parts), List.of(), now);
         }
+      }
     }
+  }
 
-    /** Divides a rate; what nobody asks for is lent by weight, so that a burst finds it. */
-    private static void grant(double rate, List<Share> among, List<Told> others, long now) {
-        double[] weight = DoubleStream.concat(among.stream().mapToDouble(s -> s.weight),
-                others.stream().flatMapToDouble(t -> Arrays.stream(t.weights))).toArray();
-        double[] wanted = DoubleStream.concat(among.stream().mapToDouble(s -> s.demand),
-                others.stream().flatMapToDouble(t -> Arrays.stream(t.demands))).toArray();
-        double[] parts = WaterFill.divide(rate, weight, wanted);
-        double spare = rate - Arrays.stream(parts).sum();
-        double all = Arrays.stream(weight).sum();
-        for (int i = 0; i < among.size(); i++) {
-            // Its own part is free to it at any time, lent or not: who borrowed it has less after this window.
-            double part = Math.max(rate * weight[i] / all, parts[i] + spare * weight[i] / all);
-            among.get(i).limit.set(part, part * BURST * WINDOW / 1e6, now);
-        }
+  /** Divides a rate; what nobody asks for is lent by weight, so that a burst finds it. */
+  private static void grant(double rate, List<Share> among, List<Told> others, long now) {
+    double[] weight =
+        DoubleStream.concat(
+                among.stream().mapToDouble(s -> s.weight),
+                others.stream().flatMapToDouble(t -> Arrays.stream(t.weights)))
+            .toArray();
+    double[] wanted =
+        DoubleStream.concat(
+                among.stream().mapToDouble(s -> s.demand),
+                others.stream().flatMapToDouble(t -> Arrays.stream(t.demands)))
+            .toArray();
+    double[] parts = WaterFill.divide(rate, weight, wanted);
+    double spare = rate - Arrays.stream(parts).sum();
+    double all = Arrays.stream(weight).sum();
+    for (int i = 0; i < among.size(); i++) {
+      // Its own part is free to it at any time, lent or not: who borrowed it has less after this
+      // window.
+      double part = Math.max(rate * weight[i] / all, parts[i] + spare * weight[i] / all);
+      among.get(i).limit.set(part, part * BURST * WINDOW / 1e6, now);
     }
+  }
 }
--- a/core/src/main/java/shelffront/stage/Bounds.java
+++ b/core/src/main/java/shelffront/stage/Bounds.java
@@ -4,31 +4,33 @@
  * How long things may last, in microseconds.
  *
  * @param lease from when a renewal was sent to the end of what it allows
- * @param act the longest that something begun under a lease goes on after its end (a request's deadline)
+ * @param act the longest that something begun under a lease goes on after its end (a request's
+ *     deadline)
  * @param drift the most that any machine's clock runs fast or slow, as a part of one, below 1
  * @param suspect a member that did not renew for so long holds up a move no more and is revoked
  */
 public record Bounds(long lease, long act, double drift, long suspect) {
 
-    /** Throws where nothing sensible follows from the figures. */
-    public Bounds {
-        if (lease <= 0 || act < 0 || suspect < 0 || !(drift >= 0 && drift < 1)) {
-            throw new IllegalArgumentException("a lease above 0, no negative times and a drift of 0 to 1 are wanted");
-        }
+  /** Throws where nothing sensible follows from the figures. */
+  public Bounds {
+    if (lease <= 0 || act < 0 || suspect < 0 || !(drift >= 0 && drift < 1)) {
+      throw new IllegalArgumentException(
+          "a lease above 0, no negative times and a drift of 0 to 1 are wanted");
     }
+  }
 
-    /**
-     * How long an owner waits, by its own clock, from when it saw a member revoked until nothing of that member can
-     * still be in force. Saw, and not wrote: what it reads was written before, and the renewal that the revoking cut
-     * off before that, so no delay of messages adds to it. The holder's clock may be slow by the drift and the owner's
-     * fast by it.
-     */
-    public long lapse() {
-        return (long) Math.ceil((lease + act) * (1 + drift) / (1 - drift));
-    }
+  /**
+   * How long an owner waits, by its own clock, from when it saw a member revoked until nothing of
+   * that member can still be in force. Saw, and not wrote: what it reads was written before, and
+   * the renewal that the revoking cut off before that, so no delay of messages adds to it. The
+   * holder's clock may be slow by the drift and the owner's fast by it.
+   */
+  public long lapse() {
+    return (long) Math.ceil((lease + act) * (1 + drift) / (1 - drift));
+  }
 
-    /** How often a lease is renewed: two renewals may be lost before it lapses. */
-    public long renewEvery() {
-        return lease / 3;
-    }
+  /** How often a lease is renewed: two renewals may be lost before it lapses. */
+  public long renewEvery() {
+    return lease / 3;
+  }
 }
--- a/core/src/main/java/shelffront/stage/Member.java
+++ b/core/src/main/java/shelffront/stage/Member.java
@@ -8,7 +8,7 @@
  */
 public record Member(long epoch, boolean revoked) {
 
-    public Member asRevoked() {
-        return new Member(epoch, true);
-    }
+  public Member asRevoked() {
+    return new Member(epoch, true);
+  }
 }
--- a/core/src/main/java/shelffront/stage/Standing.java
+++ b/core/src/main/java/shelffront/stage/Standing.java
@@ -9,13 +9,15 @@
  */
 public record Standing(long epoch, int stage, int target) {
 
-    /** One step towards the target; itself where it is there. */
-    public Standing next() {
-        return stage == target ? this : new Standing(epoch + 1, stage + Integer.signum(target - stage), target);
-    }
+  /** One step towards the target; itself where it is there. */
+  public Standing next() {
+    return stage == target
+        ? this
+        : new Standing(epoch + 1, stage + Integer.signum(target - stage), target);
+  }
 
-    /** The same, on its way elsewhere. No move by itself, so the epoch stays. */
-    public Standing towards(int other) {
-        return new Standing(epoch, stage, other);
-    }
+  /** The same, on its way elsewhere. No move by itself, so the epoch stays. */
+  public Standing towards(int other) {
+    return new Standing(epoch, stage, other);
+  }
 }
--- a/core/src/main/java/shelffront/time/Timers.java
+++ b/core/src/main/java/shelffront/time/Timers.java
@@ -6,54 +6,57 @@
 import java.util.function.LongConsumer;
 
 /**
- * Many timers on a single one that somebody else keeps: tasks by time, run in the order of their times and, at the
- * same time, in the order in which they were set. Times are microseconds; the caller passes the present in.
+ * Many timers on a single one that somebody else keeps: tasks by time, run in the order of their
+ * times and, at the same time, in the order in which they were set. Times are microseconds; the
+ * caller passes the present in.
  */
 public final class Timers {
 
-    private record Timer(long at, long order, BooleanSupplier wanted, Runnable task) {}
-
-    private final LongConsumer alarm;
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>(
-            Comparator.comparingLong(Timer::at).thenComparingLong(Timer::order));
-    private long nextOrder;
-    private long alarmAt = Long.MAX_VALUE;
-
-    /** The alarm is told each time that is earlier than those it was told since the last {@link #run}. */
-    public Timers(LongConsumer alarm) {
-        this.alarm = alarm;
+  private record Timer(long at, long order, BooleanSupplier wanted, Runnable task) {}
+
+  private final LongConsumer alarm;
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparingLong(Timer::order));
+  private long nextOrder;
+  private long alarmAt = Long.MAX_VALUE;
+
+  /**
+   * The alarm is told each time that is earlier than those it was told since the last {@link #run}.
+   */
+  public Timers(LongConsumer alarm) {
+    this.alarm = alarm;
+  }
+
+  /** Runs the task at a time; {@link #sweep} drops it once it is no longer wanted. */
+  public void at(long when, BooleanSupplier wanted, Runnable task) {
+    timers.add(new Timer(when, nextOrder++, wanted, task));
+    arm();
+  }
+
+  /** Runs what is due; to be called when the alarm goes off, and harmless at other times. */
+  public void run(long now) {
+    if (now >= alarmAt) {
+      alarmAt = Long.MAX_VALUE;
     }
-
-    /** Runs the task at a time; {@link #sweep} drops it once it is no longer wanted. */
-    public void at(long when, BooleanSupplier wanted, Runnable task) {
-        timers.add(new Timer(when, nextOrder++, wanted, task));
-        arm();
+    while (!timers.isEmpty() && timers.peek().at() <= now) {
+      timers.poll().task().run();
     }
+    arm();
+  }
 
-    /** Runs what is due; to be called when the alarm goes off, and harmless at other times. */
-    public void run(long now) {
-        if (now >= alarmAt) {
-            alarmAt = Long.MAX_VALUE;
-        }
-        while (!timers.isEmpty() && timers.peek().at() <= now) {
-            timers.poll().task().run();
-        }
-        arm();
+  private void arm() {
+    if (!timers.isEmpty() && timers.peek().at() < alarmAt) {
+      alarmAt = timers.peek().at();
+      alarm.accept(alarmAt);
     }
+  }
 
-    private void arm() {
-        if (!timers.isEmpty() && timers.peek().at() < alarmAt) {
-            alarmAt = timers.peek().at();
-            alarm.accept(alarmAt);
-        }
-    }
+  /** Drops timers that nobody wants any more; takes time in proportion to {@link #size}. */
+  public void sweep() {
+    timers.removeIf(t -> !t.wanted().getAsBoolean());
+  }
 
-    /** Drops timers that nobody wants any more; takes time in proportion to {@link #size}. */
-    public void sweep() {
-        timers.removeIf(t -> !t.wanted().getAsBoolean());
-    }
-
-    public int size() {
-        return timers.size();
-    }
+  public int size() {
+    return timers.size();
+  }
 }
--- a/core/src/test/java/shelffront/ArrowsTest.java
+++ b/core/src/test/java/shelffront/ArrowsTest.java
@@ -11,38 +11,81 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.Future;
 
-/** Holds what makes the deciders replayable: nothing in core touches the world or keeps time of its own. */
+/**
+ * Holds what makes the deciders replayable: nothing in core touches the world or keeps time of its
+ * own.
+ */
 @AnalyzeClasses(packages = "shelffront", importOptions = DoNotIncludeTests.class)
 class ArrowsTest {
 
-    @ArchTest
-    static final ArchRule NO_INPUT_OUTPUT = noClasses().should().dependOnClassesThat()
-            .resideInAnyPackage("java.io..", "java.nio..", "java.net..", "java.util.concurrent.locks..", "java.time..",
-                    "java.util.logging..", "com.sun..", "sun..");
-
-    /** What several loops share is held without waiting; everything else in core belongs to one thread. */
-    @ArchTest
-    static final ArchRule ONE_THREAD = noClasses().that().resideOutsideOfPackage("shelffront.share")
-            .should().dependOnClassesThat().resideInAnyPackage("java.util.concurrent..");
-
-    @ArchTest
-    static final ArchRule NO_WAITING = noClasses().should().dependOnClassesThat()
-            .areAssignableTo(Executor.class).orShould().dependOnClassesThat().areAssignableTo(BlockingQueue.class)
-            .orShould().dependOnClassesThat().areAssignableTo(Future.class)
-            .orShould().callMethod(Object.class, "wait").orShould().callMethod(Object.class, "notifyAll");
-
-    @ArchTest
-    static final ArchRule NO_CLOCK_AND_NO_THREAD = noClasses().should().callMethod(System.class, "nanoTime")
-            .orShould().callMethod(System.class, "currentTimeMillis")
-            .orShould().dependOnClassesThat().areAssignableTo(Thread.class);
-
-    /** An unseeded source would make the same events give different actions. */
-    @ArchTest
-    static final ArchRule NO_UNSEEDED_CHANCE = noClasses().should().callConstructor(java.util.Random.class)
-            .orShould().callConstructor(java.util.SplittableRandom.class)
-            .orShould().callMethod(Math.class, "random");
-
-    @ArchTest
-    static final ArchRule NO_CYCLES = SlicesRuleDefinition.slices().matching("shelffront.(*)..").should()
-            .beFreeOfCycles();
+  @ArchTest
+  static final ArchRule NO_INPUT_OUTPUT =
+      noClasses()
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "java.io..",
+              "java.nio..",
+              "java.net..",
+              "java.util.concurrent.locks..",
+              "java.time..",
+              "java.util.logging..",
+              "com.sun..",
+              "sun..");
+
+  /**
+   * What several loops share is held without waiting; everything else in core belongs to one
+   * thread.
+   */
+  @ArchTest
+  static final ArchRule ONE_THREAD =
+      noClasses()
+          .that()
+          .resideOutsideOfPackage("shelffront.share")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("java.util.concurrent..");
+
+  @ArchTest
+  static final ArchRule NO_WAITING =
+      noClasses()
+          .should()
+          .dependOnClassesThat()
+          .areAssignableTo(Executor.class)
+          .orShould()
+          .dependOnClassesThat()
+          .areAssignableTo(BlockingQueue.class)
+          .orShould()
+          .dependOnClassesThat()
+          .areAssignableTo(Future.class)
+          .orShould()
+          .callMethod(Object.class, "wait")
+          .orShould()
+          .callMethod(Object.class, "notifyAll");
+
+  @ArchTest
+  static final ArchRule NO_CLOCK_AND_NO_THREAD =
+      noClasses()
+          .should()
+          .callMethod(System.class, "nanoTime")
+          .orShould()
+          .callMethod(System.class, "currentTimeMillis")
+          .orShould()
+          .dependOnClassesThat()
+          .areAssignableTo(Thread.class);
+
+  /** An unseeded source would make the same events give different actions. */
+  @ArchTest
+  static final ArchRule NO_UNSEEDED_CHANCE =
+      noClasses()
+          .should()
+          .callConstructor(java.util.Random.class)
+          .orShould()
+          .callConstructor(java.util.SplittableRandom.class)
+          .orShould()
+          .callMethod(Math.class, "random");
+
+  @ArchTest
+  static final ArchRule NO_CYCLES =
+      SlicesRuleDefinition.slices().matching("shelffront.(*)..").should().beFreeOfCycles();
 }
--- a/core/src/test/java/shelffront/count/WindowTest.java
+++ b/core/src/test/java/shelffront/count/WindowTest.java
@@ -8,58 +8,58 @@
 /** A window grows by what is answered well, and is cut once in an answer time. */
 class WindowTest {
 
-    private static final long TOOK = 100_000;
+  private static final long TOOK = 100_000;
 
-    private final Window window = new Window();
+  private final Window window = new Window();
 
-    private boolean room(int out) {
-        return window.hasRoom(1_000_000, 1, out, 0, TOOK);
-    }
+  private boolean room(int out) {
+    return window.hasRoom(1_000_000, 1, out, 0, TOOK);
+  }
 
-    @Test
-    void aSecondOpeningKeepsWhatWasLearned() {
-        window.open(2);
-        window.open(50);
-        assertTrue(room(1));
-        assertFalse(room(2));
-        assertFalse(window.hasRoom(1_000_000, 0.5, 1, 0, TOOK), "a part of it");
-    }
+  @Test
+  void aSecondOpeningKeepsWhatWasLearned() {
+    window.open(2);
+    window.open(50);
+    assertTrue(room(1));
+    assertFalse(room(2));
+    assertFalse(window.hasRoom(1_000_000, 0.5, 1, 0, TOOK), "a part of it");
+  }
 
-    @Test
-    void itGrowsWhileItIsUsedAndNoFurtherThanItsBound() {
-        window.open(4);
-        for (int i = 0; i < 100; i++) {
-            window.answered(0);
-        }
-        assertFalse(room(4), "one that is not used does not grow");
-        for (int i = 0; i < 100_000; i++) {
-            window.answered(300);
-        }
-        assertTrue(room(199));
-        assertFalse(room(200));
+  @Test
+  void itGrowsWhileItIsUsedAndNoFurtherThanItsBound() {
+    window.open(4);
+    for (int i = 0; i < 100; i++) {
+      window.answered(0);
     }
-
-    @Test
-    void itIsCutOnceInAnAnswerTime() {
-        window.open(16);
-        window.cut(1_000_000, TOOK, 0.5);
-        window.cut(1_000_001, TOOK, 0.5);
-        assertTrue(room(7));
-        window.cut(1_000_000 + TOOK + 1, TOOK, 0.5);
-        assertFalse(room(4));
+    assertFalse(room(4), "one that is not used does not grow");
+    for (int i = 0; i < 100_000; i++) {
+      window.answered(300);
     }
+    assertTrue(room(199));
+    assertFalse(room(200));
+  }
+
+  @Test
+  void itIsCutOnceInAnAnswerTime() {
+    window.open(16);
+    window.cut(1_000_000, TOOK, 0.5);
+    window.cut(1_000_001, TOOK, 0.5);
+    assertTrue(room(7));
+    window.cut(1_000_000 + TOOK + 1, TOOK, 0.5);
+    assertFalse(room(4));
+  }
 
-    @Test
-    void underOneItSpacesRequestsOut() {
-        window.open(1);
-        window.cut(0, TOOK, 0.5);
-        assertFalse(window.hasRoom(2 * TOOK, 1, 0, 0, TOOK));
-        assertTrue(window.hasRoom(2 * TOOK + 1, 1, 0, 0, TOOK));
-        for (int i = 1; i < 100; i++) {
-            window.cut(i * 2 * TOOK, TOOK, 0.5);
-        }
-        assertTrue(window.hasRoom(40 * TOOK, 1, 0, 0, TOOK), "never shut for ever");
-        window.halve();
-        assertTrue(window.hasRoom(1, 1, 0, 0, TOOK), "back from a ban it begins with one");
+  @Test
+  void underOneItSpacesRequestsOut() {
+    window.open(1);
+    window.cut(0, TOOK, 0.5);
+    assertFalse(window.hasRoom(2 * TOOK, 1, 0, 0, TOOK));
+    assertTrue(window.hasRoom(2 * TOOK + 1, 1, 0, 0, TOOK));
+    for (int i = 1; i < 100; i++) {
+      window.cut(i * 2 * TOOK, TOOK, 0.5);
     }
+    assertTrue(window.hasRoom(40 * TOOK, 1, 0, 0, TOOK), "never shut for ever");
+    window.halve();
+    assertTrue(window.hasRoom(1, 1, 0, 0, TOOK), "back from a ban it begins with one");
+  }
 }
--- a/core/src/test/java/shelffront/decide/DecisionModuleSourceTest.java
+++ b/core/src/test/java/shelffront/decide/DecisionModuleSourceTest.java
@@ -20,7 +20,7 @@
 
   private static final Path REPOSITORY = Path.of("..");
   private static final Path MODULE = Path.of("src/main/java/shelffront/decide");
-  private static final int MAX_LINE_CHARACTERS = 110;
+  private static final int MAX_LINE_CHARACTERS = 100;
   private static final int MAX_FILE_LINES = 250;
 
   @Test
--- a/core/src/test/java/shelffront/decide/FailureTest.java
+++ b/core/src/test/java/shelffront/decide/FailureTest.java
@@ -5,458 +5,503 @@
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.time.Duration;
+import java.util.List;
+import org.junit.jupiter.api.Test;
 import shelffront.route.Router;
 import shelffront.route.Router.ListKind;
 import shelffront.route.Router.Role;
 import shelffront.route.Router.Status;
-import java.time.Duration;
-import java.util.List;
-import org.junit.jupiter.api.Test;
 
-/** What the module does when things fail; each test stands for a failure met on the bench or on a page. */
+/**
+ * What the module does when things fail; each test stands for a failure met on the bench or on a
+ * page.
+ */
 class FailureTest {
 
-    private final Bed bed = new Bed();
+  private final Bed bed = new Bed();
 
-    private long sendsTo(String member) {
-        return bed.news().stream().filter(l -> l.startsWith("send") && l.endsWith(member)).count();
-    }
+  private long sendsTo(String member) {
+    return bed.news().stream().filter(l -> l.startsWith("send") && l.endsWith(member)).count();
+  }
 
-    @Test
-    void aMemberThatHoldsWorkAndAnswersNothingIsLeftAloneAndItsReadsAreCopied() {
-        bed.start();
-        for (int i = 0; i < 12; i++) {
-            bed.request("a" + i, Bed.ANY);
-        }
-        List<String> sent = bed.news();
-        for (String line : sent) {
-            if (line.endsWith("m3")) {
-                bed.outcome(line.split(" ")[1], 0, "m3", Status.OK, Role.REPLICA);
-            }
-        }
-        bed.pass(390 * Bed.MS);
-        List<String> news = bed.news();
-        assertTrue(news.stream().anyMatch(l -> l.startsWith("send") && l.endsWith("m3")), news.toString());
-        assertTrue(news.stream().anyMatch(l -> l.startsWith("cancel")), news.toString());
-        bed.request("b", Bed.ANY);
-        assertFalse(bed.news().contains("send b m2"));
+  @Test
+  void aMemberThatHoldsWorkAndAnswersNothingIsLeftAloneAndItsReadsAreCopied() {
+    bed.start();
+    for (int i = 0; i < 12; i++) {
+      bed.request("a" + i, Bed.ANY);
     }
-
-    @Test
-    void aRefusedConnectionIsThinProofButFailedProbesAddUp() {
-        bed.start();
-        bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
-        for (int i = 0; i < 3; i++) {
-            bed.request("a" + i, Bed.ANY);
-            bed.outcome("a" + i, 0, "m2", Status.CONNECT_FAILED, Role.UNKNOWN);
-        }
-        assertEquals(3, sendsTo("m2"), "one that is well loses connections too");
-        bed.request("b", Bed.ANY);
-        assertEquals(0, sendsTo("m2"), "none for a moment");
-        bed.probed("m2", Role.REPLICA, bed.now);
-        bed.pass(45 * Bed.MS);
-        bed.request("c", Bed.ANY);
-        assertTrue(sendsTo("m2") > 0, "its table was full, it lives");
-        for (int i = 0; i < 6; i++) {
-            bed.router.onProbeResult(bed.now, "m2", Status.TIMEOUT, 250 * Bed.MS, null);
-        }
-        bed.news();
-        bed.pass(400 * Bed.MS);
-        bed.request("d", Bed.ANY);
-        assertEquals(0, sendsTo("m2"), "six failures in a row");
+    List<String> sent = bed.news();
+    for (String line : sent) {
+      if (line.endsWith("m3")) {
+        bed.outcome(line.split(" ")[1], 0, "m3", Status.OK, Role.REPLICA);
+      }
     }
+    bed.pass(390 * Bed.MS);
+    List<String> news = bed.news();
+    assertTrue(
+        news.stream().anyMatch(l -> l.startsWith("send") && l.endsWith("m3")), news.toString());
+    assertTrue(news.stream().anyMatch(l -> l.startsWith("cancel")), news.toString());
+    bed.request("b", Bed.ANY);
+    assertFalse(bed.news().contains("send b m2"));
+  }
 
-    /** Guards against idle connections that fill a member's table while others need one. */
-    @Test
-    void idleConnectionsAreGivenBackWhileTheyAreScarce() {
-        bed.start();
-        bed.request("a", Bed.ONCE);
-        bed.outcome("a", 0, "m1", Status.OK, Role.PRIMARY);
-        assertFalse(bed.news().contains("closeIdle m1"), "kept while nothing is refused");
-        bed.request("b", Bed.ONCE);
-        for (int i = 0; i < 3; i++) {
-            bed.outcome("b", i, "m1", Status.CONNECT_FAILED, Role.UNKNOWN);
-        }
-        bed.pass(45 * Bed.MS);
-        bed.outcome("b", 3, "m1", Status.OK, Role.PRIMARY);
-        assertTrue(bed.news().contains("closeIdle m1"));
+  @Test
+  void aRefusedConnectionIsThinProofButFailedProbesAddUp() {
+    bed.start();
+    bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
+    for (int i = 0; i < 3; i++) {
+      bed.request("a" + i, Bed.ANY);
+      bed.outcome("a" + i, 0, "m2", Status.CONNECT_FAILED, Role.UNKNOWN);
     }
-
-    @Test
-    void aBannedPrimaryGetsAnUnsafeWriteAgainOnceAProbeProvesIt() {
-        bed.start();
-        for (int i = 0; i < 6; i++) {
-            bed.request("w" + i, Bed.ONCE);
-        }
-        bed.pass(600 * Bed.MS);
-        bed.request("x", Bed.ONCE);
-        bed.news();
-        bed.pass(400 * Bed.MS);
-        assertFalse(bed.news().contains("send x m1"), "silent");
-        for (int i = 0; i < 6; i++) {
-            bed.outcome("w" + i, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
-        }
-        bed.pass(2_500 * Bed.MS);
-        bed.request("y", Bed.ONCE);
-        assertFalse(bed.news().contains("send y m1"), "not proved");
-        bed.probed("m1", Role.PRIMARY, bed.now);
-        assertTrue(bed.news().contains("send y m1"), "proved");
+    assertEquals(3, sendsTo("m2"), "one that is well loses connections too");
+    bed.request("b", Bed.ANY);
+    assertEquals(0, sendsTo("m2"), "none for a moment");
+    bed.probed("m2", Role.REPLICA, bed.now);
+    bed.pass(45 * Bed.MS);
+    bed.request("c", Bed.ANY);
+    assertTrue(sendsTo("m2") > 0, "its table was full, it lives");
+    for (int i = 0; i < 6; i++) {
+      bed.router.onProbeResult(bed.now, "m2", Status.TIMEOUT, 250 * Bed.MS, null);
     }
+    bed.news();
+    bed.pass(400 * Bed.MS);
+    bed.request("d", Bed.ANY);
+    assertEquals(0, sendsTo("m2"), "six failures in a row");
+  }
 
-    /**
-     * The connection of one was lost; those sent after it were answered at once, so the member is neither slow nor
-     * silent.
-     */
-    @Test
-    void whatOthersOvertookSaysNothingOfItsMember() {
-        bed.start();
-        for (int lost = 0; lost < 6; lost++) {
-            bed.request("lost" + lost, Bed.ONCE);
-            for (int i = 0; i < 4; i++) {
-                bed.pass(40 * Bed.MS);
-                bed.request("w" + lost + i, Bed.ONCE);
-                bed.outcome("w" + lost + i, 0, "m1", Status.OK, Role.PRIMARY, 5 * Bed.MS);
-            }
-            bed.news();
-            bed.pass(2_700 * Bed.MS);
-            bed.outcome("lost" + lost, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
-        }
-        bed.news();
-        for (int i = 0; i < 5; i++) {
-            bed.request("after" + i, Bed.ONCE);
-        }
-        assertEquals(5, sendsTo("m1"));
+  /** Guards against idle connections that fill a member's table while others need one. */
+  @Test
+  void idleConnectionsAreGivenBackWhileTheyAreScarce() {
+    bed.start();
+    bed.request("a", Bed.ONCE);
+    bed.outcome("a", 0, "m1", Status.OK, Role.PRIMARY);
+    assertFalse(bed.news().contains("closeIdle m1"), "kept while nothing is refused");
+    bed.request("b", Bed.ONCE);
+    for (int i = 0; i < 3; i++) {
+      bed.outcome("b", i, "m1", Status.CONNECT_FAILED, Role.UNKNOWN);
     }
+    bed.pass(45 * Bed.MS);
+    bed.outcome("b", 3, "m1", Status.OK, Role.PRIMARY);
+    assertTrue(bed.news().contains("closeIdle m1"));
+  }
 
-    @Test
-    void aMemberThatOnlyOwesWhatOthersOvertookIsNotSilent() {
-        bed.start();
-        for (int i = 0; i < 120; i++) {
-            bed.request("w" + i, Bed.ONCE);
-            bed.outcome("w" + i, 0, "m1", Status.OK, Role.PRIMARY, 10 * Bed.MS);
-        }
-        bed.request("lost", Bed.ONCE);
-        bed.pass(Bed.MS);
-        bed.request("later", Bed.ONCE);
-        bed.outcome("later", 0, "m1", Status.OK, Role.PRIMARY, 10 * Bed.MS);
-        bed.pass(500 * Bed.MS);
-        bed.news();
-        bed.request("next", Bed.ONCE);
-        assertTrue(bed.news().contains("send next m1"));
+  @Test
+  void aBannedPrimaryGetsAnUnsafeWriteAgainOnceAProbeProvesIt() {
+    bed.start();
+    for (int i = 0; i < 6; i++) {
+      bed.request("w" + i, Bed.ONCE);
     }
-
-    @Test
-    void aReadThatOthersOvertookIsCopied() {
-        bed.start();
-        bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
-        for (int i = 0; i < 120; i++) {
-            bed.request("r" + i, Bed.ANY);
-            bed.outcome("r" + i, 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
-        }
-        bed.request("lost", Bed.ANY);
-        bed.pass(Bed.MS);
-        bed.request("later", Bed.ANY);
-        bed.outcome("later", 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
-        bed.changed(Bed.member("m3", 0, Router.Availability.LIVE));
-        bed.probed("m3", Role.REPLICA, bed.now);
-        bed.news();
-        for (int i = 0; i < 30; i++) {
-            bed.pass(10 * Bed.MS);
-            bed.request("s" + i, Bed.ANY);
-            bed.outcome("s" + i, 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
-            bed.outcome("s" + i, 0, "m3", Status.OK, Role.REPLICA, 10 * Bed.MS);
-        }
-        List<String> news = bed.news();
-        assertTrue(news.contains("send lost m3"), news.toString());
-        assertTrue(news.contains("cancel lost 0"), news.toString());
+    bed.pass(600 * Bed.MS);
+    bed.request("x", Bed.ONCE);
+    bed.news();
+    bed.pass(400 * Bed.MS);
+    assertFalse(bed.news().contains("send x m1"), "silent");
+    for (int i = 0; i < 6; i++) {
+      bed.outcome("w" + i, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
     }
+    bed.pass(2_500 * Bed.MS);
+    bed.request("y", Bed.ONCE);
+    assertFalse(bed.news().contains("send y m1"), "not proved");
+    bed.probed("m1", Role.PRIMARY, bed.now);
+    assertTrue(bed.news().contains("send y m1"), "proved");
+  }
 
-    /** Nothing else would prove it: reads go to replicas, and a once-only write is no trial. */
-    @Test
-    void aPrimaryOnTrialIsProbedUntilItIsProved() {
-        bed.start();
-        for (int i = 0; i < 6; i++) {
-            bed.request("w" + i, Bed.ONCE);
-        }
-        bed.pass(600 * Bed.MS);
-        bed.request("x", Bed.ONCE);
-        bed.pass(2_500 * Bed.MS);
-        for (int i = 0; i < 6; i++) {
-            bed.outcome("w" + i, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
-        }
-        bed.router.onProbeResult(bed.now, "m1", Status.TIMEOUT, 250 * Bed.MS, null);
-        bed.probed("m2", Role.REPLICA, bed.now);
-        bed.probed("m3", Role.REPLICA, bed.now);
-        bed.pass(2_500 * Bed.MS);
-        long before = bed.probesOf("m1");
-        bed.request("y", Bed.ONCE);
-        bed.pass(300 * Bed.MS);
-        assertTrue(bed.probesOf("m1") > before);
+  /**
+   * The connection of one was lost; those sent after it were answered at once, so the member is
+   * neither slow nor silent.
+   */
+  @Test
+  void whatOthersOvertookSaysNothingOfItsMember() {
+    bed.start();
+    for (int lost = 0; lost < 6; lost++) {
+      bed.request("lost" + lost, Bed.ONCE);
+      for (int i = 0; i < 4; i++) {
+        bed.pass(40 * Bed.MS);
+        bed.request("w" + lost + i, Bed.ONCE);
+        bed.outcome("w" + lost + i, 0, "m1", Status.OK, Role.PRIMARY, 5 * Bed.MS);
+      }
+      bed.news();
+      bed.pass(2_700 * Bed.MS);
+      bed.outcome("lost" + lost, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
+    }
+    bed.news();
+    for (int i = 0; i < 5; i++) {
+      bed.request("after" + i, Bed.ONCE);
     }
+    assertEquals(5, sendsTo("m1"));
+  }
 
-    @Test
-    void aMemberThatAnswersProbesAgainIsUsedAtOnce() {
-        bed.start();
-        for (int i = 0; i < 8; i++) {
-            bed.router.onProbeResult(bed.now, "m1", Status.TIMEOUT, 250 * Bed.MS, null);
-        }
-        bed.request("w", Bed.ONCE);
-        assertFalse(bed.news().contains("send w m1"), "it answers no probe");
-        bed.pass(200 * Bed.MS);
-        bed.probed("m1", Role.PRIMARY, bed.now);
-        assertTrue(bed.news().contains("send w m1"), "it does");
+  @Test
+  void aMemberThatOnlyOwesWhatOthersOvertookIsNotSilent() {
+    bed.start();
+    for (int i = 0; i < 120; i++) {
+      bed.request("w" + i, Bed.ONCE);
+      bed.outcome("w" + i, 0, "m1", Status.OK, Role.PRIMARY, 10 * Bed.MS);
     }
+    bed.request("lost", Bed.ONCE);
+    bed.pass(Bed.MS);
+    bed.request("later", Bed.ONCE);
+    bed.outcome("later", 0, "m1", Status.OK, Role.PRIMARY, 10 * Bed.MS);
+    bed.pass(500 * Bed.MS);
+    bed.news();
+    bed.request("next", Bed.ONCE);
+    assertTrue(bed.news().contains("send next m1"));
+  }
 
-    /** Its timer from the time when it was held finds it sent, and permission for copies is no reason for one. */
-    @Test
-    void whatWasHeldAndSentIsNotSentAgainWhenItsHoldWouldHaveEnded() {
-        for (int type : List.of(Bed.ONCE, Bed.KEYED, Bed.FRESH)) {
-            Bed held = new Bed();
-            held.start();
-            held.changed(Bed.member("m1", 0, Router.Availability.DRAINING));
-            held.request("r", type);
-            held.pass(100 * Bed.MS);
-            held.changed(Bed.member("m1", 0, Router.Availability.LIVE));
-            held.probed("m1", Role.PRIMARY, held.now);
-            for (String line : held.news()) {
-                if (line.startsWith("send r") && !line.endsWith("m1")) {
-                    held.outcome("r", 0, line.split(" ")[2], Status.MISS, Role.REPLICA);
-                }
-            }
-            held.pass(20 * Bed.MS);
-            held.news();
-            for (int i = 0; i < 50; i++) {
-                held.pass(20 * Bed.MS);
-                held.request("w" + i, Bed.ONCE);
-                held.outcome("w" + i, 0, "m1", Status.OK, Role.PRIMARY, 5 * Bed.MS);
-            }
-            assertFalse(held.news().stream().anyMatch(l -> l.matches("(send|reject|fail) r( .*)?")), "class " + type);
-        }
+  @Test
+  void aReadThatOthersOvertookIsCopied() {
+    bed.start();
+    bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
+    for (int i = 0; i < 120; i++) {
+      bed.request("r" + i, Bed.ANY);
+      bed.outcome("r" + i, 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
     }
+    bed.request("lost", Bed.ANY);
+    bed.pass(Bed.MS);
+    bed.request("later", Bed.ANY);
+    bed.outcome("later", 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
+    bed.changed(Bed.member("m3", 0, Router.Availability.LIVE));
+    bed.probed("m3", Role.REPLICA, bed.now);
+    bed.news();
+    for (int i = 0; i < 30; i++) {
+      bed.pass(10 * Bed.MS);
+      bed.request("s" + i, Bed.ANY);
+      bed.outcome("s" + i, 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
+      bed.outcome("s" + i, 0, "m3", Status.OK, Role.REPLICA, 10 * Bed.MS);
+    }
+    List<String> news = bed.news();
+    assertTrue(news.contains("send lost m3"), news.toString());
+    assertTrue(news.contains("cancel lost 0"), news.toString());
+  }
 
-    @Test
-    void whatWasNeverTriedIsRefusedBeforeHalfOfItsTime() {
-        bed.start();
-        bed.changed(Bed.member("m1", 0, Router.Availability.DRAINING));
-        for (String m : List.of("m2", "m3")) {
-            for (int i = 0; i < 12; i++) {
-                bed.router.onProbeResult(bed.now, m, Status.TIMEOUT, 250 * Bed.MS, null);
-            }
-        }
-        bed.request("w", Bed.ONCE);
-        bed.pass(1_100 * Bed.MS);
-        assertFalse(bed.news().stream().anyMatch(l -> l.startsWith("reject w")));
-        bed.pass(150 * Bed.MS);
-        assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("reject w")));
+  /** Nothing else would prove it: reads go to replicas, and a once-only write is no trial. */
+  @Test
+  void aPrimaryOnTrialIsProbedUntilItIsProved() {
+    bed.start();
+    for (int i = 0; i < 6; i++) {
+      bed.request("w" + i, Bed.ONCE);
+    }
+    bed.pass(600 * Bed.MS);
+    bed.request("x", Bed.ONCE);
+    bed.pass(2_500 * Bed.MS);
+    for (int i = 0; i < 6; i++) {
+      bed.outcome("w" + i, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
     }
+    bed.router.onProbeResult(bed.now, "m1", Status.TIMEOUT, 250 * Bed.MS, null);
+    bed.probed("m2", Role.REPLICA, bed.now);
+    bed.probed("m3", Role.REPLICA, bed.now);
+    bed.pass(2_500 * Bed.MS);
+    long before = bed.probesOf("m1");
+    bed.request("y", Bed.ONCE);
+    bed.pass(300 * Bed.MS);
+    assertTrue(bed.probesOf("m1") > before);
+  }
 
-    @Test
-    void probesCostAsMuchAsTheirPriceAllows() {
-        long cheap = probesOfHeldReads(0.01);
-        long dear = probesOfHeldReads(0.1);
-        assertTrue(dear <= 20 + 200 * 0.1 + 3, dear + " probes");
-        assertTrue(cheap > 2 * dear, cheap + " and " + dear + " probes");
+  @Test
+  void aMemberThatAnswersProbesAgainIsUsedAtOnce() {
+    bed.start();
+    for (int i = 0; i < 8; i++) {
+      bed.router.onProbeResult(bed.now, "m1", Status.TIMEOUT, 250 * Bed.MS, null);
     }
+    bed.request("w", Bed.ONCE);
+    assertFalse(bed.news().contains("send w m1"), "it answers no probe");
+    bed.pass(200 * Bed.MS);
+    bed.probed("m1", Role.PRIMARY, bed.now);
+    assertTrue(bed.news().contains("send w m1"), "it does");
+  }
 
-    /** Two hundred reads that no replica covers, over ten seconds. */
-    private static long probesOfHeldReads(double price) {
-        Bed held = new Bed();
-        held.probePrice = price;
-        held.start();
-        held.pass(2_000 * Bed.MS);
-        long before = held.probes();
-        for (int i = 0; i < 200; i++) {
-            held.request("r" + i, Bed.BOUNDED);
-            held.pass(50 * Bed.MS);
-            held.probed("m2", Role.REPLICA, held.now - 5_000 * Bed.MS);
-            held.probed("m3", Role.REPLICA, held.now - 5_000 * Bed.MS);
+  /**
+   * Its timer from the time when it was held finds it sent, and permission for copies is no reason
+   * for one.
+   */
+  @Test
+  void whatWasHeldAndSentIsNotSentAgainWhenItsHoldWouldHaveEnded() {
+    for (int type : List.of(Bed.ONCE, Bed.KEYED, Bed.FRESH)) {
+      Bed held = new Bed();
+      held.start();
+      held.changed(Bed.member("m1", 0, Router.Availability.DRAINING));
+      held.request("r", type);
+      held.pass(100 * Bed.MS);
+      held.changed(Bed.member("m1", 0, Router.Availability.LIVE));
+      held.probed("m1", Role.PRIMARY, held.now);
+      for (String line : held.news()) {
+        if (line.startsWith("send r") && !line.endsWith("m1")) {
+          held.outcome("r", 0, line.split(" ")[2], Status.MISS, Role.REPLICA);
         }
-        return held.probes() - before;
+      }
+      held.pass(20 * Bed.MS);
+      held.news();
+      for (int i = 0; i < 50; i++) {
+        held.pass(20 * Bed.MS);
+        held.request("w" + i, Bed.ONCE);
+        held.outcome("w" + i, 0, "m1", Status.OK, Role.PRIMARY, 5 * Bed.MS);
+      }
+      assertFalse(
+          held.news().stream().anyMatch(l -> l.matches("(send|reject|fail) r( .*)?")),
+          "class " + type);
     }
+  }
 
-    @Test
-    void connectionsRefusedSendAnUnsafeWriteElsewhereOnceThePrimaryIsTold() {
-        bed.start();
-        bed.request("w", Bed.ONCE);
-        for (int i = 0; i < 3; i++) {
-            bed.outcome("w", i, "m1", Status.CONNECT_FAILED, Role.UNKNOWN);
-        }
-        bed.pass(30 * Bed.MS);
-        bed.probed("m2", Role.PRIMARY, bed.now);
-        assertEquals(List.of("send w m1", "send w m1", "send w m1", "send w m2"),
-                bed.news().stream().filter(a -> a.startsWith("send")).toList());
+  @Test
+  void whatWasNeverTriedIsRefusedBeforeHalfOfItsTime() {
+    bed.start();
+    bed.changed(Bed.member("m1", 0, Router.Availability.DRAINING));
+    for (String m : List.of("m2", "m3")) {
+      for (int i = 0; i < 12; i++) {
+        bed.router.onProbeResult(bed.now, m, Status.TIMEOUT, 250 * Bed.MS, null);
+      }
     }
+    bed.request("w", Bed.ONCE);
+    bed.pass(1_100 * Bed.MS);
+    assertFalse(bed.news().stream().anyMatch(l -> l.startsWith("reject w")));
+    bed.pass(150 * Bed.MS);
+    assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("reject w")));
+  }
 
-    @Test
-    void abandonedReadsLowerAMembersLimitUnderOneAtATime() {
-        bed.routers = 20;
-        bed.start();
-        bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
-        for (int i = 0; i < 60; i++) {
-            bed.request("a" + i, Bed.BOUNDED);
-            bed.probed("m2", Role.REPLICA, bed.now);
-            bed.pass(450 * Bed.MS);
-            bed.outcome("a" + i, 0, "m2", Status.TIMEOUT, Role.UNKNOWN);
-        }
-        assertTrue(sendsTo("m2") < 40, "a member that answers no read in time is not asked each time");
+  @Test
+  void probesCostAsMuchAsTheirPriceAllows() {
+    long cheap = probesOfHeldReads(0.01);
+    long dear = probesOfHeldReads(0.1);
+    assertTrue(dear <= 20 + 200 * 0.1 + 3, dear + " probes");
+    assertTrue(cheap > 2 * dear, cheap + " and " + dear + " probes");
+  }
+
+  /** Two hundred reads that no replica covers, over ten seconds. */
+  private static long probesOfHeldReads(double price) {
+    Bed held = new Bed();
+    held.probePrice = price;
+    held.start();
+    held.pass(2_000 * Bed.MS);
+    long before = held.probes();
+    for (int i = 0; i < 200; i++) {
+      held.request("r" + i, Bed.BOUNDED);
+      held.pass(50 * Bed.MS);
+      held.probed("m2", Role.REPLICA, held.now - 5_000 * Bed.MS);
+      held.probed("m3", Role.REPLICA, held.now - 5_000 * Bed.MS);
     }
+    return held.probes() - before;
+  }
 
-    @Test
-    void aTryWithTooLittleTimeLeftIsRefusedAtOnceInsteadOfWorkedOnInVain() {
-        bed.start();
-        bed.router.onRequest(bed.now, new Router.Request("a", Bed.ONCE, "s", 1, 60 * Bed.MS, 0, true));
-        assertEquals(List.of("reject a"), bed.news());
+  @Test
+  void connectionsRefusedSendAnUnsafeWriteElsewhereOnceThePrimaryIsTold() {
+    bed.start();
+    bed.request("w", Bed.ONCE);
+    for (int i = 0; i < 3; i++) {
+      bed.outcome("w", i, "m1", Status.CONNECT_FAILED, Role.UNKNOWN);
     }
+    bed.pass(30 * Bed.MS);
+    bed.probed("m2", Role.PRIMARY, bed.now);
+    assertEquals(
+        List.of("send w m1", "send w m1", "send w m1", "send w m2"),
+        bed.news().stream().filter(a -> a.startsWith("send")).toList());
+  }
 
-    @Test
-    void whatEarnsMostForItsWorkLeavesTheQueueFirst() {
-        bed.bare("m1", "m2", "m3");
-        bed.news();
-        bed.request("low", Bed.FRESH);
-        bed.request("high", Bed.KEYED);
-        bed.outcome("high", 0, "m1", Status.MISS, Role.REPLICA);
-        bed.outcome("high", 1, "m2", Status.OK, Role.PRIMARY);
-        assertEquals(List.of("send high m1", "send high m2", "send low m2"), bed.news());
+  @Test
+  void abandonedReadsLowerAMembersLimitUnderOneAtATime() {
+    bed.routers = 20;
+    bed.start();
+    bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
+    for (int i = 0; i < 60; i++) {
+      bed.request("a" + i, Bed.BOUNDED);
+      bed.probed("m2", Role.REPLICA, bed.now);
+      bed.pass(450 * Bed.MS);
+      bed.outcome("a" + i, 0, "m2", Status.TIMEOUT, Role.UNKNOWN);
     }
+    assertTrue(sendsTo("m2") < 40, "a member that answers no read in time is not asked each time");
+  }
 
-    @Test
-    void aFailedSubscriptionIsAskedForAgainWithGrowingPauses() {
-        bed.listAsked = true;
-        bed.bare("m1");
-        assertTrue(bed.news().contains("subscribe true"));
-        for (int i = 0; i < 8; i++) {
-            bed.router.onMembers(bed.now, ListKind.FAILED, 0, List.of());
-            bed.pass(3_100 * Bed.MS);
-            assertEquals(List.of("subscribe true"), bed.news());
-        }
+  @Test
+  void aTryWithTooLittleTimeLeftIsRefusedAtOnceInsteadOfWorkedOnInVain() {
+    bed.start();
+    bed.router.onRequest(bed.now, new Router.Request("a", Bed.ONCE, "s", 1, 60 * Bed.MS, 0, true));
+    assertEquals(List.of("reject a"), bed.news());
+  }
+
+  @Test
+  void whatEarnsMostForItsWorkLeavesTheQueueFirst() {
+    bed.bare("m1", "m2", "m3");
+    bed.news();
+    bed.request("low", Bed.FRESH);
+    bed.request("high", Bed.KEYED);
+    bed.outcome("high", 0, "m1", Status.MISS, Role.REPLICA);
+    bed.outcome("high", 1, "m2", Status.OK, Role.PRIMARY);
+    assertEquals(List.of("send high m1", "send high m2", "send low m2"), bed.news());
+  }
+
+  @Test
+  void aFailedSubscriptionIsAskedForAgainWithGrowingPauses() {
+    bed.listAsked = true;
+    bed.bare("m1");
+    assertTrue(bed.news().contains("subscribe true"));
+    for (int i = 0; i < 8; i++) {
+      bed.router.onMembers(bed.now, ListKind.FAILED, 0, List.of());
+      bed.pass(3_100 * Bed.MS);
+      assertEquals(List.of("subscribe true"), bed.news());
     }
+  }
 
-    /** Guards against work that grows with all held requests at each outcome; without the limit it takes over 20 s. */
-    @Test
-    void aFloodOfHeldRequestsDoesNotMakeEachOutcomeDear() {
-        bed.start();
-        assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
-            for (int i = 0; i < 20_000; i++) {
-                bed.request("held" + i, Bed.FRESH);
-            }
-            for (int i = 0; i < 20_000; i++) {
-                bed.outcome("unknown", 0, "m2", Status.OK, Role.REPLICA);
-                bed.request("a" + i, Bed.ANY);
-                bed.outcome("a" + i, 0, "m2", Status.OK, Role.REPLICA);
-            }
+  /**
+   * Guards against work that grows with all held requests at each outcome; without the limit it
+   * takes over 20 s.
+   */
+  @Test
+  void aFloodOfHeldRequestsDoesNotMakeEachOutcomeDear() {
+    bed.start();
+    assertTimeoutPreemptively(
+        Duration.ofSeconds(20),
+        () -> {
+          for (int i = 0; i < 20_000; i++) {
+            bed.request("held" + i, Bed.FRESH);
+          }
+          for (int i = 0; i < 20_000; i++) {
+            bed.outcome("unknown", 0, "m2", Status.OK, Role.REPLICA);
+            bed.request("a" + i, Bed.ANY);
+            bed.outcome("a" + i, 0, "m2", Status.OK, Role.REPLICA);
+          }
         });
-    }
+  }
 
-    @Test
-    void unknownMessagesAndLateEventsArePassedOver() {
-        bed.start();
-        bed.router.onMessage(bed.now, 2, new byte[] {9, 9});
-        bed.outcome("never", 0, "m1", Status.OK, Role.PRIMARY);
-        bed.outcome("never", 3, "nobody", Status.RESET, Role.UNKNOWN);
-        bed.router.onClientGone(bed.now, "never");
-        bed.router.onProbeResult(bed.now, "nobody", Status.OK, 1, null);
-        bed.router.onTimer(bed.now, "odd");
-        assertEquals(List.of(), bed.news());
-    }
+  @Test
+  void unknownMessagesAndLateEventsArePassedOver() {
+    bed.start();
+    bed.router.onMessage(bed.now, 2, new byte[] {9, 9});
+    bed.outcome("never", 0, "m1", Status.OK, Role.PRIMARY);
+    bed.outcome("never", 3, "nobody", Status.RESET, Role.UNKNOWN);
+    bed.router.onClientGone(bed.now, "never");
+    bed.router.onProbeResult(bed.now, "nobody", Status.OK, 1, null);
+    bed.router.onTimer(bed.now, "odd");
+    assertEquals(List.of(), bed.news());
+  }
 
-    /** At one request a second a clock asks far too often or too late; the read that needs a position asks. */
-    @Test
-    void positionsAreAskedForWhenAReadNeedsThemAndNotOnAClock() {
-        bed.bare("m1", "m2", "m3", "m4", "m5");
-        bed.probed("m1", Role.PRIMARY, bed.now);
-        for (String id : List.of("m2", "m3", "m4", "m5")) {
-            bed.probed(id, Role.REPLICA, bed.now);
-        }
-        bed.out.lines.clear();
-        bed.pass(30_000 * Bed.MS);
-        assertEquals(List.of(), bed.out.lines, "nothing needs a position");
-        bed.request("a", Bed.BOUNDED);
-        assertEquals(2, bed.out.lines.size(), "two are asked, not the whole group");
-        String asked = bed.out.lines.get(0).substring("probe ".length());
-        bed.probed(asked, Role.REPLICA, bed.now - 100 * Bed.MS);
-        assertTrue(bed.out.lines.contains("send a " + asked), bed.out.lines.toString());
+  /**
+   * At one request a second a clock asks far too often or too late; the read that needs a position
+   * asks.
+   */
+  @Test
+  void positionsAreAskedForWhenAReadNeedsThemAndNotOnAClock() {
+    bed.bare("m1", "m2", "m3", "m4", "m5");
+    bed.probed("m1", Role.PRIMARY, bed.now);
+    for (String id : List.of("m2", "m3", "m4", "m5")) {
+      bed.probed(id, Role.REPLICA, bed.now);
     }
+    bed.out.lines.clear();
+    bed.pass(30_000 * Bed.MS);
+    assertEquals(List.of(), bed.out.lines, "nothing needs a position");
+    bed.request("a", Bed.BOUNDED);
+    assertEquals(2, bed.out.lines.size(), "two are asked, not the whole group");
+    String asked = bed.out.lines.get(0).substring("probe ".length());
+    bed.probed(asked, Role.REPLICA, bed.now - 100 * Bed.MS);
+    assertTrue(bed.out.lines.contains("send a " + asked), bed.out.lines.toString());
+  }
 
-    /** Guards against overload that an instance with few requests sees too late: one answer tells of the group. */
-    @Test
-    void aLateAnswerOfOneMemberHoldsBackReadsThatTheGroupCouldNotAnswerInTime() {
-        bed.start();
-        bed.request("a", Bed.SESSION);
-        bed.pass(2_000 * Bed.MS);
-        bed.news();
-        bed.outcome("a", 0, "m2", Status.TIMEOUT, Role.UNKNOWN);
-        bed.request("b", Bed.SESSION);
-        assertFalse(bed.news().stream().anyMatch(l -> l.startsWith("send b")), "no member would be in time");
-        bed.pass(15_000 * Bed.MS);
-        bed.request("c", Bed.SESSION);
-        assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("send c")), "the evidence has faded");
-    }
+  /**
+   * Guards against overload that an instance with few requests sees too late: one answer tells of
+   * the group.
+   */
+  @Test
+  void aLateAnswerOfOneMemberHoldsBackReadsThatTheGroupCouldNotAnswerInTime() {
+    bed.start();
+    bed.request("a", Bed.SESSION);
+    bed.pass(2_000 * Bed.MS);
+    bed.news();
+    bed.outcome("a", 0, "m2", Status.TIMEOUT, Role.UNKNOWN);
+    bed.request("b", Bed.SESSION);
+    assertFalse(
+        bed.news().stream().anyMatch(l -> l.startsWith("send b")), "no member would be in time");
+    bed.pass(15_000 * Bed.MS);
+    bed.request("c", Bed.SESSION);
+    assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("send c")), "the evidence has faded");
+  }
 
-    /** Guards against work that ends late for little worth while it makes the next requests late as well. */
-    @Test
-    void aReadWorthLittleWhenLateIsGivenUpAtItsAim() {
-        bed.start();
-        for (String id : List.of("m1", "m2", "m3")) {
-            bed.changed(Bed.member(id, 0, Router.Availability.DRAINING));
-        }
-        bed.request("a", Bed.ANY);
-        bed.pass(401 * Bed.MS);
-        assertEquals(List.of("reject a"), bed.news());
+  /**
+   * Guards against work that ends late for little worth while it makes the next requests late as
+   * well.
+   */
+  @Test
+  void aReadWorthLittleWhenLateIsGivenUpAtItsAim() {
+    bed.start();
+    for (String id : List.of("m1", "m2", "m3")) {
+      bed.changed(Bed.member(id, 0, Router.Availability.DRAINING));
     }
+    bed.request("a", Bed.ANY);
+    bed.pass(401 * Bed.MS);
+    assertEquals(List.of("reject a"), bed.news());
+  }
 
-    /** Guards against giving back connections that could not be set up again in time. */
-    @Test
-    void whereNewConnectionsTakeTooLongOpenOnesAreKeptAndPreferred() {
-        bed.start();
-        bed.request("a", Bed.ANY);
-        String used = bed.news().get(0).substring("send a ".length());
-        bed.outcome("a", 0, used, Status.OK, Role.REPLICA);
-        bed.request("w", Bed.KEYED);
-        bed.router.onOutcome(bed.now, new Router.Outcome("w", 0, "m1", Status.CONNECT_FAILED, false, 250 * Bed.MS,
-                Role.UNKNOWN, Router.UNKNOWN, null));
-        for (int i = 0; i < 5; i++) {
-            bed.request("b" + i, Bed.ANY);
-            bed.outcome("b" + i, 0, used, Status.OK, Role.REPLICA);
-            assertTrue(bed.news().contains("send b" + i + " " + used), "the connected one");
-        }
-        bed.outcome("w", 1, "m1", Status.OK, Role.PRIMARY);
-        assertFalse(bed.news().stream().anyMatch(l -> l.startsWith("closeIdle")), "kept open");
+  /** Guards against giving back connections that could not be set up again in time. */
+  @Test
+  void whereNewConnectionsTakeTooLongOpenOnesAreKeptAndPreferred() {
+    bed.start();
+    bed.request("a", Bed.ANY);
+    String used = bed.news().get(0).substring("send a ".length());
+    bed.outcome("a", 0, used, Status.OK, Role.REPLICA);
+    bed.request("w", Bed.KEYED);
+    bed.router.onOutcome(
+        bed.now,
+        new Router.Outcome(
+            "w",
+            0,
+            "m1",
+            Status.CONNECT_FAILED,
+            false,
+            250 * Bed.MS,
+            Role.UNKNOWN,
+            Router.UNKNOWN,
+            null));
+    for (int i = 0; i < 5; i++) {
+      bed.request("b" + i, Bed.ANY);
+      bed.outcome("b" + i, 0, used, Status.OK, Role.REPLICA);
+      assertTrue(bed.news().contains("send b" + i + " " + used), "the connected one");
     }
+    bed.outcome("w", 1, "m1", Status.OK, Role.PRIMARY);
+    assertFalse(bed.news().stream().anyMatch(l -> l.startsWith("closeIdle")), "kept open");
+  }
 
-    /** Guards against memory and work that grow with the requests of the last seconds instead of those held. */
-    @Test
-    void timersOfEndedRequestsDoNotPileUp() throws ReflectiveOperationException {
-        bed.start();
-        for (int i = 0; i < 20_000; i++) {
-            bed.request("a" + i, Bed.KEYED);
-            bed.outcome("a" + i, 0, "m1", Status.OK, Role.PRIMARY);
-        }
-        int size = bed.router.state.timers.size();
-        assertTrue(size < 1_000, size + " timers");
+  /**
+   * Guards against memory and work that grow with the requests of the last seconds instead of those
+   * held.
+   */
+  @Test
+  void timersOfEndedRequestsDoNotPileUp() throws ReflectiveOperationException {
+    bed.start();
+    for (int i = 0; i < 20_000; i++) {
+      bed.request("a" + i, Bed.KEYED);
+      bed.outcome("a" + i, 0, "m1", Status.OK, Role.PRIMARY);
     }
+    int size = bed.router.state.timers.size();
+    assertTrue(size < 1_000, size + " timers");
+  }
 
-    /** Hosts that answer within a millisecond were all left alone at the first hiccup: 4,000 reads a second lost. */
-    @Test
-    void aHiccupIsNoSilenceHoweverQuickTheMembersAre() {
-        bed.start();
-        for (int i = 0; i < 600; i++) {
-            bed.request("q" + i, Bed.ANY);
-            String member = bed.news().stream().filter(l -> l.startsWith("send")).findFirst().orElseThrow()
-                    .split(" ")[2];
-            bed.now += Bed.MS;
-            bed.outcome("q" + i, 0, member, Status.OK, Role.REPLICA, Bed.MS);
-        }
-        bed.news();
-        for (int i = 0; i < 12; i++) {
-            bed.request("a" + i, Bed.ANY);
-        }
-        assertEquals(12, bed.news().stream().filter(l -> l.matches("send a[0-9]+ m[23]")).count());
-        bed.pass(20 * Bed.MS);
-        bed.request("b", Bed.ANY);
-        List<String> news = bed.news();
-        assertTrue(news.stream().noneMatch(l -> l.startsWith("cancel")), news.toString());
-        assertTrue(news.stream().anyMatch(l -> l.startsWith("send b m")), news.toString());
-        bed.pass(40 * Bed.MS);
-        assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("cancel")), "that long is silence");
+  /**
+   * Hosts that answer within a millisecond were all left alone at the first hiccup: 4,000 reads a
+   * second lost.
+   */
+  @Test
+  void aHiccupIsNoSilenceHoweverQuickTheMembersAre() {
+    bed.start();
+    for (int i = 0; i < 600; i++) {
+      bed.request("q" + i, Bed.ANY);
+      String member =
+          bed.news().stream()
+              .filter(l -> l.startsWith("send"))
+              .findFirst()
+              .orElseThrow()
+              .split(" ")[2];
+      bed.now += Bed.MS;
+      bed.outcome("q" + i, 0, member, Status.OK, Role.REPLICA, Bed.MS);
+    }
+    bed.news();
+    for (int i = 0; i < 12; i++) {
+      bed.request("a" + i, Bed.ANY);
     }
+    assertEquals(12, bed.news().stream().filter(l -> l.matches("send a[0-9]+ m[23]")).count());
+    bed.pass(20 * Bed.MS);
+    bed.request("b", Bed.ANY);
+    List<String> news = bed.news();
+    assertTrue(news.stream().noneMatch(l -> l.startsWith("cancel")), news.toString());
+    assertTrue(news.stream().anyMatch(l -> l.startsWith("send b m")), news.toString());
+    bed.pass(40 * Bed.MS);
+    assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("cancel")), "that long is silence");
+  }
 }
--- a/core/src/test/java/shelffront/decide/FleetChoiceTest.java
+++ b/core/src/test/java/shelffront/decide/FleetChoiceTest.java
@@ -18,119 +18,122 @@
 /** A hundred instances that know of each other only their number: what they choose adds up. */
 class FleetChoiceTest {
 
-    private static final int INSTANCES = 100;
-    private static final List<String> HOSTS = List.of("m1", "m2", "m3", "m4", "m5");
+  private static final int INSTANCES = 100;
+  private static final List<String> HOSTS = List.of("m1", "m2", "m3", "m4", "m5");
 
-    private static Bed bed(int self, int instances) {
-        Bed bed = new Bed();
-        bed.self = self;
-        bed.routers = instances;
-        return bed.bare(HOSTS.toArray(String[]::new));
-    }
+  private static Bed bed(int self, int instances) {
+    Bed bed = new Bed();
+    bed.self = self;
+    bed.routers = instances;
+    return bed.bare(HOSTS.toArray(String[]::new));
+  }
 
-    private static void heard(Bed bed) {
-        for (String host : HOSTS) {
-            bed.probed(host, host.equals("m1") ? Role.PRIMARY : Role.REPLICA, bed.now);
-        }
-        bed.news();
+  private static void heard(Bed bed) {
+    for (String host : HOSTS) {
+      bed.probed(host, host.equals("m1") ? Role.PRIMARY : Role.REPLICA, bed.now);
     }
+    bed.news();
+  }
 
-    /** The member that a read goes to, served at once; empty when it is held. */
-    private static String served(Bed bed, String id) {
-        bed.request(id, Bed.ANY);
-        List<String> sent = bed.news().stream().filter(l -> l.startsWith("send " + id)).toList();
-        if (sent.isEmpty()) {
-            return "";
-        }
-        String member = sent.get(0).split(" ")[2];
-        bed.pass(50 * Bed.MS);
-        bed.outcome(id, 0, member, Status.OK, Role.REPLICA);
-        return member;
+  /** The member that a read goes to, served at once; empty when it is held. */
+  private static String served(Bed bed, String id) {
+    bed.request(id, Bed.ANY);
+    List<String> sent = bed.news().stream().filter(l -> l.startsWith("send " + id)).toList();
+    if (sent.isEmpty()) {
+      return "";
     }
+    String member = sent.get(0).split(" ")[2];
+    bed.pass(50 * Bed.MS);
+    bed.outcome(id, 0, member, Status.OK, Role.REPLICA);
+    return member;
+  }
 
-    @Test
-    void eachInstanceKeepsToItsOwnReplicasAndTheFleetSharesThemEvenly() {
-        Map<String, Integer> users = new TreeMap<>();
-        for (int self = 0; self < INSTANCES; self++) {
-            Bed bed = bed(self, INSTANCES);
-            heard(bed);
-            Set<String> used = new HashSet<>();
-            for (int i = 0; i < 30; i++) {
-                bed.request("held" + i, Bed.ANY);
-                String first = bed.news().get(0).split(" ")[2];
-                used.add(first);
-                used.add(served(bed, "r" + i));
-                bed.outcome("held" + i, 0, first, Status.OK, Role.REPLICA);
-                bed.news();
-            }
-            assertEquals(2, used.size(), used.toString());
-            used.forEach(m -> users.merge(m, 1, Integer::sum));
-        }
-        assertEquals(4, users.size(), users.toString());
-        users.forEach((member, count) -> assertTrue(count == 50, users.toString()));
+  @Test
+  void eachInstanceKeepsToItsOwnReplicasAndTheFleetSharesThemEvenly() {
+    Map<String, Integer> users = new TreeMap<>();
+    for (int self = 0; self < INSTANCES; self++) {
+      Bed bed = bed(self, INSTANCES);
+      heard(bed);
+      Set<String> used = new HashSet<>();
+      for (int i = 0; i < 30; i++) {
+        bed.request("held" + i, Bed.ANY);
+        String first = bed.news().get(0).split(" ")[2];
+        used.add(first);
+        used.add(served(bed, "r" + i));
+        bed.outcome("held" + i, 0, first, Status.OK, Role.REPLICA);
+        bed.news();
+      }
+      assertEquals(2, used.size(), used.toString());
+      used.forEach(m -> users.merge(m, 1, Integer::sum));
     }
+    assertEquals(4, users.size(), users.toString());
+    users.forEach((member, count) -> assertTrue(count == 50, users.toString()));
+  }
 
-    @Test
-    void aSmallFleetUsesEveryReplicaAndAsksThemAtOnce() {
-        Bed bed = bed(0, 5);
-        assertEquals(5, bed.probes());
-        heard(bed);
-        Set<String> used = new HashSet<>();
-        for (int i = 0; i < 8; i++) {
-            bed.request("r" + i, Bed.ANY);
-            used.add(bed.news().get(0).split(" ")[2]);
-        }
-        assertEquals(Set.of("m2", "m3", "m4", "m5"), used);
+  @Test
+  void aSmallFleetUsesEveryReplicaAndAsksThemAtOnce() {
+    Bed bed = bed(0, 5);
+    assertEquals(5, bed.probes());
+    heard(bed);
+    Set<String> used = new HashSet<>();
+    for (int i = 0; i < 8; i++) {
+      bed.request("r" + i, Bed.ANY);
+      used.add(bed.news().get(0).split(" ")[2]);
     }
+    assertEquals(Set.of("m2", "m3", "m4", "m5"), used);
+  }
 
-    @Test
-    void theFirstProbesOfAFleetAreDividedAndNoneIsSentBeforeItIsWanted() {
-        Map<String, Integer> probes = new TreeMap<>();
-        for (int self = 0; self < INSTANCES; self++) {
-            Bed bed = bed(self, INSTANCES);
-            assertEquals(0, bed.probes(), "a start of all at once");
-            bed.request("r", Bed.BOUNDED);
-            for (String host : HOSTS) {
-                probes.merge(host, (int) bed.probesOf(host), Integer::sum);
-            }
-        }
-        probes.forEach((host, count) -> assertTrue(count <= 60, probes.toString()));
-        assertTrue(probes.values().stream().mapToInt(n -> n).sum() >= INSTANCES, probes.toString());
+  @Test
+  void theFirstProbesOfAFleetAreDividedAndNoneIsSentBeforeItIsWanted() {
+    Map<String, Integer> probes = new TreeMap<>();
+    for (int self = 0; self < INSTANCES; self++) {
+      Bed bed = bed(self, INSTANCES);
+      assertEquals(0, bed.probes(), "a start of all at once");
+      bed.request("r", Bed.BOUNDED);
+      for (String host : HOSTS) {
+        probes.merge(host, (int) bed.probesOf(host), Integer::sum);
+      }
     }
+    probes.forEach((host, count) -> assertTrue(count <= 60, probes.toString()));
+    assertTrue(probes.values().stream().mapToInt(n -> n).sum() >= INSTANCES, probes.toString());
+  }
 
-    /** Freshness, roles and health come first: a subset never leaves a request without a member that may serve it. */
-    @Test
-    void whereItsOwnMayNotServeAnyOtherDoes() {
-        for (int self = 0; self < 20; self++) {
-            Bed bed = bed(self, INSTANCES);
-            heard(bed);
-            Set<String> own = new HashSet<>();
-            for (int i = 0; i < 30; i++) {
-                own.add(served(bed, "r" + i));
-            }
-            for (String member : own) {
-                bed.changed(Bed.member(member, 0, Availability.DRAINING));
-            }
-            String other = served(bed, "after");
-            assertFalse(other.isEmpty() || own.contains(other), other);
-        }
+  /**
+   * Freshness, roles and health come first: a subset never leaves a request without a member that
+   * may serve it.
+   */
+  @Test
+  void whereItsOwnMayNotServeAnyOtherDoes() {
+    for (int self = 0; self < 20; self++) {
+      Bed bed = bed(self, INSTANCES);
+      heard(bed);
+      Set<String> own = new HashSet<>();
+      for (int i = 0; i < 30; i++) {
+        own.add(served(bed, "r" + i));
+      }
+      for (String member : own) {
+        bed.changed(Bed.member(member, 0, Availability.DRAINING));
+      }
+      String other = served(bed, "after");
+      assertFalse(other.isEmpty() || own.contains(other), other);
     }
+  }
 
-    @Test
-    void aReplicaThatIsFarBehindIsNotAskedAgainAtOnce() {
-        Bed bed = new Bed();
-        bed.check = LagCheck.REFUSE;
-        bed.start();
-        bed.pass(200 * Bed.MS);
-        bed.probed("m2", Role.REPLICA, bed.now - 8_000 * Bed.MS);
-        bed.changed(Bed.member("m3", 0, Availability.DRAINING));
-        long before = bed.probesOf("m2");
-        for (int i = 0; i < 10; i++) {
-            bed.request("r" + i, Bed.SESSION, 50 * Bed.MS);
-            bed.pass(60 * Bed.MS);
-            bed.outcome("r" + i, 0, "m1", Status.OK, Role.PRIMARY);
-            bed.pass(90 * Bed.MS);
-        }
-        assertTrue(bed.probesOf("m2") - before <= 1, bed.probesOf("m2") - before + " probes in 1.5 s");
+  @Test
+  void aReplicaThatIsFarBehindIsNotAskedAgainAtOnce() {
+    Bed bed = new Bed();
+    bed.check = LagCheck.REFUSE;
+    bed.start();
+    bed.pass(200 * Bed.MS);
+    bed.probed("m2", Role.REPLICA, bed.now - 8_000 * Bed.MS);
+    bed.changed(Bed.member("m3", 0, Availability.DRAINING));
+    long before = bed.probesOf("m2");
+    for (int i = 0; i < 10; i++) {
+      bed.request("r" + i, Bed.SESSION, 50 * Bed.MS);
+      bed.pass(60 * Bed.MS);
+      bed.outcome("r" + i, 0, "m1", Status.OK, Role.PRIMARY);
+      bed.pass(90 * Bed.MS);
     }
+    assertTrue(bed.probesOf("m2") - before <= 1, bed.probesOf("m2") - before + " probes in 1.5 s");
+  }
 }
--- a/core/src/test/java/shelffront/decide/Recorder.java
+++ b/core/src/test/java/shelffront/decide/Recorder.java
@@ -1,69 +1,69 @@
 package shelffront.decide;
 
-import shelffront.route.Router;
 import java.util.ArrayList;
 import java.util.List;
+import shelffront.route.Router;
 
 /** Records what the module asks for, one plain line an action, and the timers it set. */
 final class Recorder implements Router.Actions {
 
-    record Timer(String name, long at) {}
+  record Timer(String name, long at) {}
 
-    final List<String> lines = new ArrayList<>();
-    final List<Timer> timers = new ArrayList<>();
+  final List<String> lines = new ArrayList<>();
+  final List<Timer> timers = new ArrayList<>();
 
-    @Override
-    public void send(String requestId, String member, long timeout) {
-        lines.add("send " + requestId + " " + member);
-    }
+  @Override
+  public void send(String requestId, String member, long timeout) {
+    lines.add("send " + requestId + " " + member);
+  }
 
-    @Override
-    public void cancel(String requestId, int attempt) {
-        lines.add("cancel " + requestId + " " + attempt);
-    }
+  @Override
+  public void cancel(String requestId, int attempt) {
+    lines.add("cancel " + requestId + " " + attempt);
+  }
 
-    @Override
-    public void reject(String requestId, long retryAfter) {
-        lines.add("reject " + requestId);
-    }
+  @Override
+  public void reject(String requestId, long retryAfter) {
+    lines.add("reject " + requestId);
+  }
 
-    @Override
-    public void fail(String requestId) {
-        lines.add("fail " + requestId);
-    }
+  @Override
+  public void fail(String requestId) {
+    lines.add("fail " + requestId);
+  }
 
-    @Override
-    public void probe(String member) {
-        lines.add("probe " + member);
-    }
+  @Override
+  public void probe(String member) {
+    lines.add("probe " + member);
+  }
 
-    @Override
-    public void setTimer(String name, long at) {
-        timers.add(new Timer(name, at));
-    }
+  @Override
+  public void setTimer(String name, long at) {
+    timers.add(new Timer(name, at));
+  }
 
-    @Override
-    public void subscribe(boolean on) {
-        lines.add("subscribe " + on);
-    }
+  @Override
+  public void subscribe(boolean on) {
+    lines.add("subscribe " + on);
+  }
 
-    @Override
-    public void fetchList() {
-        lines.add("fetchList");
-    }
+  @Override
+  public void fetchList() {
+    lines.add("fetchList");
+  }
 
-    @Override
-    public void tellPeers(int peer, byte[] payload) {
-        lines.add("tell " + peer);
-    }
+  @Override
+  public void tellPeers(int peer, byte[] payload) {
+    lines.add("tell " + peer);
+  }
 
-    @Override
-    public void closeIdle(String member) {
-        lines.add("closeIdle " + member);
-    }
+  @Override
+  public void closeIdle(String member) {
+    lines.add("closeIdle " + member);
+  }
 
-    @Override
-    public void log(String text) {
-        lines.add("log " + text);
-    }
+  @Override
+  public void log(String text) {
+    lines.add("log " + text);
+  }
 }
--- a/core/src/test/java/shelffront/decide/RulesTest.java
+++ b/core/src/test/java/shelffront/decide/RulesTest.java
@@ -4,246 +4,256 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
 import shelffront.route.Router.Availability;
 import shelffront.route.Router.Member;
 import shelffront.route.Router.Request;
 import shelffront.route.Router.Role;
 import shelffront.route.Router.Scope;
 import shelffront.route.Router.Status;
-import java.util.ArrayList;
-import java.util.List;
-import org.junit.jupiter.api.Test;
 
 /** The five rules, each on both sides of its boundary. */
 class RulesTest {
 
-    private final Bed bed = new Bed();
-
-    @Test
-    void everyRequestIsAnsweredOnceByItsDeadline() {
-        bed.start();
-        bed.request("a", Bed.ONCE);
-        bed.pass(2_990 * Bed.MS);
-        assertEquals(List.of("send a m1"), bed.news());
-        bed.pass(30 * Bed.MS);
-        assertEquals(List.of("fail a"), bed.news());
-        bed.outcome("a", 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
-        bed.pass(5_000 * Bed.MS);
-        assertEquals(List.of(), bed.news());
-    }
+  private final Bed bed = new Bed();
 
-    @Test
-    void aMemberOfAnotherSetTakesNothingWithItThatWasKnownOfItThere() {
-        bed.start();
-        // Its position is one in the log of the first set, and says nothing of the second one's.
-        bed.changed(new Member("m2", "kind", "z1", 2, 1, 0, false, Availability.LIVE),
-                new Member("m1", "kind", "z1", 2, 1, 0, false, Availability.LIVE));
-        bed.router.onRequest(bed.now, new Request("a", Bed.SESSION, "s", 2, 1_500 * Bed.MS, bed.now - 10_000 * Bed.MS,
-                false));
-        assertEquals(List.of(), bed.news(), "neither is known to have it");
-        bed.request("b", Bed.FRESH);
-        assertEquals(List.of(), bed.news(), "the first set has no known primary any more");
-        bed.probed("m2", Role.REPLICA, bed.now - 5_000 * Bed.MS);
-        assertEquals(List.of("send a m2"), bed.news());
-    }
+  @Test
+  void everyRequestIsAnsweredOnceByItsDeadline() {
+    bed.start();
+    bed.request("a", Bed.ONCE);
+    bed.pass(2_990 * Bed.MS);
+    assertEquals(List.of("send a m1"), bed.news());
+    bed.pass(30 * Bed.MS);
+    assertEquals(List.of("fail a"), bed.news());
+    bed.outcome("a", 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
+    bed.pass(5_000 * Bed.MS);
+    assertEquals(List.of(), bed.news());
+  }
 
-    @Test
-    void aWriteWithoutAnyMemberIsRefusedInTime() {
-        bed.bare();
-        bed.request("a", Bed.ONCE);
-        bed.pass(3_000 * Bed.MS);
-        assertEquals(List.of("reject a"), bed.news());
-    }
+  @Test
+  void aMemberOfAnotherSetTakesNothingWithItThatWasKnownOfItThere() {
+    bed.start();
+    // Its position is one in the log of the first set, and says nothing of the second one's.
+    bed.changed(
+        new Member("m2", "kind", "z1", 2, 1, 0, false, Availability.LIVE),
+        new Member("m1", "kind", "z1", 2, 1, 0, false, Availability.LIVE));
+    bed.router.onRequest(
+        bed.now,
+        new Request("a", Bed.SESSION, "s", 2, 1_500 * Bed.MS, bed.now - 10_000 * Bed.MS, false));
+    assertEquals(List.of(), bed.news(), "neither is known to have it");
+    bed.request("b", Bed.FRESH);
+    assertEquals(List.of(), bed.news(), "the first set has no known primary any more");
+    bed.probed("m2", Role.REPLICA, bed.now - 5_000 * Bed.MS);
+    assertEquals(List.of("send a m2"), bed.news());
+  }
 
-    @Test
-    void aHeldReadIsRefusedAtOnceWhenItCanNoLongerBeOnTime() {
-        bed.bare("m1", "m2");
-        bed.news();
-        bed.request("a", Bed.BOUNDED);
-        bed.pass(500 * Bed.MS);
-        assertEquals(List.of("reject a"), bed.news());
-    }
+  @Test
+  void aWriteWithoutAnyMemberIsRefusedInTime() {
+    bed.bare();
+    bed.request("a", Bed.ONCE);
+    bed.pass(3_000 * Bed.MS);
+    assertEquals(List.of("reject a"), bed.news());
+  }
 
-    @Test
-    void aReadUnderWayAtItsAimIsLeftToAnswerLate() {
-        bed.duplicate = false;
-        bed.start();
-        bed.request("a", Bed.BOUNDED);
-        bed.news();
-        bed.pass(1_400 * Bed.MS);
-        assertEquals(List.of(), bed.news(), "a refusal would only bring the client back with the same work");
-        bed.pass(200 * Bed.MS);
-        assertTrue(bed.news().contains("reject a"));
-    }
+  @Test
+  void aHeldReadIsRefusedAtOnceWhenItCanNoLongerBeOnTime() {
+    bed.bare("m1", "m2");
+    bed.news();
+    bed.request("a", Bed.BOUNDED);
+    bed.pass(500 * Bed.MS);
+    assertEquals(List.of("reject a"), bed.news());
+  }
 
-    @Test
-    void nothingIsSentForARequestWhoseClientHasGone() {
-        bed.bare("m1", "m2");
-        bed.request("a", Bed.BOUNDED);
-        bed.router.onClientGone(bed.now, "a");
-        bed.probed("m1", Role.PRIMARY, bed.now);
-        bed.probed("m2", Role.REPLICA, bed.now);
-        bed.pass(2_000 * Bed.MS);
-        assertEquals(List.of(), bed.news());
-    }
+  @Test
+  void aReadUnderWayAtItsAimIsLeftToAnswerLate() {
+    bed.duplicate = false;
+    bed.start();
+    bed.request("a", Bed.BOUNDED);
+    bed.news();
+    bed.pass(1_400 * Bed.MS);
+    assertEquals(
+        List.of(), bed.news(), "a refusal would only bring the client back with the same work");
+    bed.pass(200 * Bed.MS);
+    assertTrue(bed.news().contains("reject a"));
+  }
 
-    @Test
-    void anUnsafeWriteIsTriedAgainOnlyWhenItNeverRan() {
-        bed.start();
-        bed.request("a", Bed.ONCE);
-        bed.outcome("a", 0, "m1", Status.MISS, Role.REPLICA);
-        bed.probed("m2", Role.PRIMARY, bed.now);
-        assertTrue(bed.news().contains("send a m2"));
-        bed.outcome("a", 1, "m2", Status.RESET, Role.UNKNOWN);
-        assertEquals(List.of("fail a"), bed.news());
-    }
+  @Test
+  void nothingIsSentForARequestWhoseClientHasGone() {
+    bed.bare("m1", "m2");
+    bed.request("a", Bed.BOUNDED);
+    bed.router.onClientGone(bed.now, "a");
+    bed.probed("m1", Role.PRIMARY, bed.now);
+    bed.probed("m2", Role.REPLICA, bed.now);
+    bed.pass(2_000 * Bed.MS);
+    assertEquals(List.of(), bed.news());
+  }
 
-    @Test
-    void aKeyedWriteThatMayHaveRunIsResentInsideItsWindowOnly() {
-        bed.start();
-        bed.request("a", Bed.KEYED);
-        bed.outcome("a", 0, "m1", Status.ERROR, Role.UNKNOWN);
-        assertEquals(List.of("send a m1", "send a m1"), bed.news());
-        bed.pass(2_999 * Bed.MS);
-        bed.outcome("a", 1, "m1", Status.ERROR, Role.UNKNOWN);
-        assertEquals(List.of("fail a"), bed.news());
-    }
+  @Test
+  void anUnsafeWriteIsTriedAgainOnlyWhenItNeverRan() {
+    bed.start();
+    bed.request("a", Bed.ONCE);
+    bed.outcome("a", 0, "m1", Status.MISS, Role.REPLICA);
+    bed.probed("m2", Role.PRIMARY, bed.now);
+    assertTrue(bed.news().contains("send a m2"));
+    bed.outcome("a", 1, "m2", Status.RESET, Role.UNKNOWN);
+    assertEquals(List.of("fail a"), bed.news());
+  }
 
-    @Test
-    void aKeyedWriteThatMayHaveRunIsRefusedOnlyIfEveryMemberDiscardsRepeats() {
-        bed.scope = Scope.ALL;
-        bed.attempts = 1;
-        bed.start();
-        bed.request("a", Bed.KEYED);
-        bed.outcome("a", 0, "m1", Status.ERROR, Role.UNKNOWN);
-        assertEquals(List.of("send a m1", "reject a"), bed.news());
-    }
+  @Test
+  void aKeyedWriteThatMayHaveRunIsResentInsideItsWindowOnly() {
+    bed.start();
+    bed.request("a", Bed.KEYED);
+    bed.outcome("a", 0, "m1", Status.ERROR, Role.UNKNOWN);
+    assertEquals(List.of("send a m1", "send a m1"), bed.news());
+    bed.pass(2_999 * Bed.MS);
+    bed.outcome("a", 1, "m1", Status.ERROR, Role.UNKNOWN);
+    assertEquals(List.of("fail a"), bed.news());
+  }
 
-    @Test
-    void attemptsEndAtTheLimit() {
-        bed.attempts = 2;
-        bed.start();
-        bed.request("a", Bed.ANY);
-        bed.outcome("a", 0, "m2", Status.ERROR, Role.REPLICA);
-        bed.outcome("a", 1, "m3", Status.ERROR, Role.REPLICA);
-        List<String> news = bed.news();
-        assertEquals(3, news.size());
-        assertEquals("reject a", news.get(2));
-    }
+  @Test
+  void aKeyedWriteThatMayHaveRunIsRefusedOnlyIfEveryMemberDiscardsRepeats() {
+    bed.scope = Scope.ALL;
+    bed.attempts = 1;
+    bed.start();
+    bed.request("a", Bed.KEYED);
+    bed.outcome("a", 0, "m1", Status.ERROR, Role.UNKNOWN);
+    assertEquals(List.of("send a m1", "reject a"), bed.news());
+  }
 
-    @Test
-    void withoutLeaveForDuplicatesOneAttemptIsOutAtATime() {
-        bed.duplicate = false;
-        bed.start();
-        bed.request("a", Bed.ANY);
-        bed.pass(390 * Bed.MS);
-        assertEquals(1, bed.news().stream().filter(l -> l.startsWith("send")).count());
-    }
+  @Test
+  void attemptsEndAtTheLimit() {
+    bed.attempts = 2;
+    bed.start();
+    bed.request("a", Bed.ANY);
+    bed.outcome("a", 0, "m2", Status.ERROR, Role.REPLICA);
+    bed.outcome("a", 1, "m3", Status.ERROR, Role.REPLICA);
+    List<String> news = bed.news();
+    assertEquals(3, news.size());
+    assertEquals("reject a", news.get(2));
+  }
 
-    @Test
-    void nothingNewGoesToADrainingOrGoneMember() {
-        for (Availability state : List.of(Availability.DRAINING, Availability.GONE)) {
-            Bed b = new Bed().start();
-            b.changed(Bed.member("m2", 0, state), Bed.member("m1", 0, state));
-            for (int i = 0; i < 20; i++) {
-                b.request("r" + i, Bed.ANY);
-                b.request("w" + i, Bed.ONCE);
-            }
-            b.pass(3_000 * Bed.MS);
-            assertFalse(b.news().stream().anyMatch(l -> l.startsWith("send") && !l.endsWith("m3")));
-        }
-    }
+  @Test
+  void withoutLeaveForDuplicatesOneAttemptIsOutAtATime() {
+    bed.duplicate = false;
+    bed.start();
+    bed.request("a", Bed.ANY);
+    bed.pass(390 * Bed.MS);
+    assertEquals(1, bed.news().stream().filter(l -> l.startsWith("send")).count());
+  }
 
-    /** Sends to a member that restarts cold as the only one left, from instances of equal, usual traffic. */
-    private static long sentToTheColdOne(int instances, String member, int classIndex) {
-        long sent = 0;
-        for (int i = 0; i < instances; i++) {
-            Bed b = new Bed();
-            b.routers = instances;
-            b.start();
-            for (int j = 0; j < 6; j++) {
-                b.request("w" + i + "-" + j, classIndex);
-                String line = b.news().stream().filter(l -> l.startsWith("send")).findFirst().orElseThrow();
-                b.pass(1_000 * Bed.MS - 1);
-                b.outcome("w" + i + "-" + j, 0, line.split(" ")[2], Status.OK, Role.UNKNOWN);
-                b.news();
-            }
-            for (String id : List.of("m1", "m2", "m3")) {
-                b.changed(Bed.member(id, id.equals(member) ? b.now : 0,
-                        id.equals(member) ? Availability.LIVE : Availability.DRAINING));
-            }
-            b.news();
-            b.request("c" + i, classIndex);
-            b.pass(300 * Bed.MS);
-            sent += b.news().contains("send c" + i + " " + member) ? 1 : 0;
-        }
-        return sent;
+  @Test
+  void nothingNewGoesToADrainingOrGoneMember() {
+    for (Availability state : List.of(Availability.DRAINING, Availability.GONE)) {
+      Bed b = new Bed().start();
+      b.changed(Bed.member("m2", 0, state), Bed.member("m1", 0, state));
+      for (int i = 0; i < 20; i++) {
+        b.request("r" + i, Bed.ANY);
+        b.request("w" + i, Bed.ONCE);
+      }
+      b.pass(3_000 * Bed.MS);
+      assertFalse(b.news().stream().anyMatch(l -> l.startsWith("send") && !l.endsWith("m3")));
     }
+  }
 
-    @Test
-    void manyInstancesTogetherSpareAColdMember() {
-        // A warm member got 3 of 6 requests in 6 s, so 150 in a fall time from all; a quarter of that is the
-        // cold one's capacity, and 2.5 times that makes it fall.
-        long sent = sentToTheColdOne(200, "m2", Bed.ANY);
-        assertTrue(sent > 5 && sent < 94, sent + " sends");
+  /**
+   * Sends to a member that restarts cold as the only one left, from instances of equal, usual
+   * traffic.
+   */
+  private static long sentToTheColdOne(int instances, String member, int classIndex) {
+    long sent = 0;
+    for (int i = 0; i < instances; i++) {
+      Bed b = new Bed();
+      b.routers = instances;
+      b.start();
+      for (int j = 0; j < 6; j++) {
+        b.request("w" + i + "-" + j, classIndex);
+        String line = b.news().stream().filter(l -> l.startsWith("send")).findFirst().orElseThrow();
+        b.pass(1_000 * Bed.MS - 1);
+        b.outcome("w" + i + "-" + j, 0, line.split(" ")[2], Status.OK, Role.UNKNOWN);
+        b.news();
+      }
+      for (String id : List.of("m1", "m2", "m3")) {
+        b.changed(
+            Bed.member(
+                id,
+                id.equals(member) ? b.now : 0,
+                id.equals(member) ? Availability.LIVE : Availability.DRAINING));
+      }
+      b.news();
+      b.request("c" + i, classIndex);
+      b.pass(300 * Bed.MS);
+      sent += b.news().contains("send c" + i + " " + member) ? 1 : 0;
     }
+    return sent;
+  }
 
-    @Test
-    void manyInstancesTogetherSpareAColdPrimaryToo() {
-        long sent = sentToTheColdOne(200, "m1", Bed.KEYED);
-        assertTrue(sent > 5 && sent < 94, sent + " sends");
-    }
+  @Test
+  void manyInstancesTogetherSpareAColdMember() {
+    // A warm member got 3 of 6 requests in 6 s, so 150 in a fall time from all; a quarter of that
+    // is the
+    // cold one's capacity, and 2.5 times that makes it fall.
+    long sent = sentToTheColdOne(200, "m2", Bed.ANY);
+    assertTrue(sent > 5 && sent < 94, sent + " sends");
+  }
 
-    @Test
-    void aReadNeverGoesToAReplicaNotKnownToHaveItsPosition() {
-        bed.start();
-        bed.pass(20 * Bed.MS);
-        bed.probed("m2", Role.REPLICA, bed.now - 10 * Bed.MS);
-        bed.request("a", Bed.SESSION, 10 * Bed.MS);
-        assertEquals(List.of("send a m2"), bed.news(), "at its position exactly");
-        bed.request("b", Bed.SESSION, 10 * Bed.MS - 1);
-        assertEquals(List.of(), bed.news(), "one microsecond behind");
-    }
+  @Test
+  void manyInstancesTogetherSpareAColdPrimaryToo() {
+    long sent = sentToTheColdOne(200, "m1", Bed.KEYED);
+    assertTrue(sent > 5 && sent < 94, sent + " sends");
+  }
 
-    /** Guards against searches for a primary that come back to a cold member at each round. */
-    @Test
-    void aWriteInSearchOfAPrimaryTriesAColdMemberOnceAtMost() {
-        bed.start();
-        for (String id : List.of("m1", "m2", "m3")) {
-            bed.changed(Bed.member(id, bed.now, Availability.LIVE));
-            bed.probed(id, Role.REPLICA, bed.now);
-        }
-        int tries = 0;
-        for (int i = 0; i < 20; i++) {
-            String id = "w" + i;
-            List<String> all = new ArrayList<>();
-            bed.request(id, Bed.KEYED);
-            for (int round = 0; round < 8; round++) {
-                for (String line : bed.news()) {
-                    if (line.startsWith("send " + id + " ")) {
-                        all.add(line);
-                        bed.outcome(id, all.size() - 1, line.split(" ")[2], Status.MISS, Role.REPLICA);
-                    }
-                }
-                bed.pass(110 * Bed.MS);
-            }
-            assertEquals(all.stream().distinct().toList(), all);
-            tries += all.size();
-            bed.router.onClientGone(bed.now, id);
+  @Test
+  void aReadNeverGoesToAReplicaNotKnownToHaveItsPosition() {
+    bed.start();
+    bed.pass(20 * Bed.MS);
+    bed.probed("m2", Role.REPLICA, bed.now - 10 * Bed.MS);
+    bed.request("a", Bed.SESSION, 10 * Bed.MS);
+    assertEquals(List.of("send a m2"), bed.news(), "at its position exactly");
+    bed.request("b", Bed.SESSION, 10 * Bed.MS - 1);
+    assertEquals(List.of(), bed.news(), "one microsecond behind");
+  }
+
+  /** Guards against searches for a primary that come back to a cold member at each round. */
+  @Test
+  void aWriteInSearchOfAPrimaryTriesAColdMemberOnceAtMost() {
+    bed.start();
+    for (String id : List.of("m1", "m2", "m3")) {
+      bed.changed(Bed.member(id, bed.now, Availability.LIVE));
+      bed.probed(id, Role.REPLICA, bed.now);
+    }
+    int tries = 0;
+    for (int i = 0; i < 20; i++) {
+      String id = "w" + i;
+      List<String> all = new ArrayList<>();
+      bed.request(id, Bed.KEYED);
+      for (int round = 0; round < 8; round++) {
+        for (String line : bed.news()) {
+          if (line.startsWith("send " + id + " ")) {
+            all.add(line);
+            bed.outcome(id, all.size() - 1, line.split(" ")[2], Status.MISS, Role.REPLICA);
+          }
         }
-        assertTrue(tries > 0, "a cold member is tried");
+        bed.pass(110 * Bed.MS);
+      }
+      assertEquals(all.stream().distinct().toList(), all);
+      tries += all.size();
+      bed.router.onClientGone(bed.now, id);
     }
+    assertTrue(tries > 0, "a cold member is tried");
+  }
 
-    @Test
-    void whereTheListDoesNotProveDeathAGoneMemberMayStillBeTriedButNotADrainingOne() {
-        bed.softRemoval = true;
-        bed.start();
-        bed.changed(Bed.member("m3", 0, Availability.DRAINING), Bed.member("m2", 0, Availability.GONE));
-        bed.request("a", Bed.ANY);
-        assertEquals(List.of("send a m2"), bed.news());
-        bed.changed(Bed.member("m3", 0, Availability.GONE));
-        bed.outcome("a", 0, "m2", Status.CONNECT_FAILED, Role.UNKNOWN);
-        bed.pass(300 * Bed.MS);
-        assertFalse(bed.news().stream().anyMatch(l -> l.endsWith("m3")));
-    }
+  @Test
+  void whereTheListDoesNotProveDeathAGoneMemberMayStillBeTriedButNotADrainingOne() {
+    bed.softRemoval = true;
+    bed.start();
+    bed.changed(Bed.member("m3", 0, Availability.DRAINING), Bed.member("m2", 0, Availability.GONE));
+    bed.request("a", Bed.ANY);
+    assertEquals(List.of("send a m2"), bed.news());
+    bed.changed(Bed.member("m3", 0, Availability.GONE));
+    bed.outcome("a", 0, "m2", Status.CONNECT_FAILED, Role.UNKNOWN);
+    bed.pass(300 * Bed.MS);
+    assertFalse(bed.news().stream().anyMatch(l -> l.endsWith("m3")));
+  }
 }
--- a/core/src/test/java/shelffront/distribution/ChoiceAndBoundsTest.java
+++ b/core/src/test/java/shelffront/distribution/ChoiceAndBoundsTest.java
@@ -13,108 +13,115 @@
 
 class ChoiceAndBoundsTest {
 
-    private static final long SECOND = 1_000_000;
+  private static final long SECOND = 1_000_000;
 
-    private static List<Endpoint> endpoints() {
-        List<Endpoint> all = new ArrayList<>();
-        for (String region : List.of("r1", "r2")) {
-            for (String zone : List.of("x", "y")) {
-                for (int i = 0; i < 3; i++) {
-                    all.add(new Endpoint(region + zone + i + ":1", region, zone));
-                }
-            }
+  private static List<Endpoint> endpoints() {
+    List<Endpoint> all = new ArrayList<>();
+    for (String region : List.of("r1", "r2")) {
+      for (String zone : List.of("x", "y")) {
+        for (int i = 0; i < 3; i++) {
+          all.add(new Endpoint(region + zone + i + ":1", region, zone));
         }
-        return all;
+      }
     }
+    return all;
+  }
 
-    private static EndpointChoice choice(String subscriber) {
-        return new EndpointChoice(subscriber, "r1", "y", endpoints(), 0, new Random(1));
-    }
+  private static EndpointChoice choice(String subscriber) {
+    return new EndpointChoice(subscriber, "r1", "y", endpoints(), 0, new Random(1));
+  }
 
-    @Test
-    void theOwnZoneComesFirstThenTheRegionThenAny() {
-        List<Endpoint> order = choice("g").order();
-        assertTrue(order.subList(0, 3).stream().allMatch(e -> e.region().equals("r1") && e.zone().equals("y")));
-        assertTrue(order.subList(3, 6).stream().allMatch(e -> e.region().equals("r1") && e.zone().equals("x")));
-        assertTrue(order.subList(6, 12).stream().allMatch(e -> e.region().equals("r2")));
-    }
+  @Test
+  void theOwnZoneComesFirstThenTheRegionThenAny() {
+    List<Endpoint> order = choice("g").order();
+    assertTrue(
+        order.subList(0, 3).stream()
+            .allMatch(e -> e.region().equals("r1") && e.zone().equals("y")));
+    assertTrue(
+        order.subList(3, 6).stream()
+            .allMatch(e -> e.region().equals("r1") && e.zone().equals("x")));
+    assertTrue(order.subList(6, 12).stream().allMatch(e -> e.region().equals("r2")));
+  }
 
-    /** Those of one that fails must not all go to one other. */
-    @Test
-    void subscribersSpreadOverDistributorsAndOverThoseLeftWhenOneFails() {
-        Map<String, Integer> first = new HashMap<>();
-        Map<String, Integer> second = new HashMap<>();
-        for (int i = 0; i < 900; i++) {
-            EndpointChoice choice = choice("g" + i);
-            Endpoint chosen = choice.next(0).endpoint();
-            first.merge(chosen.address(), 1, Integer::sum);
-            if (chosen.address().equals("r1y0:1")) {
-                choice.failed(chosen, 0);
-                second.merge(choice.next(0).endpoint().address(), 1, Integer::sum);
-            }
-        }
-        first.values().forEach(n -> assertTrue(n > 240 && n < 360, first.toString()));
-        assertEquals(2, second.size());
-        second.values().forEach(n -> assertTrue(n > 100, second.toString()));
+  /** Those of one that fails must not all go to one other. */
+  @Test
+  void subscribersSpreadOverDistributorsAndOverThoseLeftWhenOneFails() {
+    Map<String, Integer> first = new HashMap<>();
+    Map<String, Integer> second = new HashMap<>();
+    for (int i = 0; i < 900; i++) {
+      EndpointChoice choice = choice("g" + i);
+      Endpoint chosen = choice.next(0).endpoint();
+      first.merge(chosen.address(), 1, Integer::sum);
+      if (chosen.address().equals("r1y0:1")) {
+        choice.failed(chosen, 0);
+        second.merge(choice.next(0).endpoint().address(), 1, Integer::sum);
+      }
     }
+    first.values().forEach(n -> assertTrue(n > 240 && n < 360, first.toString()));
+    assertEquals(2, second.size());
+    second.values().forEach(n -> assertTrue(n > 100, second.toString()));
+  }
 
-    @Test
-    void oneThatFailedIsLeftOutForAPauseThatDoublesAndIsPreferredAgainAfterwards() {
-        EndpointChoice choice = choice("g");
-        Endpoint preferred = choice.order().get(0);
-        choice.failed(preferred, 0);
-        assertEquals(choice.order().get(1), choice.next(0).endpoint());
-        assertFalse(choice.hasBetter(choice.order().get(1), 0));
-        assertTrue(choice.hasBetter(choice.order().get(1), EndpointChoice.FIRST_PAUSE));
-        choice.failed(preferred, SECOND);
-        assertFalse(choice.hasBetter(choice.order().get(1), SECOND + EndpointChoice.FIRST_PAUSE));
-        for (int i = 0; i < 10; i++) {
-            choice.failed(preferred, 2 * SECOND);
-        }
-        assertTrue(choice.hasBetter(choice.order().get(1), 2 * SECOND + EndpointChoice.LONGEST_PAUSE));
-        choice.succeeded(preferred);
-        assertEquals(preferred, choice.next(2 * SECOND).endpoint());
+  @Test
+  void oneThatFailedIsLeftOutForAPauseThatDoublesAndIsPreferredAgainAfterwards() {
+    EndpointChoice choice = choice("g");
+    Endpoint preferred = choice.order().get(0);
+    choice.failed(preferred, 0);
+    assertEquals(choice.order().get(1), choice.next(0).endpoint());
+    assertFalse(choice.hasBetter(choice.order().get(1), 0));
+    assertTrue(choice.hasBetter(choice.order().get(1), EndpointChoice.FIRST_PAUSE));
+    choice.failed(preferred, SECOND);
+    assertFalse(choice.hasBetter(choice.order().get(1), SECOND + EndpointChoice.FIRST_PAUSE));
+    for (int i = 0; i < 10; i++) {
+      choice.failed(preferred, 2 * SECOND);
     }
+    assertTrue(choice.hasBetter(choice.order().get(1), 2 * SECOND + EndpointChoice.LONGEST_PAUSE));
+    choice.succeeded(preferred);
+    assertEquals(preferred, choice.next(2 * SECOND).endpoint());
+  }
 
-    @Test
-    void whereAllAreLeftOutTheSoonestIsAskedWhenItsPauseIsOver() {
-        EndpointChoice choice = choice("g");
-        choice.order().forEach(e -> choice.failed(e, 0));
-        choice.failed(choice.order().get(0), 0);
-        assertEquals(new EndpointChoice.Next(choice.order().get(1), EndpointChoice.FIRST_PAUSE), choice.next(0));
-    }
+  @Test
+  void whereAllAreLeftOutTheSoonestIsAskedWhenItsPauseIsOver() {
+    EndpointChoice choice = choice("g");
+    choice.order().forEach(e -> choice.failed(e, 0));
+    choice.failed(choice.order().get(0), 0);
+    assertEquals(
+        new EndpointChoice.Next(choice.order().get(1), EndpointChoice.FIRST_PAUSE), choice.next(0));
+  }
 
-    /** An answer that lay in the buffer of a stopped process says nothing of the time it lay there. */
-    @Test
-    void ageCountsFromTheQuestionAndAddsWhatTheAnswerStates() {
-        Freshness freshness = new Freshness();
-        assertEquals(Freshness.NEVER, freshness.age(5 * SECOND));
-        freshness.confirm(SECOND, 2 * SECOND);
-        assertEquals(100 * SECOND, freshness.age(99 * SECOND));
-        freshness.confirm(98 * SECOND, Freshness.NEVER);
-        assertEquals(100 * SECOND, freshness.age(99 * SECOND));
-        freshness.confirm(98 * SECOND, 0);
-        freshness.confirm(98 * SECOND, 3 * SECOND);
-        assertEquals(SECOND, freshness.age(99 * SECOND), "an older confirmation takes nothing back");
-    }
+  /**
+   * An answer that lay in the buffer of a stopped process says nothing of the time it lay there.
+   */
+  @Test
+  void ageCountsFromTheQuestionAndAddsWhatTheAnswerStates() {
+    Freshness freshness = new Freshness();
+    assertEquals(Freshness.NEVER, freshness.age(5 * SECOND));
+    freshness.confirm(SECOND, 2 * SECOND);
+    assertEquals(100 * SECOND, freshness.age(99 * SECOND));
+    freshness.confirm(98 * SECOND, Freshness.NEVER);
+    assertEquals(100 * SECOND, freshness.age(99 * SECOND));
+    freshness.confirm(98 * SECOND, 0);
+    freshness.confirm(98 * SECOND, 3 * SECOND);
+    assertEquals(SECOND, freshness.age(99 * SECOND), "an older confirmation takes nothing back");
+  }
 
-    @Test
-    void absentNamesAreRememberedForAWhileAndBounded() {
-        AbsentNames absent = new AbsentNames(2, SECOND);
-        absent.add("a", 0);
-        assertTrue(absent.contains("a", SECOND - 1));
-        assertFalse(absent.contains("a", SECOND));
-        absent.add("a", 0);
-        absent.add("b", 0);
-        absent.add("c", 0);
-        assertFalse(absent.contains("a", 1), "the one remembered for longest went");
-        absent.remove("b");
-        assertFalse(absent.contains("b", 1));
-    }
+  @Test
+  void absentNamesAreRememberedForAWhileAndBounded() {
+    AbsentNames absent = new AbsentNames(2, SECOND);
+    absent.add("a", 0);
+    assertTrue(absent.contains("a", SECOND - 1));
+    assertFalse(absent.contains("a", SECOND));
+    absent.add("a", 0);
+    absent.add("b", 0);
+    absent.add("c", 0);
+    assertFalse(absent.contains("a", 1), "the one remembered for longest went");
+    absent.remove("b");
+    assertFalse(absent.contains("b", 1));
+  }
 
-    @Test
-    void theBoundsOfTheOperatorsAreSumsOfTheStandardTimings() {
-        assertTrue(Timings.STANDARD.untilInForce(1) <= 5 * SECOND);
-        assertTrue(Timings.STANDARD.untilInForce(3) <= 14 * SECOND);
-    }
+  @Test
+  void theBoundsOfTheOperatorsAreSumsOfTheStandardTimings() {
+    assertTrue(Timings.STANDARD.untilInForce(1) <= 5 * SECOND);
+    assertTrue(Timings.STANDARD.untilInForce(3) <= 14 * SECOND);
+  }
 }
