--- a/gateway/src/main/java/shelffront/stages/Stages.java
+++ b/gateway/src/main/java/shelffront/stages/Stages.java
@@ -25,512 +25,584 @@
 import shelffront.stages.StageException.UnknownSubject;
 
 /**
- * A gateway's part in what its fleet changes stage by stage. Threads of its own: one for each shard of subjects, which
- * keeps their leases, one that watches where subjects stand, and one that tries to be owner and moves them on. Whoever
- * acts reads a snapshot without a lock: {@link #inForce}, or {@link #begin} where the act takes time.
+ * A gateway's part in what its fleet changes stage by stage. Threads of its own: one for each shard
+ * of subjects, which keeps their leases, one that watches where subjects stand, and one that tries
+ * to be owner and moves them on. Whoever acts reads a snapshot without a lock: {@link #inForce}, or
+ * {@link #begin} where the act takes time.
  *
- * <p>The owner is found by a key that its holder writes anew in time; who sees it unchanged for long enough takes it.
- * That saves the engine work and no more: what keeps stages apart is in {@link Owner} and does not rest on it.
+ * <p>The owner is found by a key that its holder writes anew in time; who sees it unchanged for
+ * long enough takes it. That saves the engine work and no more: what keeps stages apart is in
+ * {@link Owner} and does not rest on it.
  */
 public final class Stages implements AutoCloseable {
 
-    private static final ObjectMapper JSON = new ObjectMapper();
-    /** Of the suspicion time: a key of the owner that is unchanged for so long is taken over. */
-    private static final int OWNER_PATIENCE = 2;
-    private static final long LEAST_PAUSE_MS = 20;
-    /** Microseconds between an owner's looks while a subject moves. */
-    private static final long MOVING = 100_000;
-
-    /** What is in force: a standing, until its lease lapses. */
-    private record InForce(Standing standing, long until) {}
-
-    /** One subject as this gateway has it; its holder is guarded by the shard's lock, the rest is read without. */
-    private static final class Subject {
-
-        private final String name;
-        private final List<String> stages;
-        private final OpenActs open = new OpenActs();
-        private Holder holder;
-        private volatile InForce force;
-        private volatile List<String> waitsFor = List.of(); // known where this gateway is owner
-
-        private Subject(String name, List<String> stages, Bounds bounds) {
-            this.name = name;
-            this.stages = stages;
-            holder = Holder.absent(bounds);
-        }
-    }
+  private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Engine engine;
-    private final Bounds bounds;
-    private final Log log;
-    private final History history;
-    private final String prefix;
-    private final String instance;
-    private final Map<String, Subject> subjects = new HashMap<>();
-    private final List<List<Subject>> shards = new ArrayList<>();
-    private final List<Thread> threads = new ArrayList<>();
-    private final Map<String, String> lastErrors = new ConcurrentHashMap<>(); // the last complaint of each thread
-    private final Object ownerMonitor = new Object();
-    private volatile boolean closed;
-    private volatile boolean leads;
-    private long beat; // of the owner's key; the owner's thread only
-
-    /**
-     * @param instance of this process: a gateway that starts again is another one, whose leases nobody remembers
-     */
-    public Stages(StagesConfig config, Engine engine, String instance, History history, Log log) {
-        this.engine = engine;
-        this.log = log;
-        this.history = history;
-        this.instance = config.name() + "-" + instance;
-        bounds = config.bounds();
-        prefix = "shelffront/" + config.fleet() + "/";
-        for (int i = 0; i < config.shards(); i++) {
-            shards.add(new ArrayList<>());
-        }
-        config.subjects().forEach((name, stages) -> {
-            Subject subject = new Subject(name, stages, bounds);
-            subjects.put(name, subject);
-            shards.get(Math.floorMod(name.hashCode(), shards.size())).add(subject);
-        });
-    }
+  /** Of the suspicion time: a key of the owner that is unchanged for so long is taken over. */
+  private static final int OWNER_PATIENCE = 2;
 
-    public void start() {
-        for (int i = 0; i < shards.size(); i++) {
-            List<Subject> shard = shards.get(i);
-            if (!shard.isEmpty()) {
-                thread("stages-" + i, () -> keep(shard));
-            }
-        }
-        thread("stages-watch", this::watch);
-        thread("stages-owner", this::own);
-    }
+  private static final long LEAST_PAUSE_MS = 20;
 
-    private void thread(String name, Runnable task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (RuntimeException e) {
-                log.println(name + " has ended, what it kept in force lapses: " + e);
-            }
-        }, name);
-        thread.setDaemon(true);
-        threads.add(thread);
-        thread.start();
-    }
+  /** Microseconds between an owner's looks while a subject moves. */
+  private static final long MOVING = 100_000;
 
-    private static long now() {
-        return System.nanoTime() / 1000;
-    }
+  /** What is in force: a standing, until its lease lapses. */
+  private record InForce(Standing standing, long until) {}
 
-    private Subject subject(String name) throws UnknownSubject {
-        Subject subject = subjects.get(name);
-        if (subject == null) {
-            throw new UnknownSubject(name);
-        }
-        return subject;
-    }
+  /**
+   * One subject as this gateway has it; its holder is guarded by the shard's lock, the rest is read
+   * without.
+   */
+  private static final class Subject {
 
-    // ---- For whoever acts -------------------------------------------------------------------------------------
+    private final String name;
+    private final List<String> stages;
+    private final OpenActs open = new OpenActs();
+    private Holder holder;
+    private volatile InForce force;
+    private volatile List<String> waitsFor = List.of(); // known where this gateway is owner
 
-    /** What this gateway may act under at this moment; null: the safe stage. Waits for nothing. */
-    public Standing inForce(String name) throws UnknownSubject {
-        InForce force = subject(name).force;
-        return force != null && now() < force.until ? force.standing : null;
+    private Subject(String name, List<String> stages, Bounds bounds) {
+      this.name = name;
+      this.stages = stages;
+      holder = Holder.absent(bounds);
     }
-
-    /** Something that goes on under a stage; until it is closed the gateway acknowledges no later one. */
-    public interface Act extends AutoCloseable {
-
-        Standing under();
-
-        @Override
-        void close();
+  }
+
+  private final Engine engine;
+  private final Bounds bounds;
+  private final Log log;
+  private final History history;
+  private final String prefix;
+  private final String instance;
+  private final Map<String, Subject> subjects = new HashMap<>();
+  private final List<List<Subject>> shards = new ArrayList<>();
+  private final List<Thread> threads = new ArrayList<>();
+  private final Map<String, String> lastErrors =
+      new ConcurrentHashMap<>(); // the last complaint of each thread
+  private final Object ownerMonitor = new Object();
+  private volatile boolean closed;
+  private volatile boolean leads;
+  private long beat; // of the owner's key; the owner's thread only
+
+  /**
+   * @param instance of this process: a gateway that starts again is another one, whose leases
+   *     nobody remembers
+   */
+  public Stages(StagesConfig config, Engine engine, String instance, History history, Log log) {
+    this.engine = engine;
+    this.log = log;
+    this.history = history;
+    this.instance = config.name() + "-" + instance;
+    bounds = config.bounds();
+    prefix = "shelffront/" + config.fleet() + "/";
+    for (int i = 0; i < config.shards(); i++) {
+      shards.add(new ArrayList<>());
     }
-
-    /** Begins an act under what is in force; null: in the safe stage nothing begins. Waits for nothing. */
-    public Act begin(String name) throws UnknownSubject {
-        Subject subject = subject(name);
-        while (true) {
-            InForce force = subject.force;
-            if (force == null || now() >= force.until) {
-                return null;
-            }
-            long epoch = force.standing.epoch();
-            subject.open.enter(epoch);
-            InForce after = subject.force;
-            // Guards against a stage that changed in between: its keeper may have looked before this act was counted.
-            if (after != null && after.standing.epoch() == epoch) {
-                return act(subject, force.standing);
-            }
-            subject.open.leave(epoch);
-        }
+    config
+        .subjects()
+        .forEach(
+            (name, stages) -> {
+              Subject subject = new Subject(name, stages, bounds);
+              subjects.put(name, subject);
+              shards.get(Math.floorMod(name.hashCode(), shards.size())).add(subject);
+            });
+  }
+
+  public void start() {
+    for (int i = 0; i < shards.size(); i++) {
+      List<Subject> shard = shards.get(i);
+      if (!shard.isEmpty()) {
+        thread("stages-" + i, () -> keep(shard));
+      }
+    }
+    thread("stages-watch", this::watch);
+    thread("stages-owner", this::own);
+  }
+
+  private void thread(String name, Runnable task) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                task.run();
+              } catch (RuntimeException e) {
+                log.println(name + " has ended, what it kept in force lapses: " + e);
+              }
+            },
+            name);
+    thread.setDaemon(true);
+    threads.add(thread);
+    thread.start();
+  }
+
+  private static long now() {
+    return System.nanoTime() / 1000;
+  }
+
+  private Subject subject(String name) throws UnknownSubject {
+    Subject subject = subjects.get(name);
+    if (subject == null) {
+      throw new UnknownSubject(name);
     }
+    return subject;
+  }
 
-    private static Act act(Subject subject, Standing under) {
-        return new Act() {
+  // ---- For whoever acts
+  // --------------------------------------------------------------------------------
 
-            private boolean over;
+  /** What this gateway may act under at this moment; null: the safe stage. Waits for nothing. */
+  public Standing inForce(String name) throws UnknownSubject {
+    InForce force = subject(name).force;
+    return force != null && now() < force.until ? force.standing : null;
+  }
 
-            @Override
-            public Standing under() {
-                return under;
-            }
+  /**
+   * Something that goes on under a stage; until it is closed the gateway acknowledges no later one.
+   */
+  public interface Act extends AutoCloseable {
 
-            @Override
-            public synchronized void close() {
-                if (!over) {
-                    over = true;
-                    subject.open.leave(under.epoch());
-                }
-            }
-        };
+    Standing under();
+
+    @Override
+    void close();
+  }
+
+  /**
+   * Begins an act under what is in force; null: in the safe stage nothing begins. Waits for
+   * nothing.
+   */
+  public Act begin(String name) throws UnknownSubject {
+    Subject subject = subject(name);
+    while (true) {
+      InForce force = subject.force;
+      if (force == null || now() >= force.until) {
+        return null;
+      }
+      long epoch = force.standing.epoch();
+      subject.open.enter(epoch);
+      InForce after = subject.force;
+      // Guards against a stage that changed in between: its keeper may have looked before this act
+      // was counted.
+      if (after != null && after.standing.epoch() == epoch) {
+        return act(subject, force.standing);
+      }
+      subject.open.leave(epoch);
     }
+  }
 
-    // ---- Leases -----------------------------------------------------------------------------------------------
+  private static Act act(Subject subject, Standing under) {
+    return new Act() {
 
-    private void keep(List<Subject> shard) {
-        while (!closed) {
-            long wake = now() + bounds.renewEvery();
-            for (Subject s : shard) {
-                try {
-                    while (!closed && attend(shard, s)) {
-                        lastErrors.remove(s.name);
-                    }
-                } catch (EngineException e) {
-                    complain(s.name, e);
-                    wake = now() + bounds.renewEvery() / 4;
-                }
-                synchronized (shard) {
-                    publish(s);
-                    wake = Math.min(wake, s.holder.waitsForQuiet() ? now() : s.holder.wakeAt());
-                }
-            }
-            synchronized (shard) {
-                pause(shard, wake);
-            }
-        }
-    }
+      private boolean over;
 
-    private void pause(Object monitor, long until) {
-        long ms = Math.max(LEAST_PAUSE_MS, (until - now()) / 1000);
-        try {
-            if (!closed) {
-                monitor.wait(ms);
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            closed = true;
-        }
-    }
+      @Override
+      public Standing under() {
+        return under;
+      }
 
-    /**
-     * Does what the subject's holder actions; false where it actions nothing now. The lock is not held during a call.
-     */
-    private boolean attend(List<Subject> shard, Subject s) throws EngineException {
-        Holder.Action action;
-        String key;
-        long sentAt = now();
-        synchronized (shard) {
-            publish(s); // before what is open is looked at: see begin
-            action = s.holder.action(sentAt, s.open.oldest());
-            key = prefix + "members/" + s.name + "/" + instance + "." + s.holder.term();
-        }
-        if (action == null) {
-            return false;
+      @Override
+      public synchronized void close() {
+        if (!over) {
+          over = true;
+          subject.open.leave(under.epoch());
         }
-        if (action instanceof Holder.Look) {
-            Value value = engine.read(key);
-            Member member = value == null ? null : member(value);
-            synchronized (shard) {
-                s.holder = s.holder.looked(now(), member, value == null ? 0 : value.index());
-                publish(s);
-            }
-        } else {
-            write(shard, s, key, (Holder.Write) action, sentAt);
-        }
-        take(shard, s);
-        return true;
-    }
+      }
+    };
+  }
 
-    private void write(List<Subject> shard, Subject s, String key, Holder.Write write, long sentAt)
-            throws EngineException {
-        String text = text(write.member(), sentAt);
-        boolean taken = false;
-        Value after = null;
-        boolean known = false;
+  // ---- Leases
+  // --------------------------------------------------------------------------------
+
+  private void keep(List<Subject> shard) {
+    while (!closed) {
+      long wake = now() + bounds.renewEvery();
+      for (Subject s : shard) {
         try {
-            taken = engine.put(key, write.index(), text);
-            after = taken ? engine.read(key) : null;
-            known = true;
-        } finally {
-            synchronized (shard) {
-                boolean ours = known && taken && after != null && after.text().equals(text);
-                s.holder = ours ? s.holder.written(sentAt, now(), write, true, after.index()) : s.holder.unsure(now());
-                publish(s);
-            }
+          while (!closed && attend(shard, s)) {
+            lastErrors.remove(s.name);
+          }
+        } catch (EngineException e) {
+          complain(s.name, e);
+          wake = now() + bounds.renewEvery() / 4;
         }
-    }
-
-    /** Reads where a subject stands, as a member, and takes it up. */
-    private void take(List<Subject> shard, Subject s) throws EngineException {
-        int term;
         synchronized (shard) {
-            if (!s.holder.isMember()) {
-                return;
-            }
-            term = s.holder.term();
-        }
-        Value value = engine.read(prefix + "standing/" + s.name);
-        if (value != null) {
-            Standing standing = standing(s, value);
-            synchronized (shard) {
-                s.holder = s.holder.heard(term, standing);
-                publish(s);
-            }
+          publish(s);
+          wake = Math.min(wake, s.holder.waitsForQuiet() ? now() : s.holder.wakeAt());
         }
+      }
+      synchronized (shard) {
+        pause(shard, wake);
+      }
     }
-
-    /** Makes what the holder has in force the snapshot; under the shard's lock. */
-    private void publish(Subject s) {
-        long now = now();
-        Standing standing = s.holder.inForce(now);
-        InForce next = standing == null ? null : new InForce(standing, s.holder.leaseUntil());
-        InForce before = s.force;
-        if (next == null ? before != null : !next.equals(before)) {
-            s.force = next;
-            history.force(instance, s.name, standing, next == null ? now : next.until, now);
-            boolean other = next == null || before == null || !standing.equals(before.standing);
-            if (other) {
-                log.println("stage of " + s.name + " is " + (standing == null ? "the safe one"
-                        : s.stages.get(standing.stage()) + ", epoch " + standing.epoch()));
-            }
-        }
+  }
+
+  private void pause(Object monitor, long until) {
+    long ms = Math.max(LEAST_PAUSE_MS, (until - now()) / 1000);
+    try {
+      if (!closed) {
+        monitor.wait(ms);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      closed = true;
     }
-
-    /** Subjects that moved are read at once; a watch that breaks or says nothing is begun anew. */
-    private void watch() {
-        long index = 0;
-        while (!closed) {
-            try {
-                long last = index;
-                index = engine.watch(prefix + "standing/", index).index();
-                lastErrors.remove("watch");
-                if (index < last) {
-                    index = 0; // the engine began anew
-                }
-                if (index != last) {
-                    for (List<Subject> shard : shards) {
-                        for (Subject s : shard) {
-                            take(shard, s);
-                        }
-                        synchronized (shard) {
-                            shard.notifyAll();
-                        }
-                    }
-                    synchronized (ownerMonitor) {
-                        ownerMonitor.notifyAll();
-                    }
-                }
-            } catch (EngineException e) {
-                complain("watch", e);
-                index = 0;
-                synchronized (this) {
-                    pause(this, now() + bounds.renewEvery() / 4);
-                }
-            }
-        }
+  }
+
+  /**
+   * Does what the subject's holder actions; false where it actions nothing now. The lock is not
+   * held during a call.
+   */
+  private boolean attend(List<Subject> shard, Subject s) throws EngineException {
+    Holder.Action action;
+    String key;
+    long sentAt = now();
+    synchronized (shard) {
+      publish(s); // before what is open is looked at: see begin
+      action = s.holder.action(sentAt, s.open.oldest());
+      key = prefix + "members/" + s.name + "/" + instance + "." + s.holder.term();
     }
-
-    // ---- The owner --------------------------------------------------------------------------------------------
-
-    private void own() {
-        Map<String, Owner> owners = new HashMap<>();
-        long index = 0;
-        long since = now();
-        while (!closed) {
-            long wake = now() + bounds.renewEvery();
-            try {
-                Value value = engine.read(prefix + "owner");
-                long at = value == null ? 0 : value.index();
-                if (at != index) {
-                    index = at;
-                    since = now();
-                }
-                boolean mine = value != null && value.text().startsWith(instance + " ");
-                boolean free = value == null || now() - since > OWNER_PATIENCE * bounds.suspect();
-                boolean led = leads;
-                leads = (mine || free) && engine.put(prefix + "owner", at, instance + " " + ++beat);
-                if (leads != led) {
-                    log.println(leads ? "owns the fleet's stages" : "owns the fleet's stages no longer");
-                    owners.clear(); // what was seen before tells nothing of the time between
-                    subjects.values().forEach(s -> s.waitsFor = List.of());
-                }
-                for (Subject s : subjects.values()) {
-                    if (leads) {
-                        wake = Math.min(wake, move(owners, s));
-                    }
-                }
-                lastErrors.remove("owner");
-            } catch (EngineException e) {
-                complain("owner", e);
+    if (action == null) {
+      return false;
+    }
+    if (action instanceof Holder.Look) {
+      Value value = engine.read(key);
+      Member member = value == null ? null : member(value);
+      synchronized (shard) {
+        s.holder = s.holder.looked(now(), member, value == null ? 0 : value.index());
+        publish(s);
+      }
+    } else {
+      write(shard, s, key, (Holder.Write) action, sentAt);
+    }
+    take(shard, s);
+    return true;
+  }
+
+  private void write(List<Subject> shard, Subject s, String key, Holder.Write write, long sentAt)
+      throws EngineException {
+    String text = text(write.member(), sentAt);
+    boolean taken = false;
+    Value after = null;
+    boolean known = false;
+    try {
+      taken = engine.put(key, write.index(), text);
+      after = taken ? engine.read(key) : null;
+      known = true;
+    } finally {
+      synchronized (shard) {
+        boolean ours = known && taken && after != null && after.text().equals(text);
+        s.holder =
+            ours
+                ? s.holder.written(sentAt, now(), write, true, after.index())
+                : s.holder.unsure(now());
+        publish(s);
+      }
+    }
+  }
+
+  /** Reads where a subject stands, as a member, and takes it up. */
+  private void take(List<Subject> shard, Subject s) throws EngineException {
+    int term;
+    synchronized (shard) {
+      if (!s.holder.isMember()) {
+        return;
+      }
+      term = s.holder.term();
+    }
+    Value value = engine.read(prefix + "standing/" + s.name);
+    if (value != null) {
+      Standing standing = standing(s, value);
+      synchronized (shard) {
+        s.holder = s.holder.heard(term, standing);
+        publish(s);
+      }
+    }
+  }
+
+  /** Makes what the holder has in force the snapshot; under the shard's lock. */
+  private void publish(Subject s) {
+    long now = now();
+    Standing standing = s.holder.inForce(now);
+    InForce next = standing == null ? null : new InForce(standing, s.holder.leaseUntil());
+    InForce before = s.force;
+    if (next == null ? before != null : !next.equals(before)) {
+      s.force = next;
+      history.force(instance, s.name, standing, next == null ? now : next.until, now);
+      boolean other = next == null || before == null || !standing.equals(before.standing);
+      if (other) {
+        log.println(
+            "stage of "
+                + s.name
+                + " is "
+                + (standing == null
+                    ? "the safe one"
+                    : s.stages.get(standing.stage()) + ", epoch " + standing.epoch()));
+      }
+    }
+  }
+
+  /** Subjects that moved are read at once; a watch that breaks or says nothing is begun anew. */
+  private void watch() {
+    long index = 0;
+    while (!closed) {
+      try {
+        long last = index;
+        index = engine.watch(prefix + "standing/", index).index();
+        lastErrors.remove("watch");
+        if (index < last) {
+          index = 0; // the engine began anew
+        }
+        if (index != last) {
+          for (List<Subject> shard : shards) {
+            for (Subject s : shard) {
+              take(shard, s);
             }
-            synchronized (ownerMonitor) {
-                pause(ownerMonitor, wake);
+            synchronized (shard) {
+              shard.notifyAll();
             }
+          }
+          synchronized (ownerMonitor) {
+            ownerMonitor.notifyAll();
+          }
         }
+      } catch (EngineException e) {
+        complain("watch", e);
+        index = 0;
+        synchronized (this) {
+          pause(this, now() + bounds.renewEvery() / 4);
+        }
+      }
     }
-
-    /** Looks at a subject and does what is due; gives when to look again. */
-    private long move(Map<String, Owner> owners, Subject s) throws EngineException {
-        String key = prefix + "standing/" + s.name;
-        Value value = engine.read(key);
-        if (value == null) {
-            engine.put(key, 0, text(s, new Standing(1, 0, 0)));
-            return now();
+  }
+
+  // ---- The owner
+  // --------------------------------------------------------------------------------
+
+  private void own() {
+    Map<String, Owner> owners = new HashMap<>();
+    long index = 0;
+    long since = now();
+    while (!closed) {
+      long wake = now() + bounds.renewEvery();
+      try {
+        Value value = engine.read(prefix + "owner");
+        long at = value == null ? 0 : value.index();
+        if (at != index) {
+          index = at;
+          since = now();
         }
-        Standing standing = standing(s, value);
-        String members = prefix + "members/" + s.name + "/";
-        Map<String, Owner.Seen> seen = new TreeMap<>();
-        for (Value m : engine.list(members).values()) {
-            seen.put(m.key(), new Owner.Seen(member(m), m.index()));
+        boolean mine = value != null && value.text().startsWith(instance + " ");
+        boolean free = value == null || now() - since > OWNER_PATIENCE * bounds.suspect();
+        boolean led = leads;
+        leads = (mine || free) && engine.put(prefix + "owner", at, instance + " " + ++beat);
+        if (leads != led) {
+          log.println(leads ? "owns the fleet's stages" : "owns the fleet's stages no longer");
+          owners.clear(); // what was seen before tells nothing of the time between
+          subjects.values().forEach(s -> s.waitsFor = List.of());
         }
-        Owner owner = owners.getOrDefault(s.name, Owner.fresh(bounds)).looked(now(), standing, value.index(), seen);
-        owners.put(s.name, owner.done());
-        s.waitsFor = owner.waitsFor().stream().map(k -> k.substring(members.length())).toList();
-        for (Owner.Action action : owner.actions()) {
-            if (action instanceof Owner.Move m) {
-                if (engine.put(key, m.index(), text(s, m.to()))) {
-                    history.moved(instance, s.name, m.to(), now());
-                    log.println(
-                            "moved " + s.name + " to " + s.stages.get(m.to().stage()) + ", epoch " + m.to().epoch());
-                }
-            } else if (action instanceof Owner.Revoke r) {
-                if (engine.put(r.key(), r.index(), text(r.revoked(), 0))) {
-                    log.println("revoked " + r.key() + ", which did not renew; its lease may run for "
-                            + bounds.lapse() / 1000 + " ms");
-                }
-            } else if (action instanceof Owner.Forget f) {
-                engine.delete(f.key(), f.index());
-            }
+        for (Subject s : subjects.values()) {
+          if (leads) {
+            wake = Math.min(wake, move(owners, s));
+          }
         }
-        boolean moving = standing.stage() != standing.target();
-        return moving ? now() + Math.min(bounds.renewEvery() / 4, MOVING) : owner.wakeAt();
+        lastErrors.remove("owner");
+      } catch (EngineException e) {
+        complain("owner", e);
+      }
+      synchronized (ownerMonitor) {
+        pause(ownerMonitor, wake);
+      }
     }
-
-    // ---- Operators --------------------------------------------------------------------------------------------
-
-    /**
-     * Where a subject stands.
-     *
-     * @param inForceHere null: the safe stage
-     * @param owner whether this gateway is the fleet's owner
-     * @param waitsFor where it is, the members that hold up the next move
-     */
-    public record Shown(String subject, String stage, String target, long epoch, String inForceHere, boolean owner,
-            List<String> waitsFor) {}
-
-    /** Where all subjects stand, by name, or the one that is named; null: all. */
-    public List<Shown> show(String only) throws StageException, EngineException {
-        List<Shown> shown = new ArrayList<>();
-        for (Subject s : only == null ? new TreeMap<>(subjects).values() : List.of(subject(only))) {
-            Value value = engine.read(prefix + "standing/" + s.name);
-            Standing standing = value == null ? new Standing(0, 0, 0) : standing(s, value);
-            Standing here = inForce(s.name);
-            shown.add(new Shown(s.name, s.stages.get(standing.stage()), s.stages.get(standing.target()),
-                    standing.epoch(), here == null ? null : s.stages.get(here.stage()), leads, s.waitsFor));
-        }
-        return shown;
+  }
+
+  /** Looks at a subject and does what is due; gives when to look again. */
+  private long move(Map<String, Owner> owners, Subject s) throws EngineException {
+    String key = prefix + "standing/" + s.name;
+    Value value = engine.read(key);
+    if (value == null) {
+      engine.put(key, 0, text(s, new Standing(1, 0, 0)));
+      return now();
     }
-
-    /** Asks that a subject go to a stage, one after another; gives where it stands now. */
-    public Standing target(String name, String stage) throws StageException, EngineException {
-        Subject s = subject(name);
-        int to = s.stages.indexOf(stage);
-        if (to < 0) {
-            throw new UnknownStage(name, stage);
+    Standing standing = standing(s, value);
+    String members = prefix + "members/" + s.name + "/";
+    Map<String, Owner.Seen> seen = new TreeMap<>();
+    for (Value m : engine.list(members).values()) {
+      seen.put(m.key(), new Owner.Seen(member(m), m.index()));
+    }
+    Owner owner =
+        owners
+            .getOrDefault(s.name, Owner.fresh(bounds))
+            .looked(now(), standing, value.index(), seen);
+    owners.put(s.name, owner.done());
+    s.waitsFor = owner.waitsFor().stream().map(k -> k.substring(members.length())).toList();
+    for (Owner.Action action : owner.actions()) {
+      if (action instanceof Owner.Move m) {
+        if (engine.put(key, m.index(), text(s, m.to()))) {
+          history.moved(instance, s.name, m.to(), now());
+          log.println(
+              "moved "
+                  + s.name
+                  + " to "
+                  + s.stages.get(m.to().stage())
+                  + ", epoch "
+                  + m.to().epoch());
         }
-        String key = prefix + "standing/" + name;
-        Value value = engine.read(key);
-        Standing standing = value == null ? new Standing(1, 0, 0) : standing(s, value);
-        Standing next = standing.towards(to);
-        if (!engine.put(key, value == null ? 0 : value.index(), text(s, next))) {
-            throw new Contended(name);
+      } else if (action instanceof Owner.Revoke r) {
+        if (engine.put(r.key(), r.index(), text(r.revoked(), 0))) {
+          log.println(
+              "revoked "
+                  + r.key()
+                  + ", which did not renew; its lease may run for "
+                  + bounds.lapse() / 1000
+                  + " ms");
         }
-        return next;
+      } else if (action instanceof Owner.Forget f) {
+        engine.delete(f.key(), f.index());
+      }
     }
-
-    // ---- Texts ------------------------------------------------------------------------------------------------
-
-    private static String text(Subject s, Standing standing) {
-        return JSON.createObjectNode().put("epoch", standing.epoch()).put("stage", s.stages.get(standing.stage()))
-                .put("target", s.stages.get(standing.target())).toString();
+    boolean moving = standing.stage() != standing.target();
+    return moving ? now() + Math.min(bounds.renewEvery() / 4, MOVING) : owner.wakeAt();
+  }
+
+  // ---- Operators
+  // --------------------------------------------------------------------------------
+
+  /**
+   * Where a subject stands.
+   *
+   * @param inForceHere null: the safe stage
+   * @param owner whether this gateway is the fleet's owner
+   * @param waitsFor where it is, the members that hold up the next move
+   */
+  public record Shown(
+      String subject,
+      String stage,
+      String target,
+      long epoch,
+      String inForceHere,
+      boolean owner,
+      List<String> waitsFor) {}
+
+  /** Where all subjects stand, by name, or the one that is named; null: all. */
+  public List<Shown> show(String only) throws StageException, EngineException {
+    List<Shown> shown = new ArrayList<>();
+    for (Subject s : only == null ? new TreeMap<>(subjects).values() : List.of(subject(only))) {
+      Value value = engine.read(prefix + "standing/" + s.name);
+      Standing standing = value == null ? new Standing(0, 0, 0) : standing(s, value);
+      Standing here = inForce(s.name);
+      shown.add(
+          new Shown(
+              s.name,
+              s.stages.get(standing.stage()),
+              s.stages.get(standing.target()),
+              standing.epoch(),
+              here == null ? null : s.stages.get(here.stage()),
+              leads,
+              s.waitsFor));
     }
-
-    private static Standing standing(Subject s, Value value) throws EngineGarbled {
-        JsonNode o = ValueJson.object(value);
-        int stage = s.stages.indexOf(o.path("stage").asText());
-        int target = s.stages.indexOf(o.path("target").asText());
-        if (stage < 0 || target < 0 || o.path("epoch").asLong() < 1) {
-            throw new EngineGarbled(value.key() + " names no stages that this gateway knows: " + value.text(), null);
-        }
-        return new Standing(o.path("epoch").asLong(), stage, target);
+    return shown;
+  }
+
+  /** Asks that a subject go to a stage, one after another; gives where it stands now. */
+  public Standing target(String name, String stage) throws StageException, EngineException {
+    Subject s = subject(name);
+    int to = s.stages.indexOf(stage);
+    if (to < 0) {
+      throw new UnknownStage(name, stage);
     }
-
-    /** The nonce makes each write's text its own, so that its writer knows it again. */
-    private static String text(Member member, long nonce) {
-        return JSON.createObjectNode().put("epoch", member.epoch()).put("revoked", member.revoked())
-                .put("nonce", nonce).toString();
+    String key = prefix + "standing/" + name;
+    Value value = engine.read(key);
+    Standing standing = value == null ? new Standing(1, 0, 0) : standing(s, value);
+    Standing next = standing.towards(to);
+    if (!engine.put(key, value == null ? 0 : value.index(), text(s, next))) {
+      throw new Contended(name);
     }
-
-    private static Member member(Value value) throws EngineGarbled {
-        JsonNode o = ValueJson.object(value);
-        if (!o.path("epoch").isIntegralNumber() || !o.path("revoked").isBoolean()) {
-            throw new EngineGarbled(value.key() + " is no member: " + value.text(), null);
-        }
-        return new Member(o.path("epoch").asLong(), o.path("revoked").asBoolean());
+    return next;
+  }
+
+  // ---- Texts
+  // --------------------------------------------------------------------------------
+
+  private static String text(Subject s, Standing standing) {
+    return JSON.createObjectNode()
+        .put("epoch", standing.epoch())
+        .put("stage", s.stages.get(standing.stage()))
+        .put("target", s.stages.get(standing.target()))
+        .toString();
+  }
+
+  private static Standing standing(Subject s, Value value) throws EngineGarbled {
+    JsonNode o = ValueJson.object(value);
+    int stage = s.stages.indexOf(o.path("stage").asText());
+    int target = s.stages.indexOf(o.path("target").asText());
+    if (stage < 0 || target < 0 || o.path("epoch").asLong() < 1) {
+      throw new EngineGarbled(
+          value.key() + " names no stages that this gateway knows: " + value.text(), null);
     }
-
-    /** Says each thread's trouble once, until it is over or another. */
-    private void complain(String who, EngineException e) {
-        if (!e.code().equals(lastErrors.put(who, e.code()))) {
-            log.println("stages " + who + " " + e.code() + ": " + e.getMessage());
-        }
+    return new Standing(o.path("epoch").asLong(), stage, target);
+  }
+
+  /** The nonce makes each write's text its own, so that its writer knows it again. */
+  private static String text(Member member, long nonce) {
+    return JSON.createObjectNode()
+        .put("epoch", member.epoch())
+        .put("revoked", member.revoked())
+        .put("nonce", nonce)
+        .toString();
+  }
+
+  private static Member member(Value value) throws EngineGarbled {
+    JsonNode o = ValueJson.object(value);
+    if (!o.path("epoch").isIntegralNumber() || !o.path("revoked").isBoolean()) {
+      throw new EngineGarbled(value.key() + " is no member: " + value.text(), null);
     }
+    return new Member(o.path("epoch").asLong(), o.path("revoked").asBoolean());
+  }
 
-    /** Takes back the memberships under which nothing goes on, so that no move waits for them; others lapse. */
-    private void leave() {
-        for (List<Subject> shard : shards) {
-            for (Subject s : shard) {
-                s.force = null;
-                if (s.open.oldest() == Long.MAX_VALUE && s.holder.isMember()) {
-                    try {
-                        engine.delete(prefix + "members/" + s.name + "/" + instance + "." + s.holder.term(),
-                                s.holder.index());
-                    } catch (EngineException e) {
-                        complain(s.name, e);
-                    }
-                }
-                history.force(instance, s.name, null, 0, now());
-            }
-        }
+  /** Says each thread's trouble once, until it is over or another. */
+  private void complain(String who, EngineException e) {
+    if (!e.code().equals(lastErrors.put(who, e.code()))) {
+      log.println("stages " + who + " " + e.code() + ": " + e.getMessage());
     }
-
-    /** Ends its threads, then what it has in force. */
-    @Override
-    public void close() {
-        closed = true;
-        threads.forEach(Thread::interrupt);
-        for (Thread thread : threads) {
-            try {
-                thread.join(TimeUnit.SECONDS.toMillis(2));
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
+  }
+
+  /**
+   * Takes back the memberships under which nothing goes on, so that no move waits for them; others
+   * lapse.
+   */
+  private void leave() {
+    for (List<Subject> shard : shards) {
+      for (Subject s : shard) {
+        s.force = null;
+        if (s.open.oldest() == Long.MAX_VALUE && s.holder.isMember()) {
+          try {
+            engine.delete(
+                prefix + "members/" + s.name + "/" + instance + "." + s.holder.term(),
+                s.holder.index());
+          } catch (EngineException e) {
+            complain(s.name, e);
+          }
         }
-        leave();
-        engine.close();
-        history.close();
+        history.force(instance, s.name, null, 0, now());
+      }
+    }
+  }
+
+  /** Ends its threads, then what it has in force. */
+  @Override
+  public void close() {
+    closed = true;
+    threads.forEach(Thread::interrupt);
+    for (Thread thread : threads) {
+      try {
+        thread.join(TimeUnit.SECONDS.toMillis(2));
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+      }
     }
+    leave();
+    engine.close();
+    history.close();
+  }
 }
--- a/gateway/src/main/java/shelffront/store/Store.java
+++ b/gateway/src/main/java/shelffront/store/Store.java
@@ -16,218 +16,255 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * What administrators have set: documents by kind and name, each with the revision of its last change, and an audit
- * entry for each change. Revisions are one growing number for the whole store. In a file (H2's MVStore), or in memory
- * only. A change is made by one commit and is on disk when its method returns. Any thread may call; calls take turns.
+ * What administrators have set: documents by kind and name, each with the revision of its last
+ * change, and an audit entry for each change. Revisions are one growing number for the whole store.
+ * In a file (H2's MVStore), or in memory only. A change is made by one commit and is on disk when
+ * its method returns. Any thread may call; calls take turns.
  */
 public final class Store implements AutoCloseable {
 
-    /** The kinds of documents kept. */
-    public enum Kind { TENANT, TOKEN }
+  /** The kinds of documents kept. */
+  public enum Kind {
+    TENANT,
+    TOKEN
+  }
 
-    /** A document and the revision of its last change. */
-    public record Entry(String name, long revision, JsonNode document) {}
+  /** A document and the revision of its last change. */
+  public record Entry(String name, long revision, JsonNode document) {}
 
-    /** Who changed what, when (Unix milliseconds), from which revision to which; 0 is none. */
-    public record Audit(long revision, long before, long at, String who, String what, Kind kind, String name) {}
+  /** Who changed what, when (Unix milliseconds), from which revision to which; 0 is none. */
+  public record Audit(
+      long revision, long before, long at, String who, String what, Kind kind, String name) {}
 
-    /** The document is not at the revision that the change was made for. */
-    public static final class ConflictException extends Exception {
+  /** The document is not at the revision that the change was made for. */
+  public static final class ConflictException extends Exception {
 
-        private static final long serialVersionUID = 1L;
+    private static final long serialVersionUID = 1L;
 
-        private final transient Entry present;
+    private final transient Entry present;
 
-        public ConflictException(Entry present) {
-            super("changed by another");
-            this.present = present;
-        }
-
-        /** As it stands now; null where there is none. */
-        public Entry present() {
-            return present;
-        }
+    public ConflictException(Entry present) {
+      super("changed by another");
+      this.present = present;
     }
 
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String FORMAT = "shelffront-1";
-    /** Audit entries kept; the oldest go first. */
-    private static final int MOST_AUDITS = 100_000;
-
-    private final MVStore store;
-    private final MVMap<String, String> documents;
-    private final MVMap<Long, String> audits;
-    private final MVMap<String, String> about;
-
-    private Store(MVStore store) {
-        this.store = store;
-        documents = store.openMap("documents");
-        audits = store.openMap("audits");
-        about = store.openMap("about");
+    /** As it stands now; null where there is none. */
+    public Entry present() {
+      return present;
     }
+  }
 
-    public static Store inMemory() {
-        return new Store(new MVStore.Builder().autoCommitDisabled().open());
-    }
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final String FORMAT = "shelffront-1";
 
-    /**
-     * Opens a file, or begins one. One whose last write was cut opens at the last change that was answered; one that is
-     * damaged beyond that, or is something else, is refused and left as it is.
-     */
-    public static Store open(Path file) throws IOException {
-        boolean there = Files.exists(file) && Files.size(file) > 0;
-        try {
-            if (there) {
-                // Looked at first without the right to write: what can't be read must not be written to either.
-                try (MVStore look = new MVStore.Builder().fileName(file.toString()).readOnly().open()) {
-                    if (!look.hasMap("about") || !FORMAT.equals(look.openMap("about").get("format"))) {
-                        throw new IOException(file + " is not a store of shelffront, or of a later form");
-                    }
-                    for (String map : List.of("documents", "audits")) {
-                        look.openMap(map).forEach((name, text) -> {});
-                    }
-                }
-            }
-            Store store = new Store(new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open());
-            if (!there) {
-                store.about.put("format", FORMAT);
-                store.commit();
-            }
-            return store;
-        } catch (MVStoreException e) {
-            throw new IOException(file + " can't be read as a store: " + e.getMessage(), e);
-        }
-    }
+  /** Audit entries kept; the oldest go first. */
+  private static final int MOST_AUDITS = 100_000;
 
-    /** The revision of the last change; 0 before the first. */
-    public synchronized long revision() {
-        Long last = audits.lastKey();
-        return last == null ? 0 : last;
-    }
+  private final MVStore store;
+  private final MVMap<String, String> documents;
+  private final MVMap<Long, String> audits;
+  private final MVMap<String, String> about;
 
-    /** A document, or null. */
-    public synchronized Entry get(Kind kind, String name) {
-        String text = documents.get(key(kind, name));
-        return text == null ? null : entry(name, text);
-    }
+  private Store(MVStore store) {
+    this.store = store;
+    documents = store.openMap("documents");
+    audits = store.openMap("audits");
+    about = store.openMap("about");
+  }
 
-    /** All documents of a kind, by name. */
-    public synchronized List<Entry> all(Kind kind) {
-        List<Entry> entries = new ArrayList<>();
-        String prefix = key(kind, "");
-        for (var keys = documents.keyIterator(prefix); keys.hasNext();) {
-            String key = keys.next();
-            if (!key.startsWith(prefix)) {
-                break;
-            }
-            entries.add(entry(key.substring(prefix.length()), documents.get(key)));
+  public static Store inMemory() {
+    return new Store(new MVStore.Builder().autoCommitDisabled().open());
+  }
+
+  /**
+   * Opens a file, or begins one. One whose last write was cut opens at the last change that was
+   * answered; one that is damaged beyond that, or is something else, is refused and left as it is.
+   */
+  public static Store open(Path file) throws IOException {
+    boolean there = Files.exists(file) && Files.size(file) > 0;
+    try {
+      if (there) {
+        // Looked at first without the right to write: what can't be read must not be written to
+        // either.
+        try (MVStore look = new MVStore.Builder().fileName(file.toString()).readOnly().open()) {
+          if (!look.hasMap("about") || !FORMAT.equals(look.openMap("about").get("format"))) {
+            throw new IOException(file + " is not a store of shelffront, or of a later form");
+          }
+          for (String map : List.of("documents", "audits")) {
+            look.openMap(map).forEach((name, text) -> {});
+          }
         }
-        return entries;
+      }
+      Store store =
+          new Store(new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open());
+      if (!there) {
+        store.about.put("format", FORMAT);
+        store.commit();
+      }
+      return store;
+    } catch (MVStoreException e) {
+      throw new IOException(file + " can't be read as a store: " + e.getMessage(), e);
     }
+  }
 
-    /**
-     * Puts a document in place of the one at a revision, 0 for none; null takes it away. Gives the new revision.
-     *
-     * @param who for the audit entry, as is {@code what}
-     */
-    public synchronized long put(Kind kind, String name, long expected, JsonNode document, String who, String what,
-            long at) throws ConflictException {
-        Entry present = get(kind, name);
-        if ((present == null ? 0 : present.revision()) != expected) {
-            throw new ConflictException(present);
-        }
-        long revision = revision() + 1;
-        if (document == null) {
-            documents.remove(key(kind, name));
-        } else {
-            documents.put(key(kind, name), revision + " " + document);
-        }
-        ObjectNode audit = JSON.createObjectNode().put("before", expected).put("at", at).put("who", who)
-                .put("what", what).put("kind", kind.name()).put("name", name);
-        audits.put(revision, audit.toString());
-        if (audits.sizeAsLong() > MOST_AUDITS) {
-            audits.remove(audits.firstKey());
-        }
-        commit();
-        return revision;
+  /** The revision of the last change; 0 before the first. */
+  public synchronized long revision() {
+    Long last = audits.lastKey();
+    return last == null ? 0 : last;
+  }
+
+  /** A document, or null. */
+  public synchronized Entry get(Kind kind, String name) {
+    String text = documents.get(key(kind, name));
+    return text == null ? null : entry(name, text);
+  }
+
+  /** All documents of a kind, by name. */
+  public synchronized List<Entry> all(Kind kind) {
+    List<Entry> entries = new ArrayList<>();
+    String prefix = key(kind, "");
+    for (var keys = documents.keyIterator(prefix); keys.hasNext(); ) {
+      String key = keys.next();
+      if (!key.startsWith(prefix)) {
+        break;
+      }
+      entries.add(entry(key.substring(prefix.length()), documents.get(key)));
     }
+    return entries;
+  }
 
-    /** Changes after a revision, oldest first, at most so many. */
-    public synchronized List<Audit> audits(long after, int most) {
-        List<Audit> found = new ArrayList<>();
-        for (var keys = audits.keyIterator(after + 1); keys.hasNext() && found.size() < most;) {
-            long revision = keys.next();
-            JsonNode a = json(audits.get(revision));
-            found.add(new Audit(revision, a.path("before").asLong(), a.path("at").asLong(), a.path("who").asText(),
-                    a.path("what").asText(), Kind.valueOf(a.path("kind").asText()), a.path("name").asText()));
-        }
-        return found;
+  /**
+   * Puts a document in place of the one at a revision, 0 for none; null takes it away. Gives the
+   * new revision.
+   *
+   * @param who for the audit entry, as is {@code what}
+   */
+  public synchronized long put(
+      Kind kind, String name, long expected, JsonNode document, String who, String what, long at)
+      throws ConflictException {
+    Entry present = get(kind, name);
+    if ((present == null ? 0 : present.revision()) != expected) {
+      throw new ConflictException(present);
+    }
+    long revision = revision() + 1;
+    if (document == null) {
+      documents.remove(key(kind, name));
+    } else {
+      documents.put(key(kind, name), revision + " " + document);
+    }
+    ObjectNode audit =
+        JSON.createObjectNode()
+            .put("before", expected)
+            .put("at", at)
+            .put("who", who)
+            .put("what", what)
+            .put("kind", kind.name())
+            .put("name", name);
+    audits.put(revision, audit.toString());
+    if (audits.sizeAsLong() > MOST_AUDITS) {
+      audits.remove(audits.firstKey());
     }
+    commit();
+    return revision;
+  }
 
-    /** Everything but the audit log, as one document. Tokens are in it as hashes only. */
-    public synchronized ObjectNode export() {
-        ObjectNode all = JSON.createObjectNode().put("format", FORMAT).put("revision", revision());
-        for (Kind kind : Kind.values()) {
-            ObjectNode of = all.putObject(kind.name().toLowerCase(Locale.ROOT));
-            all(kind).forEach(e -> of.set(e.name(), e.document()));
-        }
-        return all;
+  /** Changes after a revision, oldest first, at most so many. */
+  public synchronized List<Audit> audits(long after, int most) {
+    List<Audit> found = new ArrayList<>();
+    for (var keys = audits.keyIterator(after + 1); keys.hasNext() && found.size() < most; ) {
+      long revision = keys.next();
+      JsonNode a = json(audits.get(revision));
+      found.add(
+          new Audit(
+              revision,
+              a.path("before").asLong(),
+              a.path("at").asLong(),
+              a.path("who").asText(),
+              a.path("what").asText(),
+              Kind.valueOf(a.path("kind").asText()),
+              a.path("name").asText()));
     }
+    return found;
+  }
 
-    /** Puts in all that an export holds, in place of what has the same name; each is a change of its own. */
-    public synchronized int importAll(JsonNode exported, String who, long at) throws IOException {
-        if (!FORMAT.equals(exported.path("format").asText())) {
-            throw new IOException("not an export of shelffront");
-        }
-        int count = 0;
-        for (Kind kind : Kind.values()) {
-            TreeMap<String, JsonNode> of = new TreeMap<>();
-            exported.path(kind.name().toLowerCase(Locale.ROOT)).fields()
-                    .forEachRemaining(f -> of.put(f.getKey(), f.getValue()));
-            for (var each : of.entrySet()) {
-                Entry present = get(kind, each.getKey());
-                try {
-                    put(kind, each.getKey(), present == null ? 0 : present.revision(), each.getValue(), who, "import",
-                            at);
-                } catch (ConflictException e) {
-                    throw new IllegalStateException("nobody else has the store meanwhile", e);
-                }
-                count++;
-            }
-        }
-        return count;
+  /** Everything but the audit log, as one document. Tokens are in it as hashes only. */
+  public synchronized ObjectNode export() {
+    ObjectNode all = JSON.createObjectNode().put("format", FORMAT).put("revision", revision());
+    for (Kind kind : Kind.values()) {
+      ObjectNode of = all.putObject(kind.name().toLowerCase(Locale.ROOT));
+      all(kind).forEach(e -> of.set(e.name(), e.document()));
     }
+    return all;
+  }
 
-    /** What could not be written whole is taken back, so that what is read here is what is on disk. */
-    private void commit() {
+  /**
+   * Puts in all that an export holds, in place of what has the same name; each is a change of its
+   * own.
+   */
+  public synchronized int importAll(JsonNode exported, String who, long at) throws IOException {
+    if (!FORMAT.equals(exported.path("format").asText())) {
+      throw new IOException("not an export of shelffront");
+    }
+    int count = 0;
+    for (Kind kind : Kind.values()) {
+      TreeMap<String, JsonNode> of = new TreeMap<>();
+      exported
+          .path(kind.name().toLowerCase(Locale.ROOT))
+          .fields()
+          .forEachRemaining(f -> of.put(f.getKey(), f.getValue()));
+      for (var each : of.entrySet()) {
+        Entry present = get(kind, each.getKey());
         try {
-            store.commit();
-            store.sync();
-        } catch (MVStoreException e) {
-            store.rollback();
-            throw e;
+          put(
+              kind,
+              each.getKey(),
+              present == null ? 0 : present.revision(),
+              each.getValue(),
+              who,
+              "import",
+              at);
+        } catch (ConflictException e) {
+          throw new IllegalStateException("nobody else has the store meanwhile", e);
         }
+        count++;
+      }
     }
+    return count;
+  }
 
-    private static String key(Kind kind, String name) {
-        return kind.name() + "/" + name;
+  /**
+   * What could not be written whole is taken back, so that what is read here is what is on disk.
+   */
+  private void commit() {
+    try {
+      store.commit();
+      store.sync();
+    } catch (MVStoreException e) {
+      store.rollback();
+      throw e;
     }
+  }
 
-    private static Entry entry(String name, String text) {
-        int space = text.indexOf(' ');
-        return new Entry(name, Long.parseLong(text.substring(0, space)), json(text.substring(space + 1)));
-    }
+  private static String key(Kind kind, String name) {
+    return kind.name() + "/" + name;
+  }
 
-    private static JsonNode json(String text) {
-        try {
-            return JSON.readTree(text);
-        } catch (JsonProcessingException e) {
-            throw new IllegalStateException("the store holds what is no JSON", e);
-        }
-    }
+  private static Entry entry(String name, String text) {
+    int space = text.indexOf(' ');
+    return new Entry(
+        name, Long.parseLong(text.substring(0, space)), json(text.substring(space + 1)));
+  }
 
-    @Override
-    public synchronized void close() {
-        store.close();
+  private static JsonNode json(String text) {
+    try {
+      return JSON.readTree(text);
+    } catch (JsonProcessingException e) {
+      throw new IllegalStateException("the store holds what is no JSON", e);
     }
+  }
+
+  @Override
+  public synchronized void close() {
+    store.close();
+  }
 }
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -16,9 +16,9 @@
 import shelffront.exchange.Exchange;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
-import shelffront.net.Network;
 import shelffront.net.EventLoop;
 import shelffront.net.EventLoop.Deadline;
+import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
 import shelffront.route.Router;
 import shelffront.route.Router.Availability;
@@ -35,545 +35,630 @@
 import shelffront.share.Shares;
 
 /**
- * One tenant while it runs: its decision module, boxes, sessions and requests. Joins the client side, the server side
- * and discovery to the module, and carries out what that asks. All on the loop thread.
+ * One tenant while it runs: its decision module, boxes, sessions and requests. Joins the client
+ * side, the server side and discovery to the module, and carries out what that asks. All on the
+ * loop thread.
  *
- * <p>A tenant without clients sleeps: it has no connection, no watch and no timer, and its module sees no events. What
- * the module knows of sessions' writes stays; of boxes it knows nothing when it wakes, and learns it anew.
+ * <p>A tenant without clients sleeps: it has no connection, no watch and no timer, and its module
+ * sees no events. What the module knows of sessions' writes stays; of boxes it knows nothing when
+ * it wakes, and learns it anew.
  */
-public final class Tenant implements Router.Actions, Clients.Taker, Servers.Listener, Discovery.Listener {
-
-    /** When a client that found no room here may come again. */
-    private static final long BUSY_WAIT = 200_000;
-    private static final long DRAIN_CHECK = 20_000;
-    /** After a watch on a pushed list broke: its agent is near and answers at no cost. */
-    private static final long AGENT_PAUSE = 100_000;
-    /** Without a client for so long, a tenant of a shared gateway falls asleep. */
-    private static final long SLEEP_AFTER = 30_000_000;
-
-    private enum State { ASLEEP, ACTIVE, DRAINING, GONE }
-
-    private final Network network;
-    private final EventLoop loop;
-    private final long seed;
-    private final Shares shares; // null where it has the gateway to itself
-    private final Shares.Share share;
-    private final Holdings sockets;
-    private final RateLimit rate;
-    private TenantSpec spec;
-    private State state = State.ASLEEP;
-    private Router router;
-    private Servers servers;
-    private Discovery discovery;
-    private MemberList heard; // the list last heard, before what administrators drained
-    private long parked; // the time of the module's timer that came while it slept; 0: none
-    private Deadline wake;
-    private Deadline sleep;
-    private Runnable whenGone;
-    private boolean left; // nothing of it remains
-    private boolean predecessor; // another module served this tenant's sessions, and still does
-    private long marksFrom; // writes before this time may have gone through another module
-    private final Map<String, Exchange> exchanges = new HashMap<>();
-    private final Set<Clients.Client> clients = new LinkedHashSet<>();
-
-    /** The sockets are those for hosts; shares is null for one that has the gateway to itself. */
-    public Tenant(Network network, TenantSpec spec, long seed, Holdings sockets, Shares shares) {
-        this.network = network;
-        this.loop = network.loop();
-        this.spec = spec;
-        this.seed = seed;
-        this.sockets = sockets;
-        this.shares = shares;
-        share = shares == null ? null : shares.join(spec.weight(), spec.shares());
-        rate = new RateLimit(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.now());
-    }
-
-    public TenantSpec spec() {
-        return spec;
-    }
-
-    /** Another module has served this tenant: until its work is done, and for what it wrote, reads must be covered. */
-    void succeeds() {
-        predecessor = true;
-    }
-
-    void predecessorGone() {
-        predecessor = false;
-        marksFrom = loop.now();
-        if (left) {
-            whenGone.run();
-        }
-    }
-
-    // ---- Life -------------------------------------------------------------------------------------------------
-
-    /** Starts the module with the list as last known, or wakes it. */
-    public void start() {
-        if (state != State.ASLEEP) {
-            return;
-        }
-        state = State.ACTIVE;
-        boolean first = router == null;
-        if (first) {
-            router = new Decide(this);
-            servers = new Servers(network, spec.settings().limits(), sockets, spec.weight(),
-                    spec.bounds().hostConnections(), spec.login(), this);
-            if (spec.discovery() != null) {
-                discovery = new Discovery(network, spec.discovery(), spec.boxes().revision(), this);
-            }
-            heard = spec.boxes();
-            servers.listed(heard);
-            router.onStart(loop.now(), seed, spec.settings());
-            listen();
-            // In a turn of its own: the first connections to hosts would else be late before the loop looks at them.
-            network.post(() -> told(ListKind.REMEMBERED, heard));
-            return;
-        }
-        if (discovery != null) {
-            discovery.watchAnew();
-        } else {
-            told(ListKind.ALL, heard);
-        }
-        if (parked != 0) {
-            setTimer("wake", parked);
-        }
-    }
-
-    /** Gives back what a tenant without clients needs not. */
-    private void fallAsleep() {
-        sleep = null;
-        if (!exchanges.isEmpty()) {
-            sleep = loop.at(loop.now() + SLEEP_AFTER, this::fallAsleep); // what is still out ends before long
-            return;
-        }
-        // What was known of boxes will be old by then; an empty list leaves the module its sessions' marks.
-        router.onMembers(loop.now(), ListKind.ALL, heard.revision(), List.of());
-        state = State.ASLEEP;
-        if (discovery != null) {
-            discovery.watch(false);
-        }
-        servers.closeAll(CloseReason.IDLE);
-        if (wake != null) {
-            wake.cancel();
-            wake = null;
-        }
-    }
-
-    /** Takes up a changed spec. What only a new module can take up is taken up by one, once this one's work is done. */
-    public boolean change(TenantSpec next) {
-        if (router != null && !spec.runsLike(next)) {
-            return false;
-        }
-        boolean moved = discovery != null && !next.discovery().equals(spec.discovery());
-        boolean listed = next.discovery() == null && !next.boxes().equals(spec.boxes());
-        boolean drained = !next.drained().equals(spec.drained());
-        spec = next;
-        rate.set(next.bounds().requestsPerSecond(), next.bounds().burst(), loop.now());
-        network.budget().bound(next.bounds().bufferBytes());
-        if (servers != null) {
-            servers.bound(next.weight(), next.bounds().hostConnections());
-        }
-        network.flow().weight(next.weight());
-        if (share != null) {
-            shares.change(share, next.weight(), next.shares());
-        }
-        if (moved) {
-            discovery.move(next.discovery());
-        }
-        if (listed) {
-            heard = next.boxes();
-        }
-        if (router != null && state != State.ASLEEP && (listed || drained)) {
-            servers.listed(heard);
-            told(ListKind.ALL, heard);
-        }
-        return true;
-    }
-
-    /**
-     * Takes the tenant out of service: new requests are refused at once, what was taken goes on for the grace, then
-     * the rest is answered too and nothing of it remains.
-     */
-    public void remove(long grace, Runnable then) {
-        if (state == State.DRAINING || state == State.GONE) {
-            return;
-        }
-        whenGone = then;
-        if (router == null) {
-            state = State.GONE;
-            gone();
-            return;
-        }
-        state = State.DRAINING;
-        if (sleep != null) {
-            sleep.cancel();
-        }
-        List.copyOf(clients).forEach(this::dismissIdle);
-        long until = loop.now() + grace;
-        loop.at(loop.now(), () -> removal(until));
-    }
-
-    private void removal(long until) {
-        boolean over = exchanges.values().stream().allMatch(e -> e.answered);
-        if (!over && loop.now() < until) {
-            loop.at(Math.min(until, loop.now() + DRAIN_CHECK), () -> removal(until));
-            return;
-        }
-        state = State.GONE;
-        for (Exchange exchange : List.copyOf(exchanges.values())) {
-            if (!exchange.answered) {
-                // The module is told that nobody waits, so that it calls off what is out and counts nothing more.
-                exchange.answered = true;
-                router.onClientGone(loop.now(), exchange.id);
-                boolean harmless = exchange.attempts.isEmpty()
-                        || spec.settings().classes().get(exchange.classIndex).repeatable();
-                finished(harmless ? Exchange.Asker::unavailable : Exchange.Asker::failed, exchange);
-            }
-        }
-        List.copyOf(clients).forEach(c -> c.dismiss(removed(), CloseReason.TENANT_GONE));
-        close(CloseReason.TENANT_GONE);
-        exchanges.clear();
-        gone();
-    }
-
-    private void gone() {
-        if (share != null) {
-            shares.leave(share);
-        }
-        left = true;
-        if (!predecessor) { // else whoever comes after this one would not wait for the one before it
-            whenGone.run();
-        }
-    }
-
-    private static ProtocolException removed() {
-        return new ProtocolException("57P03", "the database is being removed");
-    }
-
-    private void dismissIdle(Clients.Client client) {
-        if (client.isIdle()) {
-            client.dismiss(removed(), CloseReason.TENANT_GONE);
-        }
-    }
-
-    /** Gives back every connection to hosts and discovery, and the module's timer. */
-    public void close(CloseReason reason) {
-        if (discovery != null) {
-            discovery.close(reason);
-        }
-        if (servers != null) {
-            servers.closeAll(reason);
-        }
-        if (wake != null) {
-            wake.cancel();
-        }
-        if (sleep != null) {
-            sleep.cancel();
-        }
-    }
-
-    /** Whether its module runs: it has clients, or finishes what they asked. */
-    private boolean runs() {
-        return state == State.ACTIVE || state == State.DRAINING;
-    }
-
-    /** Whether it has no client. */
-    boolean isAlone() {
-        return clients.isEmpty();
-    }
-
-    /** Whether nothing that was taken is open, answers and attempts alike. */
-    public boolean isEmpty() {
-        return exchanges.isEmpty();
-    }
-
-    /** Discovery answers elsewhere from now on. */
-    public void move(InetSocketAddress to) {
-        discovery.move(to);
-    }
-
-    /** What it uses now and what it has done since the start. */
-    public Usage usage() {
-        return new Usage(clients.size(), exchanges.size(), servers == null ? 0 : servers.held(),
-                network.budget().held(),
-                network.counters().values());
-    }
-
-    /** Counts of the moment, and counters since the start. */
-    public record Usage(int clientConnections, int openRequests, long hostConnections, long bufferBytes,
-            Map<String, Long> counters) {}
-
-    // ---- From the client side ---------------------------------------------------------------------------------
-
-    @Override
-    public Network network() {
-        return network;
-    }
-
-    @Override
-    public List<ClassSettings> classes() {
-        return spec.settings().classes();
-    }
-
-    @Override
-    public int clients() {
-        return clients.size();
-    }
-
-    @Override
-    public void joined(Clients.Client client) {
-        clients.add(client);
-        if (sleep != null) {
-            sleep.cancel();
-            sleep = null;
-        }
-        start();
-    }
-
-    @Override
-    public void parted(Clients.Client client) {
-        clients.remove(client);
-        if (clients.isEmpty() && shares != null && state == State.ACTIVE) {
-            sleep = loop.at(loop.now() + SLEEP_AFTER, this::fallAsleep);
-        }
-    }
-
-    /** Whether it takes clients; throws what one that comes now is told. */
-    void checkRoom() throws ProtocolException {
-        if (state == State.DRAINING || state == State.GONE) {
-            throw removed();
-        }
-        if (clients.size() >= spec.bounds().clientConnections()) {
-            throw new ProtocolException("53300", "the database has too many connections");
-        }
-    }
-
-    /** Guards an open request against another one under its id. */
-    @Override
-    public void check(Exchange exchange) throws ProtocolException {
-        if (exchanges.containsKey(exchange.id)) {
-            throw new ProtocolException("42710", "a request with this id is open");
-        }
-    }
-
-    @Override
-    public void take(Exchange exchange, String session, int group, long after, boolean repeat) {
-        if (state == State.DRAINING || state == State.GONE) {
-            exchange.asker.unavailable();
-            return;
-        }
-        long wait = rate.waitTime(loop.now());
-        if (wait > 0 || exchanges.size() >= spec.bounds().openRequests()) {
-            network.counters().add(Counters.Name.REFUSED_BY_LIMIT);
-            exchange.asker.refused(told(Math.max(wait, BUSY_WAIT)));
-            return;
-        }
-        long later = share == null ? 0 : shares.admit(share, exchange.classIndex, loop.now());
-        if (later > 0) {
-            network.counters().add(Counters.Name.REFUSED_BY_SHARE);
-            exchange.asker.refused(told(later));
-            return;
-        }
-        rate.take();
-        exchanges.put(exchange.id, exchange);
-        router.onRequest(loop.now(), new Request(exchange.id, exchange.classIndex, session, group,
-                exchange.deadline - loop.now(), Math.max(after, writtenBefore()), repeat));
-    }
-
-    /** Time of the last write that another module may have taken for any session; unknown where there was none. */
-    private long writtenBefore() {
-        return predecessor ? loop.now() : marksFrom > 0 ? marksFrom : Router.UNKNOWN;
-    }
-
-    private long told(long wait) {
-        return spec.settings().limits().toldWait(wait);
-    }
-
-    @Override
-    public void left(Exchange exchange) {
-        if (exchanges.get(exchange.id) == exchange && !exchange.answered) {
-            exchange.answered = true;
-            router.onClientGone(loop.now(), exchange.id);
-            finished(asker -> {}, exchange);
-        }
-    }
-
-    /** The one place where an answer leaves; the request's place is free from here. */
-    private void finished(Consumer<Exchange.Asker> answer, Exchange exchange) {
-        if (share != null) {
-            shares.end(share);
-        }
-        answer.accept(exchange.asker);
-        forget(exchange);
-    }
-
-    // ---- From the server side ---------------------------------------------------------------------------------
-
-    @Override
-    public void ended(Attempt attempt, Reply reply) {
-        Exchange exchange = attempt.exchange;
-        attempt.out = false;
-        network.counters().add(Counters.Name.valueOf("ATTEMPTS_" + reply.status()));
-        if (reply.status() == Status.OK && !exchange.answered) {
-            exchange.answered = true;
-            finished(asker -> asker.served(reply.messages()), exchange);
-        }
-        // From when the request went out: guards against taking the wait for a connection, which may be this program's
-        // own in its first seconds, for slowness of the host.
-        long took = loop.now() - attempt.sentAt;
-        router.onOutcome(loop.now(), new Outcome(exchange.id, attempt.number, attempt.member, reply.status(),
-                exchange.answered, took, reply.role(), reply.position(), reply.load()));
-        forget(exchange);
-    }
-
-    @Override
-    public boolean mayStart(Attempt attempt) {
-        return router.mayStart(loop.now(), attempt.exchange.id, attempt.number);
-    }
-
-    @Override
-    public void probed(String member, Reply reply, long took) {
-        if (reply.status() != Status.OK) {
-            network.counters().add(Counters.Name.PROBES_FAILED);
-        }
-        router.onProbeResult(loop.now(), member, reply.status(), took, reply.load());
-    }
-
-    /** A request is kept until its last attempt has ended: the module is owed every outcome. */
-    private void forget(Exchange exchange) {
-        if (exchange.answered && exchange.attempts.stream().noneMatch(a -> a.out)) {
-            exchanges.remove(exchange.id, exchange);
-        }
-    }
-
-    // ---- From discovery ---------------------------------------------------------------------------------------
-
-    @Override
-    public void heard(MemberList list) {
-        heard = heard.with(list);
-        servers.listed(list);
-        told(list.complete() ? ListKind.ALL : ListKind.CHANGES, list);
-    }
-
-    /** Passes a list on to the module; what an administrator has drained is drained, whatever the list says. */
-    private void told(ListKind kind, MemberList list) {
-        Set<String> drained = new HashSet<>(spec.drained());
-        List<Member> members = drained.isEmpty() ? list.members() : list.members().stream()
-                .map(m -> drained.contains(m.id()) && m.availability() == Availability.LIVE
-                        ? m.as(Availability.DRAINING) : m)
+public final class Tenant
+    implements Router.Actions, Clients.Taker, Servers.Listener, Discovery.Listener {
+
+  /** When a client that found no room here may come again. */
+  private static final long BUSY_WAIT = 200_000;
+
+  private static final long DRAIN_CHECK = 20_000;
+
+  /** After a watch on a pushed list broke: its agent is near and answers at no cost. */
+  private static final long AGENT_PAUSE = 100_000;
+
+  /** Without a client for so long, a tenant of a shared gateway falls asleep. */
+  private static final long SLEEP_AFTER = 30_000_000;
+
+  private enum State {
+    ASLEEP,
+    ACTIVE,
+    DRAINING,
+    GONE
+  }
+
+  private final Network network;
+  private final EventLoop loop;
+  private final long seed;
+  private final Shares shares; // null where it has the gateway to itself
+  private final Shares.Share share;
+  private final Holdings sockets;
+  private final RateLimit rate;
+  private TenantSpec spec;
+  private State state = State.ASLEEP;
+  private Router router;
+  private Servers servers;
+  private Discovery discovery;
+  private MemberList heard; // the list last heard, before what administrators drained
+  private long parked; // the time of the module's timer that came while it slept; 0: none
+  private Deadline wake;
+  private Deadline sleep;
+  private Runnable whenGone;
+  private boolean left; // nothing of it remains
+  private boolean predecessor; // another module served this tenant's sessions, and still does
+  private long marksFrom; // writes before this time may have gone through another module
+  private final Map<String, Exchange> exchanges = new HashMap<>();
+  private final Set<Clients.Client> clients = new LinkedHashSet<>();
+
+  /** The sockets are those for hosts; shares is null for one that has the gateway to itself. */
+  public Tenant(Network network, TenantSpec spec, long seed, Holdings sockets, Shares shares) {
+    this.network = network;
+    this.loop = network.loop();
+    this.spec = spec;
+    this.seed = seed;
+    this.sockets = sockets;
+    this.shares = shares;
+    share = shares == null ? null : shares.join(spec.weight(), spec.shares());
+    rate = new RateLimit(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.now());
+  }
+
+  public TenantSpec spec() {
+    return spec;
+  }
+
+  /**
+   * Another module has served this tenant: until its work is done, and for what it wrote, reads
+   * must be covered.
+   */
+  void succeeds() {
+    predecessor = true;
+  }
+
+  void predecessorGone() {
+    predecessor = false;
+    marksFrom = loop.now();
+    if (left) {
+      whenGone.run();
+    }
+  }
+
+  // ---- Life
+  // --------------------------------------------------------------------------------
+
+  /** Starts the module with the list as last known, or wakes it. */
+  public void start() {
+    if (state != State.ASLEEP) {
+      return;
+    }
+    state = State.ACTIVE;
+    boolean first = router == null;
+    if (first) {
+      router = new Decide(this);
+      servers =
+          new Servers(
+              network,
+              spec.settings().limits(),
+              sockets,
+              spec.weight(),
+              spec.bounds().hostConnections(),
+              spec.login(),
+              this);
+      if (spec.discovery() != null) {
+        discovery = new Discovery(network, spec.discovery(), spec.boxes().revision(), this);
+      }
+      heard = spec.boxes();
+      servers.listed(heard);
+      router.onStart(loop.now(), seed, spec.settings());
+      listen();
+      // In a turn of its own: the first connections to hosts would else be late before the loop
+      // looks at them.
+      network.post(() -> told(ListKind.REMEMBERED, heard));
+      return;
+    }
+    if (discovery != null) {
+      discovery.watchAnew();
+    } else {
+      told(ListKind.ALL, heard);
+    }
+    if (parked != 0) {
+      setTimer("wake", parked);
+    }
+  }
+
+  /** Gives back what a tenant without clients needs not. */
+  private void fallAsleep() {
+    sleep = null;
+    if (!exchanges.isEmpty()) {
+      sleep =
+          loop.at(loop.now() + SLEEP_AFTER, this::fallAsleep); // what is still out ends before long
+      return;
+    }
+    // What was known of boxes will be old by then; an empty list leaves the module its sessions'
+    // marks.
+    router.onMembers(loop.now(), ListKind.ALL, heard.revision(), List.of());
+    state = State.ASLEEP;
+    if (discovery != null) {
+      discovery.watch(false);
+    }
+    servers.closeAll(CloseReason.IDLE);
+    if (wake != null) {
+      wake.cancel();
+      wake = null;
+    }
+  }
+
+  /**
+   * Takes up a changed spec. What only a new module can take up is taken up by one, once this one's
+   * work is done.
+   */
+  public boolean change(TenantSpec next) {
+    if (router != null && !spec.runsLike(next)) {
+      return false;
+    }
+    boolean moved = discovery != null && !next.discovery().equals(spec.discovery());
+    boolean listed = next.discovery() == null && !next.boxes().equals(spec.boxes());
+    boolean drained = !next.drained().equals(spec.drained());
+    spec = next;
+    rate.set(next.bounds().requestsPerSecond(), next.bounds().burst(), loop.now());
+    network.budget().bound(next.bounds().bufferBytes());
+    if (servers != null) {
+      servers.bound(next.weight(), next.bounds().hostConnections());
+    }
+    network.flow().weight(next.weight());
+    if (share != null) {
+      shares.change(share, next.weight(), next.shares());
+    }
+    if (moved) {
+      discovery.move(next.discovery());
+    }
+    if (listed) {
+      heard = next.boxes();
+    }
+    if (router != null && state != State.ASLEEP && (listed || drained)) {
+      servers.listed(heard);
+      told(ListKind.ALL, heard);
+    }
+    return true;
+  }
+
+  /**
+   * Takes the tenant out of service: new requests are refused at once, what was taken goes on for
+   * the grace, then the rest is answered too and nothing of it remains.
+   */
+  public void remove(long grace, Runnable then) {
+    if (state == State.DRAINING || state == State.GONE) {
+      return;
+    }
+    whenGone = then;
+    if (router == null) {
+      state = State.GONE;
+      gone();
+      return;
+    }
+    state = State.DRAINING;
+    if (sleep != null) {
+      sleep.cancel();
+    }
+    List.copyOf(clients).forEach(this::dismissIdle);
+    long until = loop.now() + grace;
+    loop.at(loop.now(), () -> removal(until));
+  }
+
+  private void removal(long until) {
+    boolean over = exchanges.values().stream().allMatch(e -> e.answered);
+    if (!over && loop.now() < until) {
+      loop.at(Math.min(until, loop.now() + DRAIN_CHECK), () -> removal(until));
+      return;
+    }
+    state = State.GONE;
+    for (Exchange exchange : List.copyOf(exchanges.values())) {
+      if (!exchange.answered) {
+        // The module is told that nobody waits, so that it calls off what is out and counts nothing
+        // more.
+        exchange.answered = true;
+        router.onClientGone(loop.now(), exchange.id);
+        boolean harmless =
+            exchange.attempts.isEmpty()
+                || spec.settings().classes().get(exchange.classIndex).repeatable();
+        finished(harmless ? Exchange.Asker::unavailable : Exchange.Asker::failed, exchange);
+      }
+    }
+    List.copyOf(clients).forEach(c -> c.dismiss(removed(), CloseReason.TENANT_GONE));
+    close(CloseReason.TENANT_GONE);
+    exchanges.clear();
+    gone();
+  }
+
+  private void gone() {
+    if (share != null) {
+      shares.leave(share);
+    }
+    left = true;
+    if (!predecessor) { // else whoever comes after this one would not wait for the one before it
+      whenGone.run();
+    }
+  }
+
+  private static ProtocolException removed() {
+    return new ProtocolException("57P03", "the database is being removed");
+  }
+
+  private void dismissIdle(Clients.Client client) {
+    if (client.isIdle()) {
+      client.dismiss(removed(), CloseReason.TENANT_GONE);
+    }
+  }
+
+  /** Gives back every connection to hosts and discovery, and the module's timer. */
+  public void close(CloseReason reason) {
+    if (discovery != null) {
+      discovery.close(reason);
+    }
+    if (servers != null) {
+      servers.closeAll(reason);
+    }
+    if (wake != null) {
+      wake.cancel();
+    }
+    if (sleep != null) {
+      sleep.cancel();
+    }
+  }
+
+  /** Whether its module runs: it has clients, or finishes what they asked. */
+  private boolean runs() {
+    return state == State.ACTIVE || state == State.DRAINING;
+  }
+
+  /** Whether it has no client. */
+  boolean isAlone() {
+    return clients.isEmpty();
+  }
+
+  /** Whether nothing that was taken is open, answers and attempts alike. */
+  public boolean isEmpty() {
+    return exchanges.isEmpty();
+  }
+
+  /** Discovery answers elsewhere from now on. */
+  public void move(InetSocketAddress to) {
+    discovery.move(to);
+  }
+
+  /** What it uses now and what it has done since the start. */
+  public Usage usage() {
+    return new Usage(
+        clients.size(),
+        exchanges.size(),
+        servers == null ? 0 : servers.held(),
+        network.budget().held(),
+        network.counters().values());
+  }
+
+  /** Counts of the moment, and counters since the start. */
+  public record Usage(
+      int clientConnections,
+      int openRequests,
+      long hostConnections,
+      long bufferBytes,
+      Map<String, Long> counters) {}
+
+  // ---- From the client side
+  // --------------------------------------------------------------------------------
+
+  @Override
+  public Network network() {
+    return network;
+  }
+
+  @Override
+  public List<ClassSettings> classes() {
+    return spec.settings().classes();
+  }
+
+  @Override
+  public int clients() {
+    return clients.size();
+  }
+
+  @Override
+  public void joined(Clients.Client client) {
+    clients.add(client);
+    if (sleep != null) {
+      sleep.cancel();
+      sleep = null;
+    }
+    start();
+  }
+
+  @Override
+  public void parted(Clients.Client client) {
+    clients.remove(client);
+    if (clients.isEmpty() && shares != null && state == State.ACTIVE) {
+      sleep = loop.at(loop.now() + SLEEP_AFTER, this::fallAsleep);
+    }
+  }
+
+  /** Whether it takes clients; throws what one that comes now is told. */
+  void checkRoom() throws ProtocolException {
+    if (state == State.DRAINING || state == State.GONE) {
+      throw removed();
+    }
+    if (clients.size() >= spec.bounds().clientConnections()) {
+      throw new ProtocolException("53300", "the database has too many connections");
+    }
+  }
+
+  /** Guards an open request against another one under its id. */
+  @Override
+  public void check(Exchange exchange) throws ProtocolException {
+    if (exchanges.containsKey(exchange.id)) {
+      throw new ProtocolException("42710", "a request with this id is open");
+    }
+  }
+
+  @Override
+  public void take(Exchange exchange, String session, int group, long after, boolean repeat) {
+    if (state == State.DRAINING || state == State.GONE) {
+      exchange.asker.unavailable();
+      return;
+    }
+    long wait = rate.waitTime(loop.now());
+    if (wait > 0 || exchanges.size() >= spec.bounds().openRequests()) {
+      network.counters().add(Counters.Name.REFUSED_BY_LIMIT);
+      exchange.asker.refused(told(Math.max(wait, BUSY_WAIT)));
+      return;
+    }
+    long later = share == null ? 0 : shares.admit(share, exchange.classIndex, loop.now());
+    if (later > 0) {
+      network.counters().add(Counters.Name.REFUSED_BY_SHARE);
+      exchange.asker.refused(told(later));
+      return;
+    }
+    rate.take();
+    exchanges.put(exchange.id, exchange);
+    router.onRequest(
+        loop.now(),
+        new Request(
+            exchange.id,
+            exchange.classIndex,
+            session,
+            group,
+            exchange.deadline - loop.now(),
+            Math.max(after, writtenBefore()),
+            repeat));
+  }
+
+  /**
+   * Time of the last write that another module may have taken for any session; unknown where there
+   * was none.
+   */
+  private long writtenBefore() {
+    return predecessor ? loop.now() : marksFrom > 0 ? marksFrom : Router.UNKNOWN;
+  }
+
+  private long told(long wait) {
+    return spec.settings().limits().toldWait(wait);
+  }
+
+  @Override
+  public void left(Exchange exchange) {
+    if (exchanges.get(exchange.id) == exchange && !exchange.answered) {
+      exchange.answered = true;
+      router.onClientGone(loop.now(), exchange.id);
+      finished(asker -> {}, exchange);
+    }
+  }
+
+  /** The one place where an answer leaves; the request's place is free from here. */
+  private void finished(Consumer<Exchange.Asker> answer, Exchange exchange) {
+    if (share != null) {
+      shares.end(share);
+    }
+    answer.accept(exchange.asker);
+    forget(exchange);
+  }
+
+  // ---- From the server side
+  // --------------------------------------------------------------------------------
+
+  @Override
+  public void ended(Attempt attempt, Reply reply) {
+    Exchange exchange = attempt.exchange;
+    attempt.out = false;
+    network.counters().add(Counters.Name.valueOf("ATTEMPTS_" + reply.status()));
+    if (reply.status() == Status.OK && !exchange.answered) {
+      exchange.answered = true;
+      finished(asker -> asker.served(reply.messages()), exchange);
+    }
+    // From when the request went out: guards against taking the wait for a connection, which may be
+    // this program's
+    // own in its first seconds, for slowness of the host.
+    long took = loop.now() - attempt.sentAt;
+    router.onOutcome(
+        loop.now(),
+        new Outcome(
+            exchange.id,
+            attempt.number,
+            attempt.member,
+            reply.status(),
+            exchange.answered,
+            took,
+            reply.role(),
+            reply.position(),
+            reply.load()));
+    forget(exchange);
+  }
+
+  @Override
+  public boolean mayStart(Attempt attempt) {
+    return router.mayStart(loop.now(), attempt.exchange.id, attempt.number);
+  }
+
+  @Override
+  public void probed(String member, Reply reply, long took) {
+    if (reply.status() != Status.OK) {
+      network.counters().add(Counters.Name.PROBES_FAILED);
+    }
+    router.onProbeResult(loop.now(), member, reply.status(), took, reply.load());
+  }
+
+  /** A request is kept until its last attempt has ended: the module is owed every outcome. */
+  private void forget(Exchange exchange) {
+    if (exchange.answered && exchange.attempts.stream().noneMatch(a -> a.out)) {
+      exchanges.remove(exchange.id, exchange);
+    }
+  }
+
+  // ---- From discovery
+  // --------------------------------------------------------------------------------
+
+  @Override
+  public void heard(MemberList list) {
+    heard = heard.with(list);
+    servers.listed(list);
+    told(list.complete() ? ListKind.ALL : ListKind.CHANGES, list);
+  }
+
+  /**
+   * Passes a list on to the module; what an administrator has drained is drained, whatever the list
+   * says.
+   */
+  private void told(ListKind kind, MemberList list) {
+    Set<String> drained = new HashSet<>(spec.drained());
+    List<Member> members =
+        drained.isEmpty()
+            ? list.members()
+            : list.members().stream()
+                .map(
+                    m ->
+                        drained.contains(m.id()) && m.availability() == Availability.LIVE
+                            ? m.as(Availability.DRAINING)
+                            : m)
                 .toList();
-        router.onMembers(loop.now(), kind, list.revision(), members);
-    }
-
-    @Override
-    public void failed() {
-        if (!runs()) {
-            return;
-        }
-        if (spec.settings().listAsked()) {
-            router.onMembers(loop.now(), ListKind.FAILED, 0, List.of());
-        } else {
-            loop.at(loop.now() + AGENT_PAUSE, this::listen);
-        }
-    }
-
-    /** Where lists are pushed the module asks for none: on sockets they come by a watch all the same. */
-    private void listen() {
-        if (runs() && discovery != null && !spec.settings().listAsked() && !discovery.isOpen()) {
-            discovery.watch(true);
-        }
-    }
-
-    // ---- What the module asks for -----------------------------------------------------------------------------
-
-    @Override
-    public void send(String requestId, String member, long timeout) {
-        Exchange exchange = exchanges.get(requestId);
-        Attempt attempt = new Attempt(exchange, member, loop.now());
-        exchange.attempts.add(attempt);
-        if (exchange.answered || loop.now() >= exchange.deadline) {
-            network.post(() -> ended(attempt, Reply.of(Status.NOT_SENT)));
-            return;
-        }
-        network.counters().add(Counters.Name.ATTEMPTS_SENT);
-        servers.start(attempt);
-    }
-
-    @Override
-    public void cancel(String requestId, int attempt) {
-        Exchange exchange = exchanges.get(requestId);
-        if (exchange != null && attempt < exchange.attempts.size()) {
-            servers.cancel(exchange.attempts.get(attempt));
-        }
-    }
-
-    @Override
-    public void reject(String requestId, long retryAfter) {
-        end(requestId, asker -> asker.refused(retryAfter));
-    }
-
-    @Override
-    public void fail(String requestId) {
-        end(requestId, Exchange.Asker::failed);
-    }
-
-    private void end(String requestId, Consumer<Exchange.Asker> answer) {
-        Exchange exchange = exchanges.get(requestId);
-        if (exchange != null && !exchange.answered) {
-            exchange.answered = true;
-            finished(answer, exchange);
-        }
-    }
-
-    /** Guards against connections that outlive a tenant: the module answers what a removal cut off with a probe. */
-    @Override
-    public void probe(String member) {
-        if (runs()) {
-            servers.probe(member);
-        }
-    }
-
-    @Override
-    public void setTimer(String name, long at) {
-        parked = at;
-        if (runs()) {
-            if (wake != null) {
-                wake.cancel();
-            }
-            wake = loop.at(at, () -> {
+    router.onMembers(loop.now(), kind, list.revision(), members);
+  }
+
+  @Override
+  public void failed() {
+    if (!runs()) {
+      return;
+    }
+    if (spec.settings().listAsked()) {
+      router.onMembers(loop.now(), ListKind.FAILED, 0, List.of());
+    } else {
+      loop.at(loop.now() + AGENT_PAUSE, this::listen);
+    }
+  }
+
+  /**
+   * Where lists are pushed the module asks for none: on sockets they come by a watch all the same.
+   */
+  private void listen() {
+    if (runs() && discovery != null && !spec.settings().listAsked() && !discovery.isOpen()) {
+      discovery.watch(true);
+    }
+  }
+
+  // ---- What the module asks for
+  // --------------------------------------------------------------------------------
+
+  @Override
+  public void send(String requestId, String member, long timeout) {
+    Exchange exchange = exchanges.get(requestId);
+    Attempt attempt = new Attempt(exchange, member, loop.now());
+    exchange.attempts.add(attempt);
+    if (exchange.answered || loop.now() >= exchange.deadline) {
+      network.post(() -> ended(attempt, Reply.of(Status.NOT_SENT)));
+      return;
+    }
+    network.counters().add(Counters.Name.ATTEMPTS_SENT);
+    servers.start(attempt);
+  }
+
+  @Override
+  public void cancel(String requestId, int attempt) {
+    Exchange exchange = exchanges.get(requestId);
+    if (exchange != null && attempt < exchange.attempts.size()) {
+      servers.cancel(exchange.attempts.get(attempt));
+    }
+  }
+
+  @Override
+  public void reject(String requestId, long retryAfter) {
+    end(requestId, asker -> asker.refused(retryAfter));
+  }
+
+  @Override
+  public void fail(String requestId) {
+    end(requestId, Exchange.Asker::failed);
+  }
+
+  private void end(String requestId, Consumer<Exchange.Asker> answer) {
+    Exchange exchange = exchanges.get(requestId);
+    if (exchange != null && !exchange.answered) {
+      exchange.answered = true;
+      finished(answer, exchange);
+    }
+  }
+
+  /**
+   * Guards against connections that outlive a tenant: the module answers what a removal cut off
+   * with a probe.
+   */
+  @Override
+  public void probe(String member) {
+    if (runs()) {
+      servers.probe(member);
+    }
+  }
+
+  @Override
+  public void setTimer(String name, long at) {
+    parked = at;
+    if (runs()) {
+      if (wake != null) {
+        wake.cancel();
+      }
+      wake =
+          loop.at(
+              at,
+              () -> {
                 wake = null;
                 parked = 0;
                 router.onTimer(loop.now(), name);
-            });
-        }
-    }
-
-    @Override
-    public void subscribe(boolean on) {
-        // One that stands is not begun anew: a move to another address may have come between its failure and now.
-        if (discovery != null && runs() && !(on && discovery.isOpen())) {
-            discovery.watch(on);
-        }
-    }
-
-    @Override
-    public void fetchList() {
-        discovery.fetch();
-    }
-
-    /** Gateways of this kind can't reach each other; the settings say so and the module never asks. */
-    @Override
-    public void tellPeers(int peer, byte[] payload) {
-        throw new UnsupportedOperationException("gateways have no way to talk to each other");
-    }
-
-    @Override
-    public void closeIdle(String member) {
-        servers.closeIdle(member);
-    }
-
-    @Override
-    public void log(String text) {
-        network.log().println("module " + (network.tenant().isEmpty() ? "" : network.tenant() + " ") + text);
-    }
+              });
+    }
+  }
+
+  @Override
+  public void subscribe(boolean on) {
+    // One that stands is not begun anew: a move to another address may have come between its
+    // failure and now.
+    if (discovery != null && runs() && !(on && discovery.isOpen())) {
+      discovery.watch(on);
+    }
+  }
+
+  @Override
+  public void fetchList() {
+    discovery.fetch();
+  }
+
+  /**
+   * Gateways of this kind can't reach each other; the settings say so and the module never asks.
+   */
+  @Override
+  public void tellPeers(int peer, byte[] payload) {
+    throw new UnsupportedOperationException("gateways have no way to talk to each other");
+  }
+
+  @Override
+  public void closeIdle(String member) {
+    servers.closeIdle(member);
+  }
+
+  @Override
+  public void log(String text) {
+    network
+        .log()
+        .println("module " + (network.tenant().isEmpty() ? "" : network.tenant() + " ") + text);
+  }
 }
--- a/gateway/src/main/java/shelffront/tenant/TenantSpec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpec.java
@@ -8,11 +8,13 @@
 import shelffront.server.Servers.Login;
 
 /**
- * All that makes a tenant: what an administrator sets and a gateway takes up while it runs. Times are microseconds.
+ * All that makes a tenant: what an administrator sets and a gateway takes up while it runs. Times
+ * are microseconds.
  *
  * @param id the name by which clients ask for it, as the database of their startup message
  * @param weight its part of what tenants share, above 0
- * @param shares a weight for each class, in their order; empty where its classes have no shares of their own
+ * @param shares a weight for each class, in their order; empty where its classes have no shares of
+ *     their own
  * @param settings its classes, rules and the limits of its boxes
  * @param login who its boxes are told the gateway is
  * @param discovery where its list of boxes is had; null where it is given here
@@ -21,20 +23,35 @@
  * @param credentials who may connect; empty: everybody
  * @param grace how long what was taken may go on once the tenant is removed
  */
-public record TenantSpec(String id, double weight, double[] shares, Bounds bounds, Settings settings, Login login,
-        InetSocketAddress discovery, MemberList boxes, Set<String> drained, List<Credential> credentials,
-        long grace) {
+public record TenantSpec(
+    String id,
+    double weight,
+    double[] shares,
+    Bounds bounds,
+    Settings settings,
+    Login login,
+    InetSocketAddress discovery,
+    MemberList boxes,
+    Set<String> drained,
+    List<Credential> credentials,
+    long grace) {
 
-    /** What a tenant may use at most; a rate of 0 is no bound. */
-    public record Bounds(double requestsPerSecond, double burst, int openRequests, int clientConnections,
-            int hostConnections, long bufferBytes) {}
+  /** What a tenant may use at most; a rate of 0 is no bound. */
+  public record Bounds(
+      double requestsPerSecond,
+      double burst,
+      int openRequests,
+      int clientConnections,
+      int hostConnections,
+      long bufferBytes) {}
 
-    /** A user and the hash of its generated key; the key itself is kept nowhere. */
-    public record Credential(String user, byte[] hash) {}
+  /** A user and the hash of its generated key; the key itself is kept nowhere. */
+  public record Credential(String user, byte[] hash) {}
 
-    /** Whether everything that a running tenant can't change under way is as in another. */
-    boolean runsLike(TenantSpec other) {
-        return settings.equals(other.settings) && login.equals(other.login)
-                && (discovery == null) == (other.discovery == null);
-    }
+  /** Whether everything that a running tenant can't change under way is as in another. */
+  boolean runsLike(TenantSpec other) {
+    return settings.equals(other.settings)
+        && login.equals(other.login)
+        && (discovery == null) == (other.discovery == null);
+  }
 }
--- a/gateway/src/main/java/shelffront/tenant/Tenants.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenants.java
@@ -10,166 +10,189 @@
 import shelffront.net.CloseReason;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
-import shelffront.share.Holdings;
 import shelffront.share.DeficitRoundRobin.Flow;
+import shelffront.share.Holdings;
 import shelffront.share.Shares;
 
 /**
- * The tenants of a gateway by their names, and the door by which clients find theirs: the database of the startup
- * message. What all use is divided among them by {@link Shares}. On the loop thread.
+ * The tenants of a gateway by their names, and the door by which clients find theirs: the database
+ * of the startup message. What all use is divided among them by {@link Shares}. On the loop thread.
  */
 public final class Tenants implements Clients.Door {
 
-    private static final byte[] NOBODY = new byte[32];
-
-    private final Network network;
-    private final Shares shares;
-    private final Holdings hostSockets;
-    private final Map<String, Tenant> tenants = new HashMap<>();
-    /** Removed or replaced, with work that is not over, the first told first; and who waits for its end. */
-    private final Map<Tenant, List<Runnable>> leaving = new LinkedHashMap<>();
-    private long seed;
-
-    public Tenants(Network network, Shares shares, Holdings hostSockets, long seed) {
-        this.network = network;
-        this.shares = shares;
-        this.hostSockets = hostSockets;
-        this.seed = seed;
-    }
-
-    /** Takes up a tenant, new or changed; {@code inForce} is told the time once requests are under it alone. */
-    public void apply(TenantSpec spec, LongConsumer inForce) {
-        Tenant running = tenants.get(spec.id());
-        if (running != null && running.change(spec)) {
-            inForce.accept(network.loop().now());
-            return;
-        }
-        Flow<Runnable> flow = new Flow<>(spec.weight());
-        Tenant next = new Tenant(network.of(spec.id(), flow, spec.bounds().bufferBytes()), spec, seed++,
-                hostSockets, shares);
-        tenants.put(spec.id(), next);
-        if (running == null) {
-            inForce.accept(network.loop().now());
-        } else {
-            // What it asks for only a new module can do: this one serves from now on, that one ends what it has.
-            leave(running, spec.grace(), inForce);
-        }
-        succeed(next);
-    }
-
-    /** Sessions may have written under its name before: through one that still ends its work here, or is gone. */
-    private void succeed(Tenant next) {
-        next.succeeds();
-        Tenant before = null;
-        for (Tenant each : leaving.keySet()) {
-            before = each.spec().id().equals(next.spec().id()) ? each : before;
-        }
-        if (before == null) {
-            next.predecessorGone();
-        } else {
-            leaving.get(before).add(next::predecessorGone);
-        }
-    }
-
-    /**
-     * Takes up a tenant that another loop has served: until the task given back has run here, once all is over there,
-     * and for what was written before that, reads must be covered.
-     */
-    public Runnable arrive(TenantSpec spec) {
-        apply(spec, at -> {});
-        Tenant arrived = tenants.get(spec.id());
-        arrived.succeeds();
-        return arrived::predecessorGone;
-    }
-
-    /** Whether a tenant has no client here. */
-    public boolean isAlone(String id) {
-        Tenant tenant = tenants.get(id);
-        return tenant == null || tenant.isAlone();
-    }
-
-    /** Takes a tenant out of service; {@code gone} is told the time once nothing of it is left. */
-    public void remove(String id, LongConsumer gone) {
-        Tenant tenant = tenants.remove(id);
-        if (tenant == null) {
-            gone.accept(network.loop().now());
-        } else {
-            leave(tenant, tenant.spec().grace(), gone);
-        }
-    }
-
-    private void leave(Tenant tenant, long grace, LongConsumer gone) {
-        leaving.put(tenant, new ArrayList<>());
-        tenant.remove(grace, () -> {
-            leaving.remove(tenant).forEach(Runnable::run);
-            gone.accept(network.loop().now());
+  private static final byte[] NOBODY = new byte[32];
+
+  private final Network network;
+  private final Shares shares;
+  private final Holdings hostSockets;
+  private final Map<String, Tenant> tenants = new HashMap<>();
+
+  /**
+   * Removed or replaced, with work that is not over, the first told first; and who waits for its
+   * end.
+   */
+  private final Map<Tenant, List<Runnable>> leaving = new LinkedHashMap<>();
+
+  private long seed;
+
+  public Tenants(Network network, Shares shares, Holdings hostSockets, long seed) {
+    this.network = network;
+    this.shares = shares;
+    this.hostSockets = hostSockets;
+    this.seed = seed;
+  }
+
+  /**
+   * Takes up a tenant, new or changed; {@code inForce} is told the time once requests are under it
+   * alone.
+   */
+  public void apply(TenantSpec spec, LongConsumer inForce) {
+    Tenant running = tenants.get(spec.id());
+    if (running != null && running.change(spec)) {
+      inForce.accept(network.loop().now());
+      return;
+    }
+    Flow<Runnable> flow = new Flow<>(spec.weight());
+    Tenant next =
+        new Tenant(
+            network.of(spec.id(), flow, spec.bounds().bufferBytes()),
+            spec,
+            seed++,
+            hostSockets,
+            shares);
+    tenants.put(spec.id(), next);
+    if (running == null) {
+      inForce.accept(network.loop().now());
+    } else {
+      // What it asks for only a new module can do: this one serves from now on, that one ends what
+      // it has.
+      leave(running, spec.grace(), inForce);
+    }
+    succeed(next);
+  }
+
+  /**
+   * Sessions may have written under its name before: through one that still ends its work here, or
+   * is gone.
+   */
+  private void succeed(Tenant next) {
+    next.succeeds();
+    Tenant before = null;
+    for (Tenant each : leaving.keySet()) {
+      before = each.spec().id().equals(next.spec().id()) ? each : before;
+    }
+    if (before == null) {
+      next.predecessorGone();
+    } else {
+      leaving.get(before).add(next::predecessorGone);
+    }
+  }
+
+  /**
+   * Takes up a tenant that another loop has served: until the task given back has run here, once
+   * all is over there, and for what was written before that, reads must be covered.
+   */
+  public Runnable arrive(TenantSpec spec) {
+    apply(spec, at -> {});
+    Tenant arrived = tenants.get(spec.id());
+    arrived.succeeds();
+    return arrived::predecessorGone;
+  }
+
+  /** Whether a tenant has no client here. */
+  public boolean isAlone(String id) {
+    Tenant tenant = tenants.get(id);
+    return tenant == null || tenant.isAlone();
+  }
+
+  /** Takes a tenant out of service; {@code gone} is told the time once nothing of it is left. */
+  public void remove(String id, LongConsumer gone) {
+    Tenant tenant = tenants.remove(id);
+    if (tenant == null) {
+      gone.accept(network.loop().now());
+    } else {
+      leave(tenant, tenant.spec().grace(), gone);
+    }
+  }
+
+  private void leave(Tenant tenant, long grace, LongConsumer gone) {
+    leaving.put(tenant, new ArrayList<>());
+    tenant.remove(
+        grace,
+        () -> {
+          leaving.remove(tenant).forEach(Runnable::run);
+          gone.accept(network.loop().now());
         });
-    }
-
-    /** A tenant's use, or null where there is none of that name. */
-    public Tenant.Usage usage(String id) {
-        Tenant tenant = tenants.get(id);
-        return tenant == null ? null : tenant.usage();
-    }
-
-    /** Whether no request of any tenant is open. */
-    public boolean isEmpty() {
-        return tenants.values().stream().allMatch(Tenant::isEmpty)
-                && leaving.keySet().stream().allMatch(Tenant::isEmpty);
-    }
-
-    public void close(CloseReason reason) {
-        tenants.values().forEach(t -> t.close(reason));
-        List.copyOf(leaving.keySet()).forEach(t -> t.close(reason));
-    }
-
-    // ---- The door ---------------------------------------------------------------------------------------------
-
-    /** The tenant that a startup message names: its database, or, as PostgreSQL has it, the user where it has none. */
-    public static String name(Map<String, String> startup) {
-        String user = startup.getOrDefault("user", "");
-        return startup.getOrDefault("database", user);
-    }
-
-    private Tenant named(Map<String, String> startup) {
-        return tenants.get(name(startup));
-    }
-
-    /** Only of those who admit everybody can anything be learnt without a key. */
-    @Override
-    public boolean asksPassword(Map<String, String> startup) {
-        Tenant tenant = named(startup);
-        return tenant == null || !tenant.spec().credentials().isEmpty();
-    }
-
-    @Override
-    public Tenant admit(Map<String, String> startup) throws ProtocolException {
-        Tenant tenant = named(startup);
-        if (tenant == null) {
-            throw nobody();
-        }
-        tenant.checkRoom();
-        return tenant;
-    }
-
-    @Override
-    public Tenant admit(Map<String, String> startup, byte[] password) throws ProtocolException {
-        Tenant tenant = named(startup);
-        String user = startup.getOrDefault("user", "");
-        boolean known = false;
-        for (TenantSpec.Credential c : tenant == null ? List.<TenantSpec.Credential>of()
-                : tenant.spec().credentials()) {
-            known |= c.user().equals(user) && Keys.matches(c.hash(), password);
-        }
-        // A name that nobody has costs a comparison too, and is answered in the same words.
-        if (tenant == null && Keys.matches(NOBODY, password) || !known) {
-            throw nobody();
-        }
-        tenant.checkRoom();
-        return tenant;
-    }
-
-    private static ProtocolException nobody() {
-        return new ProtocolException("3D000", "there is no such database for this user");
-    }
+  }
+
+  /** A tenant's use, or null where there is none of that name. */
+  public Tenant.Usage usage(String id) {
+    Tenant tenant = tenants.get(id);
+    return tenant == null ? null : tenant.usage();
+  }
+
+  /** Whether no request of any tenant is open. */
+  public boolean isEmpty() {
+    return tenants.values().stream().allMatch(Tenant::isEmpty)
+        && leaving.keySet().stream().allMatch(Tenant::isEmpty);
+  }
+
+  public void close(CloseReason reason) {
+    tenants.values().forEach(t -> t.close(reason));
+    List.copyOf(leaving.keySet()).forEach(t -> t.close(reason));
+  }
+
+  // ---- The door
+  // --------------------------------------------------------------------------------
+
+  /**
+   * The tenant that a startup message names: its database, or, as PostgreSQL has it, the user where
+   * it has none.
+   */
+  public static String name(Map<String, String> startup) {
+    String user = startup.getOrDefault("user", "");
+    return startup.getOrDefault("database", user);
+  }
+
+  private Tenant named(Map<String, String> startup) {
+    return tenants.get(name(startup));
+  }
+
+  /** Only of those who admit everybody can anything be learnt without a key. */
+  @Override
+  public boolean asksPassword(Map<String, String> startup) {
+    Tenant tenant = named(startup);
+    return tenant == null || !tenant.spec().credentials().isEmpty();
+  }
+
+  @Override
+  public Tenant admit(Map<String, String> startup) throws ProtocolException {
+    Tenant tenant = named(startup);
+    if (tenant == null) {
+      throw nobody();
+    }
+    tenant.checkRoom();
+    return tenant;
+  }
+
+  @Override
+  public Tenant admit(Map<String, String> startup, byte[] password) throws ProtocolException {
+    Tenant tenant = named(startup);
+    String user = startup.getOrDefault("user", "");
+    boolean known = false;
+    for (TenantSpec.Credential c :
+        tenant == null ? List.<TenantSpec.Credential>of() : tenant.spec().credentials()) {
+      known |= c.user().equals(user) && Keys.matches(c.hash(), password);
+    }
+    // A name that nobody has costs a comparison too, and is answered in the same words.
+    if (tenant == null && Keys.matches(NOBODY, password) || !known) {
+      throw nobody();
+    }
+    tenant.checkRoom();
+    return tenant;
+  }
+
+  private static ProtocolException nobody() {
+    return new ProtocolException("3D000", "there is no such database for this user");
+  }
 }
--- a/gateway/src/test/java/shelffront/ArrowsTest.java
+++ b/gateway/src/test/java/shelffront/ArrowsTest.java
@@ -8,26 +8,50 @@
 import com.tngtech.archunit.lang.ArchRule;
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition;
 
-/** Holds the arrows between the packages: one concern each, client and server side meeting only in an exchange. */
+/**
+ * Holds the arrows between the packages: one concern each, client and server side meeting only in
+ * an exchange.
+ */
 @AnalyzeClasses(packages = "shelffront", importOptions = DoNotIncludeTests.class)
 class ArrowsTest {
 
-    @ArchTest
-    static final ArchRule CLIENT_SIDE_KNOWS_NO_SERVER_SIDE = noClasses().that().resideInAPackage("shelffront.client..")
-            .should().dependOnClassesThat().resideInAnyPackage("shelffront.server..", "shelffront.discovery..",
-                    "shelffront.gateway..", "shelffront.decide..");
+  @ArchTest
+  static final ArchRule CLIENT_SIDE_KNOWS_NO_SERVER_SIDE =
+      noClasses()
+          .that()
+          .resideInAPackage("shelffront.client..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "shelffront.server..",
+              "shelffront.discovery..",
+              "shelffront.gateway..",
+              "shelffront.decide..");
 
-    @ArchTest
-    static final ArchRule SERVER_SIDE_KNOWS_NO_CLIENT_SIDE = noClasses().that().resideInAPackage("shelffront.server..")
-            .should().dependOnClassesThat().resideInAnyPackage("shelffront.client..", "shelffront.discovery..",
-                    "shelffront.gateway..", "shelffront.decide..");
+  @ArchTest
+  static final ArchRule SERVER_SIDE_KNOWS_NO_CLIENT_SIDE =
+      noClasses()
+          .that()
+          .resideInAPackage("shelffront.server..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "shelffront.client..",
+              "shelffront.discovery..",
+              "shelffront.gateway..",
+              "shelffront.decide..");
 
-    @ArchTest
-    static final ArchRule FRAMING_KNOWS_NO_SOCKETS = noClasses().that().resideInAPackage("shelffront.pg..")
-            .should().dependOnClassesThat().resideInAnyPackage("java.nio.channels..", "java.net..",
-                    "shelffront.net..", "shelffront.exchange..");
+  @ArchTest
+  static final ArchRule FRAMING_KNOWS_NO_SOCKETS =
+      noClasses()
+          .that()
+          .resideInAPackage("shelffront.pg..")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              "java.nio.channels..", "java.net..", "shelffront.net..", "shelffront.exchange..");
 
-    @ArchTest
-    static final ArchRule NO_CYCLES = SlicesRuleDefinition.slices().matching("shelffront.(*)..").should()
-            .beFreeOfCycles();
+  @ArchTest
+  static final ArchRule NO_CYCLES =
+      SlicesRuleDefinition.slices().matching("shelffront.(*)..").should().beFreeOfCycles();
 }
--- a/gateway/src/test/java/shelffront/ServeIT.java
+++ b/gateway/src/test/java/shelffront/ServeIT.java
@@ -19,115 +19,141 @@
 /** The built jar under the signals of its platform. */
 public class ServeIT {
 
-    private static final int MISSING_MS = 20_000;
-    private static final int HANGING_MS = 60_000;
+  private static final int MISSING_MS = 20_000;
+  private static final int HANGING_MS = 60_000;
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+  @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
-    /** Guards against a JVM that ends on SIGHUP, with all that the gateway had taken. */
-    @Test(timeout = HANGING_MS)
-    public void readsItsFileAnewOnSighupAndEndsOnSigterm() throws Exception {
-        Path file = folder.newFile("config.json").toPath();
-        try (ServerSocket before = listen(); ServerSocket after = listen()) {
-            write(file, before);
-            Process gateway = start("serve", Map.of("BALANCER_CONFIG", file.toString(),
-                    "BALANCER_LISTEN", "127.0.0.1:0", "BALANCER_DISCOVERY", address(before)));
-            try (BufferedReader log = gateway.inputReader(); Socket watch = before.accept()) {
-                await(log, "listens on");
-                write(file, after);
-                signal(gateway, "HUP");
-                await(log, "reloaded, discovery is /" + address(after));
-                after.accept().close();
-                Files.writeString(file, "{");
-                signal(gateway, "HUP");
-                await(log, "reload failed");
-                signal(gateway, "TERM");
-                await(log, "counters");
-                assertTrue(gateway.waitFor(MISSING_MS, TimeUnit.MILLISECONDS));
-            } finally {
-                gateway.destroyForcibly();
-            }
-        }
+  /** Guards against a JVM that ends on SIGHUP, with all that the gateway had taken. */
+  @Test(timeout = HANGING_MS)
+  public void readsItsFileAnewOnSighupAndEndsOnSigterm() throws Exception {
+    Path file = folder.newFile("config.json").toPath();
+    try (ServerSocket before = listen();
+        ServerSocket after = listen()) {
+      write(file, before);
+      Process gateway =
+          start(
+              "serve",
+              Map.of(
+                  "BALANCER_CONFIG",
+                  file.toString(),
+                  "BALANCER_LISTEN",
+                  "127.0.0.1:0",
+                  "BALANCER_DISCOVERY",
+                  address(before)));
+      try (BufferedReader log = gateway.inputReader();
+          Socket watch = before.accept()) {
+        await(log, "listens on");
+        write(file, after);
+        signal(gateway, "HUP");
+        await(log, "reloaded, discovery is /" + address(after));
+        after.accept().close();
+        Files.writeString(file, "{");
+        signal(gateway, "HUP");
+        await(log, "reload failed");
+        signal(gateway, "TERM");
+        await(log, "counters");
+        assertTrue(gateway.waitFor(MISSING_MS, TimeUnit.MILLISECONDS));
+      } finally {
+        gateway.destroyForcibly();
+      }
     }
+  }
 
-    /**
-     * A JVM that was started with SIGHUP ignored keeps it ignored: no new configuration was taken up, and none said
-     * so.
-     */
-    @Test(timeout = HANGING_MS)
-    public void saysThatSighupIsIgnoredAndTakesUpTheFileAllTheSame() throws Exception {
-        Path file = folder.newFile("config.json").toPath();
-        try (ServerSocket before = listen(); ServerSocket after = listen()) {
-            write(file, before);
-            ProcessBuilder builder = builder(Map.of("BALANCER_CONFIG", file.toString(),
-                    "BALANCER_LISTEN", "127.0.0.1:0", "BALANCER_DISCOVERY", address(before)),
-                    "sh", "-c", "trap '' HUP; exec java -jar target/shelffront.jar serve");
-            Process gateway = builder.start();
-            try (BufferedReader log = gateway.inputReader(); Socket watch = before.accept()) {
-                await(log, "SIGHUP is ignored");
-                await(log, "listens on");
-                write(file, after);
-                signal(gateway, "HUP");
-                await(log, "reloaded, discovery is /" + address(after));
-                after.accept().close();
-            } finally {
-                gateway.destroyForcibly();
-            }
-        }
+  /**
+   * A JVM that was started with SIGHUP ignored keeps it ignored: no new configuration was taken up,
+   * and none said so.
+   */
+  @Test(timeout = HANGING_MS)
+  public void saysThatSighupIsIgnoredAndTakesUpTheFileAllTheSame() throws Exception {
+    Path file = folder.newFile("config.json").toPath();
+    try (ServerSocket before = listen();
+        ServerSocket after = listen()) {
+      write(file, before);
+      ProcessBuilder builder =
+          builder(
+              Map.of(
+                  "BALANCER_CONFIG",
+                  file.toString(),
+                  "BALANCER_LISTEN",
+                  "127.0.0.1:0",
+                  "BALANCER_DISCOVERY",
+                  address(before)),
+              "sh",
+              "-c",
+              "trap '' HUP; exec java -jar target/shelffront.jar serve");
+      Process gateway = builder.start();
+      try (BufferedReader log = gateway.inputReader();
+          Socket watch = before.accept()) {
+        await(log, "SIGHUP is ignored");
+        await(log, "listens on");
+        write(file, after);
+        signal(gateway, "HUP");
+        await(log, "reloaded, discovery is /" + address(after));
+        after.accept().close();
+      } finally {
+        gateway.destroyForcibly();
+      }
     }
+  }
 
-    /** Guards the build's last step, which leaves the archive of classes, and through it the first seconds. */
-    @Test(timeout = HANGING_MS)
-    public void rehearsesEveryClassOfRequest() throws Exception {
-        Process rehearsal = start("rehearse", Map.of("BALANCER_CONFIG", "../docs/example-config.json"));
-        try (BufferedReader log = rehearsal.inputReader()) {
-            await(log, "answers_served=200 ");
-            assertTrue(rehearsal.waitFor(MISSING_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, rehearsal.exitValue());
-        } finally {
-            rehearsal.destroyForcibly();
-        }
+  /**
+   * Guards the build's last step, which leaves the archive of classes, and through it the first
+   * seconds.
+   */
+  @Test(timeout = HANGING_MS)
+  public void rehearsesEveryClassOfRequest() throws Exception {
+    Process rehearsal = start("rehearse", Map.of("BALANCER_CONFIG", "../docs/example-config.json"));
+    try (BufferedReader log = rehearsal.inputReader()) {
+      await(log, "answers_served=200 ");
+      assertTrue(rehearsal.waitFor(MISSING_MS, TimeUnit.MILLISECONDS));
+      assertEquals(0, rehearsal.exitValue());
+    } finally {
+      rehearsal.destroyForcibly();
     }
+  }
 
-    private static Process start(String command, Map<String, String> environment) throws IOException {
-        return builder(environment, "java", "-jar", "target/shelffront.jar", command).start();
-    }
+  private static Process start(String command, Map<String, String> environment) throws IOException {
+    return builder(environment, "java", "-jar", "target/shelffront.jar", command).start();
+  }
 
-    private static ProcessBuilder builder(Map<String, String> environment, String... command) {
-        ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().keySet().removeIf(name -> name.startsWith("BALANCER_"));
-        builder.environment().putAll(environment);
-        return builder.redirectErrorStream(true);
-    }
+  private static ProcessBuilder builder(Map<String, String> environment, String... command) {
+    ProcessBuilder builder = new ProcessBuilder(command);
+    builder.environment().keySet().removeIf(name -> name.startsWith("BALANCER_"));
+    builder.environment().putAll(environment);
+    return builder.redirectErrorStream(true);
+  }
 
-    private static ServerSocket listen() throws IOException {
-        ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        socket.setSoTimeout(MISSING_MS);
-        return socket;
-    }
+  private static ServerSocket listen() throws IOException {
+    ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    socket.setSoTimeout(MISSING_MS);
+    return socket;
+  }
 
-    private static String address(ServerSocket socket) {
-        return "127.0.0.1:" + socket.getLocalPort();
-    }
+  private static String address(ServerSocket socket) {
+    return "127.0.0.1:" + socket.getLocalPort();
+  }
 
-    private static void write(Path file, ServerSocket discovery) throws IOException {
-        Files.writeString(file, Files.readString(Path.of("../docs/example-config.json"))
-                .replace("127.0.0.1:8500", address(discovery)));
-    }
+  private static void write(Path file, ServerSocket discovery) throws IOException {
+    Files.writeString(
+        file,
+        Files.readString(Path.of("../docs/example-config.json"))
+            .replace("127.0.0.1:8500", address(discovery)));
+  }
 
-    private static void signal(Process process, String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
-    }
+  private static void signal(Process process, String name) throws Exception {
+    assertEquals(
+        0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+  }
 
-    private static void await(BufferedReader log, String wanted) throws IOException {
-        StringBuilder seen = new StringBuilder();
-        for (String line = log.readLine(); line != null; line = log.readLine()) {
-            if (line.contains(wanted)) {
-                return;
-            }
-            seen.append(line).append('\n');
-        }
-        throw new AssertionError("the log ended without " + wanted + ": " + seen);
+  private static void await(BufferedReader log, String wanted) throws IOException {
+    StringBuilder seen = new StringBuilder();
+    for (String line = log.readLine(); line != null; line = log.readLine()) {
+      if (line.contains(wanted)) {
+        return;
+      }
+      seen.append(line).append('\n');
     }
+    throw new AssertionError("the log ended without " + wanted + ": " + seen);
+  }
 }
--- a/gateway/src/test/java/shelffront/benchlink/WirePlayTest.java
+++ b/gateway/src/test/java/shelffront/benchlink/WirePlayTest.java
@@ -11,23 +11,28 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Recorded batches of the simulator's wire: lines with {@code >} go in, those with {@code <} must come out. */
+/**
+ * Recorded batches of the simulator's wire: lines with {@code >} go in, those with {@code <} must
+ * come out.
+ */
 public class WirePlayTest {
 
-    private static void play(String name) throws Exception {
-        List<String> lines = Files.readAllLines(Path.of("src/test/resources/wires", name));
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Wire(new ByteArrayInputStream(marked(lines, "> ").getBytes(UTF_8)), out).run();
-        assertEquals(marked(lines, "< "), out.toString(UTF_8));
-    }
+  private static void play(String name) throws Exception {
+    List<String> lines = Files.readAllLines(Path.of("src/test/resources/wires", name));
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    new Wire(new ByteArrayInputStream(marked(lines, "> ").getBytes(UTF_8)), out).run();
+    assertEquals(marked(lines, "< "), out.toString(UTF_8));
+  }
 
-    private static String marked(List<String> lines, String mark) {
-        return lines.stream().filter(l -> l.startsWith(mark)).map(l -> l.substring(mark.length()) + "\n")
-                .collect(joining());
-    }
+  private static String marked(List<String> lines, String mark) {
+    return lines.stream()
+        .filter(l -> l.startsWith(mark))
+        .map(l -> l.substring(mark.length()) + "\n")
+        .collect(joining());
+  }
 
-    @Test
-    public void lateReportsDoNotTakeReadsFromAReplicaThatAnswersThem() throws Exception {
-        play("late-reports.wire");
-    }
+  @Test
+  public void lateReportsDoNotTakeReadsFromAReplicaThatAnswersThem() throws Exception {
+    play("late-reports.wire");
+  }
 }
--- a/gateway/src/test/java/shelffront/cli/CliTest.java
+++ b/gateway/src/test/java/shelffront/cli/CliTest.java
@@ -17,71 +17,99 @@
 
 class CliTest {
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private HostedConfig read(String text) throws Exception {
-        Path file = folder.resolve("c.jsonnet");
-        Files.writeString(file, text);
-        return HostedConfig.read(Templates.evaluate(file));
-    }
+  private HostedConfig read(String text) throws Exception {
+    Path file = folder.resolve("c.jsonnet");
+    Files.writeString(file, text);
+    return HostedConfig.read(Templates.evaluate(file));
+  }
 
-    @Test
-    void theTemplateThatIsGivenIsValid() throws Exception {
-        HostedConfig config = HostedConfig.read(Templates.evaluate(Path.of("../deploy/shelffront.jsonnet")));
-        assertEquals(1, config.tenants().size());
-        assertEquals(0, Cli.run("config", "check", "../deploy/shelffront.jsonnet"));
-        assertEquals(0, Cli.run("config", "check", "../deploy/fleet.jsonnet"));
-        assertEquals(0, Cli.run("config", "check", "../deploy/distribution.jsonnet"));
-    }
+  @Test
+  void theTemplateThatIsGivenIsValid() throws Exception {
+    HostedConfig config =
+        HostedConfig.read(Templates.evaluate(Path.of("../deploy/shelffront.jsonnet")));
+    assertEquals(1, config.tenants().size());
+    assertEquals(0, Cli.run("config", "check", "../deploy/shelffront.jsonnet"));
+    assertEquals(0, Cli.run("config", "check", "../deploy/fleet.jsonnet"));
+    assertEquals(0, Cli.run("config", "check", "../deploy/distribution.jsonnet"));
+  }
 
-    @Test
-    void aStoreIsExportedAndTakenInElsewhere() throws Exception {
-        Path document = folder.resolve("export.json");
-        Path copy = folder.resolve("copy.store");
-        try (Store store = Store.inMemory()) {
-            store.put(Kind.TENANT, "a", 0, SpecJson.parse(("{\"id\":\"a\",\"boxes\":{\"list\":[]},\"classes\":"
-                    + "[{\"name\":\"r\",\"giveUpMs\":10,\"read\":\"any\"}]}").getBytes()), "x", "create", 1);
-            Files.writeString(document, store.export().toString());
-        }
-        assertEquals(0, Cli.run("store", "import", copy.toString(), document.toString()));
-        try (Store store = Store.open(copy)) {
-            assertEquals("a", store.get(Kind.TENANT, "a").document().path("id").asText());
-        }
-        Files.writeString(document, Files.readString(document).replace("\"giveUpMs\":10", "\"giveUpMs\":-1"));
-        assertEquals(1, Cli.run("store", "import", copy.toString(), document.toString()), "a bad one is not taken in");
+  @Test
+  void aStoreIsExportedAndTakenInElsewhere() throws Exception {
+    Path document = folder.resolve("export.json");
+    Path copy = folder.resolve("copy.store");
+    try (Store store = Store.inMemory()) {
+      store.put(
+          Kind.TENANT,
+          "a",
+          0,
+          SpecJson.parse(
+              ("{\"id\":\"a\",\"boxes\":{\"list\":[]},\"classes\":"
+                      + "[{\"name\":\"r\",\"giveUpMs\":10,\"read\":\"any\"}]}")
+                  .getBytes()),
+          "x",
+          "create",
+          1);
+      Files.writeString(document, store.export().toString());
+    }
+    assertEquals(0, Cli.run("store", "import", copy.toString(), document.toString()));
+    try (Store store = Store.open(copy)) {
+      assertEquals("a", store.get(Kind.TENANT, "a").document().path("id").asText());
     }
+    Files.writeString(
+        document, Files.readString(document).replace("\"giveUpMs\":10", "\"giveUpMs\":-1"));
+    assertEquals(
+        1,
+        Cli.run("store", "import", copy.toString(), document.toString()),
+        "a bad one is not taken in");
+  }
 
-    /** Each bad file is refused, and the field at fault is named. */
-    @Test
-    void aBadFileIsRefusedByItsField() throws Exception {
-        String tenant = "{id: 'a', classes: [{name: 'r', giveUpMs: 10, read: 'any'}], boxes: {list: []}}";
-        Map<String, String> bad = Map.ofEntries(
-                Map.entry("{listen: '127.0.0.1:70000'}", "/listen"),
-                Map.entry("{listen: 'localhost:1'}", "/listen"),
-                Map.entry("{}", "/listen"),
-                Map.entry("{listen: '127.0.0.1:1', tenant: []}", "/tenant"),
-                Map.entry("{listen: '127.0.0.1:1', sockets: 'many'}", "/sockets"),
-                Map.entry("{listen: '127.0.0.1:1', capacity: {openRequests: 0}}", "/capacity/openRequests"),
-                Map.entry("{listen: '127.0.0.1:1', store: 5}", "/store"),
-                Map.entry("{listen: '127.0.0.1:1', tenants: [" + tenant + " + {weight: 0}]}", "/tenants/0/weight"),
-                Map.entry("{listen: '127.0.0.1:1', tenants: [" + tenant + "," + tenant + "]}", "/tenants/1/id"),
-                Map.entry("{listen: '127.0.0.1:1', tenants: [" + tenant
-                        + " + {classes: [{name: 'r', giveUpMs: 10, aimMs: 20, read: 'any'}]}]}",
-                        "/tenants/0/classes/0/aimMs"),
-                Map.entry("{listen: '127.0.0.1:1', tenants: [" + tenant
-                        + " + {classes: [{name: 'w', giveUpMs: 10, read: 'write', effect: 'repeatable'}]}]}",
-                        "/tenants/0/classes/0/effect"),
-                Map.entry("{listen: '127.0.0.1:1', tenants: [" + tenant
-                        + " + {boxes: {list: [{id: 'x', address: '300.0.0.1:99999'}]}}]}",
-                        "/tenants/0/boxes/list/0/address"));
-        for (Map.Entry<String, String> each : bad.entrySet()) {
-            SpecException refused = assertThrows(SpecException.class, () -> read(each.getKey()), each.getKey());
-            assertEquals(each.getValue(), refused.pointer(), each.getKey() + ": " + refused.getMessage());
-        }
-        SpecException torn = assertThrows(SpecException.class, () -> read("{listen: "));
-        assertTrue(torn.getMessage().contains("c.jsonnet"), torn.getMessage());
-        assertEquals(1, Cli.run("config", "check", folder.resolve("none").toString()));
-        assertEquals(2, Cli.run("config", "check"));
+  /** Each bad file is refused, and the field at fault is named. */
+  @Test
+  void aBadFileIsRefusedByItsField() throws Exception {
+    String tenant =
+        "{id: 'a', classes: [{name: 'r', giveUpMs: 10, read: 'any'}], boxes: {list: []}}";
+    Map<String, String> bad =
+        Map.ofEntries(
+            Map.entry("{listen: '127.0.0.1:70000'}", "/listen"),
+            Map.entry("{listen: 'localhost:1'}", "/listen"),
+            Map.entry("{}", "/listen"),
+            Map.entry("{listen: '127.0.0.1:1', tenant: []}", "/tenant"),
+            Map.entry("{listen: '127.0.0.1:1', sockets: 'many'}", "/sockets"),
+            Map.entry(
+                "{listen: '127.0.0.1:1', capacity: {openRequests: 0}}", "/capacity/openRequests"),
+            Map.entry("{listen: '127.0.0.1:1', store: 5}", "/store"),
+            Map.entry(
+                "{listen: '127.0.0.1:1', tenants: [" + tenant + " + {weight: 0}]}",
+                "/tenants/0/weight"),
+            Map.entry(
+                "{listen: '127.0.0.1:1', tenants: [" + tenant + "," + tenant + "]}",
+                "/tenants/1/id"),
+            Map.entry(
+                "{listen: '127.0.0.1:1', tenants: ["
+                    + tenant
+                    + " + {classes: [{name: 'r', giveUpMs: 10, aimMs: 20, read: 'any'}]}]}",
+                "/tenants/0/classes/0/aimMs"),
+            Map.entry(
+                "{listen: '127.0.0.1:1', tenants: ["
+                    + tenant
+                    + " + {classes: [{name: 'w', giveUpMs: 10, read: 'write', effect:"
+                    + " 'repeatable'}]}]}",
+                "/tenants/0/classes/0/effect"),
+            Map.entry(
+                "{listen: '127.0.0.1:1', tenants: ["
+                    + tenant
+                    + " + {boxes: {list: [{id: 'x', address: '300.0.0.1:99999'}]}}]}",
+                "/tenants/0/boxes/list/0/address"));
+    for (Map.Entry<String, String> each : bad.entrySet()) {
+      SpecException refused =
+          assertThrows(SpecException.class, () -> read(each.getKey()), each.getKey());
+      assertEquals(each.getValue(), refused.pointer(), each.getKey() + ": " + refused.getMessage());
     }
+    SpecException torn = assertThrows(SpecException.class, () -> read("{listen: "));
+    assertTrue(torn.getMessage().contains("c.jsonnet"), torn.getMessage());
+    assertEquals(1, Cli.run("config", "check", folder.resolve("none").toString()));
+    assertEquals(2, Cli.run("config", "check"));
+  }
 }
--- a/gateway/src/test/java/shelffront/engine/MemoryEngine.java
+++ b/gateway/src/test/java/shelffront/engine/MemoryEngine.java
@@ -6,82 +6,83 @@
 /** Keys in memory; all of the interface's promises in one lock. */
 public final class MemoryEngine implements Engine {
 
-    private final TreeMap<String, Value> values = new TreeMap<>();
-    private long index = 1;
+  private final TreeMap<String, Value> values = new TreeMap<>();
+  private long index = 1;
 
-    @Override
-    public synchronized Value read(String key) {
-        return values.get(key);
-    }
+  @Override
+  public synchronized Value read(String key) {
+    return values.get(key);
+  }
 
-    @Override
-    public synchronized Listing list(String prefix) {
-        return new Listing(index, values.tailMap(prefix).values().stream().filter(v -> v.key().startsWith(prefix))
-                .toList());
-    }
+  @Override
+  public synchronized Listing list(String prefix) {
+    return new Listing(
+        index,
+        values.tailMap(prefix).values().stream().filter(v -> v.key().startsWith(prefix)).toList());
+  }
 
-    @Override
-    public synchronized Listing watch(String prefix, long after) {
-        try {
-            if (index == after) {
-                wait(50);
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        return list(prefix);
+  @Override
+  public synchronized Listing watch(String prefix, long after) {
+    try {
+      if (index == after) {
+        wait(50);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+    return list(prefix);
+  }
 
-    @Override
-    public synchronized boolean put(String key, long at, String text) {
-        return transact(List.of(new Write(key, at, text)));
-    }
+  @Override
+  public synchronized boolean put(String key, long at, String text) {
+    return transact(List.of(new Write(key, at, text)));
+  }
 
-    @Override
-    public synchronized void delete(String key, long at) {
-        if (values.containsKey(key)) {
-            transact(List.of(new Write(key, at, null)));
-        }
+  @Override
+  public synchronized void delete(String key, long at) {
+    if (values.containsKey(key)) {
+      transact(List.of(new Write(key, at, null)));
     }
+  }
 
-    @Override
-    public synchronized boolean transact(List<Write> writes) {
-        for (Write write : writes) {
-            long at = values.containsKey(write.key()) ? values.get(write.key()).index() : 0;
-            if (write.index() != Write.ANY_INDEX && write.index() != at) {
-                return false;
-            }
-        }
-        index++;
-        for (Write write : writes) {
-            if (write.text() == null) {
-                values.remove(write.key());
-            } else {
-                values.put(write.key(), new Value(write.key(), index, write.text()));
-            }
-        }
-        notifyAll();
-        return true;
+  @Override
+  public synchronized boolean transact(List<Write> writes) {
+    for (Write write : writes) {
+      long at = values.containsKey(write.key()) ? values.get(write.key()).index() : 0;
+      if (write.index() != Write.ANY_INDEX && write.index() != at) {
+        return false;
+      }
     }
-
-    @Override
-    public synchronized List<Value> readAll(List<String> keys) {
-        return keys.stream().filter(values::containsKey).map(values::get).toList();
+    index++;
+    for (Write write : writes) {
+      if (write.text() == null) {
+        values.remove(write.key());
+      } else {
+        values.put(write.key(), new Value(write.key(), index, write.text()));
+      }
     }
+    notifyAll();
+    return true;
+  }
 
-    /** What it holds now, for {@link #restore}. */
-    public synchronized TreeMap<String, Value> keep() {
-        return new TreeMap<>(values);
-    }
+  @Override
+  public synchronized List<Value> readAll(List<String> keys) {
+    return keys.stream().filter(values::containsKey).map(values::get).toList();
+  }
 
-    /** Has it hold what it held before. */
-    public synchronized void restore(TreeMap<String, Value> kept) {
-        values.clear();
-        values.putAll(kept);
-        index++;
-        notifyAll();
-    }
+  /** What it holds now, for {@link #restore}. */
+  public synchronized TreeMap<String, Value> keep() {
+    return new TreeMap<>(values);
+  }
+
+  /** Has it hold what it held before. */
+  public synchronized void restore(TreeMap<String, Value> kept) {
+    values.clear();
+    values.putAll(kept);
+    index++;
+    notifyAll();
+  }
 
-    @Override
-    public void close() {}
+  @Override
+  public void close() {}
 }
--- a/gateway/src/test/java/shelffront/fleetconfig/ChangeStoreTest.java
+++ b/gateway/src/test/java/shelffront/fleetconfig/ChangeStoreTest.java
@@ -19,110 +19,117 @@
 
 class ChangeStoreTest {
 
-    private final MemoryEngine engine = new MemoryEngine();
-    private final ChangeStore store = new ChangeStore(engine, "f");
+  private final MemoryEngine engine = new MemoryEngine();
+  private final ChangeStore store = new ChangeStore(engine, "f");
 
-    private Version put(String name, long expected, String document) throws Exception {
-        return store.write(name, expected, document, Version.NONE);
-    }
+  private Version put(String name, long expected, String document) throws Exception {
+    return store.write(name, expected, document, Version.NONE);
+  }
 
-    @Test
-    void aChangeIsTakenForTheVersionThatItWasMadeForAlone() throws Exception {
-        Version first = put("a", 0, "one");
-        assertEquals(1, first.sequence());
-        assertThrows(RecordChanged.class, () -> put("a", 0, "two"));
-        Version second = put("a", 1, "two");
-        RecordChanged e = assertThrows(RecordChanged.class, () -> put("a", 1, null));
-        assertEquals("two", e.present().document());
-        put("a", second.sequence(), null);
-        assertNull(store.record("a"));
-        assertThrows(RecordChanged.class, () -> put("a", 3, "four"));
-    }
+  @Test
+  void aChangeIsTakenForTheVersionThatItWasMadeForAlone() throws Exception {
+    Version first = put("a", 0, "one");
+    assertEquals(1, first.sequence());
+    assertThrows(RecordChanged.class, () -> put("a", 0, "two"));
+    Version second = put("a", 1, "two");
+    RecordChanged e = assertThrows(RecordChanged.class, () -> put("a", 1, null));
+    assertEquals("two", e.present().document());
+    put("a", second.sequence(), null);
+    assertNull(store.record("a"));
+    assertThrows(RecordChanged.class, () -> put("a", 3, "four"));
+  }
 
-    @Test
-    void aFollowerReadsWhatItLacksAndNoMore() throws Exception {
-        put("a", 0, "one");
-        Head head = store.head();
-        for (int i = 0; i < 70; i++) {
-            put("b" + i, 0, "x");
-        }
-        List<Change> missing = store.changes(head, store.head());
-        assertEquals(70, missing.size());
-        assertEquals("b0", missing.get(0).name());
-        assertEquals(71, missing.get(69).version().sequence());
-        assertEquals(71, store.readAll().snapshot().records().size());
+  @Test
+  void aFollowerReadsWhatItLacksAndNoMore() throws Exception {
+    put("a", 0, "one");
+    Head head = store.head();
+    for (int i = 0; i < 70; i++) {
+      put("b" + i, 0, "x");
     }
+    List<Change> missing = store.changes(head, store.head());
+    assertEquals(70, missing.size());
+    assertEquals("b0", missing.get(0).name());
+    assertEquals(71, missing.get(69).version().sequence());
+    assertEquals(71, store.readAll().snapshot().records().size());
+  }
 
-    @Test
-    void whoLacksMoreThanTheLogHoldsIsToldSo() throws Exception {
-        put("a", 0, "one");
-        Head head = store.head();
-        long sequence = 1;
-        for (int i = 0; i < ChangeStore.LOG_SLOTS; i++) {
-            sequence = put("a", sequence, "x" + i).sequence();
-        }
-        assertNull(store.changes(head, store.head()));
+  @Test
+  void whoLacksMoreThanTheLogHoldsIsToldSo() throws Exception {
+    put("a", 0, "one");
+    Head head = store.head();
+    long sequence = 1;
+    for (int i = 0; i < ChangeStore.LOG_SLOTS; i++) {
+      sequence = put("a", sequence, "x" + i).sequence();
     }
+    assertNull(store.changes(head, store.head()));
+  }
 
-    @Test
-    void anEngineRestoredFromOlderDataIsKnown() throws Exception {
-        put("a", 0, "one");
-        var kept = engine.keep();
-        put("a", 1, "two");
-        put("a", 2, "three");
-        Head seen = store.head();
-        engine.restore(kept);
-        assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
-        assertThrows(EngineSteppedBack.class, () -> store.write("a", 1, "again", seen.version()));
-    }
+  @Test
+  void anEngineRestoredFromOlderDataIsKnown() throws Exception {
+    put("a", 0, "one");
+    var kept = engine.keep();
+    put("a", 1, "two");
+    put("a", 2, "three");
+    Head seen = store.head();
+    engine.restore(kept);
+    assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
+    assertThrows(EngineSteppedBack.class, () -> store.write("a", 1, "again", seen.version()));
+  }
 
-    /** Its sequence has passed what was given out: only the chain of ids tells that this is another history. */
-    @Test
-    void aRestoredEngineThatHasGoneOnIsKnownToo() throws Exception {
-        put("a", 0, "one");
-        var kept = engine.keep();
-        put("a", 1, "two");
-        Head seen = store.head();
-        engine.restore(kept);
-        put("b", 0, "other");
-        assertEquals(seen.version(), store.head().version());
-        assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
-        put("b", 2, "more");
-        put("b", 3, "still more");
-        assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
-    }
+  /**
+   * Its sequence has passed what was given out: only the chain of ids tells that this is another
+   * history.
+   */
+  @Test
+  void aRestoredEngineThatHasGoneOnIsKnownToo() throws Exception {
+    put("a", 0, "one");
+    var kept = engine.keep();
+    put("a", 1, "two");
+    Head seen = store.head();
+    engine.restore(kept);
+    put("b", 0, "other");
+    assertEquals(seen.version(), store.head().version());
+    assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
+    put("b", 2, "more");
+    put("b", 3, "still more");
+    assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
+  }
 
-    @Test
-    void aNewIncarnationIsNewerThanAllThatWasGivenOut() throws Exception {
-        put("a", 0, "one");
-        var kept = engine.keep();
-        put("a", 1, "two");
-        Head seen = store.head();
-        engine.restore(kept);
-        Version begun = store.beginIncarnation();
-        assertTrue(seen.version().isBefore(begun));
-        assertNull(store.changes(seen, store.head()), "all records have to be read");
-        Change record = store.readAll().snapshot().records().get(0);
-        assertEquals("one", record.document());
-        assertTrue(seen.version().isBefore(record.version()), "it replaces what is newer by its sequence alone");
-        assertEquals(2, put("a", 1, "next").sequence());
-    }
+  @Test
+  void aNewIncarnationIsNewerThanAllThatWasGivenOut() throws Exception {
+    put("a", 0, "one");
+    var kept = engine.keep();
+    put("a", 1, "two");
+    Head seen = store.head();
+    engine.restore(kept);
+    Version begun = store.beginIncarnation();
+    assertTrue(seen.version().isBefore(begun));
+    assertNull(store.changes(seen, store.head()), "all records have to be read");
+    Change record = store.readAll().snapshot().records().get(0);
+    assertEquals("one", record.document());
+    assertTrue(
+        seen.version().isBefore(record.version()),
+        "it replaces what is newer by its sequence alone");
+    assertEquals(2, put("a", 1, "next").sequence());
+  }
 
-    @Test
-    void aDocumentThatTheEngineCantHoldIsRefused() {
-        assertThrows(DistributionException.RecordTooLarge.class,
-                () -> put("a", 0, "x".repeat(ChangeStore.GREATEST_DOCUMENT + 1)));
-    }
+  @Test
+  void aDocumentThatTheEngineCantHoldIsRefused() {
+    assertThrows(
+        DistributionException.RecordTooLarge.class,
+        () -> put("a", 0, "x".repeat(ChangeStore.GREATEST_DOCUMENT + 1)));
+  }
 
-    /** Each error that there is stands on the page with its code. */
-    @Test
-    void theOperatorsPageNamesEveryError() throws Exception {
-        String page = Files.readString(Path.of("../docs/operators/distribution.md"));
-        List<Class<?>> kinds = List.of(DistributionException.class.getPermittedSubclasses());
-        assertEquals(9, kinds.size());
-        for (Class<?> kind : kinds) {
-            String code = kind.getSimpleName().replaceAll("(?<=.)([A-Z])", "-$1").toLowerCase(Locale.ROOT);
-            assertTrue(page.contains("| `" + code + "` |"), code);
-        }
+  /** Each error that there is stands on the page with its code. */
+  @Test
+  void theOperatorsPageNamesEveryError() throws Exception {
+    String page = Files.readString(Path.of("../docs/operators/distribution.md"));
+    List<Class<?>> kinds = List.of(DistributionException.class.getPermittedSubclasses());
+    assertEquals(9, kinds.size());
+    for (Class<?> kind : kinds) {
+      String code =
+          kind.getSimpleName().replaceAll("(?<=.)([A-Z])", "-$1").toLowerCase(Locale.ROOT);
+      assertTrue(page.contains("| `" + code + "` |"), code);
     }
+  }
 }
--- a/gateway/src/test/java/shelffront/gateway/BrokenAnswerTest.java
+++ b/gateway/src/test/java/shelffront/gateway/BrokenAnswerTest.java
@@ -14,117 +14,141 @@
 import org.junit.Test;
 
 /**
- * A host's answer that breaks off after each of its bytes, by an end or by a reset. Up to CommandComplete nothing of it
- * is passed on, and the request may have run: it is sent again if its class permits that, and has failed where not.
- * From there on the host has said how it ended, unless it stops in the middle of a message.
+ * A host's answer that breaks off after each of its bytes, by an end or by a reset. Up to
+ * CommandComplete nothing of it is passed on, and the request may have run: it is sent again if its
+ * class permits that, and has failed where not. From there on the host has said how it ended,
+ * unless it stops in the middle of a message.
  */
 public class BrokenAnswerTest {
 
-    private static final String ROW = "\"T\"{0001\"blob\"00 00000000000000000011FFFFFFFFFFFF0001}"
-            + " \"D\"{0001(00FF27)} \"C\"{\"SELECT 1\"00}";
-    private static final String READY = "\"Z\"{\"I\"}";
-    private static final byte[] WHOLE = PlayRunner.bytes(ROW + " \"S\"{\"server_role\"00\"writer\"00} " + READY);
-    /** Where the host has said how the request ended, and stops at the end of a message. */
-    private static final Set<Integer> SAID = Set.of(PlayRunner.bytes(ROW).length,
-            WHOLE.length - PlayRunner.bytes(READY).length, WHOLE.length);
-    private static final byte[] ADMIT = PlayRunner.bytes("\"R\"{00000000} " + READY);
-    private static final byte[] REPORT = PlayRunner.bytes("\"T\"{0001\"usage\"00 00000000000000000019FFFFFFFFFFFF0000}"
-            + " \"D\"{0001(\"x0=1800000000.000,x1=1,queue=0\")} \"C\"{\"SHOW\"00} " + READY);
-
-    /** A primary that answers all it is asked, but breaks off in the first answer to a request. */
-    private static final class Host {
-
-        private final int cut;
-        private final boolean reset;
-        private final AtomicInteger requests = new AtomicInteger();
-
-        Host(int cut, boolean reset) {
-            this.cut = cut;
-            this.reset = reset;
-        }
+  private static final String ROW =
+      "\"T\"{0001\"blob\"00 00000000000000000011FFFFFFFFFFFF0001}"
+          + " \"D\"{0001(00FF27)} \"C\"{\"SELECT 1\"00}";
+  private static final String READY = "\"Z\"{\"I\"}";
+  private static final byte[] WHOLE =
+      PlayRunner.bytes(ROW + " \"S\"{\"server_role\"00\"writer\"00} " + READY);
 
-        void serve(ServerSocket listener) {
-            daemon(() -> {
-                while (true) {
-                    Socket socket = listener.accept();
-                    daemon(() -> {
-                        DataInputStream in = new DataInputStream(socket.getInputStream());
-                        in.readNBytes(in.readInt() - 4);
-                        socket.getOutputStream().write(ADMIT);
-                        answer(socket);
-                    });
-                }
-            });
-        }
+  /** Where the host has said how the request ended, and stops at the end of a message. */
+  private static final Set<Integer> SAID =
+      Set.of(
+          PlayRunner.bytes(ROW).length,
+          WHOLE.length - PlayRunner.bytes(READY).length,
+          WHOLE.length);
 
-        void answer(Socket socket) throws IOException {
-            DataInputStream in = new DataInputStream(socket.getInputStream());
-            OutputStream out = socket.getOutputStream();
-            while (in.read() == 'Q') {
-                String query = new String(in.readNBytes(in.readInt() - 4), ISO_8859_1);
-                if (query.startsWith("SHOW")) {
-                    out.write(REPORT);
-                } else if (requests.getAndIncrement() > 0) {
-                    out.write(WHOLE);
-                } else {
-                    out.write(WHOLE, 0, cut);
-                    socket.setSoLinger(reset, 0);
-                    socket.close();
-                    return;
-                }
+  private static final byte[] ADMIT = PlayRunner.bytes("\"R\"{00000000} " + READY);
+  private static final byte[] REPORT =
+      PlayRunner.bytes(
+          "\"T\"{0001\"usage\"00 00000000000000000019FFFFFFFFFFFF0000}"
+              + " \"D\"{0001(\"x0=1800000000.000,x1=1,queue=0\")} \"C\"{\"SHOW\"00} "
+              + READY);
+
+  /** A primary that answers all it is asked, but breaks off in the first answer to a request. */
+  private static final class Host {
+
+    private final int cut;
+    private final boolean reset;
+    private final AtomicInteger requests = new AtomicInteger();
+
+    Host(int cut, boolean reset) {
+      this.cut = cut;
+      this.reset = reset;
+    }
+
+    void serve(ServerSocket listener) {
+      daemon(
+          () -> {
+            while (true) {
+              Socket socket = listener.accept();
+              daemon(
+                  () -> {
+                    DataInputStream in = new DataInputStream(socket.getInputStream());
+                    in.readNBytes(in.readInt() - 4);
+                    socket.getOutputStream().write(ADMIT);
+                    answer(socket);
+                  });
             }
+          });
+    }
+
+    void answer(Socket socket) throws IOException {
+      DataInputStream in = new DataInputStream(socket.getInputStream());
+      OutputStream out = socket.getOutputStream();
+      while (in.read() == 'Q') {
+        String query = new String(in.readNBytes(in.readInt() - 4), ISO_8859_1);
+        if (query.startsWith("SHOW")) {
+          out.write(REPORT);
+        } else if (requests.getAndIncrement() > 0) {
+          out.write(WHOLE);
+        } else {
+          out.write(WHOLE, 0, cut);
+          socket.setSoLinger(reset, 0);
+          socket.close();
+          return;
         }
+      }
+    }
 
-        private interface Work {
+    private interface Work {
 
-            void run() throws IOException;
-        }
+      void run() throws IOException;
+    }
 
-        private static void daemon(Work work) {
-            Thread thread = new Thread(() -> {
+    private static void daemon(Work work) {
+      Thread thread =
+          new Thread(
+              () -> {
                 try {
-                    work.run();
+                  work.run();
                 } catch (IOException e) {
-                    // the gateway or the test has ended it
+                  // the gateway or the test has ended it
                 }
-            });
-            thread.setDaemon(true);
-            thread.start();
-        }
+              });
+      thread.setDaemon(true);
+      thread.start();
     }
+  }
 
-    /** Plays a request whose first answer breaks off; gives how often it reached the host. */
-    private static int play(String effect, int cut, boolean reset, String answer) throws Exception {
-        try (PlayRunner runner = new PlayRunner()) {
-            Host host = new Host(cut, reset);
-            String name = effect + " cut after " + cut + (reset ? " by a reset" : "");
-            runner.play(name, List.of("set \"by_key\" \"" + effect + "\"", "include start"));
-            Socket first = runner.socket("h1");
-            host.serve(runner.party("m1"));
-            Host.daemon(() -> host.answer(first));
-            runner.play(name, List.of("c opens",
-                    "c > @hello \"Q\"{\"/* id=a,c=order,d=3000,k=5c0f,cluster=1 */ INSERT INTO rows\"00}",
-                    "c < @welcome " + answer + " @ready", "c > \"Q\"{\" ;\"00}", "c < \"I\"{} @ready"));
-            return host.requests.get();
-        }
+  /** Plays a request whose first answer breaks off; gives how often it reached the host. */
+  private static int play(String effect, int cut, boolean reset, String answer) throws Exception {
+    try (PlayRunner runner = new PlayRunner()) {
+      Host host = new Host(cut, reset);
+      String name = effect + " cut after " + cut + (reset ? " by a reset" : "");
+      runner.play(name, List.of("set \"by_key\" \"" + effect + "\"", "include start"));
+      Socket first = runner.socket("h1");
+      host.serve(runner.party("m1"));
+      Host.daemon(() -> host.answer(first));
+      runner.play(
+          name,
+          List.of(
+              "c opens",
+              "c > @hello \"Q\"{\"/* id=a,c=order,d=3000,k=5c0f,cluster=1 */ INSERT INTO rows\"00}",
+              "c < @welcome " + answer + " @ready",
+              "c > \"Q\"{\" ;\"00}",
+              "c < \"I\"{} @ready"));
+      return host.requests.get();
     }
+  }
 
-    @Test
-    public void whatMayBeRepeatedIsServedWholeByAnotherAttempt() throws Exception {
-        for (int cut = 0; cut <= WHOLE.length; cut++) {
-            assertEquals("cut after " + cut, SAID.contains(cut) ? 1 : 2, play("by_key", cut, false, "@row"));
-        }
+  @Test
+  public void whatMayBeRepeatedIsServedWholeByAnotherAttempt() throws Exception {
+    for (int cut = 0; cut <= WHOLE.length; cut++) {
+      assertEquals(
+          "cut after " + cut, SAID.contains(cut) ? 1 : 2, play("by_key", cut, false, "@row"));
     }
+  }
 
-    @Test
-    public void whatMayNotBeRepeatedHasFailed() throws Exception {
-        String failed = "\"E\"{\"SERROR\"00\"VERROR\"00\"C40003\"00\"Mfailed, its effect is not known\"00 00}";
-        for (int cut = 0; cut <= WHOLE.length; cut++) {
-            assertEquals("cut after " + cut, 1, play("once", cut, false, SAID.contains(cut) ? "@row" : failed));
-        }
-        // A reset may destroy what was written before it, so only what was never whole is sure to have failed.
-        for (int cut = 0; cut < PlayRunner.bytes(ROW).length; cut++) {
-            assertEquals("reset after " + cut, 1, play("once", cut, true, failed));
-        }
+  @Test
+  public void whatMayNotBeRepeatedHasFailed() throws Exception {
+    String failed =
+        "\"E\"{\"SERROR\"00\"VERROR\"00\"C40003\"00\"Mfailed, its effect is not known\"00 00}";
+    for (int cut = 0; cut <= WHOLE.length; cut++) {
+      assertEquals(
+          "cut after " + cut, 1, play("once", cut, false, SAID.contains(cut) ? "@row" : failed));
+    }
+    // A reset may destroy what was written before it, so only what was never whole is sure to have
+    // failed.
+    for (int cut = 0; cut < PlayRunner.bytes(ROW).length; cut++) {
+      assertEquals("reset after " + cut, 1, play("once", cut, true, failed));
     }
+  }
 }
--- a/gateway/src/test/java/shelffront/gateway/DiscoveryClockTest.java
+++ b/gateway/src/test/java/shelffront/gateway/DiscoveryClockTest.java
@@ -7,65 +7,106 @@
 import org.junit.Test;
 
 /**
- * A change counts as told 6 s after discovery had it and could be reached, whatever failed before. A call that goes
- * wrong is over within 2.5 s of the play's clock, the next one begins within 0.9 s, and its answer may take 2.5 s:
- * 5.9 s.
+ * A change counts as told 6 s after discovery had it and could be reached, whatever failed before.
+ * A call that goes wrong is over within 2.5 s of the play's clock, the next one begins within 0.9
+ * s, and its answer may take 2.5 s: 5.9 s.
  */
 public class DiscoveryClockTest {
 
-    private static final String GET = "w < \"GET /catalog/members?watch=1&from=41 HTTP/1.1\\r\\nHost: $d"
-            + "\\r\\nAccept: application/json\\r\\n\\r\\n\"";
-    private static final String HEADERS = "\"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n\"";
+  private static final String GET =
+      "w < \"GET /catalog/members?watch=1&from=41 HTTP/1.1\\r\\nHost: $d"
+          + "\\r\\nAccept: application/json\\r\\n\\r\\n\"";
+  private static final String HEADERS =
+      "\"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n\"";
 
-    /** What may become of a call that has come and is not answered yet. */
-    private static final Map<String, List<String>> FAULTS = new TreeMap<>(Map.of(
-            "silent", List.of("clock 2500", "log reason=silent"),
-            "hung under its headers", List.of("w > \"HTTP/1.1 200 OK\\r\\nTransfer-\"", "clock 2500",
-                    "log reason=silent"),
-            "trickles", List.of("w > " + HEADERS, "clock 800", "w > \"1\\r\\n{\\r\\n1\"", "clock 800", "w > \"\\r\\n\"",
-                    "clock 900", "log reason=silent"),
-            "503", List.of("w > \"HTTP/1.1 503 Busy\\r\\nContent-Length: 90\\r\\n\\r\\n\"",
-                    "log status=503 reason=answered"),
-            "reset", List.of("w resets", "log reason=peer-reset"),
-            "garbage", List.of("w > \"SSH-2.0-x\\r\\n\"", "log reason=bad-answer"),
-            "half a list", List.of("w > " + HEADERS + " [\"{`revision`:42,`complete`:true,`members`:[\"]", "clock 1",
-                    "w closes", "log reason=peer-closed"),
-            "garbled list", List.of("w > " + HEADERS + " [\"{`revision`:42,`members`:[{`id`:1}]}\\n\"]",
-                    "log reason=bad-answer"),
-            "down", List.of("unlisten d", "w resets", "log reason=peer-reset", "clock 900", "log reason=connect-failed",
-                    "again d")));
+  /** What may become of a call that has come and is not answered yet. */
+  private static final Map<String, List<String>> FAULTS =
+      new TreeMap<>(
+          Map.of(
+              "silent", List.of("clock 2500", "log reason=silent"),
+              "hung under its headers",
+                  List.of(
+                      "w > \"HTTP/1.1 200 OK\\r\\nTransfer-\"", "clock 2500", "log reason=silent"),
+              "trickles",
+                  List.of(
+                      "w > " + HEADERS,
+                      "clock 800",
+                      "w > \"1\\r\\n{\\r\\n1\"",
+                      "clock 800",
+                      "w > \"\\r\\n\"",
+                      "clock 900",
+                      "log reason=silent"),
+              "503",
+                  List.of(
+                      "w > \"HTTP/1.1 503 Busy\\r\\nContent-Length: 90\\r\\n\\r\\n\"",
+                      "log status=503 reason=answered"),
+              "reset", List.of("w resets", "log reason=peer-reset"),
+              "garbage", List.of("w > \"SSH-2.0-x\\r\\n\"", "log reason=bad-answer"),
+              "half a list",
+                  List.of(
+                      "w > " + HEADERS + " [\"{`revision`:42,`complete`:true,`members`:[\"]",
+                      "clock 1",
+                      "w closes",
+                      "log reason=peer-closed"),
+              "garbled list",
+                  List.of(
+                      "w > " + HEADERS + " [\"{`revision`:42,`members`:[{`id`:1}]}\\n\"]",
+                      "log reason=bad-answer"),
+              "down",
+                  List.of(
+                      "unlisten d",
+                      "w resets",
+                      "log reason=peer-reset",
+                      "clock 900",
+                      "log reason=connect-failed",
+                      "again d")));
 
-    private static List<String> play(String mode, List<String> faults) {
-        List<String> lines = new ArrayList<>(List.of("set \"ask\" \"" + mode + "\"", "include start", "w resets",
+  private static List<String> play(String mode, List<String> faults) {
+    List<String> lines =
+        new ArrayList<>(
+            List.of(
+                "set \"ask\" \"" + mode + "\"",
+                "include start",
+                "w resets",
                 "log end discovery watch"));
-        for (String fault : faults) {
-            lines.addAll(List.of("clock 900", "w from d", GET));
-            lines.addAll(FAULTS.get(fault));
-        }
-        lines.addAll(List.of("clock 900", "w from d", GET, "w > " + HEADERS
-                + " [\"{`revision`:42,`complete`:false,`members`:[{`id`:`m2`,`host_port`:`$m2`,`phase`:`Gone`}]}\\n\"]",
-                "h2 closed", "log end host m2 reason=left-list"));
-        return lines;
+    for (String fault : faults) {
+      lines.addAll(List.of("clock 900", "w from d", GET));
+      lines.addAll(FAULTS.get(fault));
     }
+    lines.addAll(
+        List.of(
+            "clock 900",
+            "w from d",
+            GET,
+            "w > "
+                + HEADERS
+                + " [\"{`revision`:42,`complete`:false,"
+                + "`members`:[{`id`:`m2`,`host_port`:`$m2`,`phase`:`Gone`}]}\\n"
+                + "\"]",
+            "h2 closed",
+            "log end host m2 reason=left-list"));
+    return lines;
+  }
 
-    private static void holds(String mode) throws Exception {
-        for (String often : FAULTS.keySet()) {
-            for (String last : FAULTS.keySet()) {
-                try (PlayRunner runner = new PlayRunner()) {
-                    runner.play(mode + ", four times " + often + ", then " + last,
-                            play(mode, List.of(often, often, often, often, last)));
-                }
-            }
+  private static void holds(String mode) throws Exception {
+    for (String often : FAULTS.keySet()) {
+      for (String last : FAULTS.keySet()) {
+        try (PlayRunner runner = new PlayRunner()) {
+          runner.play(
+              mode + ", four times " + often + ", then " + last,
+              play(mode, List.of(often, often, often, often, last)));
         }
+      }
     }
+  }
 
-    @Test
-    public void whereListsAreAskedFor() throws Exception {
-        holds("ask");
-    }
+  @Test
+  public void whereListsAreAskedFor() throws Exception {
+    holds("ask");
+  }
 
-    @Test
-    public void whereListsArePushed() throws Exception {
-        holds("push");
-    }
+  @Test
+  public void whereListsArePushed() throws Exception {
+    holds("push");
+  }
 }
