--- a/gateway/src/test/java/shelffront/gateway/PlayRunner.java
+++ b/gateway/src/test/java/shelffront/gateway/PlayRunner.java
@@ -31,371 +31,405 @@
 import shelffront.config.SettingsReader;
 import shelffront.net.Budget;
 import shelffront.net.Counters;
+import shelffront.net.EventLoop;
 import shelffront.net.Log;
 import shelffront.net.Network;
-import shelffront.net.EventLoop;
 
 /**
- * Plays the steps of a recorded exchange against a gateway in this process, on sockets with ports of the system's
- * choice. Time is the play's own; the only real limit is the one after which a missing byte counts as missing.
+ * Plays the steps of a recorded exchange against a gateway in this process, on sockets with ports
+ * of the system's choice. Time is the play's own; the only real limit is the one after which a
+ * missing byte counts as missing.
  */
 final class PlayRunner implements AutoCloseable {
 
-    static final Path PLAYS = Path.of("src/test/resources/plays");
-    private static final Path EXAMPLE = Path.of("../docs/example-config.json");
-    private static final int MISSING_MS = 10_000;
-
-    private final AtomicLong clock = new AtomicLong(1_800_000_000_000_000L);
-    private final Map<String, ServerSocket> parties = new HashMap<>();
-    private final Map<String, String> given = new HashMap<>();
-    private final Map<String, Socket> sockets = new HashMap<>();
-    private final BlockingQueue<String> log = new ArrayBlockingQueue<>(10_000);
-    private final Counters counters = new Counters();
-    private final EventLoop loop = new EventLoop(clock::get, counters);
-    private final Path file;
-    private String example;
-    private Gateway gateway;
-    private Reload reload;
-    private Thread turns;
-    /** Holds that were asked for and not reached yet, in their order. */
-    private final Set<CountDownLatch> holds = new LinkedHashSet<>();
-    private final BlockingQueue<CountDownLatch> reached = new ArrayBlockingQueue<>(100);
-    private CountDownLatch held; // where the loop stands still
-    private final WatchedChannels channels = new WatchedChannels();
-    private long opened; // connections to the gateway
-    private long ended; // ends of connections since the loop was held
-    private long endsBefore;
-    private long written;
-
-    PlayRunner() throws IOException {
-        file = Files.createTempFile("play", ".json");
-        example = Files.readString(EXAMPLE);
-    }
+  static final Path PLAYS = Path.of("src/test/resources/plays");
+  private static final Path EXAMPLE = Path.of("../docs/example-config.json");
+  private static final int MISSING_MS = 10_000;
 
-    void play(Path file) throws Exception {
-        play(file.getFileName().toString(), Files.readAllLines(file));
-    }
+  private final AtomicLong clock = new AtomicLong(1_800_000_000_000_000L);
+  private final Map<String, ServerSocket> parties = new HashMap<>();
+  private final Map<String, String> given = new HashMap<>();
+  private final Map<String, Socket> sockets = new HashMap<>();
+  private final BlockingQueue<String> log = new ArrayBlockingQueue<>(10_000);
+  private final Counters counters = new Counters();
+  private final EventLoop loop = new EventLoop(clock::get, counters);
+  private final Path file;
+  private String example;
+  private Gateway gateway;
+  private Reload reload;
+  private Thread turns;
 
-    /** Plays steps that a test has put together; the name is for its complaints. */
-    void play(String name, List<String> lines) throws Exception {
-        int number = 0;
-        for (String line : lines) {
-            number++;
-            if (!line.isBlank() && !line.startsWith("#")) {
-                try {
-                    step(line.strip().split(" +", 3));
-                } catch (AssertionError | Exception e) {
-                    throw new AssertionError(name + ":" + number + ": " + line + ": " + e + "; log: " + log, e);
-                }
-            }
-        }
-    }
+  /** Holds that were asked for and not reached yet, in their order. */
+  private final Set<CountDownLatch> holds = new LinkedHashSet<>();
 
-    ServerSocket party(String name) {
-        return parties.get(name);
-    }
+  private final BlockingQueue<CountDownLatch> reached = new ArrayBlockingQueue<>(100);
+  private CountDownLatch held; // where the loop stands still
+  private final WatchedChannels channels = new WatchedChannels();
+  private long opened; // connections to the gateway
+  private long ended; // ends of connections since the loop was held
+  private long endsBefore;
+  private long written;
 
-    Socket socket(String name) {
-        return sockets.get(name);
-    }
+  PlayRunner() throws IOException {
+    file = Files.createTempFile("play", ".json");
+    example = Files.readString(EXAMPLE);
+  }
 
-    private void step(String[] words) throws Exception {
-        String verb = words.length > 1 ? words[1] : "";
-        String rest = words.length > 2 ? words[2] : "";
-        switch (words[0]) {
-            case "include" -> {
-                given.put("@it", named(rest));
-                play(PLAYS.resolveSibling(verb));
-            }
-            case "set" -> {
-                assertTrue("the example has no " + verb, example.contains(verb));
-                example = example.replace(verb, rest);
-            }
-            case "let" -> given.put("@" + verb, rest);
-            case "listen" -> listen(verb, 0);
-            case "again" -> listen(verb, parties.get(verb).getLocalPort());
-            case "unlisten" -> parties.get(verb).close();
-            case "gateway" -> start(named(String.join(" ", verb, rest)));
-            case "clock" -> {
-                if (held == null) {
-                    untilAllIsRead();
-                }
-                clock.addAndGet(Long.parseLong(verb) * 1000);
-                if (held == null && holds.isEmpty()) {
-                    untilTurned();
-                } else if (held == null) {
-                    loop.post(() -> {}); // wakes the loop, which will not come to the end of its turn
-                }
-            }
-            case "hold" -> hold(verb);
-            case "held" -> untilHeld();
-            case "arrived" -> untilArrived();
-            case "go" -> {
-                held.countDown();
-                held = null;
-            }
-            case "log" -> awaitLog(named(String.join(" ", verb, rest).strip()));
-            case "reload" -> reload(named(String.join(" ", verb, rest)));
-            case "stop" -> loop.post(gateway::drain);
-            case "stopped" -> turns.join(MISSING_MS);
-            default -> socketStep(words[0], verb, rest);
+  void play(Path file) throws Exception {
+    play(file.getFileName().toString(), Files.readAllLines(file));
+  }
+
+  /** Plays steps that a test has put together; the name is for its complaints. */
+  void play(String name, List<String> lines) throws Exception {
+    int number = 0;
+    for (String line : lines) {
+      number++;
+      if (!line.isBlank() && !line.startsWith("#")) {
+        try {
+          step(line.strip().split(" +", 3));
+        } catch (AssertionError | Exception e) {
+          throw new AssertionError(
+              name + ":" + number + ": " + line + ": " + e + "; log: " + log, e);
         }
+      }
     }
+  }
 
-    private void listen(String name, int port) throws IOException {
-        ServerSocket party = new ServerSocket();
-        party.setReuseAddress(true);
-        party.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 50);
-        party.setSoTimeout(MISSING_MS);
-        parties.put(name, party);
-    }
+  ServerSocket party(String name) {
+    return parties.get(name);
+  }
 
-    private void socketStep(String name, String verb, String rest) throws Exception {
-        switch (verb) {
-            case "opens" -> {
-                opened++;
-                keep(name, new Socket(InetAddress.getLoopbackAddress(),
-                        ((InetSocketAddress) gateway.address()).getPort()));
-            }
-            case "from" -> keep(name, parties.get(rest).accept());
-            case ">" -> {
-                byte[] bytes = bytes(named(rest));
-                written += bytes.length;
-                sockets.get(name).getOutputStream().write(bytes);
-            }
-            case "<" -> {
-                byte[] expected = bytes(named(rest));
-                byte[] got = sockets.get(name).getInputStream().readNBytes(expected.length);
-                assertEquals(readable(expected), readable(got));
-            }
-            case "closes" -> {
-                ended++;
-                sockets.get(name).close();
-            }
-            case "resets" -> {
-                ended++;
-                sockets.get(name).setSoLinger(true, 0);
-                sockets.get(name).close();
-            }
-            case "closed" -> assertEquals("", readable(rest(sockets.get(name))));
-            case "ends" -> assertEquals("an end that is no reset", -1, sockets.get(name).getInputStream().read());
-            case "half" -> {
-                ended++;
-                sockets.get(name).shutdownOutput();
-            }
-            default -> throw new IllegalArgumentException("no step is called " + verb);
+  Socket socket(String name) {
+    return sockets.get(name);
+  }
+
+  private void step(String[] words) throws Exception {
+    String verb = words.length > 1 ? words[1] : "";
+    String rest = words.length > 2 ? words[2] : "";
+    switch (words[0]) {
+      case "include" -> {
+        given.put("@it", named(rest));
+        play(PLAYS.resolveSibling(verb));
+      }
+      case "set" -> {
+        assertTrue("the example has no " + verb, example.contains(verb));
+        example = example.replace(verb, rest);
+      }
+      case "let" -> given.put("@" + verb, rest);
+      case "listen" -> listen(verb, 0);
+      case "again" -> listen(verb, parties.get(verb).getLocalPort());
+      case "unlisten" -> parties.get(verb).close();
+      case "gateway" -> start(named(String.join(" ", verb, rest)));
+      case "clock" -> {
+        if (held == null) {
+          untilAllIsRead();
+        }
+        clock.addAndGet(Long.parseLong(verb) * 1000);
+        if (held == null && holds.isEmpty()) {
+          untilTurned();
+        } else if (held == null) {
+          loop.post(() -> {}); // wakes the loop, which will not come to the end of its turn
         }
+      }
+      case "hold" -> hold(verb);
+      case "held" -> untilHeld();
+      case "arrived" -> untilArrived();
+      case "go" -> {
+        held.countDown();
+        held = null;
+      }
+      case "log" -> awaitLog(named(String.join(" ", verb, rest).strip()));
+      case "reload" -> reload(named(String.join(" ", verb, rest)));
+      case "stop" -> loop.post(gateway::drain);
+      case "stopped" -> turns.join(MISSING_MS);
+      default -> socketStep(words[0], verb, rest);
     }
+  }
 
-    private static byte[] rest(Socket socket) throws IOException {
-        try {
-            return socket.getInputStream().readAllBytes();
-        } catch (SocketException e) {
-            return new byte[0]; // a reset is an end too
-        }
+  private void listen(String name, int port) throws IOException {
+    ServerSocket party = new ServerSocket();
+    party.setReuseAddress(true);
+    party.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 50);
+    party.setSoTimeout(MISSING_MS);
+    parties.put(name, party);
+  }
+
+  private void socketStep(String name, String verb, String rest) throws Exception {
+    switch (verb) {
+      case "opens" -> {
+        opened++;
+        keep(
+            name,
+            new Socket(
+                InetAddress.getLoopbackAddress(),
+                ((InetSocketAddress) gateway.address()).getPort()));
+      }
+      case "from" -> keep(name, parties.get(rest).accept());
+      case ">" -> {
+        byte[] bytes = bytes(named(rest));
+        written += bytes.length;
+        sockets.get(name).getOutputStream().write(bytes);
+      }
+      case "<" -> {
+        byte[] expected = bytes(named(rest));
+        byte[] got = sockets.get(name).getInputStream().readNBytes(expected.length);
+        assertEquals(readable(expected), readable(got));
+      }
+      case "closes" -> {
+        ended++;
+        sockets.get(name).close();
+      }
+      case "resets" -> {
+        ended++;
+        sockets.get(name).setSoLinger(true, 0);
+        sockets.get(name).close();
+      }
+      case "closed" -> assertEquals("", readable(rest(sockets.get(name))));
+      case "ends" ->
+          assertEquals("an end that is no reset", -1, sockets.get(name).getInputStream().read());
+      case "half" -> {
+        ended++;
+        sockets.get(name).shutdownOutput();
+      }
+      default -> throw new IllegalArgumentException("no step is called " + verb);
     }
+  }
 
-    private void keep(String name, Socket socket) throws SocketException {
-        socket.setSoTimeout(MISSING_MS);
-        sockets.put(name, socket);
+  private static byte[] rest(Socket socket) throws IOException {
+    try {
+      return socket.getInputStream().readAllBytes();
+    } catch (SocketException e) {
+      return new byte[0]; // a reset is an end too
     }
+  }
+
+  private void keep(String name, Socket socket) throws SocketException {
+    socket.setSoTimeout(MISSING_MS);
+    sockets.put(name, socket);
+  }
 
-    private void start(String members) throws Exception {
-        String known = "{\"revision\":41,\"complete\":true,\"members\":[" + members + "]}";
-        GatewayConfig config = new GatewayConfig("n0", new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                GatewayConfig.address(named("$d")), 7,
-                Integer.parseInt(given.getOrDefault("@sockets", "1024")), 100,
-                SettingsReader.read((Map<?, ?>) Json.object(example).get("settings")),
-                MemberList.read(Json.object(known)));
-        Log lines = line -> log.add(line.toString());
-        Network network = Network.open(loop, channels, new Budget(1 << 20), counters, lines);
-        gateway = new Gateway(network, config);
-        reload = new Reload(network, gateway, Map.of("BALANCER_CONFIG", file.toString()));
-        gateway.start();
-        turns = new Thread(() -> {
-            try {
+  private void start(String members) throws Exception {
+    String known = "{\"revision\":41,\"complete\":true,\"members\":[" + members + "]}";
+    GatewayConfig config =
+        new GatewayConfig(
+            "n0",
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            GatewayConfig.address(named("$d")),
+            7,
+            Integer.parseInt(given.getOrDefault("@sockets", "1024")),
+            100,
+            SettingsReader.read((Map<?, ?>) Json.object(example).get("settings")),
+            MemberList.read(Json.object(known)));
+    Log lines = line -> log.add(line.toString());
+    Network network = Network.open(loop, channels, new Budget(1 << 20), counters, lines);
+    gateway = new Gateway(network, config);
+    reload = new Reload(network, gateway, Map.of("BALANCER_CONFIG", file.toString()));
+    gateway.start();
+    turns =
+        new Thread(
+            () -> {
+              try {
                 loop.run();
-            } catch (InterruptedException e) {
+              } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-            }
-        });
-        turns.start();
-    }
+              }
+            });
+    turns.start();
+  }
 
-    /**
-     * Stops the loop: without a time at once, in the middle of its results, so that what arrives stands in its queue;
-     * else in the middle of the deadlines that are due when so many milliseconds have passed.
-     */
-    private void hold(String delay) throws Exception {
-        CountDownLatch hold = new CountDownLatch(1);
-        holds.add(hold);
-        Runnable block = () -> {
-            reached.add(hold);
-            try {
-                if (!hold.await(MISSING_MS, TimeUnit.MILLISECONDS)) {
-                    throw new IllegalStateException("nobody let the loop go");
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
+  /**
+   * Stops the loop: without a time at once, in the middle of its results, so that what arrives
+   * stands in its queue; else in the middle of the deadlines that are due when so many milliseconds
+   * have passed.
+   */
+  private void hold(String delay) throws Exception {
+    CountDownLatch hold = new CountDownLatch(1);
+    holds.add(hold);
+    Runnable block =
+        () -> {
+          reached.add(hold);
+          try {
+            if (!hold.await(MISSING_MS, TimeUnit.MILLISECONDS)) {
+              throw new IllegalStateException("nobody let the loop go");
             }
+          } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+          }
         };
-        if (delay.isEmpty()) {
-            loop.post(block);
-            untilHeld();
-        } else {
-            loop.post(() -> loop.at(loop.now() + Long.parseLong(delay) * 1000, block));
-            if (held == null) {
-                untilTurned();
-            }
-        }
+    if (delay.isEmpty()) {
+      loop.post(block);
+      untilHeld();
+    } else {
+      loop.post(() -> loop.at(loop.now() + Long.parseLong(delay) * 1000, block));
+      if (held == null) {
+        untilTurned();
+      }
     }
+  }
 
-    private void untilHeld() throws InterruptedException {
-        held = reached.poll(MISSING_MS, TimeUnit.MILLISECONDS);
-        assertTrue("the loop was not held", held != null);
-        holds.remove(held);
-        endsBefore = channels.ends.get();
-        ended = 0;
-    }
+  private void untilHeld() throws InterruptedException {
+    held = reached.poll(MISSING_MS, TimeUnit.MILLISECONDS);
+    assertTrue("the loop was not held", held != null);
+    holds.remove(held);
+    endsBefore = channels.ends.get();
+    ended = 0;
+  }
 
-    /**
-     * Waits until all that the play has done stands in the loop's queue: bytes written, connections opened, and what
-     * was ended since the loop was held.
-     */
-    private void untilArrived() {
-        until("what was done has not arrived", () -> channels.bytes.get() >= written && channels.accepts.get() >= opened
+  /**
+   * Waits until all that the play has done stands in the loop's queue: bytes written, connections
+   * opened, and what was ended since the loop was held.
+   */
+  private void untilArrived() {
+    until(
+        "what was done has not arrived",
+        () ->
+            channels.bytes.get() >= written
+                && channels.accepts.get() >= opened
                 && channels.ends.get() >= endsBefore + ended);
-    }
+  }
 
-    private static void until(String complaint, BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
-        while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError(complaint);
-            }
-            Thread.onSpinWait();
-        }
+  private static void until(String complaint, BooleanSupplier condition) {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
+    while (!condition.getAsBoolean()) {
+      if (System.nanoTime() > end) {
+        throw new AssertionError(complaint);
+      }
+      Thread.onSpinWait();
     }
+  }
 
-    /** Writes the file and gives the order to read it; the address of discovery alone stands for a whole file. */
-    private void reload(String text) throws IOException {
-        Files.writeString(file, text.matches("[0-9.:]+ *")
-                ? example.replace("127.0.0.1:8500", text.strip()) : text);
-        reload.ask();
-    }
+  /**
+   * Writes the file and gives the order to read it; the address of discovery alone stands for a
+   * whole file.
+   */
+  private void reload(String text) throws IOException {
+    Files.writeString(
+        file, text.matches("[0-9.:]+ *") ? example.replace("127.0.0.1:8500", text.strip()) : text);
+    reload.ask();
+  }
 
-    /**
-     * Guards against time that passes while bytes are on their way: what they mean would depend on the race. So would a
-     * command behind an answer whose write is still out: it is taken up when that is done.
-     */
-    private void untilAllIsRead() throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
-        // Twice, since what the first look found done may have been in work still.
-        for (int quiet = 0; quiet < 2;) {
-            boolean busy = untilTurned() < written || channels.writesOut.get() > 0 || loop.waiting() > 0;
-            quiet = busy ? 0 : quiet + 1;
-            if (System.nanoTime() > end) {
-                throw new AssertionError("the program did not read all that was written");
-            }
-        }
+  /**
+   * Guards against time that passes while bytes are on their way: what they mean would depend on
+   * the race. So would a command behind an answer whose write is still out: it is taken up when
+   * that is done.
+   */
+  private void untilAllIsRead() throws Exception {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
+    // Twice, since what the first look found done may have been in work still.
+    for (int quiet = 0; quiet < 2; ) {
+      boolean busy = untilTurned() < written || channels.writesOut.get() > 0 || loop.waiting() > 0;
+      quiet = busy ? 0 : quiet + 1;
+      if (System.nanoTime() > end) {
+        throw new AssertionError("the program did not read all that was written");
+      }
     }
+  }
 
-    /** Waits for a turn of the loop; gives the bytes that the program has read by then. */
-    private long untilTurned() throws Exception {
-        CompletableFuture<Long> read = new CompletableFuture<>();
-        loop.post(() -> read.complete(counters.get(Counters.Name.BYTES_IN)));
-        return read.get(MISSING_MS, TimeUnit.MILLISECONDS);
-    }
+  /** Waits for a turn of the loop; gives the bytes that the program has read by then. */
+  private long untilTurned() throws Exception {
+    CompletableFuture<Long> read = new CompletableFuture<>();
+    loop.post(() -> read.complete(counters.get(Counters.Name.BYTES_IN)));
+    return read.get(MISSING_MS, TimeUnit.MILLISECONDS);
+  }
 
-    private void awaitLog(String wanted) throws InterruptedException {
-        StringBuilder others = new StringBuilder();
-        String line = log.poll(MISSING_MS, TimeUnit.MILLISECONDS);
-        while (line != null && !line.contains(wanted)) {
-            others.append('\n').append(line);
-            line = log.poll(MISSING_MS, TimeUnit.MILLISECONDS);
-        }
-        if (line == null) {
-            throw new AssertionError("no such line in the log, only:" + others);
-        }
+  private void awaitLog(String wanted) throws InterruptedException {
+    StringBuilder others = new StringBuilder();
+    String line = log.poll(MISSING_MS, TimeUnit.MILLISECONDS);
+    while (line != null && !line.contains(wanted)) {
+      others.append('\n').append(line);
+      line = log.poll(MISSING_MS, TimeUnit.MILLISECONDS);
     }
-
-    /** Puts in what words stand for, and addresses for the names of those who listen. */
-    private String named(String text) {
-        for (Map.Entry<String, String> word : given.entrySet()) {
-            text = text.replace(word.getKey(), word.getValue());
-        }
-        for (Map.Entry<String, ServerSocket> party : parties.entrySet()) {
-            text = text.replace("$" + party.getKey(), "127.0.0.1:" + party.getValue().getLocalPort());
-        }
-        return text;
+    if (line == null) {
+      throw new AssertionError("no such line in the log, only:" + others);
     }
+  }
 
-    /** The notation of the plays; see plays/README.md. */
-    static byte[] bytes(String notation) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Object() {
-            private int at;
-
-            void until(char end, ByteArrayOutputStream into) {
-                while (at < notation.length() && notation.charAt(at) != end) {
-                    char c = notation.charAt(at++);
-                    if (c == '"') {
-                        int close = notation.indexOf('"', at);
-                        into.writeBytes(notation.substring(at, close).replace("\\n", "\n").replace("\\r", "\r")
-                                .replace('`', '"').getBytes(ISO_8859_1));
-                        at = close + 1;
-                    } else if ("{([".indexOf(c) >= 0) {
-                        ByteArrayOutputStream inner = new ByteArrayOutputStream();
-                        until("})]".charAt("{([".indexOf(c)), inner);
-                        at++;
-                        into.writeBytes(c == '[' ? (Integer.toHexString(inner.size()) + "\r\n").getBytes(ISO_8859_1)
-                                : number(inner.size() + (c == '{' ? 4 : 0)));
-                        into.writeBytes(inner.toByteArray());
-                        into.writeBytes(c == '[' ? new byte[] {'\r', '\n'} : new byte[0]);
-                    } else if (c == '*') {
-                        int space = (notation + " ").indexOf(' ', at);
-                        into.writeBytes(new byte[Integer.parseInt(notation.substring(at, space))]);
-                        at = space;
-                    } else if (c != ' ') {
-                        into.write(Integer.parseInt(notation.substring(at - 1, ++at), 16));
-                    }
-                }
-            }
-        }.until('\0', out);
-        return out.toByteArray();
+  /** Puts in what words stand for, and addresses for the names of those who listen. */
+  private String named(String text) {
+    for (Map.Entry<String, String> word : given.entrySet()) {
+      text = text.replace(word.getKey(), word.getValue());
     }
-
-    private static byte[] number(int value) {
-        return new byte[] {(byte) (value >> 24), (byte) (value >> 16), (byte) (value >> 8), (byte) value};
+    for (Map.Entry<String, ServerSocket> party : parties.entrySet()) {
+      text = text.replace("$" + party.getKey(), "127.0.0.1:" + party.getValue().getLocalPort());
     }
+    return text;
+  }
 
-    private static String readable(byte[] bytes) {
-        StringBuilder text = new StringBuilder();
-        for (byte b : bytes) {
-            text.append(b >= ' ' && b <= '~' ? String.valueOf((char) b) : String.format("\\%02x", b));
+  /** The notation of the plays; see plays/README.md. */
+  static byte[] bytes(String notation) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    new Object() {
+      private int at;
+
+      void until(char end, ByteArrayOutputStream into) {
+        while (at < notation.length() && notation.charAt(at) != end) {
+          char c = notation.charAt(at++);
+          if (c == '"') {
+            int close = notation.indexOf('"', at);
+            into.writeBytes(
+                notation
+                    .substring(at, close)
+                    .replace("\\n", "\n")
+                    .replace("\\r", "\r")
+                    .replace('`', '"')
+                    .getBytes(ISO_8859_1));
+            at = close + 1;
+          } else if ("{([".indexOf(c) >= 0) {
+            ByteArrayOutputStream inner = new ByteArrayOutputStream();
+            until("})]".charAt("{([".indexOf(c)), inner);
+            at++;
+            into.writeBytes(
+                c == '['
+                    ? (Integer.toHexString(inner.size()) + "\r\n").getBytes(ISO_8859_1)
+                    : number(inner.size() + (c == '{' ? 4 : 0)));
+            into.writeBytes(inner.toByteArray());
+            into.writeBytes(c == '[' ? new byte[] {'\r', '\n'} : new byte[0]);
+          } else if (c == '*') {
+            int space = (notation + " ").indexOf(' ', at);
+            into.writeBytes(new byte[Integer.parseInt(notation.substring(at, space))]);
+            at = space;
+          } else if (c != ' ') {
+            into.write(Integer.parseInt(notation.substring(at - 1, ++at), 16));
+          }
         }
-        return text.toString();
+      }
+    }.until('\0', out);
+    return out.toByteArray();
+  }
+
+  private static byte[] number(int value) {
+    return new byte[] {
+      (byte) (value >> 24), (byte) (value >> 16), (byte) (value >> 8), (byte) value
+    };
+  }
+
+  private static String readable(byte[] bytes) {
+    StringBuilder text = new StringBuilder();
+    for (byte b : bytes) {
+      text.append(b >= ' ' && b <= '~' ? String.valueOf((char) b) : String.format("\\%02x", b));
     }
+    return text.toString();
+  }
 
-    @Override
-    public void close() throws IOException {
-        loop.post(loop::stop);
-        try {
-            if (turns != null) {
-                turns.join(MISSING_MS);
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        for (Socket socket : sockets.values()) {
-            socket.close();
-        }
-        for (ServerSocket party : parties.values()) {
-            party.close();
-        }
-        if (gateway != null) {
-            gateway.close();
-        }
-        Files.deleteIfExists(file);
+  @Override
+  public void close() throws IOException {
+    loop.post(loop::stop);
+    try {
+      if (turns != null) {
+        turns.join(MISSING_MS);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+    for (Socket socket : sockets.values()) {
+      socket.close();
+    }
+    for (ServerSocket party : parties.values()) {
+      party.close();
+    }
+    if (gateway != null) {
+      gateway.close();
     }
+    Files.deleteIfExists(file);
+  }
 }
--- a/gateway/src/test/java/shelffront/gateway/PlayTest.java
+++ b/gateway/src/test/java/shelffront/gateway/PlayTest.java
@@ -14,24 +14,27 @@
 @RunWith(Parameterized.class)
 public class PlayTest {
 
-    private final Path play;
+  private final Path play;
 
-    public PlayTest(String name, Path play) {
-        this.play = play;
-    }
+  public PlayTest(String name, Path play) {
+    this.play = play;
+  }
 
-    @Parameters(name = "{0}")
-    public static List<Object[]> plays() throws IOException {
-        try (Stream<Path> files = Files.list(PlayRunner.PLAYS)) {
-            return files.filter(f -> f.toString().endsWith(".play")).sorted()
-                    .map(f -> new Object[] {f.getFileName().toString(), f}).toList();
-        }
+  @Parameters(name = "{0}")
+  public static List<Object[]> plays() throws IOException {
+    try (Stream<Path> files = Files.list(PlayRunner.PLAYS)) {
+      return files
+          .filter(f -> f.toString().endsWith(".play"))
+          .sorted()
+          .map(f -> new Object[] {f.getFileName().toString(), f})
+          .toList();
     }
+  }
 
-    @Test
-    public void goesAsRecorded() throws Exception {
-        try (PlayRunner runner = new PlayRunner()) {
-            runner.play(play);
-        }
+  @Test
+  public void goesAsRecorded() throws Exception {
+    try (PlayRunner runner = new PlayRunner()) {
+      runner.play(play);
     }
+  }
 }
--- a/gateway/src/test/java/shelffront/net/EventLoopTest.java
+++ b/gateway/src/test/java/shelffront/net/EventLoopTest.java
@@ -9,19 +9,24 @@
 
 public class EventLoopTest {
 
-    /** Guards against limits on connections that are over before the first turn, since loading took its time. */
-    @Test
-    public void aLimitCountsFromTheClockNotFromTheTurn() throws Exception {
-        AtomicLong clock = new AtomicLong(1_000_000);
-        EventLoop loop = new EventLoop(clock::get, new Counters());
-        List<String> ran = new ArrayList<>();
-        clock.addAndGet(300_000);
-        loop.after(250_000, () -> ran.add("limit"));
-        loop.at(1_000_000, () -> {
-            ran.add("turn at " + loop.now());
-            loop.stop();
+  /**
+   * Guards against limits on connections that are over before the first turn, since loading took
+   * its time.
+   */
+  @Test
+  public void aLimitCountsFromTheClockNotFromTheTurn() throws Exception {
+    AtomicLong clock = new AtomicLong(1_000_000);
+    EventLoop loop = new EventLoop(clock::get, new Counters());
+    List<String> ran = new ArrayList<>();
+    clock.addAndGet(300_000);
+    loop.after(250_000, () -> ran.add("limit"));
+    loop.at(
+        1_000_000,
+        () -> {
+          ran.add("turn at " + loop.now());
+          loop.stop();
         });
-        loop.run();
-        assertEquals(List.of("turn at 1300000"), ran);
-    }
+    loop.run();
+    assertEquals(List.of("turn at 1300000"), ran);
+  }
 }
--- a/gateway/src/test/java/shelffront/server/ReportTest.java
+++ b/gateway/src/test/java/shelffront/server/ReportTest.java
@@ -11,36 +11,53 @@
 /** Guards against a position or a role taken from a report that is not one. */
 public class ReportTest {
 
-    @Test
-    public void readsPositionRoundedDownAndRole() {
-        assertEquals(new Load(1_767_225_600_123_456L, Role.REPLICA, -1, -1, -1),
-                Report.read("x0=1767225600.1234569,x1=0,queue=3"));
-        assertEquals(new Load(Router.UNKNOWN, Role.PRIMARY, -1, -1, -1), Report.read("x1=1"));
-    }
+  @Test
+  public void readsPositionRoundedDownAndRole() {
+    assertEquals(
+        new Load(1_767_225_600_123_456L, Role.REPLICA, -1, -1, -1),
+        Report.read("x0=1767225600.1234569,x1=0,queue=3"));
+    assertEquals(new Load(Router.UNKNOWN, Role.PRIMARY, -1, -1, -1), Report.read("x1=1"));
+  }
 
-    @Test
-    public void takesNothingFromWhatIsNoReport() {
-        for (String text : new String[] {null, "", "x0", "x0=", "x0=NaN", "x0=1e300,x1=1", "x0=-5", "x0=1767225600,",
-                "x0=1767225600.123,x1=1,qu\u00ff", "x0=1767225600123456,x1=1", "x0=1.2.3", "a".repeat(5000)}) {
-            assertNull(text, Report.read(text));
-        }
+  @Test
+  public void takesNothingFromWhatIsNoReport() {
+    for (String text :
+        new String[] {
+          null,
+          "",
+          "x0",
+          "x0=",
+          "x0=NaN",
+          "x0=1e300,x1=1",
+          "x0=-5",
+          "x0=1767225600,",
+          "x0=1767225600.123,x1=1,qu\u00ff",
+          "x0=1767225600123456,x1=1",
+          "x0=1.2.3",
+          "a".repeat(5000)
+        }) {
+      assertNull(text, Report.read(text));
     }
+  }
 
-    /** Seen on the fleet bench: every host's first probe said this, and primaries were taken for replicas. */
-    @Test
-    public void aReportOfZerosTellsNeitherPositionNorRole() {
-        for (String text : new String[] {"x0=0.000,x1=0,backlog=0", "x0=0,x1=1", "x0=0.0"}) {
-            assertEquals(text, new Load(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1), Report.read(text));
-        }
-        assertEquals(new Load(1_000_000L, Role.REPLICA, -1, -1, -1), Report.read("x0=1,x1=0"));
-        assertEquals(Router.UNKNOWN, Report.position("0"));
+  /**
+   * Seen on the fleet bench: every host's first probe said this, and primaries were taken for
+   * replicas.
+   */
+  @Test
+  public void aReportOfZerosTellsNeitherPositionNorRole() {
+    for (String text : new String[] {"x0=0.000,x1=0,backlog=0", "x0=0,x1=1", "x0=0.0"}) {
+      assertEquals(text, new Load(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1), Report.read(text));
     }
+    assertEquals(new Load(1_000_000L, Role.REPLICA, -1, -1, -1), Report.read("x0=1,x1=0"));
+    assertEquals(Router.UNKNOWN, Report.position("0"));
+  }
 
-    @Test
-    public void positionsOnTheWireAreWholeMilliseconds() {
-        assertEquals(1_767_225_600_123_000L, Report.position("1767225600123"));
-        for (String text : new String[] {null, "", "-1", "1.5", "99999999999999999999", "x"}) {
-            assertEquals(Router.UNKNOWN, Report.position(text));
-        }
+  @Test
+  public void positionsOnTheWireAreWholeMilliseconds() {
+    assertEquals(1_767_225_600_123_000L, Report.position("1767225600123"));
+    for (String text : new String[] {null, "", "-1", "1.5", "99999999999999999999", "x"}) {
+      assertEquals(Router.UNKNOWN, Report.position(text));
     }
+  }
 }
--- a/gateway/src/test/java/shelffront/stages/StagesTest.java
+++ b/gateway/src/test/java/shelffront/stages/StagesTest.java
@@ -23,92 +23,122 @@
 /** One gateway's stages on an engine in memory, its settings, and the page of its errors. */
 class StagesTest {
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+  private static final ObjectMapper JSON = new ObjectMapper();
 
-    private static StagesConfig config(String more) throws Exception {
-        return StagesConfig.read(JSON.readTree("{\"engine\":\"127.0.0.1:1\",\"fleet\":\"f\",\"name\":\"g\","
-                + "\"subjects\":{\"s\":[\"one\",\"two\",\"three\"]}" + more + "}"), "/fleet");
-    }
+  private static StagesConfig config(String more) throws Exception {
+    return StagesConfig.read(
+        JSON.readTree(
+            "{\"engine\":\"127.0.0.1:1\",\"fleet\":\"f\",\"name\":\"g\","
+                + "\"subjects\":{\"s\":[\"one\",\"two\",\"three\"]}"
+                + more
+                + "}"),
+        "/fleet");
+  }
 
-    private static void awaitLine(BlockingQueue<String> log, String wanted) throws InterruptedException {
-        List<String> seen = new ArrayList<>();
-        for (String line = log.poll(20, TimeUnit.SECONDS); line != null; line = log.poll(20, TimeUnit.SECONDS)) {
-            if (line.contains(wanted)) {
-                return;
-            }
-            seen.add(line);
-        }
-        throw new AssertionError("no " + wanted + " in " + seen);
+  private static void awaitLine(BlockingQueue<String> log, String wanted)
+      throws InterruptedException {
+    List<String> seen = new ArrayList<>();
+    for (String line = log.poll(20, TimeUnit.SECONDS);
+        line != null;
+        line = log.poll(20, TimeUnit.SECONDS)) {
+      if (line.contains(wanted)) {
+        return;
+      }
+      seen.add(line);
     }
+    throw new AssertionError("no " + wanted + " in " + seen);
+  }
 
-    @Test
-    void anActHoldsUpTheMoveAfterTheNextUntilItEnds() throws Exception {
-        BlockingQueue<String> log = new LinkedBlockingQueue<>();
-        MemoryEngine memory = new MemoryEngine();
-        try (Stages stages = new Stages(config(",\"leaseMs\":600000"), memory, "1", History.to(null),
-                line -> log.add(String.valueOf(line)))) {
-            assertNull(stages.inForce("s"), "the safe stage until it has joined");
-            assertNull(stages.begin("s"));
-            stages.start();
-            awaitLine(log, "stage of s is one");
-            Stages.Act act = stages.begin("s");
-            assertEquals(1, act.under().epoch());
-            stages.target("s", "three");
-            awaitLine(log, "stage of s is two");
-            assertEquals("two", stages.show("s").get(0).stage(), "nothing further while something goes on under one");
-            assertTrue(memory.list("shelffront/f/members/").values().get(0).text().contains("\"epoch\":1"));
-            await().atMost(Duration.ofSeconds(20))
-                    .until(() -> stages.show("s").get(0).waitsFor().equals(List.of("g-1.1")));
-            act.close();
-            act.close();
-            awaitLine(log, "stage of s is three");
-            assertThrows(StageException.UnknownStage.class, () -> stages.target("s", "nine"));
-            assertThrows(StageException.UnknownSubject.class, () -> stages.inForce("t"));
-            assertThrows(StageException.UnknownSubject.class, () -> stages.show("t"));
-            assertEquals(1, stages.show(null).size());
-        }
-        assertTrue(memory.list("shelffront/f/members/").values().isEmpty(), "it has left: no move waits for it");
+  @Test
+  void anActHoldsUpTheMoveAfterTheNextUntilItEnds() throws Exception {
+    BlockingQueue<String> log = new LinkedBlockingQueue<>();
+    MemoryEngine memory = new MemoryEngine();
+    try (Stages stages =
+        new Stages(
+            config(",\"leaseMs\":600000"),
+            memory,
+            "1",
+            History.to(null),
+            line -> log.add(String.valueOf(line)))) {
+      assertNull(stages.inForce("s"), "the safe stage until it has joined");
+      assertNull(stages.begin("s"));
+      stages.start();
+      awaitLine(log, "stage of s is one");
+      Stages.Act act = stages.begin("s");
+      assertEquals(1, act.under().epoch());
+      stages.target("s", "three");
+      awaitLine(log, "stage of s is two");
+      assertEquals(
+          "two",
+          stages.show("s").get(0).stage(),
+          "nothing further while something goes on under one");
+      assertTrue(
+          memory.list("shelffront/f/members/").values().get(0).text().contains("\"epoch\":1"));
+      await()
+          .atMost(Duration.ofSeconds(20))
+          .until(() -> stages.show("s").get(0).waitsFor().equals(List.of("g-1.1")));
+      act.close();
+      act.close();
+      awaitLine(log, "stage of s is three");
+      assertThrows(StageException.UnknownStage.class, () -> stages.target("s", "nine"));
+      assertThrows(StageException.UnknownSubject.class, () -> stages.inForce("t"));
+      assertThrows(StageException.UnknownSubject.class, () -> stages.show("t"));
+      assertEquals(1, stages.show(null).size());
     }
+    assertTrue(
+        memory.list("shelffront/f/members/").values().isEmpty(),
+        "it has left: no move waits for it");
+  }
 
-    @Test
-    void whatStandsInTheEngineAndCantBeReadIsSaid() throws Exception {
-        BlockingQueue<String> log = new LinkedBlockingQueue<>();
-        MemoryEngine memory = new MemoryEngine();
-        memory.put("shelffront/f/standing/s", 0, "{\"epoch\":1,\"stage\":\"five\",\"target\":\"one\"}");
-        try (Stages stages = new Stages(config(""), memory, "1", History.to(null),
-                line -> log.add(String.valueOf(line)))) {
-            stages.start();
-            awaitLine(log, "engine-garbled");
-            assertNull(stages.inForce("s"));
-        }
+  @Test
+  void whatStandsInTheEngineAndCantBeReadIsSaid() throws Exception {
+    BlockingQueue<String> log = new LinkedBlockingQueue<>();
+    MemoryEngine memory = new MemoryEngine();
+    memory.put("shelffront/f/standing/s", 0, "{\"epoch\":1,\"stage\":\"five\",\"target\":\"one\"}");
+    try (Stages stages =
+        new Stages(
+            config(""), memory, "1", History.to(null), line -> log.add(String.valueOf(line)))) {
+      stages.start();
+      awaitLine(log, "engine-garbled");
+      assertNull(stages.inForce("s"));
     }
+  }
 
-    @Test
-    void aFileAtFaultIsNamedByItsField() throws Exception {
-        assertEquals(2, config("").shards());
-        for (String[] bad : new String[][] {{",\"leaseMs\":1", "/fleet/leaseMs"},
-                {",\"leaseMs\":\"6\"", "/fleet/leaseMs"},
-                {",\"drift\":0.9", "/fleet/drift"}, {",\"suspectMs\":100", "/fleet/suspectMs"},
-                {",\"engine\":\"here\"", "/fleet/engine"}, {",\"subjects\":{}", "/fleet/subjects"},
-                {",\"subjects\":{\"s\":[\"a\"]}", "/fleet/subjects/s"},
-                {",\"subjects\":{\"s\":[\"a\",\"a\"]}", "/fleet/subjects/s"},
-                {",\"name\":\"a/b\"", "/fleet/name"}, {",\"shards\":0", "/fleet/shards"},
-                {",\"other\":1", "/fleet/other"}}) {
-            SpecException e = assertThrows(SpecException.class, () -> config(bad[0]), bad[0]);
-            assertEquals(bad[1], e.pointer());
-        }
+  @Test
+  void aFileAtFaultIsNamedByItsField() throws Exception {
+    assertEquals(2, config("").shards());
+    for (String[] bad :
+        new String[][] {
+          {",\"leaseMs\":1", "/fleet/leaseMs"},
+          {",\"leaseMs\":\"6\"", "/fleet/leaseMs"},
+          {",\"drift\":0.9", "/fleet/drift"},
+          {",\"suspectMs\":100", "/fleet/suspectMs"},
+          {",\"engine\":\"here\"", "/fleet/engine"},
+          {",\"subjects\":{}", "/fleet/subjects"},
+          {",\"subjects\":{\"s\":[\"a\"]}", "/fleet/subjects/s"},
+          {",\"subjects\":{\"s\":[\"a\",\"a\"]}", "/fleet/subjects/s"},
+          {",\"name\":\"a/b\"", "/fleet/name"},
+          {",\"shards\":0", "/fleet/shards"},
+          {",\"other\":1", "/fleet/other"}
+        }) {
+      SpecException e = assertThrows(SpecException.class, () -> config(bad[0]), bad[0]);
+      assertEquals(bad[1], e.pointer());
     }
+  }
 
-    /** Each error that there is stands on the page with its code. */
-    @Test
-    void theOperatorsPageNamesEveryError() throws Exception {
-        String page = Files.readString(Path.of("../docs/operators/fleet-changes.md"));
-        List<Class<?>> kinds = new ArrayList<>(List.of(StageException.class.getPermittedSubclasses()));
-        kinds.addAll(List.of(EngineException.class.getPermittedSubclasses()));
-        assertEquals(7, kinds.size());
-        for (Class<?> kind : kinds) {
-            String code = kind.getSimpleName().replaceAll("(?<=.)([A-Z])", "-$1").toLowerCase(java.util.Locale.ROOT);
-            assertTrue(page.contains("`" + code + "`"), code);
-        }
+  /** Each error that there is stands on the page with its code. */
+  @Test
+  void theOperatorsPageNamesEveryError() throws Exception {
+    String page = Files.readString(Path.of("../docs/operators/fleet-changes.md"));
+    List<Class<?>> kinds = new ArrayList<>(List.of(StageException.class.getPermittedSubclasses()));
+    kinds.addAll(List.of(EngineException.class.getPermittedSubclasses()));
+    assertEquals(7, kinds.size());
+    for (Class<?> kind : kinds) {
+      String code =
+          kind.getSimpleName()
+              .replaceAll("(?<=.)([A-Z])", "-$1")
+              .toLowerCase(java.util.Locale.ROOT);
+      assertTrue(page.contains("`" + code + "`"), code);
     }
+  }
 }
--- a/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
+++ b/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
@@ -15,150 +15,173 @@
 import shelffront.client.Clients;
 import shelffront.exchange.Exchange;
 import shelffront.net.Budget;
-import shelffront.share.Holdings;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
-import shelffront.net.Network;
 import shelffront.net.EventLoop;
+import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
 import shelffront.route.Router;
 import shelffront.share.DeficitRoundRobin.Flow;
+import shelffront.share.Holdings;
 import shelffront.share.Shares;
 
 /** A tenant without boxes, on a clock of the test's: when it sleeps and when it must not. */
 class TenantSleepTest {
 
-    private static final long SECOND = 1_000_000;
+  private static final long SECOND = 1_000_000;
 
-    private final AtomicLong clock = new AtomicLong(1_800_000_000 * SECOND);
-    private final EventLoop loop = new EventLoop(clock::get, new Counters());
-    private final List<String> answers = new ArrayList<>();
-    private Network network;
-    private Tenant tenant;
-    private Thread turns;
+  private final AtomicLong clock = new AtomicLong(1_800_000_000 * SECOND);
+  private final EventLoop loop = new EventLoop(clock::get, new Counters());
+  private final List<String> answers = new ArrayList<>();
+  private Network network;
+  private Tenant tenant;
+  private Thread turns;
 
-    private final Clients.Client client = new Clients.Client() {
+  private final Clients.Client client =
+      new Clients.Client() {
         @Override
         public boolean isIdle() {
-            return true;
+          return true;
         }
 
         @Override
         public void dismiss(ProtocolException why, CloseReason reason) {
-            answers.add("dismissed");
+          answers.add("dismissed");
         }
-    };
+      };
 
-    private final Exchange.Asker asker = new Exchange.Asker() {
+  private final Exchange.Asker asker =
+      new Exchange.Asker() {
         @Override
         public void served(byte[] messages) {
-            answers.add("served");
+          answers.add("served");
         }
 
         @Override
         public void refused(long retryAfter) {
-            answers.add("refused");
+          answers.add("refused");
         }
 
         @Override
         public void unavailable() {
-            answers.add("unavailable");
+          answers.add("unavailable");
         }
 
         @Override
         public void failed() {
-            answers.add("failed");
+          answers.add("failed");
         }
-    };
-
-    @BeforeEach
-    void start() throws Exception {
-        network = Network.open(loop, new Budget(1 << 24), new Counters(), line -> {});
-        TenantSpec spec = SpecJson.read(SpecJson.parse("""
+      };
+
+  @BeforeEach
+  void start() throws Exception {
+    network = Network.open(loop, new Budget(1 << 24), new Counters(), line -> {});
+    TenantSpec spec =
+        SpecJson.read(
+            SpecJson.parse(
+                """
                 {"id": "airport", "boxes": {"list": []}, "graceMs": 2000,
                  "classes": [{"name": "read", "giveUpMs": 100000, "read": "session"}]}
-                """.getBytes(StandardCharsets.UTF_8)));
-        tenant = new Tenant(network.of("airport", new Flow<>(1), 1 << 20), spec, 7, new Holdings(10),
-                new Shares(0, 10, loop.now()));
-        turns = new Thread(() -> {
-            try {
+                """
+                    .getBytes(StandardCharsets.UTF_8)));
+    tenant =
+        new Tenant(
+            network.of("airport", new Flow<>(1), 1 << 20),
+            spec,
+            7,
+            new Holdings(10),
+            new Shares(0, 10, loop.now()));
+    turns =
+        new Thread(
+            () -> {
+              try {
                 loop.run();
-            } catch (InterruptedException e) {
+              } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-            }
+              }
+            });
+    turns.start();
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    loop.post(loop::stop);
+    turns.join(10_000);
+    network.channels().shutdown();
+  }
+
+  /** Runs in a turn, after all that was due before it; gives the deadlines that are set then. */
+  private int turn(Runnable task) throws Exception {
+    CompletableFuture<Integer> done = new CompletableFuture<>();
+    loop.post(
+        () -> {
+          task.run();
+          // Two turns on: what the task and the deadlines due with it have posted is done by then.
+          loop.post(
+              () -> loop.at(loop.now(), () -> loop.post(() -> done.complete(loop.deadlines()))));
         });
-        turns.start();
-    }
-
-    @AfterEach
-    void stop() throws Exception {
-        loop.post(loop::stop);
-        turns.join(10_000);
-        network.channels().shutdown();
-    }
-
-    /** Runs in a turn, after all that was due before it; gives the deadlines that are set then. */
-    private int turn(Runnable task) throws Exception {
-        CompletableFuture<Integer> done = new CompletableFuture<>();
-        loop.post(() -> {
-            task.run();
-            // Two turns on: what the task and the deadlines due with it have posted is done by then.
-            loop.post(() -> loop.at(loop.now(), () -> loop.post(() -> done.complete(loop.deadlines()))));
-        });
-        return done.get(10, TimeUnit.SECONDS);
-    }
-
-    private int later(long seconds) throws Exception {
-        clock.addAndGet(seconds * SECOND);
-        turn(() -> {});
-        return turn(() -> {});
-    }
-
-    private void ask(String id, long seconds) {
-        try {
-            Statement statement = Statement.read(("/* id=" + id + ",c=read,d=1,cluster=1 */ SELECT 1")
-                    .getBytes(StandardCharsets.UTF_8));
-            tenant.take(new Exchange(id, statement, 0, loop.now() + seconds * SECOND, asker), "k", 1,
-                    Router.UNKNOWN, false);
-        } catch (ProtocolException e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
-    @Test
-    void itWakesWithItsFirstClientAndSleepsWithoutAny() throws Exception {
-        assertEquals(0, turn(() -> {}), "nothing before its first client");
-        assertTrue(turn(() -> tenant.joined(client)) > 0);
-        assertTrue(later(100) > 0, "awake as long as it has a client");
-        turn(() -> tenant.parted(client));
-        assertTrue(later(29) > 0);
-        assertEquals(0, later(2), "no timer is left");
-        assertTrue(turn(() -> tenant.joined(client)) > 0, "it wakes again");
-        turn(() -> ask("r1", 1));
-        later(2);
-        assertEquals(List.of("refused"), answers, "and answers");
-    }
-
-    /** A client may have left while its attempt is still out: the tenant sleeps when that too is over. */
-    @Test
-    void itDoesNotSleepOverAnOpenRequestNorForgetToSleepAfterIt() throws Exception {
-        turn(() -> tenant.joined(client));
-        turn(() -> ask("r1", 90));
-        turn(() -> tenant.parted(client));
-        assertTrue(later(31) > 0, "a request is open");
-        later(60);
-        assertEquals(List.of("refused"), answers);
-        assertEquals(0, later(31), "no timer is left");
-    }
-
-    @Test
-    void oneThatSleepsIsRemovedWithoutATrace() throws Exception {
-        turn(() -> tenant.joined(client));
-        turn(() -> tenant.parted(client));
-        assertEquals(0, later(31));
-        turn(() -> tenant.remove(2 * SECOND, () -> answers.add("gone")));
-        assertEquals(0, later(3));
-        assertEquals(List.of("gone"), answers);
+    return done.get(10, TimeUnit.SECONDS);
+  }
+
+  private int later(long seconds) throws Exception {
+    clock.addAndGet(seconds * SECOND);
+    turn(() -> {});
+    return turn(() -> {});
+  }
+
+  private void ask(String id, long seconds) {
+    try {
+      Statement statement =
+          Statement.read(
+              ("/* id=" + id + ",c=read,d=1,cluster=1 */ SELECT 1")
+                  .getBytes(StandardCharsets.UTF_8));
+      tenant.take(
+          new Exchange(id, statement, 0, loop.now() + seconds * SECOND, asker),
+          "k",
+          1,
+          Router.UNKNOWN,
+          false);
+    } catch (ProtocolException e) {
+      throw new IllegalStateException(e);
     }
+  }
+
+  @Test
+  void itWakesWithItsFirstClientAndSleepsWithoutAny() throws Exception {
+    assertEquals(0, turn(() -> {}), "nothing before its first client");
+    assertTrue(turn(() -> tenant.joined(client)) > 0);
+    assertTrue(later(100) > 0, "awake as long as it has a client");
+    turn(() -> tenant.parted(client));
+    assertTrue(later(29) > 0);
+    assertEquals(0, later(2), "no timer is left");
+    assertTrue(turn(() -> tenant.joined(client)) > 0, "it wakes again");
+    turn(() -> ask("r1", 1));
+    later(2);
+    assertEquals(List.of("refused"), answers, "and answers");
+  }
+
+  /**
+   * A client may have left while its attempt is still out: the tenant sleeps when that too is over.
+   */
+  @Test
+  void itDoesNotSleepOverAnOpenRequestNorForgetToSleepAfterIt() throws Exception {
+    turn(() -> tenant.joined(client));
+    turn(() -> ask("r1", 90));
+    turn(() -> tenant.parted(client));
+    assertTrue(later(31) > 0, "a request is open");
+    later(60);
+    assertEquals(List.of("refused"), answers);
+    assertEquals(0, later(31), "no timer is left");
+  }
+
+  @Test
+  void oneThatSleepsIsRemovedWithoutATrace() throws Exception {
+    turn(() -> tenant.joined(client));
+    turn(() -> tenant.parted(client));
+    assertEquals(0, later(31));
+    turn(() -> tenant.remove(2 * SECOND, () -> answers.add("gone")));
+    assertEquals(0, later(3));
+    assertEquals(List.of("gone"), answers);
+  }
 }
--- a/lab/src/main/java/shelffront/lab/Demo.java
+++ b/lab/src/main/java/shelffront/lab/Demo.java
@@ -16,58 +16,102 @@
 import shelffront.tenant.SpecJson;
 
 /** A gateway on loopback with a set of stand-in boxes and a sample tenant, to look at. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
-        description = "Starts a gateway with stand-in boxes and a sample tenant, and plays a little load on it.")
+@Command(
+    name = "demo",
+    mixinStandardHelpOptions = true,
+    description =
+        "Starts a gateway with stand-in boxes and a sample tenant, and plays a little load on it.")
 final class Demo implements Callable<Integer> {
 
-    @Option(names = "--seconds", defaultValue = "600", description = "how long it runs (${DEFAULT-VALUE})")
-    private double seconds;
+  @Option(
+      names = "--seconds",
+      defaultValue = "600",
+      description = "how long it runs (${DEFAULT-VALUE})")
+  private double seconds;
 
-    @Option(names = "--port", defaultValue = "5433", description = "for clients, 0 for any (${DEFAULT-VALUE})")
-    private int port;
+  @Option(
+      names = "--port",
+      defaultValue = "5433",
+      description = "for clients, 0 for any (${DEFAULT-VALUE})")
+  private int port;
 
-    @Option(names = "--admin-port", defaultValue = "8600", description = "for administrators (${DEFAULT-VALUE})")
-    private int adminPort;
+  @Option(
+      names = "--admin-port",
+      defaultValue = "8600",
+      description = "for administrators (${DEFAULT-VALUE})")
+  private int adminPort;
 
-    @Override
-    public Integer call() throws Exception {
-        try (StandInSet set = new StandInSet("sample", 2, 4, 5, 10)) {
-            ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:" + port)
-                    .put("admin", "127.0.0.1:" + adminPort);
-            config.putArray("tenants").add(sample(set));
-            Hosted hosted = new Hosted(HostedConfig.read(config), System.out::println);
-            Thread turns = hosted.start();
-            InetSocketAddress clients = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    hosted.address().getPort());
-            String admin = "127.0.0.1:" + hosted.adminAddress().getPort();
-            String token = hosted.tokens().create(null, "demo");
-            System.out.println("clients: psql -h 127.0.0.1 -p " + clients.getPort()
-                    + " -U demo -d sample -c \"/* id=q1,c=read,d=1000,cluster=1 */ SELECT blob FROM rows WHERE handle"
-                    + " = 'h1'\"");
-            System.out.println("administrators: curl -H 'Authorization: Bearer " + token + "' http://" + admin
-                    + "/v1/tenants/sample/usage");
-            Load.Result result = Load.run(clients, "sample", null, List.of(new Load.Kind("read", false, 200, 1000)),
-                    Load.Habits.PLAIN, 20, 4, Math.min(5, seconds));
-            System.out.printf("a load of 20 reads a second: %d served on time of %d, median %.1f ms%n",
-                    result.all.onTime, result.all.due, result.served.getValueAtPercentile(50) / 1e3);
-            Thread.sleep((long) (1000 * Math.max(0, seconds - 5)));
-            hosted.drain();
-            turns.join();
-            return 0;
-        }
+  @Override
+  public Integer call() throws Exception {
+    try (StandInSet set = new StandInSet("sample", 2, 4, 5, 10)) {
+      ObjectNode config =
+          SpecJson.JSON
+              .createObjectNode()
+              .put("listen", "127.0.0.1:" + port)
+              .put("admin", "127.0.0.1:" + adminPort);
+      config.putArray("tenants").add(sample(set));
+      Hosted hosted = new Hosted(HostedConfig.read(config), System.out::println);
+      Thread turns = hosted.start();
+      InetSocketAddress clients =
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort());
+      String admin = "127.0.0.1:" + hosted.adminAddress().getPort();
+      String token = hosted.tokens().create(null, "demo");
+      System.out.println(
+          "clients: psql -h 127.0.0.1 -p "
+              + clients.getPort()
+              + " -U demo -d sample -c \"/* id=q1,c=read,d=1000,cluster=1 */ SELECT blob FROM rows"
+              + " WHERE handle = 'h1'\"");
+      System.out.println(
+          "administrators: curl -H 'Authorization: Bearer "
+              + token
+              + "' http://"
+              + admin
+              + "/v1/tenants/sample/usage");
+      Load.Result result =
+          Load.run(
+              clients,
+              "sample",
+              null,
+              List.of(new Load.Kind("read", false, 200, 1000)),
+              Load.Habits.PLAIN,
+              20,
+              4,
+              Math.min(5, seconds));
+      System.out.printf(
+          "a load of 20 reads a second: %d served on time of %d, median %.1f ms%n",
+          result.all.onTime, result.all.due, result.served.getValueAtPercentile(50) / 1e3);
+      Thread.sleep((long) (1000 * Math.max(0, seconds - 5)));
+      hosted.drain();
+      turns.join();
+      return 0;
     }
+  }
 
-    private static JsonNode sample(StandInSet set) {
-        ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", "sample");
-        ArrayNode classes = tenant.putArray("classes");
-        classes.addObject().put("name", "read").put("aimMs", 200).put("giveUpMs", 1000).put("read", "session");
-        classes.addObject().put("name", "write").put("aimMs", 500).put("giveUpMs", 2000).put("read", "write")
-                .put("effect", "keyed").put("windowMs", 2000);
-        ArrayNode list = tenant.putObject("boxes").putArray("list");
-        for (StandInSet.Box box : set.boxes()) {
-            list.addObject().put("id", box.id()).put("address", box.address()).put("group", 1)
-                    .put("role", box.isPrimary() ? "primary" : "replica");
-        }
-        return tenant;
+  private static JsonNode sample(StandInSet set) {
+    ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", "sample");
+    ArrayNode classes = tenant.putArray("classes");
+    classes
+        .addObject()
+        .put("name", "read")
+        .put("aimMs", 200)
+        .put("giveUpMs", 1000)
+        .put("read", "session");
+    classes
+        .addObject()
+        .put("name", "write")
+        .put("aimMs", 500)
+        .put("giveUpMs", 2000)
+        .put("read", "write")
+        .put("effect", "keyed")
+        .put("windowMs", 2000);
+    ArrayNode list = tenant.putObject("boxes").putArray("list");
+    for (StandInSet.Box box : set.boxes()) {
+      list.addObject()
+          .put("id", box.id())
+          .put("address", box.address())
+          .put("group", 1)
+          .put("role", box.isPrimary() ? "primary" : "replica");
     }
+    return tenant;
+  }
 }
--- a/lab/src/main/java/shelffront/lab/Explore.java
+++ b/lab/src/main/java/shelffront/lab/Explore.java
@@ -19,43 +19,56 @@
 import shelffront.lab.world.Shrinker.Cut;
 
 /** Plays scenarios drawn from seeds in virtual time, until a rule breaks or all are played. */
-@Command(name = "explore", mixinStandardHelpOptions = true, description = {
-        "Plays random scenarios of a virtual fleet and holds each against the rules.",
-        "Exit codes: 0 none broke a rule, 1 one did; each is printed as one command that plays the least of it."})
+@Command(
+    name = "explore",
+    mixinStandardHelpOptions = true,
+    description = {
+      "Plays random scenarios of a virtual fleet and holds each against the rules.",
+      "Exit codes: 0 none broke a rule, 1 one did; each is printed as one command that plays the"
+          + " least of it."
+    })
 final class Explore implements Callable<Integer> {
 
-    @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
-    private long from;
-
-    @Option(names = "--seeds", defaultValue = "100", description = "how many (${DEFAULT-VALUE})")
-    private int seeds;
-
-    @Option(names = "--minutes", defaultValue = "10", description = "begin none after so long (${DEFAULT-VALUE})")
-    private double minutes;
-
-    @Option(names = "--threads", defaultValue = "0", description = "0 for one each core (${DEFAULT-VALUE})")
-    private int threads;
-
-    @Option(names = "--no-shrink", description = "print failing seeds as they are")
-    private boolean noShrink;
-
-    private record Failed(long seed, Fleet.Result result) {}
-
-    @Override
-    public Integer call() throws Exception {
-        int workers = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
-        ExecutorService pool = Executors.newFixedThreadPool(workers);
-        AtomicLong requests = new AtomicLong();
-        AtomicLong events = new AtomicLong();
-        AtomicLong simulated = new AtomicLong();
-        AtomicLong played = new AtomicLong();
-        long begun = System.nanoTime();
-        List<Future<Failed>> runs = new ArrayList<>();
-        for (int i = 0; i < seeds; i++) {
-            long seed = from + i;
-            runs.add(pool.submit(() -> {
+  @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
+  private long from;
+
+  @Option(names = "--seeds", defaultValue = "100", description = "how many (${DEFAULT-VALUE})")
+  private int seeds;
+
+  @Option(
+      names = "--minutes",
+      defaultValue = "10",
+      description = "begin none after so long (${DEFAULT-VALUE})")
+  private double minutes;
+
+  @Option(
+      names = "--threads",
+      defaultValue = "0",
+      description = "0 for one each core (${DEFAULT-VALUE})")
+  private int threads;
+
+  @Option(names = "--no-shrink", description = "print failing seeds as they are")
+  private boolean noShrink;
+
+  private record Failed(long seed, Fleet.Result result) {}
+
+  @Override
+  public Integer call() throws Exception {
+    int workers = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
+    ExecutorService pool = Executors.newFixedThreadPool(workers);
+    AtomicLong requests = new AtomicLong();
+    AtomicLong events = new AtomicLong();
+    AtomicLong simulated = new AtomicLong();
+    AtomicLong played = new AtomicLong();
+    long begun = System.nanoTime();
+    List<Future<Failed>> runs = new ArrayList<>();
+    for (int i = 0; i < seeds; i++) {
+      long seed = from + i;
+      runs.add(
+          pool.submit(
+              () -> {
                 if (System.nanoTime() - begun > minutes * 60e9) {
-                    return null;
+                  return null;
                 }
                 Scenario scenario = Scenario.draw(seed);
                 Fleet.Result result = Fleet.play(scenario);
@@ -64,80 +77,110 @@
                 simulated.addAndGet(scenario.length());
                 played.incrementAndGet();
                 return result.violationCount() > 0 ? new Failed(seed, result) : null;
-            }));
-        }
-        List<Failed> failures = new ArrayList<>();
-        for (Future<Failed> run : runs) {
-            Failed failed = run.get();
-            if (failed != null) {
-                failures.add(failed);
-            }
-        }
-        double took = (System.nanoTime() - begun) / 1e9;
-        Map<String, Integer> rules = new TreeMap<>();
-        for (Failed f : failures) {
-            f.result().violations().stream().map(v -> v.rule().name()).distinct()
-                    .forEach(r -> rules.merge(r, 1, Integer::sum));
-        }
-        System.out.printf(Locale.ROOT, "%d seeds, %d requests, %.0f simulated seconds in %.1f s on %d threads: %.1f"
-                + " simulated seconds and %.0f requests a second of one core%n", played.get(), requests.get(),
-                simulated.get() / 1e6, took, workers, simulated.get() / 1e6 / took / workers,
-                requests.get() / took / workers);
-        System.out.println(failures.size() + " seeds broke a rule: " + rules);
-        for (Failed f : failures.subList(0, Math.min(10, failures.size()))) {
-            Cut cut = noShrink ? Shrinker.whole(f.seed()) : Shrinker.shrink(f.seed(),
-                    s -> Fleet.play(s).violationCount() > 0);
-            Fleet.Result least = Fleet.play(cut.of(f.seed()));
-            System.out.println("seed " + f.seed() + ": " + least.violations().get(0));
-            System.out.println("    " + cut.command(f.seed()));
-        }
-        pool.shutdownNow();
-        return failures.isEmpty() ? 0 : 1;
+              }));
     }
+    List<Failed> failures = new ArrayList<>();
+    for (Future<Failed> run : runs) {
+      Failed failed = run.get();
+      if (failed != null) {
+        failures.add(failed);
+      }
+    }
+    double took = (System.nanoTime() - begun) / 1e9;
+    Map<String, Integer> rules = new TreeMap<>();
+    for (Failed f : failures) {
+      f.result().violations().stream()
+          .map(v -> v.rule().name())
+          .distinct()
+          .forEach(r -> rules.merge(r, 1, Integer::sum));
+    }
+    System.out.printf(
+        Locale.ROOT,
+        "%d seeds, %d requests, %.0f simulated seconds in %.1f s on %d threads: %.1f"
+            + " simulated seconds and %.0f requests a second of one core%n",
+        played.get(),
+        requests.get(),
+        simulated.get() / 1e6,
+        took,
+        workers,
+        simulated.get() / 1e6 / took / workers,
+        requests.get() / took / workers);
+    System.out.println(failures.size() + " seeds broke a rule: " + rules);
+    for (Failed f : failures.subList(0, Math.min(10, failures.size()))) {
+      Cut cut =
+          noShrink
+              ? Shrinker.whole(f.seed())
+              : Shrinker.shrink(f.seed(), s -> Fleet.play(s).violationCount() > 0);
+      Fleet.Result least = Fleet.play(cut.of(f.seed()));
+      System.out.println("seed " + f.seed() + ": " + least.violations().get(0));
+      System.out.println("    " + cut.command(f.seed()));
+    }
+    pool.shutdownNow();
+    return failures.isEmpty() ? 0 : 1;
+  }
+
+  /** Plays one seed, whole or cut down. */
+  @Command(
+      name = "replay",
+      mixinStandardHelpOptions = true,
+      description = {
+        "Plays one seed of the virtual fleet.",
+        "Exit codes: 0 every rule kept, 1 one was not."
+      })
+  static final class Replay implements Callable<Integer> {
+
+    @Parameters(paramLabel = "SEED")
+    private long seed;
+
+    @Option(
+        names = "--faults",
+        description = "numbers of the faults to play, or none; all by default")
+    private String faults;
+
+    @Option(
+        names = "--rate",
+        defaultValue = "1",
+        description = "part of the requests (${DEFAULT-VALUE})")
+    private double rate;
+
+    @Option(names = "--seconds", defaultValue = "1000", description = "at most so long")
+    private double seconds;
+
+    @Option(names = "--trace", description = "print what happens, line by line")
+    private boolean trace;
 
-    /** Plays one seed, whole or cut down. */
-    @Command(name = "replay", mixinStandardHelpOptions = true, description = {"Plays one seed of the virtual fleet.",
-            "Exit codes: 0 every rule kept, 1 one was not."})
-    static final class Replay implements Callable<Integer> {
-
-        @Parameters(paramLabel = "SEED")
-        private long seed;
-
-        @Option(names = "--faults", description = "numbers of the faults to play, or none; all by default")
-        private String faults;
-
-        @Option(names = "--rate", defaultValue = "1", description = "part of the requests (${DEFAULT-VALUE})")
-        private double rate;
-
-        @Option(names = "--seconds", defaultValue = "1000", description = "at most so long")
-        private double seconds;
-
-        @Option(names = "--trace", description = "print what happens, line by line")
-        private boolean trace;
-
-        @Override
-        public Integer call() {
-            Cut whole = Shrinker.whole(seed);
-            List<Integer> kept = new ArrayList<>();
-            if (faults != null && !faults.equals("none")) {
-                for (String each : faults.split(",")) {
-                    kept.add(Integer.parseInt(each));
-                }
-            }
-            Scenario scenario = new Cut(faults == null ? whole.faults() : kept, rate, (long) (seconds * 1e6)).of(seed);
-            Fleet.Result result = Fleet.play(scenario, Fleet.Start::asItIs,
-                    line -> {
-                        if (trace) {
-                            System.out.println(line);
-                        }
-                    });
-            System.out.println(scenario);
-            result.worth().forEach((name, w) -> System.out.println(name + " " + w));
-            System.out.printf(Locale.ROOT, "worth kept %.3f, %d requests, %d events, hash %s%n", result.worthKept(),
-                    result.requests(), result.events(), result.hash());
-            result.violations().forEach(v -> System.out.println("BROKEN " + v.at() + " " + v));
-            System.out.println(result.violationCount() + " broken rules");
-            return result.violationCount() == 0 ? 0 : 1;
+    @Override
+    public Integer call() {
+      Cut whole = Shrinker.whole(seed);
+      List<Integer> kept = new ArrayList<>();
+      if (faults != null && !faults.equals("none")) {
+        for (String each : faults.split(",")) {
+          kept.add(Integer.parseInt(each));
         }
+      }
+      Scenario scenario =
+          new Cut(faults == null ? whole.faults() : kept, rate, (long) (seconds * 1e6)).of(seed);
+      Fleet.Result result =
+          Fleet.play(
+              scenario,
+              Fleet.Start::asItIs,
+              line -> {
+                if (trace) {
+                  System.out.println(line);
+                }
+              });
+      System.out.println(scenario);
+      result.worth().forEach((name, w) -> System.out.println(name + " " + w));
+      System.out.printf(
+          Locale.ROOT,
+          "worth kept %.3f, %d requests, %d events, hash %s%n",
+          result.worthKept(),
+          result.requests(),
+          result.events(),
+          result.hash());
+      result.violations().forEach(v -> System.out.println("BROKEN " + v.at() + " " + v));
+      System.out.println(result.violationCount() + " broken rules");
+      return result.violationCount() == 0 ? 0 : 1;
     }
+  }
 }
--- a/lab/src/main/java/shelffront/lab/Idle.java
+++ b/lab/src/main/java/shelffront/lab/Idle.java
@@ -25,133 +25,161 @@
 import shelffront.pg.Message;
 import shelffront.tenant.SpecJson;
 
-/** What a connection that asks nothing costs the heap: at the gateway, and at a relay that does nothing. */
-@Command(name = "idle", mixinStandardHelpOptions = true,
-        description = "Measures the heap of an idle client connection at the gateway and at a bare relay.")
+/**
+ * What a connection that asks nothing costs the heap: at the gateway, and at a relay that does
+ * nothing.
+ */
+@Command(
+    name = "idle",
+    mixinStandardHelpOptions = true,
+    description =
+        "Measures the heap of an idle client connection at the gateway and at a bare relay.")
 final class Idle implements Callable<Integer> {
 
-    private static final int MISSING_S = 30;
-
-    @Option(names = "--connections", defaultValue = "2000", description = "how many (${DEFAULT-VALUE})")
-    private int count;
-
-    /** A listener that only accepts: what its connections and their clients cost is taken off the others. */
-    private static final class Sink implements AutoCloseable {
-
-        private final ServerSocketChannel listener = ServerSocketChannel.open()
-                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
-        private final List<SocketChannel> taken = new CopyOnWriteArrayList<>();
-        private final Semaphore arrived = new Semaphore(0);
-
-        private Sink() throws IOException {
-            Thread thread = new Thread(this::accept, "sink");
-            thread.setDaemon(true);
-            thread.start();
-        }
-
-        private void accept() {
-            try {
-                while (true) {
-                    taken.add(listener.accept());
-                    arrived.release();
-                }
-            } catch (ClosedChannelException e) {
-                return; // it is over
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }
+  private static final int MISSING_S = 30;
+
+  @Option(
+      names = "--connections",
+      defaultValue = "2000",
+      description = "how many (${DEFAULT-VALUE})")
+  private int count;
+
+  /**
+   * A listener that only accepts: what its connections and their clients cost is taken off the
+   * others.
+   */
+  private static final class Sink implements AutoCloseable {
+
+    private final ServerSocketChannel listener =
+        ServerSocketChannel.open()
+            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
+    private final List<SocketChannel> taken = new CopyOnWriteArrayList<>();
+    private final Semaphore arrived = new Semaphore(0);
+
+    private Sink() throws IOException {
+      Thread thread = new Thread(this::accept, "sink");
+      thread.setDaemon(true);
+      thread.start();
+    }
 
-        private InetSocketAddress address() throws IOException {
-            return (InetSocketAddress) listener.getLocalAddress();
+    private void accept() {
+      try {
+        while (true) {
+          taken.add(listener.accept());
+          arrived.release();
         }
+      } catch (ClosedChannelException e) {
+        return; // it is over
+      } catch (IOException e) {
+        throw new IllegalStateException(e);
+      }
+    }
 
-        private void await(int connections) throws InterruptedException {
-            if (!arrived.tryAcquire(connections, MISSING_S, TimeUnit.SECONDS)) {
-                throw new IllegalStateException("the connections did not arrive");
-            }
-        }
+    private InetSocketAddress address() throws IOException {
+      return (InetSocketAddress) listener.getLocalAddress();
+    }
 
-        @Override
-        public void close() throws IOException {
-            listener.close();
-            for (SocketChannel each : taken) {
-                each.close();
-            }
-        }
+    private void await(int connections) throws InterruptedException {
+      if (!arrived.tryAcquire(connections, MISSING_S, TimeUnit.SECONDS)) {
+        throw new IllegalStateException("the connections did not arrive");
+      }
     }
 
     @Override
-    public Integer call() throws Exception {
-        measure(50); // code and pools are there before anything counts
-        System.out.println("| idle connections | heap each at the relay, two sockets | at the gateway, one socket |");
-        System.out.println("|---|---|---|");
-        System.out.println(measure(count));
-        return 0;
+    public void close() throws IOException {
+      listener.close();
+      for (SocketChannel each : taken) {
+        each.close();
+      }
     }
-
-    private static String measure(int connections) throws Exception {
-        double pair;
-        try (Sink sink = new Sink()) {
-            pair = each(sink.address(), connections, false, () -> sink.await(connections));
-        }
-        double relayed;
-        try (Sink sink = new Sink(); Relay relay = new Relay(sink.address())) {
-            relayed = each(relay.address(), connections, false, () -> sink.await(connections)) - pair;
-        }
-        ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0")
-                .put("sockets", 2 * connections + 200);
-        ObjectNode tenant = Scale.tenant("t0", 1);
-        tenant.with("limits").put("clientConnections", connections + 10);
-        config.putArray("tenants").add(tenant);
-        Hosted hosted = new Hosted(HostedConfig.read(config), line -> {});
-        Thread turns = hosted.start();
-        double served = each(new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort()),
-                connections, true, () -> {}) - pair / 2;
-        hosted.drain();
-        turns.join();
-        return String.format(Locale.ROOT, "| %d | %.0f bytes | %.0f bytes |", connections, relayed, served);
+  }
+
+  @Override
+  public Integer call() throws Exception {
+    measure(50); // code and pools are there before anything counts
+    System.out.println(
+        "| idle connections | heap each at the relay, two sockets | at the gateway, one socket |");
+    System.out.println("|---|---|---|");
+    System.out.println(measure(count));
+    return 0;
+  }
+
+  private static String measure(int connections) throws Exception {
+    double pair;
+    try (Sink sink = new Sink()) {
+      pair = each(sink.address(), connections, false, () -> sink.await(connections));
     }
-
-    private interface Arrival {
-
-        void await() throws Exception;
+    double relayed;
+    try (Sink sink = new Sink();
+        Relay relay = new Relay(sink.address())) {
+      relayed = each(relay.address(), connections, false, () -> sink.await(connections)) - pair;
     }
-
-    /** Bytes of heap for each of so many connections, both ends; those that are welcomed have had an empty query. */
-    private static double each(InetSocketAddress to, int connections, boolean welcomed, Arrival arrival)
-            throws Exception {
-        List<SocketChannel> clients = new ArrayList<>(connections);
-        byte[] startup = Message.startup("api", "t0");
-        byte[] empty = Message.query(";".getBytes(US_ASCII)); // one that never asks is closed before long
-        ByteBuffer buffer = ByteBuffer.allocateDirect(1024);
-        long before = Scale.heap();
-        try {
-            for (int i = 0; i < connections; i++) {
-                SocketChannel client = SocketChannel.open(to);
-                clients.add(client);
-                if (welcomed) {
-                    client.write(buffer.clear().put(startup).put(empty).flip());
-                    buffer.clear();
-                    while (!ready(buffer)) {
-                        if (client.read(buffer) < 0) {
-                            throw new IllegalStateException("connection " + i + " was not welcomed");
-                        }
-                    }
-                }
-            }
-            arrival.await();
-            return (Scale.heap() - before) / (double) connections;
-        } finally {
-            for (SocketChannel each : clients) {
-                each.close();
+    ObjectNode config =
+        SpecJson.JSON
+            .createObjectNode()
+            .put("listen", "127.0.0.1:0")
+            .put("sockets", 2 * connections + 200);
+    ObjectNode tenant = Scale.tenant("t0", 1);
+    tenant.with("limits").put("clientConnections", connections + 10);
+    config.putArray("tenants").add(tenant);
+    Hosted hosted = new Hosted(HostedConfig.read(config), line -> {});
+    Thread turns = hosted.start();
+    double served =
+        each(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort()),
+                connections,
+                true,
+                () -> {})
+            - pair / 2;
+    hosted.drain();
+    turns.join();
+    return String.format(
+        Locale.ROOT, "| %d | %.0f bytes | %.0f bytes |", connections, relayed, served);
+  }
+
+  private interface Arrival {
+
+    void await() throws Exception;
+  }
+
+  /**
+   * Bytes of heap for each of so many connections, both ends; those that are welcomed have had an
+   * empty query.
+   */
+  private static double each(
+      InetSocketAddress to, int connections, boolean welcomed, Arrival arrival) throws Exception {
+    List<SocketChannel> clients = new ArrayList<>(connections);
+    byte[] startup = Message.startup("api", "t0");
+    byte[] empty =
+        Message.query(";".getBytes(US_ASCII)); // one that never asks is closed before long
+    ByteBuffer buffer = ByteBuffer.allocateDirect(1024);
+    long before = Scale.heap();
+    try {
+      for (int i = 0; i < connections; i++) {
+        SocketChannel client = SocketChannel.open(to);
+        clients.add(client);
+        if (welcomed) {
+          client.write(buffer.clear().put(startup).put(empty).flip());
+          buffer.clear();
+          while (!ready(buffer)) {
+            if (client.read(buffer) < 0) {
+              throw new IllegalStateException("connection " + i + " was not welcomed");
             }
+          }
         }
+      }
+      arrival.await();
+      return (Scale.heap() - before) / (double) connections;
+    } finally {
+      for (SocketChannel each : clients) {
+        each.close();
+      }
     }
+  }
 
-    private static boolean ready(ByteBuffer read) {
-        byte[] bytes = new byte[read.position()];
-        read.duplicate().flip().get(bytes);
-        return new String(bytes, US_ASCII).endsWith("I\0\0\0\4Z\0\0\0\5I");
-    }
+  private static boolean ready(ByteBuffer read) {
+    byte[] bytes = new byte[read.position()];
+    read.duplicate().flip().get(bytes);
+    return new String(bytes, US_ASCII).endsWith("I\0\0\0\4Z\0\0\0\5I");
+  }
 }
--- a/lab/src/main/java/shelffront/lab/LabMain.java
+++ b/lab/src/main/java/shelffront/lab/LabMain.java
@@ -25,99 +25,136 @@
 import shelffront.tenant.SpecJson.SpecException;
 
 /** The lab's commands. */
-@Command(name = "shelffront-lab", mixinStandardHelpOptions = true,
-        description = "Plays load and faults against shelffront on stand-in boxes of its own.",
-        subcommands = {LabMain.Run.class, LabMain.Compare.class, Explore.class, Explore.Replay.class, Demo.class,
-                Scale.class, Idle.class, ServeFleet.class, ConsulStandIn.class, StageExplore.class, FleetScale.class,
-                FleetScaleReport.class,
-                HollowGateways.class, GatewayCost.class, StageCost.class, DistributionExplore.class,
-                LabMain.Report.class})
+@Command(
+    name = "shelffront-lab",
+    mixinStandardHelpOptions = true,
+    description = "Plays load and faults against shelffront on stand-in boxes of its own.",
+    subcommands = {
+      LabMain.Run.class,
+      LabMain.Compare.class,
+      Explore.class,
+      Explore.Replay.class,
+      Demo.class,
+      Scale.class,
+      Idle.class,
+      ServeFleet.class,
+      ConsulStandIn.class,
+      StageExplore.class,
+      FleetScale.class,
+      FleetScaleReport.class,
+      HollowGateways.class,
+      GatewayCost.class,
+      StageCost.class,
+      DistributionExplore.class,
+      LabMain.Report.class
+    })
 public final class LabMain {
 
-    private LabMain() {}
+  private LabMain() {}
 
-    public static void main(String[] arguments) {
-        CommandLine line = new CommandLine(new LabMain());
-        line.setExecutionExceptionHandler((e, command, result) -> {
-            command.getErr().println("shelffront-lab: " + e.getMessage());
-            return 1;
+  public static void main(String[] arguments) {
+    CommandLine line = new CommandLine(new LabMain());
+    line.setExecutionExceptionHandler(
+        (e, command, result) -> {
+          command.getErr().println("shelffront-lab: " + e.getMessage());
+          return 1;
         });
-        if (arguments.length == 0) {
-            line.usage(line.getErr());
-            System.exit(2);
-        }
-        System.exit(line.execute(arguments));
+    if (arguments.length == 0) {
+      line.usage(line.getErr());
+      System.exit(2);
     }
-
-    /** Holds two kept experiments against each other. */
-    @Command(name = "compare", mixinStandardHelpOptions = true,
-            description = "Says of each level of two kept experiments whether its worth differs beyond chance.")
-    static final class Compare implements Callable<Integer> {
-
-        @Parameters(paramLabel = "A")
-        private Path a;
-
-        @Parameters(paramLabel = "B")
-        private Path b;
-
-        @Override
-        public Integer call() throws IOException {
-            VirtualExperiment.compare(a, b).forEach(System.out::println);
-            return 0;
-        }
+    System.exit(line.execute(arguments));
+  }
+
+  /** Holds two kept experiments against each other. */
+  @Command(
+      name = "compare",
+      mixinStandardHelpOptions = true,
+      description =
+          "Says of each level of two kept experiments whether its worth differs beyond chance.")
+  static final class Compare implements Callable<Integer> {
+
+    @Parameters(paramLabel = "A")
+    private Path a;
+
+    @Parameters(paramLabel = "B")
+    private Path b;
+
+    @Override
+    public Integer call() throws IOException {
+      VirtualExperiment.compare(a, b).forEach(System.out::println);
+      return 0;
     }
-
-    /** Makes the summary and the charts of a kept experiment anew. */
-    @Command(name = "report", mixinStandardHelpOptions = true, description = {
-            "Makes the summary and the charts of a kept virtual experiment anew from its runs, and prints the summary.",
-            "Exit codes: 0 every claim kept, 1 one was not."})
-    static final class Report implements Callable<Integer> {
-
-        @Parameters(paramLabel = "DIRECTORY")
-        private Path directory;
-
-        @Override
-        public Integer call() throws IOException, SpecException {
-            Experiment.Report report = VirtualExperiment.report(directory);
-            report.table().forEach(System.out::println);
-            report.claims().forEach(c -> System.out.println("- " + c));
-            return report.kept() ? 0 : 1;
-        }
+  }
+
+  /** Makes the summary and the charts of a kept experiment anew. */
+  @Command(
+      name = "report",
+      mixinStandardHelpOptions = true,
+      description = {
+        "Makes the summary and the charts of a kept virtual experiment anew from its runs, and"
+            + " prints the summary.",
+        "Exit codes: 0 every claim kept, 1 one was not."
+      })
+  static final class Report implements Callable<Integer> {
+
+    @Parameters(paramLabel = "DIRECTORY")
+    private Path directory;
+
+    @Override
+    public Integer call() throws IOException, SpecException {
+      Experiment.Report report = VirtualExperiment.report(directory);
+      report.table().forEach(System.out::println);
+      report.claims().forEach(c -> System.out.println("- " + c));
+      return report.kept() ? 0 : 1;
     }
-
-    /** Plays one experiment. */
-    @Command(name = "run", mixinStandardHelpOptions = true, description = {"Plays an experiment and prints its table.",
-            "Exit codes: 0 every claim kept, 1 one was not, 2 the machine was too slow to tell."})
-    static final class Run implements Callable<Integer> {
-
-        @Parameters(paramLabel = "FILE", description = "Jsonnet or JSON, see lab/experiments")
-        private Path file;
-
-        @Option(names = "--keep", paramLabel = "FILE", description = "write the table here too, as Markdown")
-        private Path keep;
-
-        @Option(names = "--out", paramLabel = "DIRECTORY",
-                description = "keep runs, tables and charts here")
-        private Path out;
-
-        @Option(names = "--short", description = "the file's short form")
-        private boolean isShort;
-
-        @Override
-        public Integer call() throws IOException, SpecException, InterruptedException {
-            JsonNode experiment = Templates.evaluate(file);
-            if (isShort && experiment.has("short")) {
-                ((ObjectNode) experiment).setAll((ObjectNode) experiment.path("short"));
-            }
-            Experiment.Report report = experiment.path("virtual").asBoolean(false)
-                    ? VirtualExperiment.run(experiment, out) : Experiment.run(experiment, out);
-            List<String> lines = report.lines();
-            lines.forEach(System.out::println);
-            if (keep != null) {
-                lines.add(0, "# " + file.getFileName() + "\n");
-                Files.write(keep, lines);
-            }
-            return report.isVoid() ? 2 : report.kept() ? 0 : 1;
-        }
+  }
+
+  /** Plays one experiment. */
+  @Command(
+      name = "run",
+      mixinStandardHelpOptions = true,
+      description = {
+        "Plays an experiment and prints its table.",
+        "Exit codes: 0 every claim kept, 1 one was not, 2 the machine was too slow to tell."
+      })
+  static final class Run implements Callable<Integer> {
+
+    @Parameters(paramLabel = "FILE", description = "Jsonnet or JSON, see lab/experiments")
+    private Path file;
+
+    @Option(
+        names = "--keep",
+        paramLabel = "FILE",
+        description = "write the table here too, as Markdown")
+    private Path keep;
+
+    @Option(
+        names = "--out",
+        paramLabel = "DIRECTORY",
+        description = "keep runs, tables and charts here")
+    private Path out;
+
+    @Option(names = "--short", description = "the file's short form")
+    private boolean isShort;
+
+    @Override
+    public Integer call() throws IOException, SpecException, InterruptedException {
+      JsonNode experiment = Templates.evaluate(file);
+      if (isShort && experiment.has("short")) {
+        ((ObjectNode) experiment).setAll((ObjectNode) experiment.path("short"));
+      }
+      Experiment.Report report =
+          experiment.path("virtual").asBoolean(false)
+              ? VirtualExperiment.run(experiment, out)
+              : Experiment.run(experiment, out);
+      List<String> lines = report.lines();
+      lines.forEach(System.out::println);
+      if (keep != null) {
+        lines.add(0, "# " + file.getFileName() + "\n");
+        Files.write(keep, lines);
+      }
+      return report.isVoid() ? 2 : report.kept() ? 0 : 1;
     }
+  }
 }
--- a/lab/src/main/java/shelffront/lab/Scale.java
+++ b/lab/src/main/java/shelffront/lab/Scale.java
@@ -21,113 +21,138 @@
 import shelffront.tenant.TenantSpec;
 
 /** What tenants that rest cost: the start, the memory of each, and a change among them. */
-@Command(name = "scale", mixinStandardHelpOptions = true,
-        description = "Measures start time, memory for each and the cost of a change with many tenants at rest.")
+@Command(
+    name = "scale",
+    mixinStandardHelpOptions = true,
+    description =
+        "Measures start time, memory for each and the cost of a change with many tenants at rest.")
 final class Scale implements Callable<Integer> {
 
-    private static final int CHANGES = 200;
+  private static final int CHANGES = 200;
 
-    @Option(names = "--tenants", defaultValue = "2000", description = "how many (${DEFAULT-VALUE})")
-    private int count;
+  @Option(names = "--tenants", defaultValue = "2000", description = "how many (${DEFAULT-VALUE})")
+  private int count;
 
-    @Override
-    public Integer call() throws Exception {
-        one(20); // code is compiled before anything counts
-        System.out.println("| tenants | start from the store s | heap for each KB | change in force, median ms "
-                + "| p99 ms |");
-        System.out.println("|---|---|---|---|---|");
-        System.out.println(one(1));
-        System.out.println(one(count));
-        return 0;
-    }
+  @Override
+  public Integer call() throws Exception {
+    one(20); // code is compiled before anything counts
+    System.out.println(
+        "| tenants | start from the store s | heap for each KB | change in force, median ms "
+            + "| p99 ms |");
+    System.out.println("|---|---|---|---|---|");
+    System.out.println(one(1));
+    System.out.println(one(count));
+    return 0;
+  }
 
-    private static String one(int tenants) throws Exception {
-        Path file = Files.createTempFile("scale", ".store");
-        Files.delete(file);
-        try {
-            ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0")
-                    .put("store", file.toString());
-            ArrayNode list = config.putArray("tenants");
-            for (int i = 0; i < tenants; i++) {
-                list.add(tenant("t" + i, 1));
-            }
-            HostedConfig seeded = HostedConfig.read(config);
-            stop(new Hosted(seeded, line -> {}));
-            config.remove("tenants");
-            HostedConfig bare = HostedConfig.read(config);
-            long before = heap();
-            long from = System.nanoTime();
-            Hosted hosted = new Hosted(bare, line -> {});
-            Thread turns = hosted.start();
-            hosted.held().get(60, TimeUnit.SECONDS);
-            double start = (System.nanoTime() - from) / 1e9;
-            double each = (heap() - before) / 1024.0 / tenants;
-            double[] took = changes(hosted, tenants);
-            hosted.drain();
-            turns.join();
-            return String.format(Locale.ROOT, "| %d | %.2f | %.1f | %.2f | %.2f |", tenants, start, each,
-                    took[CHANGES / 2], took[CHANGES * 99 / 100]);
-        } finally {
-            Files.deleteIfExists(file);
-        }
+  private static String one(int tenants) throws Exception {
+    Path file = Files.createTempFile("scale", ".store");
+    Files.delete(file);
+    try {
+      ObjectNode config =
+          SpecJson.JSON
+              .createObjectNode()
+              .put("listen", "127.0.0.1:0")
+              .put("store", file.toString());
+      ArrayNode list = config.putArray("tenants");
+      for (int i = 0; i < tenants; i++) {
+        list.add(tenant("t" + i, 1));
+      }
+      HostedConfig seeded = HostedConfig.read(config);
+      stop(new Hosted(seeded, line -> {}));
+      config.remove("tenants");
+      HostedConfig bare = HostedConfig.read(config);
+      long before = heap();
+      long from = System.nanoTime();
+      Hosted hosted = new Hosted(bare, line -> {});
+      Thread turns = hosted.start();
+      hosted.held().get(60, TimeUnit.SECONDS);
+      double start = (System.nanoTime() - from) / 1e9;
+      double each = (heap() - before) / 1024.0 / tenants;
+      double[] took = changes(hosted, tenants);
+      hosted.drain();
+      turns.join();
+      return String.format(
+          Locale.ROOT,
+          "| %d | %.2f | %.1f | %.2f | %.2f |",
+          tenants,
+          start,
+          each,
+          took[CHANGES / 2],
+          took[CHANGES * 99 / 100]);
+    } finally {
+      Files.deleteIfExists(file);
     }
+  }
 
-    /** Milliseconds from the call to the change being on disk and in force, in order. */
-    private static double[] changes(Hosted hosted, int tenants) throws Exception {
-        double[] took = new double[CHANGES];
-        for (int i = 0; i < CHANGES; i++) {
-            String id = "t" + i % tenants;
-            long revision = hosted.store().get(Kind.TENANT, id).revision();
-            CompletableFuture<Long> inForce = new CompletableFuture<>();
-            Tenancy tenancy = new Tenancy(hosted.store(), new Tenancy.Control() {
+  /** Milliseconds from the call to the change being on disk and in force, in order. */
+  private static double[] changes(Hosted hosted, int tenants) throws Exception {
+    double[] took = new double[CHANGES];
+    for (int i = 0; i < CHANGES; i++) {
+      String id = "t" + i % tenants;
+      long revision = hosted.store().get(Kind.TENANT, id).revision();
+      CompletableFuture<Long> inForce = new CompletableFuture<>();
+      Tenancy tenancy =
+          new Tenancy(
+              hosted.store(),
+              new Tenancy.Control() {
                 @Override
                 public void apply(TenantSpec spec, LongConsumer then) {
-                    hosted.apply(spec, at -> inForce.complete(at));
+                  hosted.apply(spec, at -> inForce.complete(at));
                 }
 
                 @Override
                 public void remove(String name, LongConsumer gone) {
-                    hosted.remove(name, gone);
+                  hosted.remove(name, gone);
                 }
 
                 @Override
                 public CompletableFuture<Tenant.Usage> usage(String name) {
-                    return hosted.usage(name);
+                  return hosted.usage(name);
                 }
-            }, System::currentTimeMillis);
-            long from = System.nanoTime();
-            tenancy.put(id, revision, tenant(id, 2 + i), "scale", "change");
-            inForce.get(60, TimeUnit.SECONDS);
-            took[i] = (System.nanoTime() - from) / 1e6;
-        }
-        Arrays.sort(took);
-        return took;
+              },
+              System::currentTimeMillis);
+      long from = System.nanoTime();
+      tenancy.put(id, revision, tenant(id, 2 + i), "scale", "change");
+      inForce.get(60, TimeUnit.SECONDS);
+      took[i] = (System.nanoTime() - from) / 1e6;
     }
+    Arrays.sort(took);
+    return took;
+  }
 
-    static ObjectNode tenant(String id, int weight) {
-        ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", id).put("weight", weight);
-        ArrayNode classes = tenant.putArray("classes");
-        classes.addObject().put("name", "read").put("giveUpMs", 1000).put("read", "session");
-        classes.addObject().put("name", "write").put("giveUpMs", 2000).put("read", "write").put("effect", "keyed")
-                .put("windowMs", 2000);
-        ArrayNode list = tenant.putObject("boxes").putArray("list");
-        for (int i = 0; i < 4; i++) {
-            list.addObject().put("id", id + "-" + i).put("address", "127.0.0.1:9").put("group", 1)
-                    .put("role", i == 0 ? "primary" : "replica");
-        }
-        return tenant;
+  static ObjectNode tenant(String id, int weight) {
+    ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", id).put("weight", weight);
+    ArrayNode classes = tenant.putArray("classes");
+    classes.addObject().put("name", "read").put("giveUpMs", 1000).put("read", "session");
+    classes
+        .addObject()
+        .put("name", "write")
+        .put("giveUpMs", 2000)
+        .put("read", "write")
+        .put("effect", "keyed")
+        .put("windowMs", 2000);
+    ArrayNode list = tenant.putObject("boxes").putArray("list");
+    for (int i = 0; i < 4; i++) {
+      list.addObject()
+          .put("id", id + "-" + i)
+          .put("address", "127.0.0.1:9")
+          .put("group", 1)
+          .put("role", i == 0 ? "primary" : "replica");
     }
+    return tenant;
+  }
 
-    private static void stop(Hosted hosted) throws InterruptedException {
-        Thread turns = hosted.start();
-        hosted.drain();
-        turns.join();
-    }
+  private static void stop(Hosted hosted) throws InterruptedException {
+    Thread turns = hosted.start();
+    hosted.drain();
+    turns.join();
+  }
 
-    static long heap() {
-        for (int i = 0; i < 3; i++) {
-            System.gc();
-        }
-        return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+  static long heap() {
+    for (int i = 0; i < 3; i++) {
+      System.gc();
     }
+    return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+  }
 }
--- a/lab/src/main/java/shelffront/lab/ServeFleet.java
+++ b/lab/src/main/java/shelffront/lab/ServeFleet.java
@@ -16,142 +16,187 @@
 import shelffront.lab.standin.StandInSet;
 
 /** Stand-in sets with their list of boxes on loopback, to point a gateway at and break by hand. */
-@Command(name = "serve-fleet", mixinStandardHelpOptions = true, description = {
-        "Serves stand-in boxes and their list (discovery) on loopback until the time is over or its input ends.",
-        "Commands on its input, a line each:",
-        "  list | kill BOX | restart BOX | drain BOX | slow BOX TIMES SECONDS | silence BOX | spoil BOX | well BOX",
-        "  break-watches | discovery down | discovery up | stop"})
+@Command(
+    name = "serve-fleet",
+    mixinStandardHelpOptions = true,
+    description = {
+      "Serves stand-in boxes and their list (discovery) on loopback until the time is over or its"
+          + " input ends.",
+      "Commands on its input, a line each:",
+      "  list | kill BOX | restart BOX | drain BOX | slow BOX TIMES SECONDS | silence BOX | spoil"
+          + " BOX | well BOX",
+      "  break-watches | discovery down | discovery up | stop"
+    })
 final class ServeFleet implements Callable<Integer> {
 
-    private static final long SECOND = 1_000_000;
-
-    @Option(names = "--sets", defaultValue = "1", description = "(${DEFAULT-VALUE})")
-    private int setCount;
-
-    @Option(names = "--boxes", defaultValue = "3", description = "of each set, the first is primary (${DEFAULT-VALUE})")
-    private int boxCount;
-
-    @Option(names = "--cores", defaultValue = "8", description = "of each box (${DEFAULT-VALUE})")
-    private int cores;
-
-    @Option(names = "--work-ms", defaultValue = "5", description = "median work of a read (${DEFAULT-VALUE})")
-    private double workMs;
-
-    @Option(names = "--list-delay-ms", defaultValue = "1000", description = "(${DEFAULT-VALUE})")
-    private long listDelayMs;
-
-    @Option(names = "--port", defaultValue = "8700", description = "of the list, 0 for any (${DEFAULT-VALUE})")
-    private int port;
-
-    @Option(names = "--seconds", defaultValue = "3600", description = "how long it runs (${DEFAULT-VALUE})")
-    private double seconds;
-
-    private final List<StandInSet> sets = new ArrayList<>();
-    private Catalogue catalogue;
-    private SocketCarrier carrier;
-
-    @Override
-    public Integer call() throws IOException, InterruptedException {
-        long work = (long) (workMs * 1000);
-        Figures figures = new Figures(cores, 60, 500, work, 2 * work, 0.5, 1_000, 20_000, 300, 0.21, 18 * SECOND,
-                SECOND, SECOND / 2, 2 * SECOND, Figures.Check.WAIT, 50_000, 4, 2 * SECOND, false);
-        try (SocketCarrier own = new SocketCarrier("fleet")) {
-            carrier = own;
-            for (int i = 1; i <= setCount; i++) {
-                sets.add(new StandInSet(carrier, "s" + i, boxCount, figures, this::tell));
-            }
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            catalogue = new Catalogue(carrier, at, (to, some, complete) -> {});
-            carrier.post(() -> sets.forEach(this::tell));
-            System.out.println("list of boxes: http://127.0.0.1:" + port);
-            sets.forEach(s -> s.boxes().forEach(this::print));
-            Thread timer = new Thread(this::stopInTime, "timer");
-            timer.setDaemon(true);
-            timer.start();
-            BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
-            for (String line = in.readLine(); line != null && !line.equals("stop"); line = in.readLine()) {
-                if (!line.isBlank() && !command(line.trim().split(" +"))) {
-                    System.out.println("not understood: " + line + " (see --help)");
-                }
-            }
-            return 0;
+  private static final long SECOND = 1_000_000;
+
+  @Option(names = "--sets", defaultValue = "1", description = "(${DEFAULT-VALUE})")
+  private int setCount;
+
+  @Option(
+      names = "--boxes",
+      defaultValue = "3",
+      description = "of each set, the first is primary (${DEFAULT-VALUE})")
+  private int boxCount;
+
+  @Option(names = "--cores", defaultValue = "8", description = "of each box (${DEFAULT-VALUE})")
+  private int cores;
+
+  @Option(
+      names = "--work-ms",
+      defaultValue = "5",
+      description = "median work of a read (${DEFAULT-VALUE})")
+  private double workMs;
+
+  @Option(names = "--list-delay-ms", defaultValue = "1000", description = "(${DEFAULT-VALUE})")
+  private long listDelayMs;
+
+  @Option(
+      names = "--port",
+      defaultValue = "8700",
+      description = "of the list, 0 for any (${DEFAULT-VALUE})")
+  private int port;
+
+  @Option(
+      names = "--seconds",
+      defaultValue = "3600",
+      description = "how long it runs (${DEFAULT-VALUE})")
+  private double seconds;
+
+  private final List<StandInSet> sets = new ArrayList<>();
+  private Catalogue catalogue;
+  private SocketCarrier carrier;
+
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    long work = (long) (workMs * 1000);
+    Figures figures =
+        new Figures(
+            cores,
+            60,
+            500,
+            work,
+            2 * work,
+            0.5,
+            1_000,
+            20_000,
+            300,
+            0.21,
+            18 * SECOND,
+            SECOND,
+            SECOND / 2,
+            2 * SECOND,
+            Figures.Check.WAIT,
+            50_000,
+            4,
+            2 * SECOND,
+            false);
+    try (SocketCarrier own = new SocketCarrier("fleet")) {
+      carrier = own;
+      for (int i = 1; i <= setCount; i++) {
+        sets.add(new StandInSet(carrier, "s" + i, boxCount, figures, this::tell));
+      }
+      InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+      catalogue = new Catalogue(carrier, at, (to, some, complete) -> {});
+      carrier.post(() -> sets.forEach(this::tell));
+      System.out.println("list of boxes: http://127.0.0.1:" + port);
+      sets.forEach(s -> s.boxes().forEach(this::print));
+      Thread timer = new Thread(this::stopInTime, "timer");
+      timer.setDaemon(true);
+      timer.start();
+      BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
+      for (String line = in.readLine();
+          line != null && !line.equals("stop");
+          line = in.readLine()) {
+        if (!line.isBlank() && !command(line.trim().split(" +"))) {
+          System.out.println("not understood: " + line + " (see --help)");
         }
+      }
+      return 0;
     }
+  }
 
-    private void stopInTime() {
-        try {
-            Thread.sleep((long) (seconds * 1000));
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        System.exit(0);
-    }
-
-    private void print(StandInSet.Box box) {
-        System.out.printf("%s %s %s, %d begun%n", box.id(), box.address(), box.isPrimary() ? "primary" : "replica",
-                box.begun());
-    }
-
-    /** What the list says of a set, after its delay. */
-    private void tell(StandInSet set) {
-        int group = sets.indexOf(set) + 1;
-        long delay = listDelayMs * 1000;
-        set.boxes().forEach(b -> catalogue.change(new Catalogue.Line(b.id(), b.address(), group, b.phase(),
-                b.startedAt() / 1000, b.isPrimary()), delay));
+  private void stopInTime() {
+    try {
+      Thread.sleep((long) (seconds * 1000));
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
-
-    /** Takes a command; false where it is none. */
-    boolean command(String[] words) {
-        switch (words[0]) {
-            case "list" -> sets.forEach(s -> s.boxes().forEach(this::print));
-            case "break-watches" -> carrier.post(catalogue::breakWatches);
-            case "discovery" -> {
-                if (words.length != 2 || !words[1].matches("up|down")) {
-                    return false;
-                }
-                carrier.post(() -> catalogue.down(words[1].equals("down")));
-            }
-            default -> {
-                return onBox(words);
-            }
+    System.exit(0);
+  }
+
+  private void print(StandInSet.Box box) {
+    System.out.printf(
+        "%s %s %s, %d begun%n",
+        box.id(), box.address(), box.isPrimary() ? "primary" : "replica", box.begun());
+  }
+
+  /** What the list says of a set, after its delay. */
+  private void tell(StandInSet set) {
+    int group = sets.indexOf(set) + 1;
+    long delay = listDelayMs * 1000;
+    set.boxes()
+        .forEach(
+            b ->
+                catalogue.change(
+                    new Catalogue.Line(
+                        b.id(), b.address(), group, b.phase(), b.startedAt() / 1000, b.isPrimary()),
+                    delay));
+  }
+
+  /** Takes a command; false where it is none. */
+  boolean command(String[] words) {
+    switch (words[0]) {
+      case "list" -> sets.forEach(s -> s.boxes().forEach(this::print));
+      case "break-watches" -> carrier.post(catalogue::breakWatches);
+      case "discovery" -> {
+        if (words.length != 2 || !words[1].matches("up|down")) {
+          return false;
         }
-        return true;
+        carrier.post(() -> catalogue.down(words[1].equals("down")));
+      }
+      default -> {
+        return onBox(words);
+      }
     }
-
-    private boolean onBox(String[] words) {
-        for (StandInSet set : sets) {
-            for (StandInSet.Box box : set.boxes()) {
-                if (words.length > 1 && box.id().equals(words[1])) {
-                    boolean known = onBox(box, words);
-                    carrier.post(() -> tell(set));
-                    return known;
-                }
-            }
+    return true;
+  }
+
+  private boolean onBox(String[] words) {
+    for (StandInSet set : sets) {
+      for (StandInSet.Box box : set.boxes()) {
+        if (words.length > 1 && box.id().equals(words[1])) {
+          boolean known = onBox(box, words);
+          carrier.post(() -> tell(set));
+          return known;
         }
-        return false;
+      }
     }
-
-    private static boolean onBox(StandInSet.Box box, String[] words) {
-        switch (words[0]) {
-            case "kill" -> box.kill();
-            case "restart" -> box.restart();
-            case "drain" -> box.drain();
-            case "silence" -> box.silence(true);
-            case "spoil" -> box.spoil(true);
-            case "well" -> {
-                box.silence(false);
-                box.spoil(false);
-            }
-            case "slow" -> {
-                if (words.length != 4 || !(words[2] + words[3]).matches("[0-9.]+")) {
-                    return false;
-                }
-                box.slow(Double.parseDouble(words[2]), Double.parseDouble(words[3]));
-            }
-            default -> {
-                return false;
-            }
+    return false;
+  }
+
+  private static boolean onBox(StandInSet.Box box, String[] words) {
+    switch (words[0]) {
+      case "kill" -> box.kill();
+      case "restart" -> box.restart();
+      case "drain" -> box.drain();
+      case "silence" -> box.silence(true);
+      case "spoil" -> box.spoil(true);
+      case "well" -> {
+        box.silence(false);
+        box.spoil(false);
+      }
+      case "slow" -> {
+        if (words.length != 4 || !(words[2] + words[3]).matches("[0-9.]+")) {
+          return false;
         }
-        return true;
+        box.slow(Double.parseDouble(words[2]), Double.parseDouble(words[3]));
+      }
+      default -> {
+        return false;
+      }
     }
+    return true;
+  }
 }
--- a/lab/src/main/java/shelffront/lab/carrier/Agenda.java
+++ b/lab/src/main/java/shelffront/lab/carrier/Agenda.java
@@ -2,36 +2,39 @@
 
 import java.util.PriorityQueue;
 
-/** What is due when: by its time and, at the same time, in the order in which it was set. One thread. */
+/**
+ * What is due when: by its time and, at the same time, in the order in which it was set. One
+ * thread.
+ */
 public final class Agenda {
 
-    private record Event(long at, long order, Runnable task) implements Comparable<Event> {
+  private record Event(long at, long order, Runnable task) implements Comparable<Event> {
 
-        @Override
-        public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
-        }
+    @Override
+    public int compareTo(Event other) {
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
     }
+  }
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long order;
+  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  private long order;
 
-    public void add(long at, Runnable task) {
-        events.add(new Event(at, order++, task));
-    }
+  public void add(long at, Runnable task) {
+    events.add(new Event(at, order++, task));
+  }
 
-    /** When the next event is due; {@link Long#MAX_VALUE} if there is none. */
-    public long next() {
-        return events.isEmpty() ? Long.MAX_VALUE : events.peek().at;
-    }
+  /** When the next event is due; {@link Long#MAX_VALUE} if there is none. */
+  public long next() {
+    return events.isEmpty() ? Long.MAX_VALUE : events.peek().at;
+  }
 
-    /** Takes out the next event's task; there must be one. */
-    public Runnable poll() {
-        return events.remove().task;
-    }
+  /** Takes out the next event's task; there must be one. */
+  public Runnable poll() {
+    return events.remove().task;
+  }
 
-    /** Events that have been set so far. */
-    public long count() {
-        return order;
-    }
+  /** Events that have been set so far. */
+  public long count() {
+    return order;
+  }
 }
--- a/lab/src/main/java/shelffront/lab/carrier/Carrier.java
+++ b/lab/src/main/java/shelffront/lab/carrier/Carrier.java
@@ -5,18 +5,22 @@
 import java.util.function.Function;
 import shelffront.lab.model.Clock;
 
-/** What the lab's parties live on: a clock and connections, real or virtual. All calls and tasks are one thread's. */
+/**
+ * What the lab's parties live on: a clock and connections, real or virtual. All calls and tasks are
+ * one thread's.
+ */
 public interface Carrier {
 
-    Clock clock();
+  Clock clock();
 
-    /** Sets up a connection; the owner is told how it went. */
-    Wire connect(InetSocketAddress to, Wire.Owner owner);
+  /** Sets up a connection; the owner is told how it went. */
+  Wire connect(InetSocketAddress to, Wire.Owner owner);
 
-    /**
-     * Takes connections at an address; each is given the owner that the function returns, null refuses it.
-     *
-     * @throws IOException where the address can't be had
-     */
-    void listen(InetSocketAddress at, Function<Wire, Wire.Owner> accept) throws IOException;
+  /**
+   * Takes connections at an address; each is given the owner that the function returns, null
+   * refuses it.
+   *
+   * @throws IOException where the address can't be had
+   */
+  void listen(InetSocketAddress at, Function<Wire, Wire.Owner> accept) throws IOException;
 }
--- a/lab/src/main/java/shelffront/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Bootstrap.java
@@ -4,45 +4,49 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Intervals by resampling (Efron, 1979): 95 % of the means of samples drawn with replacement. The seed is fixed. */
+/**
+ * Intervals by resampling (Efron, 1979): 95 % of the means of samples drawn with replacement. The
+ * seed is fixed.
+ */
 final class Bootstrap {
 
-    private static final int SAMPLES = 2_000;
+  private static final int SAMPLES = 2_000;
 
-    /** A mean and where it lies. */
-    record Interval(double low, double mean, double high) {}
+  /** A mean and where it lies. */
+  record Interval(double low, double mean, double high) {}
 
-    private Bootstrap() {}
+  private Bootstrap() {}
 
-    /** Of the mean of some figures, at least one. */
-    static Interval mean(double[] figures) {
-        return interval(figures, new double[] {0});
-    }
+  /** Of the mean of some figures, at least one. */
+  static Interval mean(double[] figures) {
+    return interval(figures, new double[] {0});
+  }
 
-    /** Of the difference of two means. */
-    static Interval difference(double[] a, double[] b) {
-        return interval(a, b);
-    }
+  /** Of the difference of two means. */
+  static Interval difference(double[] a, double[] b) {
+    return interval(a, b);
+  }
 
-    private static Interval interval(double[] a, double[] b) {
-        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(20L);
-        double[] means = new double[SAMPLES];
-        for (int i = 0; i < SAMPLES; i++) {
-            means[i] = resampled(a, random) - resampled(b, random);
-        }
-        Arrays.sort(means);
-        return new Interval(means[SAMPLES / 40], average(a) - average(b), means[SAMPLES - 1 - SAMPLES / 40]);
+  private static Interval interval(double[] a, double[] b) {
+    UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(20L);
+    double[] means = new double[SAMPLES];
+    for (int i = 0; i < SAMPLES; i++) {
+      means[i] = resampled(a, random) - resampled(b, random);
     }
-
-    private static double resampled(double[] figures, UniformRandomProvider random) {
-        double sum = 0;
-        for (int i = 0; i < figures.length; i++) {
-            sum += figures[random.nextInt(figures.length)];
-        }
-        return sum / figures.length;
+    Arrays.sort(means);
+    return new Interval(
+        means[SAMPLES / 40], average(a) - average(b), means[SAMPLES - 1 - SAMPLES / 40]);
+  }
+
+  private static double resampled(double[] figures, UniformRandomProvider random) {
+    double sum = 0;
+    for (int i = 0; i < figures.length; i++) {
+      sum += figures[random.nextInt(figures.length)];
     }
+    return sum / figures.length;
+  }
 
-    private static double average(double[] figures) {
-        return Arrays.stream(figures).average().orElse(0);
-    }
+  private static double average(double[] figures) {
+    return Arrays.stream(figures).average().orElse(0);
+  }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/Charts.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Charts.java
@@ -11,57 +11,73 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** The charts of an experiment, whatever carried it: worth over time with the faults marked, latency by percentile. */
+/**
+ * The charts of an experiment, whatever carried it: worth over time with the faults marked, latency
+ * by percentile.
+ */
 final class Charts {
 
-    private final XYChart worth = chart("Worth answered within its aim, over time", "second",
-            "part of what was asked");
-    private final XYChart latency = chart("Latency of served requests", "percentile (number of nines)", "ms");
+  private final XYChart worth =
+      chart("Worth answered within its aim, over time", "second", "part of what was asked");
+  private final XYChart latency =
+      chart("Latency of served requests", "percentile (number of nines)", "ms");
 
-    Charts() {
-        latency.getStyler().setYAxisLogarithmic(true);
-    }
+  Charts() {
+    latency.getStyler().setYAxisLogarithmic(true);
+  }
 
-    private static XYChart chart(String title, String x, String y) {
-        return new XYChartBuilder().width(900).height(420).title(title).xAxisTitle(x).yAxisTitle(y).build();
-    }
+  private static XYChart chart(String title, String x, String y) {
+    return new XYChartBuilder()
+        .width(900)
+        .height(420)
+        .title(title)
+        .xAxisTitle(x)
+        .yAxisTitle(y)
+        .build();
+  }
 
-    /** A line of each chart: worth wanted and kept in windows of so many microseconds, and the served ones' latency. */
-    void add(String name, long window, double[] wanted, double[] kept, Histogram served) {
-        double[] seconds = new double[wanted.length];
-        double[] part = new double[wanted.length];
-        for (int w = 0; w < wanted.length; w++) {
-            seconds[w] = w * window / 1e6;
-            part[w] = wanted[w] == 0 ? 1 : kept[w] / wanted[w];
-        }
-        if (wanted.length > 0) {
-            worth.addSeries(name, seconds, part).setMarker(SeriesMarkers.NONE);
-        }
-        double[] nines = new double[31];
-        double[] ms = new double[31];
-        for (int i = 0; i < nines.length; i++) {
-            nines[i] = i / 10.0;
-            ms[i] = Math.max(0.01, served.getValueAtPercentile(100 * (1 - Math.pow(10, -nines[i]))) / 1e3);
-        }
-        latency.addSeries(name, nines, ms).setMarker(SeriesMarkers.NONE);
+  /**
+   * A line of each chart: worth wanted and kept in windows of so many microseconds, and the served
+   * ones' latency.
+   */
+  void add(String name, long window, double[] wanted, double[] kept, Histogram served) {
+    double[] seconds = new double[wanted.length];
+    double[] part = new double[wanted.length];
+    for (int w = 0; w < wanted.length; w++) {
+      seconds[w] = w * window / 1e6;
+      part[w] = wanted[w] == 0 ? 1 : kept[w] / wanted[w];
     }
-
-    /** A moment, as a line from bottom to top. */
-    void mark(String name, double second) {
-        worth.addSeries(name, new double[] {second, second}, new double[] {0, 1}).setMarker(SeriesMarkers.NONE);
+    if (wanted.length > 0) {
+      worth.addSeries(name, seconds, part).setMarker(SeriesMarkers.NONE);
     }
-
-    /** Writes the charts, and the summary that shows them. */
-    void save(Path directory, Experiment.Report report) throws IOException {
-        List<String> lines = report.lines();
-        lines.addAll(List.of("", "![worth over time](worth.svg)", "", "![latency](latency.svg)"));
-        Files.write(directory.resolve("summary.md"), lines);
-        save(worth, directory.resolve("worth"));
-        save(latency, directory.resolve("latency"));
+    double[] nines = new double[31];
+    double[] ms = new double[31];
+    for (int i = 0; i < nines.length; i++) {
+      nines[i] = i / 10.0;
+      ms[i] =
+          Math.max(0.01, served.getValueAtPercentile(100 * (1 - Math.pow(10, -nines[i]))) / 1e3);
     }
+    latency.addSeries(name, nines, ms).setMarker(SeriesMarkers.NONE);
+  }
 
-    /** The encoder adds the file's ending. */
-    private static void save(XYChart chart, Path file) throws IOException {
-        VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(), VectorGraphicsFormat.SVG);
-    }
+  /** A moment, as a line from bottom to top. */
+  void mark(String name, double second) {
+    worth
+        .addSeries(name, new double[] {second, second}, new double[] {0, 1})
+        .setMarker(SeriesMarkers.NONE);
+  }
+
+  /** Writes the charts, and the summary that shows them. */
+  void save(Path directory, Experiment.Report report) throws IOException {
+    List<String> lines = report.lines();
+    lines.addAll(List.of("", "![worth over time](worth.svg)", "", "![latency](latency.svg)"));
+    Files.write(directory.resolve("summary.md"), lines);
+    save(worth, directory.resolve("worth"));
+    save(latency, directory.resolve("latency"));
+  }
+
+  /** The encoder adds the file's ending. */
+  private static void save(XYChart chart, Path file) throws IOException {
+    VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(), VectorGraphicsFormat.SVG);
+  }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/Experiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Experiment.java
@@ -28,288 +28,403 @@
 import shelffront.tenant.SpecJson.SpecException;
 
 /**
- * Phases of open-loop load on a hosted gateway in this process, each tenant with stand-in boxes of its own on loopback,
- * and claims about what they show. The file says all of it; see {@code lab/experiments}.
+ * Phases of open-loop load on a hosted gateway in this process, each tenant with stand-in boxes of
+ * its own on loopback, and claims about what they show. The file says all of it; see {@code
+ * lab/experiments}.
  */
 public final class Experiment {
 
-    /** How an experiment ended: its table, and whether each claim was kept. */
-    public record Report(List<String> table, List<String> claims, boolean kept, boolean isVoid) {
+  /** How an experiment ended: its table, and whether each claim was kept. */
+  public record Report(List<String> table, List<String> claims, boolean kept, boolean isVoid) {
 
-        /** Table and claims, as Markdown. */
-        public List<String> lines() {
-            List<String> lines = new ArrayList<>(table);
-            lines.add("");
-            claims.forEach(c -> lines.add("- " + c));
-            if (isVoid) {
-                lines.add("- void: the load itself was late, so the machine was too slow to tell");
-            }
-            return lines;
-        }
+    /** Table and claims, as Markdown. */
+    public List<String> lines() {
+      List<String> lines = new ArrayList<>(table);
+      lines.add("");
+      claims.forEach(c -> lines.add("- " + c));
+      if (isVoid) {
+        lines.add("- void: the load itself was late, so the machine was too slow to tell");
+      }
+      return lines;
     }
+  }
 
-    /** Where even one request in a hundred was sent this late, the machine was too slow to tell anything. */
-    private static final long MOST_LAG_MICROS = 50_000;
+  /**
+   * Where even one request in a hundred was sent this late, the machine was too slow to tell
+   * anything.
+   */
+  private static final long MOST_LAG_MICROS = 50_000;
 
-    private final JsonNode file;
-    private final List<String> table = new ArrayList<>();
-    private final List<String> claims = new ArrayList<>();
-    private final Map<String, Map<String, Load.Result>> results = new LinkedHashMap<>();
-    private final Map<String, Double> costs = new LinkedHashMap<>();
-    private final List<String> wrong = new ArrayList<>();
-    private boolean kept = true;
-    private boolean tooSlow;
+  private final JsonNode file;
+  private final List<String> table = new ArrayList<>();
+  private final List<String> claims = new ArrayList<>();
+  private final Map<String, Map<String, Load.Result>> results = new LinkedHashMap<>();
+  private final Map<String, Double> costs = new LinkedHashMap<>();
+  private final List<String> wrong = new ArrayList<>();
+  private boolean kept = true;
+  private boolean tooSlow;
 
-    private Experiment(JsonNode file) {
-        this.file = file;
-    }
+  private Experiment(JsonNode file) {
+    this.file = file;
+  }
 
-    /** Plays it; the directory keeps the experiment, its runs, table and charts, and is null for nothing kept. */
-    public static Report run(JsonNode file, Path directory) throws IOException, SpecException, InterruptedException {
-        Experiment experiment = new Experiment(file);
-        experiment.play();
-        Report report = new Report(List.copyOf(experiment.table), List.copyOf(experiment.claims), experiment.kept,
-                experiment.tooSlow);
-        if (directory != null) {
-            experiment.keep(directory, report);
-        }
-        return report;
+  /**
+   * Plays it; the directory keeps the experiment, its runs, table and charts, and is null for
+   * nothing kept.
+   */
+  public static Report run(JsonNode file, Path directory)
+      throws IOException, SpecException, InterruptedException {
+    Experiment experiment = new Experiment(file);
+    experiment.play();
+    Report report =
+        new Report(
+            List.copyOf(experiment.table),
+            List.copyOf(experiment.claims),
+            experiment.kept,
+            experiment.tooSlow);
+    if (directory != null) {
+      experiment.keep(directory, report);
     }
+    return report;
+  }
 
-    private void play() throws IOException, SpecException, InterruptedException {
-        table.add("| phase | tenant | weight | due/s | on time/s | worth kept | worst window | refused | late | failed "
-                + "| unanswered | p50 ms | p99 ms | p99.9 ms | load lag p99 ms | gateway CPU us/request |");
-        table.add("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
-        for (JsonNode phase : file.path("phases")) {
-            phase(phase);
-        }
-        for (JsonNode claim : file.path("claims")) {
-            claim(claim);
-        }
-        if (!wrong.isEmpty()) {
-            say(false, "wrong answers, the first of them: " + wrong.get(0));
-        }
+  private void play() throws IOException, SpecException, InterruptedException {
+    table.add(
+        "| phase | tenant | weight | due/s | on time/s | worth kept | worst window | refused | late"
+            + " | failed | unanswered | p50 ms | p99 ms | p99.9 ms | load lag p99 ms | gateway CPU"
+            + " us/request |");
+    table.add("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
+    for (JsonNode phase : file.path("phases")) {
+      phase(phase);
+    }
+    for (JsonNode claim : file.path("claims")) {
+      claim(claim);
     }
+    if (!wrong.isEmpty()) {
+      say(false, "wrong answers, the first of them: " + wrong.get(0));
+    }
+  }
 
-    private void keep(Path directory, Report report) throws IOException {
-        Files.createDirectories(directory);
-        Files.writeString(directory.resolve(RunLog.EXPERIMENT), file.toPrettyString() + "\n");
-        Charts charts = new Charts();
-        StringBuilder runs = new StringBuilder();
-        StringBuilder csv = new StringBuilder("phase,tenant,due,on_time,late,refused,failed,unanswered,worth_kept,"
+  private void keep(Path directory, Report report) throws IOException {
+    Files.createDirectories(directory);
+    Files.writeString(directory.resolve(RunLog.EXPERIMENT), file.toPrettyString() + "\n");
+    Charts charts = new Charts();
+    StringBuilder runs = new StringBuilder();
+    StringBuilder csv =
+        new StringBuilder(
+            "phase,tenant,due,on_time,late,refused,failed,unanswered,worth_kept,"
                 + "p50_ms,p99_ms,cost_us\n");
-        results.forEach((phase, tenants) -> tenants.forEach((tenant, r) -> {
-            double[] wanted = r.windows.stream().mapToDouble(w -> w[0]).toArray();
-            double[] served = r.windows.stream().mapToDouble(w -> w[1]).toArray();
-            charts.add(phase + ", " + tenant, Load.WINDOW, wanted, served, r.served);
-            double p50 = r.served.getValueAtPercentile(50) / 1e3;
-            double p99 = r.served.getValueAtPercentile(99) / 1e3;
-            csv.append(String.format(Locale.ROOT, "%s,%s,%d,%d,%d,%d,%d,%d,%.5f,%.3f,%.3f,%.1f%n",
-                    phase.replace(",", ""), tenant, r.all.due, r.all.onTime, r.all.late, r.all.refused, r.all.failed,
-                    r.all.unanswered, r.worthKept(), p50, p99, costs.get(phase)));
-            ObjectNode line = SpecJson.JSON.createObjectNode().put("phase", phase).put("tenant", tenant)
-                    .put("due", r.all.due).put("worthKept", r.worthKept()).put("p50Ms", p50).put("p99Ms", p99);
-            line.set("wanted", SpecJson.JSON.valueToTree(wanted));
-            line.set("kept", SpecJson.JSON.valueToTree(served));
-            runs.append(line).append('\n');
-        }));
-        Files.writeString(directory.resolve(RunLog.RUNS), runs);
-        Files.writeString(directory.resolve("runs.csv"), csv);
-        charts.save(directory, report);
-    }
+    results.forEach(
+        (phase, tenants) ->
+            tenants.forEach(
+                (tenant, r) -> {
+                  double[] wanted = r.windows.stream().mapToDouble(w -> w[0]).toArray();
+                  double[] served = r.windows.stream().mapToDouble(w -> w[1]).toArray();
+                  charts.add(phase + ", " + tenant, Load.WINDOW, wanted, served, r.served);
+                  double p50 = r.served.getValueAtPercentile(50) / 1e3;
+                  double p99 = r.served.getValueAtPercentile(99) / 1e3;
+                  csv.append(
+                      String.format(
+                          Locale.ROOT,
+                          "%s,%s,%d,%d,%d,%d,%d,%d,%.5f,%.3f,%.3f,%.1f%n",
+                          phase.replace(",", ""),
+                          tenant,
+                          r.all.due,
+                          r.all.onTime,
+                          r.all.late,
+                          r.all.refused,
+                          r.all.failed,
+                          r.all.unanswered,
+                          r.worthKept(),
+                          p50,
+                          p99,
+                          costs.get(phase)));
+                  ObjectNode line =
+                      SpecJson.JSON
+                          .createObjectNode()
+                          .put("phase", phase)
+                          .put("tenant", tenant)
+                          .put("due", r.all.due)
+                          .put("worthKept", r.worthKept())
+                          .put("p50Ms", p50)
+                          .put("p99Ms", p99);
+                  line.set("wanted", SpecJson.JSON.valueToTree(wanted));
+                  line.set("kept", SpecJson.JSON.valueToTree(served));
+                  runs.append(line).append('\n');
+                }));
+    Files.writeString(directory.resolve(RunLog.RUNS), runs);
+    Files.writeString(directory.resolve("runs.csv"), csv);
+    charts.save(directory, report);
+  }
 
-    private void phase(JsonNode phase) throws IOException, SpecException, InterruptedException {
-        Map<String, StandInSet> sets = new LinkedHashMap<>();
-        try {
-            ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0")
-                    .put("sockets", file.path("sockets").asInt(4096));
-            config.put("cores", phase.path("cores").asInt(file.path("cores").asInt(1)));
-            config.set("capacity", file.path("capacity"));
-            ArrayNode tenants = config.putArray("tenants");
-            int most = phase.path("tenants").asInt(Integer.MAX_VALUE);
-            boolean oneSet = file.path("oneSet").asBoolean(false);
-            for (Iterator<String> each = file.path("tenants").fieldNames(); each.hasNext() && tenants.size() < most;) {
-                String id = each.next();
-                StandInSet boxes = sets.get("all");
-                if (boxes == null) {
-                    JsonNode set = file.path("set");
-                    boxes = new StandInSet(id, set.path("replicas").asInt(2), set.path("cores").asInt(16),
-                            set.path("workMs").asDouble(5), set.path("lagMs").asLong(10));
-                    sets.put(oneSet ? "all" : id, boxes);
-                }
-                tenants.add(tenant(id, file.path("tenants").path(id), boxes));
-            }
-            Hosted hosted = new Hosted(HostedConfig.read(config), line -> {});
-            Thread turns = hosted.start();
-            try (Relay relay = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
-                load(phase, hosted, turns, tenants, relay, sets.values());
-            }
-            hosted.drain();
-            turns.join();
-        } finally {
-            sets.values().forEach(StandInSet::close);
+  private void phase(JsonNode phase) throws IOException, SpecException, InterruptedException {
+    Map<String, StandInSet> sets = new LinkedHashMap<>();
+    try {
+      ObjectNode config =
+          SpecJson.JSON
+              .createObjectNode()
+              .put("listen", "127.0.0.1:0")
+              .put("sockets", file.path("sockets").asInt(4096));
+      config.put("cores", phase.path("cores").asInt(file.path("cores").asInt(1)));
+      config.set("capacity", file.path("capacity"));
+      ArrayNode tenants = config.putArray("tenants");
+      int most = phase.path("tenants").asInt(Integer.MAX_VALUE);
+      boolean oneSet = file.path("oneSet").asBoolean(false);
+      for (Iterator<String> each = file.path("tenants").fieldNames();
+          each.hasNext() && tenants.size() < most; ) {
+        String id = each.next();
+        StandInSet boxes = sets.get("all");
+        if (boxes == null) {
+          JsonNode set = file.path("set");
+          boxes =
+              new StandInSet(
+                  id,
+                  set.path("replicas").asInt(2),
+                  set.path("cores").asInt(16),
+                  set.path("workMs").asDouble(5),
+                  set.path("lagMs").asLong(10));
+          sets.put(oneSet ? "all" : id, boxes);
         }
+        tenants.add(tenant(id, file.path("tenants").path(id), boxes));
+      }
+      Hosted hosted = new Hosted(HostedConfig.read(config), line -> {});
+      Thread turns = hosted.start();
+      try (Relay relay = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
+        load(phase, hosted, turns, tenants, relay, sets.values());
+      }
+      hosted.drain();
+      turns.join();
+    } finally {
+      sets.values().forEach(StandInSet::close);
     }
+  }
 
-    /** To the first replica of the first set, or its primary where it has no replica. */
-    private static Relay relay(Map<String, StandInSet> sets) throws IOException {
-        List<StandInSet.Box> boxes = sets.values().iterator().next().boxes();
-        String[] at = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
-        return new Relay(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
-    }
+  /** To the first replica of the first set, or its primary where it has no replica. */
+  private static Relay relay(Map<String, StandInSet> sets) throws IOException {
+    List<StandInSet.Box> boxes = sets.values().iterator().next().boxes();
+    String[] at = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
+    return new Relay(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+  }
 
-    private static ObjectNode tenant(String id, JsonNode given, StandInSet set) {
-        ObjectNode tenant = given.deepCopy();
-        tenant.put("id", id);
-        ArrayNode list = tenant.putObject("boxes").putArray("list");
-        for (StandInSet.Box box : set.boxes()) {
-            list.addObject().put("id", box.id()).put("address", box.address()).put("group", 1)
-                    .put("role", box.isPrimary() ? "primary" : "replica");
-        }
-        return tenant;
+  private static ObjectNode tenant(String id, JsonNode given, StandInSet set) {
+    ObjectNode tenant = given.deepCopy();
+    tenant.put("id", id);
+    ArrayNode list = tenant.putObject("boxes").putArray("list");
+    for (StandInSet.Box box : set.boxes()) {
+      list.addObject()
+          .put("id", box.id())
+          .put("address", box.address())
+          .put("group", 1)
+          .put("role", box.isPrimary() ? "primary" : "replica");
     }
+    return tenant;
+  }
 
-    /** Nanoseconds of CPU that the gateway's own threads have used: the loop thread and the completions'. */
-    private static long cpu(Thread turns) {
-        ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-        long sum = threads.getThreadCpuTime(turns.getId());
-        for (Thread each : Thread.getAllStackTraces().keySet()) {
-            boolean own = each.getName().equals("completions") || each.getName().startsWith("turns-");
-            sum += own ? Math.max(0, threads.getThreadCpuTime(each.getId())) : 0;
-        }
-        return sum;
+  /**
+   * Nanoseconds of CPU that the gateway's own threads have used: the loop thread and the
+   * completions'.
+   */
+  private static long cpu(Thread turns) {
+    ThreadMXBean threads = ManagementFactory.getThreadMXBean();
+    long sum = threads.getThreadCpuTime(turns.getId());
+    for (Thread each : Thread.getAllStackTraces().keySet()) {
+      boolean own = each.getName().equals("completions") || each.getName().startsWith("turns-");
+      sum += own ? Math.max(0, threads.getThreadCpuTime(each.getId())) : 0;
     }
+    return sum;
+  }
 
-    private void load(JsonNode phase, Hosted hosted, Thread turns, ArrayNode tenants, Relay relay,
-            Collection<StandInSet> sets)
-            throws IOException, SpecException, InterruptedException {
-        String name = phase.path("name").asText();
-        InetSocketAddress gateway = relay != null ? relay.address() : new InetSocketAddress(
-                InetAddress.getLoopbackAddress(), hosted.address().getPort());
-        double warm = file.path("warmSeconds").asDouble(2);
-        double seconds = file.path("seconds").asDouble(5);
-        run(phase, gateway, warm); // compiled code and known boxes before anything counts
-        // A change in the midst of the same load: what was before it is over, and what is measured comes after.
-        for (Iterator<String> each = phase.path("change").fieldNames(); each.hasNext();) {
-            String id = each.next();
-            for (JsonNode tenant : tenants) {
-                if (tenant.path("id").asText().equals(id)) {
-                    ObjectNode next = tenant.deepCopy();
-                    next.setAll((ObjectNode) phase.path("change").path(id));
-                    hosted.apply(SpecJson.read(next), at -> {});
-                }
-            }
+  private void load(
+      JsonNode phase,
+      Hosted hosted,
+      Thread turns,
+      ArrayNode tenants,
+      Relay relay,
+      Collection<StandInSet> sets)
+      throws IOException, SpecException, InterruptedException {
+    String name = phase.path("name").asText();
+    InetSocketAddress gateway =
+        relay != null
+            ? relay.address()
+            : new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort());
+    double warm = file.path("warmSeconds").asDouble(2);
+    double seconds = file.path("seconds").asDouble(5);
+    run(phase, gateway, warm); // compiled code and known boxes before anything counts
+    // A change in the midst of the same load: what was before it is over, and what is measured
+    // comes after.
+    for (Iterator<String> each = phase.path("change").fieldNames(); each.hasNext(); ) {
+      String id = each.next();
+      for (JsonNode tenant : tenants) {
+        if (tenant.path("id").asText().equals(id)) {
+          ObjectNode next = tenant.deepCopy();
+          next.setAll((ObjectNode) phase.path("change").path(id));
+          hosted.apply(SpecJson.read(next), at -> {});
         }
-        long before = cpu(turns);
-        Map<String, Load.Result> measured = run(phase, gateway, seconds);
-        double cost = (cpu(turns) - before) / 1e3 / measured.values().stream().mapToLong(r -> r.all.due).sum();
-        results.put(name, measured);
-        costs.put(name, cost);
-        measured.forEach((tenant, r) -> {
-            long lag = r.lag.getValueAtPercentile(99);
-            tooSlow |= lag > MOST_LAG_MICROS;
-            wrong.addAll(r.wrong);
-            Load.Tally all = r.all;
-            table.add(String.format(Locale.ROOT,
-                    "| %s | %s | %s | %.0f | %.0f | %.3f | %.3f | %d | %d | %d | %d | %.2f | %.1f | %.1f "
-                            + "| %.1f | %.0f |",
-                    name, tenant,
-                    file.path("tenants").path(tenant).path("weight").asText("1"), all.due / seconds,
-                    all.onTime / seconds, r.worthKept(), r.worstWindow(), all.refused, all.late, all.failed,
-                    all.unanswered, r.served.getValueAtPercentile(50) / 1e3,
-                    r.served.getValueAtPercentile(99) / 1e3, r.served.getValueAtPercentile(99.9) / 1e3, lag / 1e3,
-                    cost));
+      }
+    }
+    long before = cpu(turns);
+    Map<String, Load.Result> measured = run(phase, gateway, seconds);
+    double cost =
+        (cpu(turns) - before) / 1e3 / measured.values().stream().mapToLong(r -> r.all.due).sum();
+    results.put(name, measured);
+    costs.put(name, cost);
+    measured.forEach(
+        (tenant, r) -> {
+          long lag = r.lag.getValueAtPercentile(99);
+          tooSlow |= lag > MOST_LAG_MICROS;
+          wrong.addAll(r.wrong);
+          Load.Tally all = r.all;
+          table.add(
+              String.format(
+                  Locale.ROOT,
+                  "| %s | %s | %s | %.0f | %.0f | %.3f | %.3f | %d | %d | %d | %d | %.2f | %.1f |"
+                      + " %.1f | %.1f | %.0f |",
+                  name,
+                  tenant,
+                  file.path("tenants").path(tenant).path("weight").asText("1"),
+                  all.due / seconds,
+                  all.onTime / seconds,
+                  r.worthKept(),
+                  r.worstWindow(),
+                  all.refused,
+                  all.late,
+                  all.failed,
+                  all.unanswered,
+                  r.served.getValueAtPercentile(50) / 1e3,
+                  r.served.getValueAtPercentile(99) / 1e3,
+                  r.served.getValueAtPercentile(99.9) / 1e3,
+                  lag / 1e3,
+                  cost));
         });
-        for (StandInSet set : sets) {
-            tooSlow |= set.lateness() > MOST_LAG_MICROS;
-        }
+    for (StandInSet set : sets) {
+      tooSlow |= set.lateness() > MOST_LAG_MICROS;
     }
+  }
 
-    private Map<String, Load.Result> run(JsonNode phase, InetSocketAddress gateway, double seconds)
-            throws InterruptedException, IOException, SpecException {
-        Map<String, Load.Result> all = new LinkedHashMap<>();
-        List<SocketCarrier> carriers = new ArrayList<>();
-        CountDownLatch over = new CountDownLatch(phase.path("load").size());
-        try {
-            for (Iterator<String> each = phase.path("load").fieldNames(); each.hasNext();) {
-                String tenant = each.next();
-                JsonNode l = phase.path("load").path(tenant);
-                SocketCarrier carrier = new SocketCarrier("load " + tenant);
-                carriers.add(carrier);
-                Load load = new Load(carrier, gateway, tenant, null, LoadJson.kinds(l, file.path("tenants")
-                        .path(tenant).path("classes")), LoadJson.habits(l, "/phases/load/" + tenant),
-                        l.path("perSecond").asDouble(), l.path("connections").asInt(64), tenant.hashCode());
-                all.put(tenant, load.result());
-                carrier.post(() -> load.start((long) (seconds * 1e6), over::countDown));
-            }
-            for (SocketCarrier carrier : carriers) {
-                carrier.await(over);
-            }
-        } finally {
-            carriers.forEach(SocketCarrier::close);
-        }
-        return all;
+  private Map<String, Load.Result> run(JsonNode phase, InetSocketAddress gateway, double seconds)
+      throws InterruptedException, IOException, SpecException {
+    Map<String, Load.Result> all = new LinkedHashMap<>();
+    List<SocketCarrier> carriers = new ArrayList<>();
+    CountDownLatch over = new CountDownLatch(phase.path("load").size());
+    try {
+      for (Iterator<String> each = phase.path("load").fieldNames(); each.hasNext(); ) {
+        String tenant = each.next();
+        JsonNode l = phase.path("load").path(tenant);
+        SocketCarrier carrier = new SocketCarrier("load " + tenant);
+        carriers.add(carrier);
+        Load load =
+            new Load(
+                carrier,
+                gateway,
+                tenant,
+                null,
+                LoadJson.kinds(l, file.path("tenants").path(tenant).path("classes")),
+                LoadJson.habits(l, "/phases/load/" + tenant),
+                l.path("perSecond").asDouble(),
+                l.path("connections").asInt(64),
+                tenant.hashCode());
+        all.put(tenant, load.result());
+        carrier.post(() -> load.start((long) (seconds * 1e6), over::countDown));
+      }
+      for (SocketCarrier carrier : carriers) {
+        carrier.await(over);
+      }
+    } finally {
+      carriers.forEach(SocketCarrier::close);
     }
+    return all;
+  }
 
-    private void claim(JsonNode claim) {
-        double within = claim.path("within").asDouble();
-        Map<String, Load.Result> phase = results.get(claim.path("phase").asText());
-        if (claim.has("medianAgainst")) {
-            String tenant = claim.path("tenant").asText();
-            double bare = results.get(claim.path("medianAgainst").asText()).get(tenant).served
-                    .getValueAtPercentile(50);
-            double now = phase.get(tenant).served.getValueAtPercentile(50);
-            say(now - bare <= claim.path("micros").asDouble(), String.format(Locale.ROOT,
-                    "phase %s adds %.0f us to the median of phase %s, %.0f us: at most %.0f",
-                    claim.path("phase").asText(), now - bare, claim.path("medianAgainst").asText(), bare,
-                    claim.path("micros").asDouble()));
-            return;
-        }
-        if (claim.has("costAgainst")) {
-            double alone = costs.get(claim.path("costAgainst").asText());
-            double now = costs.get(claim.path("phase").asText());
-            say(now <= alone * (1 + within), String.format(Locale.ROOT,
-                    "a request costs the gateway %.1f us of CPU in phase %s, in phase %s %.1f: at most %.0f %% more",
-                    now,
-                    claim.path("phase").asText(), claim.path("costAgainst").asText(), alone, within * 100));
-            return;
-        }
-        if (claim.has("against")) {
-            String tenant = claim.path("tenant").asText();
-            double alone = results.get(claim.path("against").asText()).get(tenant).worthKept();
-            double now = phase.get(tenant).worthKept();
-            say(now >= alone * (1 - within), String.format(Locale.ROOT,
-                    "%s keeps %.3f of its worth in phase %s, alone %.3f: within %.0f %%", tenant, now,
-                    claim.path("phase").asText(), alone, within * 100));
-            return;
-        }
-        double weights = 0;
-        double served = 0;
-        for (var each : phase.entrySet()) {
-            weights += weight(claim, each.getKey());
-            served += each.getValue().all.onTime + each.getValue().all.late;
-        }
-        for (var each : phase.entrySet()) {
-            double share = (each.getValue().all.onTime + each.getValue().all.late) / served;
-            double due = weight(claim, each.getKey()) / weights;
-            say(Math.abs(share - due) <= within * due, String.format(Locale.ROOT,
-                    "%s is served %.3f of all in phase %s, by weight %.3f: within %.0f %%", each.getKey(), share,
-                    claim.path("phase").asText(), due, within * 100));
-        }
+  private void claim(JsonNode claim) {
+    double within = claim.path("within").asDouble();
+    Map<String, Load.Result> phase = results.get(claim.path("phase").asText());
+    if (claim.has("medianAgainst")) {
+      String tenant = claim.path("tenant").asText();
+      double bare =
+          results
+              .get(claim.path("medianAgainst").asText())
+              .get(tenant)
+              .served
+              .getValueAtPercentile(50);
+      double now = phase.get(tenant).served.getValueAtPercentile(50);
+      say(
+          now - bare <= claim.path("micros").asDouble(),
+          String.format(
+              Locale.ROOT,
+              "phase %s adds %.0f us to the median of phase %s, %.0f us: at most %.0f",
+              claim.path("phase").asText(),
+              now - bare,
+              claim.path("medianAgainst").asText(),
+              bare,
+              claim.path("micros").asDouble()));
+      return;
     }
-
-    private double weight(JsonNode claim, String tenant) {
-        for (JsonNode phase : file.path("phases")) {
-            JsonNode changed = phase.path("change").path(tenant).path("weight");
-            if (phase.path("name").equals(claim.path("phase")) && changed.isNumber()) {
-                return changed.asDouble();
-            }
-        }
-        return file.path("tenants").path(tenant).path("weight").asDouble(1);
+    if (claim.has("costAgainst")) {
+      double alone = costs.get(claim.path("costAgainst").asText());
+      double now = costs.get(claim.path("phase").asText());
+      say(
+          now <= alone * (1 + within),
+          String.format(
+              Locale.ROOT,
+              "a request costs the gateway %.1f us of CPU in phase %s, in phase %s %.1f: at most"
+                  + " %.0f %% more",
+              now,
+              claim.path("phase").asText(),
+              claim.path("costAgainst").asText(),
+              alone,
+              within * 100));
+      return;
+    }
+    if (claim.has("against")) {
+      String tenant = claim.path("tenant").asText();
+      double alone = results.get(claim.path("against").asText()).get(tenant).worthKept();
+      double now = phase.get(tenant).worthKept();
+      say(
+          now >= alone * (1 - within),
+          String.format(
+              Locale.ROOT,
+              "%s keeps %.3f of its worth in phase %s, alone %.3f: within %.0f %%",
+              tenant,
+              now,
+              claim.path("phase").asText(),
+              alone,
+              within * 100));
+      return;
     }
+    double weights = 0;
+    double served = 0;
+    for (var each : phase.entrySet()) {
+      weights += weight(claim, each.getKey());
+      served += each.getValue().all.onTime + each.getValue().all.late;
+    }
+    for (var each : phase.entrySet()) {
+      double share = (each.getValue().all.onTime + each.getValue().all.late) / served;
+      double due = weight(claim, each.getKey()) / weights;
+      say(
+          Math.abs(share - due) <= within * due,
+          String.format(
+              Locale.ROOT,
+              "%s is served %.3f of all in phase %s, by weight %.3f: within %.0f %%",
+              each.getKey(),
+              share,
+              claim.path("phase").asText(),
+              due,
+              within * 100));
+    }
+  }
 
-    private void say(boolean isKept, String text) {
-        kept &= isKept;
-        claims.add((isKept ? "kept: " : "NOT kept: ") + text);
+  private double weight(JsonNode claim, String tenant) {
+    for (JsonNode phase : file.path("phases")) {
+      JsonNode changed = phase.path("change").path(tenant).path("weight");
+      if (phase.path("name").equals(claim.path("phase")) && changed.isNumber()) {
+        return changed.asDouble();
+      }
     }
+    return file.path("tenants").path(tenant).path("weight").asDouble(1);
+  }
+
+  private void say(boolean isKept, String text) {
+    kept &= isKept;
+    claims.add((isKept ? "kept: " : "NOT kept: ") + text);
+  }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/KeptRun.java
+++ b/lab/src/main/java/shelffront/lab/experiment/KeptRun.java
@@ -11,39 +11,74 @@
 import shelffront.tenant.SpecJson;
 
 /** What is kept of a run: a line of JSON with all that tables and charts are made of. */
-record KeptRun(String level, int seed, long requests, double worthKept, int broken, String hash, JsonNode classes,
-        double[] wanted, double[] kept, Histogram latency) {
+record KeptRun(
+    String level,
+    int seed,
+    long requests,
+    double worthKept,
+    int broken,
+    String hash,
+    JsonNode classes,
+    double[] wanted,
+    double[] kept,
+    Histogram latency) {
 
-    static KeptRun of(String level, int seed, Fleet.Result r) {
-        return new KeptRun(level, seed, r.requests(), r.worthKept(), r.violationCount(), r.hash(),
-                SpecJson.JSON.valueToTree(r.worth()), r.wanted(), r.kept(), r.latency());
-    }
+  static KeptRun of(String level, int seed, Fleet.Result r) {
+    return new KeptRun(
+        level,
+        seed,
+        r.requests(),
+        r.worthKept(),
+        r.violationCount(),
+        r.hash(),
+        SpecJson.JSON.valueToTree(r.worth()),
+        r.wanted(),
+        r.kept(),
+        r.latency());
+  }
 
-    String line() {
-        ObjectNode line = SpecJson.JSON.createObjectNode().put("level", level).put("seed", seed)
-                .put("requests", requests).put("worthKept", worthKept).put("broken", broken).put("hash", hash);
-        line.set("classes", classes);
-        line.set("wanted", SpecJson.JSON.valueToTree(wanted));
-        line.set("kept", SpecJson.JSON.valueToTree(kept));
-        ByteBuffer bytes = ByteBuffer.allocate(latency.getNeededByteBufferCapacity());
-        int count = latency.encodeIntoCompressedByteBuffer(bytes);
-        byte[] encoded = new byte[count];
-        bytes.flip().get(encoded);
-        return line.put("latency", Base64.getEncoder().encodeToString(encoded)).toString();
-    }
+  String line() {
+    ObjectNode line =
+        SpecJson.JSON
+            .createObjectNode()
+            .put("level", level)
+            .put("seed", seed)
+            .put("requests", requests)
+            .put("worthKept", worthKept)
+            .put("broken", broken)
+            .put("hash", hash);
+    line.set("classes", classes);
+    line.set("wanted", SpecJson.JSON.valueToTree(wanted));
+    line.set("kept", SpecJson.JSON.valueToTree(kept));
+    ByteBuffer bytes = ByteBuffer.allocate(latency.getNeededByteBufferCapacity());
+    int count = latency.encodeIntoCompressedByteBuffer(bytes);
+    byte[] encoded = new byte[count];
+    bytes.flip().get(encoded);
+    return line.put("latency", Base64.getEncoder().encodeToString(encoded)).toString();
+  }
 
-    /** Reads a line; null where it is cut or none, as the last one of a run that was stopped may be. */
-    static KeptRun read(String line) {
-        try {
-            JsonNode j = SpecJson.JSON.readTree(line);
-            Histogram latency = Histogram.decodeFromCompressedByteBuffer(ByteBuffer.wrap(Base64.getDecoder()
-                    .decode(j.path("latency").asText())), 60_000_000L);
-            return new KeptRun(j.path("level").asText(), j.path("seed").asInt(), j.path("requests").asLong(),
-                    j.path("worthKept").asDouble(), j.path("broken").asInt(), j.path("hash").asText(),
-                    j.path("classes"), SpecJson.JSON.treeToValue(j.path("wanted"), double[].class),
-                    SpecJson.JSON.treeToValue(j.path("kept"), double[].class), latency);
-        } catch (IOException | DataFormatException | RuntimeException e) {
-            return null;
-        }
+  /**
+   * Reads a line; null where it is cut or none, as the last one of a run that was stopped may be.
+   */
+  static KeptRun read(String line) {
+    try {
+      JsonNode j = SpecJson.JSON.readTree(line);
+      Histogram latency =
+          Histogram.decodeFromCompressedByteBuffer(
+              ByteBuffer.wrap(Base64.getDecoder().decode(j.path("latency").asText())), 60_000_000L);
+      return new KeptRun(
+          j.path("level").asText(),
+          j.path("seed").asInt(),
+          j.path("requests").asLong(),
+          j.path("worthKept").asDouble(),
+          j.path("broken").asInt(),
+          j.path("hash").asText(),
+          j.path("classes"),
+          SpecJson.JSON.treeToValue(j.path("wanted"), double[].class),
+          SpecJson.JSON.treeToValue(j.path("kept"), double[].class),
+          latency);
+    } catch (IOException | DataFormatException | RuntimeException e) {
+      return null;
     }
+  }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/Progress.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Progress.java
@@ -3,29 +3,38 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** A bar on standard error that grows with each run, where that is a terminal; nothing elsewhere. */
+/**
+ * A bar on standard error that grows with each run, where that is a terminal; nothing elsewhere.
+ */
 final class Progress {
 
-    private static final int WIDTH = 40;
+  private static final int WIDTH = 40;
 
-    private final PrintStream out = System.console() == null ? null : System.err;
-    private final int all;
-    private final long begun = System.nanoTime();
-    private int done;
+  private final PrintStream out = System.console() == null ? null : System.err;
+  private final int all;
+  private final long begun = System.nanoTime();
+  private int done;
 
-    Progress(int all) {
-        this.all = all;
-    }
+  Progress(int all) {
+    this.all = all;
+  }
 
-    /** One more has ended. Any thread may call. */
-    synchronized void one() {
-        done++;
-        if (out != null) {
-            double took = (System.nanoTime() - begun) / 1e9;
-            int filled = WIDTH * done / all;
-            out.printf(Locale.ROOT, "\r[%s%s] %d of %d runs, %.0f s left %s", "#".repeat(filled),
-                    ".".repeat(WIDTH - filled), done, all, took / done * (all - done), done == all ? "\n" : "");
-            out.flush();
-        }
+  /** One more has ended. Any thread may call. */
+  synchronized void one() {
+    done++;
+    if (out != null) {
+      double took = (System.nanoTime() - begun) / 1e9;
+      int filled = WIDTH * done / all;
+      out.printf(
+          Locale.ROOT,
+          "\r[%s%s] %d of %d runs, %.0f s left %s",
+          "#".repeat(filled),
+          ".".repeat(WIDTH - filled),
+          done,
+          all,
+          took / done * (all - done),
+          done == all ? "\n" : "");
+      out.flush();
     }
+  }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/RunLog.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RunLog.java
@@ -16,91 +16,95 @@
 import shelffront.route.Router;
 
 /**
- * The runs of an experiment as they end, a line each, so that one that was stopped goes on where it was. What another
- * experiment left in the directory counts for nothing. May be used by several threads.
+ * The runs of an experiment as they end, a line each, so that one that was stopped goes on where it
+ * was. What another experiment left in the directory counts for nothing. May be used by several
+ * threads.
  */
 final class RunLog {
 
-    static final String EXPERIMENT = "experiment.json";
-    private static final String PROGRAM = "program.crc";
-    static final String RUNS = "runs.jsonl";
+  static final String EXPERIMENT = "experiment.json";
+  private static final String PROGRAM = "program.crc";
+  static final String RUNS = "runs.jsonl";
 
-    private final Path runs; // null where nothing is kept
-    private final Map<String, KeptRun> known = new HashMap<>();
+  private final Path runs; // null where nothing is kept
+  private final Map<String, KeptRun> known = new HashMap<>();
 
-    private RunLog(Path runs) {
-        this.runs = runs;
-    }
+  private RunLog(Path runs) {
+    this.runs = runs;
+  }
 
-    /** To go on in a directory, which is made where there is none; null for none. */
-    static RunLog open(Path directory, JsonNode experiment) throws IOException {
-        return open(directory, experiment, false);
-    }
+  /** To go on in a directory, which is made where there is none; null for none. */
+  static RunLog open(Path directory, JsonNode experiment) throws IOException {
+    return open(directory, experiment, false);
+  }
 
-    /** To look at what a directory has, by whatever program it was played. */
-    static RunLog read(Path directory, JsonNode experiment) throws IOException {
-        return open(directory, experiment, true);
-    }
+  /** To look at what a directory has, by whatever program it was played. */
+  static RunLog read(Path directory, JsonNode experiment) throws IOException {
+    return open(directory, experiment, true);
+  }
 
-    private static boolean has(Path file, String text) throws IOException {
-        return Files.exists(file) && Files.readString(file).equals(text);
-    }
+  private static boolean has(Path file, String text) throws IOException {
+    return Files.exists(file) && Files.readString(file).equals(text);
+  }
 
-    /** A digest of the jars that a run is played by: a changed gateway's runs are others. */
-    private static String program() throws IOException {
-        CRC32 sum = new CRC32();
-        for (Class<?> each : List.of(Fleet.class, Gateway.class, Router.class)) {
-            URL at = each.getProtectionDomain().getCodeSource().getLocation();
-            Path jar = Path.of(at.getPath());
-            if (Files.isRegularFile(jar)) {
-                sum.update(Files.readAllBytes(jar));
-            }
-        }
-        return Long.toHexString(sum.getValue()) + "\n";
+  /** A digest of the jars that a run is played by: a changed gateway's runs are others. */
+  private static String program() throws IOException {
+    CRC32 sum = new CRC32();
+    for (Class<?> each : List.of(Fleet.class, Gateway.class, Router.class)) {
+      URL at = each.getProtectionDomain().getCodeSource().getLocation();
+      Path jar = Path.of(at.getPath());
+      if (Files.isRegularFile(jar)) {
+        sum.update(Files.readAllBytes(jar));
+      }
     }
+    return Long.toHexString(sum.getValue()) + "\n";
+  }
 
-    private static RunLog open(Path directory, JsonNode experiment, boolean reading) throws IOException {
-        if (directory == null) {
-            return new RunLog(null);
-        }
-        Files.createDirectories(directory);
-        RunLog log = new RunLog(directory.resolve(RUNS));
-        Path file = directory.resolve(EXPERIMENT);
-        String text = experiment.toPrettyString() + "\n";
-        if (Files.exists(log.runs) && has(file, text) && (reading || has(directory.resolve(PROGRAM), program()))) {
-            for (String line : Files.readAllLines(log.runs)) {
-                KeptRun run = KeptRun.read(line);
-                if (run != null) {
-                    log.known.put(run.level() + "/" + run.seed(), run);
-                }
-            }
-        }
-        if (reading) {
-            return log;
-        }
-        Files.writeString(file, text);
-        Files.writeString(directory.resolve(PROGRAM), program());
-        log.inOrder(log.known.values());
-        return log;
+  private static RunLog open(Path directory, JsonNode experiment, boolean reading)
+      throws IOException {
+    if (directory == null) {
+      return new RunLog(null);
     }
-
-    /** Writes all runs anew in this order, whichever ended first. */
-    synchronized void inOrder(Collection<KeptRun> all) throws IOException {
-        if (runs != null) {
-            StringBuilder whole = new StringBuilder();
-            all.forEach(r -> whole.append(r.line()).append('\n'));
-            Files.writeString(runs, whole);
+    Files.createDirectories(directory);
+    RunLog log = new RunLog(directory.resolve(RUNS));
+    Path file = directory.resolve(EXPERIMENT);
+    String text = experiment.toPrettyString() + "\n";
+    if (Files.exists(log.runs)
+        && has(file, text)
+        && (reading || has(directory.resolve(PROGRAM), program()))) {
+      for (String line : Files.readAllLines(log.runs)) {
+        KeptRun run = KeptRun.read(line);
+        if (run != null) {
+          log.known.put(run.level() + "/" + run.seed(), run);
         }
+      }
     }
+    if (reading) {
+      return log;
+    }
+    Files.writeString(file, text);
+    Files.writeString(directory.resolve(PROGRAM), program());
+    log.inOrder(log.known.values());
+    return log;
+  }
 
-    synchronized KeptRun get(String level, int seed) {
-        return known.get(level + "/" + seed);
+  /** Writes all runs anew in this order, whichever ended first. */
+  synchronized void inOrder(Collection<KeptRun> all) throws IOException {
+    if (runs != null) {
+      StringBuilder whole = new StringBuilder();
+      all.forEach(r -> whole.append(r.line()).append('\n'));
+      Files.writeString(runs, whole);
     }
+  }
 
-    synchronized void add(KeptRun run) throws IOException {
-        known.put(run.level() + "/" + run.seed(), run);
-        if (runs != null) {
-            Files.writeString(runs, run.line() + "\n", StandardOpenOption.APPEND);
-        }
+  synchronized KeptRun get(String level, int seed) {
+    return known.get(level + "/" + seed);
+  }
+
+  synchronized void add(KeptRun run) throws IOException {
+    known.put(run.level() + "/" + run.seed(), run);
+    if (runs != null) {
+      Files.writeString(runs, run.line() + "\n", StandardOpenOption.APPEND);
     }
+  }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
@@ -29,288 +29,376 @@
 import shelffront.tenant.SpecJson.SpecException;
 
 /**
- * An experiment on the virtual fleet: a base scenario, levels that change it, seeds, claims. Each level is played with
- * each seed, spread over the cores; the result is a directory with everything in it.
+ * An experiment on the virtual fleet: a base scenario, levels that change it, seeds, claims. Each
+ * level is played with each seed, spread over the cores; the result is a directory with everything
+ * in it.
  */
 public final class VirtualExperiment {
 
-    private static final long SECOND = 1_000_000;
+  private static final long SECOND = 1_000_000;
 
-    /** A level's runs, in the order of the seeds. */
-    private record Level(String name, Scenario scenario, List<KeptRun> runs) {
+  /** A level's runs, in the order of the seeds. */
+  private record Level(String name, Scenario scenario, List<KeptRun> runs) {
 
-        double[] worth() {
-            return runs.stream().mapToDouble(KeptRun::worthKept).toArray();
-        }
-
-        int broken() {
-            return runs.stream().mapToInt(KeptRun::broken).sum();
-        }
-
-        Histogram latency() {
-            Histogram all = new Histogram(60_000_000L, 3);
-            runs.forEach(r -> all.add(r.latency()));
-            return all;
-        }
+    double[] worth() {
+      return runs.stream().mapToDouble(KeptRun::worthKept).toArray();
     }
 
-    private final JsonNode file;
-    private final List<Level> levels = new ArrayList<>();
-    private final List<String> table = new ArrayList<>();
-    private final List<String> claims = new ArrayList<>();
-    private boolean kept = true;
-
-    private VirtualExperiment(JsonNode file) {
-        this.file = file;
+    int broken() {
+      return runs.stream().mapToInt(KeptRun::broken).sum();
     }
 
-    /**
-     * Plays it; the directory is null where nothing is to be kept. Runs that a directory has of the very same
-     * experiment are taken from there: whoever stopped it goes on where it was.
-     */
-    public static Experiment.Report run(JsonNode file, Path directory)
-            throws IOException, SpecException, InterruptedException {
-        VirtualExperiment experiment = new VirtualExperiment(file);
-        RunLog log = RunLog.open(directory, file);
-        experiment.play(log);
-        log.inOrder(experiment.levels.stream().flatMap(l -> l.runs().stream()).toList());
-        return experiment.told(directory);
+    Histogram latency() {
+      Histogram all = new Histogram(60_000_000L, 3);
+      runs.forEach(r -> all.add(r.latency()));
+      return all;
     }
+  }
 
-    /** What a directory's runs come to, with the summary and the charts made anew. */
-    public static Experiment.Report report(Path directory) throws IOException, SpecException {
-        JsonNode file = SpecJson.JSON.readTree(directory.resolve(RunLog.EXPERIMENT).toFile());
-        VirtualExperiment experiment = new VirtualExperiment(file);
-        RunLog log = RunLog.read(directory, file);
-        for (Level level : experiment.planned()) {
-            for (int seed = 1; seed <= experiment.seeds(); seed++) {
-                KeptRun run = log.get(level.name(), seed);
-                if (run != null) {
-                    level.runs().add(run);
-                }
-            }
-            if (!level.runs().isEmpty()) {
-                experiment.levels.add(level);
-            }
-        }
-        return experiment.told(directory);
-    }
+  private final JsonNode file;
+  private final List<Level> levels = new ArrayList<>();
+  private final List<String> table = new ArrayList<>();
+  private final List<String> claims = new ArrayList<>();
+  private boolean kept = true;
+
+  private VirtualExperiment(JsonNode file) {
+    this.file = file;
+  }
 
-    private Experiment.Report told(Path directory) throws IOException {
-        tell();
-        Experiment.Report report = new Experiment.Report(List.copyOf(table), List.copyOf(claims), kept, false);
-        if (directory != null) {
-            keep(directory, report);
+  /**
+   * Plays it; the directory is null where nothing is to be kept. Runs that a directory has of the
+   * very same experiment are taken from there: whoever stopped it goes on where it was.
+   */
+  public static Experiment.Report run(JsonNode file, Path directory)
+      throws IOException, SpecException, InterruptedException {
+    VirtualExperiment experiment = new VirtualExperiment(file);
+    RunLog log = RunLog.open(directory, file);
+    experiment.play(log);
+    log.inOrder(experiment.levels.stream().flatMap(l -> l.runs().stream()).toList());
+    return experiment.told(directory);
+  }
+
+  /** What a directory's runs come to, with the summary and the charts made anew. */
+  public static Experiment.Report report(Path directory) throws IOException, SpecException {
+    JsonNode file = SpecJson.JSON.readTree(directory.resolve(RunLog.EXPERIMENT).toFile());
+    VirtualExperiment experiment = new VirtualExperiment(file);
+    RunLog log = RunLog.read(directory, file);
+    for (Level level : experiment.planned()) {
+      for (int seed = 1; seed <= experiment.seeds(); seed++) {
+        KeptRun run = log.get(level.name(), seed);
+        if (run != null) {
+          level.runs().add(run);
         }
-        return report;
+      }
+      if (!level.runs().isEmpty()) {
+        experiment.levels.add(level);
+      }
     }
+    return experiment.told(directory);
+  }
 
-    private int seeds() {
-        return file.path("seeds").asInt(5);
+  private Experiment.Report told(Path directory) throws IOException {
+    tell();
+    Experiment.Report report =
+        new Experiment.Report(List.copyOf(table), List.copyOf(claims), kept, false);
+    if (directory != null) {
+      keep(directory, report);
     }
+    return report;
+  }
 
-    private List<Level> planned() throws SpecException {
-        List<Level> planned = new ArrayList<>();
-        for (JsonNode level : file.path("levels")) {
-            ObjectNode merged = file.path("base").deepCopy();
-            merged.setAll((ObjectNode) level);
-            planned.add(new Level(level.path("name").asText(), scenario(merged, "/levels/" + planned.size()),
-                    new ArrayList<>()));
-        }
-        return planned;
-    }
+  private int seeds() {
+    return file.path("seeds").asInt(5);
+  }
 
-    private void play(RunLog log) throws SpecException, InterruptedException, IOException {
-        ExecutorService pool = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
-        try {
-            Map<Level, List<Future<KeptRun>>> out = new LinkedHashMap<>();
-            List<Level> planned = planned();
-            Progress progress = new Progress(planned.size() * seeds());
-            for (Level level : planned) {
-                List<Future<KeptRun>> runs = new ArrayList<>();
-                for (int seed = 1; seed <= seeds(); seed++) {
-                    int number = seed;
-                    Scenario one = level.scenario().of(seed);
-                    runs.add(pool.submit(() -> {
-                        KeptRun run = log.get(level.name(), number);
-                        if (run == null) {
-                            run = KeptRun.of(level.name(), number, Fleet.play(one));
-                            log.add(run);
-                        }
-                        progress.one();
-                        return run;
-                    }));
-                }
-                out.put(level, runs);
-            }
-            for (var each : out.entrySet()) {
-                for (Future<KeptRun> run : each.getValue()) {
-                    each.getKey().runs().add(run.get());
-                }
-                levels.add(each.getKey());
-            }
-        } catch (ExecutionException e) {
-            throw new IllegalStateException("a run has failed", e.getCause());
-        } finally {
-            pool.shutdownNow();
-        }
+  private List<Level> planned() throws SpecException {
+    List<Level> planned = new ArrayList<>();
+    for (JsonNode level : file.path("levels")) {
+      ObjectNode merged = file.path("base").deepCopy();
+      merged.setAll((ObjectNode) level);
+      planned.add(
+          new Level(
+              level.path("name").asText(),
+              scenario(merged, "/levels/" + planned.size()),
+              new ArrayList<>()));
     }
+    return planned;
+  }
 
-    /** Figures that a file leaves out are those of a calm fleet of small boxes. */
-    static Scenario scenario(JsonNode s, String at) throws SpecException {
-        List<Fault> faults = new ArrayList<>();
-        for (JsonNode f : s.path("faults")) {
-            try {
-                faults.add(new Fault(micros(f, "at", 1), FaultKind.valueOf(f.path("kind").asText()),
-                        f.path("target").asInt(0), micros(f, "seconds", 1)));
-            } catch (IllegalArgumentException e) {
-                throw new SpecException(at + "/faults/" + faults.size() + "/kind", "is none of "
-                        + List.of(FaultKind.values()));
-            }
+  private void play(RunLog log) throws SpecException, InterruptedException, IOException {
+    ExecutorService pool = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
+    try {
+      Map<Level, List<Future<KeptRun>>> out = new LinkedHashMap<>();
+      List<Level> planned = planned();
+      Progress progress = new Progress(planned.size() * seeds());
+      for (Level level : planned) {
+        List<Future<KeptRun>> runs = new ArrayList<>();
+        for (int seed = 1; seed <= seeds(); seed++) {
+          int number = seed;
+          Scenario one = level.scenario().of(seed);
+          runs.add(
+              pool.submit(
+                  () -> {
+                    KeptRun run = log.get(level.name(), number);
+                    if (run == null) {
+                      run = KeptRun.of(level.name(), number, Fleet.play(one));
+                      log.add(run);
+                    }
+                    progress.one();
+                    return run;
+                  }));
         }
-        Figures.Check check;
-        try {
-            check = Figures.Check.valueOf(s.path("check").asText("wait").toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
-            throw new SpecException(at + "/check", "is none of silent, refuse, wait");
+        out.put(level, runs);
+      }
+      for (var each : out.entrySet()) {
+        for (Future<KeptRun> run : each.getValue()) {
+          each.getKey().runs().add(run.get());
         }
-        long work = s.path("workUs").asLong(6_000);
-        Figures figures = new Figures(s.path("cores").asInt(4), s.path("room").asInt(40),
-                s.path("connections").asInt(200), work, work * 2, s.path("sigma").asDouble(0.5), 1_000,
-                s.path("shipUs").asLong(20_000), s.path("applyUs").asLong(400), 0.21, 18 * SECOND,
-                micros(s, "electionSeconds", 1), micros(s, "handOverSeconds", 0.5), 2 * SECOND, check, 50_000, 4,
-                2 * SECOND, s.path("losesTail").asBoolean(false));
-        return new Scenario(0, s.path("gateways").asInt(2), s.path("sets").asInt(1), s.path("boxes").asInt(3),
-                s.path("perSecond").asDouble(200), micros(s, "seconds", 8), figures,
-                new Weather(s.path("latencyUs").asLong(300), s.path("jitterUs").asLong(700),
-                        s.path("chop").asDouble(0.1)),
-                micros(s, "listDelaySeconds", 1),
-                deployment(s), new Means(s.path("sockets").asInt(1024),
-                        s.path("gatewayWorkUs").asLong(0), s.path("gatewayPauses").asDouble(0),
-                        s.path("tenants").asInt(0), s.path("loops").asInt(1),
-                        s.path("clientConnections").asInt(Means.PLAIN.connections())),
-                List.copyOf(faults));
+        levels.add(each.getKey());
+      }
+    } catch (ExecutionException e) {
+      throw new IllegalStateException("a run has failed", e.getCause());
+    } finally {
+      pool.shutdownNow();
     }
+  }
 
-    private static Deployment deployment(JsonNode s) {
-        boolean onceWrites = s.path("onceWrites").asBoolean(false);
-        return s.path("carried").asBoolean(false) ? Deployment.carrying(onceWrites) : Deployment.plain(onceWrites);
+  /** Figures that a file leaves out are those of a calm fleet of small boxes. */
+  static Scenario scenario(JsonNode s, String at) throws SpecException {
+    List<Fault> faults = new ArrayList<>();
+    for (JsonNode f : s.path("faults")) {
+      try {
+        faults.add(
+            new Fault(
+                micros(f, "at", 1),
+                FaultKind.valueOf(f.path("kind").asText()),
+                f.path("target").asInt(0),
+                micros(f, "seconds", 1)));
+      } catch (IllegalArgumentException e) {
+        throw new SpecException(
+            at + "/faults/" + faults.size() + "/kind", "is none of " + List.of(FaultKind.values()));
+      }
     }
-
-    private static long micros(JsonNode object, String name, double absent) {
-        return (long) (object.path(name).asDouble(absent) * SECOND);
+    Figures.Check check;
+    try {
+      check = Figures.Check.valueOf(s.path("check").asText("wait").toUpperCase(Locale.ROOT));
+    } catch (IllegalArgumentException e) {
+      throw new SpecException(at + "/check", "is none of silent, refuse, wait");
     }
+    long work = s.path("workUs").asLong(6_000);
+    Figures figures =
+        new Figures(
+            s.path("cores").asInt(4),
+            s.path("room").asInt(40),
+            s.path("connections").asInt(200),
+            work,
+            work * 2,
+            s.path("sigma").asDouble(0.5),
+            1_000,
+            s.path("shipUs").asLong(20_000),
+            s.path("applyUs").asLong(400),
+            0.21,
+            18 * SECOND,
+            micros(s, "electionSeconds", 1),
+            micros(s, "handOverSeconds", 0.5),
+            2 * SECOND,
+            check,
+            50_000,
+            4,
+            2 * SECOND,
+            s.path("losesTail").asBoolean(false));
+    return new Scenario(
+        0,
+        s.path("gateways").asInt(2),
+        s.path("sets").asInt(1),
+        s.path("boxes").asInt(3),
+        s.path("perSecond").asDouble(200),
+        micros(s, "seconds", 8),
+        figures,
+        new Weather(
+            s.path("latencyUs").asLong(300),
+            s.path("jitterUs").asLong(700),
+            s.path("chop").asDouble(0.1)),
+        micros(s, "listDelaySeconds", 1),
+        deployment(s),
+        new Means(
+            s.path("sockets").asInt(1024),
+            s.path("gatewayWorkUs").asLong(0),
+            s.path("gatewayPauses").asDouble(0),
+            s.path("tenants").asInt(0),
+            s.path("loops").asInt(1),
+            s.path("clientConnections").asInt(Means.PLAIN.connections())),
+        List.copyOf(faults));
+  }
 
-    private Level level(String name) {
-        return levels.stream().filter(l -> l.name().equals(name)).findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("a claim names the level " + name + ", which is none"));
-    }
+  private static Deployment deployment(JsonNode s) {
+    boolean onceWrites = s.path("onceWrites").asBoolean(false);
+    return s.path("carried").asBoolean(false)
+        ? Deployment.carrying(onceWrites)
+        : Deployment.plain(onceWrites);
+  }
 
-    private void tell() {
-        table.add("| level | runs | requests | worth kept (95 %) | worst run | p50 ms | p99 ms | p99.9 ms "
-                + "| broken rules |");
-        table.add("|---|---|---|---|---|---|---|---|---|");
-        for (Level l : levels) {
-            Bootstrap.Interval worth = Bootstrap.mean(l.worth());
-            Histogram latency = l.latency();
-            table.add(String.format(Locale.ROOT,
-                    "| %s | %d | %d | %.3f (%.3f to %.3f) | %.3f | %.1f | %.1f | %.1f | %d |",
-                    l.name(), l.runs().size(), l.runs().stream().mapToLong(KeptRun::requests).sum(), worth.mean(),
-                    worth.low(), worth.high(), l.runs().stream().mapToDouble(KeptRun::worthKept).min().orElse(0),
-                    latency.getValueAtPercentile(50) / 1e3, latency.getValueAtPercentile(99) / 1e3,
-                    latency.getValueAtPercentile(99.9) / 1e3, l.broken()));
-        }
-        for (JsonNode claim : file.path("claims")) {
-            if (claim.has("rules")) {
-                int broken = levels.stream().mapToInt(Level::broken).sum();
-                say(broken == 0, broken + " rules broken in all runs");
-                continue;
-            }
-            Level l = level(claim.path("level").asText());
-            double low = Bootstrap.mean(l.worth()).low();
-            if (claim.has("worthAtLeast")) {
-                double least = claim.path("worthAtLeast").asDouble();
-                say(low >= least, String.format(Locale.ROOT, "%s keeps %.3f of its worth at least: %.3f wanted",
-                        l.name(), low, least));
-            } else {
-                Level other = level(claim.path("against").asText());
-                Bootstrap.Interval less = Bootstrap.difference(other.worth(), l.worth());
-                double within = claim.path("within").asDouble();
-                say(less.high() <= within, String.format(Locale.ROOT,
-                        "%s keeps %.3f less than %s (%.3f to %.3f): %.3f at the most wanted", l.name(), less.mean(),
-                        other.name(), less.low(), less.high(), within));
-            }
-        }
-    }
+  private static long micros(JsonNode object, String name, double absent) {
+    return (long) (object.path(name).asDouble(absent) * SECOND);
+  }
 
-    private void say(boolean isKept, String text) {
-        kept &= isKept;
-        claims.add((isKept ? "kept: " : "NOT kept: ") + text);
+  private Level level(String name) {
+    return levels.stream()
+        .filter(l -> l.name().equals(name))
+        .findFirst()
+        .orElseThrow(
+            () ->
+                new IllegalArgumentException(
+                    "a claim names the level " + name + ", which is none"));
+  }
+
+  private void tell() {
+    table.add(
+        "| level | runs | requests | worth kept (95 %) | worst run | p50 ms | p99 ms | p99.9 ms "
+            + "| broken rules |");
+    table.add("|---|---|---|---|---|---|---|---|---|");
+    for (Level l : levels) {
+      Bootstrap.Interval worth = Bootstrap.mean(l.worth());
+      Histogram latency = l.latency();
+      table.add(
+          String.format(
+              Locale.ROOT,
+              "| %s | %d | %d | %.3f (%.3f to %.3f) | %.3f | %.1f | %.1f | %.1f | %d |",
+              l.name(),
+              l.runs().size(),
+              l.runs().stream().mapToLong(KeptRun::requests).sum(),
+              worth.mean(),
+              worth.low(),
+              worth.high(),
+              l.runs().stream().mapToDouble(KeptRun::worthKept).min().orElse(0),
+              latency.getValueAtPercentile(50) / 1e3,
+              latency.getValueAtPercentile(99) / 1e3,
+              latency.getValueAtPercentile(99.9) / 1e3,
+              l.broken()));
+    }
+    for (JsonNode claim : file.path("claims")) {
+      if (claim.has("rules")) {
+        int broken = levels.stream().mapToInt(Level::broken).sum();
+        say(broken == 0, broken + " rules broken in all runs");
+        continue;
+      }
+      Level l = level(claim.path("level").asText());
+      double low = Bootstrap.mean(l.worth()).low();
+      if (claim.has("worthAtLeast")) {
+        double least = claim.path("worthAtLeast").asDouble();
+        say(
+            low >= least,
+            String.format(
+                Locale.ROOT,
+                "%s keeps %.3f of its worth at least: %.3f wanted",
+                l.name(),
+                low,
+                least));
+      } else {
+        Level other = level(claim.path("against").asText());
+        Bootstrap.Interval less = Bootstrap.difference(other.worth(), l.worth());
+        double within = claim.path("within").asDouble();
+        say(
+            less.high() <= within,
+            String.format(
+                Locale.ROOT,
+                "%s keeps %.3f less than %s (%.3f to %.3f): %.3f at the most wanted",
+                l.name(),
+                less.mean(),
+                other.name(),
+                less.low(),
+                less.high(),
+                within));
+      }
     }
+  }
 
-    // ---- What is kept -----------------------------------------------------------------------------------------
+  private void say(boolean isKept, String text) {
+    kept &= isKept;
+    claims.add((isKept ? "kept: " : "NOT kept: ") + text);
+  }
 
-    private void keep(Path directory, Experiment.Report report) throws IOException {
-        StringBuilder csv = new StringBuilder("level,seed,requests,worth_kept,p50_ms,p99_ms,broken,hash\n");
-        for (Level l : levels) {
-            for (KeptRun r : l.runs()) {
-                csv.append(String.format(Locale.ROOT, "%s,%d,%d,%.5f,%.3f,%.3f,%d,%s%n", l.name(), r.seed(),
-                        r.requests(), r.worthKept(), r.latency().getValueAtPercentile(50) / 1e3,
-                        r.latency().getValueAtPercentile(99) / 1e3, r.broken(), r.hash().substring(0, 16)));
-            }
-        }
-        Files.writeString(directory.resolve("runs.csv"), csv);
-        Charts charts = new Charts();
-        for (Level l : levels) {
-            double[] wanted = new double[l.runs().get(0).wanted().length];
-            double[] served = new double[wanted.length];
-            for (KeptRun r : l.runs()) {
-                for (int w = 0; w < wanted.length; w++) {
-                    wanted[w] += r.wanted()[w];
-                    served[w] += r.kept()[w];
-                }
-            }
-            charts.add(l.name(), Fleet.WINDOW, wanted, served, l.latency());
-        }
-        Set<String> drawn = new HashSet<>();
-        for (Level l : levels) {
-            for (Fault f : l.scenario().faults()) {
-                String name = f.kind().name().toLowerCase(Locale.ROOT) + " " + f.at() / 1e6;
-                if (drawn.add(name)) {
-                    charts.mark(name, f.at() / 1e6);
-                }
-            }
+  // ---- What is kept
+  // --------------------------------------------------------------------------------
+
+  private void keep(Path directory, Experiment.Report report) throws IOException {
+    StringBuilder csv =
+        new StringBuilder("level,seed,requests,worth_kept,p50_ms,p99_ms,broken,hash\n");
+    for (Level l : levels) {
+      for (KeptRun r : l.runs()) {
+        csv.append(
+            String.format(
+                Locale.ROOT,
+                "%s,%d,%d,%.5f,%.3f,%.3f,%d,%s%n",
+                l.name(),
+                r.seed(),
+                r.requests(),
+                r.worthKept(),
+                r.latency().getValueAtPercentile(50) / 1e3,
+                r.latency().getValueAtPercentile(99) / 1e3,
+                r.broken(),
+                r.hash().substring(0, 16)));
+      }
+    }
+    Files.writeString(directory.resolve("runs.csv"), csv);
+    Charts charts = new Charts();
+    for (Level l : levels) {
+      double[] wanted = new double[l.runs().get(0).wanted().length];
+      double[] served = new double[wanted.length];
+      for (KeptRun r : l.runs()) {
+        for (int w = 0; w < wanted.length; w++) {
+          wanted[w] += r.wanted()[w];
+          served[w] += r.kept()[w];
         }
-        charts.save(directory, report);
+      }
+      charts.add(l.name(), Fleet.WINDOW, wanted, served, l.latency());
     }
-
-    /** Which levels of two kept experiments differ beyond chance; a line each. */
-    public static List<String> compare(Path a, Path b) throws IOException {
-        Map<String, List<Double>> first = worth(a);
-        Map<String, List<Double>> second = worth(b);
-        List<String> lines = new ArrayList<>();
-        for (var each : first.entrySet()) {
-            if (second.containsKey(each.getKey())) {
-                Bootstrap.Interval d = Bootstrap.difference(array(second.get(each.getKey())), array(each.getValue()));
-                lines.add(String.format(Locale.ROOT, "%s: worth kept differs by %+.4f (%+.4f to %+.4f), %s",
-                        each.getKey(), d.mean(), d.low(), d.high(), d.low() > 0 || d.high() < 0 ? "beyond chance"
-                                : "no more than chance"));
-            }
+    Set<String> drawn = new HashSet<>();
+    for (Level l : levels) {
+      for (Fault f : l.scenario().faults()) {
+        String name = f.kind().name().toLowerCase(Locale.ROOT) + " " + f.at() / 1e6;
+        if (drawn.add(name)) {
+          charts.mark(name, f.at() / 1e6);
         }
-        return lines;
+      }
     }
+    charts.save(directory, report);
+  }
 
-    private static double[] array(List<Double> list) {
-        return list.stream().mapToDouble(d -> d).toArray();
+  /** Which levels of two kept experiments differ beyond chance; a line each. */
+  public static List<String> compare(Path a, Path b) throws IOException {
+    Map<String, List<Double>> first = worth(a);
+    Map<String, List<Double>> second = worth(b);
+    List<String> lines = new ArrayList<>();
+    for (var each : first.entrySet()) {
+      if (second.containsKey(each.getKey())) {
+        Bootstrap.Interval d =
+            Bootstrap.difference(array(second.get(each.getKey())), array(each.getValue()));
+        lines.add(
+            String.format(
+                Locale.ROOT,
+                "%s: worth kept differs by %+.4f (%+.4f to %+.4f), %s",
+                each.getKey(),
+                d.mean(),
+                d.low(),
+                d.high(),
+                d.low() > 0 || d.high() < 0 ? "beyond chance" : "no more than chance"));
+      }
     }
+    return lines;
+  }
 
-    private static Map<String, List<Double>> worth(Path directory) throws IOException {
-        Map<String, List<Double>> all = new LinkedHashMap<>();
-        for (String line : Files.readAllLines(directory.resolve("runs.jsonl"))) {
-            JsonNode run = SpecJson.JSON.readTree(line);
-            all.computeIfAbsent(run.path("level").asText(), n -> new ArrayList<>())
-                    .add(run.path("worthKept").asDouble());
-        }
-        return all;
+  private static double[] array(List<Double> list) {
+    return list.stream().mapToDouble(d -> d).toArray();
+  }
+
+  private static Map<String, List<Double>> worth(Path directory) throws IOException {
+    Map<String, List<Double>> all = new LinkedHashMap<>();
+    for (String line : Files.readAllLines(directory.resolve("runs.jsonl"))) {
+      JsonNode run = SpecJson.JSON.readTree(line);
+      all.computeIfAbsent(run.path("level").asText(), n -> new ArrayList<>())
+          .add(run.path("worthKept").asDouble());
     }
+    return all;
+  }
 }
