--- a/lab/src/main/java/shelffront/lab/fleet/DistributionExplore.java
+++ b/lab/src/main/java/shelffront/lab/fleet/DistributionExplore.java
@@ -24,272 +24,321 @@
 import shelffront.lab.fleet.DistributionHistories.Cut;
 import shelffront.lab.rig.FaultRelay;
 
-/** Plays drawn schedules of faults on a fleet of processes while tenants are made, changed and removed. */
-@Command(name = "distribution-explore", mixinStandardHelpOptions = true, description = {
-        "Two regions of two zones, an engine, six distributors, hollow gateways and real ones with clients, each on",
-        "relays that can be cut. A seed draws what breaks while changes are made; then all is made whole, and the",
-        "histories of all gateways are held against what the engine acknowledged.",
-        "Exit codes: 0 all held, 1 a seed is named that broke something, with the command that plays it again."})
+/**
+ * Plays drawn schedules of faults on a fleet of processes while tenants are made, changed and
+ * removed.
+ */
+@Command(
+    name = "distribution-explore",
+    mixinStandardHelpOptions = true,
+    description = {
+      "Two regions of two zones, an engine, six distributors, hollow gateways and real ones with"
+          + " clients, each on",
+      "relays that can be cut. A seed draws what breaks while changes are made; then all is made"
+          + " whole, and the",
+      "histories of all gateways are held against what the engine acknowledged.",
+      "Exit codes: 0 all held, 1 a seed is named that broke something, with the command that plays"
+          + " it again."
+    })
 public final class DistributionExplore implements Callable<Integer> {
 
-    private static final ScaledFleet.Size SIZE = new ScaledFleet.Size(24, 20, 8, 2, 2, 4, 0, 7);
-    private static final long BOUND = 14_000_000;
-    private static final long LONGEST_HOLD_MILLIS = 5_000;
-    private static final int STEPS = 8;
+  private static final ScaledFleet.Size SIZE = new ScaledFleet.Size(24, 20, 8, 2, 2, 4, 0, 7);
+  private static final long BOUND = 14_000_000;
+  private static final long LONGEST_HOLD_MILLIS = 5_000;
+  private static final int STEPS = 8;
 
-    /** What a step of the schedule does. */
-    enum Step {
-        KILL_ZONE_DISTRIBUTOR, STOP_ZONE_DISTRIBUTOR, KILL_REGION_DISTRIBUTOR, STOP_REGION_DISTRIBUTOR, SLOW_ZONE,
-        CUT_ZONE,
-        CUT_REGIONS, ENGINE_LEADERLESS, ENGINE_RESTARTS, ENGINE_RESTORED, RESTART_ZONE, BURST
-    }
+  /** What a step of the schedule does. */
+  enum Step {
+    KILL_ZONE_DISTRIBUTOR,
+    STOP_ZONE_DISTRIBUTOR,
+    KILL_REGION_DISTRIBUTOR,
+    STOP_REGION_DISTRIBUTOR,
+    SLOW_ZONE,
+    CUT_ZONE,
+    CUT_REGIONS,
+    ENGINE_LEADERLESS,
+    ENGINE_RESTARTS,
+    ENGINE_RESTORED,
+    RESTART_ZONE,
+    BURST
+  }
 
-    @Option(names = "--seeds", defaultValue = "3", description = "how many (${DEFAULT-VALUE})")
-    private int seeds;
+  @Option(names = "--seeds", defaultValue = "3", description = "how many (${DEFAULT-VALUE})")
+  private int seeds;
 
-    @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
-    private long from;
+  @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
+  private long from;
 
-    @Option(names = "--steps", defaultValue = "" + STEPS, description = "faults for each seed (${DEFAULT-VALUE})")
-    private int steps;
+  @Option(
+      names = "--steps",
+      defaultValue = "" + STEPS,
+      description = "faults for each seed (${DEFAULT-VALUE})")
+  private int steps;
 
-    @Option(names = "--bound-ms", defaultValue = "14000",
-            description = "within which a change has to be in force (${DEFAULT-VALUE}); a lesser one has to be caught")
-    private long boundMs;
+  @Option(
+      names = "--bound-ms",
+      defaultValue = "14000",
+      description =
+          "within which a change has to be in force (${DEFAULT-VALUE}); a lesser one has to be"
+              + " caught")
+  private long boundMs;
 
-    @Override
-    public Integer call() throws Exception {
-        int failed = 0;
-        for (long seed = from; seed < from + seeds; seed++) {
-            Path directory = Files.createTempDirectory("distribution-" + seed + "-");
-            try (Play play = new Play(directory, seed)) {
-                List<String> broken = play.play(steps, boundMs * 1000);
-                System.out.println("seed " + seed + ": " + play.summary());
-                if (!broken.isEmpty()) {
-                    failed++;
-                    broken.stream().limit(5).forEach(b -> System.out.println("  " + b));
-                    System.out.println(
-                            "  again: java -jar lab/target/shelffront-lab.jar distribution-explore --from " + seed
-                                    + " --seeds 1; files in " + directory);
-                }
-            }
+  @Override
+  public Integer call() throws Exception {
+    int failed = 0;
+    for (long seed = from; seed < from + seeds; seed++) {
+      Path directory = Files.createTempDirectory("distribution-" + seed + "-");
+      try (Play play = new Play(directory, seed)) {
+        List<String> broken = play.play(steps, boundMs * 1000);
+        System.out.println("seed " + seed + ": " + play.summary());
+        if (!broken.isEmpty()) {
+          failed++;
+          broken.stream().limit(5).forEach(b -> System.out.println("  " + b));
+          System.out.println(
+              "  again: java -jar lab/target/shelffront-lab.jar distribution-explore --from "
+                  + seed
+                  + " --seeds 1; files in "
+                  + directory);
         }
-        System.out.printf("%d seeds, %d broken%n", seeds, failed);
-        return failed == 0 ? 0 : 1;
+      }
     }
+    System.out.printf("%d seeds, %d broken%n", seeds, failed);
+    return failed == 0 ? 0 : 1;
+  }
 
-    /** One seed's fleet, schedule and judgement. */
-    private static final class Play implements AutoCloseable {
+  /** One seed's fleet, schedule and judgement. */
+  private static final class Play implements AutoCloseable {
 
-        private final UniformRandomProvider random; // of the schedule: the same for a seed, whatever else takes long
-        private final UniformRandomProvider changeRandom;
-        private final Map<String, FaultRelay> ways = new TreeMap<>(); // "from to"
-        private final ScaledFleet fleet;
-        private final List<ClientProbe> clients = new ArrayList<>();
-        private final Map<String, List<Acknowledged>> acknowledged = new HashMap<>();
-        private final List<Cut> cuts = new ArrayList<>();
-        private final List<String> said = new ArrayList<>();
-        private final List<String> broken = new ArrayList<>();
-        private Version newest = Version.NONE;
-        private int refused;
-        private DistributionHistories histories = new DistributionHistories();
-
-        Play(Path directory, long seed) throws Exception {
-            random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-            changeRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1);
-            fleet = new ScaledFleet(directory, SIZE, this::way, true);
-            fleet.start();
-            for (int i = 0; i < SIZE.real(); i++) {
-                clients.add(new ClientProbe(fleet.clientAddress(i), FleetNames.COMMON));
-            }
-        }
+    private final UniformRandomProvider
+        random; // of the schedule: the same for a seed, whatever else takes long
+    private final UniformRandomProvider changeRandom;
+    private final Map<String, FaultRelay> ways = new TreeMap<>(); // "from to"
+    private final ScaledFleet fleet;
+    private final List<ClientProbe> clients = new ArrayList<>();
+    private final Map<String, List<Acknowledged>> acknowledged = new HashMap<>();
+    private final List<Cut> cuts = new ArrayList<>();
+    private final List<String> said = new ArrayList<>();
+    private final List<String> broken = new ArrayList<>();
+    private Version newest = Version.NONE;
+    private int refused;
+    private DistributionHistories histories = new DistributionHistories();
 
-        private String way(String from, String to, String address) throws IOException {
-            FaultRelay relay = ways.get(from + " " + to);
-            if (relay == null) {
-                String[] at = address.split(":");
-                relay = new FaultRelay(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
-                ways.put(from + " " + to, relay);
-            }
-            return relay.address();
-        }
+    Play(Path directory, long seed) throws Exception {
+      random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+      changeRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1);
+      fleet = new ScaledFleet(directory, SIZE, this::way, true);
+      fleet.start();
+      for (int i = 0; i < SIZE.real(); i++) {
+        clients.add(new ClientProbe(fleet.clientAddress(i), FleetNames.COMMON));
+      }
+    }
 
-        List<String> play(int count, long bound) throws Exception {
-            for (int i = 0; i < count; i++) {
-                Step step = Step.values()[random.nextInt(Step.values().length)];
-                int which = random.nextInt(4);
-                said.add(step + " " + which);
-                long began = FleetNames.clock();
-                begin(step, which);
-                changeFor(1000 + random.nextLong(LONGEST_HOLD_MILLIS), step == Step.BURST ? 20 : 300);
-                end(step, which);
-                String concerned = switch (step) {
-                    case CUT_ZONE -> "z" + which;
-                    case CUT_REGIONS, ENGINE_LEADERLESS, ENGINE_RESTARTS, ENGINE_RESTORED -> Cut.ALL;
-                    case RESTART_ZONE -> "z" + which;
-                    default -> null;
-                };
-                if (concerned != null) {
-                    cuts.add(new Cut(concerned, began, FleetNames.clock()));
-                }
-                changeFor(1500, 300);
-            }
-            judge(bound);
-            return broken;
-        }
+    private String way(String from, String to, String address) throws IOException {
+      FaultRelay relay = ways.get(from + " " + to);
+      if (relay == null) {
+        String[] at = address.split(":");
+        relay = new FaultRelay(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+        ways.put(from + " " + to, relay);
+      }
+      return relay.address();
+    }
 
-        private void begin(Step step, int which) throws Exception {
+    List<String> play(int count, long bound) throws Exception {
+      for (int i = 0; i < count; i++) {
+        Step step = Step.values()[random.nextInt(Step.values().length)];
+        int which = random.nextInt(4);
+        said.add(step + " " + which);
+        long began = FleetNames.clock();
+        begin(step, which);
+        changeFor(1000 + random.nextLong(LONGEST_HOLD_MILLIS), step == Step.BURST ? 20 : 300);
+        end(step, which);
+        String concerned =
             switch (step) {
-                case KILL_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().kill();
-                case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("STOP");
-                case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().kill();
-                case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("STOP");
-                case SLOW_ZONE -> waysOutOf("z" + which).forEach(w -> w.slow(20, 4096));
-                case CUT_ZONE -> waysOutOf("z" + which).forEach(w -> w.cut(true, true));
-                case CUT_REGIONS -> betweenRegions().forEach(w -> w.cut(true, true));
-                case ENGINE_LEADERLESS -> fleet.engineFault("leader=no");
-                case ENGINE_RESTARTS -> {
-                    fleet.engine().process().kill();
-                    fleet.engine().start();
-                }
-                case ENGINE_RESTORED -> {
-                    fleet.engineFault("keep");
-                    changeFor(1000, 200);
-                    fleet.engineFault("restore");
-                }
-                case RESTART_ZONE -> {
-                    fleet.hollow().get(which).process().kill();
-                    fleet.hollow().get(which).start();
-                }
-                default -> {}
-            }
+              case CUT_ZONE -> "z" + which;
+              case CUT_REGIONS, ENGINE_LEADERLESS, ENGINE_RESTARTS, ENGINE_RESTORED -> Cut.ALL;
+              case RESTART_ZONE -> "z" + which;
+              default -> null;
+            };
+        if (concerned != null) {
+          cuts.add(new Cut(concerned, began, FleetNames.clock()));
         }
+        changeFor(1500, 300);
+      }
+      judge(bound);
+      return broken;
+    }
 
-        private void end(Step step, int which) throws Exception {
-            switch (step) {
-                case KILL_ZONE_DISTRIBUTOR -> fleet.zones().get(which).start();
-                case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("CONT");
-                case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).start();
-                case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("CONT");
-                case SLOW_ZONE, CUT_ZONE, CUT_REGIONS -> ways.values().forEach(FaultRelay::heal);
-                case ENGINE_LEADERLESS -> fleet.engineFault("");
-                case ENGINE_RESTORED -> beginIncarnation();
-                case RESTART_ZONE -> fleet.awaitCurrent();
-                default -> {}
-            }
+    private void begin(Step step, int which) throws Exception {
+      switch (step) {
+        case KILL_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().kill();
+        case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("STOP");
+        case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().kill();
+        case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("STOP");
+        case SLOW_ZONE -> waysOutOf("z" + which).forEach(w -> w.slow(20, 4096));
+        case CUT_ZONE -> waysOutOf("z" + which).forEach(w -> w.cut(true, true));
+        case CUT_REGIONS -> betweenRegions().forEach(w -> w.cut(true, true));
+        case ENGINE_LEADERLESS -> fleet.engineFault("leader=no");
+        case ENGINE_RESTARTS -> {
+          fleet.engine().process().kill();
+          fleet.engine().start();
         }
-
-        /** What was acknowledged after the engine's copy was kept is void: the engine does not have it. */
-        private void beginIncarnation() throws OperatorException {
-            Version kept = fleet.store().head().version();
-            acknowledged.values().forEach(list -> list.removeIf(a -> kept.isBefore(a.version())));
-            newest = fleet.store().beginIncarnation();
+        case ENGINE_RESTORED -> {
+          fleet.engineFault("keep");
+          changeFor(1000, 200);
+          fleet.engineFault("restore");
         }
-
-        /** All ways out of a part of the fleet. */
-        private List<FaultRelay> waysOutOf(String from) {
-            return ways.entrySet().stream().filter(e -> e.getKey().startsWith(from + " ")).map(Map.Entry::getValue)
-                    .toList();
+        case RESTART_ZONE -> {
+          fleet.hollow().get(which).process().kill();
+          fleet.hollow().get(which).start();
         }
+        default -> {}
+      }
+    }
 
-        /** Zones 0 and 1 are of the first region; the engine stands in the first. */
-        private List<FaultRelay> betweenRegions() {
-            List<FaultRelay> between = new ArrayList<>();
-            ways.forEach((way, relay) -> {
-                String[] ends = way.split(" ");
-                if (region(ends[0]) != region(ends[1])) {
-                    between.add(relay);
-                }
-            });
-            return between;
-        }
+    private void end(Step step, int which) throws Exception {
+      switch (step) {
+        case KILL_ZONE_DISTRIBUTOR -> fleet.zones().get(which).start();
+        case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("CONT");
+        case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).start();
+        case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("CONT");
+        case SLOW_ZONE, CUT_ZONE, CUT_REGIONS -> ways.values().forEach(FaultRelay::heal);
+        case ENGINE_LEADERLESS -> fleet.engineFault("");
+        case ENGINE_RESTORED -> beginIncarnation();
+        case RESTART_ZONE -> fleet.awaitCurrent();
+        default -> {}
+      }
+    }
 
-        private static int region(String part) {
-            return switch (part) {
-                case "r1", "z2", "z3" -> 1;
-                default -> 0;
-            };
-        }
+    /**
+     * What was acknowledged after the engine's copy was kept is void: the engine does not have it.
+     */
+    private void beginIncarnation() throws OperatorException {
+      Version kept = fleet.store().head().version();
+      acknowledged.values().forEach(list -> list.removeIf(a -> kept.isBefore(a.version())));
+      newest = fleet.store().beginIncarnation();
+    }
 
-        // ---- Changes ------------------------------------------------------------------------------------------
+    /** All ways out of a part of the fleet. */
+    private List<FaultRelay> waysOutOf(String from) {
+      return ways.entrySet().stream()
+          .filter(e -> e.getKey().startsWith(from + " "))
+          .map(Map.Entry::getValue)
+          .toList();
+    }
 
-        private void changeFor(long millis, long pauseMillis) throws InterruptedException {
-            long until = FleetNames.clock() + millis * 1000;
-            while (FleetNames.clock() < until) {
-                changeOne();
-                Thread.sleep(pauseMillis);
+    /** Zones 0 and 1 are of the first region; the engine stands in the first. */
+    private List<FaultRelay> betweenRegions() {
+      List<FaultRelay> between = new ArrayList<>();
+      ways.forEach(
+          (way, relay) -> {
+            String[] ends = way.split(" ");
+            if (region(ends[0]) != region(ends[1])) {
+              between.add(relay);
             }
-        }
+          });
+      return between;
+    }
 
-        private void changeOne() {
-            int draw = changeRandom.nextInt(SIZE.tenants() + 1);
-            boolean remove = changeRandom.nextInt(6) == 0 && draw > 0;
-            String id = draw == 0 ? FleetNames.COMMON : FleetNames.tenant(draw - 1);
-            String name = "tenant/" + id;
-            try {
-                Change present = fleet.store().record(name);
-                remove &= present != null;
-                String document = remove ? null : FleetNames.document(id, FleetNames.clock()).toString();
-                newest = fleet.store().write(name, present == null ? 0 : present.version().sequence(), document,
-                        newest);
-                acknowledged.computeIfAbsent(name, n -> new ArrayList<>())
-                        .add(new Acknowledged(name, newest, remove, FleetNames.clock()));
-            } catch (OperatorException | RecordChanged e) {
-                refused++;
-            }
-        }
+    private static int region(String part) {
+      return switch (part) {
+        case "r1", "z2", "z3" -> 1;
+        default -> 0;
+      };
+    }
 
-        // ---- Judgement ----------------------------------------------------------------------------------------
+    // ---- Changes
+    // --------------------------------------------------------------------------------
 
-        private void judge(long bound) throws Exception {
-            Thread.sleep(BOUND / 1000 + 1000); // what is not in force then is late
-            clients.forEach(c -> broken.addAll(c.stop()));
-            fleet.endHollow();
-            for (int z = 0; z < SIZE.zones(); z++) {
-                histories.add("z" + z, Files.readAllLines(fleet.history(z)));
-            }
-            for (Map.Entry<String, List<Acknowledged>> each : acknowledged.entrySet()) {
-                List<String> serving = new ArrayList<>();
-                for (int g = 0; g < SIZE.gateways(); g++) {
-                    if (FleetNames.served(g, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed()).contains(each.getKey())
-                            && neverRemoved(each.getValue())) {
-                        serving.add("g" + g);
-                    }
-                }
-                histories.check(each.getKey(), serving, each.getValue(), cuts, bound);
-            }
-            broken.addAll(histories.broken());
-        }
+    private void changeFor(long millis, long pauseMillis) throws InterruptedException {
+      long until = FleetNames.clock() + millis * 1000;
+      while (FleetNames.clock() < until) {
+        changeOne();
+        Thread.sleep(pauseMillis);
+      }
+    }
 
-        /**
-         * A gateway follows a name no longer once it was removed, until a client asks for it again: nobody does here.
-         */
-        private static boolean neverRemoved(List<Acknowledged> changes) {
-            for (int i = 0; i < changes.size() - 1; i++) {
-                if (changes.get(i).removal()) {
-                    return false;
-                }
-            }
-            return true;
-        }
+    private void changeOne() {
+      int draw = changeRandom.nextInt(SIZE.tenants() + 1);
+      boolean remove = changeRandom.nextInt(6) == 0 && draw > 0;
+      String id = draw == 0 ? FleetNames.COMMON : FleetNames.tenant(draw - 1);
+      String name = "tenant/" + id;
+      try {
+        Change present = fleet.store().record(name);
+        remove &= present != null;
+        String document = remove ? null : FleetNames.document(id, FleetNames.clock()).toString();
+        newest =
+            fleet
+                .store()
+                .write(name, present == null ? 0 : present.version().sequence(), document, newest);
+        acknowledged
+            .computeIfAbsent(name, n -> new ArrayList<>())
+            .add(new Acknowledged(name, newest, remove, FleetNames.clock()));
+      } catch (OperatorException | RecordChanged e) {
+        refused++;
+      }
+    }
 
-        String summary() {
-            List<Long> delays = new ArrayList<>(histories.delays());
-            Collections.sort(delays);
-            long served = clients.stream().mapToLong(ClientProbe::served).sum();
-            return String.format(Locale.ROOT, "%d changes, %d refused, %d in force, median %.2f s, slowest %.2f s, "
-                    + "%d clients served, %s", acknowledged.values().stream().mapToInt(List::size).sum(), refused,
-                    delays.size(), delays.isEmpty() ? 0 : delays.get(delays.size() / 2) / 1e6,
-                    delays.isEmpty() ? 0 : delays.get(delays.size() - 1) / 1e6, served, String.join(", ", said));
+    // ---- Judgement
+    // --------------------------------------------------------------------------------
+
+    private void judge(long bound) throws Exception {
+      Thread.sleep(BOUND / 1000 + 1000); // what is not in force then is late
+      clients.forEach(c -> broken.addAll(c.stop()));
+      fleet.endHollow();
+      for (int z = 0; z < SIZE.zones(); z++) {
+        histories.add("z" + z, Files.readAllLines(fleet.history(z)));
+      }
+      for (Map.Entry<String, List<Acknowledged>> each : acknowledged.entrySet()) {
+        List<String> serving = new ArrayList<>();
+        for (int g = 0; g < SIZE.gateways(); g++) {
+          if (FleetNames.served(g, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed())
+                  .contains(each.getKey())
+              && neverRemoved(each.getValue())) {
+            serving.add("g" + g);
+          }
         }
+        histories.check(each.getKey(), serving, each.getValue(), cuts, bound);
+      }
+      broken.addAll(histories.broken());
+    }
 
-        @Override
-        public void close() throws IOException {
-            clients.forEach(ClientProbe::stop);
-            fleet.close();
-            for (FaultRelay relay : ways.values()) {
-                relay.close();
-            }
+    /**
+     * A gateway follows a name no longer once it was removed, until a client asks for it again:
+     * nobody does here.
+     */
+    private static boolean neverRemoved(List<Acknowledged> changes) {
+      for (int i = 0; i < changes.size() - 1; i++) {
+        if (changes.get(i).removal()) {
+          return false;
         }
+      }
+      return true;
+    }
+
+    String summary() {
+      List<Long> delays = new ArrayList<>(histories.delays());
+      Collections.sort(delays);
+      long served = clients.stream().mapToLong(ClientProbe::served).sum();
+      return String.format(
+          Locale.ROOT,
+          "%d changes, %d refused, %d in force, median %.2f s, slowest %.2f s, "
+              + "%d clients served, %s",
+          acknowledged.values().stream().mapToInt(List::size).sum(),
+          refused,
+          delays.size(),
+          delays.isEmpty() ? 0 : delays.get(delays.size() / 2) / 1e6,
+          delays.isEmpty() ? 0 : delays.get(delays.size() - 1) / 1e6,
+          served,
+          String.join(", ", said));
+    }
+
+    @Override
+    public void close() throws IOException {
+      clients.forEach(ClientProbe::stop);
+      fleet.close();
+      for (FaultRelay relay : ways.values()) {
+        relay.close();
+      }
     }
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/DistributionHistories.java
+++ b/lab/src/main/java/shelffront/lab/fleet/DistributionHistories.java
@@ -8,110 +8,131 @@
 import shelffront.distribution.Version;
 
 /**
- * Holds what was in force at each gateway against the changes that the engine acknowledged. All processes share a
- * machine, so their monotonic clocks are one. Times are microseconds.
+ * Holds what was in force at each gateway against the changes that the engine acknowledged. All
+ * processes share a machine, so their monotonic clocks are one. Times are microseconds.
  */
 final class DistributionHistories {
 
-    /** A change that was acknowledged; its version is that of a removal where it removes. */
-    record Acknowledged(String name, Version version, boolean removal, long at) {}
+  /** A change that was acknowledged; its version is that of a removal where it removes. */
+  record Acknowledged(String name, Version version, boolean removal, long at) {}
 
-    /** A time in which some gateways could not be reached, so that changes count for them from its end. */
-    record Cut(String zone, long from, long until) {
+  /**
+   * A time in which some gateways could not be reached, so that changes count for them from its
+   * end.
+   */
+  record Cut(String zone, long from, long until) {
 
-        /** Of every zone. */
-        static final String ALL = "";
+    /** Of every zone. */
+    static final String ALL = "";
 
-        boolean concerns(String gatewayZone) {
-            return zone.equals(ALL) || zone.equals(gatewayZone);
-        }
+    boolean concerns(String gatewayZone) {
+      return zone.equals(ALL) || zone.equals(gatewayZone);
     }
+  }
 
-    /** What was in force from a time on; null: no record. */
-    private record State(long at, Version version) {}
+  /** What was in force from a time on; null: no record. */
+  private record State(long at, Version version) {}
 
-    private final Map<String, TreeMap<Long, List<State>>> lives = new HashMap<>(); // by gateway and name, by life
-    private final Map<String, String> zones = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
-    private final List<Long> delays = new ArrayList<>();
-    private long life;
+  private final Map<String, TreeMap<Long, List<State>>> lives =
+      new HashMap<>(); // by gateway and name, by life
+  private final Map<String, String> zones = new HashMap<>();
+  private final List<String> broken = new ArrayList<>();
+  private final List<Long> delays = new ArrayList<>();
+  private long life;
 
-    /** Reads the history of the hollow gateways of a zone. */
-    void add(String zone, List<String> lines) {
-        for (String line : lines) {
-            String[] parts = line.split(" ");
-            if (parts.length < 3) {
-                continue; // a process was killed in the middle of its last line
-            }
-            if (parts[1].equals("life")) {
-                life = Long.parseLong(parts[0]);
-                continue;
-            }
-            Version version = parts.length < 5 ? null : new Version(Long.parseLong(parts[3]), Long.parseLong(parts[4]));
-            zones.put(parts[1], zone);
-            List<State> states = lives.computeIfAbsent(parts[1] + " " + parts[2], k -> new TreeMap<>())
-                    .computeIfAbsent(life, l -> new ArrayList<>());
-            State last = states.isEmpty() ? null : states.get(states.size() - 1);
-            if (last != null && last.version() != null && version != null && version.isBefore(last.version())) {
-                broken.add("step back: " + parts[1] + " " + parts[2] + " from " + last.version() + " to " + version);
-            }
-            states.add(new State(Long.parseLong(parts[0]), version));
-        }
+  /** Reads the history of the hollow gateways of a zone. */
+  void add(String zone, List<String> lines) {
+    for (String line : lines) {
+      String[] parts = line.split(" ");
+      if (parts.length < 3) {
+        continue; // a process was killed in the middle of its last line
+      }
+      if (parts[1].equals("life")) {
+        life = Long.parseLong(parts[0]);
+        continue;
+      }
+      Version version =
+          parts.length < 5 ? null : new Version(Long.parseLong(parts[3]), Long.parseLong(parts[4]));
+      zones.put(parts[1], zone);
+      List<State> states =
+          lives
+              .computeIfAbsent(parts[1] + " " + parts[2], k -> new TreeMap<>())
+              .computeIfAbsent(life, l -> new ArrayList<>());
+      State last = states.isEmpty() ? null : states.get(states.size() - 1);
+      if (last != null
+          && last.version() != null
+          && version != null
+          && version.isBefore(last.version())) {
+        broken.add(
+            "step back: "
+                + parts[1]
+                + " "
+                + parts[2]
+                + " from "
+                + last.version()
+                + " to "
+                + version);
+      }
+      states.add(new State(Long.parseLong(parts[0]), version));
     }
+  }
 
-    /**
-     * Every change has to be in force, or one after it, within the bound from its acknowledgement, or from the end of
-     * the last cut that touches that time.
-     */
-    void check(String name, List<String> gateways, List<Acknowledged> changes, List<Cut> cuts, long bound) {
-        for (int i = 0; i < changes.size(); i++) {
-            Acknowledged change = changes.get(i);
-            for (String gateway : gateways) {
-                long from = reachableFrom(zones.getOrDefault(gateway, ""), change.at(), cuts, bound);
-                Long at = inForceAt(gateway + " " + name, changes.subList(i, changes.size()), change);
-                if (at == null) {
-                    broken.add("never in force: " + change + " at " + gateway);
-                } else if (at > from + bound) {
-                    broken.add("late by " + (at - from - bound) / 1000 + " ms: " + change + " at " + gateway);
-                } else {
-                    delays.add(Math.max(0, at - from));
-                }
-            }
+  /**
+   * Every change has to be in force, or one after it, within the bound from its acknowledgement, or
+   * from the end of the last cut that touches that time.
+   */
+  void check(
+      String name, List<String> gateways, List<Acknowledged> changes, List<Cut> cuts, long bound) {
+    for (int i = 0; i < changes.size(); i++) {
+      Acknowledged change = changes.get(i);
+      for (String gateway : gateways) {
+        long from = reachableFrom(zones.getOrDefault(gateway, ""), change.at(), cuts, bound);
+        Long at = inForceAt(gateway + " " + name, changes.subList(i, changes.size()), change);
+        if (at == null) {
+          broken.add("never in force: " + change + " at " + gateway);
+        } else if (at > from + bound) {
+          broken.add("late by " + (at - from - bound) / 1000 + " ms: " + change + " at " + gateway);
+        } else {
+          delays.add(Math.max(0, at - from));
         }
+      }
     }
+  }
 
-    private static long reachableFrom(String zone, long at, List<Cut> cuts, long bound) {
-        long from = at;
-        for (Cut cut : cuts) { // in their order
-            if (cut.concerns(zone) && cut.from() < from + bound && cut.until() > from) {
-                from = cut.until();
-            }
-        }
-        return from;
+  private static long reachableFrom(String zone, long at, List<Cut> cuts, long bound) {
+    long from = at;
+    for (Cut cut : cuts) { // in their order
+      if (cut.concerns(zone) && cut.from() < from + bound && cut.until() > from) {
+        from = cut.until();
+      }
     }
+    return from;
+  }
 
-    /** When this change, or one that replaced it, came into force. */
-    private Long inForceAt(String key, List<Acknowledged> thisAndLater, Acknowledged change) {
-        Long first = null;
-        for (List<State> states : lives.getOrDefault(key, new TreeMap<>()).values()) {
-            for (State state : states) {
-                boolean covers = state.version() != null
-                        ? !state.version().isBefore(change.version())
-                        : state.at() >= change.at() && thisAndLater.stream().anyMatch(Acknowledged::removal);
-                if (covers && (first == null || state.at() < first)) {
-                    first = state.at();
-                }
-            }
+  /** When this change, or one that replaced it, came into force. */
+  private Long inForceAt(String key, List<Acknowledged> thisAndLater, Acknowledged change) {
+    Long first = null;
+    for (List<State> states : lives.getOrDefault(key, new TreeMap<>()).values()) {
+      for (State state : states) {
+        boolean covers =
+            state.version() != null
+                ? !state.version().isBefore(change.version())
+                : state.at() >= change.at()
+                    && thisAndLater.stream().anyMatch(Acknowledged::removal);
+        if (covers && (first == null || state.at() < first)) {
+          first = state.at();
         }
-        return first;
+      }
     }
+    return first;
+  }
 
-    List<String> broken() {
-        return broken;
-    }
+  List<String> broken() {
+    return broken;
+  }
 
-    /** Microseconds from when each change could reach a gateway until it was in force there. */
-    List<Long> delays() {
-        return delays;
-    }
+  /** Microseconds from when each change could reach a gateway until it was in force there. */
+  List<Long> delays() {
+    return delays;
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/FleetNames.java
+++ b/lab/src/main/java/shelffront/lab/fleet/FleetNames.java
@@ -10,60 +10,74 @@
 import shelffront.tenant.SpecJson;
 
 /**
- * The tenants of a fleet on trial: which there are, who serves which, and documents that tell when they were written.
+ * The tenants of a fleet on trial: which there are, who serves which, and documents that tell when
+ * they were written.
  */
 final class FleetNames {
 
-    /** Hosts of each tenant: a primary and its replicas. */
-    static final int HOSTS_OF_TENANT = 5;
-    /** A tenant that every gateway serves, so that some changes reach all. */
-    static final String COMMON = "common";
-    private static final Pattern WRITTEN_AT = Pattern.compile("\"w([0-9]+)\"");
+  /** Hosts of each tenant: a primary and its replicas. */
+  static final int HOSTS_OF_TENANT = 5;
 
-    private FleetNames() {}
+  /** A tenant that every gateway serves, so that some changes reach all. */
+  static final String COMMON = "common";
 
-    static String tenant(int number) {
-        return "t" + number;
-    }
+  private static final Pattern WRITTEN_AT = Pattern.compile("\"w([0-9]+)\"");
 
-    /** What a gateway serves: the common one, and so many of the others, drawn by its number. */
-    static List<String> served(int gateway, int tenants, int count, long seed) {
-        SplittableRandom random = new SplittableRandom(seed * 1_000_003 + gateway);
-        List<String> names = new ArrayList<>(List.of("tenant/" + COMMON));
-        while (names.size() <= Math.min(count, tenants)) {
-            String name = "tenant/" + tenant(random.nextInt(tenants));
-            if (!names.contains(name)) {
-                names.add(name);
-            }
-        }
-        return names;
-    }
+  private FleetNames() {}
 
-    /** A tenant with its hosts; one host's name tells when it was written, in microseconds. */
-    static ObjectNode document(String id, long writtenAt) {
-        ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", id);
-        ArrayNode classes = tenant.putArray("classes");
-        classes.addObject().put("name", "read").put("giveUpMs", 1000).put("read", "session");
-        classes.addObject().put("name", "write").put("giveUpMs", 2000).put("read", "write").put("effect", "keyed")
-                .put("windowMs", 2000);
-        ArrayNode list = tenant.putObject("boxes").putArray("list");
-        list.addObject().put("id", "w" + writtenAt).put("address", "127.0.0.1:9").put("group", 1).put("role",
-                "primary");
-        for (int i = 1; i < HOSTS_OF_TENANT; i++) {
-            list.addObject().put("id", id + "-" + i).put("address", "127.0.0.1:9").put("group", 1).put("role",
-                    "replica");
-        }
-        return tenant;
-    }
+  static String tenant(int number) {
+    return "t" + number;
+  }
 
-    /** When a document was written. */
-    static long writtenAt(String document) {
-        Matcher m = WRITTEN_AT.matcher(document);
-        return m.find() ? Long.parseLong(m.group(1)) : 0;
+  /** What a gateway serves: the common one, and so many of the others, drawn by its number. */
+  static List<String> served(int gateway, int tenants, int count, long seed) {
+    SplittableRandom random = new SplittableRandom(seed * 1_000_003 + gateway);
+    List<String> names = new ArrayList<>(List.of("tenant/" + COMMON));
+    while (names.size() <= Math.min(count, tenants)) {
+      String name = "tenant/" + tenant(random.nextInt(tenants));
+      if (!names.contains(name)) {
+        names.add(name);
+      }
     }
+    return names;
+  }
 
-    /** Microseconds on the clock that all processes of a machine share. */
-    static long clock() {
-        return System.nanoTime() / 1000;
+  /** A tenant with its hosts; one host's name tells when it was written, in microseconds. */
+  static ObjectNode document(String id, long writtenAt) {
+    ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", id);
+    ArrayNode classes = tenant.putArray("classes");
+    classes.addObject().put("name", "read").put("giveUpMs", 1000).put("read", "session");
+    classes
+        .addObject()
+        .put("name", "write")
+        .put("giveUpMs", 2000)
+        .put("read", "write")
+        .put("effect", "keyed")
+        .put("windowMs", 2000);
+    ArrayNode list = tenant.putObject("boxes").putArray("list");
+    list.addObject()
+        .put("id", "w" + writtenAt)
+        .put("address", "127.0.0.1:9")
+        .put("group", 1)
+        .put("role", "primary");
+    for (int i = 1; i < HOSTS_OF_TENANT; i++) {
+      list.addObject()
+          .put("id", id + "-" + i)
+          .put("address", "127.0.0.1:9")
+          .put("group", 1)
+          .put("role", "replica");
     }
+    return tenant;
+  }
+
+  /** When a document was written. */
+  static long writtenAt(String document) {
+    Matcher m = WRITTEN_AT.matcher(document);
+    return m.find() ? Long.parseLong(m.group(1)) : 0;
+  }
+
+  /** Microseconds on the clock that all processes of a machine share. */
+  static long clock() {
+    return System.nanoTime() / 1000;
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/FleetScale.java
+++ b/lab/src/main/java/shelffront/lab/fleet/FleetScale.java
@@ -22,260 +22,335 @@
 import shelffront.lab.rig.JavaProcess;
 import shelffront.tenant.SpecJson;
 
-/** Distribution of configuration at a fleet's size: what each role costs, and how long a change takes everywhere. */
-@Command(name = "fleet-scale", mixinStandardHelpOptions = true, description = {
-        "Starts a stand-in engine, distributors for regions and zones, hollow gateways (the control side alone, many",
-        "in a process) and a few real ones, makes changes, and measures each role by its processes.",
-        "Exit codes: 0 every claim was kept, 1 one was not, 2 the machine was too slow to tell."})
+/**
+ * Distribution of configuration at a fleet's size: what each role costs, and how long a change
+ * takes everywhere.
+ */
+@Command(
+    name = "fleet-scale",
+    mixinStandardHelpOptions = true,
+    description = {
+      "Starts a stand-in engine, distributors for regions and zones, hollow gateways (the control"
+          + " side alone, many",
+      "in a process) and a few real ones, makes changes, and measures each role by its processes.",
+      "Exit codes: 0 every claim was kept, 1 one was not, 2 the machine was too slow to tell."
+    })
 public final class FleetScale implements Callable<Integer> {
 
-    /** What goes wrong in the middle of the changes. */
-    enum Fault {
-        NONE, ZONE_RESTART, DISTRIBUTOR_KILL, DISTRIBUTOR_STOP, REGION_KILL
+  /** What goes wrong in the middle of the changes. */
+  enum Fault {
+    NONE,
+    ZONE_RESTART,
+    DISTRIBUTOR_KILL,
+    DISTRIBUTOR_STOP,
+    REGION_KILL
+  }
+
+  private static final double BOUND_SECONDS = 14;
+  private static final double MOST_CPU = 0.013;
+  private static final double MOST_KB_PER_SECOND = 18;
+  private static final int COMMON_EVERY =
+      10; // of the changes, one in so many concerns every gateway
+  private static final double TOO_SLOW = 3; // times as long as the changes should have taken
+
+  @Option(
+      names = "--gateways",
+      defaultValue = "100",
+      description = "hollow ones (${DEFAULT-VALUE})")
+  private int gateways;
+
+  @Option(
+      names = "--hosts",
+      defaultValue = "1000",
+      description = "in tenants of five (${DEFAULT-VALUE})")
+  private int hosts;
+
+  @Option(names = "--changes-per-hour", defaultValue = "7200", description = "(${DEFAULT-VALUE})")
+  private int changesPerHour;
+
+  @Option(names = "--seconds", defaultValue = "30", description = "of changes (${DEFAULT-VALUE})")
+  private int seconds;
+
+  @Option(
+      names = "--idle-seconds",
+      defaultValue = "10",
+      description = "without changes, before them (${DEFAULT-VALUE})")
+  private int idleSeconds;
+
+  @Option(
+      names = "--names",
+      defaultValue = "60",
+      description = "tenants that a gateway serves (${DEFAULT-VALUE})")
+  private int names;
+
+  @Option(names = "--regions", defaultValue = "4", description = "(${DEFAULT-VALUE})")
+  private int regions;
+
+  @Option(names = "--zones", defaultValue = "4", description = "of each region (${DEFAULT-VALUE})")
+  private int zones;
+
+  @Option(
+      names = "--real",
+      defaultValue = "2",
+      description = "real gateways beside (${DEFAULT-VALUE})")
+  private int real;
+
+  @Option(
+      names = "--direct",
+      defaultValue = "0",
+      description = "gateways beside that watch the engine themselves (${DEFAULT-VALUE})")
+  private int direct;
+
+  @Option(names = "--faults", defaultValue = "NONE", description = "${COMPLETION-CANDIDATES}")
+  private Fault fault;
+
+  @Option(names = "--seed", defaultValue = "1", description = "(${DEFAULT-VALUE})")
+  private long seed;
+
+  @Option(names = "--out", description = "a directory for the report")
+  private Path out;
+
+  private final List<String> lines = new ArrayList<>();
+  private final List<String> broken = new ArrayList<>();
+  private final ObjectNode figures = SpecJson.JSON.createObjectNode();
+
+  /** What a group of processes has used until a moment. */
+  private record Use(double cpu, long io, long resident, long at, boolean intact) {
+
+    static Use of(List<ScaledFleet.Part> parts) {
+      double cpu = 0;
+      long io = 0;
+      long resident = 0;
+      for (ScaledFleet.Part part : parts) {
+        JavaProcess process = part.process();
+        cpu += process.cpuSeconds();
+        io += process.ioBytes();
+        resident += process.residentBytes();
+      }
+      boolean intact = parts.stream().allMatch(ScaledFleet.Part::isFirstAndUp);
+      return new Use(cpu, io, resident, FleetNames.clock(), intact);
     }
 
-    private static final double BOUND_SECONDS = 14;
-    private static final double MOST_CPU = 0.013;
-    private static final double MOST_KB_PER_SECOND = 18;
-    private static final int COMMON_EVERY = 10; // of the changes, one in so many concerns every gateway
-    private static final double TOO_SLOW = 3; // times as long as the changes should have taken
-
-    @Option(names = "--gateways", defaultValue = "100", description = "hollow ones (${DEFAULT-VALUE})")
-    private int gateways;
-
-    @Option(names = "--hosts", defaultValue = "1000", description = "in tenants of five (${DEFAULT-VALUE})")
-    private int hosts;
-
-    @Option(names = "--changes-per-hour", defaultValue = "7200", description = "(${DEFAULT-VALUE})")
-    private int changesPerHour;
-
-    @Option(names = "--seconds", defaultValue = "30", description = "of changes (${DEFAULT-VALUE})")
-    private int seconds;
-
-    @Option(names = "--idle-seconds", defaultValue = "10",
-            description = "without changes, before them (${DEFAULT-VALUE})")
-    private int idleSeconds;
-
-    @Option(names = "--names", defaultValue = "60", description = "tenants that a gateway serves (${DEFAULT-VALUE})")
-    private int names;
-
-    @Option(names = "--regions", defaultValue = "4", description = "(${DEFAULT-VALUE})")
-    private int regions;
-
-    @Option(names = "--zones", defaultValue = "4", description = "of each region (${DEFAULT-VALUE})")
-    private int zones;
-
-    @Option(names = "--real", defaultValue = "2", description = "real gateways beside (${DEFAULT-VALUE})")
-    private int real;
-
-    @Option(names = "--direct", defaultValue = "0",
-            description = "gateways beside that watch the engine themselves (${DEFAULT-VALUE})")
-    private int direct;
-
-    @Option(names = "--faults", defaultValue = "NONE", description = "${COMPLETION-CANDIDATES}")
-    private Fault fault;
-
-    @Option(names = "--seed", defaultValue = "1", description = "(${DEFAULT-VALUE})")
-    private long seed;
-
-    @Option(names = "--out", description = "a directory for the report")
-    private Path out;
-
-    private final List<String> lines = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
-    private final ObjectNode figures = SpecJson.JSON.createObjectNode();
-
-    /** What a group of processes has used until a moment. */
-    private record Use(double cpu, long io, long resident, long at, boolean intact) {
-
-        static Use of(List<ScaledFleet.Part> parts) {
-            double cpu = 0;
-            long io = 0;
-            long resident = 0;
-            for (ScaledFleet.Part part : parts) {
-                JavaProcess process = part.process();
-                cpu += process.cpuSeconds();
-                io += process.ioBytes();
-                resident += process.residentBytes();
-            }
-            boolean intact = parts.stream().allMatch(ScaledFleet.Part::isFirstAndUp);
-            return new Use(cpu, io, resident, FleetNames.clock(), intact);
-        }
-
-        double cpuSince(Use before) {
-            return (cpu - before.cpu) / ((at - before.at) / 1e6);
-        }
-
-        double kbSince(Use before) {
-            return (io - before.io) / 1e3 / ((at - before.at) / 1e6);
-        }
+    double cpuSince(Use before) {
+      return (cpu - before.cpu) / ((at - before.at) / 1e6);
     }
 
-    @Override
-    public Integer call() throws Exception {
-        int tenants = hosts / FleetNames.HOSTS_OF_TENANT;
-        ScaledFleet.Size size = new ScaledFleet.Size(gateways, tenants, names, regions, zones, real, direct, seed);
-        Path directory = out == null ? Files.createTempDirectory("fleet-scale-") : Files.createDirectories(out);
-        Path work = Files.createTempDirectory("fleet-scale-work-");
-        boolean tooSlow;
-        try (ScaledFleet fleet = new ScaledFleet(work, size)) {
-            long from = FleetNames.clock();
-            fleet.start();
-            note("start_s", (FleetNames.clock() - from) / 1e6);
-            note("slowest_zone_current_s", fleet.slowestStartMillis() / 1e3);
-            Map<String, Use> before = use(fleet);
-            long[] calls = fleet.engineCalls();
-            TimeUnit.SECONDS.sleep(idleSeconds);
-            Map<String, Use> idle = use(fleet);
-            long[] idleCalls = fleet.engineCalls();
-            double idlePerSecond = (idleCalls[0] - calls[0]) / (double) idleSeconds;
-            report("idle", before, idle);
-            note("idle_engine_calls_per_s", idlePerSecond);
-            note("idle_engine_kb_per_s", (idleCalls[1] - calls[1]) / 1e3 / idleSeconds);
-            long began = FleetNames.clock();
-            Map<String, Version> written = change(fleet, tenants);
-            double took = (FleetNames.clock() - began) / 1e6;
-            tooSlow = took > TOO_SLOW * seconds;
-            Map<String, Use> after = use(fleet);
-            long[] afterCalls = fleet.engineCalls();
-            report("changing", idle, after);
-            int count = figures.path("changes").asInt();
-            note("engine_calls_per_change", (afterCalls[0] - idleCalls[0] - idlePerSecond * took) / count);
-            note("engine_kb_per_change", (afterCalls[1] - idleCalls[1]) / 1e3 / count);
-            judge(fleet, written);
-        }
-        claims();
-        save(directory);
-        lines.forEach(System.out::println);
-        return !broken.isEmpty() ? 1 : tooSlow ? 2 : 0;
+    double kbSince(Use before) {
+      return (io - before.io) / 1e3 / ((at - before.at) / 1e6);
     }
-
-    private static Map<String, Use> use(ScaledFleet fleet) {
-        Map<String, Use> use = new TreeMap<>();
-        use.put("engine", Use.of(List.of(fleet.engine())));
-        use.put("region", Use.of(fleet.regions()));
-        use.put("zone", Use.of(fleet.zones()));
-        use.put("hollow", Use.of(fleet.hollow()));
-        use.put("real", Use.of(fleet.real()));
-        return use;
+  }
+
+  @Override
+  public Integer call() throws Exception {
+    int tenants = hosts / FleetNames.HOSTS_OF_TENANT;
+    ScaledFleet.Size size =
+        new ScaledFleet.Size(gateways, tenants, names, regions, zones, real, direct, seed);
+    Path directory =
+        out == null ? Files.createTempDirectory("fleet-scale-") : Files.createDirectories(out);
+    Path work = Files.createTempDirectory("fleet-scale-work-");
+    boolean tooSlow;
+    try (ScaledFleet fleet = new ScaledFleet(work, size)) {
+      long from = FleetNames.clock();
+      fleet.start();
+      note("start_s", (FleetNames.clock() - from) / 1e6);
+      note("slowest_zone_current_s", fleet.slowestStartMillis() / 1e3);
+      Map<String, Use> before = use(fleet);
+      long[] calls = fleet.engineCalls();
+      TimeUnit.SECONDS.sleep(idleSeconds);
+      Map<String, Use> idle = use(fleet);
+      long[] idleCalls = fleet.engineCalls();
+      double idlePerSecond = (idleCalls[0] - calls[0]) / (double) idleSeconds;
+      report("idle", before, idle);
+      note("idle_engine_calls_per_s", idlePerSecond);
+      note("idle_engine_kb_per_s", (idleCalls[1] - calls[1]) / 1e3 / idleSeconds);
+      long began = FleetNames.clock();
+      Map<String, Version> written = change(fleet, tenants);
+      double took = (FleetNames.clock() - began) / 1e6;
+      tooSlow = took > TOO_SLOW * seconds;
+      Map<String, Use> after = use(fleet);
+      long[] afterCalls = fleet.engineCalls();
+      report("changing", idle, after);
+      int count = figures.path("changes").asInt();
+      note(
+          "engine_calls_per_change", (afterCalls[0] - idleCalls[0] - idlePerSecond * took) / count);
+      note("engine_kb_per_change", (afterCalls[1] - idleCalls[1]) / 1e3 / count);
+      judge(fleet, written);
     }
-
-    /** What each role used in a span, for one distributor, one gateway. */
-    private void report(String span, Map<String, Use> before, Map<String, Use> after) {
-        Map<String, Integer> divisors = Map.of("engine", 1, "region", regions, "zone", regions * zones, "hollow",
-                gateways, "real", Math.max(1, real));
-        after.forEach((role, use) -> {
-            if (!use.intact()) {
-                return; // what a process that was killed had used is gone with it
-            }
-            int divisor = divisors.get(role);
-            note(span + "_" + role + "_cpu_cores", use.cpuSince(before.get(role)) / divisor);
-            note(span + "_" + role + "_kb_per_s", use.kbSince(before.get(role)) / divisor);
-            note(span + "_" + role + "_resident_mb", use.resident() / 1e6 / divisor);
+    claims();
+    save(directory);
+    lines.forEach(System.out::println);
+    return !broken.isEmpty() ? 1 : tooSlow ? 2 : 0;
+  }
+
+  private static Map<String, Use> use(ScaledFleet fleet) {
+    Map<String, Use> use = new TreeMap<>();
+    use.put("engine", Use.of(List.of(fleet.engine())));
+    use.put("region", Use.of(fleet.regions()));
+    use.put("zone", Use.of(fleet.zones()));
+    use.put("hollow", Use.of(fleet.hollow()));
+    use.put("real", Use.of(fleet.real()));
+    return use;
+  }
+
+  /** What each role used in a span, for one distributor, one gateway. */
+  private void report(String span, Map<String, Use> before, Map<String, Use> after) {
+    Map<String, Integer> divisors =
+        Map.of(
+            "engine",
+            1,
+            "region",
+            regions,
+            "zone",
+            regions * zones,
+            "hollow",
+            gateways,
+            "real",
+            Math.max(1, real));
+    after.forEach(
+        (role, use) -> {
+          if (!use.intact()) {
+            return; // what a process that was killed had used is gone with it
+          }
+          int divisor = divisors.get(role);
+          note(span + "_" + role + "_cpu_cores", use.cpuSince(before.get(role)) / divisor);
+          note(span + "_" + role + "_kb_per_s", use.kbSince(before.get(role)) / divisor);
+          note(span + "_" + role + "_resident_mb", use.resident() / 1e6 / divisor);
         });
+  }
+
+  /**
+   * Makes changes at their rate, with the fault in the middle; gives the last version of each name.
+   */
+  private Map<String, Version> change(ScaledFleet fleet, int tenants) throws Exception {
+    SplittableRandom random = new SplittableRandom(seed);
+    Map<String, Version> written = new HashMap<>();
+    long pause = TimeUnit.HOURS.toMicros(1) / changesPerHour;
+    int count = (int) (TimeUnit.SECONDS.toMicros(seconds) / pause);
+    long next = FleetNames.clock();
+    long slowest = 0;
+    for (int i = 0; i < count; i++) {
+      if (i == count / 2) {
+        breakSomething(fleet);
+      }
+      String id =
+          i % COMMON_EVERY == 0 ? FleetNames.COMMON : FleetNames.tenant(random.nextInt(tenants));
+      String name = "tenant/" + id;
+      Change present = fleet.store().record(name);
+      long at = FleetNames.clock();
+      written.put(
+          name,
+          fleet
+              .store()
+              .write(
+                  name,
+                  present.version().sequence(),
+                  FleetNames.document(id, at).toString(),
+                  Version.NONE));
+      slowest = Math.max(slowest, FleetNames.clock() - at);
+      next += pause;
+      long left = next - FleetNames.clock();
+      if (left > 0) {
+        TimeUnit.MICROSECONDS.sleep(left);
+      }
     }
-
-    /** Makes changes at their rate, with the fault in the middle; gives the last version of each name. */
-    private Map<String, Version> change(ScaledFleet fleet, int tenants) throws Exception {
-        SplittableRandom random = new SplittableRandom(seed);
-        Map<String, Version> written = new HashMap<>();
-        long pause = TimeUnit.HOURS.toMicros(1) / changesPerHour;
-        int count = (int) (TimeUnit.SECONDS.toMicros(seconds) / pause);
-        long next = FleetNames.clock();
-        long slowest = 0;
-        for (int i = 0; i < count; i++) {
-            if (i == count / 2) {
-                breakSomething(fleet);
-            }
-            String id = i % COMMON_EVERY == 0 ? FleetNames.COMMON : FleetNames.tenant(random.nextInt(tenants));
-            String name = "tenant/" + id;
-            Change present = fleet.store().record(name);
-            long at = FleetNames.clock();
-            written.put(name, fleet.store().write(name, present.version().sequence(),
-                    FleetNames.document(id, at).toString(), Version.NONE));
-            slowest = Math.max(slowest, FleetNames.clock() - at);
-            next += pause;
-            long left = next - FleetNames.clock();
-            if (left > 0) {
-                TimeUnit.MICROSECONDS.sleep(left);
-            }
-        }
-        note("changes", count);
-        note("slowest_write_ms", slowest / 1e3);
-        return written;
+    note("changes", count);
+    note("slowest_write_ms", slowest / 1e3);
+    return written;
+  }
+
+  private void breakSomething(ScaledFleet fleet) throws Exception {
+    switch (fault) {
+      case ZONE_RESTART -> {
+        ScaledFleet.Part zone = fleet.hollow().get(0);
+        zone.process().kill();
+        zone.start();
+      }
+      case DISTRIBUTOR_KILL -> fleet.zones().get(0).process().kill();
+      case DISTRIBUTOR_STOP -> fleet.zones().get(0).process().signal("STOP");
+      case REGION_KILL -> fleet.regions().get(0).process().kill();
+      default -> {}
     }
-
-    private void breakSomething(ScaledFleet fleet) throws Exception {
-        switch (fault) {
-            case ZONE_RESTART -> {
-                ScaledFleet.Part zone = fleet.hollow().get(0);
-                zone.process().kill();
-                zone.start();
-            }
-            case DISTRIBUTOR_KILL -> fleet.zones().get(0).process().kill();
-            case DISTRIBUTOR_STOP -> fleet.zones().get(0).process().signal("STOP");
-            case REGION_KILL -> fleet.regions().get(0).process().kill();
-            default -> {}
+  }
+
+  /** Every gateway has to have what was written last, within the bound; then all delays count. */
+  private void judge(ScaledFleet fleet, Map<String, Version> written)
+      throws IOException, InterruptedException {
+    fleet.awaitCurrent();
+    TimeUnit.SECONDS.sleep((long) BOUND_SECONDS); // what is not in force then is late
+    Histogram delays = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
+    long missing = 0;
+    long steppedBack = 0;
+    for (JsonNode report : fleet.endHollow().values()) {
+      steppedBack += report.path("steppedBack").asLong();
+      report
+          .path("delays")
+          .fields()
+          .forEachRemaining(
+              f -> delays.recordValueWithCount(Long.parseLong(f.getKey()), f.getValue().asLong()));
+      for (var each : report.path("inForce").properties()) {
+        int number = Integer.parseInt(each.getKey().substring(1));
+        for (String name :
+            FleetNames.served(number, hosts / FleetNames.HOSTS_OF_TENANT, names, seed)) {
+          Version wanted = written.get(name);
+          missing +=
+              wanted != null && each.getValue().path(name).asLong() != wanted.sequence() ? 1 : 0;
         }
+      }
     }
-
-    /** Every gateway has to have what was written last, within the bound; then all delays count. */
-    private void judge(ScaledFleet fleet, Map<String, Version> written) throws IOException, InterruptedException {
-        fleet.awaitCurrent();
-        TimeUnit.SECONDS.sleep((long) BOUND_SECONDS); // what is not in force then is late
-        Histogram delays = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
-        long missing = 0;
-        long steppedBack = 0;
-        for (JsonNode report : fleet.endHollow().values()) {
-            steppedBack += report.path("steppedBack").asLong();
-            report.path("delays").fields().forEachRemaining(
-                    f -> delays.recordValueWithCount(Long.parseLong(f.getKey()), f.getValue().asLong()));
-            for (var each : report.path("inForce").properties()) {
-                int number = Integer.parseInt(each.getKey().substring(1));
-                for (String name : FleetNames.served(number, hosts / FleetNames.HOSTS_OF_TENANT, names, seed)) {
-                    Version wanted = written.get(name);
-                    missing += wanted != null && each.getValue().path(name).asLong() != wanted.sequence() ? 1 : 0;
-                }
-            }
-        }
-        note("in_force_count", delays.getTotalCount());
-        note("in_force_median_s", delays.getValueAtPercentile(50) / 1e6);
-        note("in_force_p99_s", delays.getValueAtPercentile(99) / 1e6);
-        note("in_force_slowest_s", delays.getMaxValue() / 1e6);
-        note("not_in_force", missing);
-        note("stepped_back", steppedBack);
-    }
-
-    private void claims() {
-        claim("every change is in force on every gateway that serves it", figures.path("not_in_force").asLong() == 0);
-        claim("nothing steps back", figures.path("stepped_back").asLong() == 0);
-        claim("in force within " + BOUND_SECONDS + " s",
-                figures.path("in_force_slowest_s").asDouble() <= BOUND_SECONDS);
-        claim("a gateway's control takes at most 1.3 % of a core",
-                figures.path("changing_hollow_cpu_cores").asDouble() <= MOST_CPU);
-        claim("and 18 KB a second", figures.path("changing_hollow_kb_per_s").asDouble() <= MOST_KB_PER_SECOND);
-    }
-
-    private void claim(String what, boolean kept) {
-        lines.add((kept ? "kept: " : "BROKEN: ") + what);
-        if (!kept) {
-            broken.add(what);
-        }
-    }
-
-    private void note(String name, double value) {
-        figures.put(name, value);
-        lines.add(String.format(Locale.ROOT, "%-34s %.4f", name, value));
-    }
-
-    private void save(Path directory) throws IOException {
-        ObjectNode result = SpecJson.JSON.createObjectNode().put("gateways", gateways).put("hosts", hosts)
-                .put("changesPerHour", changesPerHour).put("seconds", seconds).put("names", names)
-                .put("regions", regions).put("zonesOfRegion", zones).put("direct", direct)
-                .put("fault", fault.name().toLowerCase(Locale.ROOT)).put("seed", seed);
-        result.set("figures", figures);
-        result.putPOJO("broken", broken);
-        Files.writeString(directory.resolve("result.json"),
-                SpecJson.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(result) + "\n");
+    note("in_force_count", delays.getTotalCount());
+    note("in_force_median_s", delays.getValueAtPercentile(50) / 1e6);
+    note("in_force_p99_s", delays.getValueAtPercentile(99) / 1e6);
+    note("in_force_slowest_s", delays.getMaxValue() / 1e6);
+    note("not_in_force", missing);
+    note("stepped_back", steppedBack);
+  }
+
+  private void claims() {
+    claim(
+        "every change is in force on every gateway that serves it",
+        figures.path("not_in_force").asLong() == 0);
+    claim("nothing steps back", figures.path("stepped_back").asLong() == 0);
+    claim(
+        "in force within " + BOUND_SECONDS + " s",
+        figures.path("in_force_slowest_s").asDouble() <= BOUND_SECONDS);
+    claim(
+        "a gateway's control takes at most 1.3 % of a core",
+        figures.path("changing_hollow_cpu_cores").asDouble() <= MOST_CPU);
+    claim(
+        "and 18 KB a second",
+        figures.path("changing_hollow_kb_per_s").asDouble() <= MOST_KB_PER_SECOND);
+  }
+
+  private void claim(String what, boolean kept) {
+    lines.add((kept ? "kept: " : "BROKEN: ") + what);
+    if (!kept) {
+      broken.add(what);
     }
+  }
+
+  private void note(String name, double value) {
+    figures.put(name, value);
+    lines.add(String.format(Locale.ROOT, "%-34s %.4f", name, value));
+  }
+
+  private void save(Path directory) throws IOException {
+    ObjectNode result =
+        SpecJson.JSON
+            .createObjectNode()
+            .put("gateways", gateways)
+            .put("hosts", hosts)
+            .put("changesPerHour", changesPerHour)
+            .put("seconds", seconds)
+            .put("names", names)
+            .put("regions", regions)
+            .put("zonesOfRegion", zones)
+            .put("direct", direct)
+            .put("fault", fault.name().toLowerCase(Locale.ROOT))
+            .put("seed", seed);
+    result.set("figures", figures);
+    result.putPOJO("broken", broken);
+    Files.writeString(
+        directory.resolve("result.json"),
+        SpecJson.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(result) + "\n");
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/FleetScaleReport.java
+++ b/lab/src/main/java/shelffront/lab/fleet/FleetScaleReport.java
@@ -19,94 +19,135 @@
 import shelffront.tenant.SpecJson;
 
 /** Tables and charts over several kept runs of {@link FleetScale}. */
-@Command(name = "fleet-scale-report", mixinStandardHelpOptions = true,
-        description = "Writes summary.md and charts from the result.json of each run in a directory's directories.")
+@Command(
+    name = "fleet-scale-report",
+    mixinStandardHelpOptions = true,
+    description =
+        "Writes summary.md and charts from the result.json of each run in a directory's"
+            + " directories.")
 public final class FleetScaleReport implements Callable<Integer> {
 
-    private static final int WIDTH = 800;
-    private static final int HEIGHT = 400;
+  private static final int WIDTH = 800;
+  private static final int HEIGHT = 400;
 
-    /** What the summary's table shows: a heading, the figure's name, and what it is multiplied by. */
-    private record Column(String heading, String figure, double factor) {}
+  /** What the summary's table shows: a heading, the figure's name, and what it is multiplied by. */
+  private record Column(String heading, String figure, double factor) {}
 
-    private static final List<Column> COLUMNS = List.of(
-            new Column("engine calls/change", "engine_calls_per_change", 1),
-            new Column("engine KB/change", "engine_kb_per_change", 1),
-            new Column("engine calls/s at rest", "idle_engine_calls_per_s", 1),
-            new Column("gateway CPU %", "changing_hollow_cpu_cores", 100),
-            new Column("gateway KB/s", "changing_hollow_kb_per_s", 1),
-            new Column("zone distributor cores", "changing_zone_cpu_cores", 1),
-            new Column("zone distributor KB/s", "changing_zone_kb_per_s", 1),
-            new Column("in force, median s", "in_force_median_s", 1),
-            new Column("99 % s", "in_force_p99_s", 1),
-            new Column("slowest s", "in_force_slowest_s", 1),
-            new Column("not in force", "not_in_force", 1),
-            new Column("stepped back", "stepped_back", 1));
+  private static final List<Column> COLUMNS =
+      List.of(
+          new Column("engine calls/change", "engine_calls_per_change", 1),
+          new Column("engine KB/change", "engine_kb_per_change", 1),
+          new Column("engine calls/s at rest", "idle_engine_calls_per_s", 1),
+          new Column("gateway CPU %", "changing_hollow_cpu_cores", 100),
+          new Column("gateway KB/s", "changing_hollow_kb_per_s", 1),
+          new Column("zone distributor cores", "changing_zone_cpu_cores", 1),
+          new Column("zone distributor KB/s", "changing_zone_kb_per_s", 1),
+          new Column("in force, median s", "in_force_median_s", 1),
+          new Column("99 % s", "in_force_p99_s", 1),
+          new Column("slowest s", "in_force_slowest_s", 1),
+          new Column("not in force", "not_in_force", 1),
+          new Column("stepped back", "stepped_back", 1));
 
-    @Parameters(paramLabel = "DIR")
-    private Path directory;
+  @Parameters(paramLabel = "DIR")
+  private Path directory;
 
-    @Override
-    public Integer call() throws IOException {
-        List<JsonNode> runs = read();
-        List<String> lines = new ArrayList<>(List.of("# fleet-scale", "",
-                "Each line is a run; `result.json` beside it has every figure. A gateway's figures are those of hollow",
-                "ones; of a role whose process was killed in the run they say nothing.", ""));
-        StringBuilder heading = new StringBuilder("| gateways | watching themselves | fault |");
-        COLUMNS.forEach(c -> heading.append(' ').append(c.heading()).append(" |"));
-        lines.add(heading.toString());
-        lines.add("|" + " --- |".repeat(3 + COLUMNS.size()));
-        runs.forEach(r -> lines.add(line(r)));
-        List<JsonNode> calm = runs.stream()
-                .filter(r -> r.path("fault").asText().equals("none") && r.path("direct").asInt() == 0).toList();
-        chart("Engine calls for a change", "calls", calm, List.of("engine_calls_per_change"), "engine-calls");
-        chart("From the write to in force", "seconds", calm,
-                List.of("in_force_median_s", "in_force_p99_s", "in_force_slowest_s"), "in-force");
-        lines.addAll(List.of("", "![engine calls](engine-calls.svg)", "", "![in force](in-force.svg)"));
-        Files.write(directory.resolve("summary.md"), lines);
-        lines.forEach(System.out::println);
-        return 0;
-    }
+  @Override
+  public Integer call() throws IOException {
+    List<JsonNode> runs = read();
+    List<String> lines =
+        new ArrayList<>(
+            List.of(
+                "# fleet-scale",
+                "",
+                "Each line is a run; `result.json` beside it has every figure. A gateway's figures"
+                    + " are those of hollow",
+                "ones; of a role whose process was killed in the run they say nothing.",
+                ""));
+    StringBuilder heading = new StringBuilder("| gateways | watching themselves | fault |");
+    COLUMNS.forEach(c -> heading.append(' ').append(c.heading()).append(" |"));
+    lines.add(heading.toString());
+    lines.add("|" + " --- |".repeat(3 + COLUMNS.size()));
+    runs.forEach(r -> lines.add(line(r)));
+    List<JsonNode> calm =
+        runs.stream()
+            .filter(r -> r.path("fault").asText().equals("none") && r.path("direct").asInt() == 0)
+            .toList();
+    chart(
+        "Engine calls for a change",
+        "calls",
+        calm,
+        List.of("engine_calls_per_change"),
+        "engine-calls");
+    chart(
+        "From the write to in force",
+        "seconds",
+        calm,
+        List.of("in_force_median_s", "in_force_p99_s", "in_force_slowest_s"),
+        "in-force");
+    lines.addAll(List.of("", "![engine calls](engine-calls.svg)", "", "![in force](in-force.svg)"));
+    Files.write(directory.resolve("summary.md"), lines);
+    lines.forEach(System.out::println);
+    return 0;
+  }
 
-    private List<JsonNode> read() throws IOException {
-        List<JsonNode> runs = new ArrayList<>();
-        try (Stream<Path> directories = Files.list(directory)) {
-            for (Path each : directories.sorted().toList()) {
-                if (Files.exists(each.resolve("result.json"))) {
-                    runs.add(SpecJson.JSON.readTree(each.resolve("result.json").toFile()));
-                }
-            }
+  private List<JsonNode> read() throws IOException {
+    List<JsonNode> runs = new ArrayList<>();
+    try (Stream<Path> directories = Files.list(directory)) {
+      for (Path each : directories.sorted().toList()) {
+        if (Files.exists(each.resolve("result.json"))) {
+          runs.add(SpecJson.JSON.readTree(each.resolve("result.json").toFile()));
         }
-        runs.sort(Comparator.comparingInt((JsonNode r) -> r.path("direct").asInt())
-                .thenComparing(r -> !r.path("fault").asText().equals("none"))
-                .thenComparingInt(r -> r.path("gateways").asInt()));
-        return runs;
+      }
     }
+    runs.sort(
+        Comparator.comparingInt((JsonNode r) -> r.path("direct").asInt())
+            .thenComparing(r -> !r.path("fault").asText().equals("none"))
+            .thenComparingInt(r -> r.path("gateways").asInt()));
+    return runs;
+  }
 
-    private static String line(JsonNode run) {
-        StringBuilder line = new StringBuilder(
-                String.format(Locale.ROOT, "| %d | %d | %s |", run.path("gateways").asInt(),
-                        run.path("direct").asInt(), run.path("fault").asText()));
-        for (Column c : COLUMNS) {
-            line.append(String.format(Locale.ROOT, " %.3f |",
-                    run.path("figures").path(c.figure()).asDouble() * c.factor()));
-        }
-        return line.toString();
+  private static String line(JsonNode run) {
+    StringBuilder line =
+        new StringBuilder(
+            String.format(
+                Locale.ROOT,
+                "| %d | %d | %s |",
+                run.path("gateways").asInt(),
+                run.path("direct").asInt(),
+                run.path("fault").asText()));
+    for (Column c : COLUMNS) {
+      line.append(
+          String.format(
+              Locale.ROOT,
+              " %.3f |",
+              run.path("figures").path(c.figure()).asDouble() * c.factor()));
     }
+    return line.toString();
+  }
 
-    private void chart(String title, String unit, List<JsonNode> runs, List<String> figures, String name)
-            throws IOException {
-        if (runs.isEmpty()) {
-            return;
-        }
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("gateways")
-                .yAxisTitle(unit).build();
-        chart.getStyler().setYAxisMin(0.0);
-        double[] gateways = runs.stream().mapToDouble(r -> r.path("gateways").asDouble()).toArray();
-        for (String figure : figures) {
-            chart.addSeries(figure, gateways,
-                    runs.stream().mapToDouble(r -> r.path("figures").path(figure).asDouble()).toArray());
-        }
-        VectorGraphicsEncoder.saveVectorGraphic(chart, directory.resolve(name).toString(), VectorGraphicsFormat.SVG);
+  private void chart(
+      String title, String unit, List<JsonNode> runs, List<String> figures, String name)
+      throws IOException {
+    if (runs.isEmpty()) {
+      return;
+    }
+    XYChart chart =
+        new XYChartBuilder()
+            .width(WIDTH)
+            .height(HEIGHT)
+            .title(title)
+            .xAxisTitle("gateways")
+            .yAxisTitle(unit)
+            .build();
+    chart.getStyler().setYAxisMin(0.0);
+    double[] gateways = runs.stream().mapToDouble(r -> r.path("gateways").asDouble()).toArray();
+    for (String figure : figures) {
+      chart.addSeries(
+          figure,
+          gateways,
+          runs.stream().mapToDouble(r -> r.path("figures").path(figure).asDouble()).toArray());
     }
+    VectorGraphicsEncoder.saveVectorGraphic(
+        chart, directory.resolve(name).toString(), VectorGraphicsFormat.SVG);
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/GatewayCost.java
+++ b/lab/src/main/java/shelffront/lab/fleet/GatewayCost.java
@@ -20,118 +20,172 @@
 import shelffront.lab.standin.StandInSet;
 import shelffront.tenant.SpecJson;
 
-/** What a gateway costs at rest, as a process: by hosts, by tenants at rest, by tenants awake, by idle connections. */
-@Command(name = "gateway-cost", mixinStandardHelpOptions = true, description = {
-        "Starts gateways as processes and reads from the system what each uses: resident memory, processor time of its",
-        "start, and processor time at rest."})
+/**
+ * What a gateway costs at rest, as a process: by hosts, by tenants at rest, by tenants awake, by
+ * idle connections.
+ */
+@Command(
+    name = "gateway-cost",
+    mixinStandardHelpOptions = true,
+    description = {
+      "Starts gateways as processes and reads from the system what each uses: resident memory,"
+          + " processor time of its",
+      "start, and processor time at rest."
+    })
 public final class GatewayCost implements Callable<Integer> {
 
-    private static final int HEAP_MB = 256;
-    private static final Pattern LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
-    private static final long MISSING_MILLIS = 60_000;
-    private static final int MOST_HOSTS = 1000; // of a tenant, by its schema
-    private static final int HOSTS_OF_TENANT = FleetNames.HOSTS_OF_TENANT;
+  private static final int HEAP_MB = 256;
+  private static final Pattern LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
+  private static final long MISSING_MILLIS = 60_000;
+  private static final int MOST_HOSTS = 1000; // of a tenant, by its schema
+  private static final int HOSTS_OF_TENANT = FleetNames.HOSTS_OF_TENANT;
 
-    @Option(names = "--hosts", split = ",", defaultValue = "0,1000,3000,6000,12000", description = "(${DEFAULT-VALUE})")
-    private List<Integer> hosts;
+  @Option(
+      names = "--hosts",
+      split = ",",
+      defaultValue = "0,1000,3000,6000,12000",
+      description = "(${DEFAULT-VALUE})")
+  private List<Integer> hosts;
 
-    @Option(names = "--resting", split = ",", defaultValue = "0,500,1500,3000", description = "(${DEFAULT-VALUE})")
-    private List<Integer> resting;
+  @Option(
+      names = "--resting",
+      split = ",",
+      defaultValue = "0,500,1500,3000",
+      description = "(${DEFAULT-VALUE})")
+  private List<Integer> resting;
 
-    @Option(names = "--awake", split = ",", defaultValue = "0,50,150,400", description = "(${DEFAULT-VALUE})")
-    private List<Integer> awake;
+  @Option(
+      names = "--awake",
+      split = ",",
+      defaultValue = "0,50,150,400",
+      description = "(${DEFAULT-VALUE})")
+  private List<Integer> awake;
 
-    @Option(names = "--connections", split = ",", defaultValue = "0,1000,3000,8000", description = "(${DEFAULT-VALUE})")
-    private List<Integer> connections;
+  @Option(
+      names = "--connections",
+      split = ",",
+      defaultValue = "0,1000,3000,8000",
+      description = "(${DEFAULT-VALUE})")
+  private List<Integer> connections;
 
-    @Option(names = "--seconds", defaultValue = "5", description = "at rest (${DEFAULT-VALUE})")
-    private int seconds;
+  @Option(names = "--seconds", defaultValue = "5", description = "at rest (${DEFAULT-VALUE})")
+  private int seconds;
 
-    @Override
-    public Integer call() throws Exception {
-        System.out.println("| what | count | ready s | resident MB | CPU s to ready | CPU at rest, % of a core |");
-        System.out.println("| --- | --- | --- | --- | --- | --- |");
-        for (int count : hosts) {
-            int tenants = (count + MOST_HOSTS - 1) / MOST_HOSTS;
-            measure("hosts, in tenants of 1,000 at rest", count, config(tenants, Math.min(count, MOST_HOSTS)), 0, 0);
-        }
-        for (int count : resting) {
-            measure("tenants of five hosts, at rest", count, config(count, HOSTS_OF_TENANT), 0, 0);
-        }
-        // Hosts that answer, the same five for all: a gateway asks those again and again that do not.
-        StandInSet set = new StandInSet("cost", HOSTS_OF_TENANT - 1, 8, 1, 5);
-        try {
-            for (int count : awake) {
-                measure("tenants of five hosts, awake", count, served(config(count, HOSTS_OF_TENANT), set), count, 1);
-            }
-            for (int count : connections) {
-                measure("idle connections, one tenant", count, served(config(1, HOSTS_OF_TENANT), set), 1, count);
-            }
-        } finally {
-            set.close();
-        }
-        return 0;
+  @Override
+  public Integer call() throws Exception {
+    System.out.println(
+        "| what | count | ready s | resident MB | CPU s to ready | CPU at rest, % of a core |");
+    System.out.println("| --- | --- | --- | --- | --- | --- |");
+    for (int count : hosts) {
+      int tenants = (count + MOST_HOSTS - 1) / MOST_HOSTS;
+      measure(
+          "hosts, in tenants of 1,000 at rest",
+          count,
+          config(tenants, Math.min(count, MOST_HOSTS)),
+          0,
+          0);
+    }
+    for (int count : resting) {
+      measure("tenants of five hosts, at rest", count, config(count, HOSTS_OF_TENANT), 0, 0);
     }
+    // Hosts that answer, the same five for all: a gateway asks those again and again that do not.
+    StandInSet set = new StandInSet("cost", HOSTS_OF_TENANT - 1, 8, 1, 5);
+    try {
+      for (int count : awake) {
+        measure(
+            "tenants of five hosts, awake",
+            count,
+            served(config(count, HOSTS_OF_TENANT), set),
+            count,
+            1);
+      }
+      for (int count : connections) {
+        measure(
+            "idle connections, one tenant",
+            count,
+            served(config(1, HOSTS_OF_TENANT), set),
+            1,
+            count);
+      }
+    } finally {
+      set.close();
+    }
+    return 0;
+  }
 
-    private static ObjectNode served(ObjectNode config, StandInSet set) {
-        for (JsonNode tenant : config.path("tenants")) {
-            int h = 0;
-            for (JsonNode box : tenant.path("boxes").path("list")) {
-                ((ObjectNode) box).put("address", set.boxes().get(h++).address());
-            }
-        }
-        return config;
+  private static ObjectNode served(ObjectNode config, StandInSet set) {
+    for (JsonNode tenant : config.path("tenants")) {
+      int h = 0;
+      for (JsonNode box : tenant.path("boxes").path("list")) {
+        ((ObjectNode) box).put("address", set.boxes().get(h++).address());
+      }
     }
+    return config;
+  }
 
-    private static ObjectNode config(int tenants, int hostsOfEach) {
-        ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("sockets", 40_000);
-        ArrayNode list = config.putArray("tenants");
-        for (int t = 0; t < tenants; t++) {
-            ObjectNode tenant = FleetNames.document(FleetNames.tenant(t), 0);
-            ((ObjectNode) tenant.withObject("/limits")).put("clientConnections", 40_000);
-            ArrayNode boxes = (ArrayNode) tenant.path("boxes").path("list");
-            for (int h = boxes.size(); h < hostsOfEach; h++) {
-                boxes.addObject().put("id", "h" + h).put("address", "127.0.0.1:9").put("group", h / HOSTS_OF_TENANT)
-                        .put("role", h % HOSTS_OF_TENANT == 0 ? "primary" : "replica");
-            }
-            list.add(tenant);
-        }
-        return config;
+  private static ObjectNode config(int tenants, int hostsOfEach) {
+    ObjectNode config =
+        SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("sockets", 40_000);
+    ArrayNode list = config.putArray("tenants");
+    for (int t = 0; t < tenants; t++) {
+      ObjectNode tenant = FleetNames.document(FleetNames.tenant(t), 0);
+      ((ObjectNode) tenant.withObject("/limits")).put("clientConnections", 40_000);
+      ArrayNode boxes = (ArrayNode) tenant.path("boxes").path("list");
+      for (int h = boxes.size(); h < hostsOfEach; h++) {
+        boxes
+            .addObject()
+            .put("id", "h" + h)
+            .put("address", "127.0.0.1:9")
+            .put("group", h / HOSTS_OF_TENANT)
+            .put("role", h % HOSTS_OF_TENANT == 0 ? "primary" : "replica");
+      }
+      list.add(tenant);
     }
+    return config;
+  }
 
-    private void measure(String what, int count, ObjectNode config, int tenants, int clientsOfEach) throws Exception {
-        Path directory = Files.createTempDirectory("gateway-cost-");
-        Path file = directory.resolve("gateway.json");
-        Files.writeString(file, config.toString());
-        long from = System.nanoTime();
-        JavaProcess process = JavaProcess.start(Main.class, HEAP_MB, directory.resolve("log"), "serve", "--config",
-                file.toString());
-        List<Socket> clients = new ArrayList<>();
-        try {
-            while (process.found(LISTENS) == null) {
-                if (System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(MISSING_MILLIS)) {
-                    throw new IOException("no gateway with " + count + " " + what + "; see " + directory);
-                }
-                TimeUnit.MILLISECONDS.sleep(5);
-            }
-            double ready = (System.nanoTime() - from) / 1e9;
-            double start = process.cpuSeconds();
-            for (int t = 0; t < tenants; t++) {
-                for (int c = 0; c < clientsOfEach; c++) {
-                    clients.add(ClientProbe.open(process.found(LISTENS), FleetNames.tenant(t)));
-                }
-            }
-            TimeUnit.SECONDS.sleep(2); // connections and probes of the first moment
-            double before = process.cpuSeconds();
-            TimeUnit.SECONDS.sleep(seconds);
-            double rest = (process.cpuSeconds() - before) / seconds;
-            System.out.printf(Locale.ROOT, "| %s | %d | %.2f | %.1f | %.2f | %.2f |%n", what, count, ready,
-                    process.residentBytes() / 1e6, start, 100 * rest);
-        } finally {
-            for (Socket client : clients) {
-                client.close();
-            }
-            process.kill();
+  private void measure(String what, int count, ObjectNode config, int tenants, int clientsOfEach)
+      throws Exception {
+    Path directory = Files.createTempDirectory("gateway-cost-");
+    Path file = directory.resolve("gateway.json");
+    Files.writeString(file, config.toString());
+    long from = System.nanoTime();
+    JavaProcess process =
+        JavaProcess.start(
+            Main.class, HEAP_MB, directory.resolve("log"), "serve", "--config", file.toString());
+    List<Socket> clients = new ArrayList<>();
+    try {
+      while (process.found(LISTENS) == null) {
+        if (System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(MISSING_MILLIS)) {
+          throw new IOException("no gateway with " + count + " " + what + "; see " + directory);
+        }
+        TimeUnit.MILLISECONDS.sleep(5);
+      }
+      double ready = (System.nanoTime() - from) / 1e9;
+      double start = process.cpuSeconds();
+      for (int t = 0; t < tenants; t++) {
+        for (int c = 0; c < clientsOfEach; c++) {
+          clients.add(ClientProbe.open(process.found(LISTENS), FleetNames.tenant(t)));
         }
+      }
+      TimeUnit.SECONDS.sleep(2); // connections and probes of the first moment
+      double before = process.cpuSeconds();
+      TimeUnit.SECONDS.sleep(seconds);
+      double rest = (process.cpuSeconds() - before) / seconds;
+      System.out.printf(
+          Locale.ROOT,
+          "| %s | %d | %.2f | %.1f | %.2f | %.2f |%n",
+          what,
+          count,
+          ready,
+          process.residentBytes() / 1e6,
+          start,
+          100 * rest);
+    } finally {
+      for (Socket client : clients) {
+        client.close();
+      }
+      process.kill();
     }
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/fleet/HollowGateways.java
@@ -37,183 +37,211 @@
 import shelffront.tenant.SpecJson.SpecException;
 
 /**
- * Many gateways of a fleet in one process, without clients and hosts: the real gateway's code for all that is
- * control. Each follows what its file says and validates what comes. Says when all are current, and reports at its
- * end when what came into force.
+ * Many gateways of a fleet in one process, without clients and hosts: the real gateway's code for
+ * all that is control. Each follows what its file says and validates what comes. Says when all are
+ * current, and reports at its end when what came into force.
  */
-@Command(name = "hollow-gateways", hidden = true, mixinStandardHelpOptions = true,
-        description = "The control side of many gateways in one process; fleet-scale starts it.")
+@Command(
+    name = "hollow-gateways",
+    hidden = true,
+    mixinStandardHelpOptions = true,
+    description = "The control side of many gateways in one process; fleet-scale starts it.")
 public final class HollowGateways implements Callable<Integer> {
 
-    private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(10);
-    private static final int TIMER_THREADS = 4;
+  private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(10);
+  private static final int TIMER_THREADS = 4;
 
-    @Option(names = "--config", required = true)
-    private Path file;
+  @Option(names = "--config", required = true)
+  private Path file;
 
-    @Option(names = "--report", required = true)
-    private Path reportFile;
+  @Option(names = "--report", required = true)
+  private Path reportFile;
 
-    @Option(names = "--history")
-    private Path historyFile;
+  @Option(names = "--history")
+  private Path historyFile;
 
-    private Writer history; // null where none is kept
-    private final Histogram delays = new Histogram(LONGEST_MICROS, 3);
-    private long steppedBack;
-    private final long startedAt = FleetNames.clock();
+  private Writer history; // null where none is kept
+  private final Histogram delays = new Histogram(LONGEST_MICROS, 3);
+  private long steppedBack;
+  private final long startedAt = FleetNames.clock();
 
-    /** A name that a gateway asks for. */
-    private record Lookup(FleetRecords records, String name) {
+  /** A name that a gateway asks for. */
+  private record Lookup(FleetRecords records, String name) {
 
-        /** Whether or not there is such a record. */
-        void awaitAnswer() throws InterruptedException {
-            while (true) {
-                try {
-                    records.lookUp(name).get();
-                    return;
-                } catch (ExecutionException e) {
-                    TimeUnit.MILLISECONDS.sleep(20); // nobody could tell in time
-                }
-            }
+    /** Whether or not there is such a record. */
+    void awaitAnswer() throws InterruptedException {
+      while (true) {
+        try {
+          records.lookUp(name).get();
+          return;
+        } catch (ExecutionException e) {
+          TimeUnit.MILLISECONDS.sleep(20); // nobody could tell in time
         }
+      }
     }
+  }
 
-    /** One gateway's table: what is in force, each by its sequence. */
-    private final class Table implements FleetRecords.Target {
-
-        private final String gateway;
-        private final Map<String, Long> inForce = new HashMap<>();
-
-        private Table(String gateway) {
-            this.gateway = gateway;
-        }
-
-        @Override
-        public synchronized String put(Change record) {
-            try {
-                SpecJson.read(SpecJson.parse(record.document().getBytes(UTF_8)));
-            } catch (SpecException e) {
-                return e.pointer() + " " + e.getMessage();
-            }
-            Long before = inForce.put(record.name(), record.version().sequence());
-            tookUp(record, before);
-            note(gateway, record.name(), record.version());
-            return null;
-        }
-
-        @Override
-        public synchronized void remove(String name) {
-            inForce.remove(name);
-            note(gateway, name, null);
-        }
+  /** One gateway's table: what is in force, each by its sequence. */
+  private final class Table implements FleetRecords.Target {
 
-        @Override
-        public void reached(Version version) {}
+    private final String gateway;
+    private final Map<String, Long> inForce = new HashMap<>();
 
-        private synchronized Map<String, Long> copy() {
-            return new HashMap<>(inForce);
-        }
+    private Table(String gateway) {
+      this.gateway = gateway;
     }
 
-    /** A line of the history; without a version where the record is in force no longer. */
-    private synchronized void note(String gateway, String name, Version version) {
-        if (history == null) {
-            return;
-        }
-        try {
-            history.write(FleetNames.clock() + " " + gateway + " " + name
-                    + (version == null ? "" : " " + version.incarnation() + " " + version.sequence()) + "\n");
-            history.flush();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+    @Override
+    public synchronized String put(Change record) {
+      try {
+        SpecJson.read(SpecJson.parse(record.document().getBytes(UTF_8)));
+      } catch (SpecException e) {
+        return e.pointer() + " " + e.getMessage();
+      }
+      Long before = inForce.put(record.name(), record.version().sequence());
+      tookUp(record, before);
+      note(gateway, record.name(), record.version());
+      return null;
     }
 
-    private synchronized void tookUp(Change record, Long before) {
-        if (before == null) {
-            return; // it comes as the gateway starts, not as a change
-        }
-        steppedBack += before > record.version().sequence() ? 1 : 0;
-        long took = FleetNames.clock() - FleetNames.writtenAt(record.document());
-        delays.recordValue(Math.max(0, Math.min(LONGEST_MICROS, took)));
+    @Override
+    public synchronized void remove(String name) {
+      inForce.remove(name);
+      note(gateway, name, null);
     }
 
     @Override
-    public Integer call() throws Exception {
-        JsonNode config = SpecJson.JSON.readTree(file.toFile());
-        history = historyFile == null ? null
-                : Files.newBufferedWriter(historyFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        note("life", "begins", null);
-        Map<String, Table> tables = new HashMap<>();
-        ScheduledThreadPoolExecutor timer = DistributorRole.timer(TIMER_THREADS, "hollow-timer");
-        HttpClient http = FleetRecords.httpClient(Timings.STANDARD);
-        List<Lookup> lookups = new ArrayList<>();
-        for (JsonNode each : config.path("gateways")) {
-            FleetRecordsConfig settings = FleetRecordsConfig.read(each.path("distribution"), "/distribution");
-            Table table = new Table(settings.name());
-            FleetRecords records = new FleetRecords(settings, table, http, timer, FleetNames::clock,
-                    new Random(settings.name().hashCode()), System.out::println);
-            tables.put(settings.name(), table);
-            records.start();
-            each.path("names").forEach(n -> lookups.add(new Lookup(records, n.asText())));
-            each.path("names").forEach(n -> records.lookUp(n.asText()));
-        }
-        watchDirectly(config.path("direct"));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> report(tables)));
-        for (Lookup lookup : lookups) {
-            lookup.awaitAnswer();
-        }
-        System.out.println("all current after " + (FleetNames.clock() - startedAt) / 1000 + " ms");
-        Thread.currentThread().join();
-        return 0;
+    public void reached(Version version) {}
+
+    private synchronized Map<String, Long> copy() {
+      return new HashMap<>(inForce);
     }
+  }
 
-    /** Gateways that watch the engine themselves, to hold the others against. */
-    private void watchDirectly(JsonNode direct) {
-        if (direct.isMissingNode()) {
-            return;
-        }
-        String[] at = direct.path("engine").asText().split(":");
-        ConsulEngine engine = new ConsulEngine(at[0], Integer.parseInt(at[1]), Duration.ofMillis(1500));
-        for (int i = 0; i < direct.path("count").asInt(); i++) {
-            ChangeStore store = new ChangeStore(engine, direct.path("fleet").asText());
-            Thread thread = new Thread(null, () -> watch(store), "direct-" + i, 256 << 10);
-            thread.setDaemon(true);
-            thread.start();
-        }
+  /** A line of the history; without a version where the record is in force no longer. */
+  private synchronized void note(String gateway, String name, Version version) {
+    if (history == null) {
+      return;
+    }
+    try {
+      history.write(
+          FleetNames.clock()
+              + " "
+              + gateway
+              + " "
+              + name
+              + (version == null ? "" : " " + version.incarnation() + " " + version.sequence())
+              + "\n");
+      history.flush();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    private void watch(ChangeStore store) {
-        try {
-            ChangeStore.Head known = store.head();
-            while (true) {
-                ChangeStore.Head head = store.awaitHead(known);
-                List<Change> changes = store.changes(known, head);
-                known = head;
-                for (Change change : changes == null ? List.<Change>of() : changes) {
-                    tookUp(change, 0L);
-                }
-            }
-        } catch (OperatorException e) {
-            System.out.println("direct watch has ended: " + e.getMessage());
+  private synchronized void tookUp(Change record, Long before) {
+    if (before == null) {
+      return; // it comes as the gateway starts, not as a change
+    }
+    steppedBack += before > record.version().sequence() ? 1 : 0;
+    long took = FleetNames.clock() - FleetNames.writtenAt(record.document());
+    delays.recordValue(Math.max(0, Math.min(LONGEST_MICROS, took)));
+  }
+
+  @Override
+  public Integer call() throws Exception {
+    JsonNode config = SpecJson.JSON.readTree(file.toFile());
+    history =
+        historyFile == null
+            ? null
+            : Files.newBufferedWriter(
+                historyFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+    note("life", "begins", null);
+    Map<String, Table> tables = new HashMap<>();
+    ScheduledThreadPoolExecutor timer = DistributorRole.timer(TIMER_THREADS, "hollow-timer");
+    HttpClient http = FleetRecords.httpClient(Timings.STANDARD);
+    List<Lookup> lookups = new ArrayList<>();
+    for (JsonNode each : config.path("gateways")) {
+      FleetRecordsConfig settings =
+          FleetRecordsConfig.read(each.path("distribution"), "/distribution");
+      Table table = new Table(settings.name());
+      FleetRecords records =
+          new FleetRecords(
+              settings,
+              table,
+              http,
+              timer,
+              FleetNames::clock,
+              new Random(settings.name().hashCode()),
+              System.out::println);
+      tables.put(settings.name(), table);
+      records.start();
+      each.path("names").forEach(n -> lookups.add(new Lookup(records, n.asText())));
+      each.path("names").forEach(n -> records.lookUp(n.asText()));
+    }
+    watchDirectly(config.path("direct"));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> report(tables)));
+    for (Lookup lookup : lookups) {
+      lookup.awaitAnswer();
+    }
+    System.out.println("all current after " + (FleetNames.clock() - startedAt) / 1000 + " ms");
+    Thread.currentThread().join();
+    return 0;
+  }
+
+  /** Gateways that watch the engine themselves, to hold the others against. */
+  private void watchDirectly(JsonNode direct) {
+    if (direct.isMissingNode()) {
+      return;
+    }
+    String[] at = direct.path("engine").asText().split(":");
+    ConsulEngine engine = new ConsulEngine(at[0], Integer.parseInt(at[1]), Duration.ofMillis(1500));
+    for (int i = 0; i < direct.path("count").asInt(); i++) {
+      ChangeStore store = new ChangeStore(engine, direct.path("fleet").asText());
+      Thread thread = new Thread(null, () -> watch(store), "direct-" + i, 256 << 10);
+      thread.setDaemon(true);
+      thread.start();
+    }
+  }
+
+  private void watch(ChangeStore store) {
+    try {
+      ChangeStore.Head known = store.head();
+      while (true) {
+        ChangeStore.Head head = store.awaitHead(known);
+        List<Change> changes = store.changes(known, head);
+        known = head;
+        for (Change change : changes == null ? List.<Change>of() : changes) {
+          tookUp(change, 0L);
         }
+      }
+    } catch (OperatorException e) {
+      System.out.println("direct watch has ended: " + e.getMessage());
     }
-
-    private synchronized void report(Map<String, Table> tables) {
-        ObjectNode report = SpecJson.JSON.createObjectNode().put("count", delays.getTotalCount())
-                .put("steppedBack", steppedBack);
-        ObjectNode histogram = report.putObject("delays");
-        delays.recordedValues()
-                .forEach(v -> histogram.put(Long.toString(v.getValueIteratedTo()), v.getCountAtValueIteratedTo()));
-        ObjectNode inForce = report.putObject("inForce");
-        tables.forEach((name, table) -> {
-            ObjectNode of = inForce.putObject(name);
-            table.copy().forEach(of::put);
+  }
+
+  private synchronized void report(Map<String, Table> tables) {
+    ObjectNode report =
+        SpecJson.JSON
+            .createObjectNode()
+            .put("count", delays.getTotalCount())
+            .put("steppedBack", steppedBack);
+    ObjectNode histogram = report.putObject("delays");
+    delays
+        .recordedValues()
+        .forEach(
+            v ->
+                histogram.put(
+                    Long.toString(v.getValueIteratedTo()), v.getCountAtValueIteratedTo()));
+    ObjectNode inForce = report.putObject("inForce");
+    tables.forEach(
+        (name, table) -> {
+          ObjectNode of = inForce.putObject(name);
+          table.copy().forEach(of::put);
         });
-        try {
-            Files.writeString(reportFile, report.toString());
-        } catch (IOException e) {
-            System.out.println("no report: " + e);
-        }
+    try {
+      Files.writeString(reportFile, report.toString());
+    } catch (IOException e) {
+      System.out.println("no report: " + e);
     }
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/ScaledFleet.java
+++ b/lab/src/main/java/shelffront/lab/fleet/ScaledFleet.java
@@ -29,341 +29,417 @@
 import shelffront.tenant.SpecJson;
 
 /**
- * A fleet in processes: the stand-in engine, a distributor for each region and each zone, the gateways of each zone as
- * hollow ones in a process of their own, and a few real ones. All on loopback.
+ * A fleet in processes: the stand-in engine, a distributor for each region and each zone, the
+ * gateways of each zone as hollow ones in a process of their own, and a few real ones. All on
+ * loopback.
  */
 final class ScaledFleet implements AutoCloseable {
 
-    static final String FLEET = "scale";
-    private static final int HEAP_MB = 256;
-    private static final int REAL_HEAP_MB = 72; // as the platform's line has it
-    private static final Duration MOST = Duration.ofSeconds(120);
-    private static final Duration ENGINE_CALL = Duration.ofMillis(1500);
-    private static final Pattern CURRENT = Pattern.compile("all current after ([0-9]+) ms");
-    private static final Pattern LISTENS = Pattern.compile("listens on 127.0.0.1:([0-9]+)");
-    private static final Pattern DISTRIBUTES = Pattern.compile("distributes on /(127.0.0.1:[0-9]+)");
-    private static final Pattern REAL_LISTENS = Pattern.compile("listens on /(127.0.0.1:[0-9]+)");
-
-    private static final Pattern ADMIN = Pattern.compile("administration on /([0-9.]+:[0-9]+)");
-    private static final Pattern TOKEN = Pattern.compile("shown once: (\\S+)");
-
-    /** How large it is, and how it is divided. */
-    record Size(int gateways, int tenants, int namesOfGateway, int regions, int zonesOfRegion, int real, int direct,
-            long seed) {
-
-        int zones() {
-            return regions * zonesOfRegion;
-        }
+  static final String FLEET = "scale";
+  private static final int HEAP_MB = 256;
+  private static final int REAL_HEAP_MB = 72; // as the platform's line has it
+  private static final Duration MOST = Duration.ofSeconds(120);
+  private static final Duration ENGINE_CALL = Duration.ofMillis(1500);
+  private static final Pattern CURRENT = Pattern.compile("all current after ([0-9]+) ms");
+  private static final Pattern LISTENS = Pattern.compile("listens on 127.0.0.1:([0-9]+)");
+  private static final Pattern DISTRIBUTES = Pattern.compile("distributes on /(127.0.0.1:[0-9]+)");
+  private static final Pattern REAL_LISTENS = Pattern.compile("listens on /(127.0.0.1:[0-9]+)");
+
+  private static final Pattern ADMIN = Pattern.compile("administration on /([0-9.]+:[0-9]+)");
+  private static final Pattern TOKEN = Pattern.compile("shown once: (\\S+)");
+
+  /** How large it is, and how it is divided. */
+  record Size(
+      int gateways,
+      int tenants,
+      int namesOfGateway,
+      int regions,
+      int zonesOfRegion,
+      int real,
+      int direct,
+      long seed) {
+
+    int zones() {
+      return regions * zonesOfRegion;
+    }
+  }
+
+  /** The way from one part of the fleet to another: the address that it is given. */
+  interface Ways {
+
+    String way(String from, String to, String address) throws IOException;
+  }
+
+  /** A process with its part in the fleet. */
+  final class Part {
+
+    final String name;
+    private final int heapMb;
+    private final Class<?> main;
+    private final String[] arguments;
+    private JavaProcess process;
+    private int starts;
+
+    private Part(String name, int heapMb, Class<?> main, String... arguments) throws IOException {
+      this.name = name;
+      this.heapMb = heapMb;
+      this.main = main;
+      this.arguments = arguments;
+      start();
     }
 
-    /** The way from one part of the fleet to another: the address that it is given. */
-    interface Ways {
-
-        String way(String from, String to, String address) throws IOException;
-    }
-
-    /** A process with its part in the fleet. */
-    final class Part {
-
-        final String name;
-        private final int heapMb;
-        private final Class<?> main;
-        private final String[] arguments;
-        private JavaProcess process;
-        private int starts;
-
-        private Part(String name, int heapMb, Class<?> main, String... arguments) throws IOException {
-            this.name = name;
-            this.heapMb = heapMb;
-            this.main = main;
-            this.arguments = arguments;
-            start();
-        }
-
-        void start() throws IOException {
-            starts++;
-            process = JavaProcess.start(main, heapMb, directory.resolve(name + "." + starts + ".log"), arguments);
-        }
-
-        JavaProcess process() {
-            return process;
-        }
-
-        /** Whether the process that was started first still runs. */
-        boolean isFirstAndUp() {
-            return starts == 1 && process.isUp();
-        }
-    }
-
-    private final Path directory;
-    private final Size size;
-    private final Ways ways;
-    private final boolean keeps;
-    private final HttpClient http = HttpClient.newHttpClient();
-    private final ChangeStore store;
-    private final String engineAddress;
-    private final Part engine;
-    private final List<Part> regions = new ArrayList<>();
-    private final List<Part> zones = new ArrayList<>();
-    private final List<Part> hollow = new ArrayList<>(); // by zone
-    private final List<Part> real = new ArrayList<>();
-    private final ArrayNode regionEndpoints = SpecJson.JSON.createArrayNode();
-    private final ArrayNode zoneEndpoints = SpecJson.JSON.createArrayNode();
-
-    ScaledFleet(Path directory, Size size) throws Exception {
-        this(directory, size, (from, to, address) -> address, false);
-    }
-
-    /**
-     * @param keeps whether gateways keep their last known good, and hollow ones a history
-     */
-    ScaledFleet(Path directory, Size size, Ways ways, boolean keeps) throws Exception {
-        this.directory = directory;
-        this.size = size;
-        this.ways = ways;
-        this.keeps = keeps;
-        Files.createDirectories(directory);
-        Path state = directory.resolve("engine.state");
-        fill(state);
-        engine = new Part("engine", HEAP_MB, LabMain.class, "consul-stand-in", "--port", Integer.toString(freePort()),
-                "--file",
-                state.toString());
-        await("the engine is up", () -> engine.process().found(LISTENS) != null);
-        engineAddress = "127.0.0.1:" + engine.process().found(LISTENS);
-        store = new ChangeStore(new ConsulEngine("127.0.0.1", Integer.parseInt(engine.process().found(LISTENS)),
-                ENGINE_CALL), FLEET);
-    }
-
-    /** The engine has to come back at its address when it is started again. */
-    private static int freePort() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return socket.getLocalPort();
-        }
-    }
-
-    private void fill(Path state) throws Exception {
-        StateFileEngine filled = new StateFileEngine();
-        ChangeStore writer = new ChangeStore(filled, FLEET);
-        writer.write("tenant/" + FleetNames.COMMON, 0, FleetNames.document(FleetNames.COMMON, 0).toString(),
-                Version.NONE);
-        for (int i = 0; i < size.tenants(); i++) {
-            String id = FleetNames.tenant(i);
-            writer.write("tenant/" + id, 0, FleetNames.document(id, 0).toString(), Version.NONE);
-        }
-        filled.save(state);
-    }
-
-    /**
-     * Starts everything, the engine's followers first, and waits until every hollow gateway has all that it follows.
-     */
     void start() throws IOException {
-        for (int r = 0; r < size.regions(); r++) {
-            ObjectNode config = distributor("r" + r, "r" + r, "")
-                    .put("engine", ways.way("r" + r, "engine", engineAddress));
-            regions.add(distribute("region-r" + r, config));
-        }
-        endpoints(regions, regionEndpoints, false);
-        for (int z = 0; z < size.zones(); z++) {
-            ObjectNode config = distributor(zone(z), region(z), zone(z));
-            config.set("distributors", seenFrom(zone(z), regionEndpoints));
-            zones.add(distribute("zone-" + zone(z), config));
-        }
-        endpoints(zones, zoneEndpoints, true);
-        for (int z = 0; z < size.zones(); z++) {
-            hollow.add(hollow(z));
-        }
-        for (int i = 0; i < size.real(); i++) {
-            real.add(real(i));
-        }
-        awaitCurrent();
-        real.forEach(p -> await("a real gateway listens", () -> p.process().found(REAL_LISTENS) != null));
-    }
-
-    private String region(int zone) {
-        return "r" + zone / size.zonesOfRegion();
-    }
-
-    private static String zone(int zone) {
-        return "z" + zone;
-    }
-
-    private static ObjectNode distributor(String name, String region, String zone) {
-        ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("name", "d-" + name)
-                .put("fleet", FLEET).put("region", region);
-        return zone.isEmpty() ? config : config.put("zone", zone);
-    }
-
-    private Part distribute(String name, ObjectNode config) throws IOException {
-        Path file = directory.resolve(name + ".json");
-        Files.writeString(file, config.toString());
-        return new Part(name, HEAP_MB, Main.class, "distribute", "--config", file.toString());
-    }
-
-    /** Addresses are given by the system, and kept: a distributor that starts again listens where it did. */
-    private void endpoints(List<Part> distributors, ArrayNode into, boolean zonal) throws IOException {
-        for (int i = 0; i < distributors.size(); i++) {
-            Part part = distributors.get(i);
-            await(part.name + " is up", () -> part.process().found(DISTRIBUTES) != null);
-            String address = part.process().found(DISTRIBUTES);
-            ObjectNode endpoint = into.addObject().put("address", address).put("region", zonal ? region(i) : "r" + i);
-            if (zonal) {
-                endpoint.put("zone", zone(i));
-            }
-            Path file = directory.resolve(part.name + ".json");
-            ObjectNode config = (ObjectNode) SpecJson.JSON.readTree(file.toFile());
-            Files.writeString(file, config.put("listen", address).toString());
-        }
-    }
-
-    /** Distributors with the addresses by which a zone reaches them. */
-    private ArrayNode seenFrom(String zone, ArrayNode endpoints) throws IOException {
-        ArrayNode seen = endpoints.deepCopy();
-        for (JsonNode endpoint : seen) {
-            String to = endpoint.path("zone").asText(endpoint.path("region").asText());
-            ((ObjectNode) endpoint).put("address", ways.way(zone, to, endpoint.path("address").asText()));
-        }
-        return seen;
-    }
-
-    private ObjectNode gateway(String name, int zone) throws IOException {
-        ObjectNode config = SpecJson.JSON.createObjectNode().put("name", name).put("fleet", FLEET)
-                .put("region", region(zone)).put("zone", zone(zone));
-        config.set("distributors", seenFrom(zone(zone), zoneEndpoints));
-        return keeps ? config.put("lastKnownGood", directory.resolve(name + ".kept").toString()) : config;
-    }
-
-    private Part hollow(int zone) throws IOException {
-        ObjectNode config = SpecJson.JSON.createObjectNode();
-        ArrayNode gateways = config.putArray("gateways");
-        for (int g = zone; g < size.gateways(); g += size.zones()) {
-            ObjectNode each = gateways.addObject();
-            each.set("distribution", gateway("g" + g, zone));
-            ArrayNode names = each.putArray("names");
-            FleetNames.served(g, size.tenants(), size.namesOfGateway(), size.seed()).forEach(names::add);
-        }
-        if (size.direct() > 0) {
-            config.putObject("direct").put("engine", engineAddress).put("fleet", FLEET)
-                    .put("count", size.direct() / size.zones());
-        }
-        String name = "hollow-" + zone(zone);
-        Path file = directory.resolve(name + ".json");
-        Files.writeString(file, config.toString());
-        List<String> arguments = new ArrayList<>(List.of("hollow-gateways", "--config", file.toString(), "--report",
+      starts++;
+      process =
+          JavaProcess.start(
+              main, heapMb, directory.resolve(name + "." + starts + ".log"), arguments);
+    }
+
+    JavaProcess process() {
+      return process;
+    }
+
+    /** Whether the process that was started first still runs. */
+    boolean isFirstAndUp() {
+      return starts == 1 && process.isUp();
+    }
+  }
+
+  private final Path directory;
+  private final Size size;
+  private final Ways ways;
+  private final boolean keeps;
+  private final HttpClient http = HttpClient.newHttpClient();
+  private final ChangeStore store;
+  private final String engineAddress;
+  private final Part engine;
+  private final List<Part> regions = new ArrayList<>();
+  private final List<Part> zones = new ArrayList<>();
+  private final List<Part> hollow = new ArrayList<>(); // by zone
+  private final List<Part> real = new ArrayList<>();
+  private final ArrayNode regionEndpoints = SpecJson.JSON.createArrayNode();
+  private final ArrayNode zoneEndpoints = SpecJson.JSON.createArrayNode();
+
+  ScaledFleet(Path directory, Size size) throws Exception {
+    this(directory, size, (from, to, address) -> address, false);
+  }
+
+  /**
+   * @param keeps whether gateways keep their last known good, and hollow ones a history
+   */
+  ScaledFleet(Path directory, Size size, Ways ways, boolean keeps) throws Exception {
+    this.directory = directory;
+    this.size = size;
+    this.ways = ways;
+    this.keeps = keeps;
+    Files.createDirectories(directory);
+    Path state = directory.resolve("engine.state");
+    fill(state);
+    engine =
+        new Part(
+            "engine",
+            HEAP_MB,
+            LabMain.class,
+            "consul-stand-in",
+            "--port",
+            Integer.toString(freePort()),
+            "--file",
+            state.toString());
+    await("the engine is up", () -> engine.process().found(LISTENS) != null);
+    engineAddress = "127.0.0.1:" + engine.process().found(LISTENS);
+    store =
+        new ChangeStore(
+            new ConsulEngine(
+                "127.0.0.1", Integer.parseInt(engine.process().found(LISTENS)), ENGINE_CALL),
+            FLEET);
+  }
+
+  /** The engine has to come back at its address when it is started again. */
+  private static int freePort() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
+    }
+  }
+
+  private void fill(Path state) throws Exception {
+    StateFileEngine filled = new StateFileEngine();
+    ChangeStore writer = new ChangeStore(filled, FLEET);
+    writer.write(
+        "tenant/" + FleetNames.COMMON,
+        0,
+        FleetNames.document(FleetNames.COMMON, 0).toString(),
+        Version.NONE);
+    for (int i = 0; i < size.tenants(); i++) {
+      String id = FleetNames.tenant(i);
+      writer.write("tenant/" + id, 0, FleetNames.document(id, 0).toString(), Version.NONE);
+    }
+    filled.save(state);
+  }
+
+  /**
+   * Starts everything, the engine's followers first, and waits until every hollow gateway has all
+   * that it follows.
+   */
+  void start() throws IOException {
+    for (int r = 0; r < size.regions(); r++) {
+      ObjectNode config =
+          distributor("r" + r, "r" + r, "")
+              .put("engine", ways.way("r" + r, "engine", engineAddress));
+      regions.add(distribute("region-r" + r, config));
+    }
+    endpoints(regions, regionEndpoints, false);
+    for (int z = 0; z < size.zones(); z++) {
+      ObjectNode config = distributor(zone(z), region(z), zone(z));
+      config.set("distributors", seenFrom(zone(z), regionEndpoints));
+      zones.add(distribute("zone-" + zone(z), config));
+    }
+    endpoints(zones, zoneEndpoints, true);
+    for (int z = 0; z < size.zones(); z++) {
+      hollow.add(hollow(z));
+    }
+    for (int i = 0; i < size.real(); i++) {
+      real.add(real(i));
+    }
+    awaitCurrent();
+    real.forEach(
+        p -> await("a real gateway listens", () -> p.process().found(REAL_LISTENS) != null));
+  }
+
+  private String region(int zone) {
+    return "r" + zone / size.zonesOfRegion();
+  }
+
+  private static String zone(int zone) {
+    return "z" + zone;
+  }
+
+  private static ObjectNode distributor(String name, String region, String zone) {
+    ObjectNode config =
+        SpecJson.JSON
+            .createObjectNode()
+            .put("listen", "127.0.0.1:0")
+            .put("name", "d-" + name)
+            .put("fleet", FLEET)
+            .put("region", region);
+    return zone.isEmpty() ? config : config.put("zone", zone);
+  }
+
+  private Part distribute(String name, ObjectNode config) throws IOException {
+    Path file = directory.resolve(name + ".json");
+    Files.writeString(file, config.toString());
+    return new Part(name, HEAP_MB, Main.class, "distribute", "--config", file.toString());
+  }
+
+  /**
+   * Addresses are given by the system, and kept: a distributor that starts again listens where it
+   * did.
+   */
+  private void endpoints(List<Part> distributors, ArrayNode into, boolean zonal)
+      throws IOException {
+    for (int i = 0; i < distributors.size(); i++) {
+      Part part = distributors.get(i);
+      await(part.name + " is up", () -> part.process().found(DISTRIBUTES) != null);
+      String address = part.process().found(DISTRIBUTES);
+      ObjectNode endpoint =
+          into.addObject().put("address", address).put("region", zonal ? region(i) : "r" + i);
+      if (zonal) {
+        endpoint.put("zone", zone(i));
+      }
+      Path file = directory.resolve(part.name + ".json");
+      ObjectNode config = (ObjectNode) SpecJson.JSON.readTree(file.toFile());
+      Files.writeString(file, config.put("listen", address).toString());
+    }
+  }
+
+  /** Distributors with the addresses by which a zone reaches them. */
+  private ArrayNode seenFrom(String zone, ArrayNode endpoints) throws IOException {
+    ArrayNode seen = endpoints.deepCopy();
+    for (JsonNode endpoint : seen) {
+      String to = endpoint.path("zone").asText(endpoint.path("region").asText());
+      ((ObjectNode) endpoint).put("address", ways.way(zone, to, endpoint.path("address").asText()));
+    }
+    return seen;
+  }
+
+  private ObjectNode gateway(String name, int zone) throws IOException {
+    ObjectNode config =
+        SpecJson.JSON
+            .createObjectNode()
+            .put("name", name)
+            .put("fleet", FLEET)
+            .put("region", region(zone))
+            .put("zone", zone(zone));
+    config.set("distributors", seenFrom(zone(zone), zoneEndpoints));
+    return keeps
+        ? config.put("lastKnownGood", directory.resolve(name + ".kept").toString())
+        : config;
+  }
+
+  private Part hollow(int zone) throws IOException {
+    ObjectNode config = SpecJson.JSON.createObjectNode();
+    ArrayNode gateways = config.putArray("gateways");
+    for (int g = zone; g < size.gateways(); g += size.zones()) {
+      ObjectNode each = gateways.addObject();
+      each.set("distribution", gateway("g" + g, zone));
+      ArrayNode names = each.putArray("names");
+      FleetNames.served(g, size.tenants(), size.namesOfGateway(), size.seed()).forEach(names::add);
+    }
+    if (size.direct() > 0) {
+      config
+          .putObject("direct")
+          .put("engine", engineAddress)
+          .put("fleet", FLEET)
+          .put("count", size.direct() / size.zones());
+    }
+    String name = "hollow-" + zone(zone);
+    Path file = directory.resolve(name + ".json");
+    Files.writeString(file, config.toString());
+    List<String> arguments =
+        new ArrayList<>(
+            List.of(
+                "hollow-gateways",
+                "--config",
+                file.toString(),
+                "--report",
                 report(zone).toString()));
-        if (keeps) {
-            arguments.addAll(List.of("--history", history(zone).toString()));
-        }
-        return new Part(name, HEAP_MB, LabMain.class, arguments.toArray(String[]::new));
-    }
-
-    /** What came into force at the hollow gateways of a zone, in its order; kept over restarts. */
-    Path history(int zone) {
-        return directory.resolve("hollow-" + zone(zone) + ".history");
-    }
-
-    /** Where clients of a real gateway connect. */
-    String clientAddress(int number) {
-        return real.get(number).process().found(REAL_LISTENS);
-    }
-
-    /** A call of a real gateway's administration, as its first operator. */
-    HttpResponse<String> administer(int number, String method, String path, long revision, String body)
-            throws IOException, InterruptedException {
-        JavaProcess gateway = real.get(number).process();
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + gateway.found(ADMIN) + path))
-                .header("Authorization", "Bearer " + gateway.found(TOKEN))
-                .method(method, HttpRequest.BodyPublishers.ofString(body));
-        if (revision > 0) {
-            request.header("If-Match", "\"" + revision + "\"");
-        }
-        return http.send(request.build(), BodyHandlers.ofString());
-    }
-
-    /** Tells the engine to fail, as its stand-in's page says; an empty text ends all faults. */
-    void engineFault(String query) throws IOException, InterruptedException {
-        http.send(HttpRequest.newBuilder(URI.create("http://" + engineAddress + "/fault?" + query))
-                .PUT(HttpRequest.BodyPublishers.noBody()).build(), BodyHandlers.ofString());
-    }
-
-    private Path report(int zone) {
-        return directory.resolve("hollow-" + zone(zone) + ".report");
-    }
-
-    private Part real(int number) throws IOException {
-        ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
-        config.set("distribution", gateway("real" + number, number % size.zones()).put("engine", engineAddress));
-        Path file = directory.resolve("real" + number + ".json");
-        Files.writeString(file, config.toString());
-        return new Part("real" + number, REAL_HEAP_MB, Main.class, "serve", "--config", file.toString());
-    }
-
-    /** Waits until every hollow gateway has all that it follows. */
-    void awaitCurrent() {
-        hollow.forEach(p -> await(p.name + " is current", () -> p.process().found(CURRENT) != null));
-    }
-
-    /** How long the slowest zone's gateways took from their process's start until all of them were current. */
-    long slowestStartMillis() {
-        return hollow.stream().map(p -> p.process().found(CURRENT)).filter(t -> t != null).mapToLong(Long::parseLong)
-                .max().orElse(0);
-    }
-
-    static void await(String what, BooleanSupplier condition) {
-        Awaitility.await(what).atMost(MOST).pollInterval(Duration.ofMillis(20)).until(condition::getAsBoolean);
-    }
-
-    /** Where changes are made. */
-    ChangeStore store() {
-        return store;
-    }
-
-    Part engine() {
-        return engine;
-    }
-
-    List<Part> regions() {
-        return regions;
-    }
-
-    List<Part> zones() {
-        return zones;
-    }
-
-    List<Part> hollow() {
-        return hollow;
-    }
-
-    List<Part> real() {
-        return real;
-    }
-
-    /** Calls that the engine has answered, and bytes of their bodies. */
-    long[] engineCalls() throws IOException, InterruptedException {
-        JsonNode o = SpecJson.JSON.readTree(http.send(HttpRequest.newBuilder(
-                URI.create("http://" + engineAddress + "/calls")).build(), BodyHandlers.ofString()).body());
-        return new long[] {o.path("calls").asLong(), o.path("bytes").asLong()};
-    }
-
-    /** Ends the hollow gateways and gives their reports, by zone. */
-    TreeMap<Integer, JsonNode> endHollow() throws IOException, InterruptedException {
-        TreeMap<Integer, JsonNode> reports = new TreeMap<>();
-        for (int z = 0; z < hollow.size(); z++) {
-            if (!hollow.get(z).process().terminate(MOST.toSeconds())) {
-                throw new IllegalStateException(hollow.get(z).name + " does not end");
-            }
-            reports.put(z, SpecJson.JSON.readTree(report(z).toFile()));
-        }
-        return reports;
-    }
-
-    @Override
-    public void close() {
-        List<Part> all = new ArrayList<>(real);
-        all.addAll(hollow);
-        all.addAll(zones);
-        all.addAll(regions);
-        all.add(engine);
-        all.forEach(p -> p.process().abandon());
-        store.close();
-    }
+    if (keeps) {
+      arguments.addAll(List.of("--history", history(zone).toString()));
+    }
+    return new Part(name, HEAP_MB, LabMain.class, arguments.toArray(String[]::new));
+  }
+
+  /** What came into force at the hollow gateways of a zone, in its order; kept over restarts. */
+  Path history(int zone) {
+    return directory.resolve("hollow-" + zone(zone) + ".history");
+  }
+
+  /** Where clients of a real gateway connect. */
+  String clientAddress(int number) {
+    return real.get(number).process().found(REAL_LISTENS);
+  }
+
+  /** A call of a real gateway's administration, as its first operator. */
+  HttpResponse<String> administer(
+      int number, String method, String path, long revision, String body)
+      throws IOException, InterruptedException {
+    JavaProcess gateway = real.get(number).process();
+    HttpRequest.Builder request =
+        HttpRequest.newBuilder(URI.create("http://" + gateway.found(ADMIN) + path))
+            .header("Authorization", "Bearer " + gateway.found(TOKEN))
+            .method(method, HttpRequest.BodyPublishers.ofString(body));
+    if (revision > 0) {
+      request.header("If-Match", "\"" + revision + "\"");
+    }
+    return http.send(request.build(), BodyHandlers.ofString());
+  }
+
+  /** Tells the engine to fail, as its stand-in's page says; an empty text ends all faults. */
+  void engineFault(String query) throws IOException, InterruptedException {
+    http.send(
+        HttpRequest.newBuilder(URI.create("http://" + engineAddress + "/fault?" + query))
+            .PUT(HttpRequest.BodyPublishers.noBody())
+            .build(),
+        BodyHandlers.ofString());
+  }
+
+  private Path report(int zone) {
+    return directory.resolve("hollow-" + zone(zone) + ".report");
+  }
+
+  private Part real(int number) throws IOException {
+    ObjectNode config =
+        SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
+    config.set(
+        "distribution",
+        gateway("real" + number, number % size.zones()).put("engine", engineAddress));
+    Path file = directory.resolve("real" + number + ".json");
+    Files.writeString(file, config.toString());
+    return new Part(
+        "real" + number, REAL_HEAP_MB, Main.class, "serve", "--config", file.toString());
+  }
+
+  /** Waits until every hollow gateway has all that it follows. */
+  void awaitCurrent() {
+    hollow.forEach(p -> await(p.name + " is current", () -> p.process().found(CURRENT) != null));
+  }
+
+  /**
+   * How long the slowest zone's gateways took from their process's start until all of them were
+   * current.
+   */
+  long slowestStartMillis() {
+    return hollow.stream()
+        .map(p -> p.process().found(CURRENT))
+        .filter(t -> t != null)
+        .mapToLong(Long::parseLong)
+        .max()
+        .orElse(0);
+  }
+
+  static void await(String what, BooleanSupplier condition) {
+    Awaitility.await(what)
+        .atMost(MOST)
+        .pollInterval(Duration.ofMillis(20))
+        .until(condition::getAsBoolean);
+  }
+
+  /** Where changes are made. */
+  ChangeStore store() {
+    return store;
+  }
+
+  Part engine() {
+    return engine;
+  }
+
+  List<Part> regions() {
+    return regions;
+  }
+
+  List<Part> zones() {
+    return zones;
+  }
+
+  List<Part> hollow() {
+    return hollow;
+  }
+
+  List<Part> real() {
+    return real;
+  }
+
+  /** Calls that the engine has answered, and bytes of their bodies. */
+  long[] engineCalls() throws IOException, InterruptedException {
+    JsonNode o =
+        SpecJson.JSON.readTree(
+            http.send(
+                    HttpRequest.newBuilder(URI.create("http://" + engineAddress + "/calls"))
+                        .build(),
+                    BodyHandlers.ofString())
+                .body());
+    return new long[] {o.path("calls").asLong(), o.path("bytes").asLong()};
+  }
+
+  /** Ends the hollow gateways and gives their reports, by zone. */
+  TreeMap<Integer, JsonNode> endHollow() throws IOException, InterruptedException {
+    TreeMap<Integer, JsonNode> reports = new TreeMap<>();
+    for (int z = 0; z < hollow.size(); z++) {
+      if (!hollow.get(z).process().terminate(MOST.toSeconds())) {
+        throw new IllegalStateException(hollow.get(z).name + " does not end");
+      }
+      reports.put(z, SpecJson.JSON.readTree(report(z).toFile()));
+    }
+    return reports;
+  }
+
+  @Override
+  public void close() {
+    List<Part> all = new ArrayList<>(real);
+    all.addAll(hollow);
+    all.addAll(zones);
+    all.addAll(regions);
+    all.add(engine);
+    all.forEach(p -> p.process().abandon());
+    store.close();
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/StageCost.java
+++ b/lab/src/main/java/shelffront/lab/fleet/StageCost.java
@@ -22,82 +22,116 @@
 import shelffront.lab.rig.JavaProcess;
 import shelffront.tenant.SpecJson;
 
-/** What leases on stages ask of the engine while nothing moves: calls and bytes by gateways and by subjects. */
-@Command(name = "stage-cost", mixinStandardHelpOptions = true,
-        description = "Starts gateways that keep leases on subjects, and counts the engine's calls meanwhile.")
+/**
+ * What leases on stages ask of the engine while nothing moves: calls and bytes by gateways and by
+ * subjects.
+ */
+@Command(
+    name = "stage-cost",
+    mixinStandardHelpOptions = true,
+    description =
+        "Starts gateways that keep leases on subjects, and counts the engine's calls meanwhile.")
 public final class StageCost implements Callable<Integer> {
 
-    private static final int HEAP_MB = 96;
-    private static final Pattern LISTENS = Pattern.compile("listens on (127.0.0.1:[0-9]+)");
-    private static final Pattern GATEWAY_LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
+  private static final int HEAP_MB = 96;
+  private static final Pattern LISTENS = Pattern.compile("listens on (127.0.0.1:[0-9]+)");
+  private static final Pattern GATEWAY_LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
 
-    @Option(names = "--gateways", split = ",", defaultValue = "1,3,6", description = "(${DEFAULT-VALUE})")
-    private List<Integer> gateways;
+  @Option(
+      names = "--gateways",
+      split = ",",
+      defaultValue = "1,3,6",
+      description = "(${DEFAULT-VALUE})")
+  private List<Integer> gateways;
 
-    @Option(names = "--subjects", split = ",", defaultValue = "1,3,6", description = "(${DEFAULT-VALUE})")
-    private List<Integer> subjects;
+  @Option(
+      names = "--subjects",
+      split = ",",
+      defaultValue = "1,3,6",
+      description = "(${DEFAULT-VALUE})")
+  private List<Integer> subjects;
 
-    @Option(names = "--seconds", defaultValue = "12", description = "counted (${DEFAULT-VALUE})")
-    private int seconds;
+  @Option(names = "--seconds", defaultValue = "12", description = "counted (${DEFAULT-VALUE})")
+  private int seconds;
 
-    private final HttpClient http = HttpClient.newHttpClient();
+  private final HttpClient http = HttpClient.newHttpClient();
 
-    @Override
-    public Integer call() throws Exception {
-        System.out.println("| gateways | subjects | engine calls/s | engine KB/s |");
-        System.out.println("| --- | --- | --- | --- |");
-        for (int g : gateways) {
-            measure(g, 1);
-        }
-        for (int s : subjects) {
-            if (s > 1) {
-                measure(3, s);
-            }
-        }
-        return 0;
+  @Override
+  public Integer call() throws Exception {
+    System.out.println("| gateways | subjects | engine calls/s | engine KB/s |");
+    System.out.println("| --- | --- | --- | --- |");
+    for (int g : gateways) {
+      measure(g, 1);
     }
-
-    private void measure(int gatewayCount, int subjectCount) throws Exception {
-        Path directory = Files.createTempDirectory("stage-cost-");
-        List<JavaProcess> all = new ArrayList<>();
-        try {
-            JavaProcess engine = JavaProcess.start(LabMain.class, HEAP_MB, directory.resolve("engine.log"),
-                    "consul-stand-in", "--file", directory.resolve("engine.state").toString());
-            all.add(engine);
-            ScaledFleet.await("the engine is up", () -> engine.found(LISTENS) != null);
-            for (int g = 0; g < gatewayCount; g++) {
-                Path file = directory.resolve("g" + g + ".json");
-                Files.writeString(file, config(engine.found(LISTENS), "g" + g, subjectCount).toString());
-                JavaProcess gateway = JavaProcess.start(Main.class, HEAP_MB, directory.resolve("g" + g + ".log"),
-                        "serve",
-                        "--config", file.toString());
-                all.add(gateway);
-                ScaledFleet.await("a gateway listens", () -> gateway.found(GATEWAY_LISTENS) != null);
-            }
-            TimeUnit.SECONDS.sleep(3); // until all have joined
-            JsonNode before = calls(engine);
-            TimeUnit.SECONDS.sleep(seconds);
-            JsonNode after = calls(engine);
-            System.out.printf(Locale.ROOT, "| %d | %d | %.2f | %.2f |%n", gatewayCount, subjectCount,
-                    (after.path("calls").asLong() - before.path("calls").asLong()) / (double) seconds,
-                    (after.path("bytes").asLong() - before.path("bytes").asLong()) / 1e3 / seconds);
-        } finally {
-            all.forEach(JavaProcess::abandon);
-        }
+    for (int s : subjects) {
+      if (s > 1) {
+        measure(3, s);
+      }
     }
+    return 0;
+  }
 
-    private static ObjectNode config(String engine, String name, int subjectCount) {
-        ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0");
-        ObjectNode fleet = config.putObject("fleet").put("engine", engine).put("fleet", "cost").put("name", name);
-        ObjectNode subjects = fleet.putObject("subjects");
-        for (int s = 0; s < subjectCount; s++) {
-            subjects.putArray("s" + s).add("one").add("two");
-        }
-        return config;
+  private void measure(int gatewayCount, int subjectCount) throws Exception {
+    Path directory = Files.createTempDirectory("stage-cost-");
+    List<JavaProcess> all = new ArrayList<>();
+    try {
+      JavaProcess engine =
+          JavaProcess.start(
+              LabMain.class,
+              HEAP_MB,
+              directory.resolve("engine.log"),
+              "consul-stand-in",
+              "--file",
+              directory.resolve("engine.state").toString());
+      all.add(engine);
+      ScaledFleet.await("the engine is up", () -> engine.found(LISTENS) != null);
+      for (int g = 0; g < gatewayCount; g++) {
+        Path file = directory.resolve("g" + g + ".json");
+        Files.writeString(file, config(engine.found(LISTENS), "g" + g, subjectCount).toString());
+        JavaProcess gateway =
+            JavaProcess.start(
+                Main.class,
+                HEAP_MB,
+                directory.resolve("g" + g + ".log"),
+                "serve",
+                "--config",
+                file.toString());
+        all.add(gateway);
+        ScaledFleet.await("a gateway listens", () -> gateway.found(GATEWAY_LISTENS) != null);
+      }
+      TimeUnit.SECONDS.sleep(3); // until all have joined
+      JsonNode before = calls(engine);
+      TimeUnit.SECONDS.sleep(seconds);
+      JsonNode after = calls(engine);
+      System.out.printf(
+          Locale.ROOT,
+          "| %d | %d | %.2f | %.2f |%n",
+          gatewayCount,
+          subjectCount,
+          (after.path("calls").asLong() - before.path("calls").asLong()) / (double) seconds,
+          (after.path("bytes").asLong() - before.path("bytes").asLong()) / 1e3 / seconds);
+    } finally {
+      all.forEach(JavaProcess::abandon);
     }
+  }
 
-    private JsonNode calls(JavaProcess engine) throws IOException, InterruptedException {
-        return SpecJson.JSON.readTree(http.send(HttpRequest.newBuilder(
-                URI.create("http://" + engine.found(LISTENS) + "/calls")).build(), BodyHandlers.ofString()).body());
+  private static ObjectNode config(String engine, String name, int subjectCount) {
+    ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0");
+    ObjectNode fleet =
+        config.putObject("fleet").put("engine", engine).put("fleet", "cost").put("name", name);
+    ObjectNode subjects = fleet.putObject("subjects");
+    for (int s = 0; s < subjectCount; s++) {
+      subjects.putArray("s" + s).add("one").add("two");
     }
+    return config;
+  }
+
+  private JsonNode calls(JavaProcess engine) throws IOException, InterruptedException {
+    return SpecJson.JSON.readTree(
+        http.send(
+                HttpRequest.newBuilder(URI.create("http://" + engine.found(LISTENS) + "/calls"))
+                    .build(),
+                BodyHandlers.ofString())
+            .body());
+  }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/StateFileEngine.java
+++ b/lab/src/main/java/shelffront/lab/fleet/StateFileEngine.java
@@ -12,65 +12,79 @@
 import shelffront.engine.Engine;
 import shelffront.tenant.SpecJson;
 
-/** Fills the stand-in engine's file before that is started, by the same writes that would go to it over HTTP. */
+/**
+ * Fills the stand-in engine's file before that is started, by the same writes that would go to it
+ * over HTTP.
+ */
 final class StateFileEngine implements Engine {
 
-    private final TreeMap<String, Value> values = new TreeMap<>();
-    private long index = 1;
+  private final TreeMap<String, Value> values = new TreeMap<>();
+  private long index = 1;
 
-    /** Writes all that it holds as the stand-in engine keeps it. */
-    void save(Path file) throws IOException {
-        List<String> lines = new ArrayList<>();
-        values.values().stream().sorted((a, b) -> Long.compare(a.index(), b.index()))
-                .forEach(v -> lines.add(SpecJson.JSON.createObjectNode().put("index", v.index()).put("key", v.key())
-                        .put("value", Base64.getEncoder().encodeToString(v.text().getBytes(UTF_8))).toString()));
-        Files.write(file, lines);
-    }
+  /** Writes all that it holds as the stand-in engine keeps it. */
+  void save(Path file) throws IOException {
+    List<String> lines = new ArrayList<>();
+    values.values().stream()
+        .sorted((a, b) -> Long.compare(a.index(), b.index()))
+        .forEach(
+            v ->
+                lines.add(
+                    SpecJson.JSON
+                        .createObjectNode()
+                        .put("index", v.index())
+                        .put("key", v.key())
+                        .put("value", Base64.getEncoder().encodeToString(v.text().getBytes(UTF_8)))
+                        .toString()));
+    Files.write(file, lines);
+  }
 
-    @Override
-    public Value read(String key) {
-        return values.get(key);
-    }
+  @Override
+  public Value read(String key) {
+    return values.get(key);
+  }
 
-    @Override
-    public Listing list(String prefix) {
-        return new Listing(index, values.tailMap(prefix).values().stream().takeWhile(v -> v.key().startsWith(prefix))
-                .toList());
-    }
+  @Override
+  public Listing list(String prefix) {
+    return new Listing(
+        index,
+        values.tailMap(prefix).values().stream()
+            .takeWhile(v -> v.key().startsWith(prefix))
+            .toList());
+  }
 
-    @Override
-    public Listing watch(String prefix, long after) {
-        return list(prefix);
-    }
+  @Override
+  public Listing watch(String prefix, long after) {
+    return list(prefix);
+  }
 
-    @Override
-    public boolean put(String key, long at, String text) {
-        return transact(List.of(new Write(key, at, text)));
-    }
+  @Override
+  public boolean put(String key, long at, String text) {
+    return transact(List.of(new Write(key, at, text)));
+  }
 
-    @Override
-    public void delete(String key, long at) {
-        transact(List.of(new Write(key, at, null)));
-    }
+  @Override
+  public void delete(String key, long at) {
+    transact(List.of(new Write(key, at, null)));
+  }
 
-    @Override
-    public boolean transact(List<Write> writes) {
-        index++;
-        for (Write write : writes) {
-            if (write.text() == null) {
-                values.remove(write.key());
-            } else {
-                values.put(write.key(), new Value(write.key(), index, write.text()));
-            }
-        }
-        return true;
+  @Override
+  public boolean transact(List<Write> writes) {
+    index++;
+    for (Write write : writes) {
+      if (write.text() == null) {
+        values.remove(write.key());
+      } else {
+        values.put(write.key(), new Value(write.key(), index, write.text()));
+      }
     }
+    return true;
+  }
 
-    @Override
-    public List<Value> readAll(List<String> keys) {
-        return keys.stream().filter(values::containsKey).map(values::get).toList();
-    }
+  @Override
+  public List<Value> readAll(List<String> keys) {
+    return keys.stream().filter(values::containsKey).map(values::get).toList();
+  }
 
-    @Override
-    public void close() {}
+  @Override
+  public void close() {}
 }
--- a/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
@@ -16,181 +16,216 @@
  */
 public final class ClientConnectionHandler<R> extends ConnectionHandler {
 
-    /** Whose connection it is. */
-    public interface Caller<R> {
-
-        /** It has been let in. */
-        default void welcomed(ClientConnectionHandler<R> by) {}
-
-        /** An answer: a code where it is an error, the value else; when it was told to come back, in microseconds. */
-        void answered(ClientConnectionHandler<R> by, R request, String value, String code, long retryAfter);
-
-        /** Its time is up and nothing has come; the connection was given up. */
-        void late(ClientConnectionHandler<R> by, R request);
-
-        /** The connection has ended, with a request open or null. */
-        void left(ClientConnectionHandler<R> by, R request, boolean reset);
-
-        /** What no gateway may send. */
-        void malformed(String why);
-    }
-
-    private static final int CLEAR_TEXT = 3;
-
-    private final Carrier carrier;
-    private final Caller<R> caller;
-    private final String database;
-    private final String password;
-    private R current;
-    private String value;
-    private String code;
-    private long retryAfter;
-    private boolean welcomed;
-    private boolean asksNothing;
-
-    /** Connects as a user to a database; the password is null where none is to be asked for. */
-    public ClientConnectionHandler(Carrier carrier, InetSocketAddress gateway, String user, String database,
-            String password,
-            Caller<R> caller) {
-        this.carrier = carrier;
-        this.caller = caller;
-        this.database = database;
-        this.password = password;
-        end = carrier.connect(gateway, this);
-        send(Message.startup(user, database));
-    }
-
-    public boolean isFree() {
-        return !isOver() && !isStalled() && current == null;
-    }
-
-    public String database() {
-        return database;
-    }
-
-    /** Whether it has been let in. */
-    public boolean isWelcomed() {
-        return welcomed;
-    }
-
-    /** What it waits for, or null. */
-    public R current() {
-        return current;
-    }
-
-    /** Sends a request; it may go right behind the startup. */
-    public void ask(R request, byte[] statement, long giveUpAt) {
-        current = request;
-        value = null;
-        code = null;
-        retryAfter = 0;
-        send(Message.query(statement));
-        carrier.clock().at(giveUpAt, () -> {
-            if (current == request) {
+  /** Whose connection it is. */
+  public interface Caller<R> {
+
+    /** It has been let in. */
+    default void welcomed(ClientConnectionHandler<R> by) {}
+
+    /**
+     * An answer: a code where it is an error, the value else; when it was told to come back, in
+     * microseconds.
+     */
+    void answered(
+        ClientConnectionHandler<R> by, R request, String value, String code, long retryAfter);
+
+    /** Its time is up and nothing has come; the connection was given up. */
+    void late(ClientConnectionHandler<R> by, R request);
+
+    /** The connection has ended, with a request open or null. */
+    void left(ClientConnectionHandler<R> by, R request, boolean reset);
+
+    /** What no gateway may send. */
+    void malformed(String why);
+  }
+
+  private static final int CLEAR_TEXT = 3;
+
+  private final Carrier carrier;
+  private final Caller<R> caller;
+  private final String database;
+  private final String password;
+  private R current;
+  private String value;
+  private String code;
+  private long retryAfter;
+  private boolean welcomed;
+  private boolean asksNothing;
+
+  /** Connects as a user to a database; the password is null where none is to be asked for. */
+  public ClientConnectionHandler(
+      Carrier carrier,
+      InetSocketAddress gateway,
+      String user,
+      String database,
+      String password,
+      Caller<R> caller) {
+    this.carrier = carrier;
+    this.caller = caller;
+    this.database = database;
+    this.password = password;
+    end = carrier.connect(gateway, this);
+    send(Message.startup(user, database));
+  }
+
+  public boolean isFree() {
+    return !isOver() && !isStalled() && current == null;
+  }
+
+  public String database() {
+    return database;
+  }
+
+  /** Whether it has been let in. */
+  public boolean isWelcomed() {
+    return welcomed;
+  }
+
+  /** What it waits for, or null. */
+  public R current() {
+    return current;
+  }
+
+  /** Sends a request; it may go right behind the startup. */
+  public void ask(R request, byte[] statement, long giveUpAt) {
+    current = request;
+    value = null;
+    code = null;
+    retryAfter = 0;
+    send(Message.query(statement));
+    carrier
+        .clock()
+        .at(
+            giveUpAt,
+            () -> {
+              if (current == request) {
                 current = null;
                 reset();
                 caller.late(this, request);
-            }
-        });
-    }
-
-    /** Hangs up, whatever it waits for: nobody waits for that any more. */
-    public void hangUp() {
-        current = null;
-        close();
-    }
-
-    @Override
-    protected void received(ByteBuffer bytes) {
-        try {
-            for (Message m = next(bytes); m != null && !isOver(); m = next(bytes)) {
-                take(m);
-            }
-        } catch (ProtocolException e) {
-            caller.malformed("a client was sent what it can't read: " + e.getMessage());
-            reset();
-            ended(true);
+              }
+            });
+  }
+
+  /** Hangs up, whatever it waits for: nobody waits for that any more. */
+  public void hangUp() {
+    current = null;
+    close();
+  }
+
+  @Override
+  protected void received(ByteBuffer bytes) {
+    try {
+      for (Message m = next(bytes); m != null && !isOver(); m = next(bytes)) {
+        take(m);
+      }
+    } catch (ProtocolException e) {
+      caller.malformed("a client was sent what it can't read: " + e.getMessage());
+      reset();
+      ended(true);
+    }
+  }
+
+  private static Message next(ByteBuffer bytes) throws ProtocolException {
+    return Message.next(bytes, "RSKZTDCEIN", Message.GREATEST);
+  }
+
+  private void take(Message m) throws ProtocolException {
+    switch (m.type()) {
+      case 'R' -> {
+        if (m.code() == CLEAR_TEXT && password != null) {
+          send(new Message('p', (password + "\0").getBytes(ISO_8859_1)).bytes());
         }
-    }
-
-    private static Message next(ByteBuffer bytes) throws ProtocolException {
-        return Message.next(bytes, "RSKZTDCEIN", Message.GREATEST);
-    }
-
-    private void take(Message m) throws ProtocolException {
-        switch (m.type()) {
-            case 'R' -> {
-                if (m.code() == CLEAR_TEXT && password != null) {
-                    send(new Message('p', (password + "\0").getBytes(ISO_8859_1)).bytes());
-                }
-            }
-            case 'D' -> value = m.onlyColumn();
-            case 'E' -> {
-                var fields = m.errorFields();
-                code = fields.get('C');
-                retryAfter = fields.containsKey('D') ? Long.parseLong(fields.get('D')) * 1000 : 0;
-                if ("FATAL".equals(fields.get('S'))) {
-                    if (current == null) {
-                        code = null; // a word before the end, to nobody's question
-                    }
-                    over();
-                }
-            }
-            case 'Z' -> {
-                if (welcomed) {
-                    over();
-                } else {
-                    welcomed = true;
-                    caller.welcomed(this);
-                }
-            }
-            default -> {}
-        }
-    }
-
-    private void over() {
-        if (value == null && code == null) {
-            return;
+      }
+      case 'D' -> value = m.onlyColumn();
+      case 'E' -> {
+        var fields = m.errorFields();
+        code = fields.get('C');
+        retryAfter = fields.containsKey('D') ? Long.parseLong(fields.get('D')) * 1000 : 0;
+        if ("FATAL".equals(fields.get('S'))) {
+          if (current == null) {
+            code = null; // a word before the end, to nobody's question
+          }
+          over();
         }
-        R done = current;
-        current = null;
-        if (done == null) {
-            if (!asksNothing) {
-                caller.malformed("an answer to nothing: " + value + code);
-            }
-            return;
+      }
+      case 'Z' -> {
+        if (welcomed) {
+          over();
+        } else {
+          welcomed = true;
+          caller.welcomed(this);
         }
-        String got = value;
-        String error = code;
-        value = null;
-        code = null;
-        caller.answered(this, done, got, error, retryAfter);
-    }
-
-    /** What it is told from now on is no answer to anything. */
-    public void asksNothing() {
-        asksNothing = true;
-    }
-
-    @Override
-    protected void ended(boolean reset) {
-        R lost = current;
-        current = null;
-        caller.left(this, lost, reset);
-    }
-
-    /** The statement of a request, as clients write it. */
-    public static byte[] statement(String id, String type, long waitMs, String key, int set, String session,
-            boolean write) {
-        return statement(id, type, waitMs, key, set, session, write, 0);
-    }
-
-    /** The same with the position of the session's last write, in microseconds, rounded up; 0 where none is carried. */
-    public static byte[] statement(String id, String type, long waitMs, String key, int set, String session,
-            boolean write, long after) {
-        String head = "/* id=" + id + ",c=" + type + ",d=" + waitMs + (key == null ? "" : ",k=" + key) + ",cluster="
-                + set + (after > 0 ? ",after=" + (after + 999) / 1000 : "") + " */ ";
-        return (head + (write ? "INSERT INTO rows (handle, blob) VALUES ('" + session + "', 'x') RETURNING blob"
-                : "SELECT blob FROM rows WHERE handle = '" + session + "'")).getBytes(ISO_8859_1);
-    }
+      }
+      default -> {}
+    }
+  }
+
+  private void over() {
+    if (value == null && code == null) {
+      return;
+    }
+    R done = current;
+    current = null;
+    if (done == null) {
+      if (!asksNothing) {
+        caller.malformed("an answer to nothing: " + value + code);
+      }
+      return;
+    }
+    String got = value;
+    String error = code;
+    value = null;
+    code = null;
+    caller.answered(this, done, got, error, retryAfter);
+  }
+
+  /** What it is told from now on is no answer to anything. */
+  public void asksNothing() {
+    asksNothing = true;
+  }
+
+  @Override
+  protected void ended(boolean reset) {
+    R lost = current;
+    current = null;
+    caller.left(this, lost, reset);
+  }
+
+  /** The statement of a request, as clients write it. */
+  public static byte[] statement(
+      String id, String type, long waitMs, String key, int set, String session, boolean write) {
+    return statement(id, type, waitMs, key, set, session, write, 0);
+  }
+
+  /**
+   * The same with the position of the session's last write, in microseconds, rounded up; 0 where
+   * none is carried.
+   */
+  public static byte[] statement(
+      String id,
+      String type,
+      long waitMs,
+      String key,
+      int set,
+      String session,
+      boolean write,
+      long after) {
+    String head =
+        "/* id="
+            + id
+            + ",c="
+            + type
+            + ",d="
+            + waitMs
+            + (key == null ? "" : ",k=" + key)
+            + ",cluster="
+            + set
+            + (after > 0 ? ",after=" + (after + 999) / 1000 : "")
+            + " */ ";
+    return (head
+            + (write
+                ? "INSERT INTO rows (handle, blob) VALUES ('" + session + "', 'x') RETURNING blob"
+                : "SELECT blob FROM rows WHERE handle = '" + session + "'"))
+        .getBytes(ISO_8859_1);
+  }
 }
--- a/lab/src/main/java/shelffront/lab/load/Relay.java
+++ b/lab/src/main/java/shelffront/lab/load/Relay.java
@@ -13,122 +13,145 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A relay that does nothing: each connection is copied to one host and back, on the same NIO.2 channels and with as
- * many threads as the gateway's completions have. What the gateway costs is told as a ratio to it.
+ * A relay that does nothing: each connection is copied to one host and back, on the same NIO.2
+ * channels and with as many threads as the gateway's completions have. What the gateway costs is
+ * told as a ratio to it.
  */
 public final class Relay implements AutoCloseable {
 
-    private static final int BUFFER = 4096;
-
-    private final AsynchronousChannelGroup group;
-    private final AsynchronousServerSocketChannel listener;
-    private final InetSocketAddress to;
-    private final Set<AsynchronousSocketChannel> open = ConcurrentHashMap.newKeySet();
-
-    /** Listens on loopback, on any port. */
-    public Relay(InetSocketAddress to) throws IOException {
-        this.to = to;
-        group = AsynchronousChannelGroup.withFixedThreadPool(1, task -> {
-            Thread thread = new Thread(task, "completions");
-            thread.setDaemon(true);
-            return thread;
-        });
-        listener = AsynchronousServerSocketChannel.open(group)
-                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
-        accept();
-    }
-
-    public InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) listener.getLocalAddress();
-    }
-
-    /** What a handler does with a result, which is null where the operation failed. */
-    private interface Then<T> {
-
-        void take(T result, boolean failed) throws IOException;
-    }
-
-    private static <T> CompletionHandler<T, Void> then(Then<T> then) {
-        return new CompletionHandler<>() {
-            @Override
-            public void completed(T result, Void none) {
-                take(result, false);
-            }
-
-            @Override
-            public void failed(Throwable failure, Void none) {
-                take(null, true);
-            }
-
-            private void take(T result, boolean failed) {
-                try {
-                    then.take(result, failed);
-                } catch (IOException e) {
-                    throw new IllegalStateException(e);
-                }
-            }
-        };
-    }
-
-    private void accept() {
-        listener.accept(null, then((AsynchronousSocketChannel client, boolean over) -> {
-            if (over) {
+  private static final int BUFFER = 4096;
+
+  private final AsynchronousChannelGroup group;
+  private final AsynchronousServerSocketChannel listener;
+  private final InetSocketAddress to;
+  private final Set<AsynchronousSocketChannel> open = ConcurrentHashMap.newKeySet();
+
+  /** Listens on loopback, on any port. */
+  public Relay(InetSocketAddress to) throws IOException {
+    this.to = to;
+    group =
+        AsynchronousChannelGroup.withFixedThreadPool(
+            1,
+            task -> {
+              Thread thread = new Thread(task, "completions");
+              thread.setDaemon(true);
+              return thread;
+            });
+    listener =
+        AsynchronousServerSocketChannel.open(group)
+            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
+    accept();
+  }
+
+  public InetSocketAddress address() throws IOException {
+    return (InetSocketAddress) listener.getLocalAddress();
+  }
+
+  /** What a handler does with a result, which is null where the operation failed. */
+  private interface Then<T> {
+
+    void take(T result, boolean failed) throws IOException;
+  }
+
+  private static <T> CompletionHandler<T, Void> then(Then<T> then) {
+    return new CompletionHandler<>() {
+      @Override
+      public void completed(T result, Void none) {
+        take(result, false);
+      }
+
+      @Override
+      public void failed(Throwable failure, Void none) {
+        take(null, true);
+      }
+
+      private void take(T result, boolean failed) {
+        try {
+          then.take(result, failed);
+        } catch (IOException e) {
+          throw new IllegalStateException(e);
+        }
+      }
+    };
+  }
+
+  private void accept() {
+    listener.accept(
+        null,
+        then(
+            (AsynchronousSocketChannel client, boolean over) -> {
+              if (over) {
                 return;
-            }
-            accept();
-            AsynchronousSocketChannel host = AsynchronousSocketChannel.open(group);
-            client.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            open.add(client);
-            open.add(host);
-            host.connect(to, null, then((Void none, boolean failed) -> {
-                if (failed) {
-                    end(client, host);
-                    return;
-                }
-                host.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                copy(client, host, ByteBuffer.allocate(BUFFER));
-                copy(host, client, ByteBuffer.allocate(BUFFER));
+              }
+              accept();
+              AsynchronousSocketChannel host = AsynchronousSocketChannel.open(group);
+              client.setOption(StandardSocketOptions.TCP_NODELAY, true);
+              open.add(client);
+              open.add(host);
+              host.connect(
+                  to,
+                  null,
+                  then(
+                      (Void none, boolean failed) -> {
+                        if (failed) {
+                          end(client, host);
+                          return;
+                        }
+                        host.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                        copy(client, host, ByteBuffer.allocate(BUFFER));
+                        copy(host, client, ByteBuffer.allocate(BUFFER));
+                      }));
             }));
-        }));
-    }
-
-    private void copy(AsynchronousSocketChannel from, AsynchronousSocketChannel into, ByteBuffer buffer) {
-        buffer.clear();
-        from.read(buffer, null, then((Integer count, boolean failed) -> {
-            if (failed || count < 0) {
+  }
+
+  private void copy(
+      AsynchronousSocketChannel from, AsynchronousSocketChannel into, ByteBuffer buffer) {
+    buffer.clear();
+    from.read(
+        buffer,
+        null,
+        then(
+            (Integer count, boolean failed) -> {
+              if (failed || count < 0) {
                 end(from, into);
                 return;
-            }
-            buffer.flip();
-            write(from, into, buffer);
-        }));
-    }
-
-    private void write(AsynchronousSocketChannel from, AsynchronousSocketChannel into, ByteBuffer buffer) {
-        into.write(buffer, null, then((Integer count, boolean failed) -> {
-            if (failed) {
+              }
+              buffer.flip();
+              write(from, into, buffer);
+            }));
+  }
+
+  private void write(
+      AsynchronousSocketChannel from, AsynchronousSocketChannel into, ByteBuffer buffer) {
+    into.write(
+        buffer,
+        null,
+        then(
+            (Integer count, boolean failed) -> {
+              if (failed) {
                 end(from, into);
-            } else if (buffer.hasRemaining()) {
+              } else if (buffer.hasRemaining()) {
                 write(from, into, buffer);
-            } else {
+              } else {
                 copy(from, into, buffer);
-            }
-        }));
-    }
-
-    private void end(AsynchronousSocketChannel one, AsynchronousSocketChannel other) throws IOException {
-        open.remove(one);
-        open.remove(other);
-        one.close();
-        other.close();
-    }
-
-    @Override
-    public void close() throws IOException {
-        listener.close();
-        for (AsynchronousSocketChannel each : open) {
-            each.close();
-        }
-        group.shutdown();
+              }
+            }));
+  }
+
+  private void end(AsynchronousSocketChannel one, AsynchronousSocketChannel other)
+      throws IOException {
+    open.remove(one);
+    open.remove(other);
+    one.close();
+    other.close();
+  }
+
+  @Override
+  public void close() throws IOException {
+    listener.close();
+    for (AsynchronousSocketChannel each : open) {
+      each.close();
     }
+    group.shutdown();
+  }
 }
--- a/lab/src/main/java/shelffront/lab/model/Figures.java
+++ b/lab/src/main/java/shelffront/lab/model/Figures.java
@@ -19,14 +19,36 @@
  * @param window in which a repeated key is dropped
  * @param check what a replica does with a read for which it is too far behind
  * @param patience how long it waits for the position before it says no
- * @param fall the multiple of its present capacity that pushes a cold box over, kept up for {@code fallTime}
+ * @param fall the multiple of its present capacity that pushes a cold box over, kept up for {@code
+ *     fallTime}
  * @param fallTime the length of that window
  * @param losesTail whether a replica is promoted without the log's end that it has not got
  */
-public record Figures(int cores, int room, int connections, long readWork, long writeWork, double sigma,
-        long handshake, long shipDelay, long applyCost, double coldFrom, long coldTime, long election, long handOver,
-        long window, Check check, long patience, double fall, long fallTime, boolean losesTail) {
+public record Figures(
+    int cores,
+    int room,
+    int connections,
+    long readWork,
+    long writeWork,
+    double sigma,
+    long handshake,
+    long shipDelay,
+    long applyCost,
+    double coldFrom,
+    long coldTime,
+    long election,
+    long handOver,
+    long window,
+    Check check,
+    long patience,
+    double fall,
+    long fallTime,
+    boolean losesTail) {
 
-    /** What a replica does with a read for which it is too far behind. */
-    public enum Check { SILENT, REFUSE, WAIT }
+  /** What a replica does with a read for which it is too far behind. */
+  public enum Check {
+    SILENT,
+    REFUSE,
+    WAIT
+  }
 }
--- a/lab/src/main/java/shelffront/lab/rig/ConsulStandIn.java
+++ b/lab/src/main/java/shelffront/lab/rig/ConsulStandIn.java
@@ -28,303 +28,330 @@
 import picocli.CommandLine.Option;
 
 /**
- * Stands in for a Consul agent: the part of its published HTTP API that gateways use, {@code /v1/kv} with check-and-set
- * and blocking queries, {@code /v1/txn}. What was answered is in its file and there again after a restart. It can be
- * told, by a PUT to {@code /fault}, to have no leader, to answer late, to garble its answers, to forget all it has,
- * or to keep what it has and be restored from that later.
+ * Stands in for a Consul agent: the part of its published HTTP API that gateways use, {@code
+ * /v1/kv} with check-and-set and blocking queries, {@code /v1/txn}. What was answered is in its
+ * file and there again after a restart. It can be told, by a PUT to {@code /fault}, to have no
+ * leader, to answer late, to garble its answers, to forget all it has, or to keep what it has and
+ * be restored from that later.
  */
-@Command(name = "consul-stand-in", mixinStandardHelpOptions = true,
-        description = "Serves a stand-in for a Consul agent's key-value store on loopback until it is ended.")
+@Command(
+    name = "consul-stand-in",
+    mixinStandardHelpOptions = true,
+    description =
+        "Serves a stand-in for a Consul agent's key-value store on loopback until it is ended.")
 public final class ConsulStandIn implements Callable<Integer> {
 
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long LONGEST_WAIT_MS = 600_000;
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final long LONGEST_WAIT_MS = 600_000;
 
-    private record Entry(byte[] value, long created, long modified) {}
+  private record Entry(byte[] value, long created, long modified) {}
 
-    @Option(names = "--port", defaultValue = "0", description = "0 for any (${DEFAULT-VALUE})")
-    private int port;
+  @Option(names = "--port", defaultValue = "0", description = "0 for any (${DEFAULT-VALUE})")
+  private int port;
 
-    @Option(names = "--file", required = true, description = "keeps what was written")
-    private Path file;
+  @Option(names = "--file", required = true, description = "keeps what was written")
+  private Path file;
 
-    private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final Map<String, Long> removed = new HashMap<>(); // by key, the index of its removal
-    private long index = 1;
-    private Writer out;
-    private boolean leaderless;
-    private long lateMs;
-    private boolean garbles;
-    private final AtomicLong callCount = new AtomicLong();
-    private final AtomicLong byteCount = new AtomicLong();
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
+  private final Map<String, Long> removed = new HashMap<>(); // by key, the index of its removal
+  private long index = 1;
+  private Writer out;
+  private boolean leaderless;
+  private long lateMs;
+  private boolean garbles;
+  private final AtomicLong callCount = new AtomicLong();
+  private final AtomicLong byteCount = new AtomicLong();
 
-    @Override
-    public Integer call() throws IOException, InterruptedException {
-        if (Files.exists(file)) {
-            load();
-        }
-        out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        System.setProperty("sun.net.httpserver.nodelay", "true"); // else each answer waits 40 ms for an ACK
-        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 256);
-        server.setExecutor(Executors.newCachedThreadPool());
-        server.createContext("/v1/kv/", this::kv);
-        server.createContext("/v1/txn", this::transaction);
-        server.createContext("/fault", this::fault);
-        server.createContext("/calls", this::calls);
-        server.start();
-        System.out.println("listens on 127.0.0.1:" + server.getAddress().getPort());
-        Thread.currentThread().join();
-        return 0;
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    if (Files.exists(file)) {
+      load();
     }
+    out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+    System.setProperty(
+        "sun.net.httpserver.nodelay", "true"); // else each answer waits 40 ms for an ACK
+    HttpServer server =
+        HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 256);
+    server.setExecutor(Executors.newCachedThreadPool());
+    server.createContext("/v1/kv/", this::kv);
+    server.createContext("/v1/txn", this::transaction);
+    server.createContext("/fault", this::fault);
+    server.createContext("/calls", this::calls);
+    server.start();
+    System.out.println("listens on 127.0.0.1:" + server.getAddress().getPort());
+    Thread.currentThread().join();
+    return 0;
+  }
 
-    private void load() throws IOException {
-        for (String line : Files.readAllLines(file)) {
-            JsonNode o = JSON.readTree(line);
-            index = o.path("index").asLong();
-            apply(o.path("key").asText(), o.has("value") ? Base64.getDecoder().decode(o.path("value").asText())
-                    : null, index);
-        }
+  private void load() throws IOException {
+    for (String line : Files.readAllLines(file)) {
+      JsonNode o = JSON.readTree(line);
+      index = o.path("index").asLong();
+      apply(
+          o.path("key").asText(),
+          o.has("value") ? Base64.getDecoder().decode(o.path("value").asText()) : null,
+          index);
     }
+  }
 
-    private Path kept() {
-        return file.resolveSibling(file.getFileName() + ".kept");
-    }
+  private Path kept() {
+    return file.resolveSibling(file.getFileName() + ".kept");
+  }
 
-    /** Calls answered so far, and bytes of their bodies, both ways. */
-    private void calls(HttpExchange exchange) throws IOException {
-        String text = JSON.createObjectNode().put("calls", callCount.get()).put("bytes", byteCount.get()).toString();
-        answer(exchange, 200, text, 0);
+  /** Calls answered so far, and bytes of their bodies, both ways. */
+  private void calls(HttpExchange exchange) throws IOException {
+    String text =
+        JSON.createObjectNode()
+            .put("calls", callCount.get())
+            .put("bytes", byteCount.get())
+            .toString();
+    answer(exchange, 200, text, 0);
+  }
+
+  private static Map<String, String> query(HttpExchange exchange) {
+    Map<String, String> query = new HashMap<>();
+    String raw = exchange.getRequestURI().getRawQuery();
+    for (String part : raw == null ? new String[0] : raw.split("&")) {
+      int equals = part.indexOf('=');
+      query.put(
+          equals < 0 ? part : part.substring(0, equals),
+          equals < 0 ? "" : URLDecoder.decode(part.substring(equals + 1), UTF_8));
     }
+    return query;
+  }
 
-    private static Map<String, String> query(HttpExchange exchange) {
-        Map<String, String> query = new HashMap<>();
-        String raw = exchange.getRequestURI().getRawQuery();
-        for (String part : raw == null ? new String[0] : raw.split("&")) {
-            int equals = part.indexOf('=');
-            query.put(equals < 0 ? part : part.substring(0, equals),
-                    equals < 0 ? "" : URLDecoder.decode(part.substring(equals + 1), UTF_8));
-        }
-        return query;
+  private void fault(HttpExchange exchange) throws IOException {
+    Map<String, String> query = query(exchange);
+    synchronized (this) {
+      leaderless = query.getOrDefault("leader", "yes").equals("no");
+      lateMs = Long.parseLong(query.getOrDefault("late", "0"));
+      garbles = query.containsKey("garble");
+      if (query.containsKey("keep")) {
+        Files.copy(file, kept(), StandardCopyOption.REPLACE_EXISTING);
+      }
+      if (query.containsKey("restore")) {
+        entries.clear();
+        removed.clear();
+        Files.copy(kept(), file, StandardCopyOption.REPLACE_EXISTING);
+        load();
+      }
+      if (query.containsKey("forget")) {
+        entries.clear();
+        removed.clear();
+        index = 1;
+        Files.writeString(file, "");
+      }
+      notifyAll();
     }
+    answer(exchange, 200, "true", 0);
+  }
 
-    private void fault(HttpExchange exchange) throws IOException {
-        Map<String, String> query = query(exchange);
-        synchronized (this) {
-            leaderless = query.getOrDefault("leader", "yes").equals("no");
-            lateMs = Long.parseLong(query.getOrDefault("late", "0"));
-            garbles = query.containsKey("garble");
-            if (query.containsKey("keep")) {
-                Files.copy(file, kept(), StandardCopyOption.REPLACE_EXISTING);
-            }
-            if (query.containsKey("restore")) {
-                entries.clear();
-                removed.clear();
-                Files.copy(kept(), file, StandardCopyOption.REPLACE_EXISTING);
-                load();
-            }
-            if (query.containsKey("forget")) {
-                entries.clear();
-                removed.clear();
-                index = 1;
-                Files.writeString(file, "");
-            }
-            notifyAll();
+  private void kv(HttpExchange exchange) throws IOException {
+    try {
+      byte[] body = exchange.getRequestBody().readAllBytes();
+      count(body.length);
+      long late;
+      synchronized (this) {
+        late = lateMs;
+        if (leaderless) {
+          answer(exchange, 500, "No cluster leader", 0);
+          return;
         }
-        answer(exchange, 200, "true", 0);
+      }
+      if (late > 0) {
+        Thread.sleep(late);
+      }
+      String key = exchange.getRequestURI().getPath().substring("/v1/kv/".length());
+      Map<String, String> query = query(exchange);
+      switch (exchange.getRequestMethod()) {
+        case "GET" -> get(exchange, key, query);
+        case "PUT" -> answer(exchange, 200, String.valueOf(write(key, query.get("cas"), body)), 0);
+        case "DELETE" ->
+            answer(exchange, 200, String.valueOf(write(key, query.get("cas"), null)), 0);
+        default -> answer(exchange, 405, "", 0);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    } finally {
+      exchange.close();
     }
+  }
 
-    private void kv(HttpExchange exchange) throws IOException {
-        try {
-            byte[] body = exchange.getRequestBody().readAllBytes();
-            count(body.length);
-            long late;
-            synchronized (this) {
-                late = lateMs;
-                if (leaderless) {
-                    answer(exchange, 500, "No cluster leader", 0);
-                    return;
-                }
-            }
-            if (late > 0) {
-                Thread.sleep(late);
-            }
-            String key = exchange.getRequestURI().getPath().substring("/v1/kv/".length());
-            Map<String, String> query = query(exchange);
-            switch (exchange.getRequestMethod()) {
-                case "GET" -> get(exchange, key, query);
-                case "PUT" -> answer(exchange, 200, String.valueOf(write(key, query.get("cas"), body)), 0);
-                case "DELETE" -> answer(exchange, 200, String.valueOf(write(key, query.get("cas"), null)), 0);
-                default -> answer(exchange, 405, "", 0);
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } finally {
-            exchange.close();
-        }
+  private void count(int bytes) {
+    callCount.incrementAndGet();
+    byteCount.addAndGet(bytes);
+  }
+
+  private synchronized boolean write(String key, String cas, byte[] value) throws IOException {
+    if (!mayWrite(key, cas)) {
+      return false;
     }
+    index++;
+    put(key, value);
+    out.flush();
+    notifyAll();
+    return true;
+  }
+
+  private boolean mayWrite(String key, String cas) {
+    Entry now = entries.get(key);
+    return cas == null || Long.parseLong(cas) == (now == null ? 0 : now.modified());
+  }
 
-    private void count(int bytes) {
-        callCount.incrementAndGet();
-        byteCount.addAndGet(bytes);
+  /** Under the index as it stands: all writes of a transaction have one. */
+  private void put(String key, byte[] value) throws IOException {
+    ObjectNode line = JSON.createObjectNode().put("index", index).put("key", key);
+    if (value != null) {
+      line.put("value", Base64.getEncoder().encodeToString(value));
     }
+    out.write(line + "\n");
+    apply(key, value, index);
+  }
 
-    private synchronized boolean write(String key, String cas, byte[] value) throws IOException {
-        if (!mayWrite(key, cas)) {
-            return false;
+  /** All operations or none, as the published API has it; of its verbs those that gateways use. */
+  private void transaction(HttpExchange exchange) throws IOException {
+    byte[] body = exchange.getRequestBody().readAllBytes();
+    count(body.length);
+    ObjectNode answer = JSON.createObjectNode();
+    ArrayNode results = answer.putArray("Results");
+    ArrayNode errors = answer.putArray("Errors");
+    synchronized (this) {
+      if (leaderless) {
+        answer(exchange, 500, "No cluster leader", 0);
+        return;
+      }
+      JsonNode operations = JSON.readTree(body);
+      for (int i = 0; i < operations.size(); i++) {
+        JsonNode operation = operation(operations.path(i));
+        boolean reads = operation.path("Verb").asText().equals("get");
+        boolean may =
+            reads
+                ? entries.containsKey(operation.path("Key").asText())
+                : mayWrite(operation.path("Key").asText(), cas(operation));
+        if (!may) {
+          errors
+              .addObject()
+              .put("OpIndex", i)
+              .put("What", "key does not exist or its index is stale");
         }
+      }
+      if (errors.isEmpty()) {
         index++;
-        put(key, value);
+        for (JsonNode operation : operations) {
+          carryOut(operation(operation), results);
+        }
         out.flush();
         notifyAll();
-        return true;
+      }
     }
+    answer(exchange, errors.isEmpty() ? 200 : 409, answer.toString(), 0);
+  }
 
-    private boolean mayWrite(String key, String cas) {
-        Entry now = entries.get(key);
-        return cas == null || Long.parseLong(cas) == (now == null ? 0 : now.modified());
-    }
-
-    /** Under the index as it stands: all writes of a transaction have one. */
-    private void put(String key, byte[] value) throws IOException {
-        ObjectNode line = JSON.createObjectNode().put("index", index).put("key", key);
-        if (value != null) {
-            line.put("value", Base64.getEncoder().encodeToString(value));
-        }
-        out.write(line + "\n");
-        apply(key, value, index);
-    }
+  /** Names are taken in any case, as the published implementation's JSON reader does. */
+  private static JsonNode operation(JsonNode in) {
+    return in.has("KV") ? in.path("KV") : in.path("kv");
+  }
 
-    /** All operations or none, as the published API has it; of its verbs those that gateways use. */
-    private void transaction(HttpExchange exchange) throws IOException {
-        byte[] body = exchange.getRequestBody().readAllBytes();
-        count(body.length);
-        ObjectNode answer = JSON.createObjectNode();
-        ArrayNode results = answer.putArray("Results");
-        ArrayNode errors = answer.putArray("Errors");
-        synchronized (this) {
-            if (leaderless) {
-                answer(exchange, 500, "No cluster leader", 0);
-                return;
-            }
-            JsonNode operations = JSON.readTree(body);
-            for (int i = 0; i < operations.size(); i++) {
-                JsonNode operation = operation(operations.path(i));
-                boolean reads = operation.path("Verb").asText().equals("get");
-                boolean may = reads
-                        ? entries.containsKey(operation.path("Key").asText())
-                        : mayWrite(operation.path("Key").asText(), cas(operation));
-                if (!may) {
-                    errors.addObject().put("OpIndex", i).put("What", "key does not exist or its index is stale");
-                }
-            }
-            if (errors.isEmpty()) {
-                index++;
-                for (JsonNode operation : operations) {
-                    carryOut(operation(operation), results);
-                }
-                out.flush();
-                notifyAll();
-            }
-        }
-        answer(exchange, errors.isEmpty() ? 200 : 409, answer.toString(), 0);
-    }
+  private static String cas(JsonNode operation) {
+    boolean checked = operation.path("Verb").asText().endsWith("cas");
+    return checked ? operation.path("Index").asText() : null;
+  }
 
-    /** Names are taken in any case, as the published implementation's JSON reader does. */
-    private static JsonNode operation(JsonNode in) {
-        return in.has("KV") ? in.path("KV") : in.path("kv");
+  private void carryOut(JsonNode operation, ArrayNode results) throws IOException {
+    String key = operation.path("Key").asText();
+    switch (operation.path("Verb").asText()) {
+      case "get" -> results.addObject().set("KV", shown(key, entries.get(key)));
+      case "set", "cas" -> put(key, Base64.getDecoder().decode(operation.path("Value").asText()));
+      case "delete", "delete-cas" -> put(key, null);
+      default -> throw new IllegalArgumentException("no such verb here: " + operation);
     }
+  }
 
-    private static String cas(JsonNode operation) {
-        boolean checked = operation.path("Verb").asText().endsWith("cas");
-        return checked ? operation.path("Index").asText() : null;
-    }
+  private static ObjectNode shown(String key, Entry e) {
+    return JSON.createObjectNode()
+        .put("LockIndex", 0)
+        .put("Key", key)
+        .put("Flags", 0)
+        .put("Value", Base64.getEncoder().encodeToString(e.value()))
+        .put("CreateIndex", e.created())
+        .put("ModifyIndex", e.modified());
+  }
 
-    private void carryOut(JsonNode operation, ArrayNode results) throws IOException {
-        String key = operation.path("Key").asText();
-        switch (operation.path("Verb").asText()) {
-            case "get" -> results.addObject().set("KV", shown(key, entries.get(key)));
-            case "set", "cas" -> put(key, Base64.getDecoder().decode(operation.path("Value").asText()));
-            case "delete", "delete-cas" -> put(key, null);
-            default -> throw new IllegalArgumentException("no such verb here: " + operation);
-        }
+  private void apply(String key, byte[] value, long at) {
+    if (value == null) {
+      entries.remove(key);
+      removed.put(key, at);
+    } else {
+      Entry before = entries.get(key);
+      entries.put(key, new Entry(value, before == null ? at : before.created(), at));
     }
+  }
 
-    private static ObjectNode shown(String key, Entry e) {
-        return JSON.createObjectNode().put("LockIndex", 0).put("Key", key).put("Flags", 0)
-                .put("Value", Base64.getEncoder().encodeToString(e.value()))
-                .put("CreateIndex", e.created()).put("ModifyIndex", e.modified());
+  private long last(String key, boolean recurse) {
+    long last = 1;
+    for (Map.Entry<String, Entry> each : entries.tailMap(key).entrySet()) {
+      if (!(recurse ? each.getKey().startsWith(key) : each.getKey().equals(key))) {
+        break;
+      }
+      last = Math.max(last, each.getValue().modified());
     }
-
-    private void apply(String key, byte[] value, long at) {
-        if (value == null) {
-            entries.remove(key);
-            removed.put(key, at);
-        } else {
-            Entry before = entries.get(key);
-            entries.put(key, new Entry(value, before == null ? at : before.created(), at));
-        }
+    for (Map.Entry<String, Long> each : removed.entrySet()) {
+      if (recurse ? each.getKey().startsWith(key) : each.getKey().equals(key)) {
+        last = Math.max(last, each.getValue());
+      }
     }
+    return last;
+  }
 
-    private long last(String key, boolean recurse) {
-        long last = 1;
-        for (Map.Entry<String, Entry> each : entries.tailMap(key).entrySet()) {
-            if (!(recurse ? each.getKey().startsWith(key) : each.getKey().equals(key))) {
-                break;
-            }
-            last = Math.max(last, each.getValue().modified());
-        }
-        for (Map.Entry<String, Long> each : removed.entrySet()) {
-            if (recurse ? each.getKey().startsWith(key) : each.getKey().equals(key)) {
-                last = Math.max(last, each.getValue());
-            }
+  private void get(HttpExchange exchange, String key, Map<String, String> query)
+      throws IOException, InterruptedException {
+    boolean recurse = query.containsKey("recurse");
+    long after = Long.parseLong(query.getOrDefault("index", "0"));
+    ArrayNode list = JSON.createArrayNode();
+    long last;
+    synchronized (this) {
+      long until = System.nanoTime() + 1_000_000 * (after == 0 ? 0 : wait(query.get("wait")));
+      while (last(key, recurse) == after && !leaderless) {
+        long left = (until - System.nanoTime()) / 1_000_000;
+        if (left <= 0) {
+          break;
         }
-        return last;
-    }
-
-    private void get(HttpExchange exchange, String key, Map<String, String> query)
-            throws IOException, InterruptedException {
-        boolean recurse = query.containsKey("recurse");
-        long after = Long.parseLong(query.getOrDefault("index", "0"));
-        ArrayNode list = JSON.createArrayNode();
-        long last;
-        synchronized (this) {
-            long until = System.nanoTime() + 1_000_000 * (after == 0 ? 0 : wait(query.get("wait")));
-            while (last(key, recurse) == after && !leaderless) {
-                long left = (until - System.nanoTime()) / 1_000_000;
-                if (left <= 0) {
-                    break;
-                }
-                wait(left);
-            }
-            last = last(key, recurse);
-            for (Map.Entry<String, Entry> each : entries.tailMap(key).entrySet()) {
-                if (!(recurse ? each.getKey().startsWith(key) : each.getKey().equals(key))) {
-                    break;
-                }
-                list.add(shown(each.getKey(), each.getValue()));
-            }
+        wait(left);
+      }
+      last = last(key, recurse);
+      for (Map.Entry<String, Entry> each : entries.tailMap(key).entrySet()) {
+        if (!(recurse ? each.getKey().startsWith(key) : each.getKey().equals(key))) {
+          break;
         }
-        answer(exchange, list.isEmpty() ? 404 : 200, list.isEmpty() ? "" : list.toString(), last);
+        list.add(shown(each.getKey(), each.getValue()));
+      }
     }
+    answer(exchange, list.isEmpty() ? 404 : 200, list.isEmpty() ? "" : list.toString(), last);
+  }
 
-    /** The wait of a blocking query, in the forms 10s, 500ms and 5m; five minutes where none is given. */
-    private static long wait(String text) {
-        if (text == null) {
-            return 300_000;
-        }
-        long number = Long.parseLong(text.replaceAll("[^0-9]", ""));
-        return Math.min(LONGEST_WAIT_MS, number * (text.endsWith("ms") ? 1 : text.endsWith("m") ? 60_000 : 1_000));
+  /**
+   * The wait of a blocking query, in the forms 10s, 500ms and 5m; five minutes where none is given.
+   */
+  private static long wait(String text) {
+    if (text == null) {
+      return 300_000;
     }
+    long number = Long.parseLong(text.replaceAll("[^0-9]", ""));
+    return Math.min(
+        LONGEST_WAIT_MS, number * (text.endsWith("ms") ? 1 : text.endsWith("m") ? 60_000 : 1_000));
+  }
 
-    private void answer(HttpExchange exchange, int status, String text, long at) throws IOException {
-        byte[] body = (garbles && status == 200 ? text.substring(0, text.length() / 2) + "\0{" : text).getBytes(UTF_8);
-        exchange.getResponseHeaders().set("Content-Type", "application/json");
-        exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(at));
-        exchange.getResponseHeaders().set("X-Consul-KnownLeader", "true");
-        exchange.getResponseHeaders().set("X-Consul-LastContact", "0");
-        byteCount.addAndGet(body.length);
-        exchange.sendResponseHeaders(status, body.length == 0 ? -1 : body.length);
-        exchange.getResponseBody().write(body);
-        exchange.close();
-    }
+  private void answer(HttpExchange exchange, int status, String text, long at) throws IOException {
+    byte[] body =
+        (garbles && status == 200 ? text.substring(0, text.length() / 2) + "\0{" : text)
+            .getBytes(UTF_8);
+    exchange.getResponseHeaders().set("Content-Type", "application/json");
+    exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(at));
+    exchange.getResponseHeaders().set("X-Consul-KnownLeader", "true");
+    exchange.getResponseHeaders().set("X-Consul-LastContact", "0");
+    byteCount.addAndGet(body.length);
+    exchange.sendResponseHeaders(status, body.length == 0 ? -1 : body.length);
+    exchange.getResponseBody().write(body);
+    exchange.close();
+  }
 }
