--- a/core/src/main/java/shelffront/marks/Progress.java
+++ b/core/src/main/java/shelffront/consistency/ReplicationProgress.java
@@ -1,12 +1,12 @@
-package shelffront.marks;
+package shelffront.consistency;
 
-import static shelffront.route.Router.UNKNOWN;
+import static shelffront.routing.Router.UNKNOWN;
 
 /**
  * How far a replica has applied the log, as known from afar. Times and positions are microseconds
  * on one clock.
  */
-public final class Progress {
+public final class ReplicationProgress {
 
   /**
    * After this a replica is probed again if reads want it, and one that turned a read away is tried
--- a/core/src/main/java/shelffront/marks/SessionMarks.java
+++ b/core/src/main/java/shelffront/consistency/SessionPositions.java
@@ -1,6 +1,6 @@
-package shelffront.marks;
+package shelffront.consistency;
 
-import static shelffront.route.Router.UNKNOWN;
+import static shelffront.routing.Router.UNKNOWN;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -11,7 +11,7 @@
  * the oldest folded into one floor for their group. What was folded is asked too much, never too
  * little.
  */
-public final class SessionMarks {
+public final class SessionPositions {
 
   private record Mark(int group, long position) {}
 
@@ -20,7 +20,7 @@
   private final Map<Integer, Long> floors = new HashMap<>();
 
   /** Remembers so many sessions one by one. */
-  public SessionMarks(int most) {
+  public SessionPositions(int most) {
     this.most = most;
   }
 
--- a/core/src/main/java/shelffront/decide/Attempt.java
+++ b/core/src/main/java/shelffront/decision/Attempt.java
@@ -1,18 +1,18 @@
-package shelffront.decide;
+package shelffront.decision;
 
-import shelffront.route.Router.Status;
+import shelffront.routing.Router.AttemptStatus;
 
 /** One try of a request at a member. */
 final class Attempt {
 
-  final Pending request;
-  final Node node;
+  final PendingRequest request;
+  final EndpointState node;
   final int number;
   final long sentAt;
   final long need; // position that the answer had to have
-  Status status; // null while it is out
+  AttemptStatus status; // null while it is out
 
-  Attempt(Pending request, Node node, long now) {
+  Attempt(PendingRequest request, EndpointState node, long now) {
     this.request = request;
     sentAt = now;
     need = request.need(now);
--- a/core/src/main/java/shelffront/decide/Guards.java
+++ b/core/src/main/java/shelffront/decision/AttemptAdmission.java
@@ -1,14 +1,14 @@
-package shelffront.decide;
+package shelffront.decision;
 
-import shelffront.fleet.ColdBudget;
-import shelffront.route.Router.LagCheck;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.Scope;
+import shelffront.fleet.SlowStartBudget;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.DeduplicationScope;
+import shelffront.routing.Router.LagCheck;
 
 /**
  * The rules that every attempt is held against, whatever chose its member; cold members among them.
  */
-record Guards(State state) {
+record AttemptAdmission(RoutingState state) {
 
   /** Counts anew what a warm member gets. */
   void recount() {
@@ -21,24 +21,24 @@
   }
 
   /** Share of its capacity that a member has at least, by the time since it started. */
-  double warmth(Node n) {
+  double warmth(EndpointState n) {
     return n.entry.startedAt() <= 0
         ? 1
-        : ColdBudget.warmth(
+        : SlowStartBudget.warmth(
             state.now - n.entry.startedAt(),
             state.settings.rules().coldFrom(),
             state.settings.rules().coldTime());
   }
 
   /**
-   * Cold members keep to the budget of {@link ColdBudget}; no request tries one twice: in search of
-   * a primary, tries that are turned away are work for it too.
+   * Cold members keep to the budget of {@link SlowStartBudget}; no request tries one twice: in
+   * search of a primary, tries that are turned away are work for it too.
    */
-  boolean withinColdBudget(Pending p, Node n) {
+  boolean withinColdBudget(PendingRequest p, EndpointState n) {
     if (warmth(n) >= 1 || p.tried(n)) {
       return warmth(n) >= 1;
     }
-    Node first = n.group.primary; // its arc comes last
+    EndpointState first = n.group.primary; // its arc comes last
     double before =
         n.group.nodes.values().stream()
             .filter(
@@ -59,7 +59,7 @@
         budget(n));
   }
 
-  private double budget(Node n) {
+  private double budget(EndpointState n) {
     return n.group.cold.budget(
         state.now,
         warmth(n),
@@ -68,7 +68,7 @@
         n == n.group.primary);
   }
 
-  boolean allows(Pending p, Node n) {
+  boolean allows(PendingRequest p, EndpointState n) {
     Attempt ran = p.mayHaveRun();
     return p.open
         && state.now < p.deadline
@@ -77,7 +77,7 @@
         && n.entry.group() == p.request.group()
         && mayTryAgain(p)
         && (ran == null
-            || !p.type.keyedFor(Scope.ZONE)
+            || !p.type.keyedFor(DeduplicationScope.ZONE)
             || ran.node.entry.zone().equals(n.entry.zone()))
         && (p.outstanding() == 0 || p.type.repeatable() && state.settings.limits().duplicate())
         && withinColdBudget(p, n)
@@ -85,7 +85,7 @@
   }
 
   /** Whether earlier attempts leave the class free to try again. */
-  boolean mayTryAgain(Pending p) {
+  boolean mayTryAgain(PendingRequest p) {
     Attempt ran = p.mayHaveRun();
     return ran == null
         || switch (p.type.effect()) {
@@ -96,11 +96,11 @@
   }
 
   /** Stale reads: only the primary, or a member that has the position or refuses for itself. */
-  boolean freshEnough(Pending p, Node n) {
-    if (n == p.group.primary || p.type.read() == Read.ANY || p.type.writes()) {
+  boolean freshEnough(PendingRequest p, EndpointState n) {
+    if (n == p.group.primary || p.type.read() == Consistency.ANY || p.type.writes()) {
       return true;
     }
-    return p.type.read() != Read.FRESH
+    return p.type.read() != Consistency.FRESH
         && (state.settings.check() != LagCheck.NONE || n.progress.has(p.need(state.now)));
   }
 }
--- a/core/src/main/java/shelffront/decide/Membership.java
+++ b/core/src/main/java/shelffront/decision/EndpointRegistry.java
@@ -1,27 +1,27 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import static java.util.stream.Collectors.toList;
-import static shelffront.route.Router.UNKNOWN;
+import static shelffront.routing.Router.UNKNOWN;
 
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.List;
-import shelffront.fleet.Subsets;
-import shelffront.route.Router.Member;
+import shelffront.fleet.EndpointSubsetting;
+import shelffront.routing.Router.Endpoint;
 
 /** The members that the list names, and the probes sent to them. */
-record Membership(State state) {
+record EndpointRegistry(RoutingState state) {
 
   static final double FIRST_LIMIT = 24; // Of all instances to a member of which nothing is known.
   static final int PROBES_AT_ONCE = 2; // In a group whose reads wait.
 
-  void open(Member m) {
-    Node before = state.nodes.get(m.id());
+  void open(Endpoint m) {
+    EndpointState before = state.nodes.get(m.id());
     if (before != null && before.entry.group() != m.group()) {
       before.open = false;
       close(before, true); // what is known of it is of another set's log
     }
-    Node n = state.nodes.computeIfAbsent(m.id(), Node::new);
+    EndpointState n = state.nodes.computeIfAbsent(m.id(), EndpointState::new);
     boolean fresh = n.entry == null || !n.open || n.entry.startedAt() != m.startedAt();
     n.entry = m;
     n.open = true;
@@ -35,7 +35,7 @@
     if (fresh) {
       n.bannedUntil = UNKNOWN;
       n.probedAt = UNKNOWN;
-      if (Subsets.wholeFor(state.settings.routers())) {
+      if (EndpointSubsetting.wholeFor(state.settings.routers())) {
         probe(n);
       }
     }
@@ -44,20 +44,20 @@
   /**
    * The replicas that this instance prefers; those newly listed are probed now that one is wanted.
    */
-  List<String> own(Group g) {
+  List<String> own(ReplicaSet g) {
     if (g.own == null) {
       List<String> replicas =
           g.nodes.values().stream()
               .filter(n -> n.open && n != g.primary)
               .map(n -> n.id)
               .collect(toList());
-      g.own = Subsets.of(state.settings.self(), state.settings.routers(), replicas);
+      g.own = EndpointSubsetting.of(state.settings.self(), state.settings.routers(), replicas);
       g.own.stream().map(g.nodes::get).filter(n -> n.probedAt == UNKNOWN).forEach(this::probe);
     }
     return g.own;
   }
 
-  void close(Node n, boolean gone) {
+  void close(EndpointState n, boolean gone) {
     if (gone && n.open && state.settings.rules().softRemoval()) {
       return; // the list does not prove it down (rule 6): own attempts tell
     }
@@ -70,7 +70,7 @@
     n.group.primary = n.group.primary == n ? null : n.group.primary;
   }
 
-  void probe(Node n) {
+  void probe(EndpointState n) {
     if (state.settings.limits().probe() && n.open) {
       n.probedAt = state.now;
       n.probing = true;
@@ -82,10 +82,10 @@
    * Probes for a held request, within the allowance: a few at a time, any while no primary is
    * known.
    */
-  void wantPositions(Group g) {
+  void wantPositions(ReplicaSet g) {
     boolean lost = g.primary == null || state.now < g.primary.bannedUntil || g.primary.onTrial;
     long out = g.nodes.values().stream().filter(n -> n.probing).count();
-    List<Node> old =
+    List<EndpointState> old =
         g.nodes.values().stream()
             .filter(n -> lost || n != g.primary)
             .filter(n -> n.progress.newsIsDue(state.now, n.probedAt, lost))
@@ -93,9 +93,9 @@
     Collections.shuffle(old, state.random);
     // What waits for the primary has no other; then those that are used most.
     old.sort(
-        Comparator.comparing((Node n) -> n != g.primary)
+        Comparator.comparing((EndpointState n) -> n != g.primary)
             .thenComparing(n -> !own(g).contains(n.id)));
-    for (Node n : old) {
+    for (EndpointState n : old) {
       if (out < PROBES_AT_ONCE && state.probes.take()) {
         out++;
         probe(n);
--- a/core/src/main/java/shelffront/decide/Choice.java
+++ b/core/src/main/java/shelffront/decision/EndpointSelector.java
@@ -1,10 +1,10 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import java.util.List;
-import shelffront.route.Router.Read;
+import shelffront.routing.Router.Consistency;
 
 /** The ordinary path: the member that a request goes to, or none yet. */
-record Choice(State state, Health health, Positions positions) {
+record EndpointSelector(RoutingState state, OutlierDetector health, ReplicaPositions positions) {
 
   static final long HOLD = 50_000; // Longest wait for a replica that covers (design).
   static final long SCOUT_PAUSE = 100_000; // After a round of misses; an election takes seconds.
@@ -13,22 +13,22 @@
   static final double FOREIGN = 1.5; // Cost of a member that other instances prefer.
   static final double UNCONNECTED = 1.5; // Cost of a member to which no connection is open.
 
-  Node choose(Pending p) {
-    Read read = p.type.read();
+  EndpointState choose(PendingRequest p) {
+    Consistency read = p.type.read();
     if (p.type.needsPrimary()) {
       return choosePrimary(p);
     }
-    Node n = cheapest(p, p.need(state.now));
-    boolean waited = p.missed || state.now >= p.arrival + HOLD || read == Read.ANY;
-    return n == null && waited ? fallback(p, read == Read.SESSION ? 1 : PRIMARY_SHARE) : n;
+    EndpointState n = cheapest(p, p.need(state.now));
+    boolean waited = p.missed || state.now >= p.arrival + HOLD || read == Consistency.ANY;
+    return n == null && waited ? fallback(p, read == Consistency.SESSION ? 1 : PRIMARY_SHARE) : n;
   }
 
   /** The replica with the shortest expected answer among those that suit; null when none does. */
-  Node cheapest(Pending p, long need) {
+  EndpointState cheapest(PendingRequest p, long need) {
     List<String> own = health.membership().own(p.group);
-    Node best = null;
+    EndpointState best = null;
     double bestCost = Double.MAX_VALUE;
-    for (Node n : p.group.nodes.values()) {
+    for (EndpointState n : p.group.nodes.values()) {
       if (n == p.group.primary || p.tried(n) || !fits(n, p, 1) || !positions.covers(n, need)) {
         continue;
       }
@@ -54,21 +54,21 @@
    * The primary for a read that no replica takes, within a share of its room while it answers as
    * usual.
    */
-  Node fallback(Pending p, double share) {
-    Node n = p.group.primary;
-    boolean spare = n != null && (share >= 1 || n.answers.load() < Health.FULL_LOAD);
+  EndpointState fallback(PendingRequest p, double share) {
+    EndpointState n = p.group.primary;
+    boolean spare = n != null && (share >= 1 || n.answers.load() < OutlierDetector.FULL_LOAD);
     return spare && fits(n, p, share) ? n : null;
   }
 
-  boolean fits(Node n, Pending p, double share) {
+  boolean fits(EndpointState n, PendingRequest p, double share) {
     return health.healthy(n, p) && health.hasRoom(n, share) && inTime(n, p);
   }
 
   /**
    * The primary as last told; without one, a single write at a time tries the members in id order.
    */
-  Node choosePrimary(Pending p) {
-    Group g = p.group;
+  EndpointState choosePrimary(PendingRequest p) {
+    ReplicaSet g = p.group;
     if (g.primary != null) {
       return fits(g.primary, p, 1) ? g.primary : null;
     }
@@ -97,7 +97,7 @@
   }
 
   /** Whether the member is expected to answer in time; else the try is not worth its work. */
-  boolean inTime(Node n, Pending p) {
+  boolean inTime(EndpointState n, PendingRequest p) {
     double usually = state.usual(p) * health.slow(n);
     double takes = Math.max(IN_TIME * usually, Math.min(2 * usually, p.type.aim() / 2.0));
     return state.now + takes < p.usefulUntil();
--- a/core/src/main/java/shelffront/decide/Health.java
+++ b/core/src/main/java/shelffront/decision/OutlierDetector.java
@@ -1,13 +1,17 @@
-package shelffront.decide;
+package shelffront.decision;
 
-import static shelffront.route.Router.UNKNOWN;
+import static shelffront.routing.Router.UNKNOWN;
 
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Outcome;
-import shelffront.route.Router.Status;
+import shelffront.routing.Router.AttemptOutcome;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.RequestClass;
 
 /** Whether a member may be tried, and how much at a time: what its answers and its silence say. */
-record Health(State state, Guards guards, Membership membership, Positions positions) {
+record OutlierDetector(
+    RoutingState state,
+    AttemptAdmission guards,
+    EndpointRegistry membership,
+    ReplicaPositions positions) {
 
   static final double SILENT_WAITS =
       8; // Usual answer times that the waits at a silent member add up to.
@@ -22,7 +26,7 @@
   static final double MOST_SLOW = 10; // Usual answer times that one answer counts at most.
 
   /** Whether a member may be tried: listed, not banned, not silent, one at a time on trial. */
-  boolean healthy(Node n, Pending p) {
+  boolean healthy(EndpointState n, PendingRequest p) {
     if (!n.open || state.now < n.bannedUntil || n.onTrial && (!n.out.isEmpty() || p.type.once())) {
       return false;
     }
@@ -33,7 +37,7 @@
     return guards.withinColdBudget(p, n);
   }
 
-  boolean silent(Node n) {
+  boolean silent(EndpointState n) {
     double waits = 0;
     long since = state.now;
     for (Attempt a : n.out) {
@@ -46,7 +50,7 @@
         && waits > SILENT_WAITS * Math.max(1, Math.min(3, slow(n)));
   }
 
-  void ban(Node n, String why) {
+  void ban(EndpointState n, String why) {
     n.bannedUntil = state.now + Math.min(BAN_MOST, BAN << Math.min(5, n.failures));
     n.onTrial = true;
     n.limit.halve();
@@ -54,7 +58,7 @@
   }
 
   /** Leaves a member out for a moment that doubles with each failure in a row. */
-  void pause(Node n, String why) {
+  void pause(EndpointState n, String why) {
     long pause = Math.min(BAN_MOST, PAUSE << Math.min(6, n.failures++));
     n.bannedUntil = Math.max(n.bannedUntil, state.now + pause);
     state.note(n.id + " " + why);
@@ -62,17 +66,17 @@
   }
 
   /** Whether a member may get one more now. */
-  boolean hasRoom(Node n, double share) {
+  boolean hasRoom(EndpointState n, double share) {
     return n.limit.hasRoom(
         state.now, guards.warmth(n) * share, n.out.size(), n.sentAt, n.answers.took());
   }
 
   /** What an outcome says about the member's health and load. */
-  void judge(Attempt a, Outcome o) {
-    Node n = a.node;
-    ClassSettings type = a.request.type;
+  void judge(Attempt a, AttemptOutcome o) {
+    EndpointState n = a.node;
+    RequestClass type = a.request.type;
     int c = a.request.request.classIndex();
-    if (o.status() == Status.FULL) {
+    if (o.status() == AttemptStatus.FULL) {
       n.answeredAt = state.now;
       slowness(n, MOST_SLOW);
     }
@@ -104,7 +108,7 @@
       // and idle ones are given back for a while; where setting up takes too long, they are kept.
       case CONNECT_FAILED, RESET -> {
         n.connectedUntil = UNKNOWN;
-        boolean unmade = o.status() == Status.CONNECT_FAILED;
+        boolean unmade = o.status() == AttemptStatus.CONNECT_FAILED;
         boolean dear = unmade && o.took() > state.settings.limits().connectTimeout() / 2;
         state.dearUntil = dear ? state.now + SCARCE : state.dearUntil;
         if (dear || ++n.breaks > BREAKS) {
@@ -120,14 +124,14 @@
   }
 
   /** Takes an answer time, or how long one has been waited for, into the member's load. */
-  void weigh(Node n, double took, ClassSettings type) {
+  void weigh(EndpointState n, double took, RequestClass type) {
     n.answers.take(state.now, took, type.aim());
     if (n.answers.load() > FULL_LOAD) {
       n.limit.cut(state.now, n.answers.took(), 0.85);
     }
   }
 
-  void slowness(Node n, double ratio) {
+  void slowness(EndpointState n, double ratio) {
     n.slow.add(state.now, Math.min(ratio, MOST_SLOW));
     n.group.slow.add(state.now, Math.min(ratio, MOST_SLOW));
   }
@@ -136,11 +140,11 @@
    * Expected answer time over the usual one: few answers of a member are drawn to those of its
    * group.
    */
-  double slow(Node n) {
+  double slow(EndpointState n) {
     return n.slow.mean(state.now, n.group.slow.mean(state.now, 1, 1), 3);
   }
 
-  void alive(Node n) {
+  void alive(EndpointState n) {
     n.answeredAt = state.now;
     n.failures = 0;
     n.breaks = 0;
--- a/core/src/main/java/shelffront/decide/Pending.java
+++ b/core/src/main/java/shelffront/decision/PendingRequest.java
@@ -1,28 +1,28 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.Request;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.Request;
+import shelffront.routing.Router.RequestClass;
 
 /** A request that still owes its final answer. */
-final class Pending {
+final class PendingRequest {
 
   static final double LATE_WORTH = 0.5; // A class with less late is dropped at its aim.
 
   final Request request;
-  final ClassSettings type;
-  final Group group;
+  final RequestClass type;
+  final ReplicaSet group;
   final long arrival;
   final long deadline;
   final long token; // position that a session read must see
   final ArrayList<Attempt> attempts = new ArrayList<>(2);
   boolean open = true;
-  LinkedHashSet<Pending> queue; // where it is held, or null
+  LinkedHashSet<PendingRequest> queue; // where it is held, or null
   boolean missed; // a replica turned it away: the hold is over
 
-  Pending(Request request, ClassSettings type, Group group, long token, long now) {
+  PendingRequest(Request request, RequestClass type, ReplicaSet group, long token, long now) {
     this.request = request;
     this.type = type;
     this.group = group;
@@ -33,7 +33,7 @@
 
   /** Position that a replica must have to answer this now. */
   long need(long now) {
-    return type.read() == Read.BOUNDED ? now - type.bound() : token;
+    return type.read() == Consistency.BOUNDED ? now - type.bound() : token;
   }
 
   int outstanding() {
@@ -48,7 +48,7 @@
         .orElse(null);
   }
 
-  boolean tried(Node node) {
+  boolean tried(EndpointState node) {
     return attempts.stream().anyMatch(a -> a.node == node);
   }
 
--- a/core/src/main/java/shelffront/decide/Positions.java
+++ b/core/src/main/java/shelffront/decision/ReplicaPositions.java
@@ -1,22 +1,22 @@
-package shelffront.decide;
+package shelffront.decision;
 
-import static shelffront.route.Router.UNKNOWN;
+import static shelffront.routing.Router.UNKNOWN;
 
-import shelffront.route.Router.LagCheck;
-import shelffront.route.Router.Load;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.Request;
-import shelffront.route.Router.Role;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.LagCheck;
+import shelffront.routing.Router.LoadReport;
+import shelffront.routing.Router.Request;
+import shelffront.routing.Router.Role;
 
 /**
  * What is known of how far each member has applied the log, of who is primary, and of sessions'
  * writes.
  */
-record Positions(State state) {
+record ReplicaPositions(RoutingState state) {
 
   /** Position that a request of a session must see; UNKNOWN where there is none. */
   long token(Request request) {
-    if (state.settings.classes().get(request.classIndex()).read() != Read.SESSION) {
+    if (state.settings.classes().get(request.classIndex()).read() != Consistency.SESSION) {
       return UNKNOWN;
     }
     return Math.max(state.sessions.of(request.session(), request.group()), request.after());
@@ -25,7 +25,7 @@
   /**
    * Whether a replica is known to have the position, or may be trusted to where it checks itself.
    */
-  boolean covers(Node n, long need) {
+  boolean covers(EndpointState n, long need) {
     if (need == UNKNOWN || state.settings.check() == LagCheck.NONE) {
       return need == UNKNOWN || n.progress.has(need);
     }
@@ -37,8 +37,8 @@
    * Takes a word on a member's role that held at the given time; words older than the newest count
    * not.
    */
-  void told(Node n, Role role, long asOf) {
-    Group g = n.group;
+  void told(EndpointState n, Role role, long asOf) {
+    ReplicaSet g = n.group;
     if (asOf < g.primaryAt || role == Role.UNKNOWN || g.primary == n == (role == Role.PRIMARY)) {
       return;
     }
@@ -57,7 +57,7 @@
     }
   }
 
-  void hear(Node n, Load load) {
+  void hear(EndpointState n, LoadReport load) {
     if (load != null && load.position() != UNKNOWN) {
       n.progress.advance(state.now, load.position());
       told(n, load.role(), Math.min(load.position(), state.now));
--- a/core/src/main/java/shelffront/decide/Queue.java
+++ b/core/src/main/java/shelffront/decision/RequestScheduler.java
@@ -1,13 +1,18 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import java.util.Comparator;
 import java.util.LinkedHashSet;
 import java.util.stream.IntStream;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Scope;
+import shelffront.routing.Router.DeduplicationScope;
+import shelffront.routing.Router.RequestClass;
 
 /** The requests in hand: sent, held, looked at again, refused or failed; each ends exactly once. */
-record Queue(State state, Choice choice, Guards guards, Membership membership, Health health) {
+record RequestScheduler(
+    RoutingState state,
+    EndpointSelector choice,
+    AttemptAdmission guards,
+    EndpointRegistry membership,
+    OutlierDetector health) {
 
   static final int STUCK = 4; // Held ones that find no member and speak for their class.
 
@@ -22,7 +27,7 @@
   /**
    * Sends the request now if a member suits, else holds it; gives up where no further try can help.
    */
-  void dispatch(Pending p) {
+  void dispatch(PendingRequest p) {
     if (!p.open || p.outstanding() > 0) { // the timer of one that was held finds it sent
       return;
     }
@@ -32,18 +37,18 @@
       giveUp(p);
       return;
     }
-    Node node = choice.choose(p);
+    EndpointState node = choice.choose(p);
     if (node != null && send(p, node)) {
       return;
     }
     if (p.queue == null) {
       hold(p, 0);
       state.at(p, Math.max(state.now + state.settings.tick(), lastStart(p)), () -> dispatch(p));
-      if (p.type.lateShare() >= Pending.LATE_WORTH) {
+      if (p.type.lateShare() >= PendingRequest.LATE_WORTH) {
         int late = state.usual.length;
         state.at(p, p.arrival + p.type.aim(), () -> hold(p, p.queue == null ? -1 : late));
       }
-      state.at(p, p.arrival + Choice.HOLD, () -> release(p.group));
+      state.at(p, p.arrival + EndpointSelector.HOLD, () -> release(p.group));
       membership.wantPositions(p.group);
     }
   }
@@ -53,14 +58,14 @@
    * never tried is given up well before half of its time, while its client can still turn
    * elsewhere.
    */
-  private long lastStart(Pending p) {
+  private long lastStart(PendingRequest p) {
     return Math.min(
         p.attempts.isEmpty() ? p.arrival + p.request.left() * 2 / 5 : p.deadline,
         p.usefulUntil() - (long) Math.min(state.usual(p), p.type.aim() / 2.0));
   }
 
   /** Puts a request in the queue of its class, the one for late requests where that is asked. */
-  void hold(Pending p, int late) {
+  void hold(PendingRequest p, int late) {
     if (p.open && late >= 0) {
       p.queue = p.group.held.get(p.request.classIndex() + late);
       p.queue.add(p);
@@ -71,12 +76,12 @@
    * Looks again at held requests, the most worth for their work first; a few stuck speak for a
    * class.
    */
-  void release(Group g) {
+  void release(ReplicaSet g) {
     for (int index : state.order) {
-      LinkedHashSet<Pending> q = g.held.get(index);
+      LinkedHashSet<PendingRequest> q = g.held.get(index);
       int stuck = 0;
       for (var each = q.iterator(); each.hasNext() && stuck < STUCK; ) {
-        Pending p = each.next();
+        PendingRequest p = each.next();
         if (p.queue == q) {
           dispatch(p);
         }
@@ -90,7 +95,7 @@
   }
 
   /** The single way out for attempts: every rule is checked by the guards. */
-  boolean send(Pending p, Node n) {
+  boolean send(PendingRequest p, EndpointState n) {
     if (!guards.allows(p, n)) {
       return false;
     }
@@ -109,12 +114,12 @@
   }
 
   /** The single way out for final answers that the module gives. */
-  void giveUp(Pending p) {
+  void giveUp(PendingRequest p) {
     if (!p.open) {
       return;
     }
     close(p);
-    if (p.type.repeatable() || p.mayHaveRun() == null || p.type.keyedFor(Scope.ALL)) {
+    if (p.type.repeatable() || p.mayHaveRun() == null || p.type.keyedFor(DeduplicationScope.ALL)) {
       long wait =
           p.group.primary == null ? 1_000_000 : 200_000; // usual length of what is in the way
       state.actions.reject(p.request.id(), state.settings.limits().toldWait(wait));
@@ -124,7 +129,7 @@
   }
 
   /** Ends the request here; what is still out for it is called off. */
-  void close(Pending p) {
+  void close(PendingRequest p) {
     p.open = false;
     p.queue = null;
     state.pending.remove(p.request.id());
@@ -143,7 +148,7 @@
    * A read unanswered for long gets a second copy when its member fell silent, was banned or left.
    */
   void secondCopy(Attempt a) {
-    Pending p = a.request;
+    PendingRequest p = a.request;
     if (!p.open || a.status != null || p.attempts.get(p.attempts.size() - 1) != a) {
       return;
     }
@@ -151,9 +156,10 @@
         !a.node.open
             || state.now < a.node.bannedUntil
             || health.silent(a.node)
-            || a.overtaken() && state.now - a.sentAt > Health.SILENT_WAITS * state.usual(p);
+            || a.overtaken()
+                && state.now - a.sentAt > OutlierDetector.SILENT_WAITS * state.usual(p);
     boolean may = state.settings.limits().duplicate() && state.now < lastStart(p);
-    Node n = may && lost ? choice.choose(p) : null;
+    EndpointState n = may && lost ? choice.choose(p) : null;
     boolean copied = n != null && n != a.node && send(p, n);
     if (lost && state.settings.limits().cancel() && (copied || !may)) {
       state.actions.cancel(p.request.id(), a.number);
@@ -165,7 +171,7 @@
 
   /** Worth of a queue's requests for their usual work. */
   double urgency(int queue) {
-    ClassSettings type = state.settings.classes().get(queue % state.usual.length);
+    RequestClass type = state.settings.classes().get(queue % state.usual.length);
     return type.worth()
         * (queue < state.usual.length ? 1 : type.lateShare())
         / state.usual[queue % state.usual.length];
--- a/core/src/main/java/shelffront/decide/Decide.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -1,11 +1,11 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
-import shelffront.fleet.ProbeAllowance;
-import shelffront.marks.Progress;
-import shelffront.route.Router;
+import shelffront.consistency.ReplicationProgress;
+import shelffront.fleet.HealthCheckBudget;
+import shelffront.routing.Router;
 
 /**
  * All decisions of shelffront. The interface, with every type, event and action, is Router.java;
@@ -16,31 +16,33 @@
  * group and looked at again when something in the group changes; a timer covers every held request.
  * All times are microseconds.
  */
-public final class Decide implements Router {
+public final class RoutingEngine implements Router {
 
-  final State state;
-  private final Positions positions;
-  private final Membership membership;
-  private final Health health;
-  private final Queue queue;
+  final RoutingState state;
+  private final ReplicaPositions positions;
+  private final EndpointRegistry membership;
+  private final OutlierDetector health;
+  private final RequestScheduler queue;
   private int listFailures;
 
-  public Decide(Actions actions) {
-    state = new State(actions);
-    positions = new Positions(state);
-    Guards guards = new Guards(state);
-    membership = new Membership(state);
-    health = new Health(state, guards, membership, positions);
-    queue = new Queue(state, new Choice(state, health, positions), guards, membership, health);
+  public RoutingEngine(Actions actions) {
+    state = new RoutingState(actions);
+    positions = new ReplicaPositions(state);
+    AttemptAdmission guards = new AttemptAdmission(state);
+    membership = new EndpointRegistry(state);
+    health = new OutlierDetector(state, guards, membership, positions);
+    queue =
+        new RequestScheduler(
+            state, new EndpointSelector(state, health, positions), guards, membership, health);
     state.changed = queue::release;
   }
 
   @Override
-  public void onStart(long time, long seed, Settings given) {
+  public void onStart(long time, long seed, RoutingSettings given) {
     state.now = time;
     state.settings = given;
     state.random = new Random(seed);
-    state.probes = new ProbeAllowance(given.probePrice(), given.routers());
+    state.probes = new HealthCheckBudget(given.probePrice(), given.routers());
     state.usual = new double[given.classes().size()];
     for (int i = 0; i < state.usual.length; i++) {
       state.usual[i] = given.classes().get(i).aim() / 4.0;
@@ -52,9 +54,9 @@
   }
 
   @Override
-  public void onMembers(long time, ListKind kind, long version, List<Member> members) {
+  public void onMembers(long time, EndpointUpdateKind kind, long version, List<Endpoint> members) {
     state.now = time;
-    if (kind == ListKind.FAILED) {
+    if (kind == EndpointUpdateKind.FAILED) {
       long wait = Math.min(600_000, 100_000L << Math.min(5, listFailures++));
       state.at(
           null,
@@ -63,13 +65,13 @@
       return;
     }
     listFailures = 0;
-    if (kind != ListKind.CHANGES) {
-      List<String> named = members.stream().map(Member::id).toList();
+    if (kind != EndpointUpdateKind.CHANGES) {
+      List<String> named = members.stream().map(Endpoint::id).toList();
       List.copyOf(state.nodes.values()).stream()
           .filter(n -> !named.contains(n.id))
           .forEach(n -> membership.close(n, true));
     }
-    for (Member m : members) {
+    for (Endpoint m : members) {
       if (m.availability() == Availability.LIVE) {
         membership.open(m);
       } else if (state.nodes.containsKey(m.id())) {
@@ -83,9 +85,10 @@
   public void onRequest(long time, Request request) {
     state.now = time;
     state.probes.asked();
-    ClassSettings type = state.settings.classes().get(request.classIndex());
-    Group group = state.group(request.group());
-    Pending p = new Pending(request, type, group, positions.token(request), state.now);
+    RequestClass type = state.settings.classes().get(request.classIndex());
+    ReplicaSet group = state.group(request.group());
+    PendingRequest p =
+        new PendingRequest(request, type, group, positions.token(request), state.now);
     state.pending.put(request.id(), p);
     group.cold.asked(state.now, type.needsPrimary());
     state.at(p, Math.max(state.now, p.deadline - state.settings.tick()), () -> queue.giveUp(p));
@@ -93,17 +96,17 @@
   }
 
   @Override
-  public void onOutcome(long time, Outcome o) {
+  public void onOutcome(long time, AttemptOutcome o) {
     state.now = time;
     Attempt a = state.attemptsOut.remove(o.requestId() + o.attempt());
-    Node node = a != null ? a.node : state.nodes.get(o.member());
+    EndpointState node = a != null ? a.node : state.nodes.get(o.member());
     if (node != null) {
       positions.hear(node, o.load());
       positions.told(node, o.role(), state.now);
       if (o.position() != UNKNOWN && o.role() != Role.UNKNOWN) {
         node.progress.advance(time, o.position());
       }
-      if (o.status() == Status.MISS) {
+      if (o.status() == AttemptStatus.MISS) {
         node.progress.missed(time);
       }
     }
@@ -119,19 +122,19 @@
       state.actions.closeIdle(a.node.id);
     }
     health.judge(a, o);
-    Pending p = a.request;
-    if (o.status() == Status.OK
+    PendingRequest p = a.request;
+    if (o.status() == AttemptStatus.OK
         && p.type.writes()
         && p.request.session() != null
         && !state.settings.tokensCarried()) {
       long commit = o.position() == UNKNOWN ? state.now : o.position();
       state.sessions.wrote(p.request.session(), p.request.group(), commit);
     }
-    if (o.finished() || o.status() == Status.OK) {
+    if (o.finished() || o.status() == AttemptStatus.OK) {
       queue.close(p);
     }
     if (p.open && p.outstanding() == 0) {
-      p.missed |= o.status() == Status.MISS && !p.type.writes();
+      p.missed |= o.status() == AttemptStatus.MISS && !p.type.writes();
       queue.dispatch(p);
     }
     queue.release(p.group);
@@ -149,18 +152,19 @@
   }
 
   @Override
-  public void onProbeResult(long time, String member, Status status, long took, Load load) {
+  public void onProbeResult(
+      long time, String member, AttemptStatus status, long took, LoadReport load) {
     state.now = time;
-    Node node = state.nodes.get(member);
+    EndpointState node = state.nodes.get(member);
     if (node != null) {
       node.probing = false;
-      positions.hear(node, status == Status.OK ? load : null);
-      if (status == Status.OK && node.unreachable) {
+      positions.hear(node, status == AttemptStatus.OK ? load : null);
+      if (status == AttemptStatus.OK && node.unreachable) {
         health.alive(node);
-      } else if (status == Status.OK && state.now >= node.bannedUntil) {
+      } else if (status == AttemptStatus.OK && state.now >= node.bannedUntil) {
         node.onTrial = false; // else a lone instance could never try it with a once-only write
-      } else if (status == Status.TIMEOUT
-          || status == Status.CONNECT_FAILED && ++node.breaks > Health.BREAKS) {
+      } else if (status == AttemptStatus.TIMEOUT
+          || status == AttemptStatus.CONNECT_FAILED && ++node.breaks > OutlierDetector.BREAKS) {
         health.pause(node, "does not answer probes");
         node.unreachable = true;
       }
@@ -188,12 +192,12 @@
   private void tend() {
     queue.sort();
     queue.guards().recount();
-    for (Group g : state.groups.values()) {
+    for (ReplicaSet g : state.groups.values()) {
       if (g.held.stream().anyMatch(q -> !q.isEmpty())) {
         membership.wantPositions(g);
         queue.release(g);
       }
     }
-    state.at(null, state.now + Progress.OLD / 2, this::tend);
+    state.at(null, state.now + ReplicationProgress.OLD / 2, this::tend);
   }
 }
--- a/core/src/main/java/shelffront/distribution/ChangeLog.java
+++ b/core/src/main/java/shelffront/distribution/ChangeLog.java
@@ -9,7 +9,7 @@
 
   private final int mostChanges;
   private final long mostCharacters;
-  private final ArrayDeque<Change> changes = new ArrayDeque<>();
+  private final ArrayDeque<RecordChange> changes = new ArrayDeque<>();
   private long characters;
   private Version start; // changes after this one are here
 
@@ -20,11 +20,11 @@
   }
 
   /** Takes the change that follows the last one. */
-  void append(Change change) {
+  void append(RecordChange change) {
     changes.addLast(change);
     characters += change.size();
     while (changes.size() > mostChanges || characters > mostCharacters) {
-      Change oldest = changes.removeFirst();
+      RecordChange oldest = changes.removeFirst();
       characters -= oldest.size();
       start = oldest.version();
     }
@@ -43,11 +43,11 @@
   }
 
   /** The changes after a version that it {@link #reaches}, of what is followed. */
-  List<Change> after(Version version, Interest interest) {
-    List<Change> found = new ArrayList<>();
+  List<RecordChange> after(Version version, SubscriptionFilter interest) {
+    List<RecordChange> found = new ArrayList<>();
     // From the newest: a subscriber lacks few of many.
     for (var each = changes.descendingIterator(); each.hasNext(); ) {
-      Change change = each.next();
+      RecordChange change = each.next();
       if (!version.isBefore(change.version())) {
         break;
       }
--- a/core/src/main/java/shelffront/distribution/Timings.java
+++ b/core/src/main/java/shelffront/distribution/DistributionTimings.java
@@ -21,7 +21,7 @@
  * is asked has failed too the hop costs another {@code connectTimeout}, or another poll where it
  * accepts and is silent.
  */
-public record Timings(
+public record DistributionTimings(
     long pollWait, long answerGrace, long reconnectSpread, long connectTimeout, long putInForce) {
 
   private static final int HOPS = 3;
@@ -29,8 +29,8 @@
   /** For a change to pass one hop that has not failed. */
   private static final long HOP_DELAY = 100_000;
 
-  public static final Timings STANDARD =
-      new Timings(1_500_000, 600_000, 400_000, 1_000_000, 500_000);
+  public static final DistributionTimings STANDARD =
+      new DistributionTimings(1_500_000, 600_000, 400_000, 1_000_000, 500_000);
 
   /** How long a hop that fails may hold a change up. */
   public long failedHop() {
--- a/core/src/main/java/shelffront/distribution/Endpoint.java
+++ b/core/src/main/java/shelffront/distribution/DistributorEndpoint.java
@@ -1,4 +1,4 @@
 package shelffront.distribution;
 
 /** A distributor that may be asked: its address, and where it stands. */
-public record Endpoint(String address, String region, String zone) {}
+public record DistributorEndpoint(String address, String region, String zone) {}
--- a/core/src/main/java/shelffront/distribution/EndpointChoice.java
+++ b/core/src/main/java/shelffront/distribution/DistributorSelector.java
@@ -14,7 +14,7 @@
  * name, so that the subscribers of one that fails spread evenly over the others. One that failed is
  * left out for a pause that doubles. Times are microseconds.
  */
-public final class EndpointChoice {
+public final class DistributorSelector {
 
   /** The pause after a first failure. */
   public static final long FIRST_PAUSE = 500_000;
@@ -23,26 +23,26 @@
   public static final long LONGEST_PAUSE = 2_000_000;
 
   /** Whom to ask, and from when on. */
-  public record Next(Endpoint endpoint, long at) {}
+  public record Next(DistributorEndpoint endpoint, long at) {}
 
   private static final class Health {
     private long pause;
     private long leftOutUntil;
   }
 
-  private final List<Endpoint> order;
-  private final Map<Endpoint, Health> health = new HashMap<>();
+  private final List<DistributorEndpoint> order;
+  private final Map<DistributorEndpoint, Health> health = new HashMap<>();
   private final long spread;
   private final Random random;
 
   /**
    * @param spread reconnects begin at a random moment within so many microseconds
    */
-  public EndpointChoice(
+  public DistributorSelector(
       String subscriber,
       String region,
       String zone,
-      List<Endpoint> endpoints,
+      List<DistributorEndpoint> endpoints,
       long spread,
       Random random) {
     if (endpoints.isEmpty()) {
@@ -50,27 +50,27 @@
     }
     order = new ArrayList<>(endpoints);
     order.sort(
-        Comparator.<Endpoint>comparingInt(e -> distance(e, region, zone))
+        Comparator.<DistributorEndpoint>comparingInt(e -> distance(e, region, zone))
             .thenComparingDouble(e -> -rank(subscriber, e)));
     order.forEach(e -> health.put(e, new Health()));
     this.spread = spread;
     this.random = random;
   }
 
-  private static int distance(Endpoint endpoint, String region, String zone) {
+  private static int distance(DistributorEndpoint endpoint, String region, String zone) {
     if (!endpoint.region().equals(region)) {
       return 2;
     }
     return endpoint.zone().equals(zone) ? 0 : 1;
   }
 
-  private static double rank(String subscriber, Endpoint endpoint) {
+  private static double rank(String subscriber, DistributorEndpoint endpoint) {
     long own = new SplittableRandom(subscriber.hashCode()).nextLong();
     return new SplittableRandom(own ^ endpoint.address().hashCode()).nextDouble();
   }
 
   /** All of them, the preferred first. */
-  public List<Endpoint> order() {
+  public List<DistributorEndpoint> order() {
     return List.copyOf(order);
   }
 
@@ -80,8 +80,8 @@
    */
   public Next next(long now) {
     long start = now + (spread == 0 ? 0 : random.nextLong(spread));
-    Endpoint soonest = order.get(0);
-    for (Endpoint endpoint : order) {
+    DistributorEndpoint soonest = order.get(0);
+    for (DistributorEndpoint endpoint : order) {
       if (health.get(endpoint).leftOutUntil <= start) {
         return new Next(endpoint, start);
       }
@@ -93,22 +93,22 @@
   }
 
   /** It broke, was silent, or its view was older than another's. */
-  public void failed(Endpoint endpoint, long now) {
+  public void failed(DistributorEndpoint endpoint, long now) {
     Health h = health.get(endpoint);
     h.pause = h.pause == 0 ? FIRST_PAUSE : Math.min(LONGEST_PAUSE, 2 * h.pause);
     h.leftOutUntil = now + h.pause;
   }
 
   /** It gave a fresh answer. */
-  public void succeeded(Endpoint endpoint) {
+  public void succeeded(DistributorEndpoint endpoint) {
     Health h = health.get(endpoint);
     h.pause = 0;
     h.leftOutUntil = 0;
   }
 
   /** Whether one that is preferred to this could be tried again. */
-  public boolean hasBetter(Endpoint present, long now) {
-    for (Endpoint endpoint : order) {
+  public boolean hasBetter(DistributorEndpoint present, long now) {
+    for (DistributorEndpoint endpoint : order) {
       if (endpoint.equals(present)) {
         return false;
       }
--- a/core/src/main/java/shelffront/distribution/AbsentNames.java
+++ b/core/src/main/java/shelffront/distribution/NegativeCache.java
@@ -8,12 +8,12 @@
  * of clients that name nobody stops here. Bounded: the one remembered for longest goes first. Times
  * are microseconds.
  */
-public final class AbsentNames {
+public final class NegativeCache {
 
   private final long rememberedFor;
   private final LinkedHashMap<String, Long> until;
 
-  public AbsentNames(int most, long rememberedFor) {
+  public NegativeCache(int most, long rememberedFor) {
     this.rememberedFor = rememberedFor;
     until =
         new LinkedHashMap<>() {
--- a/core/src/main/java/shelffront/distribution/RecordTable.java
+++ b/core/src/main/java/shelffront/distribution/RecordTable.java
@@ -21,7 +21,7 @@
     GAP
   }
 
-  private final Map<String, Change> records = new HashMap<>();
+  private final Map<String, RecordChange> records = new HashMap<>();
   private final ChangeLog log;
   private Version version = Version.NONE;
 
@@ -39,12 +39,12 @@
   }
 
   /** The record of a name; null where there is none. */
-  public Change record(String name) {
+  public RecordChange record(String name) {
     return records.get(name);
   }
 
   /** Takes the change that follows the present version. */
-  public Applied apply(Change change) {
+  public Applied apply(RecordChange change) {
     if (!version.isBefore(change.version())) {
       return Applied.KNOWN;
     }
@@ -73,7 +73,7 @@
     return true;
   }
 
-  private void put(Change change) {
+  private void put(RecordChange change) {
     if (change.isRemoval()) {
       records.remove(change.name());
     } else {
@@ -85,7 +85,7 @@
    * What a subscriber at a version lacks; null where it is ahead of this table, which then has
    * nothing to say.
    */
-  public Update updateFor(Version subscriber, Interest interest) {
+  public Update updateFor(Version subscriber, SubscriptionFilter interest) {
     if (version.isBefore(subscriber)) {
       return null;
     }
@@ -95,8 +95,8 @@
   }
 
   /** All that there is of what is followed. */
-  public Update.Snapshot snapshot(Interest interest) {
-    List<Change> found = new ArrayList<>();
+  public Update.Snapshot snapshot(SubscriptionFilter interest) {
+    List<RecordChange> found = new ArrayList<>();
     if (interest.all()) {
       found.addAll(records.values());
     } else {
--- a/core/src/main/java/shelffront/distribution/SubscribedView.java
+++ b/core/src/main/java/shelffront/distribution/ReplicatedView.java
@@ -18,7 +18,7 @@
  * answer for another one is of no use, since changes of a name that it does not know of would be
  * missing between two versions.
  */
-public final class SubscribedView {
+public final class ReplicatedView {
 
   /** What keeps the view right; tests switch single ones off to see that each is missed. */
   enum Guard {
@@ -38,22 +38,22 @@
 
   private final Set<Guard> guards;
   private final Set<String> names = new HashSet<>();
-  private final Map<String, Change> records = new HashMap<>();
+  private final Map<String, RecordChange> records = new HashMap<>();
   private Version version = Version.NONE;
   private long edition;
 
-  public SubscribedView() {
+  public ReplicatedView() {
     this(EnumSet.allOf(Guard.class));
   }
 
-  SubscribedView(Set<Guard> guards) {
+  ReplicatedView(Set<Guard> guards) {
     this.guards = guards;
   }
 
   /** Begins with what was kept from an earlier run. */
-  public void restore(Version keptVersion, Collection<Change> keptRecords) {
+  public void restore(Version keptVersion, Collection<RecordChange> keptRecords) {
     version = keptVersion;
-    for (Change record : keptRecords) {
+    for (RecordChange record : keptRecords) {
       names.add(record.name());
       records.put(record.name(), record);
     }
@@ -72,12 +72,12 @@
     return Set.copyOf(names);
   }
 
-  public Collection<Change> records() {
+  public Collection<RecordChange> records() {
     return List.copyOf(records.values());
   }
 
   /** The record of a name that it follows; null where there is none. */
-  public Change record(String name) {
+  public RecordChange record(String name) {
     return records.get(name);
   }
 
@@ -98,7 +98,7 @@
    * distributor is behind this view: changes of the name that this view has passed may be missing,
    * and it has to be fetched again.
    */
-  public boolean added(String name, Change fetched, Version asOf) {
+  public boolean added(String name, RecordChange fetched, Version asOf) {
     if (asOf.isBefore(version) && guards.contains(Guard.FETCHED_NOT_BEHIND)) {
       return false;
     }
@@ -120,11 +120,11 @@
    * Takes what a distributor gave for an edition of the names, and gives the changes that come into
    * force by it. What does not fit changes nothing and gives nothing.
    */
-  public List<Change> take(Update update, long forEdition) {
+  public List<RecordChange> take(Update update, long forEdition) {
     if (!fits(update, forEdition)) {
       return List.of();
     }
-    List<Change> inForce = new ArrayList<>();
+    List<RecordChange> inForce = new ArrayList<>();
     if (update instanceof Update.Snapshot snapshot) {
       removeAbsent(snapshot, inForce);
       putAll(snapshot.records(), inForce);
@@ -147,29 +147,29 @@
     return !update.version().isBefore(version) || !guards.contains(Guard.VIEW_NEVER_STEPS_BACK);
   }
 
-  private void removeAbsent(Update.Snapshot snapshot, List<Change> inForce) {
+  private void removeAbsent(Update.Snapshot snapshot, List<RecordChange> inForce) {
     Set<String> present = new HashSet<>();
     snapshot.records().forEach(r -> present.add(r.name()));
-    for (Change held : List.copyOf(records.values())) {
+    for (RecordChange held : List.copyOf(records.values())) {
       boolean ahead =
           snapshot.version().isBefore(held.version()); // fetched from a distributor that is further
       if (!present.contains(held.name()) && !ahead && guards.contains(Guard.ABSENT_IS_REMOVED)) {
         records.remove(held.name());
-        inForce.add(new Change(snapshot.version(), held.name(), null));
+        inForce.add(new RecordChange(snapshot.version(), held.name(), null));
       }
     }
   }
 
-  private void putAll(List<Change> changes, List<Change> inForce) {
-    for (Change change : changes) {
+  private void putAll(List<RecordChange> changes, List<RecordChange> inForce) {
+    for (RecordChange change : changes) {
       if (names.contains(change.name()) && put(change)) {
         inForce.add(change);
       }
     }
   }
 
-  private boolean put(Change change) {
-    Change present = records.get(change.name());
+  private boolean put(RecordChange change) {
+    RecordChange present = records.get(change.name());
     if (present != null
         && !present.version().isBefore(change.version())
         && guards.contains(Guard.RECORD_NEVER_STEPS_BACK)) {
--- a/core/src/main/java/shelffront/distribution/Freshness.java
+++ b/core/src/main/java/shelffront/distribution/Staleness.java
@@ -6,7 +6,7 @@
  * minutes. So its age counts from when its question was sent, by the monotonic clock of whoever
  * asked, plus the age that it states itself. Times are microseconds.
  */
-public final class Freshness {
+public final class Staleness {
 
   /** Of a view that was never confirmed. */
   public static final long NEVER = Long.MAX_VALUE;
--- a/core/src/main/java/shelffront/distribution/Update.java
+++ b/core/src/main/java/shelffront/distribution/Update.java
@@ -14,10 +14,10 @@
    * The changes after the version where the subscriber stood up to this one, in their order, of
    * what it follows.
    */
-  record Changes(Version after, Version version, List<Change> changes) implements Update {}
+  record Changes(Version after, Version version, List<RecordChange> changes) implements Update {}
 
   /** Every record that there is of what it follows; a name that is not among them has none. */
-  record Snapshot(Version version, List<Change> records) implements Update {
+  record Snapshot(Version version, List<RecordChange> records) implements Update {
 
     /**
      * From an engine that goes on changing while it is read: the records as they were listed after
@@ -25,11 +25,12 @@
      * list. Taken for a snapshot at the first version, the list would hold later changes and lack
      * what was removed later, and two such snapshots of one version would differ.
      */
-    public static Snapshot assembled(Version last, List<Change> listed, List<Change> since) {
-      Map<String, Change> records = new HashMap<>();
+    public static Snapshot assembled(
+        Version last, List<RecordChange> listed, List<RecordChange> since) {
+      Map<String, RecordChange> records = new HashMap<>();
       listed.forEach(r -> records.put(r.name(), r));
-      for (Change change : since) {
-        Change present = records.get(change.name());
+      for (RecordChange change : since) {
+        RecordChange present = records.get(change.name());
         if (present == null || present.version().isBefore(change.version())) {
           records.put(change.name(), change);
         }
--- a/core/src/main/java/shelffront/distribution/package-info.java
+++ b/core/src/main/java/shelffront/distribution/package-info.java
@@ -5,9 +5,9 @@
  * shelffront.distribution.Version}. A distributor keeps the latest record of every name and a
  * bounded log of changes in a {@link shelffront.distribution.RecordTable}, and answers subscribers
  * with what they lack: changes where its log reaches back far enough, else a snapshot. A subscriber
- * keeps the records that it asked for in a {@link shelffront.distribution.SubscribedView}, which
- * never steps back, whichever distributor speaks. {@link shelffront.distribution.Freshness} tells
- * how old a view may be, and {@link shelffront.distribution.EndpointChoice} which distributor to
- * ask next.
+ * keeps the records that it asked for in a {@link shelffront.distribution.ReplicatedView}, which
+ * never steps back, whichever distributor speaks. {@link shelffront.distribution.Staleness} tells
+ * how old a view may be, and {@link shelffront.distribution.DistributorSelector} which distributor
+ * to ask next.
  */
 package shelffront.distribution;
--- a/core/src/main/java/shelffront/fleet/Subsets.java
+++ b/core/src/main/java/shelffront/fleet/EndpointSubsetting.java
@@ -27,7 +27,7 @@
  *
  * <p>A preference and no fence: freshness, roles and health are judged first, by others.
  */
-public final class Subsets {
+public final class EndpointSubsetting {
 
   /** With fewer gateways before each host than this their uneven traffic would show in its load. */
   static final int GATEWAYS_A_HOST = 16;
@@ -41,7 +41,7 @@
    */
   static final double SLACK = 0.05;
 
-  private Subsets() {}
+  private EndpointSubsetting() {}
 
   /** How many of so many hosts each gateway prefers: all of them in a small fleet. */
   public static int size(int gateways, int hosts) {
--- a/core/src/main/java/shelffront/fleet/ProbeAllowance.java
+++ b/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
@@ -6,7 +6,7 @@
  * neither a start of all gateways at once nor the end of a quiet hour sets free more than {@link
  * #FLEET_BURST} of them.
  */
-public final class ProbeAllowance {
+public final class HealthCheckBudget {
 
   /** Probes that all gateways together may have saved up. */
   static final double FLEET_BURST = 400;
@@ -26,7 +26,7 @@
   /**
    * The price is that of a probe for each request, in points of service; 0 where probes are free.
    */
-  public ProbeAllowance(double price, int gateways) {
+  public HealthCheckBudget(double price, int gateways) {
     each = Math.min(1, COST / price);
     most = Math.max(LEAST, Math.min(MOST, FLEET_BURST / Math.max(1, gateways)));
     left = most;
--- a/core/src/main/java/shelffront/fleet/ColdBudget.java
+++ b/core/src/main/java/shelffront/fleet/SlowStartBudget.java
@@ -1,7 +1,7 @@
 package shelffront.fleet;
 
 import java.util.SplittableRandom;
-import shelffront.count.Recent;
+import shelffront.statistics.DecayingAverage;
 
 /**
  * One gateway's part of what the hosts of a group that started of late may be sent, each gateway
@@ -23,7 +23,7 @@
  * Poisson, the mean of m / (others + 1) is 1 - e^-m: a request that counts itself keeps the fleet's
  * sum to the budget for any m.
  */
-public final class ColdBudget {
+public final class SlowStartBudget {
 
   /** Seconds over which usual traffic is counted. */
   public static final double WINDOW = 20;
@@ -35,7 +35,7 @@
    * The fall time is that of the platform's rule, in seconds: a jump of demand within it counts at
    * once.
    */
-  public ColdBudget(double fallSeconds) {
+  public SlowStartBudget(double fallSeconds) {
     owed = new Demand(fallSeconds);
     reads = new Demand(fallSeconds);
   }
@@ -102,11 +102,11 @@
    */
   private static final class Demand {
 
-    private final Recent steady = new Recent(WINDOW);
-    private final Recent sudden;
+    private final DecayingAverage steady = new DecayingAverage(WINDOW);
+    private final DecayingAverage sudden;
 
     Demand(double fallSeconds) {
-      sudden = new Recent(fallSeconds);
+      sudden = new DecayingAverage(fallSeconds);
     }
 
     void add(long now) {
--- a/core/src/main/java/shelffront/share/Holdings.java
+++ b/core/src/main/java/shelffront/quota/ConnectionQuotas.java
@@ -1,4 +1,4 @@
-package shelffront.share;
+package shelffront.quota;
 
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
@@ -16,7 +16,7 @@
  * nothing waits. Both callbacks are called by whichever thread gives back or takes, so they only
  * pass the word on.
  */
-public final class Holdings {
+public final class ConnectionQuotas {
 
   /** Part of all that holders may fill beyond their own parts. */
   private static final double LENT = 0.75;
@@ -35,7 +35,7 @@
   }
 
   /** One tenant's. Its figures belong to its own thread. */
-  public final class Holding {
+  public final class ConnectionQuota {
 
     private final Runnable giveOneBack;
     private final Runnable oneCame;
@@ -45,7 +45,7 @@
     private boolean waits;
     private volatile boolean counted; // its weight is in the sum
 
-    private Holding(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
+    private ConnectionQuota(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
       units = Math.max(1, Math.round(weight * UNIT));
       this.most = most;
       this.giveOneBack = giveOneBack;
@@ -102,8 +102,8 @@
       boolean already = waits;
       waits = true;
       count(); // its weight makes the others' parts smaller
-      Holding furthest = null;
-      for (Holding h : holders) {
+      ConnectionQuota furthest = null;
+      for (ConnectionQuota h : holders) {
         furthest = h.beyond() > (furthest == null ? 0 : furthest.beyond()) ? h : furthest;
       }
       if (furthest == null) {
@@ -123,7 +123,7 @@
       mine.decrementAndGet();
       count();
       held.decrementAndGet();
-      Holding next = waiting.poll();
+      ConnectionQuota next = waiting.poll();
       if (next != null) {
         next.oneCame.run();
       }
@@ -153,11 +153,11 @@
   private final int total;
   private final AtomicInteger held = new AtomicInteger();
   private final AtomicLong weights = new AtomicLong(); // of those that hold any
-  private final Set<Holding> holders = ConcurrentHashMap.newKeySet();
-  private final ConcurrentLinkedQueue<Holding> waiting = new ConcurrentLinkedQueue<>();
+  private final Set<ConnectionQuota> holders = ConcurrentHashMap.newKeySet();
+  private final ConcurrentLinkedQueue<ConnectionQuota> waiting = new ConcurrentLinkedQueue<>();
 
   /** So many for all together. */
-  public Holdings(int total) {
+  public ConnectionQuotas(int total) {
     this.total = total;
   }
 
@@ -167,8 +167,8 @@
    * @param giveOneBack asks it to give one back, soon, if it can
    * @param oneCame tells it that one has come free after {@link Verdict#OWED}
    */
-  public Holding join(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
-    return new Holding(weight, most, giveOneBack, oneCame);
+  public ConnectionQuota join(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
+    return new ConnectionQuota(weight, most, giveOneBack, oneCame);
   }
 
   /** Held by all. */
--- a/core/src/main/java/shelffront/share/DeficitRoundRobin.java
+++ b/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
@@ -1,4 +1,4 @@
-package shelffront.share;
+package shelffront.quota;
 
 import java.util.ArrayDeque;
 
--- a/core/src/main/java/shelffront/share/Placement.java
+++ b/core/src/main/java/shelffront/quota/EventLoopPlacement.java
@@ -1,4 +1,4 @@
-package shelffront.share;
+package shelffront.quota;
 
 /**
  * On which of several event loops a tenant lives. It is chosen when the tenant wakes and has
@@ -6,7 +6,7 @@
  * time that it has worked of late, and what is expected of tenants that woke on it since and are
  * not seen in that yet. Times are microseconds and never step back.
  */
-public final class Placement {
+public final class EventLoopPlacement {
 
   /** Over how long a loop's load is judged. */
   public static final long MEMORY = 1_000_000;
@@ -24,7 +24,7 @@
   private long seenAt;
 
   /** The load is 0 at first. */
-  public Placement(int loops, long now) {
+  public EventLoopPlacement(int loops, long now) {
     load = new double[loops];
     expected = new double[loops];
     worked = new long[loops];
--- a/core/src/main/java/shelffront/share/WaterFill.java
+++ b/core/src/main/java/shelffront/quota/MaxMinFairness.java
@@ -1,13 +1,13 @@
-package shelffront.share;
+package shelffront.quota;
 
 /**
  * Weighted max-min fairness by water-filling (Bertsekas and Gallager, Data Networks, 6.5.2): nobody
  * gets more than it asks for, and what one leaves is divided among those who want more, by their
  * weights.
  */
-public final class WaterFill {
+public final class MaxMinFairness {
 
-  private WaterFill() {}
+  private MaxMinFairness() {}
 
   /**
    * Divides a capacity. All figures are in one unit, none negative, weights above 0; the arrays are
--- a/core/src/main/java/shelffront/share/Shares.java
+++ b/core/src/main/java/shelffront/quota/TenantQuotas.java
@@ -1,4 +1,4 @@
-package shelffront.share;
+package shelffront.quota;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -17,12 +17,12 @@
  * after a window has passed, and only over those who asked of late. Times are microseconds and
  * never step back.
  *
- * <p>Where several event loops serve tenants, each has its own and all have one {@link Common}:
- * each tells there what its tenants ask for whenever it divides, counts what the others told as
- * asked for too, and takes its own tenants' parts. So all come to the same division, one window
- * late at most, and none waits for another.
+ * <p>Where several event loops serve tenants, each has its own and all have one {@link
+ * SharedCapacity}: each tells there what its tenants ask for whenever it divides, counts what the
+ * others told as asked for too, and takes its own tenants' parts. So all come to the same division,
+ * one window late at most, and none waits for another.
  */
-public final class Shares {
+public final class TenantQuotas {
 
   /**
    * The rate is divided anew this often; the time within which a change of demand or weight takes
@@ -54,7 +54,7 @@
   /**
    * What several loops share. The only part that more than one thread touches; nothing in it waits.
    */
-  public static final class Common {
+  public static final class SharedCapacity {
 
     private final double rate;
     private final int places;
@@ -64,7 +64,7 @@
     /**
      * So many requests a second, 0 for no such bound, and so many open at a time for all together.
      */
-    public Common(double rate, int places, int loops) {
+    public SharedCapacity(double rate, int places, int loops) {
       this.rate = rate;
       this.places = places;
       told = new AtomicReferenceArray<>(loops);
@@ -85,27 +85,27 @@
   }
 
   /** One that shares: a tenant, or a class of one. */
-  public final class Share {
+  public final class Quota {
 
     private double weight;
-    private Share[] parts;
-    private final RateLimit limit = new RateLimit(0, 1, 0);
+    private Quota[] parts;
+    private final TokenBucket limit = new TokenBucket(0, 1, 0);
     private double asked; // since the window began
     private double demand; // a second
     private int idle; // windows without a request
     private boolean listed;
     private int open;
 
-    private Share(double weight, double[] classWeights) {
+    private Quota(double weight, double[] classWeights) {
       set(weight, classWeights);
     }
 
     private void set(double newWeight, double[] classWeights) {
       weight = newWeight;
       if (classWeights == null || classWeights.length == 0) {
-        parts = new Share[0];
+        parts = new Quota[0];
       } else if (parts == null || parts.length != classWeights.length) {
-        parts = Arrays.stream(classWeights).mapToObj(w -> new Share(w, null)).toArray(Share[]::new);
+        parts = Arrays.stream(classWeights).mapToObj(w -> new Quota(w, null)).toArray(Quota[]::new);
       } else {
         for (int i = 0; i < parts.length; i++) {
           parts[i].weight = classWeights[i];
@@ -123,11 +123,11 @@
     }
   }
 
-  private final Common common;
+  private final SharedCapacity common;
   private final int loop;
   private final double rate;
   private final int places;
-  private final List<Share> asking = new ArrayList<>();
+  private final List<Quota> asking = new ArrayList<>();
   private double weights; // of those who ask here
   private double elsewhere; // of those who ask of other loops
   private long windowFrom;
@@ -137,12 +137,12 @@
    * Of the only loop: so many requests a second, 0 for no such bound, and so many open at a time
    * for all.
    */
-  public Shares(double rate, int places, long now) {
-    this(new Common(rate, places, 1), 0, now);
+  public TenantQuotas(double rate, int places, long now) {
+    this(new SharedCapacity(rate, places, 1), 0, now);
   }
 
   /** Of one loop of several, by its number from 0. */
-  public Shares(Common common, int loop, long now) {
+  public TenantQuotas(SharedCapacity common, int loop, long now) {
     this.common = common;
     this.loop = loop;
     rate = common.rate;
@@ -154,19 +154,19 @@
    * A new tenant. Weights are above 0; one for each class, or null where its classes have no
    * shares.
    */
-  public Share join(double weight, double[] classWeights) {
-    return new Share(weight, classWeights);
+  public Quota join(double weight, double[] classWeights) {
+    return new Quota(weight, classWeights);
   }
 
   /** Changes a tenant's weights; both follow with the next request. */
-  public void change(Share share, double weight, double[] classWeights) {
+  public void change(Quota share, double weight, double[] classWeights) {
     weights += share.listed ? weight - share.weight : 0;
     share.set(weight, classWeights);
     dirty = true;
   }
 
   /** Forgets a tenant; its open requests still end by {@link #end}. */
-  public void leave(Share share) {
+  public void leave(Quota share) {
     if (asking.remove(share)) {
       share.listed = false;
       weights -= share.weight;
@@ -177,7 +177,7 @@
    * Whether a request may be taken now: 0, and it holds a place until {@link #end}; else the
    * microseconds after which it is worth coming again.
    */
-  public long admit(Share share, int classIndex, long now) {
+  public long admit(Quota share, int classIndex, long now) {
     if (!share.listed) {
       share.listed = true;
       asking.add(share);
@@ -192,7 +192,7 @@
       divide(now);
     }
     share.asked++;
-    Share part = share.parts.length == 0 ? null : share.parts[classIndex];
+    Quota part = share.parts.length == 0 ? null : share.parts[classIndex];
     if (part != null) {
       part.asked++;
     }
@@ -213,13 +213,13 @@
    * Places that are a tenant's own; one that asks alone leaves some all the same, for whoever comes
    * next.
    */
-  private double own(Share share) {
+  private double own(Quota share) {
     return Math.max(
         1, Math.min(places * LENT, Math.floor(places * share.weight / (weights + elsewhere))));
   }
 
   /** The request has had its answer. */
-  public void end(Share share) {
+  public void end(Quota share) {
     share.open--;
     common.open.decrementAndGet();
   }
@@ -258,9 +258,9 @@
     elsewhere = others.stream().flatMapToDouble(t -> Arrays.stream(t.weights)).sum();
     if (rate > 0) {
       grant(rate, asking, others, now);
-      for (Share s : asking) {
+      for (Quota s : asking) {
         if (s.parts.length > 0) {
-          for (Share part : s.parts) {
+          for (Quota part : s.parts) {
             part.count(seconds);
           }
           grant(s.limit.perSecond(), Arrays.asList(s.parts), List.of(), now);
@@ -270,7 +270,7 @@
   }
 
   /** Divides a rate; what nobody asks for is lent by weight, so that a burst finds it. */
-  private static void grant(double rate, List<Share> among, List<Told> others, long now) {
+  private static void grant(double rate, List<Quota> among, List<Told> others, long now) {
     double[] weight =
         DoubleStream.concat(
                 among.stream().mapToDouble(s -> s.weight),
@@ -281,7 +281,7 @@
                 among.stream().mapToDouble(s -> s.demand),
                 others.stream().flatMapToDouble(t -> Arrays.stream(t.demands)))
             .toArray();
-    double[] parts = WaterFill.divide(rate, weight, wanted);
+    double[] parts = MaxMinFairness.divide(rate, weight, wanted);
     double spare = rate - Arrays.stream(parts).sum();
     double all = Arrays.stream(weight).sum();
     for (int i = 0; i < among.size(); i++) {
--- a/core/src/main/java/shelffront/share/RateLimit.java
+++ b/core/src/main/java/shelffront/quota/TokenBucket.java
@@ -1,10 +1,10 @@
-package shelffront.share;
+package shelffront.quota;
 
 /**
  * A token bucket: so many a second, and so many at once after a rest. Times are microseconds and
  * never step back.
  */
-public final class RateLimit {
+public final class TokenBucket {
 
   private double perMicro;
   private double burst;
@@ -12,7 +12,7 @@
   private long filledAt;
 
   /** A rate of 0 or less is no limit. The bucket begins full; its burst is 1 at least. */
-  public RateLimit(double perSecond, double burst, long now) {
+  public TokenBucket(double perSecond, double burst, long now) {
     set(perSecond, burst, now);
     tokens = this.burst;
   }
--- a/core/src/main/java/shelffront/stage/Fence.java
+++ b/core/src/main/java/shelffront/rollout/FencingGuard.java
@@ -1,10 +1,10 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 /**
  * Where acts are taken: refuses one under an epoch older than the newest taken. The last guard, for
  * a gateway that was stopped between looking at its lease and acting, which no lease can prevent.
  */
-public final class Fence {
+public final class FencingGuard {
 
   private long newest;
 
--- a/core/src/main/java/shelffront/stage/Holder.java
+++ b/core/src/main/java/shelffront/rollout/LeaseHolder.java
@@ -1,4 +1,4 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 import java.util.EnumSet;
 import java.util.Set;
@@ -9,7 +9,7 @@
  * key out at a time; reads of the standing may overlap and come late or doubled, and name the term
  * in which they were sent.
  */
-public final class Holder {
+public final class LeaseHolder {
 
   /** What it wants done at the engine. */
   public sealed interface Action {}
@@ -20,24 +20,24 @@
   /** Read its own key: what became of a write is not known. */
   public record Look() implements Action {}
 
-  private final Bounds bounds;
-  private final Set<Rule> off;
+  private final LeaseTimings bounds;
+  private final Set<SafetyRule> off;
   private final int term;
   private final long index; // of its key; 0 before it has joined
   private final long acknowledged;
   private final boolean unsure; // of its key
-  private final Standing held;
+  private final RolloutState held;
   private final long leaseUntil;
   private final long renewAt;
 
-  private Holder(
-      Bounds bounds,
-      Set<Rule> off,
+  private LeaseHolder(
+      LeaseTimings bounds,
+      Set<SafetyRule> off,
       int term,
       long index,
       long acknowledged,
       boolean unsure,
-      Standing held,
+      RolloutState held,
       long leaseUntil,
       long renewAt) {
     this.bounds = bounds;
@@ -52,12 +52,12 @@
   }
 
   /** One that is no member yet. */
-  public static Holder absent(Bounds bounds) {
-    return absent(bounds, EnumSet.noneOf(Rule.class));
+  public static LeaseHolder absent(LeaseTimings bounds) {
+    return absent(bounds, EnumSet.noneOf(SafetyRule.class));
   }
 
-  static Holder absent(Bounds bounds, Set<Rule> off) {
-    return new Holder(bounds, off, 1, 0, 0, false, null, Long.MIN_VALUE, Long.MIN_VALUE);
+  static LeaseHolder absent(LeaseTimings bounds, Set<SafetyRule> off) {
+    return new LeaseHolder(bounds, off, 1, 0, 0, false, null, Long.MIN_VALUE, Long.MIN_VALUE);
   }
 
   /** Grows each time that it has to join anew; its key is named by it. */
@@ -76,8 +76,8 @@
   }
 
   /** What it acts under; null: it is in the safe stage. */
-  public Standing inForce(long now) {
-    return now < leaseUntil || off.contains(Rule.LEASE) ? held : null;
+  public RolloutState inForce(long now) {
+    return now < leaseUntil || off.contains(SafetyRule.LEASE) ? held : null;
   }
 
   /** When what is in force lapses unless it is renewed. */
@@ -95,7 +95,7 @@
     if (unsure) {
       return new Look();
     }
-    boolean quiet = held != null && (oldestOpen >= held.epoch() || off.contains(Rule.QUIET));
+    boolean quiet = held != null && (oldestOpen >= held.epoch() || off.contains(SafetyRule.QUIET));
     long epoch = quiet ? held.epoch() : acknowledged;
     return index == 0 || epoch > acknowledged || now >= renewAt
         ? new Write(index, new Member(epoch, false))
@@ -118,12 +118,12 @@
    * @param sentAt when it was sent: its lease runs from there
    * @param newIndex of its key, where it was taken
    */
-  public Holder written(long sentAt, long now, Write write, boolean taken, long newIndex) {
+  public LeaseHolder written(long sentAt, long now, Write write, boolean taken, long newIndex) {
     if (!taken) {
       return unsure(now);
     }
-    long from = off.contains(Rule.LEASE_FROM_SEND) ? now : sentAt;
-    return new Holder(
+    long from = off.contains(SafetyRule.LEASE_FROM_SEND) ? now : sentAt;
+    return new LeaseHolder(
         bounds,
         off,
         term,
@@ -136,31 +136,32 @@
   }
 
   /** No answer came, or one that does not say: its key has to be looked at. */
-  public Holder unsure(long now) {
-    return new Holder(
+  public LeaseHolder unsure(long now) {
+    return new LeaseHolder(
         bounds, off, term, index, acknowledged, true, held, leaseUntil, now + bounds.renewEvery());
   }
 
   /** Its own key was read; null: there is none. */
-  public Holder looked(long now, Member member, long at) {
+  public LeaseHolder looked(long now, Member member, long at) {
     if (member == null && index == 0) {
-      return new Holder(bounds, off, term, 0, 0, false, held, leaseUntil, now);
+      return new LeaseHolder(bounds, off, term, 0, 0, false, held, leaseUntil, now);
     }
     if (member == null || member.revoked()) {
-      return new Holder(bounds, off, term + 1, 0, 0, false, null, Long.MIN_VALUE, now);
+      return new LeaseHolder(bounds, off, term + 1, 0, 0, false, null, Long.MIN_VALUE, now);
     }
-    return new Holder(bounds, off, term, at, member.epoch(), false, held, leaseUntil, now);
+    return new LeaseHolder(bounds, off, term, at, member.epoch(), false, held, leaseUntil, now);
   }
 
   /**
    * The subject's standing was read, by a read that was sent in this term while it was a member.
    */
-  public Holder heard(int readTerm, Standing standing) {
-    boolean fits = readTerm == term && index != 0 || off.contains(Rule.JOIN_FIRST);
-    if (!fits || held != null && standing.epoch() < held.epoch() && !off.contains(Rule.EPOCH)) {
+  public LeaseHolder heard(int readTerm, RolloutState standing) {
+    boolean fits = readTerm == term && index != 0 || off.contains(SafetyRule.JOIN_FIRST);
+    if (!fits
+        || held != null && standing.epoch() < held.epoch() && !off.contains(SafetyRule.EPOCH)) {
       return this;
     }
-    return new Holder(
+    return new LeaseHolder(
         bounds, off, term, index, acknowledged, unsure, standing, leaseUntil, renewAt);
   }
 
--- a/core/src/main/java/shelffront/stage/Bounds.java
+++ b/core/src/main/java/shelffront/rollout/LeaseTimings.java
@@ -1,4 +1,4 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 /**
  * How long things may last, in microseconds.
@@ -9,10 +9,10 @@
  * @param drift the most that any machine's clock runs fast or slow, as a part of one, below 1
  * @param suspect a member that did not renew for so long holds up a move no more and is revoked
  */
-public record Bounds(long lease, long act, double drift, long suspect) {
+public record LeaseTimings(long lease, long act, double drift, long suspect) {
 
   /** Throws where nothing sensible follows from the figures. */
-  public Bounds {
+  public LeaseTimings {
     if (lease <= 0 || act < 0 || suspect < 0 || !(drift >= 0 && drift < 1)) {
       throw new IllegalArgumentException(
           "a lease above 0, no negative times and a drift of 0 to 1 are wanted");
--- a/core/src/main/java/shelffront/stage/Member.java
+++ b/core/src/main/java/shelffront/rollout/Member.java
@@ -1,4 +1,4 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 /**
  * A gateway that may act on a subject, as the engine keeps it.
--- a/core/src/main/java/shelffront/stage/Owner.java
+++ b/core/src/main/java/shelffront/rollout/RolloutLeader.java
@@ -1,4 +1,4 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -12,7 +12,7 @@
  * write names the index that it replaces, so of two only one is taken. A value; a look at the
  * engine gives the next one.
  */
-public final class Owner {
+public final class RolloutLeader {
 
   /** A member as it was read. */
   public record Seen(Member member, long index) {}
@@ -23,7 +23,7 @@
   public sealed interface Action {}
 
   /** Move the subject on. */
-  public record Move(long index, Standing to) implements Action {}
+  public record Move(long index, RolloutState to) implements Action {}
 
   /** Put an end to a membership that holds up a move. */
   public record Revoke(String key, long index, Member revoked) implements Action {}
@@ -37,17 +37,17 @@
   /** Where no move waits, members that are gone are only taken away in the end. */
   private static final int IDLE_PATIENCE = 10;
 
-  private final Bounds bounds;
-  private final Set<Rule> off;
+  private final LeaseTimings bounds;
+  private final Set<SafetyRule> off;
   private final Map<String, Since> since;
   private final List<Action> actions;
   private final List<String> waitsFor;
   private final long lookedAt;
   private final long wakeAt;
 
-  private Owner(
-      Bounds bounds,
-      Set<Rule> off,
+  private RolloutLeader(
+      LeaseTimings bounds,
+      Set<SafetyRule> off,
       Map<String, Since> since,
       List<Action> actions,
       List<String> waitsFor,
@@ -63,12 +63,12 @@
   }
 
   /** One that has seen nothing yet. */
-  public static Owner fresh(Bounds bounds) {
-    return fresh(bounds, EnumSet.noneOf(Rule.class));
+  public static RolloutLeader fresh(LeaseTimings bounds) {
+    return fresh(bounds, EnumSet.noneOf(SafetyRule.class));
   }
 
-  static Owner fresh(Bounds bounds, Set<Rule> off) {
-    return new Owner(
+  static RolloutLeader fresh(LeaseTimings bounds, Set<SafetyRule> off) {
+    return new RolloutLeader(
         bounds, off, Map.of(), List.of(), List.of(), Long.MIN_VALUE / 2, Long.MAX_VALUE);
   }
 
@@ -89,8 +89,8 @@
   }
 
   /** The same, its actions done or given up. */
-  public Owner done() {
-    return new Owner(bounds, off, since, List.of(), waitsFor, lookedAt, wakeAt);
+  public RolloutLeader done() {
+    return new RolloutLeader(bounds, off, since, List.of(), waitsFor, lookedAt, wakeAt);
   }
 
   /**
@@ -99,7 +99,8 @@
    *
    * @param now when the answer came
    */
-  public Owner looked(long now, Standing standing, long index, Map<String, Seen> members) {
+  public RolloutLeader looked(
+      long now, RolloutState standing, long index, Map<String, Seen> members) {
     Map<String, Since> known = new TreeMap<>();
     List<Action> next = new ArrayList<>();
     List<String> waits = new ArrayList<>();
@@ -118,7 +119,8 @@
           same
               ? before
               : new Since(
-                  seen.index(), revoked && off.contains(Rule.OWN_LAPSE) ? now - lapse() : now);
+                  seen.index(),
+                  revoked && off.contains(SafetyRule.OWN_LAPSE) ? now - lapse() : now);
       known.put(each.getKey(), here);
       if (revoked) {
         long until = here.at() + lapse();
@@ -130,7 +132,9 @@
         }
         continue;
       }
-      if (wanted && seen.member().epoch() != standing.epoch() && !off.contains(Rule.ACKNOWLEDGED)) {
+      if (wanted
+          && seen.member().epoch() != standing.epoch()
+          && !off.contains(SafetyRule.ACKNOWLEDGED)) {
         waits.add(each.getKey());
       }
       if (now - here.at() < patience) {
@@ -142,13 +146,13 @@
     if (wanted && waits.isEmpty()) {
       next.add(0, new Move(index, standing.next()));
     }
-    return new Owner(bounds, off, known, next, wanted ? waits : List.of(), now, wake);
+    return new RolloutLeader(bounds, off, known, next, wanted ? waits : List.of(), now, wake);
   }
 
   private long lapse() {
-    return off.contains(Rule.LAPSE)
+    return off.contains(SafetyRule.LAPSE)
         ? 0
-        : off.contains(Rule.DRIFT) ? bounds.lease() + bounds.act() : bounds.lapse();
+        : off.contains(SafetyRule.DRIFT) ? bounds.lease() + bounds.act() : bounds.lapse();
   }
 
   /** Everything that its behaviour depends on, with times relative to now. */
--- a/core/src/main/java/shelffront/stage/Standing.java
+++ b/core/src/main/java/shelffront/rollout/RolloutState.java
@@ -1,4 +1,4 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 /**
  * Where a subject stands.
@@ -7,17 +7,17 @@
  * @param stage the stage in force, by its place in the subject's order, from 0
  * @param target the stage that is wanted; moves go there one by one
  */
-public record Standing(long epoch, int stage, int target) {
+public record RolloutState(long epoch, int stage, int target) {
 
   /** One step towards the target; itself where it is there. */
-  public Standing next() {
+  public RolloutState next() {
     return stage == target
         ? this
-        : new Standing(epoch + 1, stage + Integer.signum(target - stage), target);
+        : new RolloutState(epoch + 1, stage + Integer.signum(target - stage), target);
   }
 
   /** The same, on its way elsewhere. No move by itself, so the epoch stays. */
-  public Standing towards(int other) {
-    return new Standing(epoch, stage, other);
+  public RolloutState towards(int other) {
+    return new RolloutState(epoch, stage, other);
   }
 }
--- a/core/src/main/java/shelffront/stage/Rule.java
+++ b/core/src/main/java/shelffront/rollout/SafetyRule.java
@@ -1,10 +1,10 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 /**
  * What the mechanism rests on. The model checker switches each off and has to find what then goes
  * wrong.
  */
-public enum Rule {
+public enum SafetyRule {
   /** A stage is in force under a lease only. */
   LEASE,
   /** A lease runs from when its renewal was sent, not from when the answer came. */
--- a/core/src/main/java/shelffront/stage/package-info.java
+++ b/core/src/main/java/shelffront/rollout/package-info.java
@@ -4,11 +4,11 @@
  * falls back to a safe stage by itself.
  *
  * <p>The engine (a store with check-and-set) keeps two kinds of keys: a subject's {@link
- * shelffront.stage.Standing}, and a {@link shelffront.stage.Member} for each gateway that may act
- * on it. {@link shelffront.stage.Holder} is a gateway's side, {@link shelffront.stage.Owner}
- * decides when a subject moves. Both are values: an event gives the next value, and nothing here
- * does input or output or reads a clock. Times are microseconds of the caller's own monotonic
- * clock; no two callers' clocks are compared.
+ * shelffront.rollout.RolloutState}, and a {@link shelffront.rollout.Member} for each gateway that
+ * may act on it. {@link shelffront.rollout.LeaseHolder} is a gateway's side, {@link
+ * shelffront.rollout.RolloutLeader} decides when a subject moves. Both are values: an event gives
+ * the next value, and nothing here does input or output or reads a clock. Times are microseconds of
+ * the caller's own monotonic clock; no two callers' clocks are compared.
  *
  * <p>Why it holds. A gateway acts on a standing only while it is a member with a lease. Its lease
  * runs from when it sent the write that renewed it, so it began before the engine took that write.
@@ -24,4 +24,4 @@
  * leases (Rae et al., <i>Online, Asynchronous Schema Change in F1</i>, VLDB 2013), fencing tokens
  * (Kleppmann, 2016).
  */
-package shelffront.stage;
+package shelffront.rollout;
--- a/core/src/main/java/shelffront/route/Router.java
+++ b/core/src/main/java/shelffront/routing/Router.java
@@ -1,4 +1,4 @@
-package shelffront.route;
+package shelffront.routing;
 
 import java.util.List;
 
@@ -20,7 +20,7 @@
   long UNKNOWN = Long.MIN_VALUE / 4;
 
   /** What a request class needs of the member that answers it. */
-  enum Read {
+  enum Consistency {
     WRITE,
     FRESH,
     SESSION,
@@ -29,14 +29,14 @@
   }
 
   /** Whether a request may run more than once. */
-  enum Effect {
+  enum Idempotency {
     REPEATABLE,
     KEYED,
     ONCE
   }
 
   /** The members that discard repeats of a keyed request. */
-  enum Scope {
+  enum DeduplicationScope {
     ALL,
     ZONE,
     GROUP
@@ -50,14 +50,14 @@
   }
 
   /** Where members' reports about themselves arrive. */
-  enum ReportSource {
+  enum LoadReportSource {
     NONE,
     ANSWERS,
     PROBES
   }
 
   /** How the list of members follows the roles. */
-  enum ListRole {
+  enum ListedRoles {
     NONE,
     AT_START,
     LATE
@@ -81,7 +81,7 @@
    * Kind of news about the list; {@code REMEMBERED} is the last list before a restart, maybe
    * outdated.
    */
-  enum ListKind {
+  enum EndpointUpdateKind {
     CHANGES,
     ALL,
     REMEMBERED,
@@ -89,7 +89,7 @@
   }
 
   /** How an attempt or a probe ended. */
-  enum Status {
+  enum AttemptStatus {
     OK(false),
     ERROR(false),
     FULL(true),
@@ -103,49 +103,49 @@
     /** True when this outcome proves that the request never ran. */
     public final boolean neverRan;
 
-    Status(boolean neverRan) {
+    AttemptStatus(boolean neverRan) {
       this.neverRan = neverRan;
     }
   }
 
   /** One request class. {@code bound} is the greatest age of data, for bounded reads. */
-  record ClassSettings(
+  record RequestClass(
       String name,
       long aim,
       long deadline,
       double worth,
       double lateShare,
-      Effect effect,
-      Scope scope,
+      Idempotency effect,
+      DeduplicationScope scope,
       long window,
-      Read read,
+      Consistency read,
       long bound) {
 
     public boolean repeatable() {
-      return effect == Effect.REPEATABLE;
+      return effect == Idempotency.REPEATABLE;
     }
 
     public boolean once() {
-      return effect == Effect.ONCE;
+      return effect == Idempotency.ONCE;
     }
 
     /** Whether those of the given scope drop a repeat of a request of this class. */
-    public boolean keyedFor(Scope given) {
-      return effect == Effect.KEYED && scope == given;
+    public boolean keyedFor(DeduplicationScope given) {
+      return effect == Idempotency.KEYED && scope == given;
     }
 
     public boolean writes() {
-      return read == Read.WRITE;
+      return read == Consistency.WRITE;
     }
 
     /** Whether only the primary may answer it. */
     public boolean needsPrimary() {
-      return read == Read.WRITE || read == Read.FRESH;
+      return read == Consistency.WRITE || read == Consistency.FRESH;
     }
   }
 
   /** The figures of the rules. */
-  record Rules(
+  record SafetyRules(
       long drainGrace,
       double coldFrom,
       long coldTime,
@@ -156,7 +156,7 @@
       long answerSlack) {}
 
   /** What the site permits; a connection that takes longer than its limit to set up fails. */
-  record Limits(
+  record OperatingLimits(
       int attempts,
       long maxRetryAfter,
       boolean retryAfter,
@@ -180,26 +180,26 @@
    * Everything an instance is told at its start. {@code tick} is the shortest time between two
    * events.
    */
-  record Settings(
+  record RoutingSettings(
       int self,
       int routers,
       String zone,
       long tick,
-      List<ClassSettings> classes,
+      List<RequestClass> classes,
       LagCheck check,
       long hold,
       boolean answersStamped,
       boolean tokensCarried,
-      ListRole listRole,
+      ListedRoles listRole,
       boolean listAsked,
-      ReportSource reports,
-      Rules rules,
-      Limits limits,
+      LoadReportSource reports,
+      SafetyRules rules,
+      OperatingLimits limits,
       double crossZonePrice,
       double probePrice) {}
 
   /** A line of the list. {@code startedAt} is 0 when the member has been up for long. */
-  record Member(
+  record Endpoint(
       String id,
       String kind,
       String zone,
@@ -209,13 +209,14 @@
       boolean primary,
       Availability availability) {
 
-    public Member as(Availability other) {
-      return new Member(id, kind, zone, group, size, startedAt, primary, other);
+    public Endpoint as(Availability other) {
+      return new Endpoint(id, kind, zone, group, size, startedAt, primary, other);
     }
   }
 
   /** A member's report about itself; negative figures and {@link #UNKNOWN} were not given. */
-  record Load(long position, Role role, double outstanding, double queued, double utilization) {}
+  record LoadReport(
+      long position, Role role, double outstanding, double queued, double utilization) {}
 
   /**
    * A request. {@code left} is the time until the client gives up, {@code after} the carried
@@ -231,24 +232,24 @@
       boolean repeat) {}
 
   /** How an attempt ended; {@code finished} when the client has had its answer. */
-  record Outcome(
+  record AttemptOutcome(
       String requestId,
       int attempt,
       String member,
-      Status status,
+      AttemptStatus status,
       boolean finished,
       long took,
       Role role,
       long position,
-      Load load) {}
+      LoadReport load) {}
 
-  void onStart(long now, long seed, Settings settings);
+  void onStart(long now, long seed, RoutingSettings settings);
 
-  void onMembers(long now, ListKind kind, long version, List<Member> members);
+  void onMembers(long now, EndpointUpdateKind kind, long version, List<Endpoint> members);
 
   void onRequest(long now, Request request);
 
-  void onOutcome(long now, Outcome outcome);
+  void onOutcome(long now, AttemptOutcome outcome);
 
   /**
    * Whether an attempt may be written now that a connection is there for it: while it waited its
@@ -258,7 +259,7 @@
    */
   boolean mayStart(long now, String requestId, int attempt);
 
-  void onProbeResult(long now, String member, Status status, long took, Load load);
+  void onProbeResult(long now, String member, AttemptStatus status, long took, LoadReport load);
 
   void onMessage(long now, int from, byte[] payload);
 
--- a/core/src/main/java/shelffront/count/Window.java
+++ b/core/src/main/java/shelffront/statistics/ConcurrencyLimit.java
@@ -1,10 +1,10 @@
-package shelffront.count;
+package shelffront.statistics;
 
 /**
  * How many requests a member may have at a time: it grows by what is answered well and is cut by
  * what is not, at most once in an answer time. Under one it spaces requests out instead.
  */
-public final class Window {
+public final class ConcurrencyLimit {
 
   private static final double MOST = 200;
   private static final double LEAST = 0.05;
--- a/core/src/main/java/shelffront/count/Recent.java
+++ b/core/src/main/java/shelffront/statistics/DecayingAverage.java
@@ -1,18 +1,18 @@
-package shelffront.count;
+package shelffront.statistics;
 
 /**
  * Events of late, each worth less the longer ago it was: their count and the mean of their values.
  * An event's weight falls to 1/e in {@link #seconds}; times are microseconds and must not step
  * back.
  */
-public final class Recent {
+public final class DecayingAverage {
 
   public final double seconds;
   private double count;
   private double sum;
   private long since;
 
-  public Recent(double seconds) {
+  public DecayingAverage(double seconds) {
     this.seconds = seconds;
   }
 
--- a/core/src/main/java/shelffront/count/AnswerTimes.java
+++ b/core/src/main/java/shelffront/statistics/LatencyStatistics.java
@@ -1,11 +1,11 @@
-package shelffront.count;
+package shelffront.statistics;
 
 /**
  * What the answer times of a member come to: their smoothed length, and their load, which is the
  * length as a share of the aim that each answer had. A new one counts for 15 % at least, and for
  * more the longer the last one is past.
  */
-public final class AnswerTimes {
+public final class LatencyStatistics {
 
   private static final double LEAST_WEIGHT = 0.15;
 
@@ -15,7 +15,7 @@
   private double at = Double.NEGATIVE_INFINITY;
 
   /** The smoothing is in microseconds: the time after which what is past counts for a third. */
-  public AnswerTimes(double smoothing, double took, double load) {
+  public LatencyStatistics(double smoothing, double took, double load) {
     this.smoothing = smoothing;
     this.took = took;
     this.load = load;
--- a/core/src/main/java/shelffront/time/Timers.java
+++ b/core/src/main/java/shelffront/time/TimerQueue.java
@@ -10,7 +10,7 @@
  * times and, at the same time, in the order in which they were set. Times are microseconds; the
  * caller passes the present in.
  */
-public final class Timers {
+public final class TimerQueue {
 
   private record Timer(long at, long order, BooleanSupplier wanted, Runnable task) {}
 
@@ -23,7 +23,7 @@
   /**
    * The alarm is told each time that is earlier than those it was told since the last {@link #run}.
    */
-  public Timers(LongConsumer alarm) {
+  public TimerQueue(LongConsumer alarm) {
     this.alarm = alarm;
   }
 
--- a/core/src/test/java/shelffront/ArrowsTest.java
+++ b/core/src/test/java/shelffront/ArchitectureTest.java
@@ -16,7 +16,7 @@
  * own.
  */
 @AnalyzeClasses(packages = "shelffront", importOptions = DoNotIncludeTests.class)
-class ArrowsTest {
+class ArchitectureTest {
 
   @ArchTest
   static final ArchRule NO_INPUT_OUTPUT =
@@ -41,7 +41,7 @@
   static final ArchRule ONE_THREAD =
       noClasses()
           .that()
-          .resideOutsideOfPackage("shelffront.share")
+          .resideOutsideOfPackage("shelffront.quota")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage("java.util.concurrent..");
--- a/core/src/test/java/shelffront/marks/ProgressTest.java
+++ b/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
@@ -1,4 +1,4 @@
-package shelffront.marks;
+package shelffront.consistency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What is believed of a replica's place in the log, on both sides of each boundary. */
-class ProgressTest {
+class ReplicationProgressTest {
 
   private static final long MS = 1000;
   private static final long NOW = 1_000_000_000;
 
-  private final Progress progress = new Progress();
+  private final ReplicationProgress progress = new ReplicationProgress();
 
   @BeforeEach
   void hundredBehind() {
@@ -22,8 +22,8 @@
 
   @Test
   void nothingIsKnownBeforeTheFirstWord() {
-    assertFalse(new Progress().has(0));
-    assertFalse(new Progress().mayHave(NOW, 0, 0));
+    assertFalse(new ReplicationProgress().has(0));
+    assertFalse(new ReplicationProgress().mayHave(NOW, 0, 0));
   }
 
   @Test
@@ -61,7 +61,7 @@
     assertEquals(NOW + 400 * MS, progress.heardAt(), "at its lag of 100 ms it was there then");
     progress.proved(NOW + 600 * MS, NOW + 200 * MS);
     assertEquals(NOW + 400 * MS, progress.heardAt(), "one that needed less proves nothing new");
-    Progress first = new Progress();
+    ReplicationProgress first = new ReplicationProgress();
     first.proved(NOW, NOW - 500 * MS);
     assertTrue(first.has(NOW - 500 * MS));
   }
@@ -71,9 +71,9 @@
    */
   @Test
   void theFurtherBehindTheLaterANewWordIsWorthAProbe() {
-    assertEquals(100 * MS, new Progress().newsAfter());
+    assertEquals(100 * MS, new ReplicationProgress().newsAfter());
     assertEquals(100 * MS, progress.newsAfter());
-    Progress old = new Progress();
+    ReplicationProgress old = new ReplicationProgress();
     old.advance(NOW, NOW - 8_000 * MS);
     assertEquals(2_000 * MS, old.newsAfter());
   }
--- a/core/src/test/java/shelffront/decide/DecisionModuleSourceTest.java
+++ b/core/src/test/java/shelffront/decision/DecisionModuleSourceTest.java
@@ -1,4 +1,4 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,7 +19,7 @@
 class DecisionModuleSourceTest {
 
   private static final Path REPOSITORY = Path.of("..");
-  private static final Path MODULE = Path.of("src/main/java/shelffront/decide");
+  private static final Path MODULE = Path.of("src/main/java/shelffront/decision");
   private static final int MAX_LINE_CHARACTERS = 100;
   private static final int MAX_FILE_LINES = 250;
 
--- a/core/src/test/java/shelffront/decide/FailureTest.java
+++ b/core/src/test/java/shelffront/decision/FailureHandlingTest.java
@@ -1,4 +1,4 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,18 +8,18 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import shelffront.route.Router;
-import shelffront.route.Router.ListKind;
-import shelffront.route.Router.Role;
-import shelffront.route.Router.Status;
+import shelffront.routing.Router;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.EndpointUpdateKind;
+import shelffront.routing.Router.Role;
 
 /**
  * What the module does when things fail; each test stands for a failure met on the bench or on a
  * page.
  */
-class FailureTest {
+class FailureHandlingTest {
 
-  private final Bed bed = new Bed();
+  private final RoutingTestHarness bed = new RoutingTestHarness();
 
   private long sendsTo(String member) {
     return bed.news().stream().filter(l -> l.startsWith("send") && l.endsWith(member)).count();
@@ -29,44 +29,45 @@
   void aMemberThatHoldsWorkAndAnswersNothingIsLeftAloneAndItsReadsAreCopied() {
     bed.start();
     for (int i = 0; i < 12; i++) {
-      bed.request("a" + i, Bed.ANY);
+      bed.request("a" + i, RoutingTestHarness.ANY);
     }
     List<String> sent = bed.news();
     for (String line : sent) {
       if (line.endsWith("m3")) {
-        bed.outcome(line.split(" ")[1], 0, "m3", Status.OK, Role.REPLICA);
+        bed.outcome(line.split(" ")[1], 0, "m3", AttemptStatus.OK, Role.REPLICA);
       }
     }
-    bed.pass(390 * Bed.MS);
+    bed.pass(390 * RoutingTestHarness.MS);
     List<String> news = bed.news();
     assertTrue(
         news.stream().anyMatch(l -> l.startsWith("send") && l.endsWith("m3")), news.toString());
     assertTrue(news.stream().anyMatch(l -> l.startsWith("cancel")), news.toString());
-    bed.request("b", Bed.ANY);
+    bed.request("b", RoutingTestHarness.ANY);
     assertFalse(bed.news().contains("send b m2"));
   }
 
   @Test
   void aRefusedConnectionIsThinProofButFailedProbesAddUp() {
     bed.start();
-    bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
+    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.DRAINING));
     for (int i = 0; i < 3; i++) {
-      bed.request("a" + i, Bed.ANY);
-      bed.outcome("a" + i, 0, "m2", Status.CONNECT_FAILED, Role.UNKNOWN);
+      bed.request("a" + i, RoutingTestHarness.ANY);
+      bed.outcome("a" + i, 0, "m2", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
     }
     assertEquals(3, sendsTo("m2"), "one that is well loses connections too");
-    bed.request("b", Bed.ANY);
+    bed.request("b", RoutingTestHarness.ANY);
     assertEquals(0, sendsTo("m2"), "none for a moment");
     bed.probed("m2", Role.REPLICA, bed.now);
-    bed.pass(45 * Bed.MS);
-    bed.request("c", Bed.ANY);
+    bed.pass(45 * RoutingTestHarness.MS);
+    bed.request("c", RoutingTestHarness.ANY);
     assertTrue(sendsTo("m2") > 0, "its table was full, it lives");
     for (int i = 0; i < 6; i++) {
-      bed.router.onProbeResult(bed.now, "m2", Status.TIMEOUT, 250 * Bed.MS, null);
+      bed.router.onProbeResult(
+          bed.now, "m2", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
     }
     bed.news();
-    bed.pass(400 * Bed.MS);
-    bed.request("d", Bed.ANY);
+    bed.pass(400 * RoutingTestHarness.MS);
+    bed.request("d", RoutingTestHarness.ANY);
     assertEquals(0, sendsTo("m2"), "six failures in a row");
   }
 
@@ -74,15 +75,15 @@
   @Test
   void idleConnectionsAreGivenBackWhileTheyAreScarce() {
     bed.start();
-    bed.request("a", Bed.ONCE);
-    bed.outcome("a", 0, "m1", Status.OK, Role.PRIMARY);
+    bed.request("a", RoutingTestHarness.ONCE);
+    bed.outcome("a", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
     assertFalse(bed.news().contains("closeIdle m1"), "kept while nothing is refused");
-    bed.request("b", Bed.ONCE);
+    bed.request("b", RoutingTestHarness.ONCE);
     for (int i = 0; i < 3; i++) {
-      bed.outcome("b", i, "m1", Status.CONNECT_FAILED, Role.UNKNOWN);
+      bed.outcome("b", i, "m1", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
     }
-    bed.pass(45 * Bed.MS);
-    bed.outcome("b", 3, "m1", Status.OK, Role.PRIMARY);
+    bed.pass(45 * RoutingTestHarness.MS);
+    bed.outcome("b", 3, "m1", AttemptStatus.OK, Role.PRIMARY);
     assertTrue(bed.news().contains("closeIdle m1"));
   }
 
@@ -90,18 +91,18 @@
   void aBannedPrimaryGetsAnUnsafeWriteAgainOnceAProbeProvesIt() {
     bed.start();
     for (int i = 0; i < 6; i++) {
-      bed.request("w" + i, Bed.ONCE);
+      bed.request("w" + i, RoutingTestHarness.ONCE);
     }
-    bed.pass(600 * Bed.MS);
-    bed.request("x", Bed.ONCE);
+    bed.pass(600 * RoutingTestHarness.MS);
+    bed.request("x", RoutingTestHarness.ONCE);
     bed.news();
-    bed.pass(400 * Bed.MS);
+    bed.pass(400 * RoutingTestHarness.MS);
     assertFalse(bed.news().contains("send x m1"), "silent");
     for (int i = 0; i < 6; i++) {
-      bed.outcome("w" + i, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
+      bed.outcome("w" + i, 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
     }
-    bed.pass(2_500 * Bed.MS);
-    bed.request("y", Bed.ONCE);
+    bed.pass(2_500 * RoutingTestHarness.MS);
+    bed.request("y", RoutingTestHarness.ONCE);
     assertFalse(bed.news().contains("send y m1"), "not proved");
     bed.probed("m1", Role.PRIMARY, bed.now);
     assertTrue(bed.news().contains("send y m1"), "proved");
@@ -115,19 +116,20 @@
   void whatOthersOvertookSaysNothingOfItsMember() {
     bed.start();
     for (int lost = 0; lost < 6; lost++) {
-      bed.request("lost" + lost, Bed.ONCE);
+      bed.request("lost" + lost, RoutingTestHarness.ONCE);
       for (int i = 0; i < 4; i++) {
-        bed.pass(40 * Bed.MS);
-        bed.request("w" + lost + i, Bed.ONCE);
-        bed.outcome("w" + lost + i, 0, "m1", Status.OK, Role.PRIMARY, 5 * Bed.MS);
+        bed.pass(40 * RoutingTestHarness.MS);
+        bed.request("w" + lost + i, RoutingTestHarness.ONCE);
+        bed.outcome(
+            "w" + lost + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY, 5 * RoutingTestHarness.MS);
       }
       bed.news();
-      bed.pass(2_700 * Bed.MS);
-      bed.outcome("lost" + lost, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
+      bed.pass(2_700 * RoutingTestHarness.MS);
+      bed.outcome("lost" + lost, 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
     }
     bed.news();
     for (int i = 0; i < 5; i++) {
-      bed.request("after" + i, Bed.ONCE);
+      bed.request("after" + i, RoutingTestHarness.ONCE);
     }
     assertEquals(5, sendsTo("m1"));
   }
@@ -136,39 +138,39 @@
   void aMemberThatOnlyOwesWhatOthersOvertookIsNotSilent() {
     bed.start();
     for (int i = 0; i < 120; i++) {
-      bed.request("w" + i, Bed.ONCE);
-      bed.outcome("w" + i, 0, "m1", Status.OK, Role.PRIMARY, 10 * Bed.MS);
+      bed.request("w" + i, RoutingTestHarness.ONCE);
+      bed.outcome("w" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY, 10 * RoutingTestHarness.MS);
     }
-    bed.request("lost", Bed.ONCE);
-    bed.pass(Bed.MS);
-    bed.request("later", Bed.ONCE);
-    bed.outcome("later", 0, "m1", Status.OK, Role.PRIMARY, 10 * Bed.MS);
-    bed.pass(500 * Bed.MS);
+    bed.request("lost", RoutingTestHarness.ONCE);
+    bed.pass(RoutingTestHarness.MS);
+    bed.request("later", RoutingTestHarness.ONCE);
+    bed.outcome("later", 0, "m1", AttemptStatus.OK, Role.PRIMARY, 10 * RoutingTestHarness.MS);
+    bed.pass(500 * RoutingTestHarness.MS);
     bed.news();
-    bed.request("next", Bed.ONCE);
+    bed.request("next", RoutingTestHarness.ONCE);
     assertTrue(bed.news().contains("send next m1"));
   }
 
   @Test
   void aReadThatOthersOvertookIsCopied() {
     bed.start();
-    bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
+    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.DRAINING));
     for (int i = 0; i < 120; i++) {
-      bed.request("r" + i, Bed.ANY);
-      bed.outcome("r" + i, 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
+      bed.request("r" + i, RoutingTestHarness.ANY);
+      bed.outcome("r" + i, 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
     }
-    bed.request("lost", Bed.ANY);
-    bed.pass(Bed.MS);
-    bed.request("later", Bed.ANY);
-    bed.outcome("later", 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
-    bed.changed(Bed.member("m3", 0, Router.Availability.LIVE));
+    bed.request("lost", RoutingTestHarness.ANY);
+    bed.pass(RoutingTestHarness.MS);
+    bed.request("later", RoutingTestHarness.ANY);
+    bed.outcome("later", 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
+    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.LIVE));
     bed.probed("m3", Role.REPLICA, bed.now);
     bed.news();
     for (int i = 0; i < 30; i++) {
-      bed.pass(10 * Bed.MS);
-      bed.request("s" + i, Bed.ANY);
-      bed.outcome("s" + i, 0, "m2", Status.OK, Role.REPLICA, 10 * Bed.MS);
-      bed.outcome("s" + i, 0, "m3", Status.OK, Role.REPLICA, 10 * Bed.MS);
+      bed.pass(10 * RoutingTestHarness.MS);
+      bed.request("s" + i, RoutingTestHarness.ANY);
+      bed.outcome("s" + i, 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
+      bed.outcome("s" + i, 0, "m3", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
     }
     List<String> news = bed.news();
     assertTrue(news.contains("send lost m3"), news.toString());
@@ -180,21 +182,22 @@
   void aPrimaryOnTrialIsProbedUntilItIsProved() {
     bed.start();
     for (int i = 0; i < 6; i++) {
-      bed.request("w" + i, Bed.ONCE);
+      bed.request("w" + i, RoutingTestHarness.ONCE);
     }
-    bed.pass(600 * Bed.MS);
-    bed.request("x", Bed.ONCE);
-    bed.pass(2_500 * Bed.MS);
+    bed.pass(600 * RoutingTestHarness.MS);
+    bed.request("x", RoutingTestHarness.ONCE);
+    bed.pass(2_500 * RoutingTestHarness.MS);
     for (int i = 0; i < 6; i++) {
-      bed.outcome("w" + i, 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
+      bed.outcome("w" + i, 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
     }
-    bed.router.onProbeResult(bed.now, "m1", Status.TIMEOUT, 250 * Bed.MS, null);
+    bed.router.onProbeResult(
+        bed.now, "m1", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
     bed.probed("m2", Role.REPLICA, bed.now);
     bed.probed("m3", Role.REPLICA, bed.now);
-    bed.pass(2_500 * Bed.MS);
+    bed.pass(2_500 * RoutingTestHarness.MS);
     long before = bed.probesOf("m1");
-    bed.request("y", Bed.ONCE);
-    bed.pass(300 * Bed.MS);
+    bed.request("y", RoutingTestHarness.ONCE);
+    bed.pass(300 * RoutingTestHarness.MS);
     assertTrue(bed.probesOf("m1") > before);
   }
 
@@ -202,11 +205,12 @@
   void aMemberThatAnswersProbesAgainIsUsedAtOnce() {
     bed.start();
     for (int i = 0; i < 8; i++) {
-      bed.router.onProbeResult(bed.now, "m1", Status.TIMEOUT, 250 * Bed.MS, null);
+      bed.router.onProbeResult(
+          bed.now, "m1", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
     }
-    bed.request("w", Bed.ONCE);
+    bed.request("w", RoutingTestHarness.ONCE);
     assertFalse(bed.news().contains("send w m1"), "it answers no probe");
-    bed.pass(200 * Bed.MS);
+    bed.pass(200 * RoutingTestHarness.MS);
     bed.probed("m1", Role.PRIMARY, bed.now);
     assertTrue(bed.news().contains("send w m1"), "it does");
   }
@@ -217,25 +221,26 @@
    */
   @Test
   void whatWasHeldAndSentIsNotSentAgainWhenItsHoldWouldHaveEnded() {
-    for (int type : List.of(Bed.ONCE, Bed.KEYED, Bed.FRESH)) {
-      Bed held = new Bed();
+    for (int type :
+        List.of(RoutingTestHarness.ONCE, RoutingTestHarness.KEYED, RoutingTestHarness.FRESH)) {
+      RoutingTestHarness held = new RoutingTestHarness();
       held.start();
-      held.changed(Bed.member("m1", 0, Router.Availability.DRAINING));
+      held.changed(RoutingTestHarness.member("m1", 0, Router.Availability.DRAINING));
       held.request("r", type);
-      held.pass(100 * Bed.MS);
-      held.changed(Bed.member("m1", 0, Router.Availability.LIVE));
+      held.pass(100 * RoutingTestHarness.MS);
+      held.changed(RoutingTestHarness.member("m1", 0, Router.Availability.LIVE));
       held.probed("m1", Role.PRIMARY, held.now);
       for (String line : held.news()) {
         if (line.startsWith("send r") && !line.endsWith("m1")) {
-          held.outcome("r", 0, line.split(" ")[2], Status.MISS, Role.REPLICA);
+          held.outcome("r", 0, line.split(" ")[2], AttemptStatus.MISS, Role.REPLICA);
         }
       }
-      held.pass(20 * Bed.MS);
+      held.pass(20 * RoutingTestHarness.MS);
       held.news();
       for (int i = 0; i < 50; i++) {
-        held.pass(20 * Bed.MS);
-        held.request("w" + i, Bed.ONCE);
-        held.outcome("w" + i, 0, "m1", Status.OK, Role.PRIMARY, 5 * Bed.MS);
+        held.pass(20 * RoutingTestHarness.MS);
+        held.request("w" + i, RoutingTestHarness.ONCE);
+        held.outcome("w" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY, 5 * RoutingTestHarness.MS);
       }
       assertFalse(
           held.news().stream().anyMatch(l -> l.matches("(send|reject|fail) r( .*)?")),
@@ -246,16 +251,17 @@
   @Test
   void whatWasNeverTriedIsRefusedBeforeHalfOfItsTime() {
     bed.start();
-    bed.changed(Bed.member("m1", 0, Router.Availability.DRAINING));
+    bed.changed(RoutingTestHarness.member("m1", 0, Router.Availability.DRAINING));
     for (String m : List.of("m2", "m3")) {
       for (int i = 0; i < 12; i++) {
-        bed.router.onProbeResult(bed.now, m, Status.TIMEOUT, 250 * Bed.MS, null);
+        bed.router.onProbeResult(
+            bed.now, m, AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
       }
     }
-    bed.request("w", Bed.ONCE);
-    bed.pass(1_100 * Bed.MS);
+    bed.request("w", RoutingTestHarness.ONCE);
+    bed.pass(1_100 * RoutingTestHarness.MS);
     assertFalse(bed.news().stream().anyMatch(l -> l.startsWith("reject w")));
-    bed.pass(150 * Bed.MS);
+    bed.pass(150 * RoutingTestHarness.MS);
     assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("reject w")));
   }
 
@@ -269,16 +275,16 @@
 
   /** Two hundred reads that no replica covers, over ten seconds. */
   private static long probesOfHeldReads(double price) {
-    Bed held = new Bed();
+    RoutingTestHarness held = new RoutingTestHarness();
     held.probePrice = price;
     held.start();
-    held.pass(2_000 * Bed.MS);
+    held.pass(2_000 * RoutingTestHarness.MS);
     long before = held.probes();
     for (int i = 0; i < 200; i++) {
-      held.request("r" + i, Bed.BOUNDED);
-      held.pass(50 * Bed.MS);
-      held.probed("m2", Role.REPLICA, held.now - 5_000 * Bed.MS);
-      held.probed("m3", Role.REPLICA, held.now - 5_000 * Bed.MS);
+      held.request("r" + i, RoutingTestHarness.BOUNDED);
+      held.pass(50 * RoutingTestHarness.MS);
+      held.probed("m2", Role.REPLICA, held.now - 5_000 * RoutingTestHarness.MS);
+      held.probed("m3", Role.REPLICA, held.now - 5_000 * RoutingTestHarness.MS);
     }
     return held.probes() - before;
   }
@@ -286,11 +292,11 @@
   @Test
   void connectionsRefusedSendAnUnsafeWriteElsewhereOnceThePrimaryIsTold() {
     bed.start();
-    bed.request("w", Bed.ONCE);
+    bed.request("w", RoutingTestHarness.ONCE);
     for (int i = 0; i < 3; i++) {
-      bed.outcome("w", i, "m1", Status.CONNECT_FAILED, Role.UNKNOWN);
+      bed.outcome("w", i, "m1", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
     }
-    bed.pass(30 * Bed.MS);
+    bed.pass(30 * RoutingTestHarness.MS);
     bed.probed("m2", Role.PRIMARY, bed.now);
     assertEquals(
         List.of("send w m1", "send w m1", "send w m1", "send w m2"),
@@ -301,12 +307,12 @@
   void abandonedReadsLowerAMembersLimitUnderOneAtATime() {
     bed.routers = 20;
     bed.start();
-    bed.changed(Bed.member("m3", 0, Router.Availability.DRAINING));
+    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.DRAINING));
     for (int i = 0; i < 60; i++) {
-      bed.request("a" + i, Bed.BOUNDED);
+      bed.request("a" + i, RoutingTestHarness.BOUNDED);
       bed.probed("m2", Role.REPLICA, bed.now);
-      bed.pass(450 * Bed.MS);
-      bed.outcome("a" + i, 0, "m2", Status.TIMEOUT, Role.UNKNOWN);
+      bed.pass(450 * RoutingTestHarness.MS);
+      bed.outcome("a" + i, 0, "m2", AttemptStatus.TIMEOUT, Role.UNKNOWN);
     }
     assertTrue(sendsTo("m2") < 40, "a member that answers no read in time is not asked each time");
   }
@@ -314,7 +320,10 @@
   @Test
   void aTryWithTooLittleTimeLeftIsRefusedAtOnceInsteadOfWorkedOnInVain() {
     bed.start();
-    bed.router.onRequest(bed.now, new Router.Request("a", Bed.ONCE, "s", 1, 60 * Bed.MS, 0, true));
+    bed.router.onRequest(
+        bed.now,
+        new Router.Request(
+            "a", RoutingTestHarness.ONCE, "s", 1, 60 * RoutingTestHarness.MS, 0, true));
     assertEquals(List.of("reject a"), bed.news());
   }
 
@@ -322,10 +331,10 @@
   void whatEarnsMostForItsWorkLeavesTheQueueFirst() {
     bed.bare("m1", "m2", "m3");
     bed.news();
-    bed.request("low", Bed.FRESH);
-    bed.request("high", Bed.KEYED);
-    bed.outcome("high", 0, "m1", Status.MISS, Role.REPLICA);
-    bed.outcome("high", 1, "m2", Status.OK, Role.PRIMARY);
+    bed.request("low", RoutingTestHarness.FRESH);
+    bed.request("high", RoutingTestHarness.KEYED);
+    bed.outcome("high", 0, "m1", AttemptStatus.MISS, Role.REPLICA);
+    bed.outcome("high", 1, "m2", AttemptStatus.OK, Role.PRIMARY);
     assertEquals(List.of("send high m1", "send high m2", "send low m2"), bed.news());
   }
 
@@ -335,8 +344,8 @@
     bed.bare("m1");
     assertTrue(bed.news().contains("subscribe true"));
     for (int i = 0; i < 8; i++) {
-      bed.router.onMembers(bed.now, ListKind.FAILED, 0, List.of());
-      bed.pass(3_100 * Bed.MS);
+      bed.router.onMembers(bed.now, EndpointUpdateKind.FAILED, 0, List.of());
+      bed.pass(3_100 * RoutingTestHarness.MS);
       assertEquals(List.of("subscribe true"), bed.news());
     }
   }
@@ -352,12 +361,12 @@
         Duration.ofSeconds(20),
         () -> {
           for (int i = 0; i < 20_000; i++) {
-            bed.request("held" + i, Bed.FRESH);
+            bed.request("held" + i, RoutingTestHarness.FRESH);
           }
           for (int i = 0; i < 20_000; i++) {
-            bed.outcome("unknown", 0, "m2", Status.OK, Role.REPLICA);
-            bed.request("a" + i, Bed.ANY);
-            bed.outcome("a" + i, 0, "m2", Status.OK, Role.REPLICA);
+            bed.outcome("unknown", 0, "m2", AttemptStatus.OK, Role.REPLICA);
+            bed.request("a" + i, RoutingTestHarness.ANY);
+            bed.outcome("a" + i, 0, "m2", AttemptStatus.OK, Role.REPLICA);
           }
         });
   }
@@ -366,10 +375,10 @@
   void unknownMessagesAndLateEventsArePassedOver() {
     bed.start();
     bed.router.onMessage(bed.now, 2, new byte[] {9, 9});
-    bed.outcome("never", 0, "m1", Status.OK, Role.PRIMARY);
-    bed.outcome("never", 3, "nobody", Status.RESET, Role.UNKNOWN);
+    bed.outcome("never", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
+    bed.outcome("never", 3, "nobody", AttemptStatus.RESET, Role.UNKNOWN);
     bed.router.onClientGone(bed.now, "never");
-    bed.router.onProbeResult(bed.now, "nobody", Status.OK, 1, null);
+    bed.router.onProbeResult(bed.now, "nobody", AttemptStatus.OK, 1, null);
     bed.router.onTimer(bed.now, "odd");
     assertEquals(List.of(), bed.news());
   }
@@ -386,12 +395,12 @@
       bed.probed(id, Role.REPLICA, bed.now);
     }
     bed.out.lines.clear();
-    bed.pass(30_000 * Bed.MS);
+    bed.pass(30_000 * RoutingTestHarness.MS);
     assertEquals(List.of(), bed.out.lines, "nothing needs a position");
-    bed.request("a", Bed.BOUNDED);
+    bed.request("a", RoutingTestHarness.BOUNDED);
     assertEquals(2, bed.out.lines.size(), "two are asked, not the whole group");
     String asked = bed.out.lines.get(0).substring("probe ".length());
-    bed.probed(asked, Role.REPLICA, bed.now - 100 * Bed.MS);
+    bed.probed(asked, Role.REPLICA, bed.now - 100 * RoutingTestHarness.MS);
     assertTrue(bed.out.lines.contains("send a " + asked), bed.out.lines.toString());
   }
 
@@ -402,15 +411,15 @@
   @Test
   void aLateAnswerOfOneMemberHoldsBackReadsThatTheGroupCouldNotAnswerInTime() {
     bed.start();
-    bed.request("a", Bed.SESSION);
-    bed.pass(2_000 * Bed.MS);
+    bed.request("a", RoutingTestHarness.SESSION);
+    bed.pass(2_000 * RoutingTestHarness.MS);
     bed.news();
-    bed.outcome("a", 0, "m2", Status.TIMEOUT, Role.UNKNOWN);
-    bed.request("b", Bed.SESSION);
+    bed.outcome("a", 0, "m2", AttemptStatus.TIMEOUT, Role.UNKNOWN);
+    bed.request("b", RoutingTestHarness.SESSION);
     assertFalse(
         bed.news().stream().anyMatch(l -> l.startsWith("send b")), "no member would be in time");
-    bed.pass(15_000 * Bed.MS);
-    bed.request("c", Bed.SESSION);
+    bed.pass(15_000 * RoutingTestHarness.MS);
+    bed.request("c", RoutingTestHarness.SESSION);
     assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("send c")), "the evidence has faded");
   }
 
@@ -422,10 +431,10 @@
   void aReadWorthLittleWhenLateIsGivenUpAtItsAim() {
     bed.start();
     for (String id : List.of("m1", "m2", "m3")) {
-      bed.changed(Bed.member(id, 0, Router.Availability.DRAINING));
+      bed.changed(RoutingTestHarness.member(id, 0, Router.Availability.DRAINING));
     }
-    bed.request("a", Bed.ANY);
-    bed.pass(401 * Bed.MS);
+    bed.request("a", RoutingTestHarness.ANY);
+    bed.pass(401 * RoutingTestHarness.MS);
     assertEquals(List.of("reject a"), bed.news());
   }
 
@@ -433,28 +442,28 @@
   @Test
   void whereNewConnectionsTakeTooLongOpenOnesAreKeptAndPreferred() {
     bed.start();
-    bed.request("a", Bed.ANY);
+    bed.request("a", RoutingTestHarness.ANY);
     String used = bed.news().get(0).substring("send a ".length());
-    bed.outcome("a", 0, used, Status.OK, Role.REPLICA);
-    bed.request("w", Bed.KEYED);
+    bed.outcome("a", 0, used, AttemptStatus.OK, Role.REPLICA);
+    bed.request("w", RoutingTestHarness.KEYED);
     bed.router.onOutcome(
         bed.now,
-        new Router.Outcome(
+        new Router.AttemptOutcome(
             "w",
             0,
             "m1",
-            Status.CONNECT_FAILED,
+            AttemptStatus.CONNECT_FAILED,
             false,
-            250 * Bed.MS,
+            250 * RoutingTestHarness.MS,
             Role.UNKNOWN,
             Router.UNKNOWN,
             null));
     for (int i = 0; i < 5; i++) {
-      bed.request("b" + i, Bed.ANY);
-      bed.outcome("b" + i, 0, used, Status.OK, Role.REPLICA);
+      bed.request("b" + i, RoutingTestHarness.ANY);
+      bed.outcome("b" + i, 0, used, AttemptStatus.OK, Role.REPLICA);
       assertTrue(bed.news().contains("send b" + i + " " + used), "the connected one");
     }
-    bed.outcome("w", 1, "m1", Status.OK, Role.PRIMARY);
+    bed.outcome("w", 1, "m1", AttemptStatus.OK, Role.PRIMARY);
     assertFalse(bed.news().stream().anyMatch(l -> l.startsWith("closeIdle")), "kept open");
   }
 
@@ -466,8 +475,8 @@
   void timersOfEndedRequestsDoNotPileUp() throws ReflectiveOperationException {
     bed.start();
     for (int i = 0; i < 20_000; i++) {
-      bed.request("a" + i, Bed.KEYED);
-      bed.outcome("a" + i, 0, "m1", Status.OK, Role.PRIMARY);
+      bed.request("a" + i, RoutingTestHarness.KEYED);
+      bed.outcome("a" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY);
     }
     int size = bed.router.state.timers.size();
     assertTrue(size < 1_000, size + " timers");
@@ -481,27 +490,27 @@
   void aHiccupIsNoSilenceHoweverQuickTheMembersAre() {
     bed.start();
     for (int i = 0; i < 600; i++) {
-      bed.request("q" + i, Bed.ANY);
+      bed.request("q" + i, RoutingTestHarness.ANY);
       String member =
           bed.news().stream()
               .filter(l -> l.startsWith("send"))
               .findFirst()
               .orElseThrow()
               .split(" ")[2];
-      bed.now += Bed.MS;
-      bed.outcome("q" + i, 0, member, Status.OK, Role.REPLICA, Bed.MS);
+      bed.now += RoutingTestHarness.MS;
+      bed.outcome("q" + i, 0, member, AttemptStatus.OK, Role.REPLICA, RoutingTestHarness.MS);
     }
     bed.news();
     for (int i = 0; i < 12; i++) {
-      bed.request("a" + i, Bed.ANY);
+      bed.request("a" + i, RoutingTestHarness.ANY);
     }
     assertEquals(12, bed.news().stream().filter(l -> l.matches("send a[0-9]+ m[23]")).count());
-    bed.pass(20 * Bed.MS);
-    bed.request("b", Bed.ANY);
+    bed.pass(20 * RoutingTestHarness.MS);
+    bed.request("b", RoutingTestHarness.ANY);
     List<String> news = bed.news();
     assertTrue(news.stream().noneMatch(l -> l.startsWith("cancel")), news.toString());
     assertTrue(news.stream().anyMatch(l -> l.startsWith("send b m")), news.toString());
-    bed.pass(40 * Bed.MS);
+    bed.pass(40 * RoutingTestHarness.MS);
     assertTrue(bed.news().stream().anyMatch(l -> l.startsWith("cancel")), "that long is silence");
   }
 }
--- a/core/src/test/java/shelffront/decide/FleetChoiceTest.java
+++ b/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
@@ -1,4 +1,4 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,25 +10,25 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import shelffront.route.Router.Availability;
-import shelffront.route.Router.LagCheck;
-import shelffront.route.Router.Role;
-import shelffront.route.Router.Status;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.Availability;
+import shelffront.routing.Router.LagCheck;
+import shelffront.routing.Router.Role;
 
 /** A hundred instances that know of each other only their number: what they choose adds up. */
-class FleetChoiceTest {
+class FleetEndpointSelectionTest {
 
   private static final int INSTANCES = 100;
   private static final List<String> HOSTS = List.of("m1", "m2", "m3", "m4", "m5");
 
-  private static Bed bed(int self, int instances) {
-    Bed bed = new Bed();
+  private static RoutingTestHarness bed(int self, int instances) {
+    RoutingTestHarness bed = new RoutingTestHarness();
     bed.self = self;
     bed.routers = instances;
     return bed.bare(HOSTS.toArray(String[]::new));
   }
 
-  private static void heard(Bed bed) {
+  private static void heard(RoutingTestHarness bed) {
     for (String host : HOSTS) {
       bed.probed(host, host.equals("m1") ? Role.PRIMARY : Role.REPLICA, bed.now);
     }
@@ -36,15 +36,15 @@
   }
 
   /** The member that a read goes to, served at once; empty when it is held. */
-  private static String served(Bed bed, String id) {
-    bed.request(id, Bed.ANY);
+  private static String served(RoutingTestHarness bed, String id) {
+    bed.request(id, RoutingTestHarness.ANY);
     List<String> sent = bed.news().stream().filter(l -> l.startsWith("send " + id)).toList();
     if (sent.isEmpty()) {
       return "";
     }
     String member = sent.get(0).split(" ")[2];
-    bed.pass(50 * Bed.MS);
-    bed.outcome(id, 0, member, Status.OK, Role.REPLICA);
+    bed.pass(50 * RoutingTestHarness.MS);
+    bed.outcome(id, 0, member, AttemptStatus.OK, Role.REPLICA);
     return member;
   }
 
@@ -52,15 +52,15 @@
   void eachInstanceKeepsToItsOwnReplicasAndTheFleetSharesThemEvenly() {
     Map<String, Integer> users = new TreeMap<>();
     for (int self = 0; self < INSTANCES; self++) {
-      Bed bed = bed(self, INSTANCES);
+      RoutingTestHarness bed = bed(self, INSTANCES);
       heard(bed);
       Set<String> used = new HashSet<>();
       for (int i = 0; i < 30; i++) {
-        bed.request("held" + i, Bed.ANY);
+        bed.request("held" + i, RoutingTestHarness.ANY);
         String first = bed.news().get(0).split(" ")[2];
         used.add(first);
         used.add(served(bed, "r" + i));
-        bed.outcome("held" + i, 0, first, Status.OK, Role.REPLICA);
+        bed.outcome("held" + i, 0, first, AttemptStatus.OK, Role.REPLICA);
         bed.news();
       }
       assertEquals(2, used.size(), used.toString());
@@ -72,12 +72,12 @@
 
   @Test
   void aSmallFleetUsesEveryReplicaAndAsksThemAtOnce() {
-    Bed bed = bed(0, 5);
+    RoutingTestHarness bed = bed(0, 5);
     assertEquals(5, bed.probes());
     heard(bed);
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 8; i++) {
-      bed.request("r" + i, Bed.ANY);
+      bed.request("r" + i, RoutingTestHarness.ANY);
       used.add(bed.news().get(0).split(" ")[2]);
     }
     assertEquals(Set.of("m2", "m3", "m4", "m5"), used);
@@ -87,9 +87,9 @@
   void theFirstProbesOfAFleetAreDividedAndNoneIsSentBeforeItIsWanted() {
     Map<String, Integer> probes = new TreeMap<>();
     for (int self = 0; self < INSTANCES; self++) {
-      Bed bed = bed(self, INSTANCES);
+      RoutingTestHarness bed = bed(self, INSTANCES);
       assertEquals(0, bed.probes(), "a start of all at once");
-      bed.request("r", Bed.BOUNDED);
+      bed.request("r", RoutingTestHarness.BOUNDED);
       for (String host : HOSTS) {
         probes.merge(host, (int) bed.probesOf(host), Integer::sum);
       }
@@ -105,14 +105,14 @@
   @Test
   void whereItsOwnMayNotServeAnyOtherDoes() {
     for (int self = 0; self < 20; self++) {
-      Bed bed = bed(self, INSTANCES);
+      RoutingTestHarness bed = bed(self, INSTANCES);
       heard(bed);
       Set<String> own = new HashSet<>();
       for (int i = 0; i < 30; i++) {
         own.add(served(bed, "r" + i));
       }
       for (String member : own) {
-        bed.changed(Bed.member(member, 0, Availability.DRAINING));
+        bed.changed(RoutingTestHarness.member(member, 0, Availability.DRAINING));
       }
       String other = served(bed, "after");
       assertFalse(other.isEmpty() || own.contains(other), other);
@@ -121,18 +121,18 @@
 
   @Test
   void aReplicaThatIsFarBehindIsNotAskedAgainAtOnce() {
-    Bed bed = new Bed();
+    RoutingTestHarness bed = new RoutingTestHarness();
     bed.check = LagCheck.REFUSE;
     bed.start();
-    bed.pass(200 * Bed.MS);
-    bed.probed("m2", Role.REPLICA, bed.now - 8_000 * Bed.MS);
-    bed.changed(Bed.member("m3", 0, Availability.DRAINING));
+    bed.pass(200 * RoutingTestHarness.MS);
+    bed.probed("m2", Role.REPLICA, bed.now - 8_000 * RoutingTestHarness.MS);
+    bed.changed(RoutingTestHarness.member("m3", 0, Availability.DRAINING));
     long before = bed.probesOf("m2");
     for (int i = 0; i < 10; i++) {
-      bed.request("r" + i, Bed.SESSION, 50 * Bed.MS);
-      bed.pass(60 * Bed.MS);
-      bed.outcome("r" + i, 0, "m1", Status.OK, Role.PRIMARY);
-      bed.pass(90 * Bed.MS);
+      bed.request("r" + i, RoutingTestHarness.SESSION, 50 * RoutingTestHarness.MS);
+      bed.pass(60 * RoutingTestHarness.MS);
+      bed.outcome("r" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY);
+      bed.pass(90 * RoutingTestHarness.MS);
     }
     assertTrue(bed.probesOf("m2") - before <= 1, bed.probesOf("m2") - before + " probes in 1.5 s");
   }
--- a/core/src/test/java/shelffront/decide/Recorder.java
+++ b/core/src/test/java/shelffront/decision/RecordingActions.java
@@ -1,11 +1,11 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import java.util.ArrayList;
 import java.util.List;
-import shelffront.route.Router;
+import shelffront.routing.Router;
 
 /** Records what the module asks for, one plain line an action, and the timers it set. */
-final class Recorder implements Router.Actions {
+final class RecordingActions implements Router.Actions {
 
   record Timer(String name, long at) {}
 
--- a/core/src/test/java/shelffront/decide/Bed.java
+++ b/core/src/test/java/shelffront/decision/RoutingTestHarness.java
@@ -1,33 +1,33 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Collectors;
-import shelffront.route.Router;
-import shelffront.route.Router.Availability;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Effect;
-import shelffront.route.Router.LagCheck;
-import shelffront.route.Router.Limits;
-import shelffront.route.Router.ListKind;
-import shelffront.route.Router.ListRole;
-import shelffront.route.Router.Load;
-import shelffront.route.Router.Member;
-import shelffront.route.Router.Outcome;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.ReportSource;
-import shelffront.route.Router.Request;
-import shelffront.route.Router.Role;
-import shelffront.route.Router.Rules;
-import shelffront.route.Router.Scope;
-import shelffront.route.Router.Settings;
-import shelffront.route.Router.Status;
+import shelffront.routing.Router;
+import shelffront.routing.Router.AttemptOutcome;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.Availability;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.DeduplicationScope;
+import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Router.EndpointUpdateKind;
+import shelffront.routing.Router.Idempotency;
+import shelffront.routing.Router.LagCheck;
+import shelffront.routing.Router.ListedRoles;
+import shelffront.routing.Router.LoadReport;
+import shelffront.routing.Router.LoadReportSource;
+import shelffront.routing.Router.OperatingLimits;
+import shelffront.routing.Router.Request;
+import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Router.Role;
+import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.Router.SafetyRules;
 
 /**
  * Drives one instance of the module by hand: a clock, a small group, and short calls for the
  * events.
  */
-final class Bed {
+final class RoutingTestHarness {
 
   static final int BOUNDED = 0;
   static final int SESSION = 1;
@@ -38,8 +38,8 @@
   static final long MS = 1000;
   static final long START = 1_000_000_000;
 
-  final Recorder out = new Recorder();
-  final Decide router = new Decide(out);
+  final RecordingActions out = new RecordingActions();
+  final RoutingEngine router = new RoutingEngine(out);
   long now = START;
   private int seen;
 
@@ -52,61 +52,79 @@
   int attempts = 6;
   int routers = 4;
   int self;
-  Scope scope = Scope.GROUP;
+  DeduplicationScope scope = DeduplicationScope.GROUP;
   double probePrice = 0.01;
 
-  Settings settings() {
-    List<ClassSettings> classes =
+  RoutingSettings settings() {
+    List<RequestClass> classes =
         List.of(
-            new ClassSettings(
+            new RequestClass(
                 "bounded",
                 500 * MS,
                 1500 * MS,
                 1,
                 0,
-                Effect.REPEATABLE,
-                Scope.ALL,
+                Idempotency.REPEATABLE,
+                DeduplicationScope.ALL,
                 0,
-                Read.BOUNDED,
+                Consistency.BOUNDED,
                 800 * MS),
-            new ClassSettings(
+            new RequestClass(
                 "session",
                 600 * MS,
                 1500 * MS,
                 1,
                 0,
-                Effect.REPEATABLE,
-                Scope.ALL,
+                Idempotency.REPEATABLE,
+                DeduplicationScope.ALL,
                 0,
-                Read.SESSION,
+                Consistency.SESSION,
                 0),
-            new ClassSettings(
-                "once", 500 * MS, 3000 * MS, 3, 0.5, Effect.ONCE, Scope.ALL, 0, Read.WRITE, 0),
-            new ClassSettings(
+            new RequestClass(
+                "once",
+                500 * MS,
+                3000 * MS,
+                3,
+                0.5,
+                Idempotency.ONCE,
+                DeduplicationScope.ALL,
+                0,
+                Consistency.WRITE,
+                0),
+            new RequestClass(
                 "keyed",
                 1000 * MS,
                 5000 * MS,
                 3,
                 0.5,
-                Effect.KEYED,
+                Idempotency.KEYED,
                 scope,
                 3000 * MS,
-                Read.WRITE,
+                Consistency.WRITE,
+                0),
+            new RequestClass(
+                "any",
+                400 * MS,
+                1200 * MS,
+                1,
+                0.2,
+                Idempotency.REPEATABLE,
+                DeduplicationScope.ALL,
+                0,
+                Consistency.ANY,
                 0),
-            new ClassSettings(
-                "any", 400 * MS, 1200 * MS, 1, 0.2, Effect.REPEATABLE, Scope.ALL, 0, Read.ANY, 0),
-            new ClassSettings(
+            new RequestClass(
                 "fresh",
                 500 * MS,
                 1500 * MS,
                 1,
                 0,
-                Effect.REPEATABLE,
-                Scope.ALL,
+                Idempotency.REPEATABLE,
+                DeduplicationScope.ALL,
                 0,
-                Read.FRESH,
+                Consistency.FRESH,
                 0));
-    return new Settings(
+    return new RoutingSettings(
         self,
         routers,
         "z1",
@@ -116,18 +134,19 @@
         100 * MS,
         false,
         carried,
-        ListRole.NONE,
+        ListedRoles.NONE,
         listAsked,
-        ReportSource.PROBES,
-        new Rules(500 * MS, 0.25, 20_000 * MS, 2.5, 1500 * MS, softRemoval, 10_000 * MS, 20 * MS),
-        new Limits(
+        LoadReportSource.PROBES,
+        new SafetyRules(
+            500 * MS, 0.25, 20_000 * MS, 2.5, 1500 * MS, softRemoval, 10_000 * MS, 20 * MS),
+        new OperatingLimits(
             attempts, 2000 * MS, retryAfter, true, duplicate, true, true, 250 * MS, 30_000 * MS),
         0,
         probePrice);
   }
 
   /** Starts with members m1 (told to be the primary), m2 and m3, all at a current position. */
-  Bed start() {
+  RoutingTestHarness start() {
     bare("m1", "m2", "m3");
     probed("m1", Role.PRIMARY, now);
     probed("m2", Role.REPLICA, now);
@@ -137,26 +156,27 @@
   }
 
   /** Starts with these members and nothing heard of them. */
-  Bed bare(String... ids) {
+  RoutingTestHarness bare(String... ids) {
     router.onStart(now, 7, settings());
-    List<Member> members = new ArrayList<>();
+    List<Endpoint> members = new ArrayList<>();
     for (String id : ids) {
       members.add(member(id, 0, Availability.LIVE));
     }
-    router.onMembers(now, ListKind.REMEMBERED, 1, members);
+    router.onMembers(now, EndpointUpdateKind.REMEMBERED, 1, members);
     return this;
   }
 
-  static Member member(String id, long startedAt, Availability availability) {
-    return new Member(id, "kind", "z1", 1, 1, startedAt, false, availability);
+  static Endpoint member(String id, long startedAt, Availability availability) {
+    return new Endpoint(id, "kind", "z1", 1, 1, startedAt, false, availability);
   }
 
-  void changed(Member... members) {
-    router.onMembers(now, ListKind.CHANGES, 2, List.of(members));
+  void changed(Endpoint... members) {
+    router.onMembers(now, EndpointUpdateKind.CHANGES, 2, List.of(members));
   }
 
   void probed(String member, Role role, long position) {
-    router.onProbeResult(now, member, Status.OK, MS, new Load(position, role, -1, -1, -1));
+    router.onProbeResult(
+        now, member, AttemptStatus.OK, MS, new LoadReport(position, role, -1, -1, -1));
   }
 
   void request(String id, int classIndex) {
@@ -169,23 +189,31 @@
     router.onRequest(now, new Request(id, classIndex, "s", 1, left, after, false));
   }
 
-  void outcome(String id, int attempt, String member, Status status, Role role) {
+  void outcome(String id, int attempt, String member, AttemptStatus status, Role role) {
     outcome(id, attempt, member, status, role, 50 * MS);
   }
 
-  void outcome(String id, int attempt, String member, Status status, Role role, long took) {
+  void outcome(String id, int attempt, String member, AttemptStatus status, Role role, long took) {
     router.onOutcome(
         now,
-        new Outcome(
-            id, attempt, member, status, status == Status.OK, took, role, Router.UNKNOWN, null));
+        new AttemptOutcome(
+            id,
+            attempt,
+            member,
+            status,
+            status == AttemptStatus.OK,
+            took,
+            role,
+            Router.UNKNOWN,
+            null));
   }
 
   /** Lets time pass; timers fire when due, as the embedding proxy would fire them. */
   void pass(long time) {
     long end = now + time;
     while (true) {
-      Recorder.Timer next = null;
-      for (Recorder.Timer t : out.timers) {
+      RecordingActions.Timer next = null;
+      for (RecordingActions.Timer t : out.timers) {
         next = t.at() <= end && (next == null || t.at() < next.at()) ? t : next;
       }
       if (next == null) {
--- a/core/src/test/java/shelffront/decide/RulesTest.java
+++ b/core/src/test/java/shelffront/decision/SafetyRulesTest.java
@@ -1,4 +1,4 @@
-package shelffront.decide;
+package shelffront.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,28 +7,28 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import shelffront.route.Router.Availability;
-import shelffront.route.Router.Member;
-import shelffront.route.Router.Request;
-import shelffront.route.Router.Role;
-import shelffront.route.Router.Scope;
-import shelffront.route.Router.Status;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.Availability;
+import shelffront.routing.Router.DeduplicationScope;
+import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Router.Request;
+import shelffront.routing.Router.Role;
 
 /** The five rules, each on both sides of its boundary. */
-class RulesTest {
+class SafetyRulesTest {
 
-  private final Bed bed = new Bed();
+  private final RoutingTestHarness bed = new RoutingTestHarness();
 
   @Test
   void everyRequestIsAnsweredOnceByItsDeadline() {
     bed.start();
-    bed.request("a", Bed.ONCE);
-    bed.pass(2_990 * Bed.MS);
+    bed.request("a", RoutingTestHarness.ONCE);
+    bed.pass(2_990 * RoutingTestHarness.MS);
     assertEquals(List.of("send a m1"), bed.news());
-    bed.pass(30 * Bed.MS);
+    bed.pass(30 * RoutingTestHarness.MS);
     assertEquals(List.of("fail a"), bed.news());
-    bed.outcome("a", 0, "m1", Status.TIMEOUT, Role.UNKNOWN);
-    bed.pass(5_000 * Bed.MS);
+    bed.outcome("a", 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
+    bed.pass(5_000 * RoutingTestHarness.MS);
     assertEquals(List.of(), bed.news());
   }
 
@@ -37,23 +37,30 @@
     bed.start();
     // Its position is one in the log of the first set, and says nothing of the second one's.
     bed.changed(
-        new Member("m2", "kind", "z1", 2, 1, 0, false, Availability.LIVE),
-        new Member("m1", "kind", "z1", 2, 1, 0, false, Availability.LIVE));
+        new Endpoint("m2", "kind", "z1", 2, 1, 0, false, Availability.LIVE),
+        new Endpoint("m1", "kind", "z1", 2, 1, 0, false, Availability.LIVE));
     bed.router.onRequest(
         bed.now,
-        new Request("a", Bed.SESSION, "s", 2, 1_500 * Bed.MS, bed.now - 10_000 * Bed.MS, false));
+        new Request(
+            "a",
+            RoutingTestHarness.SESSION,
+            "s",
+            2,
+            1_500 * RoutingTestHarness.MS,
+            bed.now - 10_000 * RoutingTestHarness.MS,
+            false));
     assertEquals(List.of(), bed.news(), "neither is known to have it");
-    bed.request("b", Bed.FRESH);
+    bed.request("b", RoutingTestHarness.FRESH);
     assertEquals(List.of(), bed.news(), "the first set has no known primary any more");
-    bed.probed("m2", Role.REPLICA, bed.now - 5_000 * Bed.MS);
+    bed.probed("m2", Role.REPLICA, bed.now - 5_000 * RoutingTestHarness.MS);
     assertEquals(List.of("send a m2"), bed.news());
   }
 
   @Test
   void aWriteWithoutAnyMemberIsRefusedInTime() {
     bed.bare();
-    bed.request("a", Bed.ONCE);
-    bed.pass(3_000 * Bed.MS);
+    bed.request("a", RoutingTestHarness.ONCE);
+    bed.pass(3_000 * RoutingTestHarness.MS);
     assertEquals(List.of("reject a"), bed.news());
   }
 
@@ -61,8 +68,8 @@
   void aHeldReadIsRefusedAtOnceWhenItCanNoLongerBeOnTime() {
     bed.bare("m1", "m2");
     bed.news();
-    bed.request("a", Bed.BOUNDED);
-    bed.pass(500 * Bed.MS);
+    bed.request("a", RoutingTestHarness.BOUNDED);
+    bed.pass(500 * RoutingTestHarness.MS);
     assertEquals(List.of("reject a"), bed.news());
   }
 
@@ -70,55 +77,55 @@
   void aReadUnderWayAtItsAimIsLeftToAnswerLate() {
     bed.duplicate = false;
     bed.start();
-    bed.request("a", Bed.BOUNDED);
+    bed.request("a", RoutingTestHarness.BOUNDED);
     bed.news();
-    bed.pass(1_400 * Bed.MS);
+    bed.pass(1_400 * RoutingTestHarness.MS);
     assertEquals(
         List.of(), bed.news(), "a refusal would only bring the client back with the same work");
-    bed.pass(200 * Bed.MS);
+    bed.pass(200 * RoutingTestHarness.MS);
     assertTrue(bed.news().contains("reject a"));
   }
 
   @Test
   void nothingIsSentForARequestWhoseClientHasGone() {
     bed.bare("m1", "m2");
-    bed.request("a", Bed.BOUNDED);
+    bed.request("a", RoutingTestHarness.BOUNDED);
     bed.router.onClientGone(bed.now, "a");
     bed.probed("m1", Role.PRIMARY, bed.now);
     bed.probed("m2", Role.REPLICA, bed.now);
-    bed.pass(2_000 * Bed.MS);
+    bed.pass(2_000 * RoutingTestHarness.MS);
     assertEquals(List.of(), bed.news());
   }
 
   @Test
   void anUnsafeWriteIsTriedAgainOnlyWhenItNeverRan() {
     bed.start();
-    bed.request("a", Bed.ONCE);
-    bed.outcome("a", 0, "m1", Status.MISS, Role.REPLICA);
+    bed.request("a", RoutingTestHarness.ONCE);
+    bed.outcome("a", 0, "m1", AttemptStatus.MISS, Role.REPLICA);
     bed.probed("m2", Role.PRIMARY, bed.now);
     assertTrue(bed.news().contains("send a m2"));
-    bed.outcome("a", 1, "m2", Status.RESET, Role.UNKNOWN);
+    bed.outcome("a", 1, "m2", AttemptStatus.RESET, Role.UNKNOWN);
     assertEquals(List.of("fail a"), bed.news());
   }
 
   @Test
   void aKeyedWriteThatMayHaveRunIsResentInsideItsWindowOnly() {
     bed.start();
-    bed.request("a", Bed.KEYED);
-    bed.outcome("a", 0, "m1", Status.ERROR, Role.UNKNOWN);
+    bed.request("a", RoutingTestHarness.KEYED);
+    bed.outcome("a", 0, "m1", AttemptStatus.ERROR, Role.UNKNOWN);
     assertEquals(List.of("send a m1", "send a m1"), bed.news());
-    bed.pass(2_999 * Bed.MS);
-    bed.outcome("a", 1, "m1", Status.ERROR, Role.UNKNOWN);
+    bed.pass(2_999 * RoutingTestHarness.MS);
+    bed.outcome("a", 1, "m1", AttemptStatus.ERROR, Role.UNKNOWN);
     assertEquals(List.of("fail a"), bed.news());
   }
 
   @Test
   void aKeyedWriteThatMayHaveRunIsRefusedOnlyIfEveryMemberDiscardsRepeats() {
-    bed.scope = Scope.ALL;
+    bed.scope = DeduplicationScope.ALL;
     bed.attempts = 1;
     bed.start();
-    bed.request("a", Bed.KEYED);
-    bed.outcome("a", 0, "m1", Status.ERROR, Role.UNKNOWN);
+    bed.request("a", RoutingTestHarness.KEYED);
+    bed.outcome("a", 0, "m1", AttemptStatus.ERROR, Role.UNKNOWN);
     assertEquals(List.of("send a m1", "reject a"), bed.news());
   }
 
@@ -126,9 +133,9 @@
   void attemptsEndAtTheLimit() {
     bed.attempts = 2;
     bed.start();
-    bed.request("a", Bed.ANY);
-    bed.outcome("a", 0, "m2", Status.ERROR, Role.REPLICA);
-    bed.outcome("a", 1, "m3", Status.ERROR, Role.REPLICA);
+    bed.request("a", RoutingTestHarness.ANY);
+    bed.outcome("a", 0, "m2", AttemptStatus.ERROR, Role.REPLICA);
+    bed.outcome("a", 1, "m3", AttemptStatus.ERROR, Role.REPLICA);
     List<String> news = bed.news();
     assertEquals(3, news.size());
     assertEquals("reject a", news.get(2));
@@ -138,21 +145,22 @@
   void withoutLeaveForDuplicatesOneAttemptIsOutAtATime() {
     bed.duplicate = false;
     bed.start();
-    bed.request("a", Bed.ANY);
-    bed.pass(390 * Bed.MS);
+    bed.request("a", RoutingTestHarness.ANY);
+    bed.pass(390 * RoutingTestHarness.MS);
     assertEquals(1, bed.news().stream().filter(l -> l.startsWith("send")).count());
   }
 
   @Test
   void nothingNewGoesToADrainingOrGoneMember() {
     for (Availability state : List.of(Availability.DRAINING, Availability.GONE)) {
-      Bed b = new Bed().start();
-      b.changed(Bed.member("m2", 0, state), Bed.member("m1", 0, state));
+      RoutingTestHarness b = new RoutingTestHarness().start();
+      b.changed(
+          RoutingTestHarness.member("m2", 0, state), RoutingTestHarness.member("m1", 0, state));
       for (int i = 0; i < 20; i++) {
-        b.request("r" + i, Bed.ANY);
-        b.request("w" + i, Bed.ONCE);
+        b.request("r" + i, RoutingTestHarness.ANY);
+        b.request("w" + i, RoutingTestHarness.ONCE);
       }
-      b.pass(3_000 * Bed.MS);
+      b.pass(3_000 * RoutingTestHarness.MS);
       assertFalse(b.news().stream().anyMatch(l -> l.startsWith("send") && !l.endsWith("m3")));
     }
   }
@@ -164,26 +172,26 @@
   private static long sentToTheColdOne(int instances, String member, int classIndex) {
     long sent = 0;
     for (int i = 0; i < instances; i++) {
-      Bed b = new Bed();
+      RoutingTestHarness b = new RoutingTestHarness();
       b.routers = instances;
       b.start();
       for (int j = 0; j < 6; j++) {
         b.request("w" + i + "-" + j, classIndex);
         String line = b.news().stream().filter(l -> l.startsWith("send")).findFirst().orElseThrow();
-        b.pass(1_000 * Bed.MS - 1);
-        b.outcome("w" + i + "-" + j, 0, line.split(" ")[2], Status.OK, Role.UNKNOWN);
+        b.pass(1_000 * RoutingTestHarness.MS - 1);
+        b.outcome("w" + i + "-" + j, 0, line.split(" ")[2], AttemptStatus.OK, Role.UNKNOWN);
         b.news();
       }
       for (String id : List.of("m1", "m2", "m3")) {
         b.changed(
-            Bed.member(
+            RoutingTestHarness.member(
                 id,
                 id.equals(member) ? b.now : 0,
                 id.equals(member) ? Availability.LIVE : Availability.DRAINING));
       }
       b.news();
       b.request("c" + i, classIndex);
-      b.pass(300 * Bed.MS);
+      b.pass(300 * RoutingTestHarness.MS);
       sent += b.news().contains("send c" + i + " " + member) ? 1 : 0;
     }
     return sent;
@@ -194,24 +202,24 @@
     // A warm member got 3 of 6 requests in 6 s, so 150 in a fall time from all; a quarter of that
     // is the
     // cold one's capacity, and 2.5 times that makes it fall.
-    long sent = sentToTheColdOne(200, "m2", Bed.ANY);
+    long sent = sentToTheColdOne(200, "m2", RoutingTestHarness.ANY);
     assertTrue(sent > 5 && sent < 94, sent + " sends");
   }
 
   @Test
   void manyInstancesTogetherSpareAColdPrimaryToo() {
-    long sent = sentToTheColdOne(200, "m1", Bed.KEYED);
+    long sent = sentToTheColdOne(200, "m1", RoutingTestHarness.KEYED);
     assertTrue(sent > 5 && sent < 94, sent + " sends");
   }
 
   @Test
   void aReadNeverGoesToAReplicaNotKnownToHaveItsPosition() {
     bed.start();
-    bed.pass(20 * Bed.MS);
-    bed.probed("m2", Role.REPLICA, bed.now - 10 * Bed.MS);
-    bed.request("a", Bed.SESSION, 10 * Bed.MS);
+    bed.pass(20 * RoutingTestHarness.MS);
+    bed.probed("m2", Role.REPLICA, bed.now - 10 * RoutingTestHarness.MS);
+    bed.request("a", RoutingTestHarness.SESSION, 10 * RoutingTestHarness.MS);
     assertEquals(List.of("send a m2"), bed.news(), "at its position exactly");
-    bed.request("b", Bed.SESSION, 10 * Bed.MS - 1);
+    bed.request("b", RoutingTestHarness.SESSION, 10 * RoutingTestHarness.MS - 1);
     assertEquals(List.of(), bed.news(), "one microsecond behind");
   }
 
@@ -220,22 +228,22 @@
   void aWriteInSearchOfAPrimaryTriesAColdMemberOnceAtMost() {
     bed.start();
     for (String id : List.of("m1", "m2", "m3")) {
-      bed.changed(Bed.member(id, bed.now, Availability.LIVE));
+      bed.changed(RoutingTestHarness.member(id, bed.now, Availability.LIVE));
       bed.probed(id, Role.REPLICA, bed.now);
     }
     int tries = 0;
     for (int i = 0; i < 20; i++) {
       String id = "w" + i;
       List<String> all = new ArrayList<>();
-      bed.request(id, Bed.KEYED);
+      bed.request(id, RoutingTestHarness.KEYED);
       for (int round = 0; round < 8; round++) {
         for (String line : bed.news()) {
           if (line.startsWith("send " + id + " ")) {
             all.add(line);
-            bed.outcome(id, all.size() - 1, line.split(" ")[2], Status.MISS, Role.REPLICA);
+            bed.outcome(id, all.size() - 1, line.split(" ")[2], AttemptStatus.MISS, Role.REPLICA);
           }
         }
-        bed.pass(110 * Bed.MS);
+        bed.pass(110 * RoutingTestHarness.MS);
       }
       assertEquals(all.stream().distinct().toList(), all);
       tries += all.size();
@@ -248,12 +256,14 @@
   void whereTheListDoesNotProveDeathAGoneMemberMayStillBeTriedButNotADrainingOne() {
     bed.softRemoval = true;
     bed.start();
-    bed.changed(Bed.member("m3", 0, Availability.DRAINING), Bed.member("m2", 0, Availability.GONE));
-    bed.request("a", Bed.ANY);
+    bed.changed(
+        RoutingTestHarness.member("m3", 0, Availability.DRAINING),
+        RoutingTestHarness.member("m2", 0, Availability.GONE));
+    bed.request("a", RoutingTestHarness.ANY);
     assertEquals(List.of("send a m2"), bed.news());
-    bed.changed(Bed.member("m3", 0, Availability.GONE));
-    bed.outcome("a", 0, "m2", Status.CONNECT_FAILED, Role.UNKNOWN);
-    bed.pass(300 * Bed.MS);
+    bed.changed(RoutingTestHarness.member("m3", 0, Availability.GONE));
+    bed.outcome("a", 0, "m2", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
+    bed.pass(300 * RoutingTestHarness.MS);
     assertFalse(bed.news().stream().anyMatch(l -> l.endsWith("m3")));
   }
 }
--- a/core/src/test/java/shelffront/distribution/DistributionModel.java
+++ b/core/src/test/java/shelffront/distribution/DistributionModel.java
@@ -8,7 +8,7 @@
 import java.util.Objects;
 import java.util.Random;
 import java.util.Set;
-import shelffront.distribution.SubscribedView.Guard;
+import shelffront.distribution.ReplicatedView.Guard;
 
 /**
  * Plays the code itself in drawn orders of events: an engine that takes changes and may be restored
@@ -23,13 +23,13 @@
   /** The history as the engine has it; a new incarnation forgets the end of it. */
   private static final class EngineModel {
 
-    private final List<Change> history = new ArrayList<>();
+    private final List<RecordChange> history = new ArrayList<>();
     private Version version = new Version(1, 0);
     private Version restoredAt = version; // changes up to here can be had by a snapshot only
 
     void change(String name, String document) {
       version = version.next();
-      history.add(new Change(version, name, document));
+      history.add(new RecordChange(version, name, document));
     }
 
     void restore(int lost) {
@@ -40,15 +40,15 @@
       restoredAt = version;
       history.replaceAll(
           c ->
-              new Change(
+              new RecordChange(
                   new Version(restoredAt.incarnation(), c.version().sequence()),
                   c.name(),
                   c.document()));
     }
 
-    Map<String, Change> recordsAt(Version at) {
-      Map<String, Change> records = new HashMap<>();
-      for (Change c : history) {
+    Map<String, RecordChange> recordsAt(Version at) {
+      Map<String, RecordChange> records = new HashMap<>();
+      for (RecordChange c : history) {
         if (!at.isBefore(c.version())) {
           if (c.isRemoval()) {
             records.remove(c.name());
@@ -65,7 +65,8 @@
      * since.
      */
     Update.Snapshot snapshot(Version readFirst) {
-      List<Change> since = history.stream().filter(c -> readFirst.isBefore(c.version())).toList();
+      List<RecordChange> since =
+          history.stream().filter(c -> readFirst.isBefore(c.version())).toList();
       return Update.Snapshot.assembled(version, List.copyOf(recordsAt(version).values()), since);
     }
   }
@@ -73,23 +74,23 @@
   /** An answer on its way, with the edition of names that its question named. */
   private record InFlight(Update update, long edition) {}
 
-  private record Fetched(Change record, Version asOf) {}
+  private record Fetched(RecordChange record, Version asOf) {}
 
   private final EngineModel engine = new EngineModel();
   private final RecordTable[] distributors = {new RecordTable(4, 1000), new RecordTable(4, 1000)};
-  private final SubscribedView view;
+  private final ReplicatedView view;
   private Set<String> toldNames = Set.of();
   private long toldEdition;
   private final List<InFlight> answers = new ArrayList<>();
   private final Map<String, Fetched> fetches = new HashMap<>();
-  private final Map<String, Change> inForce = new HashMap<>();
+  private final Map<String, RecordChange> inForce = new HashMap<>();
   private final Map<String, Version> lastInForce = new HashMap<>(); // removals too
   private final Random random;
   private final List<String> broken = new ArrayList<>();
 
   private DistributionModel(long seed, Set<Guard> guards) {
     random = new Random(seed);
-    view = new SubscribedView(guards);
+    view = new ReplicatedView(guards);
   }
 
   /** What breaks in the order of events that a seed draws; empty where nothing does. */
@@ -156,7 +157,7 @@
       return;
     }
     int most = 1 + random.nextInt(6);
-    for (Change c : engine.history) {
+    for (RecordChange c : engine.history) {
       if (behind.isBefore(c.version()) && most-- > 0) {
         distributor.apply(c);
       }
@@ -167,7 +168,7 @@
     Update update =
         distributor.version().equals(Version.NONE)
             ? null
-            : distributor.updateFor(view.version(), Interest.in(toldNames));
+            : distributor.updateFor(view.version(), SubscriptionFilter.in(toldNames));
     if (update != null) {
       answers.add(new InFlight(update, toldEdition));
     }
@@ -213,7 +214,7 @@
     }
   }
 
-  private void took(Change change) {
+  private void took(RecordChange change) {
     Version before = lastInForce.put(change.name(), change.version());
     if (before != null && change.version().isBefore(before)) {
       broken.add(change + " came into force after " + before);
@@ -230,9 +231,9 @@
     if (view.version().incarnation() != engine.version.incarnation()) {
       return;
     }
-    Map<String, Change> due = engine.recordsAt(view.version());
+    Map<String, RecordChange> due = engine.recordsAt(view.version());
     for (String name : view.names()) {
-      Change held = view.record(name);
+      RecordChange held = view.record(name);
       boolean newer = held != null && view.version().isBefore(held.version());
       if (!newer && !Objects.equals(held, due.get(name))) {
         broken.add(
--- a/core/src/test/java/shelffront/distribution/DistributionModelTest.java
+++ b/core/src/test/java/shelffront/distribution/DistributionModelTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import shelffront.distribution.SubscribedView.Guard;
+import shelffront.distribution.ReplicatedView.Guard;
 
 class DistributionModelTest {
 
@@ -39,14 +39,15 @@
   void aSubscriberBehindTheLogIsGivenASnapshot() {
     RecordTable table = new RecordTable(2, 1000);
     for (int i = 1; i <= 5; i++) {
-      table.apply(new Change(new Version(0, i), "a", "d" + i));
+      table.apply(new RecordChange(new Version(0, i), "a", "d" + i));
     }
-    assertTrue(table.updateFor(new Version(0, 2), Interest.ALL) instanceof Update.Snapshot);
-    Update update = table.updateFor(new Version(0, 3), Interest.ALL);
+    assertTrue(
+        table.updateFor(new Version(0, 2), SubscriptionFilter.ALL) instanceof Update.Snapshot);
+    Update update = table.updateFor(new Version(0, 3), SubscriptionFilter.ALL);
     assertEquals(2, ((Update.Changes) update).changes().size());
     assertEquals(
         null,
-        table.updateFor(new Version(0, 6), Interest.ALL),
+        table.updateFor(new Version(0, 6), SubscriptionFilter.ALL),
         "one that is ahead is told nothing");
   }
 }
--- a/core/src/test/java/shelffront/distribution/ChoiceAndBoundsTest.java
+++ b/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
@@ -11,29 +11,29 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class ChoiceAndBoundsTest {
+class DistributorSelectorTest {
 
   private static final long SECOND = 1_000_000;
 
-  private static List<Endpoint> endpoints() {
-    List<Endpoint> all = new ArrayList<>();
+  private static List<DistributorEndpoint> endpoints() {
+    List<DistributorEndpoint> all = new ArrayList<>();
     for (String region : List.of("r1", "r2")) {
       for (String zone : List.of("x", "y")) {
         for (int i = 0; i < 3; i++) {
-          all.add(new Endpoint(region + zone + i + ":1", region, zone));
+          all.add(new DistributorEndpoint(region + zone + i + ":1", region, zone));
         }
       }
     }
     return all;
   }
 
-  private static EndpointChoice choice(String subscriber) {
-    return new EndpointChoice(subscriber, "r1", "y", endpoints(), 0, new Random(1));
+  private static DistributorSelector choice(String subscriber) {
+    return new DistributorSelector(subscriber, "r1", "y", endpoints(), 0, new Random(1));
   }
 
   @Test
   void theOwnZoneComesFirstThenTheRegionThenAny() {
-    List<Endpoint> order = choice("g").order();
+    List<DistributorEndpoint> order = choice("g").order();
     assertTrue(
         order.subList(0, 3).stream()
             .allMatch(e -> e.region().equals("r1") && e.zone().equals("y")));
@@ -49,8 +49,8 @@
     Map<String, Integer> first = new HashMap<>();
     Map<String, Integer> second = new HashMap<>();
     for (int i = 0; i < 900; i++) {
-      EndpointChoice choice = choice("g" + i);
-      Endpoint chosen = choice.next(0).endpoint();
+      DistributorSelector choice = choice("g" + i);
+      DistributorEndpoint chosen = choice.next(0).endpoint();
       first.merge(chosen.address(), 1, Integer::sum);
       if (chosen.address().equals("r1y0:1")) {
         choice.failed(chosen, 0);
@@ -64,29 +64,31 @@
 
   @Test
   void oneThatFailedIsLeftOutForAPauseThatDoublesAndIsPreferredAgainAfterwards() {
-    EndpointChoice choice = choice("g");
-    Endpoint preferred = choice.order().get(0);
+    DistributorSelector choice = choice("g");
+    DistributorEndpoint preferred = choice.order().get(0);
     choice.failed(preferred, 0);
     assertEquals(choice.order().get(1), choice.next(0).endpoint());
     assertFalse(choice.hasBetter(choice.order().get(1), 0));
-    assertTrue(choice.hasBetter(choice.order().get(1), EndpointChoice.FIRST_PAUSE));
+    assertTrue(choice.hasBetter(choice.order().get(1), DistributorSelector.FIRST_PAUSE));
     choice.failed(preferred, SECOND);
-    assertFalse(choice.hasBetter(choice.order().get(1), SECOND + EndpointChoice.FIRST_PAUSE));
+    assertFalse(choice.hasBetter(choice.order().get(1), SECOND + DistributorSelector.FIRST_PAUSE));
     for (int i = 0; i < 10; i++) {
       choice.failed(preferred, 2 * SECOND);
     }
-    assertTrue(choice.hasBetter(choice.order().get(1), 2 * SECOND + EndpointChoice.LONGEST_PAUSE));
+    assertTrue(
+        choice.hasBetter(choice.order().get(1), 2 * SECOND + DistributorSelector.LONGEST_PAUSE));
     choice.succeeded(preferred);
     assertEquals(preferred, choice.next(2 * SECOND).endpoint());
   }
 
   @Test
   void whereAllAreLeftOutTheSoonestIsAskedWhenItsPauseIsOver() {
-    EndpointChoice choice = choice("g");
+    DistributorSelector choice = choice("g");
     choice.order().forEach(e -> choice.failed(e, 0));
     choice.failed(choice.order().get(0), 0);
     assertEquals(
-        new EndpointChoice.Next(choice.order().get(1), EndpointChoice.FIRST_PAUSE), choice.next(0));
+        new DistributorSelector.Next(choice.order().get(1), DistributorSelector.FIRST_PAUSE),
+        choice.next(0));
   }
 
   /**
@@ -94,11 +96,11 @@
    */
   @Test
   void ageCountsFromTheQuestionAndAddsWhatTheAnswerStates() {
-    Freshness freshness = new Freshness();
-    assertEquals(Freshness.NEVER, freshness.age(5 * SECOND));
+    Staleness freshness = new Staleness();
+    assertEquals(Staleness.NEVER, freshness.age(5 * SECOND));
     freshness.confirm(SECOND, 2 * SECOND);
     assertEquals(100 * SECOND, freshness.age(99 * SECOND));
-    freshness.confirm(98 * SECOND, Freshness.NEVER);
+    freshness.confirm(98 * SECOND, Staleness.NEVER);
     assertEquals(100 * SECOND, freshness.age(99 * SECOND));
     freshness.confirm(98 * SECOND, 0);
     freshness.confirm(98 * SECOND, 3 * SECOND);
@@ -107,7 +109,7 @@
 
   @Test
   void absentNamesAreRememberedForAWhileAndBounded() {
-    AbsentNames absent = new AbsentNames(2, SECOND);
+    NegativeCache absent = new NegativeCache(2, SECOND);
     absent.add("a", 0);
     assertTrue(absent.contains("a", SECOND - 1));
     assertFalse(absent.contains("a", SECOND));
@@ -121,7 +123,7 @@
 
   @Test
   void theBoundsOfTheOperatorsAreSumsOfTheStandardTimings() {
-    assertTrue(Timings.STANDARD.untilInForce(1) <= 5 * SECOND);
-    assertTrue(Timings.STANDARD.untilInForce(3) <= 14 * SECOND);
+    assertTrue(DistributionTimings.STANDARD.untilInForce(1) <= 5 * SECOND);
+    assertTrue(DistributionTimings.STANDARD.untilInForce(3) <= 14 * SECOND);
   }
 }
--- a/core/src/test/java/shelffront/fleet/SubsetsTest.java
+++ b/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What all gateways choose adds up, whatever the number of gateways and hosts. */
-class SubsetsTest {
+class EndpointSubsettingTest {
 
   private static List<String> names(String kind, int from, int count) {
     return IntStream.range(from, from + count).mapToObj(i -> kind + i).collect(Collectors.toList());
@@ -33,7 +33,7 @@
 
   private static Set<String> pairs(
       List<String> gateways, IntPredicate up, List<String> hosts, int size) {
-    List<List<String>> all = Subsets.of(gateways, up, hosts, size);
+    List<List<String>> all = EndpointSubsetting.of(gateways, up, hosts, size);
     Set<String> pairs = new HashSet<>();
     for (int g = 0; g < gateways.size(); g++) {
       for (String host : all.get(g)) {
@@ -49,7 +49,7 @@
       @ForAll @IntRange(min = 1, max = 12) int hosts,
       @ForAll @IntRange(min = 1, max = 12) int size) {
     List<List<String>> all =
-        Subsets.of(names("n", 0, gateways), g -> true, names("s-", 0, hosts), size);
+        EndpointSubsetting.of(names("n", 0, gateways), g -> true, names("s-", 0, hosts), size);
     Map<String, Long> load =
         all.stream()
             .flatMap(List::stream)
@@ -69,16 +69,21 @@
   void aFleetOfOneTwoAndAThousand() {
     assertEquals(
         List.of("s-0", "s-1", "s-2"),
-        Subsets.of(List.of("n0"), g -> true, names("s-", 0, 3), Subsets.size(1, 3)).get(0));
+        EndpointSubsetting.of(
+                List.of("n0"), g -> true, names("s-", 0, 3), EndpointSubsetting.size(1, 3))
+            .get(0));
     assertEquals(
         3,
-        Subsets.of(names("n", 0, 2), g -> true, names("s-", 0, 3), Subsets.size(2, 3))
+        EndpointSubsetting.of(
+                names("n", 0, 2), g -> true, names("s-", 0, 3), EndpointSubsetting.size(2, 3))
             .get(1)
             .size());
     assertEquals(
-        List.of(List.of()), Subsets.of(List.of("n0"), g -> true, List.of(), Subsets.size(1, 0)));
-    assertEquals(List.of(), Subsets.of(List.of(), g -> true, names("s-", 0, 3), 2));
-    List<List<String>> all = Subsets.of(names("n", 0, 1000), g -> true, names("s-", 0, 120), 3);
+        List.of(List.of()),
+        EndpointSubsetting.of(List.of("n0"), g -> true, List.of(), EndpointSubsetting.size(1, 0)));
+    assertEquals(List.of(), EndpointSubsetting.of(List.of(), g -> true, names("s-", 0, 3), 2));
+    List<List<String>> all =
+        EndpointSubsetting.of(names("n", 0, 1000), g -> true, names("s-", 0, 120), 3);
     Map<String, Long> load =
         all.stream()
             .flatMap(List::stream)
@@ -91,10 +96,10 @@
   @Test
   void hostsInAnyOrderGiveTheSame() {
     List<String> hosts = names("s-", 0, 6);
-    List<List<String>> all = Subsets.of(names("n", 0, 100), g -> true, hosts, 2);
+    List<List<String>> all = EndpointSubsetting.of(names("n", 0, 100), g -> true, hosts, 2);
     for (int seed = 0; seed < 10; seed++) {
       Collections.shuffle(hosts, new Random(seed));
-      assertEquals(all, Subsets.of(names("n", 0, 100), g -> true, hosts, 2));
+      assertEquals(all, EndpointSubsetting.of(names("n", 0, 100), g -> true, hosts, 2));
     }
   }
 
@@ -103,7 +108,7 @@
    * is down before.
    */
   private static double churn(int gateways, int hosts, double down) {
-    int size = Subsets.size(gateways, hosts);
+    int size = EndpointSubsetting.size(gateways, hosts);
     List<String> fleet = names("n", 0, gateways);
     SplittableRandom random = new SplittableRandom(gateways * 31L + hosts);
     double changed = 0;
@@ -149,14 +154,15 @@
       left += up[g] ? 1 : 0;
     }
     Map<String, Long> load =
-        Subsets.of(names("n", 0, gateways), g -> up[g], names("s-", 0, hosts), 2).stream()
+        EndpointSubsetting.of(names("n", 0, gateways), g -> up[g], names("s-", 0, hosts), 2)
+            .stream()
             .flatMap(List::stream)
             .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
     double mean = left * 2.0 / hosts;
     for (String host : names("s-", 0, hosts)) {
       double off = Math.abs(load.getOrDefault(host, 0L) - mean);
       assertTrue(
-          off <= Math.max(1, mean * Subsets.SLACK),
+          off <= Math.max(1, mean * EndpointSubsetting.SLACK),
           host + " has " + load.get(host) + ", mean " + mean);
     }
   }
@@ -177,10 +183,10 @@
 
   @Test
   void aSmallFleetUsesEveryHost() {
-    assertEquals(5, Subsets.size(5, 5));
-    assertEquals(5, Subsets.size(16, 5));
-    assertEquals(2, Subsets.size(60, 5));
-    assertEquals(2, Subsets.size(1000, 6));
-    assertEquals(1, Subsets.size(1000, 1));
+    assertEquals(5, EndpointSubsetting.size(5, 5));
+    assertEquals(5, EndpointSubsetting.size(16, 5));
+    assertEquals(2, EndpointSubsetting.size(60, 5));
+    assertEquals(2, EndpointSubsetting.size(1000, 6));
+    assertEquals(1, EndpointSubsetting.size(1000, 1));
   }
 }
--- a/core/src/test/java/shelffront/fleet/ProbeAllowanceTest.java
+++ b/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What a fleet spends on probes follows its traffic, not its size. */
-class ProbeAllowanceTest {
+class HealthCheckBudgetTest {
 
-  private static int spent(ProbeAllowance allowance, int requests) {
+  private static int spent(HealthCheckBudget allowance, int requests) {
     int probes = 0;
     for (int i = 0; i <= requests; i++) {
       while (allowance.take()) {
@@ -24,23 +24,25 @@
     for (int gateways : new int[] {20, 60, 100, 200}) {
       int probes = 0;
       for (int g = 0; g < gateways; g++) {
-        probes += spent(new ProbeAllowance(0.08, gateways), 0);
+        probes += spent(new HealthCheckBudget(0.08, gateways), 0);
       }
-      assertTrue(probes <= ProbeAllowance.FLEET_BURST && probes >= 200, probes + " by " + gateways);
+      assertTrue(
+          probes <= HealthCheckBudget.FLEET_BURST && probes >= 200, probes + " by " + gateways);
     }
   }
 
   @Test
   void aRequestCostsItsPointsAtMost() {
     // A probe for each request costs 0.08 points, so one for eight requests costs a hundredth.
-    assertEquals(20 + 125, spent(new ProbeAllowance(0.08, 1), 1000), 1);
-    assertEquals(20 + 1000, spent(new ProbeAllowance(0.01, 1), 1000), 1);
-    assertEquals(20 + 1000, spent(new ProbeAllowance(0, 1), 1000), 1, "free: still one a request");
+    assertEquals(20 + 125, spent(new HealthCheckBudget(0.08, 1), 1000), 1);
+    assertEquals(20 + 1000, spent(new HealthCheckBudget(0.01, 1), 1000), 1);
+    assertEquals(
+        20 + 1000, spent(new HealthCheckBudget(0, 1), 1000), 1, "free: still one a request");
   }
 
   @Test
   void whatIsSavedInAQuietHourIsBounded() {
-    ProbeAllowance allowance = new ProbeAllowance(0.01, 100);
+    HealthCheckBudget allowance = new HealthCheckBudget(0.01, 100);
     for (int i = 0; i < 10_000; i++) {
       allowance.asked();
     }
@@ -49,6 +51,6 @@
 
   @Test
   void everyGatewayOfTheGreatestFleetHasSome() {
-    assertEquals(2, spent(new ProbeAllowance(0.08, 5_000), 0));
+    assertEquals(2, spent(new HealthCheckBudget(0.08, 5_000), 0));
   }
 }
--- a/core/src/test/java/shelffront/fleet/ColdBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
@@ -13,24 +13,24 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import shelffront.count.Recent;
+import shelffront.statistics.DecayingAverage;
 
 /**
  * A fleet of gateways, each acting alone, before hosts that started of late; seeds make every run
  * the same.
  */
-class ColdBudgetTest {
+class SlowStartBudgetTest {
 
   private static final long SECOND = 1_000_000;
 
-  private record Asked(ColdBudget budget, long now) {}
+  private record Asked(SlowStartBudget budget, long now) {}
 
   /**
    * Traffic of a gateway for 60 s: this many requests a second on the mean, a part of which needs
    * the primary.
    */
   private static Asked traffic(SplittableRandom random, double rate, double owedShare) {
-    ColdBudget budget = new ColdBudget(2);
+    SlowStartBudget budget = new SlowStartBudget(2);
     double now = 0;
     while (true) {
       now += -Math.log(1 - random.nextDouble()) / rate * SECOND;
@@ -136,7 +136,8 @@
       @ForAll @DoubleRange(min = 0.05, max = 20) double rate,
       @ForAll @DoubleRange(min = 0.2, max = 1) double warmth) {
     SplittableRandom random = new SplittableRandom(gateways * 31L + (long) (rate * 1000));
-    double each = rate * ColdBudget.WINDOW / 4; // what a warm host of four gets from each gateway
+    double each =
+        rate * SlowStartBudget.WINDOW / 4; // what a warm host of four gets from each gateway
     double sent = 0;
     double mayHave = 0;
     int rounds = Math.max(1, 400 / gateways);
@@ -149,7 +150,7 @@
       for (int i = 0; i < 50; i++) {
         admitted += a.budget.admits(a.now, g + "-" + i, false, false, true, 0, budget) ? 1 : 0;
       }
-      sent += admitted / 50.0 * rate * ColdBudget.WINDOW;
+      sent += admitted / 50.0 * rate * SlowStartBudget.WINDOW;
       mayHave += budget;
     }
     assertTrue(sent <= mayHave * 1.1, sent + " sent where " + mayHave + " may be");
@@ -216,14 +217,15 @@
     }
 
     private void sends(int gateway, double perSecond, SplittableRandom random, List<Double> sends) {
-      ColdBudget budget = new ColdBudget(FALL_SECONDS);
-      Recent warm = new Recent(ColdBudget.WINDOW); // sends to a warm host of the set
+      SlowStartBudget budget = new SlowStartBudget(FALL_SECONDS);
+      DecayingAverage warm =
+          new DecayingAverage(SlowStartBudget.WINDOW); // sends to a warm host of the set
       double at = 0;
       double gap;
       while ((at += gap = -Math.log(1 - random.nextDouble()) / perSecond) < 220) {
         if (random.nextDouble() < 1 - Math.exp(-gap / 40)) {
-          budget = new ColdBudget(FALL_SECONDS);
-          warm = new Recent(ColdBudget.WINDOW);
+          budget = new SlowStartBudget(FALL_SECONDS);
+          warm = new DecayingAverage(SlowStartBudget.WINDOW);
         }
         long now = (long) (at * SECOND);
         budget.asked(now, false);
@@ -310,12 +312,15 @@
 
   @Test
   void warmthGrowsWithAgeAndStaysInBounds() {
-    assertEquals(0.2, ColdBudget.warmth(0, 0.2, 10 * SECOND));
+    assertEquals(0.2, SlowStartBudget.warmth(0, 0.2, 10 * SECOND));
     assertEquals(
-        0.2, ColdBudget.warmth(-SECOND, 0.2, 10 * SECOND), "started in the future by the list");
-    assertEquals(0.6, ColdBudget.warmth(5 * SECOND, 0.2, 10 * SECOND), 1e-9);
-    assertEquals(1, ColdBudget.warmth(10 * SECOND, 0.2, 10 * SECOND));
-    assertEquals(1, ColdBudget.warmth(0, 0.2, 0), "nothing is cold where the rule gives no time");
+        0.2,
+        SlowStartBudget.warmth(-SECOND, 0.2, 10 * SECOND),
+        "started in the future by the list");
+    assertEquals(0.6, SlowStartBudget.warmth(5 * SECOND, 0.2, 10 * SECOND), 1e-9);
+    assertEquals(1, SlowStartBudget.warmth(10 * SECOND, 0.2, 10 * SECOND));
+    assertEquals(
+        1, SlowStartBudget.warmth(0, 0.2, 0), "nothing is cold where the rule gives no time");
   }
 
   @Test
--- a/core/src/test/java/shelffront/share/HoldingsTest.java
+++ b/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
@@ -1,4 +1,4 @@
-package shelffront.share;
+package shelffront.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,21 +8,21 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import shelffront.share.Holdings.Holding;
-import shelffront.share.Holdings.Verdict;
+import shelffront.quota.ConnectionQuotas.ConnectionQuota;
+import shelffront.quota.ConnectionQuotas.Verdict;
 
 /** Forty sockets for tenants who open, keep and close them. */
-class HoldingsTest {
+class ConnectionQuotasTest {
 
-  private final Holdings holdings = new Holdings(40);
+  private final ConnectionQuotas holdings = new ConnectionQuotas(40);
   private final List<String> said = new ArrayList<>();
 
-  private Holding join(String name, double weight, int most) {
+  private ConnectionQuota join(String name, double weight, int most) {
     return holdings.join(
         weight, most, () -> said.add(name + " asked"), () -> said.add(name + " told"));
   }
 
-  private static int fill(Holding who) {
+  private static int fill(ConnectionQuota who) {
     int got = 0;
     while (who.take(false) == Verdict.TAKEN) {
       got++;
@@ -43,8 +43,8 @@
 
   @Test
   void whoeverComesSecondHasItsPartThoughTheFirstTookAll() {
-    Holding first = join("first", 1, 100);
-    Holding second = join("second", 1, 100);
+    ConnectionQuota first = join("first", 1, 100);
+    ConnectionQuota second = join("second", 1, 100);
     fill(first);
     assertEquals(Verdict.OWED, second.take(false));
     assertEquals(Verdict.OWED, second.take(false));
@@ -64,8 +64,8 @@
   /** What is lent stops short of all: whoever holds less than its part finds some at once. */
   @Test
   void beyondItsPartATenantLeavesSomeForOthers() {
-    Holding small = join("small", 1, 100);
-    Holding large = join("large", 1, 100);
+    ConnectionQuota small = join("small", 1, 100);
+    ConnectionQuota large = join("large", 1, 100);
     small.take(false);
     assertEquals(29, fill(large));
     assertEquals(10, fill(small));
@@ -73,8 +73,8 @@
 
   @Test
   void partsFollowWeightsAndTheirChange() {
-    Holding one = join("one", 1, 100);
-    Holding three = join("three", 3, 100);
+    ConnectionQuota one = join("one", 1, 100);
+    ConnectionQuota three = join("three", 3, 100);
     one.take(false);
     three.take(false);
     assertEquals(1 - 10, one.beyond());
@@ -85,8 +85,8 @@
 
   @Test
   void oneGivenBackForAnotherIsNotLostToTheBound() {
-    Holding a = join("a", 1, 100);
-    Holding b = join("b", 1, 100);
+    ConnectionQuota a = join("a", 1, 100);
+    ConnectionQuota b = join("b", 1, 100);
     b.take(false);
     fill(a);
     assertEquals(Verdict.REFUSED, a.take(false));
@@ -102,10 +102,10 @@
   void fromSeveralThreadsTheSumsHold() throws Exception {
     CountDownLatch done = new CountDownLatch(4);
     boolean[] over = new boolean[4];
-    List<Holding> all = new ArrayList<>();
+    List<ConnectionQuota> all = new ArrayList<>();
     for (int t = 0; t < 4; t++) {
       int seed = t;
-      Holding mine = holdings.join(1 + t, 30, () -> {}, () -> {});
+      ConnectionQuota mine = holdings.join(1 + t, 30, () -> {}, () -> {});
       all.add(mine);
       new Thread(
               () -> {
@@ -130,7 +130,7 @@
       assertTrue(!each, "more were held than there are");
     }
     assertEquals(0, holdings.held());
-    all.forEach(Holding::told);
+    all.forEach(ConnectionQuota::told);
     assertEquals(40, fill(join("last", 1, 100)), "no weight of the others is left");
   }
 }
--- a/core/src/test/java/shelffront/share/DeficitRoundRobinTest.java
+++ b/core/src/test/java/shelffront/quota/DeficitRoundRobinTest.java
@@ -1,4 +1,4 @@
-package shelffront.share;
+package shelffront.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import shelffront.share.DeficitRoundRobin.Flow;
+import shelffront.quota.DeficitRoundRobin.Flow;
 
 class DeficitRoundRobinTest {
 
--- a/core/src/test/java/shelffront/share/PlacementTest.java
+++ b/core/src/test/java/shelffront/quota/EventLoopPlacementTest.java
@@ -1,14 +1,14 @@
-package shelffront.share;
+package shelffront.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
 
-class PlacementTest {
+class EventLoopPlacementTest {
 
   private static final long SECOND = 1_000_000;
 
-  private final Placement placement = new Placement(3, 0);
+  private final EventLoopPlacement placement = new EventLoopPlacement(3, 0);
 
   @Test
   void newTenantsAreSpreadByWeight() {
--- a/core/src/test/java/shelffront/share/WaterFillTest.java
+++ b/core/src/test/java/shelffront/quota/MaxMinFairnessTest.java
@@ -1,4 +1,4 @@
-package shelffront.share;
+package shelffront.quota;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,13 +12,13 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class WaterFillTest {
+class MaxMinFairnessTest {
 
   @Test
   void whatOneLeavesGoesToTheOthersByWeight() {
     assertArrayEquals(
         new double[] {10, 30, 60},
-        WaterFill.divide(100, new double[] {1, 1, 2}, new double[] {10, 1000, 1000}),
+        MaxMinFairness.divide(100, new double[] {1, 1, 2}, new double[] {10, 1000, 1000}),
         1e-9);
   }
 
@@ -29,7 +29,7 @@
       @ForAll @Size(12) List<@DoubleRange(min = 0, max = 1e6) Double> demands) {
     double[] w = weights.stream().mapToDouble(x -> x).toArray();
     double[] d = demands.stream().limit(w.length).mapToDouble(x -> x).toArray();
-    double[] parts = WaterFill.divide(capacity, w, d);
+    double[] parts = MaxMinFairness.divide(capacity, w, d);
     double slack = 1e-6 * (capacity + 1);
     assertEquals(Math.min(capacity, Arrays.stream(d).sum()), Arrays.stream(parts).sum(), slack);
     for (int i = 0; i < w.length; i++) {
--- a/core/src/test/java/shelffront/share/SharesTest.java
+++ b/core/src/test/java/shelffront/quota/TenantQuotasTest.java
@@ -1,4 +1,4 @@
-package shelffront.share;
+package shelffront.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.Test;
 
 /** A gateway of 1,000 requests a second; each admitted one ends 10 ms later. */
-class SharesTest {
+class TenantQuotasTest {
 
   private static final long SECOND = 1_000_000;
   private static final long TOOK = 10_000;
 
   private long now = 5 * SECOND;
-  private final Shares shares = new Shares(1000, 100, now);
+  private final TenantQuotas shares = new TenantQuotas(1000, 100, now);
 
   /** Each asks evenly at its rate for the given time; gives what each was admitted a second. */
-  private double[] run(Shares.Share[] who, double[] rates, long time) {
+  private double[] run(TenantQuotas.Quota[] who, double[] rates, long time) {
     double[] admitted = new double[who.length];
     double[] due = new double[who.length];
     ArrayDeque<long[]> out = new ArrayDeque<>();
@@ -42,15 +42,15 @@
 
   @Test
   void oneAloneHasAll() {
-    Shares.Share a = shares.join(1, null);
+    TenantQuotas.Quota a = shares.join(1, null);
     shares.join(9, null);
-    run(new Shares.Share[] {a}, new double[] {5000}, SECOND);
-    assertEquals(1000, run(new Shares.Share[] {a}, new double[] {5000}, SECOND)[0], 30);
+    run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND);
+    assertEquals(1000, run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND)[0], 30);
   }
 
   @Test
   void threeThatFloodHaveTheirWeights() {
-    Shares.Share[] three = {shares.join(1, null), shares.join(2, null), shares.join(4, null)};
+    TenantQuotas.Quota[] three = {shares.join(1, null), shares.join(2, null), shares.join(4, null)};
     run(three, new double[] {4000, 4000, 4000}, SECOND);
     double[] got = run(three, new double[] {4000, 4000, 4000}, 2 * SECOND);
     assertEquals(1000.0 / 7, got[0], 0.05 * 1000 / 7);
@@ -60,7 +60,7 @@
 
   @Test
   void oneWithinItsShareIsNotRefusedThoughAnotherFloods() {
-    Shares.Share[] two = {shares.join(1, null), shares.join(1, null)};
+    TenantQuotas.Quota[] two = {shares.join(1, null), shares.join(1, null)};
     run(two, new double[] {400, 5000}, SECOND);
     double[] got = run(two, new double[] {400, 5000}, SECOND);
     assertEquals(400, got[0], 4);
@@ -70,24 +70,24 @@
   /** The stated time: one window, in which it has its own part already. */
   @Test
   void oneThatReturnsHasItsPartAtOnce() {
-    Shares.Share[] two = {shares.join(1, null), shares.join(1, null)};
+    TenantQuotas.Quota[] two = {shares.join(1, null), shares.join(1, null)};
     run(two, new double[] {0, 5000}, 5 * SECOND);
-    assertEquals(400, run(two, new double[] {400, 5000}, 2 * Shares.WINDOW)[0], 20);
+    assertEquals(400, run(two, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW)[0], 20);
   }
 
   @Test
   void aWeightCutWhileItFloodsGivesTheOthersTheirPartWithinAWindow() {
-    Shares.Share[] two = {shares.join(9, null), shares.join(1, null)};
+    TenantQuotas.Quota[] two = {shares.join(9, null), shares.join(1, null)};
     run(two, new double[] {5000, 5000}, SECOND);
     assertEquals(100, run(two, new double[] {5000, 5000}, SECOND)[1], 10);
     shares.change(two[0], 1, null);
-    run(two, new double[] {5000, 5000}, Shares.WINDOW);
+    run(two, new double[] {5000, 5000}, TenantQuotas.WINDOW);
     assertEquals(500, run(two, new double[] {5000, 5000}, SECOND)[1], 25);
   }
 
   @Test
   void classesOfATenantShareWhatItHas() {
-    Shares.Share a = shares.join(1, new double[] {1, 3});
+    TenantQuotas.Quota a = shares.join(1, new double[] {1, 3});
     double[] admitted = new double[2];
     for (int turn = 0; turn < 20_000; turn++, now += 100) {
       for (int c = 0; c < 2; c++) {
@@ -103,9 +103,9 @@
 
   @Test
   void placesHeldBeyondItsOwnLeaveRoomForTheOthers() {
-    Shares places = new Shares(0, 100, now);
-    Shares.Share a = places.join(1, null);
-    Shares.Share b = places.join(1, null);
+    TenantQuotas places = new TenantQuotas(0, 100, now);
+    TenantQuotas.Quota a = places.join(1, null);
+    TenantQuotas.Quota b = places.join(1, null);
     int held = 0;
     while (places.admit(a, 0, now) == 0) {
       held++;
@@ -129,14 +129,14 @@
   @Test
   void thoseWhoAskForNothingAreForgotten() {
     for (int i = 0; i < 2000; i++) {
-      Shares.Share s = shares.join(1, null);
+      TenantQuotas.Quota s = shares.join(1, null);
       assertEquals(0, shares.admit(s, 0, now));
       shares.end(s);
       now += 2000;
     }
-    Shares.Share a = shares.join(1, null);
-    run(new Shares.Share[] {a}, new double[] {5000}, 3 * SECOND);
-    assertEquals(1000, run(new Shares.Share[] {a}, new double[] {5000}, SECOND)[0], 30);
+    TenantQuotas.Quota a = shares.join(1, null);
+    run(new TenantQuotas.Quota[] {a}, new double[] {5000}, 3 * SECOND);
+    assertEquals(1000, run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND)[0], 30);
   }
 
   /**
@@ -144,9 +144,11 @@
    */
   @Test
   void tenantsOfSeveralLoopsHaveTheirWeightsOfTheWhole() {
-    Shares.Common common = new Shares.Common(1000, 100, 2);
-    Shares[] loops = {new Shares(common, 0, now), new Shares(common, 1, now)};
-    Shares.Share[] who = {loops[0].join(1, null), loops[1].join(1, null), loops[1].join(2, null)};
+    TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
+    TenantQuotas.Quota[] who = {
+      loops[0].join(1, null), loops[1].join(1, null), loops[1].join(2, null)
+    };
     int[] on = {0, 1, 1};
     double[] got = acrossLoops(loops, who, on, new double[] {4000, 4000, 4000}, SECOND);
     got = acrossLoops(loops, who, on, new double[] {4000, 4000, 4000}, 2 * SECOND);
@@ -159,15 +161,15 @@
   /** What one loop's tenants leave idle the other's use, and give back within two windows. */
   @Test
   void whatOneLoopLeavesIdleTheOtherUses() {
-    Shares.Common common = new Shares.Common(1000, 100, 2);
-    Shares[] loops = {new Shares(common, 0, now), new Shares(common, 1, now)};
-    Shares.Share[] who = {loops[0].join(1, null), loops[1].join(1, null)};
+    TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
+    TenantQuotas.Quota[] who = {loops[0].join(1, null), loops[1].join(1, null)};
     int[] on = {0, 1};
     acrossLoops(loops, who, on, new double[] {100, 4000}, SECOND);
     double[] got = acrossLoops(loops, who, on, new double[] {100, 4000}, SECOND);
     assertEquals(100, got[0], 4);
     assertEquals(900, got[1], 45);
-    acrossLoops(loops, who, on, new double[] {4000, 4000}, 2 * Shares.WINDOW);
+    acrossLoops(loops, who, on, new double[] {4000, 4000}, 2 * TenantQuotas.WINDOW);
     got = acrossLoops(loops, who, on, new double[] {4000, 4000}, SECOND);
     assertEquals(500, got[0], 25);
     assertEquals(500, got[1], 25);
@@ -176,17 +178,17 @@
   /** A loop whose tenants are no longer asked keeps nothing of the rate for them. */
   @Test
   void aLoopThatFallsSilentHoldsNothingBack() {
-    Shares.Common common = new Shares.Common(1000, 100, 2);
-    Shares[] loops = {new Shares(common, 0, now), new Shares(common, 1, now)};
-    Shares.Share[] who = {loops[0].join(1, null), loops[1].join(1, null)};
+    TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
+    TenantQuotas.Quota[] who = {loops[0].join(1, null), loops[1].join(1, null)};
     int[] on = {0, 1};
     acrossLoops(loops, who, on, new double[] {4000, 4000}, SECOND);
-    acrossLoops(loops, who, on, new double[] {0, 4000}, 5 * Shares.WINDOW);
+    acrossLoops(loops, who, on, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW);
     assertEquals(1000, acrossLoops(loops, who, on, new double[] {0, 4000}, SECOND)[1], 50);
   }
 
   private double[] acrossLoops(
-      Shares[] loops, Shares.Share[] who, int[] on, double[] rates, long time) {
+      TenantQuotas[] loops, TenantQuotas.Quota[] who, int[] on, double[] rates, long time) {
     double[] admitted = new double[who.length];
     double[] due = new double[who.length];
     ArrayDeque<long[]> out = new ArrayDeque<>();
