--- a/core/src/test/java/shelffront/stage/StageModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -1,4 +1,4 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,9 +13,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * An explicit-state checker of the mechanism: plays {@link Holder} and {@link Owner} themselves
- * through every order of events, breadth first, so that a counter-example is a shortest one. Two
- * gateways, two owners, one engine.
+ * An explicit-state checker of the mechanism: plays {@link LeaseHolder} and {@link RolloutLeader}
+ * themselves through every order of events, breadth first, so that a counter-example is a shortest
+ * one. Two gateways, two owners, one engine.
  *
  * <p>A step is one of: time passes; a process writes, reads or looks, and the answer comes, comes
  * late, or is lost; a request is held up and taken later, though its sender has given it up; a late
@@ -24,7 +24,7 @@
  * passes. The first gateway's clock is slow by the drift and the first owner's fast. States are
  * told apart by a hash of 64 bits of all that matters to what can follow.
  */
-final class StageModel {
+final class RolloutModel {
 
   /** Units of time in a step, by a true clock; the drift is a quarter. */
   private static final int TRUE = 4;
@@ -36,29 +36,30 @@
   private record Loose(String what, UnaryOperator<Engine> effect) {}
 
   /** What the engine keeps. */
-  private record Engine(Standing standing, long index, Map<String, Owner.Seen> members, long next) {
+  private record Engine(
+      RolloutState standing, long index, Map<String, RolloutLeader.Seen> members, long next) {
 
     Engine put(String key, long at, Member member, boolean checked) {
-      Owner.Seen now = members.get(key);
+      RolloutLeader.Seen now = members.get(key);
       if (checked && (now == null ? 0 : now.index()) != at) {
         return this;
       }
-      Map<String, Owner.Seen> map = new TreeMap<>(members);
-      map.put(key, new Owner.Seen(member, next));
+      Map<String, RolloutLeader.Seen> map = new TreeMap<>(members);
+      map.put(key, new RolloutLeader.Seen(member, next));
       return new Engine(standing, index, map, next + 1);
     }
 
     Engine forget(String key, long at, boolean checked) {
-      Owner.Seen now = members.get(key);
+      RolloutLeader.Seen now = members.get(key);
       if (now == null || checked && now.index() != at) {
         return this;
       }
-      Map<String, Owner.Seen> map = new TreeMap<>(members);
+      Map<String, RolloutLeader.Seen> map = new TreeMap<>(members);
       map.remove(key);
       return new Engine(standing, index, map, next);
     }
 
-    Engine stand(long at, Standing to, boolean checked) {
+    Engine stand(long at, RolloutState to, boolean checked) {
       return checked && index != at ? this : new Engine(to, next, members, next + 1);
     }
   }
@@ -66,18 +67,18 @@
   /** A gateway: what it is, its clock, and the epoch and end of an act that goes on. */
   private record Gateway(
       int life,
-      Holder holder,
+      LeaseHolder holder,
       long clock,
-      Standing open,
+      RolloutState open,
       long openUntil,
-      Holder.Write out,
+      LeaseHolder.Write out,
       long sentAt,
       boolean taken,
       long answered,
-      Standing late,
+      RolloutState late,
       int lateTerm) {
 
-    Gateway with(Holder next) {
+    Gateway with(LeaseHolder next) {
       return new Gateway(life, next, clock, open, openUntil, null, 0, false, 0, late, lateTerm);
     }
 
@@ -97,17 +98,17 @@
           lateTerm);
     }
 
-    Gateway acting(Standing under, long until) {
+    Gateway acting(RolloutState under, long until) {
       return new Gateway(
           life, holder, clock, under, until, out, sentAt, taken, answered, late, lateTerm);
     }
 
-    Gateway waiting(Holder.Write write, boolean wasTaken, long index) {
+    Gateway waiting(LeaseHolder.Write write, boolean wasTaken, long index) {
       return new Gateway(
           life, holder, clock, open, openUntil, write, clock, wasTaken, index, late, lateTerm);
     }
 
-    Gateway hearsLater(Standing what) {
+    Gateway hearsLater(RolloutState what) {
       return new Gateway(
           life, holder, clock, open, openUntil, out, sentAt, taken, answered, what, holder.term());
     }
@@ -116,16 +117,20 @@
       return "g" + number + "." + life + "." + holder.term();
     }
 
-    Standing inForce() {
+    RolloutState inForce() {
       return open != null ? open : holder.inForce(clock);
     }
   }
 
   /** An owner, its clock, and what it has read of a look that is not over. */
   private record Mover(
-      Owner owner, long clock, Standing standing, long index, Map<String, Owner.Seen> members) {
+      RolloutLeader owner,
+      long clock,
+      RolloutState standing,
+      long index,
+      Map<String, RolloutLeader.Seen> members) {
 
-    Mover with(Owner next) {
+    Mover with(RolloutLeader next) {
       return new Mover(next, clock, null, 0, null);
     }
   }
@@ -148,9 +153,9 @@
    * A lease that a slow clock ends in the third step, and a lapse that a fast one reaches there and
    * not before.
    */
-  private final Bounds bounds = new Bounds(7, 0, 0.25, 0);
+  private final LeaseTimings bounds = new LeaseTimings(7, 0, 0.25, 0);
 
-  private final Set<Rule> off;
+  private final Set<SafetyRule> off;
   private final boolean checked;
   private final int gateways;
   private final int owners;
@@ -161,13 +166,13 @@
    * @param faults late answers, requests held up, looks in two parts and restarts, in all
    * @param turns how often the target may be turned round
    */
-  StageModel(int gateways, int owners, int faults, int turns, Rule... off) {
+  RolloutModel(int gateways, int owners, int faults, int turns, SafetyRule... off) {
     this.gateways = gateways;
     this.owners = owners;
     this.faults = faults;
     this.turns = turns;
-    this.off = off.length == 0 ? EnumSet.noneOf(Rule.class) : EnumSet.of(off[0], off);
-    checked = !this.off.contains(Rule.CHECK_AND_SET);
+    this.off = off.length == 0 ? EnumSet.noneOf(SafetyRule.class) : EnumSet.of(off[0], off);
+    checked = !this.off.contains(SafetyRule.CHECK_AND_SET);
   }
 
   /**
@@ -199,20 +204,20 @@
   }
 
   private State start(boolean joined) {
-    Engine engine = new Engine(new Standing(1, 0, 3), 1, Map.of(), 2);
+    Engine engine = new Engine(new RolloutState(1, 0, 3), 1, Map.of(), 2);
     List<Gateway> all = new ArrayList<>();
     for (int i = 0; i < gateways; i++) {
       Gateway g =
-          new Gateway(0, Holder.absent(bounds, off), 0, null, 0, null, 0, false, 0, null, 0);
+          new Gateway(0, LeaseHolder.absent(bounds, off), 0, null, 0, null, 0, false, 0, null, 0);
       for (int write = 0; joined && write < 2; write++) {
-        Holder.Write w = (Holder.Write) g.holder().action(0, Long.MAX_VALUE);
+        LeaseHolder.Write w = (LeaseHolder.Write) g.holder().action(0, Long.MAX_VALUE);
         engine = engine.put(g.key(i), w.index(), w.member(), true);
         g = g.with(g.holder().written(0, 0, w, true, engine.members().get(g.key(i)).index()));
         g = g.with(g.holder().heard(g.holder().term(), engine.standing()));
       }
       all.add(g);
     }
-    Mover mover = new Mover(Owner.fresh(bounds, off), 0, null, 0, null);
+    Mover mover = new Mover(RolloutLeader.fresh(bounds, off), 0, null, 0, null);
     return new State(
         engine,
         all,
@@ -230,7 +235,7 @@
     int least = s.engine().standing().stage();
     int most = least;
     for (Gateway g : s.gateways()) {
-      Standing in = g.inForce();
+      RolloutState in = g.inForce();
       if (in != null) {
         least = Math.min(least, in.stage());
         most = Math.max(most, in.stage());
@@ -344,7 +349,7 @@
 
   private void gateway(State s, int i, Consumer<State> to) {
     Gateway g = s.gateways().get(i);
-    Holder h = g.holder();
+    LeaseHolder h = g.holder();
     long now = g.clock();
     Engine e = s.engine();
     String key = g.key(i);
@@ -358,8 +363,9 @@
               g.with(h.written(g.sentAt(), now, g.out(), g.taken(), g.answered())),
               "hears late that its write was " + (g.taken() ? "" : "not ") + "taken"));
     } else {
-      Holder.Action action = h.action(now, g.open() == null ? Long.MAX_VALUE : g.open().epoch());
-      if (action instanceof Holder.Write w) {
+      LeaseHolder.Action action =
+          h.action(now, g.open() == null ? Long.MAX_VALUE : g.open().epoch());
+      if (action instanceof LeaseHolder.Write w) {
         Engine after = e.put(key, w.index(), w.member(), checked);
         boolean taken = after != e;
         long at = taken ? after.members().get(key).index() : 0;
@@ -391,8 +397,8 @@
                   s.faults() - 1,
                   what + " is held up and given up"));
         }
-      } else if (action instanceof Holder.Look) {
-        Owner.Seen seen = e.members().get(key);
+      } else if (action instanceof LeaseHolder.Look) {
+        RolloutLeader.Seen seen = e.members().get(key);
         to.accept(
             set(
                 s,
@@ -404,8 +410,8 @@
                 "looks at " + key));
       }
     }
-    if (h.isMember() || off.contains(Rule.JOIN_FIRST)) {
-      Holder heard = h.heard(h.term(), e.standing());
+    if (h.isMember() || off.contains(SafetyRule.JOIN_FIRST)) {
+      LeaseHolder heard = h.heard(h.term(), e.standing());
       if (heard != h) {
         to.accept(
             set(
@@ -472,7 +478,7 @@
               i,
               new Gateway(
                   g.life() + 1,
-                  Holder.absent(bounds, off),
+                  LeaseHolder.absent(bounds, off),
                   now,
                   null,
                   0,
@@ -519,15 +525,15 @@
               "looks"));
       if (s.faults() > 0) {
         Mover half =
-            off.contains(Rule.STANDING_FIRST)
+            off.contains(SafetyRule.STANDING_FIRST)
                 ? new Mover(m.owner(), m.clock(), null, 0, e.members())
                 : new Mover(m.owner(), m.clock(), e.standing(), e.index(), null);
         to.accept(set(s, e, i, half, s.loose(), s.faults() - 1, "begins a look"));
       }
     } else {
-      Standing standing = m.standing() != null ? m.standing() : e.standing();
+      RolloutState standing = m.standing() != null ? m.standing() : e.standing();
       long index = m.standing() != null ? m.index() : e.index();
-      Map<String, Owner.Seen> members = m.members() != null ? m.members() : e.members();
+      Map<String, RolloutLeader.Seen> members = m.members() != null ? m.members() : e.members();
       to.accept(
           set(
               s,
@@ -538,7 +544,7 @@
               s.faults(),
               "ends its look"));
     }
-    for (Owner.Action action : m.owner().actions()) {
+    for (RolloutLeader.Action action : m.owner().actions()) {
       UnaryOperator<Engine> effect = x -> effect(x, action);
       to.accept(
           set(
@@ -563,18 +569,25 @@
     }
     if (s.faults() > 0) {
       to.accept(
-          set(s, e, i, m.with(Owner.fresh(bounds, off)), s.loose(), s.faults() - 1, "restarts"));
+          set(
+              s,
+              e,
+              i,
+              m.with(RolloutLeader.fresh(bounds, off)),
+              s.loose(),
+              s.faults() - 1,
+              "restarts"));
     }
   }
 
-  private Engine effect(Engine e, Owner.Action action) {
-    if (action instanceof Owner.Move move) {
+  private Engine effect(Engine e, RolloutLeader.Action action) {
+    if (action instanceof RolloutLeader.Move move) {
       return e.stand(move.index(), move.to(), checked);
     }
-    if (action instanceof Owner.Revoke r) {
+    if (action instanceof RolloutLeader.Revoke r) {
       return e.put(r.key(), r.index(), r.revoked(), checked);
     }
-    Owner.Forget f = (Owner.Forget) action;
+    RolloutLeader.Forget f = (RolloutLeader.Forget) action;
     return e.forget(f.key(), f.index(), checked);
   }
 
--- a/core/src/test/java/shelffront/stage/StageModelTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModelTest.java
@@ -1,4 +1,4 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,7 +11,7 @@
  * The property {@code stage.deeper} adds to the depths: with 2 there are 5.4 million states, in
  * about a minute on eight cores.
  */
-class StageModelTest {
+class RolloutModelTest {
 
   @ParameterizedTest(name = "{0} gateways, {1} owners, {2} faults, joined {4}, depth {5}")
   @CsvSource({
@@ -23,8 +23,8 @@
   })
   void noOrderOfEventsBringsThreeStagesIntoForce(
       int gateways, int owners, int faults, int turns, boolean joined, int depth) {
-    StageModel.Result result =
-        new StageModel(gateways, owners, faults, turns)
+    RolloutModel.Result result =
+        new RolloutModel(gateways, owners, faults, turns)
             .explore(joined, depth + Integer.getInteger("stage.deeper", 0));
     System.out.println(
         gateways
@@ -55,11 +55,13 @@
     "STANDING_FIRST, 2, 1, false",
     "CHECK_AND_SET, 1, 0, true"
   })
-  void eachRuleIsMissed(Rule rule, int owners, int faults, boolean joined) {
-    StageModel.Result result = new StageModel(1, owners, faults, 0, rule).explore(joined, 13);
+  void eachRuleIsMissed(SafetyRule rule, int owners, int faults, boolean joined) {
+    RolloutModel.Result result = new RolloutModel(1, owners, faults, 0, rule).explore(joined, 13);
     System.out.println(rule + ": " + result.states() + " states, " + result.depth() + " steps");
     assertNotNull(result.trace(), "nothing goes wrong without it");
     assertNull(
-        new StageModel(1, owners, faults, 0).explore(joined, Math.min(9, result.depth())).trace());
+        new RolloutModel(1, owners, faults, 0)
+            .explore(joined, Math.min(9, result.depth()))
+            .trace());
   }
 }
--- a/core/src/test/java/shelffront/stage/StageTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutTest.java
@@ -1,4 +1,4 @@
-package shelffront.stage;
+package shelffront.rollout;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,22 +12,24 @@
 import org.junit.jupiter.api.Test;
 
 /** What the checker does not see: that the mechanism gets on, and the figures of its bounds. */
-class StageTest {
+class RolloutTest {
 
-  private static final Bounds BOUNDS = new Bounds(3_000, 500, 0.01, 2_000);
-  private static final Standing FIRST = new Standing(1, 0, 2);
+  private static final LeaseTimings BOUNDS = new LeaseTimings(3_000, 500, 0.01, 2_000);
+  private static final RolloutState FIRST = new RolloutState(1, 0, 2);
 
-  private static Map<String, Owner.Seen> one(long epoch, boolean revoked, long index) {
-    return Map.of("g", new Owner.Seen(new Member(epoch, revoked), index));
+  private static Map<String, RolloutLeader.Seen> one(long epoch, boolean revoked, long index) {
+    return Map.of("g", new RolloutLeader.Seen(new Member(epoch, revoked), index));
   }
 
   @Test
   void aMoveGoesOneStageAndOneEpochAtATimeInEitherDirection() {
-    assertEquals(new Standing(2, 1, 2), FIRST.next());
-    assertEquals(new Standing(2, 1, 0), new Standing(1, 2, 0).next());
-    assertEquals(new Standing(7, 2, 2), new Standing(7, 2, 2).next());
+    assertEquals(new RolloutState(2, 1, 2), FIRST.next());
+    assertEquals(new RolloutState(2, 1, 0), new RolloutState(1, 2, 0).next());
+    assertEquals(new RolloutState(7, 2, 2), new RolloutState(7, 2, 2).next());
     assertEquals(
-        new Standing(1, 0, 1), FIRST.towards(1), "the epoch is that of a stage, not of a action");
+        new RolloutState(1, 0, 1),
+        FIRST.towards(1),
+        "the epoch is that of a stage, not of a action");
   }
 
   @Test
@@ -35,21 +37,21 @@
     // 3.5 ms of a clock that is 1 % slow are 3.535 ms, and those are 3.571 ms of one that is 1 %
     // fast.
     assertEquals(3_571, BOUNDS.lapse());
-    assertThrows(IllegalArgumentException.class, () -> new Bounds(3_000, 0, 1, 0));
-    assertThrows(IllegalArgumentException.class, () -> new Bounds(0, 0, 0, 0));
-    assertThrows(IllegalArgumentException.class, () -> new Bounds(1, 0, Double.NaN, 0));
+    assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(3_000, 0, 1, 0));
+    assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(0, 0, 0, 0));
+    assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(1, 0, Double.NaN, 0));
   }
 
   @Test
   void aMemberThatAcknowledgedLetsTheSubjectMove() {
-    Owner owner = Owner.fresh(BOUNDS).looked(0, FIRST, 5, one(1, false, 9));
-    assertEquals(List.of(new Owner.Move(5, FIRST.next())), owner.actions());
+    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).looked(0, FIRST, 5, one(1, false, 9));
+    assertEquals(List.of(new RolloutLeader.Move(5, FIRST.next())), owner.actions());
     assertTrue(owner.waitsFor().isEmpty());
   }
 
   @Test
   void aMemberThatRenewsIsWaitedForAndOneThatDoesNotIsRevoked() {
-    Owner owner = Owner.fresh(BOUNDS);
+    RolloutLeader owner = RolloutLeader.fresh(BOUNDS);
     for (int i = 0; i < 20; i++) {
       owner = owner.looked(i * 500, FIRST, 5, one(0, false, 9 + i / 2));
       assertTrue(owner.actions().isEmpty(), "it renews");
@@ -58,41 +60,42 @@
     for (int i = 20; i < 26; i++) {
       owner = owner.looked(i * 500, FIRST, 5, one(0, false, 18));
     }
-    assertEquals(List.of(new Owner.Revoke("g", 18, new Member(0, true))), owner.actions());
+    assertEquals(List.of(new RolloutLeader.Revoke("g", 18, new Member(0, true))), owner.actions());
   }
 
   @Test
   void nobodyIsBlamedForATimeInWhichTheOwnerSawNothing() {
-    Owner owner = Owner.fresh(BOUNDS).looked(0, FIRST, 5, one(0, false, 9));
+    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).looked(0, FIRST, 5, one(0, false, 9));
     owner = owner.looked(60_000, FIRST, 5, one(0, false, 9));
     assertTrue(owner.actions().isEmpty(), "the engine was away; members renew as it comes back");
   }
 
   @Test
   void theMarkOfARevokedMemberGoesOnceItsLeaseHasLapsed() {
-    Owner owner = Owner.fresh(BOUNDS).looked(0, FIRST, 5, one(0, true, 9));
+    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).looked(0, FIRST, 5, one(0, true, 9));
     assertTrue(owner.actions().isEmpty());
     assertEquals(BOUNDS.lapse(), owner.wakeAt());
     owner = owner.looked(BOUNDS.lapse(), FIRST, 5, one(0, true, 9));
     assertEquals(
-        List.of(new Owner.Move(5, FIRST.next()), new Owner.Forget("g", 9)), owner.actions());
+        List.of(new RolloutLeader.Move(5, FIRST.next()), new RolloutLeader.Forget("g", 9)),
+        owner.actions());
   }
 
   @Test
   void aHolderJoinsTakesUpWhatItReadsAndFallsBackByItself() {
-    Holder h = Holder.absent(BOUNDS);
+    LeaseHolder h = LeaseHolder.absent(BOUNDS);
     assertNull(h.heard(1, FIRST).inForce(0), "no member yet");
-    Holder.Write join = assertInstanceOf(Holder.Write.class, h.action(0, Long.MAX_VALUE));
+    LeaseHolder.Write join = assertInstanceOf(LeaseHolder.Write.class, h.action(0, Long.MAX_VALUE));
     h = h.written(0, 40, join, true, 3).heard(1, FIRST);
     assertEquals(FIRST, h.inForce(2_999));
     assertNull(h.inForce(3_000), "its lease ran from when it asked");
     assertEquals(
-        new Holder.Write(3, new Member(1, false)),
+        new LeaseHolder.Write(3, new Member(1, false)),
         h.action(100, Long.MAX_VALUE),
         "it acknowledges at once");
     assertNull(h.action(100, 0), "not while something older goes on");
     assertTrue(h.waitsForQuiet());
-    Holder gone = h.unsure(100).looked(110, new Member(0, true), 4);
+    LeaseHolder gone = h.unsure(100).looked(110, new Member(0, true), 4);
     assertNull(gone.inForce(110));
     assertFalse(gone.isMember());
     assertEquals(2, gone.term(), "it joins anew under another name");
@@ -101,7 +104,7 @@
 
   @Test
   void theFenceTakesNothingOlderThanWhatItTook() {
-    Fence fence = new Fence();
+    FencingGuard fence = new FencingGuard();
     assertTrue(fence.takes(3) && fence.takes(3) && fence.takes(4));
     assertFalse(fence.takes(3));
     assertEquals(4, fence.newest());
--- a/core/src/test/java/shelffront/count/WindowTest.java
+++ b/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
@@ -1,4 +1,4 @@
-package shelffront.count;
+package shelffront.statistics;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 
 /** A window grows by what is answered well, and is cut once in an answer time. */
-class WindowTest {
+class ConcurrencyLimitTest {
 
   private static final long TOOK = 100_000;
 
-  private final Window window = new Window();
+  private final ConcurrencyLimit window = new ConcurrencyLimit();
 
   private boolean room(int out) {
     return window.hasRoom(1_000_000, 1, out, 0, TOOK);
--- a/gateway/src/main/java/shelffront/Main.java
+++ b/gateway/src/main/java/shelffront/Main.java
@@ -9,20 +9,20 @@
 import java.time.temporal.ChronoUnit;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import shelffront.benchlink.Wire;
 import shelffront.cli.Cli;
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
+import shelffront.gateway.ConfigReload;
 import shelffront.gateway.Gateway;
-import shelffront.gateway.Reload;
 import shelffront.gateway.ReloadSignal;
-import shelffront.net.Budget;
+import shelffront.net.AsyncEventLog;
 import shelffront.net.Counters;
+import shelffront.net.EventLog;
 import shelffront.net.EventLoop;
-import shelffront.net.Log;
 import shelffront.net.Network;
-import shelffront.net.QueuedLog;
-import shelffront.rehearsal.Rehearsal;
+import shelffront.net.ResourceBudget;
+import shelffront.simulator.SimulatorAdapter;
+import shelffront.training.TrainingRun;
 
 /**
  * The commands: {@code serve} runs a gateway, {@code benchlink} speaks the simulator's wire, {@code
@@ -44,7 +44,7 @@
         case "serve" -> serve();
         case "rehearse" -> rehearse();
         case "benchlink" ->
-            new Wire(
+            new SimulatorAdapter(
                     new FileInputStream(FileDescriptor.in),
                     new FileOutputStream(FileDescriptor.out))
                 .run();
@@ -58,27 +58,27 @@
     }
   }
 
-  private static Network network(Log log) throws IOException {
+  private static Network network(EventLog log) throws IOException {
     Counters counters = new Counters();
     EventLoop loop =
         new EventLoop(() -> ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()), counters);
-    return Network.open(loop, new Budget(BUFFER_BYTES), counters, log);
+    return Network.open(loop, new ResourceBudget(BUFFER_BYTES), counters, log);
   }
 
-  private static QueuedLog log() {
-    return new QueuedLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
+  private static AsyncEventLog log() {
+    return new AsyncEventLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
   }
 
   private static void rehearse() throws IOException, MalformedInputException, InterruptedException {
-    QueuedLog log = log();
-    Rehearsal.run(System.getenv(), network(log));
+    AsyncEventLog log = log();
+    TrainingRun.run(System.getenv(), network(log));
     log.close(LOG_MILLISECONDS);
   }
 
   private static void serve() throws IOException, MalformedInputException, InterruptedException {
     ReloadSignal reloadSignal = ReloadSignal.install(GatewayConfig.file(System.getenv()));
     GatewayConfig config = GatewayConfig.fromEnvironment(System.getenv());
-    QueuedLog log = log();
+    AsyncEventLog log = log();
     Network network = network(log);
     EventLoop loop = network.loop();
     Gateway gateway = new Gateway(network, config);
@@ -98,7 +98,7 @@
                   }
                 },
                 "stop"));
-    Reload reload = new Reload(network, gateway, System.getenv());
+    ConfigReload reload = new ConfigReload(network, gateway, System.getenv());
     reloadSignal.handleWith(reload::ask, network.log());
     gateway.start();
     network
--- a/gateway/src/main/java/shelffront/admin/AdminServer.java
+++ b/gateway/src/main/java/shelffront/admin/AdminServer.java
@@ -19,20 +19,20 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import shelffront.admin.Tokens.Caller;
-import shelffront.engine.OperatorException;
-import shelffront.fleetconfig.DistributionException.RecordTooLarge;
-import shelffront.net.Log;
-import shelffront.stages.StageException;
-import shelffront.store.Store;
-import shelffront.store.Store.Audit;
-import shelffront.store.Store.ConflictException;
-import shelffront.store.Store.Entry;
-import shelffront.store.Store.Kind;
-import shelffront.tenant.Keys;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.admin.AdminTokens.Caller;
+import shelffront.controlplane.DistributionException.RecordTooLarge;
+import shelffront.coordination.OperatorException;
+import shelffront.net.EventLog;
+import shelffront.rolloutcontrol.RolloutException;
+import shelffront.store.DocumentStore;
+import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.ConflictException;
+import shelffront.store.DocumentStore.Entry;
+import shelffront.store.DocumentStore.Kind;
+import shelffront.tenant.ApiKeys;
 import shelffront.tenant.Tenant;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * The administration API: HTTP/1.1 and JSON on a listener and threads of its own. What each call
@@ -56,15 +56,15 @@
   private static final String MOST_SECONDS = "10";
 
   /** An answer that a POST with an Idempotency-Key had, and what it was asked. */
-  private record Kept(String asked, Answer answer) {}
+  private record Kept(String asked, AdminResponse answer) {}
 
   private final HttpServer server;
   private final ThreadPoolExecutor threads;
-  private final Store store;
-  private final Tenancy tenancy;
-  private final Tokens tokens;
-  private final FleetCalls fleet;
-  private final Log log;
+  private final DocumentStore store;
+  private final TenantAdministration tenancy;
+  private final AdminTokens tokens;
+  private final FleetResource fleet;
+  private final EventLog log;
   private final Semaphore polls = new Semaphore(MOST_POLLS);
   private final Map<String, Integer> pollsOf =
       new ConcurrentHashMap<>(); // those that wait, by token
@@ -72,11 +72,11 @@
 
   public AdminServer(
       InetSocketAddress listen,
-      Store store,
-      Tenancy tenancy,
-      Tokens tokens,
-      FleetCalls fleet,
-      Log log)
+      DocumentStore store,
+      TenantAdministration tenancy,
+      AdminTokens tokens,
+      FleetResource fleet,
+      EventLog log)
       throws IOException {
     System.setProperty("sun.net.httpserver.maxReqTime", MOST_SECONDS);
     System.setProperty("sun.net.httpserver.maxRspTime", "90");
@@ -121,18 +121,20 @@
 
   private void handle(HttpExchange exchange) throws IOException {
     try (exchange) {
-      Answer answer;
+      AdminResponse answer;
       try {
         answer = route(exchange);
-      } catch (Problem e) {
+      } catch (ProblemException e) {
         Map<String, String> headers =
             e.status() == 401
                 ? Map.of("WWW-Authenticate", "Bearer")
                 : e.status() == 429 ? Map.of("Retry-After", "1") : Map.of();
-        answer = new Answer(e.status(), e.body(), headers);
+        answer = new AdminResponse(e.status(), e.body(), headers);
       } catch (RuntimeException e) {
         log.println("admin fault " + e);
-        answer = Answer.of(500, new Problem(500, "Fault", "the request has failed").body());
+        answer =
+            AdminResponse.of(
+                500, new ProblemException(500, "Fault", "the request has failed").body());
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
@@ -145,28 +147,31 @@
       exchange.getResponseHeaders().set("Cache-Control", "no-store");
       answer.headers().forEach(exchange.getResponseHeaders()::set);
       byte[] body =
-          answer.body() == null ? new byte[0] : SpecJson.JSON.writeValueAsBytes(answer.body());
+          answer.body() == null
+              ? new byte[0]
+              : TenantSpecCodec.JSON.writeValueAsBytes(answer.body());
       exchange.sendResponseHeaders(answer.status(), body.length == 0 ? -1 : body.length);
       exchange.getResponseBody().write(body);
     }
   }
 
-  private Answer route(HttpExchange exchange) throws Problem, IOException, InterruptedException {
+  private AdminResponse route(HttpExchange exchange)
+      throws ProblemException, IOException, InterruptedException {
     Caller caller = caller(exchange);
     byte[] body = exchange.getRequestBody().readNBytes(GREATEST_BODY + 1);
     if (body.length > GREATEST_BODY) {
-      throw new Problem(413, "Too large", "a body may have " + GREATEST_BODY + " bytes");
+      throw new ProblemException(413, "Too large", "a body may have " + GREATEST_BODY + " bytes");
     }
     String path = exchange.getRequestURI().getRawPath();
     String[] parts = path.split("/", -1);
     for (int i = 1; i < parts.length; i++) {
       // An encoded slash or dot is no name here, so that no path means anything but what it says.
-      if (!parts[i].matches(SpecJson.NAME)) {
-        throw Problem.notFound();
+      if (!parts[i].matches(TenantSpecCodec.NAME)) {
+        throw ProblemException.notFound();
       }
     }
     if (parts.length < 3 || !parts[1].equals("v1")) {
-      throw Problem.notFound();
+      throw ProblemException.notFound();
     }
     String method = exchange.getRequestMethod();
     String key = exchange.getRequestHeaders().getFirst("Idempotency-Key");
@@ -174,13 +179,14 @@
       return call(exchange, caller, method, parts, body);
     }
     if (!key.matches("[ -~]{1,200}")) {
-      throw new Problem(400, "Bad request", "Idempotency-Key is 1 to 200 printable characters");
+      throw new ProblemException(
+          400, "Bad request", "Idempotency-Key is 1 to 200 printable characters");
     }
-    String asked = path + " " + Arrays.toString(Keys.hash(body));
+    String asked = path + " " + Arrays.toString(ApiKeys.hash(body));
     synchronized (kept) { // one at a time: the second of two with one key finds the first's answer
       Kept before = kept.get(caller.token() + " " + key);
       if (before == null) {
-        Answer answer = call(exchange, caller, method, parts, body);
+        AdminResponse answer = call(exchange, caller, method, parts, body);
         kept.put(caller.token() + " " + key, new Kept(asked, answer));
         if (kept.size() > MOST_ANSWERS_KEPT) {
           kept.remove(kept.keySet().iterator().next());
@@ -188,25 +194,26 @@
         return answer;
       }
       if (!before.asked().equals(asked)) {
-        throw new Problem(422, "Key used before", "this Idempotency-Key came with another request");
+        throw new ProblemException(
+            422, "Key used before", "this Idempotency-Key came with another request");
       }
       return before.answer();
     }
   }
 
-  private Caller caller(HttpExchange exchange) throws Problem {
+  private Caller caller(HttpExchange exchange) throws ProblemException {
     String given = exchange.getRequestHeaders().getFirst("Authorization");
     Caller caller =
         given == null || !given.startsWith("Bearer ") ? null : tokens.caller(given.substring(7));
     if (caller == null) {
-      throw new Problem(401, "Not authorized", "a valid token is needed");
+      throw new ProblemException(401, "Not authorized", "a valid token is needed");
     }
     return caller;
   }
 
-  private Answer call(
+  private AdminResponse call(
       HttpExchange exchange, Caller caller, String method, String[] parts, byte[] body)
-      throws Problem, InterruptedException {
+      throws ProblemException, InterruptedException {
     try {
       switch (parts[2]) {
         case "tenants" -> {
@@ -214,7 +221,7 @@
             return tenants(caller, method, body);
           }
           if (!caller.sees(parts[3])) {
-            throw Problem.notFound();
+            throw ProblemException.notFound();
           }
           return tenant(exchange, caller, method, parts, body);
         }
@@ -232,7 +239,7 @@
         case "export" -> {
           only(method, "GET");
           operator(caller);
-          return Answer.of(200, store.export());
+          return AdminResponse.of(200, store.export());
         }
         case "subjects" -> {
           operator(caller);
@@ -242,21 +249,21 @@
           operator(caller);
           return fleet.distribution(method, parts);
         }
-        default -> throw Problem.notFound();
+        default -> throw ProblemException.notFound();
       }
     } catch (OperatorException e) {
       int status =
-          e instanceof StageException.Contended
+          e instanceof RolloutException.Contended
               ? 409
-              : e instanceof StageException.UnknownSubject
+              : e instanceof RolloutException.UnknownSubject
                   ? 404
-                  : e instanceof StageException || e instanceof RecordTooLarge ? 422 : 503;
-      throw new Problem(status, e.code(), e.getMessage() + ". " + e.advice());
+                  : e instanceof RolloutException || e instanceof RecordTooLarge ? 422 : 503;
+      throw new ProblemException(status, e.code(), e.getMessage() + ". " + e.advice());
     } catch (SpecException e) {
-      throw Problem.invalid(e);
+      throw ProblemException.invalid(e);
     } catch (ConflictException e) {
       Entry present = e.present();
-      throw new Problem(
+      throw new ProblemException(
           412,
           "Changed meanwhile",
           "it is not at the revision of If-Match",
@@ -268,42 +275,46 @@
   // ---- Tenants
   // --------------------------------------------------------------------------------
 
-  private Answer tenants(Caller caller, String method, byte[] body)
-      throws Problem, SpecException, ConflictException, OperatorException {
+  private AdminResponse tenants(Caller caller, String method, byte[] body)
+      throws ProblemException, SpecException, ConflictException, OperatorException {
     if (method.equals("POST")) {
       operator(caller);
-      JsonNode document = SpecJson.parse(body);
+      JsonNode document = TenantSpecCodec.parse(body);
       String id = document.path("id").asText();
       if (tenancy.get(id) != null) {
-        throw new Problem(409, "Exists", "there is a tenant of this name", "/id", null);
+        throw new ProblemException(409, "Exists", "there is a tenant of this name", "/id", null);
       }
       return written(201, id, tenancy.put(id, 0, document, caller.token(), "create"), document);
     }
     only(method, "GET");
-    ArrayNode list = SpecJson.JSON.createArrayNode();
+    ArrayNode list = TenantSpecCodec.JSON.createArrayNode();
     tenancy.all().stream().filter(e -> caller.sees(e.name())).forEach(e -> list.add(shown(e)));
-    ObjectNode answer = SpecJson.JSON.createObjectNode().put("revision", tenancy.revision());
+    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", tenancy.revision());
     answer.set("tenants", list);
-    return Answer.of(200, answer);
+    return AdminResponse.of(200, answer);
   }
 
-  private Answer tenant(
+  private AdminResponse tenant(
       HttpExchange exchange, Caller caller, String method, String[] parts, byte[] body)
-      throws Problem, SpecException, ConflictException, OperatorException, InterruptedException {
+      throws ProblemException,
+          SpecException,
+          ConflictException,
+          OperatorException,
+          InterruptedException {
     String id = parts[3];
     Entry entry = tenancy.get(id);
     boolean create = method.equals("PUT") && parts.length == 4 && caller.isOperator();
     if (entry == null && !create) {
-      throw Problem.notFound();
+      throw ProblemException.notFound();
     }
     if (parts.length == 4) {
       switch (method) {
         case "GET" -> {
-          return new Answer(200, shown(entry), Map.of("ETag", tag(entry.revision())));
+          return new AdminResponse(200, shown(entry), Map.of("ETag", tag(entry.revision())));
         }
         case "PUT" -> {
           long expected = expected(exchange, entry);
-          JsonNode document = SpecJson.parse(body);
+          JsonNode document = TenantSpecCodec.parse(body);
           if (!caller.isOperator()) {
             sameBounds(entry.document(), document);
           }
@@ -313,8 +324,8 @@
         case "DELETE" -> {
           operator(caller);
           long revision = tenancy.remove(id, expected(exchange, entry), caller.token());
-          return Answer.of(
-              202, SpecJson.JSON.createObjectNode().put("id", id).put("revision", revision));
+          return AdminResponse.of(
+              202, TenantSpecCodec.JSON.createObjectNode().put("id", id).put("revision", revision));
         }
         default -> throw noMethod();
       }
@@ -332,9 +343,9 @@
         throw noMethod();
       }
       long revision = tenancy.drain(id, parts[5], method.equals("POST"), caller.token());
-      return Answer.of(
+      return AdminResponse.of(
           200,
-          SpecJson.JSON
+          TenantSpecCodec.JSON
               .createObjectNode()
               .put("id", parts[5])
               .put("drained", method.equals("POST"))
@@ -343,34 +354,36 @@
     if (parts[4].equals("keys") && parts.length <= 6) {
       return keys(entry, caller, method, parts, body);
     }
-    throw Problem.notFound();
+    throw ProblemException.notFound();
   }
 
   /** Clients' keys: listed by their names, made here and shown once, ended. */
-  private Answer keys(Entry entry, Caller caller, String method, String[] parts, byte[] body)
-      throws Problem, SpecException, ConflictException, OperatorException {
+  private AdminResponse keys(Entry entry, Caller caller, String method, String[] parts, byte[] body)
+      throws ProblemException, SpecException, ConflictException, OperatorException {
     if (parts.length == 6) {
       only(method, "DELETE");
       long revision = tenancy.endKey(entry.name(), parts[5], caller.token());
       if (revision == 0) {
-        throw Problem.notFound();
+        throw ProblemException.notFound();
       }
-      return Answer.of(
-          200, SpecJson.JSON.createObjectNode().put("id", parts[5]).put("revision", revision));
+      return AdminResponse.of(
+          200,
+          TenantSpecCodec.JSON.createObjectNode().put("id", parts[5]).put("revision", revision));
     }
     if (method.equals("POST")) {
-      JsonNode user = SpecJson.parse(body).path("user");
+      JsonNode user = TenantSpecCodec.parse(body).path("user");
       if (!user.isTextual() || user.asText().isEmpty() || user.asText().length() > 63) {
-        throw new Problem(
+        throw new ProblemException(
             422, "Not a valid document", "a user of 1 to 63 characters is needed", "/user", null);
       }
-      Tenancy.NewKey made = tenancy.newKey(entry.name(), user.asText(), caller.token());
+      TenantAdministration.NewKey made =
+          tenancy.newKey(entry.name(), user.asText(), caller.token());
       if (made == null) {
-        throw Problem.notFound();
+        throw ProblemException.notFound();
       }
-      return Answer.of(
+      return AdminResponse.of(
           201,
-          SpecJson.JSON
+          TenantSpecCodec.JSON
               .createObjectNode()
               .put("id", made.id())
               .put("user", user.asText())
@@ -378,7 +391,7 @@
               .put("revision", made.revision()));
     }
     only(method, "GET");
-    ObjectNode answer = SpecJson.JSON.createObjectNode().put("revision", entry.revision());
+    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
     ArrayNode list = answer.putArray("keys");
     entry
         .document()
@@ -386,13 +399,13 @@
         .forEach(
             c ->
                 list.addObject()
-                    .put("id", Tenancy.keyId(c.path("sha256").asText()))
+                    .put("id", TenantAdministration.keyId(c.path("sha256").asText()))
                     .put("user", c.path("user").asText()));
-    return Answer.of(200, answer);
+    return AdminResponse.of(200, answer);
   }
 
   /** The revision that If-Match names; 0 by "If-None-Match: *" for one that is to be new. */
-  private static long expected(HttpExchange exchange, Entry entry) throws Problem {
+  private static long expected(HttpExchange exchange, Entry entry) throws ProblemException {
     String match = exchange.getRequestHeaders().getFirst("If-Match");
     if (match == null
         && entry == null
@@ -400,11 +413,11 @@
       return 0;
     }
     if (match == null) {
-      throw new Problem(
+      throw new ProblemException(
           428, "Precondition required", "If-Match must name the revision that is to be changed");
     }
     if (!match.matches("\"[0-9]{1,18}\"")) {
-      throw new Problem(
+      throw new ProblemException(
           412,
           "Changed meanwhile",
           "If-Match names no revision",
@@ -415,22 +428,22 @@
   }
 
   /** What a tenant has of the gateway is the operators' to give. */
-  private static void sameBounds(JsonNode before, JsonNode after) throws Problem {
+  private static void sameBounds(JsonNode before, JsonNode after) throws ProblemException {
     for (String field : new String[] {"weight", "limits"}) {
       if (!before.path(field).equals(after.path(field))) {
-        throw new Problem(
+        throw new ProblemException(
             403, "Not allowed", "only an operator may change this", "/" + field, null);
       }
     }
   }
 
-  private static Answer written(int status, String id, long revision, JsonNode document) {
-    return new Answer(
+  private static AdminResponse written(int status, String id, long revision, JsonNode document) {
+    return new AdminResponse(
         status, shown(new Entry(id, revision, document)), Map.of("ETag", tag(revision)));
   }
 
   private static ObjectNode shown(Entry entry) {
-    ObjectNode shown = SpecJson.JSON.createObjectNode().put("revision", entry.revision());
+    ObjectNode shown = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
     shown.set("tenant", entry.document());
     return shown;
   }
@@ -439,36 +452,36 @@
     return "\"" + revision + "\"";
   }
 
-  private static Answer boxes(Entry entry) {
-    ObjectNode answer = SpecJson.JSON.createObjectNode().put("revision", entry.revision());
+  private static AdminResponse boxes(Entry entry) {
+    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
     JsonNode boxes = entry.document().path("boxes");
     answer.set(
         "source",
         boxes.has("discovery")
             ? boxes.path("discovery")
-            : SpecJson.JSON.getNodeFactory().textNode("list"));
+            : TenantSpecCodec.JSON.getNodeFactory().textNode("list"));
     ArrayNode list = answer.putArray("boxes");
     boxes.path("list").forEach(b -> list.add(b.deepCopy()));
     answer.set(
         "drained",
         entry.document().has("drained")
             ? entry.document().path("drained")
-            : SpecJson.JSON.createArrayNode());
-    return Answer.of(200, answer);
+            : TenantSpecCodec.JSON.createArrayNode());
+    return AdminResponse.of(200, answer);
   }
 
-  private Answer usage(String id) throws Problem, InterruptedException {
+  private AdminResponse usage(String id) throws ProblemException, InterruptedException {
     Tenant.Usage usage;
     try {
       usage = tenancy.usage(id).get(5, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new Problem(503, "Busy", "the gateway did not say in time");
+      throw new ProblemException(503, "Busy", "the gateway did not say in time");
     }
     if (usage == null) {
-      throw Problem.notFound();
+      throw ProblemException.notFound();
     }
     ObjectNode answer =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("id", id)
             .put("clientConnections", usage.clientConnections())
@@ -477,23 +490,23 @@
             .put("bufferBytes", usage.bufferBytes());
     ObjectNode counters = answer.putObject("counters");
     usage.counters().forEach((name, value) -> counters.put(name.toLowerCase(Locale.ROOT), value));
-    return Answer.of(200, answer);
+    return AdminResponse.of(200, answer);
   }
 
   // ---- The rest
   // --------------------------------------------------------------------------------
 
-  private Answer audit(Caller caller, Map<String, String> query) throws Problem {
-    ObjectNode answer = SpecJson.JSON.createObjectNode().put("revision", store.revision());
+  private AdminResponse audit(Caller caller, Map<String, String> query) throws ProblemException {
+    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", store.revision());
     ArrayNode list = answer.putArray("entries");
     store.audits(number(query, "after", 0), 1000).stream()
         .filter(a -> caller.isOperator() || a.kind() == Kind.TENANT && caller.sees(a.name()))
         .forEach(a -> list.add(shown(a)));
-    return Answer.of(200, answer);
+    return AdminResponse.of(200, answer);
   }
 
   private static ObjectNode shown(Audit a) {
-    return SpecJson.JSON
+    return TenantSpecCodec.JSON
         .createObjectNode()
         .put("revision", a.revision())
         .put("before", a.before())
@@ -504,12 +517,12 @@
         .put("name", a.name());
   }
 
-  private Answer changes(Caller caller, Map<String, String> query)
-      throws Problem, InterruptedException {
+  private AdminResponse changes(Caller caller, Map<String, String> query)
+      throws ProblemException, InterruptedException {
     long after = number(query, "after", 0);
     String wait = query.getOrDefault("wait", "0s");
     if (!wait.matches("[0-9]{1,4}(ms|s)")) {
-      throw new Problem(400, "Bad request", "wait is a number of s or ms");
+      throw new ProblemException(400, "Bad request", "wait is a number of s or ms");
     }
     long millis =
         wait.endsWith("ms")
@@ -518,7 +531,7 @@
     boolean mayWait = pollsOf.merge(caller.token(), 1, Integer::sum) <= MOST_POLLS_OF_ONE;
     if (!mayWait || !polls.tryAcquire()) {
       pollEnds(caller);
-      throw new Problem(
+      throw new ProblemException(
           429,
           "Too many polls",
           "at most "
@@ -529,7 +542,7 @@
               + " of all");
     }
     try {
-      ObjectNode answer = SpecJson.JSON.createObjectNode();
+      ObjectNode answer = TenantSpecCodec.JSON.createObjectNode();
       ArrayNode list = answer.putArray("changes");
       for (Audit a : tenancy.changes(after, Math.min(LONGEST_POLL_MS, millis), caller.tenant())) {
         ObjectNode change =
@@ -542,7 +555,7 @@
           change.put("inForce", at);
         }
       }
-      return Answer.of(200, answer);
+      return AdminResponse.of(200, answer);
     } finally {
       polls.release();
       pollEnds(caller);
@@ -553,61 +566,64 @@
     pollsOf.computeIfPresent(caller.token(), (token, count) -> count == 1 ? null : count - 1);
   }
 
-  private Answer token(Caller caller, String method, String[] parts, byte[] body)
-      throws Problem, SpecException, ConflictException, OperatorException {
+  private AdminResponse token(Caller caller, String method, String[] parts, byte[] body)
+      throws ProblemException, SpecException, ConflictException, OperatorException {
     operator(caller);
     if (parts.length == 3 && method.equals("POST")) {
-      JsonNode asked = SpecJson.parse(body);
+      JsonNode asked = TenantSpecCodec.parse(body);
       JsonNode tenant = asked.path("tenant");
       if (!tenant.isMissingNode()
           && !tenant.isNull()
           && (!tenant.isTextual() || tenancy.get(tenant.asText()) == null)) {
-        throw new Problem(422, "Not a valid document", "there is no such tenant", "/tenant", null);
+        throw new ProblemException(
+            422, "Not a valid document", "there is no such tenant", "/tenant", null);
       }
-      return Answer.of(201, secret(tokens.create(tenant.asText(null), caller.token())));
+      return AdminResponse.of(201, secret(tokens.create(tenant.asText(null), caller.token())));
     }
     if (parts.length == 5 && parts[4].equals("rotate") && method.equals("POST")) {
       long overlap =
-          body.length == 0 ? 0 : SpecJson.parse(body).path("overlapSeconds").asLong(0) * 1000;
+          body.length == 0
+              ? 0
+              : TenantSpecCodec.parse(body).path("overlapSeconds").asLong(0) * 1000;
       String rotated =
           tokens.rotate(
               parts[3], Math.max(0, Math.min(LONGEST_OVERLAP_MS, overlap)), caller.token());
       if (rotated == null) {
-        throw Problem.notFound();
+        throw ProblemException.notFound();
       }
-      return Answer.of(200, secret(rotated));
+      return AdminResponse.of(200, secret(rotated));
     }
     if (parts.length == 4 && method.equals("DELETE")) {
       if (!tokens.revoke(parts[3], caller.token())) {
-        throw Problem.notFound();
+        throw ProblemException.notFound();
       }
-      return Answer.of(204, null);
+      return AdminResponse.of(204, null);
     }
-    throw parts.length > 5 ? Problem.notFound() : noMethod();
+    throw parts.length > 5 ? ProblemException.notFound() : noMethod();
   }
 
   private static ObjectNode secret(String token) {
-    return SpecJson.JSON
+    return TenantSpecCodec.JSON
         .createObjectNode()
         .put("id", token.substring(0, token.indexOf('.')))
         .put("token", token);
   }
 
   /** To a tenant's administrator, what is the operators' does not exist. */
-  private static void operator(Caller caller) throws Problem {
+  private static void operator(Caller caller) throws ProblemException {
     if (!caller.isOperator()) {
-      throw Problem.notFound();
+      throw ProblemException.notFound();
     }
   }
 
-  static void only(String method, String allowed) throws Problem {
+  static void only(String method, String allowed) throws ProblemException {
     if (!method.equals(allowed)) {
       throw noMethod();
     }
   }
 
-  static Problem noMethod() {
-    return new Problem(405, "Method not allowed", "this path does not take this method");
+  static ProblemException noMethod() {
+    return new ProblemException(405, "Method not allowed", "this path does not take this method");
   }
 
   private static Map<String, String> query(HttpExchange exchange) {
@@ -624,10 +640,11 @@
     return values;
   }
 
-  private static long number(Map<String, String> query, String name, long absent) throws Problem {
+  private static long number(Map<String, String> query, String name, long absent)
+      throws ProblemException {
     String value = query.get(name);
     if (value != null && !value.matches("[0-9]{1,18}")) {
-      throw new Problem(400, "Bad request", name + " is not a number");
+      throw new ProblemException(400, "Bad request", name + " is not a number");
     }
     return value == null ? absent : Long.parseLong(value);
   }
--- a/gateway/src/main/java/shelffront/admin/Tokens.java
+++ b/gateway/src/main/java/shelffront/admin/AdminTokens.java
@@ -7,18 +7,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HexFormat;
 import java.util.function.LongSupplier;
-import shelffront.store.Store;
-import shelffront.store.Store.ConflictException;
-import shelffront.store.Store.Entry;
-import shelffront.store.Store.Kind;
-import shelffront.tenant.Keys;
-import shelffront.tenant.SpecJson;
+import shelffront.store.DocumentStore;
+import shelffront.store.DocumentStore.ConflictException;
+import shelffront.store.DocumentStore.Entry;
+import shelffront.store.DocumentStore.Kind;
+import shelffront.tenant.ApiKeys;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * Administrators' tokens: {@code name.secret}, random, shown once and kept as a hash. One that is
  * rotated has a new secret, and the old one for an overlap.
  */
-public final class Tokens {
+public final class AdminTokens {
 
   /** Longer ones are no tokens and are not looked at. */
   private static final int GREATEST = 128;
@@ -38,11 +38,11 @@
     }
   }
 
-  private final Store store;
+  private final DocumentStore store;
   private final LongSupplier clock;
 
   /** The clock gives Unix milliseconds. */
-  public Tokens(Store store, LongSupplier clock) {
+  public AdminTokens(DocumentStore store, LongSupplier clock) {
     this.store = store;
     this.clock = clock;
   }
@@ -52,10 +52,10 @@
    * place it is in.
    */
   public String create(String tenant, String who) throws ConflictException {
-    byte[] random = Keys.hash(Keys.generate());
+    byte[] random = ApiKeys.hash(ApiKeys.generate());
     String name = HexFormat.of().formatHex(random, 0, 8);
-    String secret = Keys.generate();
-    ObjectNode document = SpecJson.JSON.createObjectNode().put("tenant", tenant);
+    String secret = ApiKeys.generate();
+    ObjectNode document = TenantSpecCodec.JSON.createObjectNode().put("tenant", tenant);
     addHash(document.putArray("hashes"), secret);
     store.put(Kind.TOKEN, name, 0, document, who, "create token", clock.getAsLong());
     return name + "." + secret;
@@ -71,9 +71,9 @@
       return null;
     }
     long now = clock.getAsLong();
-    String secret = Keys.generate();
+    String secret = ApiKeys.generate();
     ObjectNode document = entry.document().deepCopy();
-    ArrayNode hashes = SpecJson.JSON.createArrayNode();
+    ArrayNode hashes = TenantSpecCodec.JSON.createArrayNode();
     addHash(hashes, secret);
     for (JsonNode h : entry.document().path("hashes")) {
       long until = Math.min(h.path("until").asLong(Long.MAX_VALUE), now + overlap);
@@ -96,7 +96,7 @@
   }
 
   private static void addHash(ArrayNode hashes, String secret) {
-    hashes.addObject().put("sha256", HexFormat.of().formatHex(Keys.hash(secret)));
+    hashes.addObject().put("sha256", HexFormat.of().formatHex(ApiKeys.hash(secret)));
   }
 
   /** Who shows a token, or null. */
@@ -107,11 +107,11 @@
         token.substring(dot + 1, Math.min(token.length(), dot + 1 + GREATEST)).getBytes(UTF_8);
     boolean matches = false;
     if (entry == null) {
-      Keys.matches(NOBODY, secret); // a name that nobody has takes as long
+      ApiKeys.matches(NOBODY, secret); // a name that nobody has takes as long
     } else {
       for (JsonNode h : entry.document().path("hashes")) {
         matches |=
-            Keys.matches(HexFormat.of().parseHex(h.path("sha256").asText()), secret)
+            ApiKeys.matches(HexFormat.of().parseHex(h.path("sha256").asText()), secret)
                 && h.path("until").asLong(Long.MAX_VALUE) > clock.getAsLong();
       }
     }
--- a/gateway/src/main/java/shelffront/admin/FleetCalls.java
+++ b/gateway/src/main/java/shelffront/admin/FleetResource.java
@@ -3,54 +3,55 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import shelffront.controlplane.SubscribedRecords;
+import shelffront.coordination.OperatorException;
 import shelffront.distribution.Version;
-import shelffront.engine.OperatorException;
-import shelffront.fleetconfig.FleetRecords;
-import shelffront.stages.Stages;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.rolloutcontrol.RolloutCoordinator;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * The administration's calls about what a fleet shares: subjects that go through stages, and
  * distribution.
  */
-public final class FleetCalls {
+public final class FleetResource {
 
   /** This gateway's part in distribution. */
   public interface Distribution {
 
-    FleetRecords.Status status();
+    SubscribedRecords.Status status();
 
     /** What the engine holds is the truth from here on. */
     Version beginIncarnation() throws OperatorException;
   }
 
-  private final Stages stages;
+  private final RolloutCoordinator stages;
   private final Distribution distribution;
 
   /** Each is null where the gateway has no part in it. */
-  public FleetCalls(Stages stages, Distribution distribution) {
+  public FleetResource(RolloutCoordinator stages, Distribution distribution) {
     this.stages = stages;
     this.distribution = distribution;
   }
 
   /** What the fleet changes stage by stage: shown, and sent to another stage. */
-  Answer subjects(String method, String[] parts, byte[] body)
-      throws Problem, SpecException, OperatorException {
+  AdminResponse subjects(String method, String[] parts, byte[] body)
+      throws ProblemException, SpecException, OperatorException {
     if (stages == null || parts.length > 4) {
-      throw Problem.notFound();
+      throw ProblemException.notFound();
     }
     if (parts.length == 4 && method.equals("PUT")) {
-      JsonNode target = SpecJson.parse(body).path("target");
+      JsonNode target = TenantSpecCodec.parse(body).path("target");
       if (!target.isTextual()) {
-        throw new Problem(422, "Not a valid document", "a stage is needed", "/target", null);
+        throw new ProblemException(
+            422, "Not a valid document", "a stage is needed", "/target", null);
       }
       stages.target(parts[3], target.asText());
     } else {
       AdminServer.only(method, "GET");
     }
-    ArrayNode list = SpecJson.JSON.createArrayNode();
-    for (Stages.Shown s : stages.show(parts.length == 4 ? parts[3] : null)) {
+    ArrayNode list = TenantSpecCodec.JSON.createArrayNode();
+    for (RolloutCoordinator.Shown s : stages.show(parts.length == 4 ? parts[3] : null)) {
       ArrayNode waits =
           list.addObject()
               .put("subject", s.subject())
@@ -62,27 +63,29 @@
               .putArray("waitsFor");
       s.waitsFor().forEach(waits::add);
     }
-    return Answer.of(200, SpecJson.JSON.createObjectNode().set("subjects", list));
+    return AdminResponse.of(200, TenantSpecCodec.JSON.createObjectNode().set("subjects", list));
   }
 
   /**
    * How current this gateway's view is; and the order to take what the engine holds for the truth.
    */
-  Answer distribution(String method, String[] parts) throws Problem, OperatorException {
+  AdminResponse distribution(String method, String[] parts)
+      throws ProblemException, OperatorException {
     if (distribution == null) {
-      throw Problem.notFound();
+      throw ProblemException.notFound();
     }
     if (parts.length == 4 && parts[3].equals("incarnation")) {
       AdminServer.only(method, "POST");
-      return Answer.of(200, put(SpecJson.JSON.createObjectNode(), distribution.beginIncarnation()));
+      return AdminResponse.of(
+          200, put(TenantSpecCodec.JSON.createObjectNode(), distribution.beginIncarnation()));
     }
     if (parts.length != 3) {
-      throw Problem.notFound();
+      throw ProblemException.notFound();
     }
     AdminServer.only(method, "GET");
-    FleetRecords.Status status = distribution.status();
+    SubscribedRecords.Status status = distribution.status();
     ObjectNode answer =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("ageMillis", status.ageMillis())
             .put("following", status.following())
@@ -94,7 +97,7 @@
     if (status.error() != null) {
       answer.put("error", status.error()).put("advice", status.advice());
     }
-    return Answer.of(200, answer);
+    return AdminResponse.of(200, answer);
   }
 
   private static ObjectNode put(ObjectNode answer, Version version) {
--- a/gateway/src/main/java/shelffront/admin/Problem.java
+++ b/gateway/src/main/java/shelffront/admin/ProblemException.java
@@ -1,13 +1,13 @@
 package shelffront.admin;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import shelffront.tenant.SpecJson;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * An answer that is an error, as RFC 9457 words it; the pointer (RFC 6901) names the field at
  * fault, if one is.
  */
-final class Problem extends Exception {
+final class ProblemException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
@@ -16,11 +16,11 @@
   private final String pointer;
   private final transient ObjectNode present;
 
-  Problem(int status, String title, String detail) {
+  ProblemException(int status, String title, String detail) {
     this(status, title, detail, null, null);
   }
 
-  Problem(int status, String title, String detail, String pointer, ObjectNode present) {
+  ProblemException(int status, String title, String detail, String pointer, ObjectNode present) {
     super(detail);
     this.status = status;
     this.title = title;
@@ -29,12 +29,12 @@
   }
 
   /** The same for what does not exist and for what is another's. */
-  static Problem notFound() {
-    return new Problem(404, "Not found", "there is nothing here");
+  static ProblemException notFound() {
+    return new ProblemException(404, "Not found", "there is nothing here");
   }
 
-  static Problem invalid(SpecJson.SpecException e) {
-    return new Problem(
+  static ProblemException invalid(TenantSpecCodec.SpecException e) {
+    return new ProblemException(
         e.getMessage().startsWith("not JSON") ? 400 : 422,
         "Not a valid document",
         e.getMessage(),
@@ -48,7 +48,7 @@
 
   ObjectNode body() {
     ObjectNode body =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("type", "about:blank")
             .put("title", title)
--- a/gateway/src/main/java/shelffront/admin/Tenancy.java
+++ b/gateway/src/main/java/shelffront/admin/TenantAdministration.java
@@ -12,23 +12,23 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
-import shelffront.engine.OperatorException;
-import shelffront.store.Store;
-import shelffront.store.Store.Audit;
-import shelffront.store.Store.ConflictException;
-import shelffront.store.Store.Entry;
-import shelffront.store.Store.Kind;
-import shelffront.tenant.Keys;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.coordination.OperatorException;
+import shelffront.store.DocumentStore;
+import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.ConflictException;
+import shelffront.store.DocumentStore.Entry;
+import shelffront.store.DocumentStore.Kind;
+import shelffront.tenant.ApiKeys;
 import shelffront.tenant.Tenant;
 import shelffront.tenant.TenantSpec;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * Tenants as administrators change them: first in the store, then in the running gateway, in the
  * order of revisions. Remembers which changes are in force. Any thread may call.
  */
-public final class Tenancy {
+public final class TenantAdministration {
 
   /** The running gateway; each call is carried out later, in the order of the calls. */
   public interface Control {
@@ -43,7 +43,7 @@
 
   private static final int REMEMBERED = 10_000; // Changes whose time in force is known.
 
-  private final TenantRecords records;
+  private final TenantDocuments records;
   private final Control control;
   private final LongSupplier clock;
   private final Map<Long, Long> inForce = new LinkedHashMap<>();
@@ -51,12 +51,12 @@
   private volatile long startTime;
 
   /** The clock gives Unix milliseconds. */
-  public Tenancy(Store store, Control control, LongSupplier clock) {
-    this(TenantRecords.in(store), control, clock);
+  public TenantAdministration(DocumentStore store, Control control, LongSupplier clock) {
+    this(TenantDocuments.in(store), control, clock);
   }
 
   /** Of a gateway whose tenants may be those of a whole fleet. */
-  public Tenancy(TenantRecords records, Control control, LongSupplier clock) {
+  public TenantAdministration(TenantDocuments records, Control control, LongSupplier clock) {
     this.records = records;
     this.control = control;
     this.clock = clock;
@@ -68,7 +68,7 @@
     startTime = clock.getAsLong();
     if (records.isPutInForceByCaller()) {
       for (Entry entry : records.all()) {
-        control.apply(SpecJson.read(entry.document()), at -> {});
+        control.apply(TenantSpecCodec.read(entry.document()), at -> {});
       }
     }
   }
@@ -89,7 +89,7 @@
   /** Puts a tenant in place of the one at a revision, 0 for none; gives the new revision. */
   public long put(String id, long expected, JsonNode document, String who, String what)
       throws SpecException, ConflictException, OperatorException {
-    TenantSpec spec = SpecJson.read(document);
+    TenantSpec spec = TenantSpecCodec.read(document);
     if (!spec.id().equals(id)) {
       throw new SpecException("/id", "is not the name in the path");
     }
@@ -150,8 +150,8 @@
       if (entry == null) {
         return null;
       }
-      String key = Keys.generate();
-      String hash = HexFormat.of().formatHex(Keys.hash(key));
+      String key = ApiKeys.generate();
+      String hash = HexFormat.of().formatHex(ApiKeys.hash(key));
       ObjectNode next = entry.document().deepCopy();
       next.withArray("/credentials").addObject().put("user", user).put("sha256", hash);
       String id = keyId(hash);
@@ -165,7 +165,7 @@
     synchronized (this) {
       Entry entry = get(tenant);
       ObjectNode next = entry == null ? null : entry.document().deepCopy();
-      ArrayNode kept = SpecJson.JSON.createArrayNode();
+      ArrayNode kept = TenantSpecCodec.JSON.createArrayNode();
       JsonNode before = next == null ? kept : next.path("credentials");
       for (JsonNode c : before) {
         if (!keyId(c.path("sha256").asText()).equals(key)) {
--- a/gateway/src/main/java/shelffront/admin/TenantRecords.java
+++ b/gateway/src/main/java/shelffront/admin/TenantDocuments.java
@@ -2,18 +2,18 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
-import shelffront.engine.OperatorException;
-import shelffront.store.Store;
-import shelffront.store.Store.Audit;
-import shelffront.store.Store.ConflictException;
-import shelffront.store.Store.Entry;
-import shelffront.store.Store.Kind;
+import shelffront.coordination.OperatorException;
+import shelffront.store.DocumentStore;
+import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.ConflictException;
+import shelffront.store.DocumentStore.Entry;
+import shelffront.store.DocumentStore.Kind;
 
 /**
  * Where the documents of tenants are kept, and changed one at a time by check-and-set. Any thread
  * may call.
  */
-public interface TenantRecords {
+public interface TenantDocuments {
 
   /** Null where there is none. */
   Entry get(String id) throws OperatorException;
@@ -40,8 +40,8 @@
   boolean isPutInForceByCaller();
 
   /** Those of this gateway alone, in its store. */
-  static TenantRecords in(Store store) {
-    return new TenantRecords() {
+  static TenantDocuments in(DocumentStore store) {
+    return new TenantDocuments() {
       @Override
       public Entry get(String id) {
         return store.get(Kind.TENANT, id);
--- a/gateway/src/main/java/shelffront/server/HostCall.java
+++ b/gateway/src/main/java/shelffront/backend/BackendCall.java
@@ -1,21 +1,21 @@
-package shelffront.server;
+package shelffront.backend;
 
-import shelffront.exchange.Attempt;
 import shelffront.net.EventLoop.Deadline;
+import shelffront.request.BackendAttempt;
 
 /** What one host connection carries at a time: an attempt, or a probe where there is none. */
-final class HostCall {
+final class BackendCall {
 
   final String member;
-  final Host host; // null where the list does not know the member
-  final Attempt attempt;
+  final BackendHost host; // null where the list does not know the member
+  final BackendAttempt attempt;
   final long startedAt;
   Deadline connectBy;
   Deadline endBy;
-  HostConnection on;
+  BackendConnection on;
   boolean over;
 
-  HostCall(String member, Host host, Attempt attempt, long startedAt) {
+  BackendCall(String member, BackendHost host, BackendAttempt attempt, long startedAt) {
     this.member = member;
     this.host = host;
     this.attempt = attempt;
--- a/gateway/src/main/java/shelffront/server/HostConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -1,4 +1,4 @@
-package shelffront.server;
+package shelffront.backend;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -9,37 +9,37 @@
 import shelffront.net.Network;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
-import shelffront.route.Router.Status;
+import shelffront.routing.Router.AttemptStatus;
 
 /**
  * A connection to a database host. It carries a single call at a time and is closed to abandon one.
  */
-final class HostConnection extends Connection {
+final class BackendConnection extends Connection {
 
   private static final int GREATEST_GREETING = 8192;
 
   /** An answer comes in one piece or in quick succession: one that stops half-way is spoilt. */
   private static final long ANSWER_TIME = 250_000;
 
-  final Host host;
+  final BackendHost host;
   private final InetSocketAddress address;
-  private final Servers servers;
+  private final BackendConnections servers;
   private final Deadline openBy;
   private Deadline idleUntil;
   private Deadline answerBy;
   private boolean ready;
-  private HostCall call;
+  private BackendCall call;
   private boolean requestWritten;
   private boolean inPieces; // part of a message has come
   private boolean spoilt;
-  private Answer answer = new Answer();
+  private QueryResponse answer = new QueryResponse();
   private int held; // bytes of the answer that the memory budget counts
 
-  HostConnection(
+  BackendConnection(
       Network network,
       AsynchronousSocketChannel channel,
-      Host host,
-      Servers servers,
+      BackendHost host,
+      BackendConnections servers,
       long openWithin) {
     super(network, "host", channel, Message.GREATEST_ROW);
     this.host = host;
@@ -66,7 +66,7 @@
     return ready;
   }
 
-  void begin(HostCall next, byte[] query) {
+  void begin(BackendCall next, byte[] query) {
     cancel(idleUntil);
     call = next;
     requestWritten = false;
@@ -176,9 +176,9 @@
   }
 
   private void finish(boolean surplus) {
-    HostCall done = call;
+    BackendCall done = call;
     call = null;
-    Reply reply = answer.reply(done.attempt == null);
+    BackendResponse reply = answer.reply(done.attempt == null);
     dropAnswer();
     if (surplus) {
       close(CloseReason.SURPLUS);
@@ -197,16 +197,18 @@
   protected void ended(CloseReason reason) {
     openBy.cancel();
     cancel(idleUntil);
-    HostCall broken = call;
+    BackendCall broken = call;
     call = null;
-    Reply reply = null;
+    BackendResponse reply = null;
     if (broken != null) {
       boolean said = answer.whole() && !inPieces && !spoilt && reason != CloseReason.NO_MEMORY;
       reply =
           said
               ? answer.reply(broken.attempt == null)
-              : Reply.of(
-                  spoilt ? Status.ERROR : requestWritten ? Status.RESET : Status.CONNECT_FAILED);
+              : BackendResponse.of(
+                  spoilt
+                      ? AttemptStatus.ERROR
+                      : requestWritten ? AttemptStatus.RESET : AttemptStatus.CONNECT_FAILED);
     }
     dropAnswer();
     servers.ended(this);
@@ -223,7 +225,7 @@
     answerBy = null;
     network.budget().giveBack(held);
     held = 0;
-    answer = new Answer();
+    answer = new QueryResponse();
   }
 
   @Override
--- a/gateway/src/main/java/shelffront/server/Servers.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -1,4 +1,4 @@
-package shelffront.server;
+package shelffront.backend;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
@@ -9,22 +9,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shelffront.config.MemberList;
-import shelffront.exchange.Attempt;
+import shelffront.config.EndpointList;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
 import shelffront.net.Network;
 import shelffront.pg.Message;
-import shelffront.route.Router.Availability;
-import shelffront.route.Router.Limits;
-import shelffront.route.Router.Member;
-import shelffront.route.Router.Status;
-import shelffront.share.Holdings;
-import shelffront.share.Holdings.Holding;
-import shelffront.share.Holdings.Verdict;
+import shelffront.quota.ConnectionQuotas;
+import shelffront.quota.ConnectionQuotas.ConnectionQuota;
+import shelffront.quota.ConnectionQuotas.Verdict;
+import shelffront.request.BackendAttempt;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.Availability;
+import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Router.OperatingLimits;
 
 /** The server side: a pool of connections to each database host, the attempts and the probes. */
-public final class Servers {
+public final class BackendConnections {
 
   /**
    * Takes what comes back; called once for each attempt and probe, never from within the call that
@@ -32,12 +32,12 @@
    */
   public interface Listener {
 
-    void ended(Attempt attempt, Reply reply);
+    void ended(BackendAttempt attempt, BackendResponse reply);
 
     /** Whether an attempt may still be written, now that a connection is there for it. */
-    boolean mayStart(Attempt attempt);
+    boolean mayStart(BackendAttempt attempt);
 
-    void probed(String member, Reply reply, long took);
+    void probed(String member, BackendResponse reply, long took);
   }
 
   /** Who the hosts are told this is. */
@@ -46,22 +46,22 @@
   private static final byte[] PROBE = Message.query("SHOW usage".getBytes(US_ASCII));
 
   private final Network network;
-  private final Limits limits;
-  private final Holding sockets;
+  private final OperatingLimits limits;
+  private final ConnectionQuota sockets;
   final Login login;
   private final Listener listener;
-  private final Map<String, Host> hosts = new TreeMap<>();
+  private final Map<String, BackendHost> hosts = new TreeMap<>();
 
   /** In the order of their begin, so that closing all goes the same way each time. */
-  private final Map<Attempt, HostCall> calls = new LinkedHashMap<>();
+  private final Map<BackendAttempt, BackendCall> calls = new LinkedHashMap<>();
 
   private boolean owes; // another tenant waits for a socket, and none of these was idle
 
   /** Each connection takes one of the sockets, divided by weight and bounded, while it is open. */
-  public Servers(
+  public BackendConnections(
       Network network,
-      Limits limits,
-      Holdings sockets,
+      OperatingLimits limits,
+      ConnectionQuotas sockets,
       double weight,
       int mostSockets,
       Login login,
@@ -79,53 +79,55 @@
   }
 
   /** Takes the addresses of a list; connections to hosts that left it, or moved, are given back. */
-  public void listed(MemberList list) {
-    for (Member m : list.members()) {
+  public void listed(EndpointList list) {
+    for (Endpoint m : list.members()) {
       if (m.availability() == Availability.GONE) {
         leave(m.id());
         continue;
       }
       InetSocketAddress address = list.addresses().get(m.id());
-      Host host = hosts.computeIfAbsent(m.id(), Host::new);
+      BackendHost host = hosts.computeIfAbsent(m.id(), BackendHost::new);
       if (host.address != null && !host.address.equals(address)) {
         closeIdle(host, CloseReason.LEFT_LIST);
       }
       host.address = address;
     }
     if (list.complete()) {
-      List<String> named = list.members().stream().map(Member::id).toList();
+      List<String> named = list.members().stream().map(Endpoint::id).toList();
       List.copyOf(hosts.keySet()).stream().filter(id -> !named.contains(id)).forEach(this::leave);
     }
   }
 
   private void leave(String member) {
-    Host host = hosts.remove(member);
+    BackendHost host = hosts.remove(member);
     if (host != null) {
       closeIdle(host, CloseReason.LEFT_LIST);
     }
   }
 
-  public void start(Attempt attempt) {
-    Host host = hosts.get(attempt.member);
-    HostCall call = new HostCall(attempt.member, host, attempt, network.loop().now());
+  public void start(BackendAttempt attempt) {
+    BackendHost host = hosts.get(attempt.member);
+    BackendCall call = new BackendCall(attempt.member, host, attempt, network.loop().now());
     calls.put(attempt, call);
-    call.endBy = network.loop().at(attempt.exchange.deadline, () -> giveUp(call, Status.TIMEOUT));
+    call.endBy =
+        network.loop().at(attempt.exchange.deadline, () -> giveUp(call, AttemptStatus.TIMEOUT));
     begin(call);
   }
 
   public void probe(String member) {
-    HostCall call = new HostCall(member, hosts.get(member), null, network.loop().now());
+    BackendCall call = new BackendCall(member, hosts.get(member), null, network.loop().now());
     network.counters().add(Counters.Name.PROBES_SENT);
-    call.endBy = network.loop().after(limits.connectTimeout(), () -> giveUp(call, Status.TIMEOUT));
+    call.endBy =
+        network.loop().after(limits.connectTimeout(), () -> giveUp(call, AttemptStatus.TIMEOUT));
     begin(call);
   }
 
   /** Calls the attempt off; its outcome follows unless it is over already. */
-  public void cancel(Attempt attempt) {
-    HostCall call = calls.get(attempt);
+  public void cancel(BackendAttempt attempt) {
+    BackendCall call = calls.get(attempt);
     if (call != null) {
       abandon(call, CloseReason.CANCELLED);
-      network.post(() -> finish(call, Reply.of(Status.CANCELLED)));
+      network.post(() -> finish(call, BackendResponse.of(AttemptStatus.CANCELLED)));
     }
   }
 
@@ -137,29 +139,30 @@
 
   /** Ends every connection and whatever waits for one; outcomes follow where any are owed. */
   public void closeAll(CloseReason reason) {
-    for (Host host : hosts.values()) {
+    for (BackendHost host : hosts.values()) {
       List.copyOf(host.connections).forEach(c -> c.close(reason));
-      List.copyOf(host.waiting).forEach(e -> finish(e, Reply.of(Status.CONNECT_FAILED)));
+      List.copyOf(host.waiting)
+          .forEach(e -> finish(e, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       host.waiting.clear();
     }
     // Hosts that have left the list may still carry some.
-    for (HostCall call : List.copyOf(calls.values())) {
+    for (BackendCall call : List.copyOf(calls.values())) {
       abandon(call, reason);
-      finish(call, Reply.of(Status.CANCELLED));
+      finish(call, BackendResponse.of(AttemptStatus.CANCELLED));
     }
   }
 
-  private void closeIdle(Host host, CloseReason reason) {
+  private void closeIdle(BackendHost host, CloseReason reason) {
     List.copyOf(host.idle).forEach(c -> c.close(reason));
   }
 
-  private void begin(HostCall call) {
-    Host host = call.host;
+  private void begin(BackendCall call) {
+    BackendHost host = call.host;
     if (host == null) {
-      network.post(() -> finish(call, Reply.of(Status.CONNECT_FAILED)));
+      network.post(() -> finish(call, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       return;
     }
-    HostConnection connection = host.idle.pollLast();
+    BackendConnection connection = host.idle.pollLast();
     while (connection != null && connection.hasUnseen()) {
       // Its end, or what nobody asked for, waits to be looked at: written to, it would seem to have
       // been sent.
@@ -170,7 +173,9 @@
       return;
     }
     call.connectBy =
-        network.loop().after(limits.connectTimeout(), () -> giveUp(call, Status.CONNECT_FAILED));
+        network
+            .loop()
+            .after(limits.connectTimeout(), () -> giveUp(call, AttemptStatus.CONNECT_FAILED));
     host.waiting.add(call);
     if (host.opening < host.waiting.size()) {
       open(host);
@@ -181,7 +186,7 @@
    * At the bound for sockets the call waits for a connection of its host, or for a socket, to come
    * free.
    */
-  private void open(Host host) {
+  private void open(BackendHost host) {
     Verdict verdict = sockets.take(false);
     if (verdict != Verdict.TAKEN && evict()) {
       verdict = sockets.take(true);
@@ -199,8 +204,8 @@
     }
     host.opening++;
     network.counters().add(Counters.Name.HOST_CONNECTIONS_OPENED);
-    HostConnection connection =
-        new HostConnection(network, channel, host, this, limits.connectTimeout());
+    BackendConnection connection =
+        new BackendConnection(network, channel, host, this, limits.connectTimeout());
     host.connections.add(connection);
     connection.open();
   }
@@ -212,7 +217,7 @@
 
   private void oneCame() {
     sockets.told();
-    for (Host host : hosts.values()) {
+    for (BackendHost host : hosts.values()) {
       if (!openForWaiting(host)) {
         return;
       }
@@ -220,7 +225,7 @@
   }
 
   /** As many connections as calls wait for; false where no socket is left for them. */
-  private boolean openForWaiting(Host host) {
+  private boolean openForWaiting(BackendHost host) {
     while (host.opening < host.waiting.size()) {
       int before = host.opening;
       open(host);
@@ -242,7 +247,7 @@
   }
 
   private boolean evict() {
-    for (Host host : hosts.values()) {
+    for (BackendHost host : hosts.values()) {
       if (!host.idle.isEmpty()) {
         host.idle.peekFirst().close(CloseReason.EVICTED);
         return true;
@@ -251,7 +256,7 @@
     return false;
   }
 
-  void opened(HostConnection connection) {
+  void opened(BackendConnection connection) {
     connection.host.opening--;
     freed(connection);
   }
@@ -259,8 +264,8 @@
   /**
    * The connection carries nothing now: it takes the next call or idles, for less than hosts allow.
    */
-  void freed(HostConnection connection) {
-    Host host = connection.host;
+  void freed(BackendConnection connection) {
+    BackendHost host = connection.host;
     if (connection.isClosed()) {
       return;
     }
@@ -269,11 +274,11 @@
       openForWaiting(host);
       return;
     }
-    HostCall next = host.waiting.poll();
+    BackendCall next = host.waiting.poll();
     // What the choice of one that waited rested on may hold no longer.
     while (next != null && next.attempt != null && !listener.mayStart(next.attempt)) {
-      HostCall late = next;
-      network.post(() -> finish(late, Reply.of(Status.NOT_SENT)));
+      BackendCall late = next;
+      network.post(() -> finish(late, BackendResponse.of(AttemptStatus.NOT_SENT)));
       next = host.waiting.poll();
     }
     if (next != null) {
@@ -289,7 +294,7 @@
     }
   }
 
-  private void carry(HostConnection connection, HostCall call) {
+  private void carry(BackendConnection connection, BackendCall call) {
     if (call.connectBy != null) {
       call.connectBy.cancel();
     }
@@ -305,21 +310,21 @@
   }
 
   /** A connection that ends while it opens takes the call that waited longest with it. */
-  void ended(HostConnection connection) {
-    Host host = connection.host;
+  void ended(BackendConnection connection) {
+    BackendHost host = connection.host;
     sockets.giveBack();
     host.connections.remove(connection);
     host.idle.remove(connection);
     if (!connection.ready()) {
       host.opening--;
-      HostCall first = host.waiting.poll();
+      BackendCall first = host.waiting.poll();
       if (first != null) {
-        network.post(() -> finish(first, Reply.of(Status.CONNECT_FAILED)));
+        network.post(() -> finish(first, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       }
     }
   }
 
-  private void giveUp(HostCall call, Status status) {
+  private void giveUp(BackendCall call, AttemptStatus status) {
     abandon(call, CloseReason.TIMED_OUT);
     if (call.attempt == null && call.host != null) {
       // Guards against a machine that vanished and came back: its old connections look open and are
@@ -328,10 +333,10 @@
       // overload.
       closeIdle(call.host, CloseReason.SILENT);
     }
-    finish(call, Reply.of(status));
+    finish(call, BackendResponse.of(status));
   }
 
-  private void abandon(HostCall call, CloseReason reason) {
+  private void abandon(BackendCall call, CloseReason reason) {
     if (call.on != null) {
       call.on.abandon(reason);
     } else if (call.host != null) {
@@ -339,7 +344,7 @@
     }
   }
 
-  void finish(HostCall call, Reply reply) {
+  void finish(BackendCall call, BackendResponse reply) {
     if (call.over) {
       return;
     }
--- a/gateway/src/main/java/shelffront/server/Host.java
+++ b/gateway/src/main/java/shelffront/backend/BackendHost.java
@@ -1,4 +1,4 @@
-package shelffront.server;
+package shelffront.backend;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -6,16 +6,16 @@
 import java.util.Set;
 
 /** One database host: its address, the connections to it, and the calls that wait for one. */
-final class Host {
+final class BackendHost {
 
   final String id;
   InetSocketAddress address;
-  final Set<HostConnection> connections = new LinkedHashSet<>();
-  final ArrayDeque<HostConnection> idle = new ArrayDeque<>();
-  final ArrayDeque<HostCall> waiting = new ArrayDeque<>();
+  final Set<BackendConnection> connections = new LinkedHashSet<>();
+  final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
+  final ArrayDeque<BackendCall> waiting = new ArrayDeque<>();
   int opening;
 
-  Host(String id) {
+  BackendHost(String id) {
     this.id = id;
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/shelffront/backend/BackendResponse.java
@@ -0,0 +1,18 @@
+package shelffront.backend;
+
+import shelffront.routing.Router;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.LoadReport;
+import shelffront.routing.Router.Role;
+
+/**
+ * How an attempt or a probe ended, with what the host told of itself; the messages of an answer if
+ * it is OK.
+ */
+public record BackendResponse(
+    AttemptStatus status, Role role, long position, LoadReport load, byte[] messages) {
+
+  public static BackendResponse of(AttemptStatus status) {
+    return new BackendResponse(status, Role.UNKNOWN, Router.UNKNOWN, null, null);
+  }
+}
--- a/gateway/src/main/java/shelffront/server/Report.java
+++ b/gateway/src/main/java/shelffront/backend/LoadReportParser.java
@@ -1,32 +1,32 @@
-package shelffront.server;
+package shelffront.backend;
 
 import java.math.BigDecimal;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import shelffront.pg.Statement;
-import shelffront.route.Router;
-import shelffront.route.Router.Load;
-import shelffront.route.Router.Role;
+import shelffront.routing.Router;
+import shelffront.routing.Router.LoadReport;
+import shelffront.routing.Router.Role;
 
 /**
  * A host's report on itself: {@code x0=1767225600.123,x1=0,queue=3}, the position in Unix seconds
  * (PROTOCOL: "every position on sockets, including those in load reports (given there in seconds),
  * is a Unix time").
  */
-final class Report {
+final class LoadReportParser {
 
   private static final int GREATEST = 1024;
 
   private static final Pattern FIELD =
       Pattern.compile("([a-z0-9_]+)=([0-9]{1,12}(?:\\.[0-9]{1,18})?)");
 
-  private Report() {}
+  private LoadReportParser() {}
 
   /**
    * The figures that the module uses; null where the text is no report, for then none of it can be
    * relied on.
    */
-  static Load read(String text) {
+  static LoadReport read(String text) {
     if (text == null || text.length() > GREATEST) {
       return null;
     }
@@ -50,9 +50,9 @@
       // answers a probe with zeros. Taken as figures, they made every replica look 56 years behind
       // and the
       // primary a replica, and a gateway with little traffic heard nothing better for seconds.
-      return new Load(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1);
+      return new LoadReport(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1);
     }
-    return new Load(position, role, -1, -1, -1);
+    return new LoadReport(position, role, -1, -1, -1);
   }
 
   static Role role(String word) {
--- a/gateway/src/main/java/shelffront/server/Answer.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -1,4 +1,4 @@
-package shelffront.server;
+package shelffront.backend;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -7,15 +7,15 @@
 import java.util.Set;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
-import shelffront.route.Router.Load;
-import shelffront.route.Router.Status;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.LoadReport;
 
 /**
  * What a host says to one query, message by message: RowDescription, one DataRow of one column,
  * CommandComplete, or an ErrorResponse; then ReadyForQuery. Anything else, whole or in part, is a
  * spoilt answer: of it nothing counts.
  */
-final class Answer {
+final class QueryResponse {
 
   private enum Part {
     DESCRIPTION,
@@ -126,21 +126,21 @@
   }
 
   /** What it says once it is whole; a report that can't be read spoils only the report. */
-  Reply reply(boolean probe) {
-    Status status =
+  BackendResponse reply(boolean probe) {
+    AttemptStatus status =
         errorCode == null
-            ? Status.OK
+            ? AttemptStatus.OK
             : switch (errorCode) {
-              case "25006", "72000" -> Status.MISS;
-              case "53300", "57P03" -> Status.FULL;
-              default -> Status.ERROR;
+              case "25006", "72000" -> AttemptStatus.MISS;
+              case "53300", "57P03" -> AttemptStatus.FULL;
+              default -> AttemptStatus.ERROR;
             };
-    Load report = Report.read(probe ? value : told.get("usage"));
-    return new Reply(
+    LoadReport report = LoadReportParser.read(probe ? value : told.get("usage"));
+    return new BackendResponse(
         status,
-        Report.role(told.get("server_role")),
-        Report.position(told.get("commit_clock")),
+        LoadReportParser.role(told.get("server_role")),
+        LoadReportParser.position(told.get("commit_clock")),
         report,
-        status == Status.OK ? messages.toByteArray() : null);
+        status == AttemptStatus.OK ? messages.toByteArray() : null);
   }
 }
--- a/gateway/src/main/java/shelffront/cli/Cli.java
+++ b/gateway/src/main/java/shelffront/cli/Cli.java
@@ -27,20 +27,20 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
-import shelffront.admin.Tokens;
-import shelffront.engine.OperatorException;
-import shelffront.fleetconfig.DistributorRole;
+import shelffront.admin.AdminTokens;
+import shelffront.controlplane.DistributorProcess;
+import shelffront.coordination.OperatorException;
 import shelffront.gateway.ReloadSignal;
-import shelffront.hosted.Hosted;
-import shelffront.hosted.HostedConfig;
-import shelffront.logging.Logs;
-import shelffront.net.Log;
-import shelffront.net.QueuedLog;
-import shelffront.store.Store;
-import shelffront.store.Store.ConflictException;
-import shelffront.store.Store.Kind;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.logging.GatewayLogging;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
+import shelffront.net.AsyncEventLog;
+import shelffront.net.EventLog;
+import shelffront.store.DocumentStore;
+import shelffront.store.DocumentStore.ConflictException;
+import shelffront.store.DocumentStore.Kind;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * The command line. Exit codes: 0 done, 1 it could not be done and says why, 2 the command line was
@@ -100,9 +100,9 @@
    * Reads settings, a template or plain JSON, and names file, path and reason where they are not
    * valid.
    */
-  private static HostedConfig config(Path file) throws Failure {
+  private static MultiTenantConfig config(Path file) throws Failure {
     try {
-      return HostedConfig.read(Templates.evaluate(file));
+      return MultiTenantConfig.read(JsonnetTemplates.evaluate(file));
     } catch (SpecException e) {
       throw new Failure(
           file + ": " + (e.pointer().isEmpty() ? "" : e.pointer() + " ") + e.getMessage());
@@ -141,10 +141,11 @@
 
     @Override
     public Integer call() throws Exception {
-      QueuedLog lines = new QueuedLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
-      Log log = Logs.open(format == Format.JSON, lines);
+      AsyncEventLog lines =
+          new AsyncEventLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
+      EventLog log = GatewayLogging.open(format == Format.JSON, lines);
       ReloadSignal reloadSignal = ReloadSignal.install(file);
-      Hosted hosted = new Hosted(config(file), log);
+      MultiTenantGateway hosted = new MultiTenantGateway(config(file), log);
       CountDownLatch stopped = new CountDownLatch(1);
       Runtime.getRuntime()
           .addShutdownHook(
@@ -175,7 +176,7 @@
       return 0;
     }
 
-    private void reload(Hosted hosted, Log log) {
+    private void reload(MultiTenantGateway hosted, EventLog log) {
       try {
         log.println("read " + file + " anew, " + hosted.seed(config(file)) + " tenants put in");
       } catch (Failure
@@ -205,9 +206,11 @@
 
     @Override
     public Integer call() throws Exception {
-      QueuedLog lines = new QueuedLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
-      Log log = Logs.open(false, lines);
-      try (DistributorRole role = DistributorRole.read(Templates.evaluate(file), log)) {
+      AsyncEventLog lines =
+          new AsyncEventLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
+      EventLog log = GatewayLogging.open(false, lines);
+      try (DistributorProcess role =
+          DistributorProcess.read(JsonnetTemplates.evaluate(file), log)) {
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(stopped::countDown, "stop"));
         role.start();
@@ -251,7 +254,7 @@
         name = "check",
         description = "Says whether a file is valid, and if not, where and why.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws Failure {
-      HostedConfig config = config(file);
+      MultiTenantConfig config = config(file);
       System.out.println(file + ": valid, " + config.tenants().size() + " tenants");
       return 0;
     }
@@ -262,7 +265,7 @@
     int render(@Parameters(paramLabel = "FILE") Path file)
         throws Failure, IOException, SpecException {
       config(file);
-      System.out.println(Templates.evaluate(file).toPrettyString());
+      System.out.println(JsonnetTemplates.evaluate(file).toPrettyString());
       return 0;
     }
   }
@@ -359,9 +362,9 @@
         description = "Makes a tenant as a file says, new or changed, and waits until it is.")
     int apply(@Parameters(paramLabel = "FILE") Path file)
         throws Failure, IOException, SpecException {
-      JsonNode tenant = Templates.evaluate(file);
+      JsonNode tenant = JsonnetTemplates.evaluate(file);
       try {
-        SpecJson.read(tenant);
+        TenantSpecCodec.read(tenant);
       } catch (SpecException e) {
         throw new Failure(file + ": " + e.pointer() + " " + e.getMessage());
       }
@@ -451,7 +454,7 @@
         name = "export",
         description = "Writes all tenants and the hashes of tokens as one JSON document.")
     int export(@Parameters(paramLabel = "FILE") Path file) throws IOException {
-      try (Store store = Store.open(file)) {
+      try (DocumentStore store = DocumentStore.open(file)) {
         System.out.println(store.export().toPrettyString());
       }
       return 0;
@@ -464,12 +467,12 @@
         @Parameters(paramLabel = "FILE") Path file,
         @Parameters(paramLabel = "DOCUMENT") Path document)
         throws IOException, SpecException {
-      JsonNode exported = SpecJson.parse(Files.readAllBytes(document));
+      JsonNode exported = TenantSpecCodec.parse(Files.readAllBytes(document));
       // All of it is checked before any of it is put in.
       for (JsonNode tenant : exported.path("tenant")) {
-        SpecJson.read(tenant);
+        TenantSpecCodec.read(tenant);
       }
-      try (Store store = Store.open(file)) {
+      try (DocumentStore store = DocumentStore.open(file)) {
         System.out.println(
             store.importAll(exported, "command line", System.currentTimeMillis()) + " put in");
       }
@@ -498,9 +501,9 @@
     int create(@Option(names = "--tenant", paramLabel = "ID") String tenant)
         throws Failure, IOException, ConflictException {
       if (store != null) {
-        try (Store s = Store.open(store)) {
+        try (DocumentStore s = DocumentStore.open(store)) {
           System.out.println(
-              new Tokens(s, System::currentTimeMillis).create(tenant, "command line"));
+              new AdminTokens(s, System::currentTimeMillis).create(tenant, "command line"));
         }
       } else {
         JsonNode asked = JSON.createObjectNode().put("tenant", tenant);
--- a/gateway/src/main/java/shelffront/cli/Templates.java
+++ b/gateway/src/main/java/shelffront/cli/JsonnetTemplates.java
@@ -9,15 +9,15 @@
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 import sjsonnet.DefaultParseCache;
 import sjsonnet.SjsonnetMain;
 
 /** Evaluates a Jsonnet template, of which JSON is a part, by sjsonnet. */
-public final class Templates {
+public final class JsonnetTemplates {
 
-  private Templates() {}
+  private JsonnetTemplates() {}
 
   /**
    * What the file gives; imports are looked for beside it. The error of one that gives nothing
@@ -45,6 +45,6 @@
       throw new SpecException(
           "", "not a template: " + err.toString(UTF_8).strip().replaceAll("\\s+", " "));
     }
-    return SpecJson.parse(out.toByteArray());
+    return TenantSpecCodec.parse(out.toByteArray());
   }
 }
--- a/gateway/src/main/java/shelffront/config/GatewayConfig.java
+++ b/gateway/src/main/java/shelffront/config/GatewayConfig.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import shelffront.route.Router.Settings;
+import shelffront.routing.Router.RoutingSettings;
 
 /** What the environment and the configuration file tell a gateway at its start. */
 public record GatewayConfig(
@@ -18,24 +18,24 @@
     long seed,
     int sockets,
     int openCap,
-    Settings settings,
-    MemberList known) {
+    RoutingSettings settings,
+    EndpointList known) {
 
   private static final int GREATEST_FILE = 1 << 20;
 
   public static GatewayConfig fromEnvironment(Map<String, String> environment)
       throws IOException, MalformedInputException {
-    Map<?, ?> top = Json.object(text(file(environment)));
-    Map<?, ?> settings = Json.part(top, "settings");
+    Map<?, ?> top = JsonReader.object(text(file(environment)));
+    Map<?, ?> settings = JsonReader.part(top, "settings");
     return new GatewayConfig(
         given(environment, "BALANCER_NAME", top, "name"),
         address(given(environment, "BALANCER_LISTEN", top, "listen")),
         address(given(environment, "BALANCER_DISCOVERY", top, "discovery")),
-        seed(Json.text(top, "seed")),
-        (int) Json.number(Json.part(top, "limits"), "sockets", 1024),
-        (int) Json.number(Json.part(settings, "limits"), "openCap", 20_000),
-        SettingsReader.read(settings),
-        MemberList.read(Json.part(top, "known")));
+        seed(JsonReader.text(top, "seed")),
+        (int) JsonReader.number(JsonReader.part(top, "limits"), "sockets", 1024),
+        (int) JsonReader.number(JsonReader.part(settings, "limits"), "openCap", 20_000),
+        RoutingSettingsCodec.read(settings),
+        EndpointList.read(JsonReader.part(top, "known")));
   }
 
   /** The configuration file that the environment names. */
@@ -63,7 +63,7 @@
       Map<String, String> environment, String variable, Map<?, ?> top, String name)
       throws MalformedInputException {
     String value = environment.get(variable);
-    return value != null ? value : Json.text(top, name);
+    return value != null ? value : JsonReader.text(top, name);
   }
 
   private static long seed(String hex) throws MalformedInputException {
--- a/gateway/src/main/java/shelffront/config/Json.java
+++ b/gateway/src/main/java/shelffront/config/JsonReader.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 
 /** Reads JSON with minimal-json in one pass into maps, lists, texts, numbers and booleans. */
-public final class Json extends JsonHandler<List<Object>, Map<String, Object>> {
+public final class JsonReader extends JsonHandler<List<Object>, Map<String, Object>> {
 
   private Object value;
 
-  private Json() {}
+  private JsonReader() {}
 
   /** The object that the text holds. */
   public static Map<?, ?> object(String text) throws MalformedInputException {
-    Json json = new Json();
+    JsonReader json = new JsonReader();
     try {
       new JsonParser(json).parse(text);
     } catch (ParseException e) {
--- a/gateway/src/main/java/shelffront/config/SettingsReader.java
+++ b/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
@@ -3,94 +3,107 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Effect;
-import shelffront.route.Router.LagCheck;
-import shelffront.route.Router.Limits;
-import shelffront.route.Router.ListRole;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.ReportSource;
-import shelffront.route.Router.Rules;
-import shelffront.route.Router.Scope;
-import shelffront.route.Router.Settings;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.DeduplicationScope;
+import shelffront.routing.Router.Idempotency;
+import shelffront.routing.Router.LagCheck;
+import shelffront.routing.Router.ListedRoles;
+import shelffront.routing.Router.LoadReportSource;
+import shelffront.routing.Router.OperatingLimits;
+import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.Router.SafetyRules;
 
 /** Translates the settings object of the wire; keys that are not known are ignored. */
-public final class SettingsReader {
+public final class RoutingSettingsCodec {
 
-  private static final Map<String, Effect> EFFECTS =
-      Map.of("repeatable", Effect.REPEATABLE, "by_key", Effect.KEYED, "once", Effect.ONCE);
-  private static final Map<String, Scope> SCOPES =
-      Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.GROUP);
-  private static final Map<String, Read> READS =
+  private static final Map<String, Idempotency> EFFECTS =
+      Map.of(
+          "repeatable",
+          Idempotency.REPEATABLE,
+          "by_key",
+          Idempotency.KEYED,
+          "once",
+          Idempotency.ONCE);
+  private static final Map<String, DeduplicationScope> SCOPES =
+      Map.of(
+          "all",
+          DeduplicationScope.ALL,
+          "zone",
+          DeduplicationScope.ZONE,
+          "cell",
+          DeduplicationScope.GROUP);
+  private static final Map<String, Consistency> READS =
       Map.of(
           "write",
-          Read.WRITE,
+          Consistency.WRITE,
           "fresh",
-          Read.FRESH,
+          Consistency.FRESH,
           "session",
-          Read.SESSION,
+          Consistency.SESSION,
           "bounded",
-          Read.BOUNDED,
+          Consistency.BOUNDED,
           "any",
-          Read.ANY);
+          Consistency.ANY);
   private static final Map<String, LagCheck> CHECKS =
       Map.of("silent", LagCheck.NONE, "refuse", LagCheck.REFUSE, "wait", LagCheck.WAIT);
-  private static final Map<String, ListRole> LIST_ROLES =
-      Map.of("silent", ListRole.NONE, "start", ListRole.AT_START, "late", ListRole.LATE);
-  private static final Map<String, ReportSource> SOURCES =
+  private static final Map<String, ListedRoles> LIST_ROLES =
+      Map.of("silent", ListedRoles.NONE, "start", ListedRoles.AT_START, "late", ListedRoles.LATE);
+  private static final Map<String, LoadReportSource> SOURCES =
       Map.of(
           "silent",
-          ReportSource.NONE,
+          LoadReportSource.NONE,
           "piggyback",
-          ReportSource.ANSWERS,
+          LoadReportSource.ANSWERS,
           "pull",
-          ReportSource.PROBES);
+          LoadReportSource.PROBES);
 
   private final String path;
   private final Map<?, ?> values;
 
-  private SettingsReader(String path, Map<?, ?> values) {
+  private RoutingSettingsCodec(String path, Map<?, ?> values) {
     this.path = path;
     this.values = values;
   }
 
   /** Clock time from which the wire counts positions. */
   public static long zero(Map<?, ?> facts) throws MalformedInputException {
-    return new SettingsReader("facts", facts).part("familyInfo").integer("zero", 0);
+    return new RoutingSettingsCodec("facts", facts).part("familyInfo").integer("zero", 0);
   }
 
-  public static Settings read(Map<?, ?> facts) throws MalformedInputException {
-    SettingsReader top = new SettingsReader("facts", facts);
-    SettingsReader family = top.part("familyInfo");
-    SettingsReader limits = top.part("limits");
-    SettingsReader rules = top.part("guarantees");
-    SettingsReader prices = top.part("tariffs");
+  public static RoutingSettings read(Map<?, ?> facts) throws MalformedInputException {
+    RoutingSettingsCodec top = new RoutingSettingsCodec("facts", facts);
+    RoutingSettingsCodec family = top.part("familyInfo");
+    RoutingSettingsCodec limits = top.part("limits");
+    RoutingSettingsCodec rules = top.part("guarantees");
+    RoutingSettingsCodec prices = top.part("tariffs");
     List<?> reads = family.list("classRead");
     List<?> bounds = family.list("oldestData");
-    List<ClassSettings> classes = new ArrayList<>();
+    List<RequestClass> classes = new ArrayList<>();
     for (Object entry : top.list("categories")) {
       int i = classes.size();
-      SettingsReader c = new SettingsReader("facts.categories[" + i + "]", asMap(entry));
-      Read read =
+      RoutingSettingsCodec c =
+          new RoutingSettingsCodec("facts.categories[" + i + "]", asMap(entry));
+      Consistency read =
           i < reads.size() && reads.get(i) instanceof String word
-              ? READS.getOrDefault(word, Read.FRESH)
-              : Read.FRESH;
+              ? READS.getOrDefault(word, Consistency.FRESH)
+              : Consistency.FRESH;
       long bound = i < bounds.size() && bounds.get(i) instanceof Number n ? n.longValue() : 0;
       long deadline = c.integer("hardLimit", 0);
       classes.add(
-          new ClassSettings(
+          new RequestClass(
               c.text("name", ""),
               c.integer("aim", deadline),
               deadline,
               c.number("points", 1),
               c.number("lateShare", 0),
-              c.word("effect", EFFECTS, Effect.ONCE),
-              c.word("group", SCOPES, Scope.GROUP),
+              c.word("effect", EFFECTS, Idempotency.ONCE),
+              c.word("group", SCOPES, DeduplicationScope.GROUP),
               c.integer("dedupWindow", 0),
               read,
               bound));
     }
-    return new Settings(
+    return new RoutingSettings(
         (int) top.integer("selfIndex", 0),
         (int) top.integer("balancers", 1),
         top.text("zone", ""),
@@ -100,10 +113,10 @@
         family.integer("patience", 0),
         family.flag("answersStamped"),
         !family.text("sessionMarks", "carried").equals("remembered"),
-        family.word("roleInList", LIST_ROLES, ListRole.NONE),
+        family.word("roleInList", LIST_ROLES, ListedRoles.NONE),
         top.text("membershipMode", "push").equals("ask"),
-        top.part("loadInfo").word("source", SOURCES, ReportSource.NONE),
-        new Rules(
+        top.part("loadInfo").word("source", SOURCES, LoadReportSource.NONE),
+        new SafetyRules(
             rules.integer("drainGrace", 0),
             rules.number("coldFrom", 1),
             rules.integer("cold", 0),
@@ -112,7 +125,7 @@
             rules.flag("softRemoval"),
             rules.integer("askWithin", 0),
             rules.integer("answerSlack", 0)),
-        new Limits(
+        new OperatingLimits(
             (int) limits.integer("maxAttempts", 1),
             limits.integer("maxRetryAfter", 0),
             limits.flag("retryAfter"),
@@ -130,12 +143,12 @@
     return value instanceof Map<?, ?> map ? map : Map.of();
   }
 
-  private SettingsReader part(String name) throws MalformedInputException {
+  private RoutingSettingsCodec part(String name) throws MalformedInputException {
     Object value = values.get(name);
     if (value != null && !(value instanceof Map)) {
       throw new MalformedInputException(path + "." + name + " is not an object");
     }
-    return new SettingsReader(path + "." + name, asMap(value));
+    return new RoutingSettingsCodec(path + "." + name, asMap(value));
   }
 
   private List<?> list(String name) {
@@ -143,7 +156,7 @@
   }
 
   private double number(String name, double absent) throws MalformedInputException {
-    return Json.number(path + ".", values, name, absent);
+    return JsonReader.number(path + ".", values, name, absent);
   }
 
   private long integer(String name, long absent) throws MalformedInputException {
--- a/gateway/src/main/java/shelffront/fleetconfig/ChangeStore.java
+++ b/gateway/src/main/java/shelffront/controlplane/ChangeStore.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -9,17 +9,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.UUID;
-import shelffront.distribution.Change;
+import shelffront.controlplane.DistributionException.EngineSteppedBack;
+import shelffront.controlplane.DistributionException.RecordTooLarge;
+import shelffront.coordination.CoordinationException;
+import shelffront.coordination.CoordinationException.EngineGarbled;
+import shelffront.coordination.CoordinationStore;
+import shelffront.coordination.CoordinationStore.Value;
+import shelffront.coordination.CoordinationStore.Write;
+import shelffront.coordination.ValueJson;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Update;
 import shelffront.distribution.Version;
-import shelffront.engine.Engine;
-import shelffront.engine.Engine.Value;
-import shelffront.engine.Engine.Write;
-import shelffront.engine.EngineException;
-import shelffront.engine.EngineException.EngineGarbled;
-import shelffront.engine.ValueJson;
-import shelffront.fleetconfig.DistributionException.EngineSteppedBack;
-import shelffront.fleetconfig.DistributionException.RecordTooLarge;
 
 /**
  * The records and their history in the engine. One transaction writes a record, the log entry of
@@ -50,32 +50,32 @@
   }
 
   /** A change with its id and that of the one before. */
-  private record Entry(Change change, String id, String previousId) {}
+  private record Entry(RecordChange change, String id, String previousId) {}
 
   /** A record that was not at the version that a change was made for. */
   public static final class RecordChanged extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    private final transient Change present;
+    private final transient RecordChange present;
 
-    RecordChanged(Change present) {
+    RecordChanged(RecordChange present) {
       super("changed by another");
       this.present = present;
     }
 
     /** As it stands; null where there is none. */
-    public Change present() {
+    public RecordChange present() {
       return present;
     }
   }
 
-  private final Engine engine;
+  private final CoordinationStore engine;
   private final String headKey;
   private final String logPrefix;
   private final String recordPrefix;
 
-  public ChangeStore(Engine engine, String fleet) {
+  public ChangeStore(CoordinationStore engine, String fleet) {
     this.engine = engine;
     String prefix = "shelffront/" + fleet + "/config/";
     headKey = prefix + "head";
@@ -86,22 +86,23 @@
   // ---- Reading
   // --------------------------------------------------------------------------------
 
-  public Head head() throws EngineException {
+  public Head head() throws CoordinationException {
     Value value = engine.read(headKey);
     return value == null ? Head.EMPTY : head(value);
   }
 
   /** The head once it is another than this one, or after a while of the engine's choice. */
-  public Head awaitHead(Head known) throws EngineException {
+  public Head awaitHead(Head known) throws CoordinationException {
     if (known.index() == 0) {
       return head();
     }
-    Engine.Listing listing = engine.watch(headKey, known.index());
+    CoordinationStore.Listing listing = engine.watch(headKey, known.index());
     return listing.values().isEmpty() ? Head.EMPTY : head(listing.values().get(0));
   }
 
   /** The changes between two heads; null where the log no longer reaches back so far. */
-  public List<Change> changes(Head after, Head upTo) throws EngineException, EngineSteppedBack {
+  public List<RecordChange> changes(Head after, Head upTo)
+      throws CoordinationException, EngineSteppedBack {
     long missing = upTo.version().sequence() - after.version().sequence();
     if (after.version().incarnation() != upTo.version().incarnation() || missing >= LOG_SLOTS) {
       return null;
@@ -109,12 +110,13 @@
     if (missing < 0 || missing == 0 && !after.changeId().equals(upTo.changeId())) {
       throw new EngineSteppedBack(upTo.version(), after.version());
     }
-    List<Change> changes = new ArrayList<>();
+    List<RecordChange> changes = new ArrayList<>();
     String previousId = after.changeId();
     for (long from = after.version().sequence() + 1;
         from <= upTo.version().sequence();
-        from += Engine.MOST_IN_TRANSACTION) {
-      long to = Math.min(upTo.version().sequence(), from + Engine.MOST_IN_TRANSACTION - 1);
+        from += CoordinationStore.MOST_IN_TRANSACTION) {
+      long to =
+          Math.min(upTo.version().sequence(), from + CoordinationStore.MOST_IN_TRANSACTION - 1);
       Map<Long, Entry> entries = entries(from, to);
       for (long sequence = from; sequence <= to; sequence++) {
         Entry entry = entries.get(sequence);
@@ -132,7 +134,7 @@
     return changes;
   }
 
-  private Map<Long, Entry> entries(long from, long to) throws EngineException {
+  private Map<Long, Entry> entries(long from, long to) throws CoordinationException {
     List<String> keys = new ArrayList<>();
     for (long sequence = from; sequence <= to; sequence++) {
       keys.add(logKey(sequence));
@@ -149,15 +151,15 @@
   public record Read(Update.Snapshot snapshot, Head head) {}
 
   /** All records, as of one head. */
-  public Read readAll() throws EngineException, EngineSteppedBack {
+  public Read readAll() throws CoordinationException, EngineSteppedBack {
     while (true) {
       Head before = head();
-      List<Change> listed = new ArrayList<>();
+      List<RecordChange> listed = new ArrayList<>();
       for (Value value : engine.list(recordPrefix).values()) {
         listed.add(change(value, ValueJson.object(value)));
       }
       Head after = head();
-      List<Change> since = changes(before, after);
+      List<RecordChange> since = changes(before, after);
       if (since != null) {
         listed.replaceAll(r -> within(after.version().incarnation(), r));
         return new Read(Update.Snapshot.assembled(after.version(), listed, since), after);
@@ -169,13 +171,13 @@
    * A record that an earlier incarnation wrote belongs to this one, whatever else that one gave
    * out.
    */
-  private static Change within(long incarnation, Change record) {
-    return new Change(
+  private static RecordChange within(long incarnation, RecordChange record) {
+    return new RecordChange(
         new Version(incarnation, record.version().sequence()), record.name(), record.document());
   }
 
   /** A record as it stands; null where there is none. */
-  public Change record(String name) throws EngineException {
+  public RecordChange record(String name) throws CoordinationException {
     Value value = engine.read(recordPrefix + name);
     return value == null ? null : change(value, ValueJson.object(value));
   }
@@ -191,7 +193,7 @@
    * @param seen the newest version that this process has seen
    */
   public Version write(String name, long expectedSequence, String document, Version seen)
-      throws EngineException, RecordChanged, EngineSteppedBack, RecordTooLarge {
+      throws CoordinationException, RecordChanged, EngineSteppedBack, RecordTooLarge {
     if (document != null && document.length() > GREATEST_DOCUMENT) {
       throw new RecordTooLarge(name, document.length());
     }
@@ -201,7 +203,7 @@
         throw new EngineSteppedBack(head.version(), seen);
       }
       Value record = engine.read(recordPrefix + name);
-      Change present = record == null ? null : change(record, ValueJson.object(record));
+      RecordChange present = record == null ? null : change(record, ValueJson.object(record));
       if ((present == null ? 0 : present.version().sequence()) != expectedSequence) {
         throw new RecordChanged(present);
       }
@@ -209,15 +211,15 @@
           head.version().incarnation() == 0
               ? new Version(System.currentTimeMillis(), 1)
               : head.version().next();
-      Change change = new Change(next, name, document);
+      RecordChange change = new RecordChange(next, name, document);
       if (engine.transact(writes(change, head))) {
         return next;
       }
     }
-    throw new EngineException.EngineContended(name, MOST_TRIES);
+    throw new CoordinationException.EngineContended(name, MOST_TRIES);
   }
 
-  private List<Write> writes(Change change, Head head) {
+  private List<Write> writes(RecordChange change, Head head) {
     String id = UUID.randomUUID().toString();
     ObjectNode text = version(change.version()).put("name", change.name());
     if (!change.isRemoval()) {
@@ -236,7 +238,7 @@
    * Begins a new incarnation: what the engine holds now is the truth, whatever was given out
    * before. For after a restore from older data.
    */
-  public Version beginIncarnation() throws EngineException {
+  public Version beginIncarnation() throws CoordinationException {
     for (int i = 0; i < MOST_TRIES; i++) {
       Head head = head();
       // A clock, and no count: the restored engine may have forgotten earlier incarnations.
@@ -247,7 +249,7 @@
         return version;
       }
     }
-    throw new EngineException.EngineContended("head", MOST_TRIES);
+    throw new CoordinationException.EngineContended("head", MOST_TRIES);
   }
 
   // ---- Texts
@@ -277,11 +279,11 @@
     return new Version(o.path("incarnation").asLong(), o.path("sequence").asLong());
   }
 
-  private static Change change(Value value, JsonNode o) throws EngineGarbled {
+  private static RecordChange change(Value value, JsonNode o) throws EngineGarbled {
     if (!o.path("name").isTextual() || !o.path("sequence").isIntegralNumber()) {
       throw new EngineGarbled(value.key() + " is no record: " + value.text(), null);
     }
-    return new Change(
+    return new RecordChange(
         version(o),
         o.path("name").asText(),
         o.has("document") ? o.path("document").asText() : null);
--- a/gateway/src/main/java/shelffront/fleetconfig/DistributionException.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionException.java
@@ -1,7 +1,7 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
+import shelffront.coordination.OperatorException;
 import shelffront.distribution.Version;
-import shelffront.engine.OperatorException;
 
 /**
  * What can go wrong with distribution; all kinds are listed in {@code
--- a/gateway/src/main/java/shelffront/fleetconfig/Messages.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionMessages.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -8,22 +8,22 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import shelffront.distribution.Change;
-import shelffront.distribution.Freshness;
+import shelffront.controlplane.DistributionException.DistributionGarbled;
+import shelffront.distribution.RecordChange;
+import shelffront.distribution.Staleness;
 import shelffront.distribution.Update;
 import shelffront.distribution.Version;
-import shelffront.fleetconfig.DistributionException.DistributionGarbled;
 
 /**
  * What subscribers and distributors say to each other, and its form as JSON. Ages are microseconds
  * here.
  */
-final class Messages {
+final class DistributionMessages {
 
   static final ObjectMapper JSON = new ObjectMapper();
   private static final long NO_AGE = -1; // on the wire: the view was never confirmed
 
-  private Messages() {}
+  private DistributionMessages() {}
 
   /** Whom a subscription is for, and what it follows. */
   record Subscribe(String subscriber, boolean all, long edition, List<String> names) {
@@ -35,7 +35,7 @@
               .put("all", all)
               .put("edition", edition);
       put(o.putArray("names"), names);
-      return Messages.bytes(o);
+      return DistributionMessages.bytes(o);
     }
 
     static Subscribe read(byte[] text) throws DistributionGarbled {
@@ -52,7 +52,7 @@
   record Subscribed(String subscription) {
 
     byte[] bytes() {
-      return Messages.bytes(JSON.createObjectNode().put("subscription", subscription));
+      return DistributionMessages.bytes(JSON.createObjectNode().put("subscription", subscription));
     }
 
     static Subscribed read(byte[] text) throws DistributionGarbled {
@@ -71,7 +71,7 @@
       ObjectNode o = JSON.createObjectNode().put("edition", edition);
       put(o.putArray("add"), add);
       put(o.putArray("remove"), remove);
-      return Messages.bytes(o);
+      return DistributionMessages.bytes(o);
     }
 
     static ChangeNames read(byte[] text) throws DistributionGarbled {
@@ -84,14 +84,14 @@
   /**
    * The records of names that were added, as of a version; a name that is not among them has none.
    */
-  record Added(Version version, long age, List<Change> records) {
+  record Added(Version version, long age, List<RecordChange> records) {
 
     byte[] bytes() {
       ObjectNode o = JSON.createObjectNode();
       put(o.putObject("version"), version);
       putAge(o, age);
       putChanges(o.putArray("records"), records);
-      return Messages.bytes(o);
+      return DistributionMessages.bytes(o);
     }
 
     static Added read(byte[] text) throws DistributionGarbled {
@@ -116,7 +116,7 @@
       } else if (update instanceof Update.Snapshot s) {
         putChanges(o.putArray("records"), s.records());
       }
-      return Messages.bytes(o);
+      return DistributionMessages.bytes(o);
     }
 
     static Polled read(byte[] text) throws DistributionGarbled {
@@ -137,7 +137,7 @@
     byte[] bytes() {
       ObjectNode o = JSON.createObjectNode().put("name", name).put("reason", reason);
       put(o.putObject("version"), version);
-      return Messages.bytes(o);
+      return DistributionMessages.bytes(o);
     }
 
     static Rejected read(byte[] text) throws DistributionGarbled {
@@ -158,8 +158,8 @@
     return new Version(o.path("incarnation").asLong(), o.path("sequence").asLong());
   }
 
-  static void putChanges(ArrayNode list, List<Change> changes) {
-    for (Change change : changes) {
+  static void putChanges(ArrayNode list, List<RecordChange> changes) {
+    for (RecordChange change : changes) {
       ObjectNode o = list.addObject().put("name", change.name());
       put(o, change.version());
       if (!change.isRemoval()) {
@@ -168,11 +168,11 @@
     }
   }
 
-  static List<Change> changes(JsonNode list) throws DistributionGarbled {
-    List<Change> changes = new ArrayList<>();
+  static List<RecordChange> changes(JsonNode list) throws DistributionGarbled {
+    List<RecordChange> changes = new ArrayList<>();
     for (JsonNode o : list) {
       changes.add(
-          new Change(
+          new RecordChange(
               readVersion(o),
               o.path("name").asText(),
               o.has("document") ? o.path("document").asText() : null));
@@ -181,12 +181,12 @@
   }
 
   private static void putAge(ObjectNode o, long age) {
-    o.put("ageMicros", age == Freshness.NEVER ? NO_AGE : age);
+    o.put("ageMicros", age == Staleness.NEVER ? NO_AGE : age);
   }
 
   private static long readAge(JsonNode o) {
     long age = o.path("ageMicros").asLong(NO_AGE);
-    return age < 0 ? Freshness.NEVER : age;
+    return age < 0 ? Staleness.NEVER : age;
   }
 
   private static void put(ArrayNode list, List<String> texts) {
--- a/gateway/src/main/java/shelffront/fleetconfig/DistributionServer.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.sun.net.httpserver.HttpExchange;
@@ -8,11 +8,11 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.ExecutorService;
-import shelffront.distribution.Freshness;
+import shelffront.controlplane.DistributionException.DistributionGarbled;
+import shelffront.controlplane.DistributionException.RecordRejected;
+import shelffront.distribution.Staleness;
 import shelffront.distribution.Version;
-import shelffront.fleetconfig.DistributionException.DistributionGarbled;
-import shelffront.fleetconfig.DistributionException.RecordRejected;
-import shelffront.net.Log;
+import shelffront.net.EventLog;
 
 /**
  * The distributor's HTTP/1.1 listener. A poll that waits holds its connection and no thread: its
@@ -38,10 +38,10 @@
 
   private final HttpServer server;
   private final Distributor distributor;
-  private final Log log;
+  private final EventLog log;
 
   DistributionServer(
-      InetSocketAddress listen, Distributor distributor, ExecutorService threads, Log log)
+      InetSocketAddress listen, Distributor distributor, ExecutorService threads, EventLog log)
       throws IOException {
     this.distributor = distributor;
     this.log = log;
@@ -75,9 +75,10 @@
       String call = exchange.getRequestMethod() + (parts.length == 5 ? " " + parts[4] : "");
       Subscription.Responder responder = (status, bytes) -> respond(exchange, status, bytes);
       switch (call) {
-        case "POST" -> distributor.subscribe(Messages.Subscribe.read(body), responder);
+        case "POST" -> distributor.subscribe(DistributionMessages.Subscribe.read(body), responder);
         case "POST names" ->
-            distributor.changeNames(parts[3], Messages.ChangeNames.read(body), responder);
+            distributor.changeNames(
+                parts[3], DistributionMessages.ChangeNames.read(body), responder);
         case "GET changes" -> {
           Map<String, String> query = query(exchange);
           distributor.poll(
@@ -87,7 +88,7 @@
               responder);
         }
         case "POST rejected" -> {
-          Messages.Rejected rejected = Messages.Rejected.read(body);
+          DistributionMessages.Rejected rejected = DistributionMessages.Rejected.read(body);
           log.println(
               "record-rejected by a subscriber: "
                   + new RecordRejected(rejected.name(), rejected.version(), rejected.reason())
@@ -110,13 +111,13 @@
     Version version = distributor.version();
     long age = distributor.age();
     ObjectNode o =
-        Messages.JSON
+        DistributionMessages.JSON
             .createObjectNode()
             .put("records", distributor.records())
             .put("subscriptions", distributor.subscriptions())
-            .put("ageMillis", age == Freshness.NEVER ? -1 : age / 1000);
-    Messages.put(o.putObject("version"), version);
-    respond(exchange, OK, Messages.bytes(o));
+            .put("ageMillis", age == Staleness.NEVER ? -1 : age / 1000);
+    DistributionMessages.put(o.putObject("version"), version);
+    respond(exchange, OK, DistributionMessages.bytes(o));
   }
 
   private static Map<String, String> query(HttpExchange exchange) {
--- a/gateway/src/main/java/shelffront/fleetconfig/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,19 +12,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.LongSupplier;
-import shelffront.distribution.Change;
-import shelffront.distribution.Freshness;
-import shelffront.distribution.Interest;
+import shelffront.controlplane.DistributionMessages.Added;
+import shelffront.controlplane.DistributionMessages.ChangeNames;
+import shelffront.controlplane.DistributionMessages.Polled;
+import shelffront.controlplane.DistributionMessages.Subscribe;
+import shelffront.controlplane.DistributionMessages.Subscribed;
+import shelffront.controlplane.Subscription.Poll;
+import shelffront.controlplane.Subscription.Responder;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.RecordTable;
+import shelffront.distribution.Staleness;
+import shelffront.distribution.SubscriptionFilter;
 import shelffront.distribution.Update;
 import shelffront.distribution.Version;
-import shelffront.fleetconfig.Messages.Added;
-import shelffront.fleetconfig.Messages.ChangeNames;
-import shelffront.fleetconfig.Messages.Polled;
-import shelffront.fleetconfig.Messages.Subscribe;
-import shelffront.fleetconfig.Messages.Subscribed;
-import shelffront.fleetconfig.Subscription.Poll;
-import shelffront.fleetconfig.Subscription.Responder;
 
 /**
  * Serves subscribers from one table. The table has a lock; subscriptions are in shards, each under
@@ -61,7 +61,7 @@
 
   private volatile boolean ready; // it has read what its upstream has
   private final RecordTable table = new RecordTable(LOG_CHANGES, LOG_CHARACTERS);
-  private final Freshness freshness = new Freshness();
+  private final Staleness freshness = new Staleness();
   private final List<Shard> shards = new ArrayList<>();
   private final AtomicInteger count = new AtomicInteger();
   private final ScheduledExecutorService timer;
@@ -140,7 +140,7 @@
     Set<String> changed = new HashSet<>();
     boolean complete = true;
     synchronized (table) {
-      for (Change change : update.changes()) {
+      for (RecordChange change : update.changes()) {
         complete &= table.apply(change) != RecordTable.Applied.GAP;
         changed.add(change.name());
       }
@@ -238,7 +238,7 @@
     // or in both.
     Added added;
     synchronized (table) {
-      List<Change> records = new ArrayList<>();
+      List<RecordChange> records = new ArrayList<>();
       change.add().stream().map(table::record).filter(r -> r != null).forEach(records::add);
       added = new Added(table.version(), freshness.age(clock.getAsLong()), records);
     }
@@ -289,7 +289,7 @@
   }
 
   private Update updateFor(Subscription subscription, Version after) {
-    Interest interest;
+    SubscriptionFilter interest;
     synchronized (shard(subscription.id)) {
       interest = subscription.interest();
     }
@@ -310,7 +310,7 @@
 
   private void answer(Subscription subscription, Poll poll) {
     long edition;
-    Interest interest;
+    SubscriptionFilter interest;
     synchronized (shard(subscription.id)) {
       edition = subscription.edition();
       interest = subscription.interest();
--- a/gateway/src/main/java/shelffront/fleetconfig/DistributorClient.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -10,11 +10,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import shelffront.distribution.Endpoint;
+import shelffront.controlplane.DistributionException.DistributionGarbled;
+import shelffront.controlplane.DistributionException.DistributorRefused;
+import shelffront.controlplane.DistributionException.DistributorUnreachable;
+import shelffront.distribution.DistributorEndpoint;
 import shelffront.distribution.Version;
-import shelffront.fleetconfig.DistributionException.DistributionGarbled;
-import shelffront.fleetconfig.DistributionException.DistributorRefused;
-import shelffront.fleetconfig.DistributionException.DistributorUnreachable;
 
 /** The calls of one distributor's HTTP interface. Each gives up by itself; nothing here blocks. */
 final class DistributorClient {
@@ -28,31 +28,32 @@
   }
 
   private final HttpClient http;
-  private final Endpoint endpoint;
+  private final DistributorEndpoint endpoint;
 
-  DistributorClient(HttpClient http, Endpoint endpoint) {
+  DistributorClient(HttpClient http, DistributorEndpoint endpoint) {
     this.http = http;
     this.endpoint = endpoint;
   }
 
-  Endpoint endpoint() {
+  DistributorEndpoint endpoint() {
     return endpoint;
   }
 
-  CompletableFuture<Messages.Subscribed> subscribe(Messages.Subscribe asked, long within) {
-    return post("/v1/subscriptions", asked.bytes(), within, Messages.Subscribed::read);
+  CompletableFuture<DistributionMessages.Subscribed> subscribe(
+      DistributionMessages.Subscribe asked, long within) {
+    return post("/v1/subscriptions", asked.bytes(), within, DistributionMessages.Subscribed::read);
   }
 
-  CompletableFuture<Messages.Added> changeNames(
-      String subscription, Messages.ChangeNames change, long within) {
+  CompletableFuture<DistributionMessages.Added> changeNames(
+      String subscription, DistributionMessages.ChangeNames change, long within) {
     return post(
         "/v1/subscriptions/" + subscription + "/names",
         change.bytes(),
         within,
-        Messages.Added::read);
+        DistributionMessages.Added::read);
   }
 
-  CompletableFuture<Messages.Polled> poll(
+  CompletableFuture<DistributionMessages.Polled> poll(
       String subscription, Version after, long wait, long within) {
     String path =
         "/v1/subscriptions/"
@@ -63,10 +64,11 @@
             + after.sequence()
             + "&waitMicros="
             + wait;
-    return call(HttpRequest.newBuilder(uri(path)).GET(), within, Messages.Polled::read);
+    return call(HttpRequest.newBuilder(uri(path)).GET(), within, DistributionMessages.Polled::read);
   }
 
-  CompletableFuture<Void> reject(String subscription, Messages.Rejected rejected, long within) {
+  CompletableFuture<Void> reject(
+      String subscription, DistributionMessages.Rejected rejected, long within) {
     return post(
         "/v1/subscriptions/" + subscription + "/rejected", rejected.bytes(), within, body -> null);
   }
--- a/gateway/src/main/java/shelffront/fleetconfig/DistributorRole.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,16 +14,16 @@
 import java.util.function.LongSupplier;
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
-import shelffront.distribution.EndpointChoice;
-import shelffront.engine.ConsulEngine;
-import shelffront.net.Log;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.coordination.ConsulCoordinationStore;
+import shelffront.distribution.DistributorSelector;
+import shelffront.net.EventLog;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * A distributor as {@code distribute --config} starts it: follows the engine or others, and serves
  * subscribers.
  */
-public final class DistributorRole implements AutoCloseable {
+public final class DistributorProcess implements AutoCloseable {
 
   private static final int ANSWER_THREADS = 16;
 
@@ -33,7 +33,7 @@
   private final AutoCloseable follower;
   private final Runnable start;
 
-  private DistributorRole(InetSocketAddress listen, FleetRecordsConfig config, Log log)
+  private DistributorProcess(InetSocketAddress listen, SubscribedRecordsConfig config, EventLog log)
       throws IOException {
     LongSupplier clock = () -> System.nanoTime() / 1000;
     timer = timer(2, "distributor-timer");
@@ -45,8 +45,8 @@
       follower = engine;
       start = engine::start;
     } else {
-      EndpointChoice choice =
-          new EndpointChoice(
+      DistributorSelector choice =
+          new DistributorSelector(
               config.name(),
               config.region(),
               config.zone(),
@@ -57,7 +57,7 @@
           new Subscriber(
               config.name(),
               new UpstreamFollower(config.name(), distributor),
-              FleetRecords.httpClient(config.timings()),
+              SubscribedRecords.httpClient(config.timings()),
               choice,
               config.timings(),
               config.staleAfter(),
@@ -69,8 +69,9 @@
     }
   }
 
-  /** By settings that hold where it listens, beside what {@link FleetRecordsConfig} reads. */
-  public static DistributorRole read(JsonNode settings, Log log) throws SpecException, IOException {
+  /** By settings that hold where it listens, beside what {@link SubscribedRecordsConfig} reads. */
+  public static DistributorProcess read(JsonNode settings, EventLog log)
+      throws SpecException, IOException {
     if (!settings.isObject()) {
       throw new SpecException("", "not a JSON object");
     }
@@ -78,16 +79,16 @@
     JsonNode listen = rest.remove("listen");
     try {
       InetSocketAddress address = GatewayConfig.address(listen == null ? "" : listen.asText());
-      return new DistributorRole(address, FleetRecordsConfig.read(rest, ""), log);
+      return new DistributorProcess(address, SubscribedRecordsConfig.read(rest, ""), log);
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException("/listen", "is not an address host:port");
     }
   }
 
   /** The engine's side, for whoever has an engine in its settings. */
-  public static ChangeStore changeStore(FleetRecordsConfig config) {
+  public static ChangeStore changeStore(SubscribedRecordsConfig config) {
     return new ChangeStore(
-        new ConsulEngine(
+        new ConsulCoordinationStore(
             config.engine().getHostString(),
             config.engine().getPort(),
             Duration.of(config.timings().pollWait(), ChronoUnit.MICROS)),
--- a/gateway/src/main/java/shelffront/fleetconfig/EngineFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
@@ -1,15 +1,15 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import shelffront.distribution.Change;
+import shelffront.controlplane.ChangeStore.Head;
+import shelffront.controlplane.DistributionException.EngineSteppedBack;
+import shelffront.coordination.CoordinationException;
+import shelffront.coordination.OperatorException;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Update;
-import shelffront.engine.EngineException;
-import shelffront.engine.OperatorException;
-import shelffront.fleetconfig.ChangeStore.Head;
-import shelffront.fleetconfig.DistributionException.EngineSteppedBack;
-import shelffront.net.Log;
+import shelffront.net.EventLog;
 
 /**
  * Keeps a distributor's table as the engine's, on a thread of its own: watches the head, reads the
@@ -24,14 +24,14 @@
   private final ChangeStore store;
   private final Distributor distributor;
   private final LongSupplier clock;
-  private final Log log;
+  private final EventLog log;
   private final Thread thread;
   private volatile boolean closed;
   private Head known = Head.EMPTY;
   private boolean read; // all records were read once
   private String lastError = "";
 
-  EngineFollower(ChangeStore store, Distributor distributor, LongSupplier clock, Log log) {
+  EngineFollower(ChangeStore store, Distributor distributor, LongSupplier clock, EventLog log) {
     this.store = store;
     this.distributor = distributor;
     this.clock = clock;
@@ -54,7 +54,7 @@
         if (known.index() == 0) {
           TimeUnit.MILLISECONDS.sleep(LONGEST_PAUSE_MILLIS); // nothing was ever written
         }
-      } catch (EngineException | EngineSteppedBack e) {
+      } catch (CoordinationException | EngineSteppedBack e) {
         complain(e);
         pause = sleep(pause);
       } catch (RuntimeException e) {
@@ -75,11 +75,11 @@
     return Math.min(LONGEST_PAUSE_MILLIS, 2 * pause);
   }
 
-  private void follow() throws EngineException, EngineSteppedBack {
+  private void follow() throws CoordinationException, EngineSteppedBack {
     long sentAt = clock.getAsLong();
     Head head = read ? store.awaitHead(known) : store.head();
     boolean sameIncarnation = head.version().incarnation() == known.version().incarnation();
-    List<Change> missing = read && sameIncarnation ? store.changes(known, head) : null;
+    List<RecordChange> missing = read && sameIncarnation ? store.changes(known, head) : null;
     if (missing != null) {
       distributor.take(new Update.Changes(known.version(), head.version(), missing));
       known = head;
@@ -91,7 +91,7 @@
     distributor.confirm(sentAt, 0);
   }
 
-  private void readAll() throws EngineException, EngineSteppedBack {
+  private void readAll() throws CoordinationException, EngineSteppedBack {
     ChangeStore.Read all = store.readAll();
     distributor.take(all.snapshot());
     known = all.head();
--- a/gateway/src/main/java/shelffront/fleetconfig/LastKnownGood.java
+++ b/gateway/src/main/java/shelffront/controlplane/LastKnownGood.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,9 +9,9 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.List;
-import shelffront.distribution.Change;
+import shelffront.controlplane.DistributionException.DistributionGarbled;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.fleetconfig.DistributionException.DistributionGarbled;
 
 /**
  * What a gateway last had in force, in a file of its own, so that it serves on after a restart
@@ -23,7 +23,7 @@
   private static final String FORMAT = "shelffront-last-known-good-1";
 
   /** The records in force, and the version of the view that they belong to. */
-  record Kept(Version version, List<Change> records) {}
+  record Kept(Version version, List<RecordChange> records) {}
 
   private final Path file;
 
@@ -36,19 +36,21 @@
     if (!Files.exists(file)) {
       return null;
     }
-    JsonNode o = Messages.object(Files.readAllBytes(file));
+    JsonNode o = DistributionMessages.object(Files.readAllBytes(file));
     if (!o.path("format").asText().equals(FORMAT)) {
       throw new DistributionGarbled(file + " is not what a gateway had in force", null);
     }
-    return new Kept(Messages.readVersion(o.path("version")), Messages.changes(o.path("records")));
+    return new Kept(
+        DistributionMessages.readVersion(o.path("version")),
+        DistributionMessages.changes(o.path("records")));
   }
 
   void write(Kept kept) throws IOException {
-    ObjectNode o = Messages.JSON.createObjectNode().put("format", FORMAT);
-    Messages.put(o.putObject("version"), kept.version());
-    Messages.putChanges(o.putArray("records"), kept.records());
+    ObjectNode o = DistributionMessages.JSON.createObjectNode().put("format", FORMAT);
+    DistributionMessages.put(o.putObject("version"), kept.version());
+    DistributionMessages.putChanges(o.putArray("records"), kept.records());
     Path next = file.resolveSibling(file.getFileName() + ".next");
-    Files.write(next, Messages.bytes(o));
+    Files.write(next, DistributionMessages.bytes(o));
     try (FileChannel channel = FileChannel.open(next, StandardOpenOption.WRITE)) {
       channel.force(true);
     }
--- a/gateway/src/main/java/shelffront/fleetconfig/FleetRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import java.io.IOException;
 import java.net.http.HttpClient;
@@ -12,19 +12,19 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import shelffront.distribution.AbsentNames;
-import shelffront.distribution.Change;
-import shelffront.distribution.Endpoint;
-import shelffront.distribution.EndpointChoice;
-import shelffront.distribution.Freshness;
-import shelffront.distribution.SubscribedView;
-import shelffront.distribution.Timings;
+import shelffront.controlplane.DistributionException.DistributionGarbled;
+import shelffront.controlplane.DistributionException.LookupsFull;
+import shelffront.controlplane.DistributionException.RecordRejected;
+import shelffront.controlplane.DistributionException.ViewTooOld;
+import shelffront.distribution.DistributionTimings;
+import shelffront.distribution.DistributorEndpoint;
+import shelffront.distribution.DistributorSelector;
+import shelffront.distribution.NegativeCache;
+import shelffront.distribution.RecordChange;
+import shelffront.distribution.ReplicatedView;
+import shelffront.distribution.Staleness;
 import shelffront.distribution.Version;
-import shelffront.fleetconfig.DistributionException.DistributionGarbled;
-import shelffront.fleetconfig.DistributionException.LookupsFull;
-import shelffront.fleetconfig.DistributionException.RecordRejected;
-import shelffront.fleetconfig.DistributionException.ViewTooOld;
-import shelffront.net.Log;
+import shelffront.net.EventLog;
 
 /**
  * A gateway's part in distribution: the records of the names that it serves, kept current by a
@@ -32,13 +32,13 @@
  * from its first use on; names that nobody has are remembered for a while. Any thread may call;
  * nothing waits.
  */
-public final class FleetRecords implements Subscriber.Owner, AutoCloseable {
+public final class SubscribedRecords implements Subscriber.Owner, AutoCloseable {
 
   /** Puts records in force. Called in the order of changes, never twice at once. */
   public interface Target {
 
     /** Null where it was put in force; else why it is not valid, and what it replaces stays. */
-    String put(Change record);
+    String put(RecordChange record);
 
     void remove(String name);
 
@@ -64,18 +64,18 @@
   /** How long somebody waits for a record that nobody can give. */
   private static final long LOOKUP_MILLIS = 2_000;
 
-  private final FleetRecordsConfig config;
+  private final SubscribedRecordsConfig config;
   private final Target target;
-  private final Log log;
+  private final EventLog log;
   private final ScheduledExecutorService timer;
   private final LongSupplier clock;
   private final Subscriber subscriber;
   private final LastKnownGood lastKnownGood; // null where it has no disk
-  private final SubscribedView view = new SubscribedView();
-  private final Freshness freshness = new Freshness();
-  private final AbsentNames absent = new AbsentNames(MOST_ABSENT, ABSENT_FOR);
+  private final ReplicatedView view = new ReplicatedView();
+  private final Staleness freshness = new Staleness();
+  private final NegativeCache absent = new NegativeCache(MOST_ABSENT, ABSENT_FOR);
   private final Map<String, CompletableFuture<Boolean>> lookups = new HashMap<>();
-  private final Map<String, Change> inForce = new HashMap<>();
+  private final Map<String, RecordChange> inForce = new HashMap<>();
   private final Map<String, String> rejected =
       new HashMap<>(); // by name, why its newest state is not in force
   private boolean keeping; // a write of the last known good is due
@@ -83,14 +83,14 @@
   private long startedAt;
 
   /** The clock is monotonic, in microseconds. */
-  public FleetRecords(
-      FleetRecordsConfig config,
+  public SubscribedRecords(
+      SubscribedRecordsConfig config,
       Target target,
       HttpClient http,
       ScheduledExecutorService timer,
       LongSupplier clock,
       Random random,
-      Log log) {
+      EventLog log) {
     this.config = config;
     this.target = target;
     this.timer = timer;
@@ -98,8 +98,8 @@
     this.log = log;
     lastKnownGood =
         config.lastKnownGood() == null ? null : new LastKnownGood(config.lastKnownGood());
-    EndpointChoice choice =
-        new EndpointChoice(
+    DistributorSelector choice =
+        new DistributorSelector(
             config.name(),
             config.region(),
             config.zone(),
@@ -120,7 +120,7 @@
   }
 
   /** The client that all calls go through; several subscribers of one process may share it. */
-  public static HttpClient httpClient(Timings timings) {
+  public static HttpClient httpClient(DistributionTimings timings) {
     return HttpClient.newBuilder()
         .version(HttpClient.Version.HTTP_1_1)
         .connectTimeout(Duration.ofNanos(timings.connectTimeout() * 1000))
@@ -193,8 +193,9 @@
   // --------------------------------------------------------------------------------
 
   @Override
-  public synchronized Messages.Subscribe subscribing() {
-    return new Messages.Subscribe(config.name(), false, view.edition(), List.copyOf(view.names()));
+  public synchronized DistributionMessages.Subscribe subscribing() {
+    return new DistributionMessages.Subscribe(
+        config.name(), false, view.edition(), List.copyOf(view.names()));
   }
 
   @Override
@@ -203,7 +204,7 @@
   }
 
   @Override
-  public synchronized boolean polled(Messages.Polled answer) {
+  public synchronized boolean polled(DistributionMessages.Polled answer) {
     Version before = view.version();
     view.take(answer.update(), answer.edition()).forEach(this::takeUp);
     if (!view.version().equals(before)) {
@@ -218,14 +219,14 @@
   }
 
   @Override
-  public synchronized boolean added(List<String> names, Messages.Added answer) {
-    Map<String, Change> found = new HashMap<>();
+  public synchronized boolean added(List<String> names, DistributionMessages.Added answer) {
+    Map<String, RecordChange> found = new HashMap<>();
     answer.records().forEach(r -> found.put(r.name(), r));
     if (answer.version().isBefore(view.version())) {
       return false;
     }
     for (String name : names) {
-      Change record = found.get(name);
+      RecordChange record = found.get(name);
       if (record == null) {
         absent.add(name, clock.getAsLong());
       } else {
@@ -246,7 +247,7 @@
     freshness.confirm(sentAt, statedAge);
   }
 
-  private void takeUp(Change change) {
+  private void takeUp(RecordChange change) {
     if (change.isRemoval()) {
       inForce.remove(change.name());
       rejected.remove(change.name());
@@ -257,7 +258,7 @@
     keepSoon();
   }
 
-  private void putInForce(Change change) {
+  private void putInForce(RecordChange change) {
     String reason = target.put(change);
     if (reason == null) {
       inForce.put(change.name(), change);
@@ -267,7 +268,8 @@
     RecordRejected e = new RecordRejected(change.name(), change.version(), reason);
     log.println(e.code() + ": " + e.getMessage() + ". " + e.advice());
     rejected.put(change.name(), reason);
-    Messages.Rejected told = new Messages.Rejected(change.name(), change.version(), reason);
+    DistributionMessages.Rejected told =
+        new DistributionMessages.Rejected(change.name(), change.version(), reason);
     timer.execute(() -> subscriber.reject(told));
   }
 
@@ -311,10 +313,10 @@
   private ViewTooOld ageError() {
     long now = clock.getAsLong();
     long age = freshness.age(now);
-    boolean starting = age == Freshness.NEVER && now - startedAt <= config.greatestAge();
+    boolean starting = age == Staleness.NEVER && now - startedAt <= config.greatestAge();
     return starting || age <= config.greatestAge()
         ? null
-        : new ViewTooOld(age == Freshness.NEVER ? -1 : age / 1000, config.greatestAge() / 1000);
+        : new ViewTooOld(age == Staleness.NEVER ? -1 : age / 1000, config.greatestAge() / 1000);
   }
 
   /**
@@ -334,16 +336,16 @@
       String advice) {}
 
   public Status status() {
-    Endpoint following = subscriber.following();
+    DistributorEndpoint following = subscriber.following();
     return status(following);
   }
 
-  private synchronized Status status(Endpoint following) {
+  private synchronized Status status(DistributorEndpoint following) {
     long age = freshness.age(clock.getAsLong());
     ViewTooOld e = ageError();
     return new Status(
         view.version(),
-        age == Freshness.NEVER ? -1 : age / 1000,
+        age == Staleness.NEVER ? -1 : age / 1000,
         following == null ? null : following.address(),
         view.names().size(),
         inForce.size(),
--- a/gateway/src/main/java/shelffront/fleetconfig/FleetRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
@@ -8,10 +8,10 @@
 import java.util.Set;
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
-import shelffront.distribution.Endpoint;
-import shelffront.distribution.Timings;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.distribution.DistributionTimings;
+import shelffront.distribution.DistributorEndpoint;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * How a gateway, or a distributor that follows others, takes part in distribution; times are
@@ -26,15 +26,15 @@
  * @param staleAfter a distributor whose view is older is left for another
  * @param greatestAge of a view; an older one is an error
  */
-public record FleetRecordsConfig(
+public record SubscribedRecordsConfig(
     String name,
     String fleet,
     String region,
     String zone,
-    List<Endpoint> distributors,
+    List<DistributorEndpoint> distributors,
     InetSocketAddress engine,
     Path lastKnownGood,
-    Timings timings,
+    DistributionTimings timings,
     long staleAfter,
     long greatestAge) {
 
@@ -58,18 +58,18 @@
   private static final long GREATEST_AGE_MS = 14_000;
 
   /** Throws with the pointer to the first field at fault, below the one given. */
-  public static FleetRecordsConfig read(JsonNode o, String at) throws SpecException {
+  public static SubscribedRecordsConfig read(JsonNode o, String at) throws SpecException {
     if (!o.isObject()) {
       throw new SpecException(at, "is not an object");
     }
-    SpecJson.onlyFields(o, at, NAMES);
-    List<Endpoint> distributors = new ArrayList<>();
+    TenantSpecCodec.onlyFields(o, at, NAMES);
+    List<DistributorEndpoint> distributors = new ArrayList<>();
     for (JsonNode each : o.path("distributors")) {
       String here = at + "/distributors/" + distributors.size();
-      SpecJson.onlyFields(each, here, ENDPOINT_NAMES);
+      TenantSpecCodec.onlyFields(each, here, ENDPOINT_NAMES);
       address(each, here + "/address", "address");
       distributors.add(
-          new Endpoint(
+          new DistributorEndpoint(
               each.path("address").asText(),
               name(each, here, "region", ""),
               name(each, here, "zone", "")));
@@ -78,7 +78,7 @@
     if (distributors.isEmpty() && engine == null) {
       throw new SpecException(at + "/distributors", "names nobody to follow");
     }
-    return new FleetRecordsConfig(
+    return new SubscribedRecordsConfig(
         name(o, at, "name", null),
         name(o, at, "fleet", null),
         name(o, at, "region", ""),
@@ -86,7 +86,7 @@
         List.copyOf(distributors),
         engine,
         o.has("lastKnownGood") ? Path.of(o.path("lastKnownGood").asText()) : null,
-        Timings.STANDARD,
+        DistributionTimings.STANDARD,
         millis(o, at, "staleAfterMs", STALE_AFTER_MS),
         millis(o, at, "greatestAgeMs", GREATEST_AGE_MS));
   }
@@ -97,7 +97,7 @@
     if (value.isMissingNode() && absent != null) {
       return absent;
     }
-    if (!value.asText().matches(SpecJson.NAME)) {
+    if (!value.asText().matches(TenantSpecCodec.NAME)) {
       throw new SpecException(
           at + "/" + field, "is not a name of letters, digits, dots and dashes");
     }
@@ -107,10 +107,12 @@
   private static long millis(JsonNode o, String at, String field, long absent)
       throws SpecException {
     long value = o.path(field).asLong(absent);
-    if (value * MS < Timings.STANDARD.calmAge() || value > 3_600_000) {
+    if (value * MS < DistributionTimings.STANDARD.calmAge() || value > 3_600_000) {
       throw new SpecException(
           at + "/" + field,
-          "is not from " + Timings.STANDARD.calmAge() / MS + " to 3600000 milliseconds");
+          "is not from "
+              + DistributionTimings.STANDARD.calmAge() / MS
+              + " to 3600000 milliseconds");
     }
     return value * MS;
   }
--- a/gateway/src/main/java/shelffront/fleetconfig/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import java.net.http.HttpClient;
 import java.util.ArrayList;
@@ -8,14 +8,14 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import shelffront.distribution.Endpoint;
-import shelffront.distribution.EndpointChoice;
-import shelffront.distribution.Freshness;
-import shelffront.distribution.Timings;
+import shelffront.controlplane.DistributionException.DistributionGarbled;
+import shelffront.controlplane.DistributionException.DistributorRefused;
+import shelffront.distribution.DistributionTimings;
+import shelffront.distribution.DistributorEndpoint;
+import shelffront.distribution.DistributorSelector;
+import shelffront.distribution.Staleness;
 import shelffront.distribution.Version;
-import shelffront.fleetconfig.DistributionException.DistributionGarbled;
-import shelffront.fleetconfig.DistributionException.DistributorRefused;
-import shelffront.net.Log;
+import shelffront.net.EventLog;
 
 /**
  * Follows one distributor at a time, and another when that one breaks, is silent, is behind or has
@@ -39,12 +39,12 @@
   interface Owner {
 
     /** Where it stands, with the names and their edition; a new subscription begins from there. */
-    Messages.Subscribe subscribing();
+    DistributionMessages.Subscribe subscribing();
 
     Version version();
 
     /** What a poll brought; false where it does not fit, and polling from here makes no sense. */
-    boolean polled(Messages.Polled answer);
+    boolean polled(DistributionMessages.Polled answer);
 
     /** The edition under which names are asked for from now on. */
     long beginAdding(List<String> names);
@@ -52,7 +52,7 @@
     /**
      * The records of names; those that are not among them have none. False: to be asked for again.
      */
-    boolean added(List<String> names, Messages.Added answer);
+    boolean added(List<String> names, DistributionMessages.Added answer);
 
     /** Everything that it has is current as of a question sent at this time, up to an age. */
     void confirmed(long sentAt, long statedAge);
@@ -61,12 +61,12 @@
   private final String name;
   private final Owner owner;
   private final HttpClient http;
-  private final EndpointChoice choice;
-  private final Timings timings;
+  private final DistributorSelector choice;
+  private final DistributionTimings timings;
   private final long staleAfter;
   private final ScheduledExecutorService timer;
   private final LongSupplier clock;
-  private final Log log;
+  private final EventLog log;
   private final Set<String> wanted = new LinkedHashSet<>(); // names to be asked for
   private final List<String> forgotten =
       new ArrayList<>(); // told with the next names that are asked for
@@ -91,12 +91,12 @@
       String name,
       Owner owner,
       HttpClient http,
-      EndpointChoice choice,
-      Timings timings,
+      DistributorSelector choice,
+      DistributionTimings timings,
       long staleAfter,
       ScheduledExecutorService timer,
       LongSupplier clock,
-      Log log) {
+      EventLog log) {
     this.name = name;
     this.owner = owner;
     this.http = http;
@@ -125,14 +125,14 @@
   }
 
   /** Tells the distributor that a record can't be put in force here. */
-  synchronized void reject(Messages.Rejected rejected) {
+  synchronized void reject(DistributionMessages.Rejected rejected) {
     if (client != null) {
       client.reject(subscription, rejected, timings.connectTimeout());
     }
   }
 
   /** The distributor that is followed; null where there is none. */
-  synchronized Endpoint following() {
+  synchronized DistributorEndpoint following() {
     return client == null ? null : client.endpoint();
   }
 
@@ -146,7 +146,7 @@
     client = null;
     adding = false;
     long now = clock.getAsLong();
-    EndpointChoice.Next next = choice.next(now);
+    DistributorSelector.Next next = choice.next(now);
     long mine = ++attempt;
     timer.schedule(
         () -> {
@@ -160,7 +160,7 @@
         TimeUnit.MICROSECONDS);
   }
 
-  private void subscribe(Endpoint endpoint) {
+  private void subscribe(DistributorEndpoint endpoint) {
     long mine = ++attempt;
     client = null;
     adding = false;
@@ -172,7 +172,10 @@
   }
 
   private void subscribed(
-      long mine, DistributorClient asked, Messages.Subscribed answer, Throwable failure) {
+      long mine,
+      DistributorClient asked,
+      DistributionMessages.Subscribed answer,
+      Throwable failure) {
     if (mine != attempt || closed) {
       return;
     }
@@ -199,7 +202,7 @@
     }
   }
 
-  private void leave(Endpoint endpoint, Throwable failure) {
+  private void leave(DistributorEndpoint endpoint, Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
     log.println(name + " leaves distributor " + endpoint.address() + ": " + cause.getMessage());
     choice.failed(endpoint, clock.getAsLong());
@@ -225,7 +228,11 @@
   }
 
   private void polled(
-      long mine, DistributorClient asked, long sentAt, Messages.Polled answer, Throwable failure) {
+      long mine,
+      DistributorClient asked,
+      long sentAt,
+      DistributionMessages.Polled answer,
+      Throwable failure) {
     if (mine != attempt || closed) {
       return;
     }
@@ -248,7 +255,7 @@
     patience = 1;
     owner.confirmed(sentAt, answer.age());
     long now = clock.getAsLong();
-    boolean stale = answer.age() == Freshness.NEVER || answer.age() > staleAfter;
+    boolean stale = answer.age() == Staleness.NEVER || answer.age() > staleAfter;
     // Where all are stale it would go round and round: one is given the time in which its own
     // upstream recovers.
     if (stale && now - switchedAt > timings.failedHop()) {
@@ -261,7 +268,7 @@
     if (!stale) {
       choice.succeeded(asked.endpoint());
       if (choice.hasBetter(asked.endpoint(), now)
-          && now - switchedAt > EndpointChoice.LONGEST_PAUSE) {
+          && now - switchedAt > DistributorSelector.LONGEST_PAUSE) {
         follow();
         return;
       }
@@ -280,8 +287,9 @@
     long mine = attempt;
     long sentAt = clock.getAsLong();
     List<String> names = wanted.stream().limit(MOST_NAMES_IN_CALL).toList();
-    Messages.ChangeNames change =
-        new Messages.ChangeNames(owner.beginAdding(names), names, List.copyOf(forgotten));
+    DistributionMessages.ChangeNames change =
+        new DistributionMessages.ChangeNames(
+            owner.beginAdding(names), names, List.copyOf(forgotten));
     forgotten.clear();
     client
         .changeNames(subscription, change, timings.connectTimeout())
@@ -290,7 +298,11 @@
   }
 
   private void added(
-      long mine, long sentAt, List<String> names, Messages.Added answer, Throwable failure) {
+      long mine,
+      long sentAt,
+      List<String> names,
+      DistributionMessages.Added answer,
+      Throwable failure) {
     if (mine != attempt || closed) {
       return; // asked for again by whoever is followed now
     }
--- a/gateway/src/main/java/shelffront/fleetconfig/Subscription.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscription.java
@@ -1,10 +1,10 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.ScheduledFuture;
-import shelffront.distribution.Interest;
+import shelffront.distribution.SubscriptionFilter;
 import shelffront.distribution.Version;
 
 /**
@@ -36,22 +36,22 @@
   final String subscriber;
   private final boolean all;
   private final Set<String> names;
-  private Interest interest;
+  private SubscriptionFilter interest;
   private long edition;
   private Poll waiting;
   long usedAt;
 
-  Subscription(String id, Messages.Subscribe asked, long now) {
+  Subscription(String id, DistributionMessages.Subscribe asked, long now) {
     this.id = id;
     subscriber = asked.subscriber();
     all = asked.all();
     names = new HashSet<>(asked.names());
     edition = asked.edition();
-    interest = all ? Interest.ALL : Interest.in(names);
+    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.in(names);
     usedAt = now;
   }
 
-  Interest interest() {
+  SubscriptionFilter interest() {
     return interest;
   }
 
@@ -67,17 +67,17 @@
     return names.size();
   }
 
-  void change(Messages.ChangeNames change) {
+  void change(DistributionMessages.ChangeNames change) {
     change.remove().forEach(names::remove);
     names.addAll(change.add());
-    interest = all ? Interest.ALL : Interest.in(names);
+    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.in(names);
     edition = Math.max(edition, change.edition());
   }
 
   /** Follows these no longer. */
   void drop(Collection<String> dropped) {
     dropped.forEach(names::remove);
-    interest = all ? Interest.ALL : Interest.in(names);
+    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.in(names);
   }
 
   /** Has a poll wait; gives the one that waited before, which nobody asks for any more. */
--- a/gateway/src/main/java/shelffront/fleetconfig/UpstreamFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import java.util.List;
 import shelffront.distribution.Version;
@@ -15,8 +15,8 @@
   }
 
   @Override
-  public Messages.Subscribe subscribing() {
-    return new Messages.Subscribe(name, true, 0, List.of());
+  public DistributionMessages.Subscribe subscribing() {
+    return new DistributionMessages.Subscribe(name, true, 0, List.of());
   }
 
   @Override
@@ -25,7 +25,7 @@
   }
 
   @Override
-  public boolean polled(Messages.Polled answer) {
+  public boolean polled(DistributionMessages.Polled answer) {
     return distributor.take(answer.update());
   }
 
@@ -35,7 +35,7 @@
   }
 
   @Override
-  public boolean added(List<String> names, Messages.Added answer) {
+  public boolean added(List<String> names, DistributionMessages.Added answer) {
     throw new UnsupportedOperationException("all names are followed");
   }
 
--- a/gateway/src/main/java/shelffront/engine/ConsulEngine.java
+++ b/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
@@ -1,4 +1,4 @@
-package shelffront.engine;
+package shelffront.coordination;
 
 import com.google.common.net.HostAndPort;
 import java.math.BigInteger;
@@ -18,16 +18,16 @@
 import org.kiwiproject.consul.option.ImmutableDeleteOptions;
 import org.kiwiproject.consul.option.ImmutablePutOptions;
 import org.kiwiproject.consul.option.ImmutableQueryOptions;
-import shelffront.engine.EngineException.EngineGarbled;
-import shelffront.engine.EngineException.EngineRefused;
-import shelffront.engine.EngineException.EngineUnreachable;
+import shelffront.coordination.CoordinationException.EngineGarbled;
+import shelffront.coordination.CoordinationException.EngineRefused;
+import shelffront.coordination.CoordinationException.EngineUnreachable;
 
 /**
  * Consul's KV store as the engine, through its agent: check-and-set by ModifyIndex, blocking
  * queries for the watch. Reads are in mode {@code consistent}; in the default one an old leader
  * that was cut off may answer for a while.
  */
-public final class ConsulEngine implements Engine {
+public final class ConsulCoordinationStore implements CoordinationStore {
 
   private static final int CONFLICT = 409;
 
@@ -42,7 +42,7 @@
    * Calls are given up after the time; a watch that nothing changes answers after as long, and one
    * second at least.
    */
-  public ConsulEngine(String host, int port, Duration most) {
+  public ConsulCoordinationStore(String host, int port, Duration most) {
     where = host + ":" + port;
     HostAndPort at = HostAndPort.fromParts(host, port);
     brief = builder(at, most.toMillis(), most.toMillis()).build();
@@ -63,7 +63,7 @@
         .withWriteTimeoutMillis(connectMillis);
   }
 
-  private <T> T ask(Supplier<T> call) throws EngineException {
+  private <T> T ask(Supplier<T> call) throws CoordinationException {
     try {
       return call.get();
     } catch (ConsulException e) {
@@ -87,18 +87,22 @@
   }
 
   @Override
-  public Value read(String key) throws EngineException {
+  public Value read(String key) throws CoordinationException {
     return ask(
-        () -> calls.getValue(key, consistent().build()).map(ConsulEngine::value).orElse(null));
+        () ->
+            calls
+                .getValue(key, consistent().build())
+                .map(ConsulCoordinationStore::value)
+                .orElse(null));
   }
 
   @Override
-  public Listing list(String prefix) throws EngineException {
+  public Listing list(String prefix) throws CoordinationException {
     return ask(() -> listing(calls.getConsulResponseWithValues(prefix, consistent().build())));
   }
 
   @Override
-  public Listing watch(String prefix, long after) throws EngineException {
+  public Listing watch(String prefix, long after) throws CoordinationException {
     return ask(
         () ->
             listing(
@@ -116,13 +120,13 @@
   }
 
   @Override
-  public boolean put(String key, long index, String text) throws EngineException {
+  public boolean put(String key, long index, String text) throws CoordinationException {
     return ask(
         () -> calls.putValue(key, text, 0, ImmutablePutOptions.builder().cas(index).build()));
   }
 
   @Override
-  public void delete(String key, long index) throws EngineException {
+  public void delete(String key, long index) throws CoordinationException {
     ask(
         () -> {
           calls.deleteKey(key, ImmutableDeleteOptions.builder().cas(index).build());
@@ -131,8 +135,9 @@
   }
 
   @Override
-  public boolean transact(List<Write> writes) throws EngineException {
-    return transaction(writes.stream().map(ConsulEngine::operation).toArray(Operation[]::new))
+  public boolean transact(List<Write> writes) throws CoordinationException {
+    return transaction(
+            writes.stream().map(ConsulCoordinationStore::operation).toArray(Operation[]::new))
         != null;
   }
 
@@ -151,7 +156,7 @@
   }
 
   @Override
-  public List<Value> readAll(List<String> keys) throws EngineException {
+  public List<Value> readAll(List<String> keys) throws CoordinationException {
     List<Value> found =
         transaction(
             keys.stream()
@@ -170,7 +175,7 @@
   }
 
   /** The values that it read or wrote; null where it was refused for what its keys hold. */
-  private List<Value> transaction(Operation... operations) throws EngineException {
+  private List<Value> transaction(Operation... operations) throws CoordinationException {
     try {
       TxResponse response = ask(() -> calls.performTransaction(operations).getResponse());
       List<Value> values = new ArrayList<>();
--- a/gateway/src/main/java/shelffront/engine/EngineException.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationException.java
@@ -1,16 +1,16 @@
-package shelffront.engine;
+package shelffront.coordination;
 
 /** The engine gave no answer that says anything; what became of a write is not known. */
-public abstract sealed class EngineException extends OperatorException {
+public abstract sealed class CoordinationException extends OperatorException {
 
   private static final long serialVersionUID = 1L;
 
-  private EngineException(String code, String what, String advice, Throwable cause) {
+  private CoordinationException(String code, String what, String advice, Throwable cause) {
     super(code, what, advice, cause);
   }
 
   /** No answer came in time, or no connection. */
-  public static final class EngineUnreachable extends EngineException {
+  public static final class EngineUnreachable extends CoordinationException {
 
     private static final long serialVersionUID = 1L;
 
@@ -25,7 +25,7 @@
   }
 
   /** It answered that it can't: it has no leader, or is overloaded. */
-  public static final class EngineRefused extends EngineException {
+  public static final class EngineRefused extends CoordinationException {
 
     private static final long serialVersionUID = 1L;
 
@@ -48,7 +48,7 @@
   }
 
   /** Its answer, or what a key holds, can't be read. */
-  public static final class EngineGarbled extends EngineException {
+  public static final class EngineGarbled extends CoordinationException {
 
     private static final long serialVersionUID = 1L;
 
@@ -64,7 +64,7 @@
   }
 
   /** Others changed the same key each time between a look and the write. */
-  public static final class EngineContended extends EngineException {
+  public static final class EngineContended extends CoordinationException {
 
     private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/shelffront/engine/Engine.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
@@ -1,4 +1,4 @@
-package shelffront.engine;
+package shelffront.coordination;
 
 import java.util.List;
 
@@ -7,7 +7,7 @@
  * before it was sent, and a write is taken only where the key has the index that it names. Calls
  * block for a bounded time; any thread may call.
  */
-public interface Engine extends AutoCloseable {
+public interface CoordinationStore extends AutoCloseable {
 
   /** A key's text; the index changes with every write and never comes back. */
   record Value(String key, long index, String text) {}
@@ -16,21 +16,21 @@
   record Listing(long index, List<Value> values) {}
 
   /** A key, or null. */
-  Value read(String key) throws EngineException;
+  Value read(String key) throws CoordinationException;
 
   /** All keys under a prefix. */
-  Listing list(String prefix) throws EngineException;
+  Listing list(String prefix) throws CoordinationException;
 
   /**
    * The same once its index has passed that of a listing, or after a while of the engine's choice.
    */
-  Listing watch(String prefix, long after) throws EngineException;
+  Listing watch(String prefix, long after) throws CoordinationException;
 
   /** Whether it was taken; index 0: only where there is no such key. */
-  boolean put(String key, long index, String text) throws EngineException;
+  boolean put(String key, long index, String text) throws CoordinationException;
 
   /** Takes the key away where it has the index. */
-  void delete(String key, long index) throws EngineException;
+  void delete(String key, long index) throws CoordinationException;
 
   /**
    * One key's part in a transaction: its index must be this one (0: there is no such key); a text
@@ -45,10 +45,10 @@
   /**
    * Carries out all writes, at most {@link #MOST_IN_TRANSACTION}, or none; whether they were taken.
    */
-  boolean transact(List<Write> writes) throws EngineException;
+  boolean transact(List<Write> writes) throws CoordinationException;
 
   /** Several keys as of one moment, those that there are; at most {@link #MOST_IN_TRANSACTION}. */
-  List<Value> readAll(List<String> keys) throws EngineException;
+  List<Value> readAll(List<String> keys) throws CoordinationException;
 
   /** Operations that one transaction may have. */
   int MOST_IN_TRANSACTION = 64;
--- a/gateway/src/main/java/shelffront/engine/OperatorException.java
+++ b/gateway/src/main/java/shelffront/coordination/OperatorException.java
@@ -1,4 +1,4 @@
-package shelffront.engine;
+package shelffront.coordination;
 
 /**
  * Something that goes wrong in what gateways share. Each kind has a code that stays, says what
--- a/gateway/src/main/java/shelffront/engine/ValueJson.java
+++ b/gateway/src/main/java/shelffront/coordination/ValueJson.java
@@ -1,10 +1,10 @@
-package shelffront.engine;
+package shelffront.coordination;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import shelffront.engine.Engine.Value;
-import shelffront.engine.EngineException.EngineGarbled;
+import shelffront.coordination.CoordinationException.EngineGarbled;
+import shelffront.coordination.CoordinationStore.Value;
 
 /** The engine's texts as JSON objects. */
 public final class ValueJson {
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
@@ -5,9 +5,9 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.AsynchronousSocketChannel;
-import shelffront.config.Json;
+import shelffront.config.EndpointList;
+import shelffront.config.JsonReader;
 import shelffront.config.MalformedInputException;
-import shelffront.config.MemberList;
 import shelffront.net.CloseReason;
 import shelffront.net.Connection;
 import shelffront.net.EventLoop.Deadline;
@@ -18,9 +18,9 @@
 
   private static final int GREATEST_LIST = 256 * 1024;
 
-  private final Discovery discovery;
+  private final DiscoveryClient discovery;
   private final boolean standing;
-  private final ChunkedLines answer = new ChunkedLines(this::line);
+  private final HttpLineReader answer = new HttpLineReader(this::line);
   private final StringBuilder body = new StringBuilder();
   private int depth; // of braces, in what has come of a list
   private Deadline silence;
@@ -32,7 +32,7 @@
       InetSocketAddress address,
       String request,
       boolean standing,
-      Discovery discovery) {
+      DiscoveryClient discovery) {
     super(network, "discovery", channel, 64 * 1024);
     this.discovery = discovery;
     this.standing = standing;
@@ -49,7 +49,7 @@
     if (silence != null) {
       silence.cancel();
     }
-    silence = network.loop().after(Discovery.PATIENCE, () -> end(CloseReason.SILENT));
+    silence = network.loop().after(DiscoveryClient.PATIENCE, () -> end(CloseReason.SILENT));
   }
 
   /**
@@ -139,9 +139,9 @@
   }
 
   private void list(String text) {
-    MemberList list;
+    EndpointList list;
     try {
-      list = MemberList.read(Json.object(text));
+      list = EndpointList.read(JsonReader.object(text));
     } catch (MalformedInputException e) {
       network.log().println("discovery: " + e.getMessage());
       close(CloseReason.BAD_ANSWER);
--- a/gateway/src/main/java/shelffront/discovery/Discovery.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import shelffront.config.MemberList;
+import shelffront.config.EndpointList;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
 import shelffront.net.Network;
@@ -10,12 +10,12 @@
 /**
  * Asks discovery for the list of database hosts: one standing watch, and fetches of the whole list.
  */
-public final class Discovery {
+public final class DiscoveryClient {
 
   /** Takes what discovery tells. */
   public interface Listener {
 
-    void heard(MemberList list);
+    void heard(EndpointList list);
 
     /** A watch or a fetch has failed; the list stands. */
     void failed();
@@ -51,7 +51,8 @@
   private DiscoveryCall watch;
 
   /** The revision is that of the list that is known already; 0 asks for the whole list. */
-  public Discovery(Network network, InetSocketAddress address, long revision, Listener listener) {
+  public DiscoveryClient(
+      Network network, InetSocketAddress address, long revision, Listener listener) {
     this.network = network;
     this.address = address;
     this.revision = revision;
@@ -129,7 +130,7 @@
    * Guards against an older list after a newer one, which would have what drains and what is gone
    * used again.
    */
-  void heard(MemberList list) {
+  void heard(EndpointList list) {
     if (list.revision() < revision && network.loop().now() < newestAt + LATE_LIST) {
       network.log().println("discovery: list " + list.revision() + " is older than " + revision);
       return;
--- a/gateway/src/main/java/shelffront/discovery/ChunkedLines.java
+++ b/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
@@ -13,7 +13,7 @@
  * Reads an HTTP/1.1 answer and gives the lines of its body, whether it is chunked, of a stated
  * length or ends with the connection. Bytes may come in any pieces.
  */
-final class ChunkedLines {
+final class HttpLineReader {
 
   private static final int GREATEST_LINE = 256 * 1024;
 
@@ -39,7 +39,7 @@
   private boolean chunked;
   private long left = Long.MAX_VALUE;
 
-  ChunkedLines(Consumer<String> lines) {
+  HttpLineReader(Consumer<String> lines) {
     this.lines = lines;
   }
 
--- a/gateway/src/main/java/shelffront/client/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -1,4 +1,4 @@
-package shelffront.client;
+package shelffront.frontend;
 
 import java.nio.ByteBuffer;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -6,7 +6,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import shelffront.exchange.Exchange;
 import shelffront.net.CloseReason;
 import shelffront.net.Connection;
 import shelffront.net.Counters;
@@ -14,16 +13,18 @@
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
-import shelffront.route.Router;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Effect;
-import shelffront.route.Router.Read;
+import shelffront.request.ClientRequest;
+import shelffront.routing.Router;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.Idempotency;
+import shelffront.routing.Router.RequestClass;
 
 /**
  * A client's connection: reads its commands, has one at a time in work, and answers them in their
  * order.
  */
-final class ClientConnection extends Connection implements Exchange.Asker, Clients.Client {
+final class ClientConnection extends Connection
+    implements ClientRequest.ResponseListener, FrontendConnections.Client {
 
   private static final int GREATEST_PASSWORD = 1024;
   private static final int MOST_WAITING = 8; // Commands read ahead of the one in work.
@@ -62,14 +63,15 @@
   private record Command(
       Message message, long arrival, ProtocolException failure, CloseReason reason) {}
 
-  private Clients clients;
-  private Clients home; // where its tenant lives, once it has named one
-  private final Clients cameIn; // whose place it holds; others than clients where it has moved
+  private FrontendConnections clients;
+  private FrontendConnections home; // where its tenant lives, once it has named one
+  private final FrontendConnections
+      cameIn; // whose place it holds; others than clients where it has moved
   private final ArrayDeque<Command> waiting = new ArrayDeque<>();
   private final long openedAt;
   private Map<String, String> startup = Map.of();
   private boolean asksPassword; // the next message is one
-  private Clients.Taker taker; // who serves it, once that is known
+  private FrontendConnections.Taker taker; // who serves it, once that is known
   private boolean started;
   private boolean named; // the startup message has come, and it is where its tenant lives
   private boolean lookingUp; // who serves it is being found out
@@ -78,13 +80,13 @@
   private boolean half; // part of a command has come
   private boolean skipToSync;
   private String unreadable; // why input from here on makes no sense
-  private Exchange current;
+  private ClientRequest current;
   private long heardAt; // when bytes last came, or it was opened
   private int waitingBytes;
   private int held; // bytes of commands and answer in hand that the memory budget counts
   private Deadline limit; // on the time to the next whole command; idle while a request is in work
 
-  ClientConnection(Clients clients, AsynchronousSocketChannel channel) {
+  ClientConnection(FrontendConnections clients, AsynchronousSocketChannel channel) {
     super(clients.network, "client", channel, Message.GREATEST);
     this.clients = clients;
     cameIn = clients;
@@ -330,7 +332,7 @@
     return false;
   }
 
-  private void welcome(Clients.Taker by) throws ProtocolException {
+  private void welcome(FrontendConnections.Taker by) throws ProtocolException {
     if (!join(by.network())) {
       throw new ProtocolException(NO_MEMORY, "there is no room for the connection");
     }
@@ -414,17 +416,19 @@
     }
     Statement statement = Statement.read(bytes);
     int classIndex = classIndex(statement.value("c"));
-    ClassSettings type = taker.classes().get(classIndex);
-    Read read = type.read();
-    if (type.effect() == Effect.KEYED && statement.value("k") == null) {
+    RequestClass type = taker.classes().get(classIndex);
+    Consistency read = type.read();
+    if (type.effect() == Idempotency.KEYED && statement.value("k") == null) {
       throw new ProtocolException("42601", "the class needs a key k");
     }
     long deadline = arrival + statement.number("d", 0) * 1000L;
     // Read before the request is taken up: a fault found later would leave it in work for ever.
     int group = statement.number("cluster", 0);
-    String session = read == Read.WRITE || read == Read.SESSION ? statement.key() : null;
+    String session =
+        read == Consistency.WRITE || read == Consistency.SESSION ? statement.key() : null;
     long after = statement.position("after", Router.UNKNOWN);
-    Exchange exchange = new Exchange(statement.value("id"), statement, classIndex, deadline, this);
+    ClientRequest exchange =
+        new ClientRequest(statement.value("id"), statement, classIndex, deadline, this);
     taker.check(exchange);
     network.counters().add(Counters.Name.REQUESTS_TAKEN);
     limit.cancel();
@@ -433,7 +437,7 @@
   }
 
   private int classIndex(String name) throws ProtocolException {
-    List<ClassSettings> classes = taker.classes();
+    List<RequestClass> classes = taker.classes();
     for (int i = 0; i < classes.size(); i++) {
       if (classes.get(i).name().equals(name)) {
         return i;
@@ -527,7 +531,7 @@
     }
     clients.ended(this);
     if (cameIn != clients) {
-      Clients there = clients;
+      FrontendConnections there = clients;
       cameIn.network.loop().post(() -> cameIn.endedAway(startup, there));
     }
   }
--- a/gateway/src/main/java/shelffront/client/Clients.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -1,4 +1,4 @@
-package shelffront.client;
+package shelffront.frontend;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,21 +12,21 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import shelffront.exchange.Exchange;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
-import shelffront.route.Router.ClassSettings;
+import shelffront.request.ClientRequest;
+import shelffront.routing.Router.RequestClass;
 
 /**
  * The client side: accepts connections, bounded in number, and passes their requests on as
  * exchanges.
  */
-public final class Clients {
+public final class FrontendConnections {
 
   /** Finds who serves a client. */
-  public interface Door {
+  public interface TenantLookup {
 
     /**
      * Finds out who serves a client, where that takes time: {@code then} runs later on the loop of
@@ -34,19 +34,19 @@
      * where it is known already.
      */
     default boolean lookUp(
-        Map<String, String> startup, Clients here, Consumer<ProtocolException> then) {
+        Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
       return false;
     }
 
     /**
      * Who serves a client on the loop where its tenant lives; by default those where it came in.
      */
-    default Clients home(Map<String, String> startup, Clients here) {
+    default FrontendConnections home(Map<String, String> startup, FrontendConnections here) {
       return here;
     }
 
     /** A connection that {@link #home} sent elsewhere has ended there. */
-    default void ended(Map<String, String> startup, Clients there) {}
+    default void ended(Map<String, String> startup, FrontendConnections there) {}
 
     /**
      * By the parameters of its startup message; throws where nobody does, with what the client is
@@ -79,7 +79,7 @@
     /** What its clients' connections post to, borrow from and count in. */
     Network network();
 
-    List<ClassSettings> classes();
+    List<RequestClass> classes();
 
     void joined(Client client);
 
@@ -89,16 +89,16 @@
     int clients();
 
     /** Throws where the request can't be taken for what it says; nothing has been done then. */
-    void check(Exchange exchange) throws ProtocolException;
+    void check(ClientRequest exchange) throws ProtocolException;
 
     /**
      * The position, in microseconds, is that of the session's last write as the client tells it, or
      * unknown.
      */
-    void take(Exchange exchange, String session, int group, long after, boolean repeat);
+    void take(ClientRequest exchange, String session, int group, long after, boolean repeat);
 
     /** The client waits no longer; no answer is owed. */
-    void left(Exchange exchange);
+    void left(ClientRequest exchange);
   }
 
   private static final int BACKLOG = 1024;
@@ -111,7 +111,7 @@
   private static final long ACCEPT_PAUSE = 20_000;
 
   final Network network;
-  final Door door;
+  final TenantLookup door;
   private final int mostConnections;
   private final int mostLingering;
   private final AsynchronousServerSocketChannel
@@ -122,7 +122,7 @@
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   /** Those that came in here and live on another loop now, by whose they are there. */
-  private final Map<Clients, Integer> away = new LinkedHashMap<>();
+  private final Map<FrontendConnections, Integer> away = new LinkedHashMap<>();
 
   private boolean accepting; // an accept is out
   private boolean lookingAgain; // a look at who may go is due
@@ -130,7 +130,8 @@
   private boolean draining;
   private Runnable whenStopped; // to be told that no accept is out any more
 
-  public Clients(Network network, InetSocketAddress listen, int mostConnections, Door door)
+  public FrontendConnections(
+      Network network, InetSocketAddress listen, int mostConnections, TenantLookup door)
       throws IOException {
     this.network = network;
     mostLingering = Math.max(1, mostConnections / LINGERING_PART);
@@ -140,7 +141,7 @@
   }
 
   /** Those of a loop without a listener: they come from one that has. */
-  public Clients(Network network, Door door) {
+  public FrontendConnections(Network network, TenantLookup door) {
     this.network = network;
     this.door = door;
     mostConnections = Integer.MAX_VALUE;
@@ -237,7 +238,7 @@
   /**
    * A connection leaves for another loop's clients; its place here stays taken until it ends there.
    */
-  void leaves(ClientConnection connection, Clients to) {
+  void leaves(ClientConnection connection, FrontendConnections to) {
     connections.remove(connection);
     away.merge(to, 1, Integer::sum);
   }
@@ -248,7 +249,7 @@
   }
 
   /** One that came in here has ended with another loop's clients. */
-  void endedAway(Map<String, String> startup, Clients there) {
+  void endedAway(Map<String, String> startup, FrontendConnections there) {
     door.ended(startup, there);
     away.merge(there, -1, (a, b) -> a + b == 0 ? null : a + b);
     makeRoom();
--- a/gateway/src/main/java/shelffront/gateway/ConfigFileWatch.java
+++ b/gateway/src/main/java/shelffront/gateway/ConfigFileWatcher.java
@@ -11,7 +11,7 @@
  * Looks at the configuration file once a second and tells when it was replaced or written. Has a
  * daemon thread of its own, since looking at a file may block.
  */
-final class ConfigFileWatch {
+final class ConfigFileWatcher {
 
   private static final long INTERVAL_MILLIS = 1000;
 
@@ -22,7 +22,7 @@
   private Stamp last;
 
   /** Compares with the file as it is now, so it is made before the file is read for the start. */
-  ConfigFileWatch(Path file) {
+  ConfigFileWatcher(Path file) {
     this.file = file;
     last = stamp();
   }
--- a/gateway/src/main/java/shelffront/gateway/Reload.java
+++ b/gateway/src/main/java/shelffront/gateway/ConfigReload.java
@@ -9,14 +9,14 @@
 import shelffront.net.Network;
 
 /** Reads the configuration file anew when told to (SIGHUP), on the loop thread. */
-public final class Reload {
+public final class ConfigReload {
 
   private final Network network;
   private final Gateway gateway;
   private final Map<String, String> environment;
   private final AtomicBoolean asked = new AtomicBoolean();
 
-  public Reload(Network network, Gateway gateway, Map<String, String> environment) {
+  public ConfigReload(Network network, Gateway gateway, Map<String, String> environment) {
     this.network = network;
     this.gateway = gateway;
     this.environment = new HashMap<>(environment);
--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import shelffront.client.Clients;
+import shelffront.backend.BackendConnections.Login;
 import shelffront.config.GatewayConfig;
+import shelffront.frontend.FrontendConnections;
 import shelffront.net.CloseReason;
 import shelffront.net.EventLoop;
 import shelffront.net.Network;
-import shelffront.server.Servers.Login;
-import shelffront.share.Holdings;
+import shelffront.quota.ConnectionQuotas;
 import shelffront.tenant.Tenant;
 import shelffront.tenant.TenantSpec;
 
@@ -37,7 +37,7 @@
 
   private final Network network;
   private final EventLoop loop;
-  private final Clients clients;
+  private final FrontendConnections clients;
   private final BooleanSupplier idle;
   private final Runnable closing;
   private final Tenant single; // null where there are many
@@ -52,16 +52,16 @@
             network,
             only(config),
             config.seed(),
-            new Holdings(hostSockets(config.sockets())),
+            new ConnectionQuotas(hostSockets(config.sockets())),
             null);
     clients =
-        new Clients(
+        new FrontendConnections(
             network,
             config.listen(),
             clientSockets(config.sockets()),
-            new Clients.Door() {
+            new FrontendConnections.TenantLookup() {
               @Override
-              public Clients.Taker admit(Map<String, String> startup) {
+              public FrontendConnections.Taker admit(Map<String, String> startup) {
                 return single;
               }
 
@@ -71,7 +71,7 @@
               }
 
               @Override
-              public Clients.Taker admit(Map<String, String> startup, byte[] password) {
+              public FrontendConnections.Taker admit(Map<String, String> startup, byte[] password) {
                 return single;
               }
             });
@@ -89,7 +89,7 @@
       Network network,
       InetSocketAddress listen,
       int sockets,
-      Clients.Door door,
+      FrontendConnections.TenantLookup door,
       BooleanSupplier drained,
       Runnable closing)
       throws IOException {
@@ -97,7 +97,7 @@
     this.closing = closing;
     loop = network.loop();
     single = null;
-    clients = new Clients(network, listen, clientSockets(sockets), door);
+    clients = new FrontendConnections(network, listen, clientSockets(sockets), door);
     idle = drained;
   }
 
@@ -129,7 +129,7 @@
   }
 
   /** The listener's clients: those who have not named a tenant that lives on another loop. */
-  public Clients clients() {
+  public FrontendConnections clients() {
     return clients;
   }
 
