--- a/gateway/src/main/java/shelffront/gateway/ReloadSignal.java
+++ b/gateway/src/main/java/shelffront/gateway/ReloadSignal.java
@@ -1,7 +1,7 @@
 package shelffront.gateway;
 
 import java.nio.file.Path;
-import shelffront.net.Log;
+import shelffront.net.EventLog;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -16,13 +16,13 @@
  */
 public final class ReloadSignal {
 
-  private final ConfigFileWatch watch; // null where the signal arrives
+  private final ConfigFileWatcher watch; // null where the signal arrives
   private Runnable reload;
   private boolean ordered;
 
   private ReloadSignal(Path file) {
     SignalHandler before = Signal.handle(new Signal("HUP"), signal -> order());
-    watch = before == SignalHandler.SIG_IGN ? new ConfigFileWatch(file) : null;
+    watch = before == SignalHandler.SIG_IGN ? new ConfigFileWatcher(file) : null;
   }
 
   /** For this configuration file. */
@@ -39,7 +39,7 @@
   }
 
   /** From now on orders are carried out by this, one at a time, on a thread of the signal's. */
-  public synchronized void handleWith(Runnable action, Log log) {
+  public synchronized void handleWith(Runnable action, EventLog log) {
     reload = action;
     if (ordered) {
       reload.run();
--- a/gateway/src/main/java/shelffront/logging/Logs.java
+++ b/gateway/src/main/java/shelffront/logging/GatewayLogging.java
@@ -10,22 +10,22 @@
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import shelffront.net.Log;
-import shelffront.net.QueuedLog;
+import shelffront.net.AsyncEventLog;
+import shelffront.net.EventLog;
 
 /**
  * The log of a hosted gateway: SLF4J and Logback, written from a bounded queue that counts what it
  * drops.
  */
-public final class Logs {
+public final class GatewayLogging {
 
   /** Turns events to bytes where they happen, and leaves the writing to the queue's own thread. */
   private static final class Queue extends AppenderBase<ILoggingEvent> {
 
     private final Encoder<ILoggingEvent> encoder;
-    private final QueuedLog lines;
+    private final AsyncEventLog lines;
 
-    private Queue(Encoder<ILoggingEvent> encoder, QueuedLog lines) {
+    private Queue(Encoder<ILoggingEvent> encoder, AsyncEventLog lines) {
       this.encoder = encoder;
       this.lines = lines;
     }
@@ -36,13 +36,13 @@
     }
   }
 
-  private Logs() {}
+  private GatewayLogging() {}
 
   /**
    * Sends all that goes to SLF4J to the queue, as JSON lines or as text, and gives the gateway's
    * own log.
    */
-  public static Log open(boolean json, QueuedLog lines) {
+  public static EventLog open(boolean json, AsyncEventLog lines) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
     Encoder<ILoggingEvent> encoder;
--- a/gateway/src/main/java/shelffront/hosted/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -1,4 +1,4 @@
-package shelffront.hosted;
+package shelffront.multitenant;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -9,21 +9,21 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongConsumer;
-import shelffront.client.Clients;
+import shelffront.frontend.FrontendConnections;
 import shelffront.gateway.Gateway;
-import shelffront.net.Budget;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
+import shelffront.net.EventLog;
 import shelffront.net.EventLoop;
-import shelffront.net.Log;
 import shelffront.net.Network;
+import shelffront.net.ResourceBudget;
 import shelffront.pg.ProtocolException;
-import shelffront.share.Holdings;
-import shelffront.share.Placement;
-import shelffront.share.Shares;
+import shelffront.quota.ConnectionQuotas;
+import shelffront.quota.EventLoopPlacement;
+import shelffront.quota.TenantQuotas;
 import shelffront.tenant.Tenant;
+import shelffront.tenant.TenantRegistry;
 import shelffront.tenant.TenantSpec;
-import shelffront.tenant.Tenants;
 
 /**
  * The event loops of a hosted gateway. The first has the listener and knows where each tenant
@@ -37,14 +37,14 @@
  *
  * <p>Methods run on the first loop's thread unless they say otherwise.
  */
-final class EventLoopGroup implements Clients.Door {
+final class EventLoopGroup implements FrontendConnections.TenantLookup {
 
   /**
    * Microseconds after which a tenant of a fleet that no client asked for is served here no longer.
    */
   private static final long FORGET_AFTER = 600_000_000;
 
-  private record Member(Network network, Tenants tenants) {}
+  private record Member(Network network, TenantRegistry tenants) {}
 
   /** Where a tenant lives. */
   private static final class Home {
@@ -61,35 +61,37 @@
   }
 
   private final List<Member> members = new ArrayList<>();
-  private final List<Clients> clients = new ArrayList<>();
+  private final List<FrontendConnections> clients = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private final Map<String, Home> homes = new HashMap<>();
-  private final Placement placement;
+  private final EventLoopPlacement placement;
   private final Network front;
   private final boolean[] drained;
   private Function<String, CompletableFuture<Boolean>> finder; // null where all tenants are known
   private Consumer<String> forget;
 
-  EventLoopGroup(HostedConfig config, Log log, Environment environment) throws IOException {
-    Shares.Common shares =
-        new Shares.Common(config.requestsPerSecond(), config.openRequests(), config.cores());
-    Budget buffers = new Budget(config.bufferBytes());
-    Holdings hostSockets = new Holdings(Gateway.hostSockets(config.sockets()));
+  EventLoopGroup(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
+      throws IOException {
+    TenantQuotas.SharedCapacity shares =
+        new TenantQuotas.SharedCapacity(
+            config.requestsPerSecond(), config.openRequests(), config.cores());
+    ResourceBudget buffers = new ResourceBudget(config.bufferBytes());
+    ConnectionQuotas hostSockets = new ConnectionQuotas(Gateway.hostSockets(config.sockets()));
     drained = new boolean[config.cores()];
     for (int i = 0; i < config.cores(); i++) {
       Counters counters = new Counters();
       EventLoop loop = new EventLoop(environment.clock(), counters);
       Network network = Network.open(loop, environment.channels().on(1), buffers, counters, log);
-      Tenants tenants =
-          new Tenants(
+      TenantRegistry tenants =
+          new TenantRegistry(
               network,
-              new Shares(shares, i, loop.now()),
+              new TenantQuotas(shares, i, loop.now()),
               hostSockets,
               environment.seed() + ((long) i << 20));
       members.add(new Member(network, tenants));
     }
     Network first = members.get(0).network();
-    placement = new Placement(members.size(), first.loop().now());
+    placement = new EventLoopPlacement(members.size(), first.loop().now());
     front = members.size() == 1 ? first : first.with(environment.channels().on(members.size()));
   }
 
@@ -104,10 +106,10 @@
   }
 
   /** The listener's clients are those of the first loop. */
-  void behind(Clients listening) {
+  void behind(FrontendConnections listening) {
     clients.add(listening);
     for (Member member : members.subList(1, members.size())) {
-      clients.add(new Clients(member.network(), member.tenants()));
+      clients.add(new FrontendConnections(member.network(), member.tenants()));
     }
   }
 
@@ -156,7 +158,7 @@
       homes.put(spec.id(), home);
     }
     home.spec = spec;
-    Tenants there = members.get(home.loopIndex).tenants();
+    TenantRegistry there = members.get(home.loopIndex).tenants();
     on(home.loopIndex, () -> there.apply(spec, inForce));
   }
 
@@ -167,7 +169,7 @@
       return;
     }
     placement.left(home.loopIndex, home.spec.weight());
-    Tenants there = members.get(home.loopIndex).tenants();
+    TenantRegistry there = members.get(home.loopIndex).tenants();
     on(home.loopIndex, () -> there.remove(id, gone));
   }
 
@@ -178,7 +180,7 @@
       told.accept(null);
       return;
     }
-    Tenants there = members.get(home.loopIndex).tenants();
+    TenantRegistry there = members.get(home.loopIndex).tenants();
     on(home.loopIndex, () -> told.accept(there.usage(id)));
   }
 
@@ -197,11 +199,11 @@
   }
 
   /** What all loops hold together. Any thread may ask. */
-  CompletableFuture<Hosted.Held> held() {
-    CompletableFuture<Hosted.Held> sum =
-        CompletableFuture.completedFuture(new Hosted.Held(0, 0, new Counters()));
+  CompletableFuture<MultiTenantGateway.Held> held() {
+    CompletableFuture<MultiTenantGateway.Held> sum =
+        CompletableFuture.completedFuture(new MultiTenantGateway.Held(0, 0, new Counters()));
     for (Member member : members) {
-      CompletableFuture<Hosted.Held> one = new CompletableFuture<>();
+      CompletableFuture<MultiTenantGateway.Held> one = new CompletableFuture<>();
       Network network = member.network();
       network
           .loop()
@@ -210,14 +212,15 @@
                 Counters copy = new Counters();
                 copy.addAll(network.counters());
                 one.complete(
-                    new Hosted.Held(network.loop().deadlines(), network.budget().held(), copy));
+                    new MultiTenantGateway.Held(
+                        network.loop().deadlines(), network.budget().held(), copy));
               });
       sum =
           sum.thenCombine(
               one,
               (a, b) -> {
                 a.counters().addAll(b.counters());
-                return new Hosted.Held(
+                return new MultiTenantGateway.Held(
                     a.deadlines() + b.deadlines(), b.bufferBytes(), a.counters());
               });
     }
@@ -256,8 +259,8 @@
 
   @Override
   public boolean lookUp(
-      Map<String, String> startup, Clients here, Consumer<ProtocolException> then) {
-    String name = Tenants.name(startup);
+      Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
+    String name = TenantRegistry.name(startup);
     if (finder == null || homes.containsKey(name)) {
       return false;
     }
@@ -279,8 +282,8 @@
   }
 
   @Override
-  public Clients home(Map<String, String> startup, Clients here) {
-    Home home = homes.get(Tenants.name(startup));
+  public FrontendConnections home(Map<String, String> startup, FrontendConnections here) {
+    Home home = homes.get(TenantRegistry.name(startup));
     if (home == null || members.size() == 1) {
       return here; // who names nobody is told so here
     }
@@ -298,8 +301,8 @@
   }
 
   @Override
-  public void ended(Map<String, String> startup, Clients there) {
-    Home home = homes.get(Tenants.name(startup));
+  public void ended(Map<String, String> startup, FrontendConnections there) {
+    Home home = homes.get(TenantRegistry.name(startup));
     // One that was removed meanwhile, and came again, has other clients; none of them is counted
     // twice.
     if (home != null && clients.get(home.loopIndex) == there && home.clients > 0) {
@@ -320,8 +323,8 @@
       return;
     }
     TenantSpec spec = home.spec;
-    Tenants left = members.get(before).tenants();
-    Tenants next = members.get(home.loopIndex).tenants();
+    TenantRegistry left = members.get(before).tenants();
+    TenantRegistry next = members.get(home.loopIndex).tenants();
     int to = home.loopIndex;
     front.log().println("tenant " + spec.id() + " moves from loop " + before + " to " + to);
     CompletableFuture<Runnable> arrived = new CompletableFuture<>();
@@ -335,12 +338,12 @@
   }
 
   @Override
-  public Clients.Taker admit(Map<String, String> startup) throws ProtocolException {
+  public FrontendConnections.Taker admit(Map<String, String> startup) throws ProtocolException {
     return members.get(0).tenants().admit(startup);
   }
 
   @Override
-  public Clients.Taker admit(Map<String, String> startup, byte[] password)
+  public FrontendConnections.Taker admit(Map<String, String> startup, byte[] password)
       throws ProtocolException {
     return members.get(0).tenants().admit(startup, password);
   }
--- a/gateway/src/main/java/shelffront/hosted/FleetTenantRecords.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
@@ -1,4 +1,4 @@
-package shelffront.hosted;
+package shelffront.multitenant;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -6,26 +6,26 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import shelffront.admin.TenantRecords;
-import shelffront.distribution.Change;
+import shelffront.admin.TenantDocuments;
+import shelffront.controlplane.ChangeStore;
+import shelffront.controlplane.ChangeStore.RecordChanged;
+import shelffront.controlplane.DistributionException.NoEngine;
+import shelffront.controlplane.SubscribedRecords;
+import shelffront.coordination.OperatorException;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.engine.OperatorException;
-import shelffront.fleetconfig.ChangeStore;
-import shelffront.fleetconfig.ChangeStore.RecordChanged;
-import shelffront.fleetconfig.DistributionException.NoEngine;
-import shelffront.fleetconfig.FleetRecords;
-import shelffront.store.Store.Audit;
-import shelffront.store.Store.ConflictException;
-import shelffront.store.Store.Entry;
-import shelffront.store.Store.Kind;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.ConflictException;
+import shelffront.store.DocumentStore.Entry;
+import shelffront.store.DocumentStore.Kind;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * The tenants of a whole fleet, in its engine: a change that was answered is the engine's, and
  * comes back distributed.
  */
-final class FleetTenantRecords implements TenantRecords {
+final class FleetTenantDocuments implements TenantDocuments {
 
   /** Before the id of a tenant, in the names of records. */
   static final String PREFIX = "tenant/";
@@ -33,10 +33,10 @@
   private static final int MOST_AUDITS = 10_000;
 
   private final ChangeStore engine; // null where this gateway has no way to it
-  private final FleetRecords records;
+  private final SubscribedRecords records;
   private final ArrayDeque<Audit> audits = new ArrayDeque<>();
 
-  FleetTenantRecords(ChangeStore engine, FleetRecords records) {
+  FleetTenantDocuments(ChangeStore engine, SubscribedRecords records) {
     this.engine = engine;
     this.records = records;
   }
@@ -48,12 +48,12 @@
     return engine;
   }
 
-  private static Entry entry(Change record) {
+  private static Entry entry(RecordChange record) {
     try {
       return new Entry(
           record.name().substring(PREFIX.length()),
           record.version().sequence(),
-          SpecJson.parse(record.document().getBytes(UTF_8)));
+          TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
     } catch (SpecException e) {
       throw new IllegalStateException(record.name() + " in the engine is no JSON object", e);
     }
@@ -61,7 +61,7 @@
 
   @Override
   public Entry get(String id) throws OperatorException {
-    Change record = engine().record(PREFIX + id);
+    RecordChange record = engine().record(PREFIX + id);
     return record == null ? null : entry(record);
   }
 
@@ -69,7 +69,7 @@
   public List<Entry> all() throws OperatorException {
     return engine().readAll().snapshot().records().stream()
         .filter(r -> r.name().startsWith(PREFIX))
-        .map(FleetTenantRecords::entry)
+        .map(FleetTenantDocuments::entry)
         .toList();
   }
 
--- a/gateway/src/main/java/shelffront/hosted/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -1,4 +1,4 @@
-package shelffront.hosted;
+package shelffront.multitenant;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -6,45 +6,45 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.function.LongConsumer;
-import shelffront.admin.Tenancy;
-import shelffront.admin.TenantRecords;
-import shelffront.distribution.Change;
+import shelffront.admin.TenantAdministration;
+import shelffront.admin.TenantDocuments;
+import shelffront.controlplane.ChangeStore;
+import shelffront.controlplane.DistributionException.NoEngine;
+import shelffront.controlplane.DistributorProcess;
+import shelffront.controlplane.SubscribedRecords;
+import shelffront.controlplane.SubscribedRecordsConfig;
+import shelffront.coordination.CoordinationException;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.engine.EngineException;
-import shelffront.fleetconfig.ChangeStore;
-import shelffront.fleetconfig.DistributionException.NoEngine;
-import shelffront.fleetconfig.DistributorRole;
-import shelffront.fleetconfig.FleetRecords;
-import shelffront.fleetconfig.FleetRecordsConfig;
-import shelffront.net.Log;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.net.EventLog;
 import shelffront.tenant.TenantSpec;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * The tenants that a gateway of a fleet serves, by distribution: puts their records in force as
  * they come, and finds those that a client names first.
  */
-final class FleetTenants implements FleetRecords.Target, AutoCloseable {
+final class FleetTenants implements SubscribedRecords.Target, AutoCloseable {
 
-  private final Tenancy.Control control;
-  private final ScheduledThreadPoolExecutor timer = DistributorRole.timer(1, "fleet-records");
-  private final FleetRecords records;
+  private final TenantAdministration.Control control;
+  private final ScheduledThreadPoolExecutor timer = DistributorProcess.timer(1, "fleet-records");
+  private final SubscribedRecords records;
   private final ChangeStore engine; // null where this gateway changes nothing
   private volatile LongConsumer reached = sequence -> {};
 
-  FleetTenants(FleetRecordsConfig config, Tenancy.Control control, Log log) {
+  FleetTenants(SubscribedRecordsConfig config, TenantAdministration.Control control, EventLog log) {
     this.control = control;
     records =
-        new FleetRecords(
+        new SubscribedRecords(
             config,
             this,
-            FleetRecords.httpClient(config.timings()),
+            SubscribedRecords.httpClient(config.timings()),
             timer,
             () -> System.nanoTime() / 1000,
             new Random(),
             log);
-    engine = config.engine() == null ? null : DistributorRole.changeStore(config);
+    engine = config.engine() == null ? null : DistributorProcess.changeStore(config);
   }
 
   /** Told of each sequence up to which every change is in force here. */
@@ -60,16 +60,16 @@
    * Where administrators change tenants; each call is refused where this gateway has no way to the
    * engine.
    */
-  TenantRecords administration() {
-    return new FleetTenantRecords(engine, records);
+  TenantDocuments administration() {
+    return new FleetTenantDocuments(engine, records);
   }
 
-  FleetRecords.Status status() {
+  SubscribedRecords.Status status() {
     return records.status();
   }
 
   /** What the engine holds is the truth from here on, after it was restored from older data. */
-  Version beginIncarnation() throws EngineException, NoEngine {
+  Version beginIncarnation() throws CoordinationException, NoEngine {
     if (engine == null) {
       throw new NoEngine();
     }
@@ -81,22 +81,24 @@
    * told. An event loop may call: it does not wait, also not for a record that is being validated.
    */
   CompletableFuture<Boolean> lookUp(String id) {
-    return id.matches(SpecJson.NAME)
-        ? CompletableFuture.supplyAsync(() -> records.lookUp(FleetTenantRecords.PREFIX + id), timer)
+    return id.matches(TenantSpecCodec.NAME)
+        ? CompletableFuture.supplyAsync(
+                () -> records.lookUp(FleetTenantDocuments.PREFIX + id), timer)
             .thenCompose(found -> found)
         : CompletableFuture.completedFuture(false);
   }
 
   /** No client has asked for it for long. An event loop may call. */
   void forget(String id) {
-    timer.execute(() -> records.forget(FleetTenantRecords.PREFIX + id));
+    timer.execute(() -> records.forget(FleetTenantDocuments.PREFIX + id));
   }
 
   @Override
-  public String put(Change record) {
+  public String put(RecordChange record) {
     try {
-      TenantSpec spec = SpecJson.read(SpecJson.parse(record.document().getBytes(UTF_8)));
-      if (!record.name().equals(FleetTenantRecords.PREFIX + spec.id())) {
+      TenantSpec spec =
+          TenantSpecCodec.read(TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
+      if (!record.name().equals(FleetTenantDocuments.PREFIX + spec.id())) {
         return "/id is not the name of the record";
       }
       control.apply(spec, at -> {});
@@ -108,7 +110,7 @@
 
   @Override
   public void remove(String name) {
-    control.remove(name.substring(FleetTenantRecords.PREFIX.length()), at -> {});
+    control.remove(name.substring(FleetTenantDocuments.PREFIX.length()), at -> {});
   }
 
   @Override
--- a/gateway/src/main/java/shelffront/hosted/Environment.java
+++ b/gateway/src/main/java/shelffront/multitenant/GatewayEnvironment.java
@@ -1,4 +1,4 @@
-package shelffront.hosted;
+package shelffront.multitenant;
 
 import java.io.IOException;
 import java.time.Instant;
@@ -12,7 +12,7 @@
  * @param clock Unix microseconds
  * @param seed of what its modules draw
  */
-public record Environment(LongSupplier clock, Source channels, long seed) {
+public record GatewayEnvironment(LongSupplier clock, Source channels, long seed) {
 
   /** Where channels come from, whose completions run on so many threads. */
   public interface Source {
@@ -21,8 +21,8 @@
   }
 
   /** The machine's clock and sockets. */
-  public static Environment machine() {
-    return new Environment(
+  public static GatewayEnvironment machine() {
+    return new GatewayEnvironment(
         () -> ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()),
         Channels::sockets,
         System.nanoTime());
--- a/gateway/src/main/java/shelffront/hosted/HostedConfig.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
@@ -1,4 +1,4 @@
-package shelffront.hosted;
+package shelffront.multitenant;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
@@ -8,10 +8,10 @@
 import java.util.Set;
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
-import shelffront.fleetconfig.FleetRecordsConfig;
-import shelffront.stages.StagesConfig;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.controlplane.SubscribedRecordsConfig;
+import shelffront.rolloutcontrol.RolloutConfig;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * What a hosted gateway is told by its own file.
@@ -27,7 +27,7 @@
  * @param fleet what the gateways of a fleet change together; null where this one is on its own
  * @param distribution by which its tenants come to it; null where it has tenants of its own
  */
-public record HostedConfig(
+public record MultiTenantConfig(
     InetSocketAddress listen,
     InetSocketAddress admin,
     Path store,
@@ -37,8 +37,8 @@
     double requestsPerSecond,
     int openRequests,
     List<JsonNode> tenants,
-    StagesConfig fleet,
-    FleetRecordsConfig distribution) {
+    RolloutConfig fleet,
+    SubscribedRecordsConfig distribution) {
 
   private static final Set<String> NAMES =
       Set.of(
@@ -55,7 +55,7 @@
   private static final Set<String> CAPACITY_NAMES = Set.of("requestsPerSecond", "openRequests");
 
   /** Of a gateway on its own. */
-  public HostedConfig(
+  public MultiTenantConfig(
       InetSocketAddress listen,
       InetSocketAddress admin,
       Path store,
@@ -80,19 +80,19 @@
   }
 
   /** Throws with the pointer to the first field at fault. */
-  public static HostedConfig read(JsonNode top) throws SpecException {
+  public static MultiTenantConfig read(JsonNode top) throws SpecException {
     if (!top.isObject()) {
       throw new SpecException("", "not a JSON object");
     }
-    SpecJson.onlyFields(top, "", NAMES);
+    TenantSpecCodec.onlyFields(top, "", NAMES);
     JsonNode capacity = top.path("capacity");
-    SpecJson.onlyFields(capacity, "/capacity", CAPACITY_NAMES);
+    TenantSpecCodec.onlyFields(capacity, "/capacity", CAPACITY_NAMES);
     List<JsonNode> tenants = new ArrayList<>();
     List<String> ids = new ArrayList<>();
     for (JsonNode tenant : top.path("tenants")) {
       String at = "/tenants/" + tenants.size();
       try {
-        String id = SpecJson.read(tenant).id();
+        String id = TenantSpecCodec.read(tenant).id();
         if (ids.contains(id)) {
           throw new SpecException("/id", "two tenants have this id");
         }
@@ -109,7 +109,7 @@
     if (!top.path("store").isMissingNode() && !top.path("store").isTextual()) {
       throw new SpecException("/store", "is not the path of a file");
     }
-    return new HostedConfig(
+    return new MultiTenantConfig(
         address(top, "listen"),
         top.has("admin") ? address(top, "admin") : null,
         top.has("store") ? Path.of(top.path("store").asText()) : null,
@@ -119,9 +119,9 @@
         number(capacity, "/capacity", "requestsPerSecond", 0, 1e7, 0),
         (int) number(capacity, "/capacity", "openRequests", 1, 1e7, 2000),
         List.copyOf(tenants),
-        top.has("fleet") ? StagesConfig.read(top.path("fleet"), "/fleet") : null,
+        top.has("fleet") ? RolloutConfig.read(top.path("fleet"), "/fleet") : null,
         top.has("distribution")
-            ? FleetRecordsConfig.read(top.path("distribution"), "/distribution")
+            ? SubscribedRecordsConfig.read(top.path("distribution"), "/distribution")
             : null);
   }
 
--- a/gateway/src/main/java/shelffront/hosted/Hosted.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
@@ -1,4 +1,4 @@
-package shelffront.hosted;
+package shelffront.multitenant;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -10,59 +10,61 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongConsumer;
 import shelffront.admin.AdminServer;
-import shelffront.admin.FleetCalls;
-import shelffront.admin.Tenancy;
-import shelffront.admin.TenantRecords;
-import shelffront.admin.Tokens;
+import shelffront.admin.AdminTokens;
+import shelffront.admin.FleetResource;
+import shelffront.admin.TenantAdministration;
+import shelffront.admin.TenantDocuments;
+import shelffront.controlplane.SubscribedRecords;
+import shelffront.coordination.ConsulCoordinationStore;
+import shelffront.coordination.CoordinationStore;
+import shelffront.coordination.OperatorException;
 import shelffront.distribution.Version;
-import shelffront.engine.ConsulEngine;
-import shelffront.engine.Engine;
-import shelffront.engine.OperatorException;
-import shelffront.fleetconfig.FleetRecords;
 import shelffront.gateway.Gateway;
 import shelffront.net.Counters;
+import shelffront.net.EventLog;
 import shelffront.net.EventLoop;
-import shelffront.net.Log;
 import shelffront.net.Network;
-import shelffront.stages.History;
-import shelffront.stages.Stages;
-import shelffront.stages.StagesConfig;
-import shelffront.store.Store;
-import shelffront.store.Store.ConflictException;
-import shelffront.store.Store.Kind;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.rolloutcontrol.RolloutConfig;
+import shelffront.rolloutcontrol.RolloutCoordinator;
+import shelffront.rolloutcontrol.RolloutHistory;
+import shelffront.store.DocumentStore;
+import shelffront.store.DocumentStore.ConflictException;
+import shelffront.store.DocumentStore.Kind;
 import shelffront.tenant.Tenant;
 import shelffront.tenant.TenantSpec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * A gateway for many tenants with its store and its administration, as {@code serve --config}
  * starts it.
  */
-public final class Hosted implements Tenancy.Control, FleetCalls.Distribution {
+public final class MultiTenantGateway
+    implements TenantAdministration.Control, FleetResource.Distribution {
 
   private final Network network;
   private final EventLoop loop;
   private final EventLoopGroup loops;
   private final Gateway gateway;
-  private final Store store;
-  private final Tokens tokens;
-  private final Tenancy tenancy;
+  private final DocumentStore store;
+  private final AdminTokens tokens;
+  private final TenantAdministration tenancy;
   private final AdminServer admin;
   private final FleetTenants fleetTenants; // null where its tenants are its own
-  private final Stages stages; // null where this gateway is on its own
+  private final RolloutCoordinator stages; // null where this gateway is on its own
 
-  public Hosted(HostedConfig config, Log log) throws IOException, SpecException {
-    this(config, log, Environment.machine());
+  public MultiTenantGateway(MultiTenantConfig config, EventLog log)
+      throws IOException, SpecException {
+    this(config, log, GatewayEnvironment.machine());
   }
 
-  public Hosted(HostedConfig config, Log log, Environment environment)
+  public MultiTenantGateway(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
       throws IOException, SpecException {
     loops = new EventLoopGroup(config, log, environment);
     network = loops.front();
     loop = network.loop();
-    store = config.store() == null ? Store.inMemory() : Store.open(config.store());
+    store = config.store() == null ? DocumentStore.inMemory() : DocumentStore.open(config.store());
     try {
-      tokens = new Tokens(store, System::currentTimeMillis);
+      tokens = new AdminTokens(store, System::currentTimeMillis);
       fleetTenants =
           config.distribution() == null ? null : new FleetTenants(config.distribution(), this, log);
       tenancy = tenancy();
@@ -85,7 +87,7 @@
                   store,
                   tenancy,
                   tokens,
-                  new FleetCalls(stages, fleetTenants == null ? null : this),
+                  new FleetResource(stages, fleetTenants == null ? null : this),
                   log);
     } catch (ConflictException | OperatorException e) {
       store.close();
@@ -96,22 +98,22 @@
     }
   }
 
-  private Tenancy tenancy() {
-    TenantRecords records =
-        fleetTenants == null ? TenantRecords.in(store) : fleetTenants.administration();
-    return new Tenancy(records, this, System::currentTimeMillis);
+  private TenantAdministration tenancy() {
+    TenantDocuments records =
+        fleetTenants == null ? TenantDocuments.in(store) : fleetTenants.administration();
+    return new TenantAdministration(records, this, System::currentTimeMillis);
   }
 
   /** A call of the engine has a quarter of a lease: a renewal that fails leaves time for others. */
-  private static Stages stages(StagesConfig fleet, Log log) throws IOException {
-    Engine engine =
-        new ConsulEngine(
+  private static RolloutCoordinator stages(RolloutConfig fleet, EventLog log) throws IOException {
+    CoordinationStore engine =
+        new ConsulCoordinationStore(
             fleet.host(), fleet.port(), Duration.of(fleet.bounds().lease() / 4, ChronoUnit.MICROS));
-    return new Stages(
+    return new RolloutCoordinator(
         fleet,
         engine,
         UUID.randomUUID().toString().substring(0, 8),
-        History.to(fleet.history()),
+        RolloutHistory.to(fleet.history()),
         log);
   }
 
@@ -119,7 +121,8 @@
    * Puts in the tenants of a file that the store has none of; those it has stand as administrators
    * left them.
    */
-  public int seed(HostedConfig config) throws SpecException, ConflictException, OperatorException {
+  public int seed(MultiTenantConfig config)
+      throws SpecException, ConflictException, OperatorException {
     int count = 0;
     for (JsonNode tenant : config.tenants()) {
       String id = tenant.path("id").asText();
@@ -201,11 +204,11 @@
     return admin == null ? null : admin.address();
   }
 
-  public Tokens tokens() {
+  public AdminTokens tokens() {
     return tokens;
   }
 
-  public Store store() {
+  public DocumentStore store() {
     return store;
   }
 
@@ -227,7 +230,7 @@
   }
 
   @Override
-  public FleetRecords.Status status() {
+  public SubscribedRecords.Status status() {
     return fleetTenants.status();
   }
 
--- a/gateway/src/main/java/shelffront/net/QueuedLog.java
+++ b/gateway/src/main/java/shelffront/net/AsyncEventLog.java
@@ -11,7 +11,7 @@
  * and nothing else. What finds the queue full is dropped and counted; the count is written as a
  * line once there is room again.
  */
-public final class QueuedLog implements Log {
+public final class AsyncEventLog implements EventLog {
 
   private static final int LINES = 4096;
   private static final long PAUSE_MS = 20;
@@ -22,7 +22,7 @@
   private final Thread writer = new Thread(this::write, "log");
   private volatile boolean closed;
 
-  public QueuedLog(PrintStream out) {
+  public AsyncEventLog(PrintStream out) {
     this.out = out;
     writer.setDaemon(true);
     writer.start();
--- a/gateway/src/main/java/shelffront/net/EventLoop.java
+++ b/gateway/src/main/java/shelffront/net/EventLoop.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import shelffront.share.DeficitRoundRobin;
-import shelffront.share.DeficitRoundRobin.Flow;
+import shelffront.quota.DeficitRoundRobin;
+import shelffront.quota.DeficitRoundRobin.Flow;
 
 /**
  * The one thread that owns all state. Completion handlers only {@link #post} what they got; each
--- a/gateway/src/main/java/shelffront/net/Network.java
+++ b/gateway/src/main/java/shelffront/net/Network.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.nio.channels.AsynchronousSocketChannel;
-import shelffront.share.DeficitRoundRobin.Flow;
+import shelffront.quota.DeficitRoundRobin.Flow;
 
 /**
  * What connections share: the event loop, the source of channels, the memory budget, counters and
@@ -12,20 +12,20 @@
 public record Network(
     EventLoop loop,
     Channels channels,
-    Budget budget,
+    ResourceBudget budget,
     Counters counters,
-    Log log,
+    EventLog log,
     Flow<Runnable> flow,
     String tenant) {
 
   /** On the machine's sockets. */
-  public static Network open(EventLoop loop, Budget budget, Counters counters, Log log)
+  public static Network open(EventLoop loop, ResourceBudget budget, Counters counters, EventLog log)
       throws IOException {
     return open(loop, Channels.sockets(1), budget, counters, log);
   }
 
   public static Network open(
-      EventLoop loop, Channels channels, Budget budget, Counters counters, Log log) {
+      EventLoop loop, Channels channels, ResourceBudget budget, Counters counters, EventLog log) {
     return new Network(loop, channels, budget, counters, log, loop.common(), "");
   }
 
@@ -41,7 +41,13 @@
   /** A tenant's view: its own flow, budget and counters, which count in the common ones too. */
   public Network of(String id, Flow<Runnable> own, long bufferBytes) {
     return new Network(
-        loop, channels, new Budget(budget, bufferBytes), new Counters(counters), log, own, id);
+        loop,
+        channels,
+        new ResourceBudget(budget, bufferBytes),
+        new Counters(counters),
+        log,
+        own,
+        id);
   }
 
   /** Hands a result to the loop thread, in this view's flow. Any thread may call it. */
--- a/gateway/src/main/java/shelffront/net/Budget.java
+++ b/gateway/src/main/java/shelffront/net/ResourceBudget.java
@@ -7,18 +7,18 @@
  * What is taken must be given back. A budget may be a part of a greater one, and then counts in
  * both. Any thread may call: several event loops share the greatest.
  */
-public final class Budget {
+public final class ResourceBudget {
 
-  private final Budget whole;
+  private final ResourceBudget whole;
   private final AtomicLong held = new AtomicLong();
   private volatile long most;
 
-  public Budget(long most) {
+  public ResourceBudget(long most) {
     this(null, most);
   }
 
   /** A part of another; what is taken here is taken there too. */
-  public Budget(Budget whole, long most) {
+  public ResourceBudget(ResourceBudget whole, long most) {
     this.whole = whole;
     this.most = most;
   }
--- a/gateway/src/main/java/shelffront/exchange/Attempt.java
+++ b/gateway/src/main/java/shelffront/request/BackendAttempt.java
@@ -1,9 +1,9 @@
-package shelffront.exchange;
+package shelffront.request;
 
 /** One try of a request at one database host. */
-public final class Attempt {
+public final class BackendAttempt {
 
-  public final Exchange exchange;
+  public final ClientRequest exchange;
   public final String member;
 
   /** When a connection was there and the request was written to it; until then when it began. */
@@ -14,7 +14,7 @@
   /** Until its outcome was told. */
   public boolean out = true;
 
-  public Attempt(Exchange exchange, String member, long now) {
+  public BackendAttempt(ClientRequest exchange, String member, long now) {
     this.exchange = exchange;
     this.member = member;
     this.sentAt = now;
--- a/gateway/src/main/java/shelffront/exchange/Exchange.java
+++ b/gateway/src/main/java/shelffront/request/ClientRequest.java
@@ -1,4 +1,4 @@
-package shelffront.exchange;
+package shelffront.request;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,12 +8,12 @@
  * One request from its last byte to its final answer and the end of its last attempt. The only
  * thing that the client side and the server side both know.
  */
-public final class Exchange {
+public final class ClientRequest {
 
   /**
    * Where the final answer goes; each request gets exactly one call, unless its client has left.
    */
-  public interface Asker {
+  public interface ResponseListener {
 
     /** The database host's messages as it sent them, up to CommandComplete. */
     void served(byte[] messages);
@@ -34,13 +34,14 @@
   public final long deadline;
 
   public final int classIndex;
-  public final Asker asker;
-  public final List<Attempt> attempts = new ArrayList<>(2);
+  public final ResponseListener asker;
+  public final List<BackendAttempt> attempts = new ArrayList<>(2);
 
   /** Its final answer was given, or nobody waits for it any more. */
   public boolean answered;
 
-  public Exchange(String id, Statement statement, int classIndex, long deadline, Asker asker) {
+  public ClientRequest(
+      String id, Statement statement, int classIndex, long deadline, ResponseListener asker) {
     this.id = id;
     this.statement = statement;
     this.classIndex = classIndex;
--- a/gateway/src/main/java/shelffront/stages/OpenActs.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/OpenOperations.java
@@ -1,9 +1,9 @@
-package shelffront.stages;
+package shelffront.rolloutcontrol;
 
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /** Counts the acts that go on under each epoch; any thread may call, none waits. */
-final class OpenActs {
+final class OpenOperations {
 
   private final ConcurrentSkipListMap<Long, Integer> counts = new ConcurrentSkipListMap<>();
 
--- a/gateway/src/main/java/shelffront/stages/StagesConfig.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
@@ -1,4 +1,4 @@
-package shelffront.stages;
+package shelffront.rolloutcontrol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import shelffront.stage.Bounds;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.rollout.LeaseTimings;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * The part {@code fleet} of a hosted gateway's settings.
@@ -23,12 +23,12 @@
  * @param shards threads that keep leases, each with its part of the subjects
  * @param history where what came into force is written, a JSON object a line; null: nowhere
  */
-public record StagesConfig(
+public record RolloutConfig(
     String host,
     int port,
     String fleet,
     String name,
-    Bounds bounds,
+    LeaseTimings bounds,
     Map<String, List<String>> subjects,
     int shards,
     Path history) {
@@ -48,19 +48,19 @@
   private static final String WORD = "[a-zA-Z0-9][a-zA-Z0-9_.-]{0,63}";
 
   /** Reads the object at a pointer; throws with the pointer to the first field at fault. */
-  public static StagesConfig read(JsonNode o, String at) throws SpecException {
+  public static RolloutConfig read(JsonNode o, String at) throws SpecException {
     if (!o.isObject()) {
       throw new SpecException(at, "is not an object");
     }
-    SpecJson.onlyFields(o, at, NAMES);
+    TenantSpecCodec.onlyFields(o, at, NAMES);
     String engine = o.path("engine").asText();
     if (!engine.matches("[0-9a-zA-Z.-]+:[0-9]{1,5}")) {
       throw new SpecException(at + "/engine", "is not an address host:port");
     }
     int colon = engine.lastIndexOf(':');
     long lease = number(o, at, "leaseMs", 300, 600_000, 6_000);
-    Bounds bounds =
-        new Bounds(
+    LeaseTimings bounds =
+        new LeaseTimings(
             lease * 1000,
             number(o, at, "actMs", 0, 600_000, 3_000) * 1000,
             drift(o, at),
@@ -76,7 +76,7 @@
     if (subjects.isEmpty()) {
       throw new SpecException(at + "/subjects", "names no subject");
     }
-    return new StagesConfig(
+    return new RolloutConfig(
         engine.substring(0, colon),
         Integer.parseInt(engine.substring(colon + 1)),
         word(o.path("fleet").asText(), at + "/fleet"),
--- a/gateway/src/main/java/shelffront/stages/Stages.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
@@ -1,4 +1,4 @@
-package shelffront.stages;
+package shelffront.rolloutcontrol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -9,20 +9,20 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import shelffront.engine.Engine;
-import shelffront.engine.Engine.Value;
-import shelffront.engine.EngineException;
-import shelffront.engine.EngineException.EngineGarbled;
-import shelffront.engine.ValueJson;
-import shelffront.net.Log;
-import shelffront.stage.Bounds;
-import shelffront.stage.Holder;
-import shelffront.stage.Member;
-import shelffront.stage.Owner;
-import shelffront.stage.Standing;
-import shelffront.stages.StageException.Contended;
-import shelffront.stages.StageException.UnknownStage;
-import shelffront.stages.StageException.UnknownSubject;
+import shelffront.coordination.CoordinationException;
+import shelffront.coordination.CoordinationException.EngineGarbled;
+import shelffront.coordination.CoordinationStore;
+import shelffront.coordination.CoordinationStore.Value;
+import shelffront.coordination.ValueJson;
+import shelffront.net.EventLog;
+import shelffront.rollout.LeaseHolder;
+import shelffront.rollout.LeaseTimings;
+import shelffront.rollout.Member;
+import shelffront.rollout.RolloutLeader;
+import shelffront.rollout.RolloutState;
+import shelffront.rolloutcontrol.RolloutException.Contended;
+import shelffront.rolloutcontrol.RolloutException.UnknownStage;
+import shelffront.rolloutcontrol.RolloutException.UnknownSubject;
 
 /**
  * A gateway's part in what its fleet changes stage by stage. Threads of its own: one for each shard
@@ -32,9 +32,9 @@
  *
  * <p>The owner is found by a key that its holder writes anew in time; who sees it unchanged for
  * long enough takes it. That saves the engine work and no more: what keeps stages apart is in
- * {@link Owner} and does not rest on it.
+ * {@link RolloutLeader} and does not rest on it.
  */
-public final class Stages implements AutoCloseable {
+public final class RolloutCoordinator implements AutoCloseable {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -47,7 +47,7 @@
   private static final long MOVING = 100_000;
 
   /** What is in force: a standing, until its lease lapses. */
-  private record InForce(Standing standing, long until) {}
+  private record InForce(RolloutState standing, long until) {}
 
   /**
    * One subject as this gateway has it; its holder is guarded by the shard's lock, the rest is read
@@ -57,22 +57,22 @@
 
     private final String name;
     private final List<String> stages;
-    private final OpenActs open = new OpenActs();
-    private Holder holder;
+    private final OpenOperations open = new OpenOperations();
+    private LeaseHolder holder;
     private volatile InForce force;
     private volatile List<String> waitsFor = List.of(); // known where this gateway is owner
 
-    private Subject(String name, List<String> stages, Bounds bounds) {
+    private Subject(String name, List<String> stages, LeaseTimings bounds) {
       this.name = name;
       this.stages = stages;
-      holder = Holder.absent(bounds);
+      holder = LeaseHolder.absent(bounds);
     }
   }
 
-  private final Engine engine;
-  private final Bounds bounds;
-  private final Log log;
-  private final History history;
+  private final CoordinationStore engine;
+  private final LeaseTimings bounds;
+  private final EventLog log;
+  private final RolloutHistory history;
   private final String prefix;
   private final String instance;
   private final Map<String, Subject> subjects = new HashMap<>();
@@ -89,7 +89,12 @@
    * @param instance of this process: a gateway that starts again is another one, whose leases
    *     nobody remembers
    */
-  public Stages(StagesConfig config, Engine engine, String instance, History history, Log log) {
+  public RolloutCoordinator(
+      RolloutConfig config,
+      CoordinationStore engine,
+      String instance,
+      RolloutHistory history,
+      EventLog log) {
     this.engine = engine;
     this.log = log;
     this.history = history;
@@ -152,7 +157,7 @@
   // --------------------------------------------------------------------------------
 
   /** What this gateway may act under at this moment; null: the safe stage. Waits for nothing. */
-  public Standing inForce(String name) throws UnknownSubject {
+  public RolloutState inForce(String name) throws UnknownSubject {
     InForce force = subject(name).force;
     return force != null && now() < force.until ? force.standing : null;
   }
@@ -162,7 +167,7 @@
    */
   public interface Act extends AutoCloseable {
 
-    Standing under();
+    RolloutState under();
 
     @Override
     void close();
@@ -191,13 +196,13 @@
     }
   }
 
-  private static Act act(Subject subject, Standing under) {
+  private static Act act(Subject subject, RolloutState under) {
     return new Act() {
 
       private boolean over;
 
       @Override
-      public Standing under() {
+      public RolloutState under() {
         return under;
       }
 
@@ -222,7 +227,7 @@
           while (!closed && attend(shard, s)) {
             lastErrors.remove(s.name);
           }
-        } catch (EngineException e) {
+        } catch (CoordinationException e) {
           complain(s.name, e);
           wake = now() + bounds.renewEvery() / 4;
         }
@@ -253,8 +258,8 @@
    * Does what the subject's holder actions; false where it actions nothing now. The lock is not
    * held during a call.
    */
-  private boolean attend(List<Subject> shard, Subject s) throws EngineException {
-    Holder.Action action;
+  private boolean attend(List<Subject> shard, Subject s) throws CoordinationException {
+    LeaseHolder.Action action;
     String key;
     long sentAt = now();
     synchronized (shard) {
@@ -265,7 +270,7 @@
     if (action == null) {
       return false;
     }
-    if (action instanceof Holder.Look) {
+    if (action instanceof LeaseHolder.Look) {
       Value value = engine.read(key);
       Member member = value == null ? null : member(value);
       synchronized (shard) {
@@ -273,14 +278,15 @@
         publish(s);
       }
     } else {
-      write(shard, s, key, (Holder.Write) action, sentAt);
+      write(shard, s, key, (LeaseHolder.Write) action, sentAt);
     }
     take(shard, s);
     return true;
   }
 
-  private void write(List<Subject> shard, Subject s, String key, Holder.Write write, long sentAt)
-      throws EngineException {
+  private void write(
+      List<Subject> shard, Subject s, String key, LeaseHolder.Write write, long sentAt)
+      throws CoordinationException {
     String text = text(write.member(), sentAt);
     boolean taken = false;
     Value after = null;
@@ -302,7 +308,7 @@
   }
 
   /** Reads where a subject stands, as a member, and takes it up. */
-  private void take(List<Subject> shard, Subject s) throws EngineException {
+  private void take(List<Subject> shard, Subject s) throws CoordinationException {
     int term;
     synchronized (shard) {
       if (!s.holder.isMember()) {
@@ -312,7 +318,7 @@
     }
     Value value = engine.read(prefix + "standing/" + s.name);
     if (value != null) {
-      Standing standing = standing(s, value);
+      RolloutState standing = standing(s, value);
       synchronized (shard) {
         s.holder = s.holder.heard(term, standing);
         publish(s);
@@ -323,7 +329,7 @@
   /** Makes what the holder has in force the snapshot; under the shard's lock. */
   private void publish(Subject s) {
     long now = now();
-    Standing standing = s.holder.inForce(now);
+    RolloutState standing = s.holder.inForce(now);
     InForce next = standing == null ? null : new InForce(standing, s.holder.leaseUntil());
     InForce before = s.force;
     if (next == null ? before != null : !next.equals(before)) {
@@ -366,7 +372,7 @@
             ownerMonitor.notifyAll();
           }
         }
-      } catch (EngineException e) {
+      } catch (CoordinationException e) {
         complain("watch", e);
         index = 0;
         synchronized (this) {
@@ -380,7 +386,7 @@
   // --------------------------------------------------------------------------------
 
   private void own() {
-    Map<String, Owner> owners = new HashMap<>();
+    Map<String, RolloutLeader> owners = new HashMap<>();
     long index = 0;
     long since = now();
     while (!closed) {
@@ -407,7 +413,7 @@
           }
         }
         lastErrors.remove("owner");
-      } catch (EngineException e) {
+      } catch (CoordinationException e) {
         complain("owner", e);
       }
       synchronized (ownerMonitor) {
@@ -417,27 +423,27 @@
   }
 
   /** Looks at a subject and does what is due; gives when to look again. */
-  private long move(Map<String, Owner> owners, Subject s) throws EngineException {
+  private long move(Map<String, RolloutLeader> owners, Subject s) throws CoordinationException {
     String key = prefix + "standing/" + s.name;
     Value value = engine.read(key);
     if (value == null) {
-      engine.put(key, 0, text(s, new Standing(1, 0, 0)));
+      engine.put(key, 0, text(s, new RolloutState(1, 0, 0)));
       return now();
     }
-    Standing standing = standing(s, value);
+    RolloutState standing = standing(s, value);
     String members = prefix + "members/" + s.name + "/";
-    Map<String, Owner.Seen> seen = new TreeMap<>();
+    Map<String, RolloutLeader.Seen> seen = new TreeMap<>();
     for (Value m : engine.list(members).values()) {
-      seen.put(m.key(), new Owner.Seen(member(m), m.index()));
+      seen.put(m.key(), new RolloutLeader.Seen(member(m), m.index()));
     }
-    Owner owner =
+    RolloutLeader owner =
         owners
-            .getOrDefault(s.name, Owner.fresh(bounds))
+            .getOrDefault(s.name, RolloutLeader.fresh(bounds))
             .looked(now(), standing, value.index(), seen);
     owners.put(s.name, owner.done());
     s.waitsFor = owner.waitsFor().stream().map(k -> k.substring(members.length())).toList();
-    for (Owner.Action action : owner.actions()) {
-      if (action instanceof Owner.Move m) {
+    for (RolloutLeader.Action action : owner.actions()) {
+      if (action instanceof RolloutLeader.Move m) {
         if (engine.put(key, m.index(), text(s, m.to()))) {
           history.moved(instance, s.name, m.to(), now());
           log.println(
@@ -448,7 +454,7 @@
                   + ", epoch "
                   + m.to().epoch());
         }
-      } else if (action instanceof Owner.Revoke r) {
+      } else if (action instanceof RolloutLeader.Revoke r) {
         if (engine.put(r.key(), r.index(), text(r.revoked(), 0))) {
           log.println(
               "revoked "
@@ -457,7 +463,7 @@
                   + bounds.lapse() / 1000
                   + " ms");
         }
-      } else if (action instanceof Owner.Forget f) {
+      } else if (action instanceof RolloutLeader.Forget f) {
         engine.delete(f.key(), f.index());
       }
     }
@@ -485,12 +491,12 @@
       List<String> waitsFor) {}
 
   /** Where all subjects stand, by name, or the one that is named; null: all. */
-  public List<Shown> show(String only) throws StageException, EngineException {
+  public List<Shown> show(String only) throws RolloutException, CoordinationException {
     List<Shown> shown = new ArrayList<>();
     for (Subject s : only == null ? new TreeMap<>(subjects).values() : List.of(subject(only))) {
       Value value = engine.read(prefix + "standing/" + s.name);
-      Standing standing = value == null ? new Standing(0, 0, 0) : standing(s, value);
-      Standing here = inForce(s.name);
+      RolloutState standing = value == null ? new RolloutState(0, 0, 0) : standing(s, value);
+      RolloutState here = inForce(s.name);
       shown.add(
           new Shown(
               s.name,
@@ -505,7 +511,8 @@
   }
 
   /** Asks that a subject go to a stage, one after another; gives where it stands now. */
-  public Standing target(String name, String stage) throws StageException, EngineException {
+  public RolloutState target(String name, String stage)
+      throws RolloutException, CoordinationException {
     Subject s = subject(name);
     int to = s.stages.indexOf(stage);
     if (to < 0) {
@@ -513,8 +520,8 @@
     }
     String key = prefix + "standing/" + name;
     Value value = engine.read(key);
-    Standing standing = value == null ? new Standing(1, 0, 0) : standing(s, value);
-    Standing next = standing.towards(to);
+    RolloutState standing = value == null ? new RolloutState(1, 0, 0) : standing(s, value);
+    RolloutState next = standing.towards(to);
     if (!engine.put(key, value == null ? 0 : value.index(), text(s, next))) {
       throw new Contended(name);
     }
@@ -524,7 +531,7 @@
   // ---- Texts
   // --------------------------------------------------------------------------------
 
-  private static String text(Subject s, Standing standing) {
+  private static String text(Subject s, RolloutState standing) {
     return JSON.createObjectNode()
         .put("epoch", standing.epoch())
         .put("stage", s.stages.get(standing.stage()))
@@ -532,7 +539,7 @@
         .toString();
   }
 
-  private static Standing standing(Subject s, Value value) throws EngineGarbled {
+  private static RolloutState standing(Subject s, Value value) throws EngineGarbled {
     JsonNode o = ValueJson.object(value);
     int stage = s.stages.indexOf(o.path("stage").asText());
     int target = s.stages.indexOf(o.path("target").asText());
@@ -540,7 +547,7 @@
       throw new EngineGarbled(
           value.key() + " names no stages that this gateway knows: " + value.text(), null);
     }
-    return new Standing(o.path("epoch").asLong(), stage, target);
+    return new RolloutState(o.path("epoch").asLong(), stage, target);
   }
 
   /** The nonce makes each write's text its own, so that its writer knows it again. */
@@ -561,7 +568,7 @@
   }
 
   /** Says each thread's trouble once, until it is over or another. */
-  private void complain(String who, EngineException e) {
+  private void complain(String who, CoordinationException e) {
     if (!e.code().equals(lastErrors.put(who, e.code()))) {
       log.println("stages " + who + " " + e.code() + ": " + e.getMessage());
     }
@@ -580,7 +587,7 @@
             engine.delete(
                 prefix + "members/" + s.name + "/" + instance + "." + s.holder.term(),
                 s.holder.index());
-          } catch (EngineException e) {
+          } catch (CoordinationException e) {
             complain(s.name, e);
           }
         }
--- a/gateway/src/main/java/shelffront/stages/StageException.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutException.java
@@ -1,21 +1,21 @@
-package shelffront.stages;
+package shelffront.rolloutcontrol;
 
-import shelffront.engine.OperatorException;
+import shelffront.coordination.OperatorException;
 
 /**
  * What can be wrong with a call on stages; all kinds are listed in {@code
  * docs/operators/fleet-changes.md}.
  */
-public abstract sealed class StageException extends OperatorException {
+public abstract sealed class RolloutException extends OperatorException {
 
   private static final long serialVersionUID = 1L;
 
-  private StageException(String code, String what, String advice) {
+  private RolloutException(String code, String what, String advice) {
     super(code, what, advice, null);
   }
 
   /** There is no subject of this name. */
-  public static final class UnknownSubject extends StageException {
+  public static final class UnknownSubject extends RolloutException {
 
     private static final long serialVersionUID = 1L;
 
@@ -28,7 +28,7 @@
   }
 
   /** The subject has no stage of this name. */
-  public static final class UnknownStage extends StageException {
+  public static final class UnknownStage extends RolloutException {
 
     private static final long serialVersionUID = 1L;
 
@@ -41,7 +41,7 @@
   }
 
   /** Somebody else changed the subject in the same moment. */
-  public static final class Contended extends StageException {
+  public static final class Contended extends RolloutException {
 
     private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/shelffront/stages/History.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutHistory.java
@@ -1,4 +1,4 @@
-package shelffront.stages;
+package shelffront.rolloutcontrol;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -8,32 +8,32 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import shelffront.stage.Standing;
+import shelffront.rollout.RolloutState;
 
 /**
  * What came into force here and when, a JSON object a line, for whoever holds a fleet's histories
  * against each other. Times are microseconds of this machine's monotonic clock. A line is in the
  * file when its method returns.
  */
-public final class History implements AutoCloseable {
+public final class RolloutHistory implements AutoCloseable {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final Writer out; // null: nobody wants it
 
-  private History(Writer out) {
+  private RolloutHistory(Writer out) {
     this.out = out;
   }
 
   /** Appends to the file; null: nowhere. */
-  public static History to(Path file) throws IOException {
-    return new History(
+  public static RolloutHistory to(Path file) throws IOException {
+    return new RolloutHistory(
         file == null
             ? null
             : Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
   }
 
-  void force(String who, String subject, Standing standing, long until, long now) {
+  void force(String who, String subject, RolloutState standing, long until, long now) {
     ObjectNode line = line(now, who, standing == null ? "safe" : "force", subject, standing);
     if (standing != null) {
       line.put("until", until);
@@ -41,12 +41,12 @@
     write(line);
   }
 
-  void moved(String who, String subject, Standing to, long now) {
+  void moved(String who, String subject, RolloutState to, long now) {
     write(line(now, who, "move", subject, to));
   }
 
   private static ObjectNode line(
-      long now, String who, String what, String subject, Standing standing) {
+      long now, String who, String what, String subject, RolloutState standing) {
     ObjectNode line =
         JSON.createObjectNode()
             .put("at", now)
--- a/gateway/src/main/java/shelffront/benchlink/Wire.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package shelffront.benchlink;
+package shelffront.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -17,57 +17,57 @@
 import java.util.Map;
 import java.util.TreeMap;
 import shelffront.config.MalformedInputException;
-import shelffront.config.SettingsReader;
-import shelffront.decide.Decide;
-import shelffront.route.Router;
-import shelffront.route.Router.Availability;
-import shelffront.route.Router.ListKind;
-import shelffront.route.Router.Load;
-import shelffront.route.Router.Member;
-import shelffront.route.Router.Outcome;
-import shelffront.route.Router.Request;
-import shelffront.route.Router.Role;
-import shelffront.route.Router.Status;
+import shelffront.config.RoutingSettingsCodec;
+import shelffront.decision.RoutingEngine;
+import shelffront.routing.Router;
+import shelffront.routing.Router.AttemptOutcome;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.Availability;
+import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Router.EndpointUpdateKind;
+import shelffront.routing.Router.LoadReport;
+import shelffront.routing.Router.Request;
+import shelffront.routing.Router.Role;
 
 /**
  * Speaks the simulator's wire: reads batches of events, hands them to the instances, writes their
  * actions.
  */
-public final class Wire {
+public final class SimulatorAdapter {
 
-  private static final Map<String, Status> STATUSES =
+  private static final Map<String, AttemptStatus> STATUSES =
       Map.of(
           "ok",
-          Status.OK,
+          AttemptStatus.OK,
           "error",
-          Status.ERROR,
+          AttemptStatus.ERROR,
           "full",
-          Status.FULL,
+          AttemptStatus.FULL,
           "timeout",
-          Status.TIMEOUT,
+          AttemptStatus.TIMEOUT,
           "connect_failed",
-          Status.CONNECT_FAILED,
+          AttemptStatus.CONNECT_FAILED,
           "reset",
-          Status.RESET,
+          AttemptStatus.RESET,
           "cancelled",
-          Status.CANCELLED,
+          AttemptStatus.CANCELLED,
           "moot",
-          Status.NOT_SENT,
+          AttemptStatus.NOT_SENT,
           "miss",
-          Status.MISS);
+          AttemptStatus.MISS);
   private static final Map<String, Availability> AVAILABILITIES =
       Map.of(
           "live", Availability.LIVE, "quiescing", Availability.DRAINING, "dead", Availability.GONE);
-  private static final Map<String, ListKind> LIST_KINDS =
+  private static final Map<String, EndpointUpdateKind> LIST_KINDS =
       Map.of(
           "changes",
-          ListKind.CHANGES,
+          EndpointUpdateKind.CHANGES,
           "all",
-          ListKind.ALL,
+          EndpointUpdateKind.ALL,
           "remembered",
-          ListKind.REMEMBERED,
+          EndpointUpdateKind.REMEMBERED,
           "refused",
-          ListKind.FAILED);
+          EndpointUpdateKind.FAILED);
 
   /**
    * A hosted instance: the module, the clock time from which positions are counted, the places of
@@ -78,10 +78,10 @@
   private final JsonParser in;
   private final JsonGenerator out;
   private final Map<Integer, Instance> instances = new TreeMap<>();
-  private final Map<Integer, List<Member>> catalogs = new HashMap<>();
+  private final Map<Integer, List<Endpoint>> catalogs = new HashMap<>();
   private long now;
 
-  public Wire(InputStream input, OutputStream output) {
+  public SimulatorAdapter(InputStream input, OutputStream output) {
     try {
       JsonFactory factory = new JsonFactory();
       in = factory.createParser(input);
@@ -103,7 +103,7 @@
             || !(values.get(0) instanceof String name)) {
           throw new MalformedInputException("not an array that begins with a name");
         }
-        Row row = new Row(name, values, 1);
+        SimulatorMessage row = new SimulatorMessage(name, values, 1);
         if (name.equals("clock")) {
           now = row.integer("time");
           inBatch = true;
@@ -169,15 +169,16 @@
     }
   }
 
-  private void event(String name, Row row) throws IOException, MalformedInputException {
+  private void event(String name, SimulatorMessage row)
+      throws IOException, MalformedInputException {
     if (name.equals("catalog")) {
       int list = (int) row.integer("list");
-      List<Member> members = new ArrayList<>();
+      List<Endpoint> members = new ArrayList<>();
       for (Object entry : row.array("members")) {
         if (!(entry instanceof List<?> values)) {
           throw new MalformedInputException("catalog: an entry is not an array");
         }
-        members.add(member(new Row("catalog entry", values, 0)));
+        members.add(member(new SimulatorMessage("catalog entry", values, 0)));
       }
       catalogs.put(list, List.copyOf(members));
       return;
@@ -193,13 +194,14 @@
       if (facts == null) {
         throw new MalformedInputException("up: facts are missing");
       }
-      Router.Settings settings = SettingsReader.read(facts);
+      Router.RoutingSettings settings = RoutingSettingsCodec.read(facts);
       Map<String, Integer> classes = new HashMap<>();
-      for (Router.ClassSettings c : settings.classes()) {
+      for (Router.RequestClass c : settings.classes()) {
         classes.put(c.name(), classes.size());
       }
       Instance instance =
-          new Instance(new Decide(new Sink(proxy)), SettingsReader.zero(facts), classes);
+          new Instance(
+              new RoutingEngine(new Sink(proxy)), RoutingSettingsCodec.zero(facts), classes);
       instances.put(proxy, instance);
       guarded(proxy, () -> instance.router.onStart(now, seed, settings));
       return;
@@ -218,15 +220,16 @@
    * The call on the module that an event stands for; null for an event that the module does not
    * need.
    */
-  private Runnable translate(String name, Row row, Instance instance)
+  private Runnable translate(String name, SimulatorMessage row, Instance instance)
       throws MalformedInputException {
     Router router = instance.router;
     switch (name) {
       case "discovery" -> {
-        ListKind kind = row.word("kind", LIST_KINDS);
+        EndpointUpdateKind kind = row.word("kind", LIST_KINDS);
         long version = row.integer("serial", 0);
         long list = row.integer("list", -1);
-        List<Member> members = kind == ListKind.FAILED ? List.of() : catalogs.get((int) list);
+        List<Endpoint> members =
+            kind == EndpointUpdateKind.FAILED ? List.of() : catalogs.get((int) list);
         if (members == null) {
           throw new MalformedInputException("discovery: list " + list + " was not given");
         }
@@ -255,24 +258,24 @@
       }
       case "reply" -> {
         String id = row.text("xid");
-        Status status = row.word("stateCode", STATUSES);
+        AttemptStatus status = row.word("stateCode", STATUSES);
         boolean finished = row.flag("doneFlag");
         int attempt = (int) row.integer("seqNo");
         long took = row.integer("took", 0);
         long stand = row.integer("stand", 0);
         String member = row.text("member");
-        Load load = load(row.object("usage"), instance.zero);
+        LoadReport load = load(row.object("usage"), instance.zero);
         Role role = stand % 4 == 1 ? Role.PRIMARY : stand % 4 == 2 ? Role.REPLICA : Role.UNKNOWN;
         long position = stand >= 4 ? instance.zero + stand / 4 * 1000 : Router.UNKNOWN;
-        Outcome outcome =
-            new Outcome(id, attempt, member, status, finished, took, role, position, load);
+        AttemptOutcome outcome =
+            new AttemptOutcome(id, attempt, member, status, finished, took, role, position, load);
         return () -> router.onOutcome(now, outcome);
       }
       case "sampled" -> {
         String member = row.text("member");
-        Status status = row.word("stateCode", STATUSES);
+        AttemptStatus status = row.word("stateCode", STATUSES);
         long took = row.integer("took", 0);
-        Load load = load(row.object("usage"), instance.zero);
+        LoadReport load = load(row.object("usage"), instance.zero);
         return () -> router.onProbeResult(now, member, status, took, load);
       }
       case "deadlineHit" -> {
@@ -303,7 +306,7 @@
     }
   }
 
-  private static Load load(Map<?, ?> usage, long zero) {
+  private static LoadReport load(Map<?, ?> usage, long zero) {
     if (usage == null || usage.isEmpty()) {
       return null;
     }
@@ -311,7 +314,7 @@
     double x1 = figure(usage, "x1");
     long position = x0 < 0 ? Router.UNKNOWN : zero + (long) Math.floor(x0 * 1e6);
     Role role = x1 < 0 ? Role.UNKNOWN : x1 >= 0.5 ? Role.PRIMARY : Role.REPLICA;
-    return new Load(
+    return new LoadReport(
         position,
         role,
         figure(usage, "outstanding"),
@@ -323,7 +326,7 @@
     return usage.get(name) instanceof Number n ? n.doubleValue() : -1;
   }
 
-  private static Member member(Row row) throws MalformedInputException {
+  private static Endpoint member(SimulatorMessage row) throws MalformedInputException {
     String kind = row.optionalText("familyType");
     String zone = row.optionalText("dc");
     String id = row.text("member");
@@ -331,7 +334,7 @@
     long startedAt = row.integer("launched", 0);
     int group = (int) row.integer("group", 0);
     boolean primary = row.number("writer", 0) >= 0.5;
-    return new Member(
+    return new Endpoint(
         id,
         kind == null ? "" : kind,
         zone == null ? "" : zone,
--- a/gateway/src/main/java/shelffront/benchlink/Row.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorMessage.java
@@ -1,4 +1,4 @@
-package shelffront.benchlink;
+package shelffront.simulator;
 
 import java.util.List;
 import java.util.Map;
@@ -7,13 +7,13 @@
 /**
  * One array of the wire: named access to its values by place, with plain messages on what is wrong.
  */
-final class Row {
+final class SimulatorMessage {
 
   private final String what;
   private final List<?> values;
   private int next;
 
-  Row(String what, List<?> values, int first) {
+  SimulatorMessage(String what, List<?> values, int first) {
     this.what = what;
     this.values = values;
     this.next = first;
--- a/gateway/src/main/java/shelffront/store/Store.java
+++ b/gateway/src/main/java/shelffront/store/DocumentStore.java
@@ -21,7 +21,7 @@
  * In a file (H2's MVStore), or in memory only. A change is made by one commit and is on disk when
  * its method returns. Any thread may call; calls take turns.
  */
-public final class Store implements AutoCloseable {
+public final class DocumentStore implements AutoCloseable {
 
   /** The kinds of documents kept. */
   public enum Kind {
@@ -65,22 +65,22 @@
   private final MVMap<Long, String> audits;
   private final MVMap<String, String> about;
 
-  private Store(MVStore store) {
+  private DocumentStore(MVStore store) {
     this.store = store;
     documents = store.openMap("documents");
     audits = store.openMap("audits");
     about = store.openMap("about");
   }
 
-  public static Store inMemory() {
-    return new Store(new MVStore.Builder().autoCommitDisabled().open());
+  public static DocumentStore inMemory() {
+    return new DocumentStore(new MVStore.Builder().autoCommitDisabled().open());
   }
 
   /**
    * Opens a file, or begins one. One whose last write was cut opens at the last change that was
    * answered; one that is damaged beyond that, or is something else, is refused and left as it is.
    */
-  public static Store open(Path file) throws IOException {
+  public static DocumentStore open(Path file) throws IOException {
     boolean there = Files.exists(file) && Files.size(file) > 0;
     try {
       if (there) {
@@ -95,8 +95,9 @@
           }
         }
       }
-      Store store =
-          new Store(new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open());
+      DocumentStore store =
+          new DocumentStore(
+              new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open());
       if (!there) {
         store.about.put("format", FORMAT);
         store.commit();
--- a/gateway/src/main/java/shelffront/tenant/Keys.java
+++ b/gateway/src/main/java/shelffront/tenant/ApiKeys.java
@@ -12,12 +12,12 @@
  * a key of that size can't be guessed, so that one round of SHA-256 is enough and costs the loop
  * thread microseconds.
  */
-public final class Keys {
+public final class ApiKeys {
 
   private static final int BYTES = 32;
   private static final SecureRandom RANDOM = new SecureRandom();
 
-  private Keys() {}
+  private ApiKeys() {}
 
   public static String generate() {
     byte[] bytes = new byte[BYTES];
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -8,31 +8,31 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import shelffront.client.Clients;
-import shelffront.config.MemberList;
-import shelffront.decide.Decide;
-import shelffront.discovery.Discovery;
-import shelffront.exchange.Attempt;
-import shelffront.exchange.Exchange;
+import shelffront.backend.BackendConnections;
+import shelffront.backend.BackendResponse;
+import shelffront.config.EndpointList;
+import shelffront.decision.RoutingEngine;
+import shelffront.discovery.DiscoveryClient;
+import shelffront.frontend.FrontendConnections;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
 import shelffront.net.EventLoop;
 import shelffront.net.EventLoop.Deadline;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
-import shelffront.route.Router;
-import shelffront.route.Router.Availability;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.ListKind;
-import shelffront.route.Router.Member;
-import shelffront.route.Router.Outcome;
-import shelffront.route.Router.Request;
-import shelffront.route.Router.Status;
-import shelffront.server.Reply;
-import shelffront.server.Servers;
-import shelffront.share.Holdings;
-import shelffront.share.RateLimit;
-import shelffront.share.Shares;
+import shelffront.quota.ConnectionQuotas;
+import shelffront.quota.TenantQuotas;
+import shelffront.quota.TokenBucket;
+import shelffront.request.BackendAttempt;
+import shelffront.request.ClientRequest;
+import shelffront.routing.Router;
+import shelffront.routing.Router.AttemptOutcome;
+import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.Router.Availability;
+import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Router.EndpointUpdateKind;
+import shelffront.routing.Router.Request;
+import shelffront.routing.Router.RequestClass;
 
 /**
  * One tenant while it runs: its decision module, boxes, sessions and requests. Joins the client
@@ -44,7 +44,10 @@
  * it wakes, and learns it anew.
  */
 public final class Tenant
-    implements Router.Actions, Clients.Taker, Servers.Listener, Discovery.Listener {
+    implements Router.Actions,
+        FrontendConnections.Taker,
+        BackendConnections.Listener,
+        DiscoveryClient.Listener {
 
   /** When a client that found no room here may come again. */
   private static final long BUSY_WAIT = 200_000;
@@ -67,16 +70,16 @@
   private final Network network;
   private final EventLoop loop;
   private final long seed;
-  private final Shares shares; // null where it has the gateway to itself
-  private final Shares.Share share;
-  private final Holdings sockets;
-  private final RateLimit rate;
+  private final TenantQuotas shares; // null where it has the gateway to itself
+  private final TenantQuotas.Quota share;
+  private final ConnectionQuotas sockets;
+  private final TokenBucket rate;
   private TenantSpec spec;
   private State state = State.ASLEEP;
   private Router router;
-  private Servers servers;
-  private Discovery discovery;
-  private MemberList heard; // the list last heard, before what administrators drained
+  private BackendConnections servers;
+  private DiscoveryClient discovery;
+  private EndpointList heard; // the list last heard, before what administrators drained
   private long parked; // the time of the module's timer that came while it slept; 0: none
   private Deadline wake;
   private Deadline sleep;
@@ -84,11 +87,12 @@
   private boolean left; // nothing of it remains
   private boolean predecessor; // another module served this tenant's sessions, and still does
   private long marksFrom; // writes before this time may have gone through another module
-  private final Map<String, Exchange> exchanges = new HashMap<>();
-  private final Set<Clients.Client> clients = new LinkedHashSet<>();
+  private final Map<String, ClientRequest> exchanges = new HashMap<>();
+  private final Set<FrontendConnections.Client> clients = new LinkedHashSet<>();
 
   /** The sockets are those for hosts; shares is null for one that has the gateway to itself. */
-  public Tenant(Network network, TenantSpec spec, long seed, Holdings sockets, Shares shares) {
+  public Tenant(
+      Network network, TenantSpec spec, long seed, ConnectionQuotas sockets, TenantQuotas shares) {
     this.network = network;
     this.loop = network.loop();
     this.spec = spec;
@@ -96,7 +100,7 @@
     this.sockets = sockets;
     this.shares = shares;
     share = shares == null ? null : shares.join(spec.weight(), spec.shares());
-    rate = new RateLimit(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.now());
+    rate = new TokenBucket(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.now());
   }
 
   public TenantSpec spec() {
@@ -130,9 +134,9 @@
     state = State.ACTIVE;
     boolean first = router == null;
     if (first) {
-      router = new Decide(this);
+      router = new RoutingEngine(this);
       servers =
-          new Servers(
+          new BackendConnections(
               network,
               spec.settings().limits(),
               sockets,
@@ -141,7 +145,7 @@
               spec.login(),
               this);
       if (spec.discovery() != null) {
-        discovery = new Discovery(network, spec.discovery(), spec.boxes().revision(), this);
+        discovery = new DiscoveryClient(network, spec.discovery(), spec.boxes().revision(), this);
       }
       heard = spec.boxes();
       servers.listed(heard);
@@ -149,13 +153,13 @@
       listen();
       // In a turn of its own: the first connections to hosts would else be late before the loop
       // looks at them.
-      network.post(() -> told(ListKind.REMEMBERED, heard));
+      network.post(() -> told(EndpointUpdateKind.REMEMBERED, heard));
       return;
     }
     if (discovery != null) {
       discovery.watchAnew();
     } else {
-      told(ListKind.ALL, heard);
+      told(EndpointUpdateKind.ALL, heard);
     }
     if (parked != 0) {
       setTimer("wake", parked);
@@ -172,7 +176,7 @@
     }
     // What was known of boxes will be old by then; an empty list leaves the module its sessions'
     // marks.
-    router.onMembers(loop.now(), ListKind.ALL, heard.revision(), List.of());
+    router.onMembers(loop.now(), EndpointUpdateKind.ALL, heard.revision(), List.of());
     state = State.ASLEEP;
     if (discovery != null) {
       discovery.watch(false);
@@ -213,7 +217,7 @@
     }
     if (router != null && state != State.ASLEEP && (listed || drained)) {
       servers.listed(heard);
-      told(ListKind.ALL, heard);
+      told(EndpointUpdateKind.ALL, heard);
     }
     return true;
   }
@@ -248,7 +252,7 @@
       return;
     }
     state = State.GONE;
-    for (Exchange exchange : List.copyOf(exchanges.values())) {
+    for (ClientRequest exchange : List.copyOf(exchanges.values())) {
       if (!exchange.answered) {
         // The module is told that nobody waits, so that it calls off what is out and counts nothing
         // more.
@@ -257,7 +261,11 @@
         boolean harmless =
             exchange.attempts.isEmpty()
                 || spec.settings().classes().get(exchange.classIndex).repeatable();
-        finished(harmless ? Exchange.Asker::unavailable : Exchange.Asker::failed, exchange);
+        finished(
+            harmless
+                ? ClientRequest.ResponseListener::unavailable
+                : ClientRequest.ResponseListener::failed,
+            exchange);
       }
     }
     List.copyOf(clients).forEach(c -> c.dismiss(removed(), CloseReason.TENANT_GONE));
@@ -280,7 +288,7 @@
     return new ProtocolException("57P03", "the database is being removed");
   }
 
-  private void dismissIdle(Clients.Client client) {
+  private void dismissIdle(FrontendConnections.Client client) {
     if (client.isIdle()) {
       client.dismiss(removed(), CloseReason.TENANT_GONE);
     }
@@ -349,7 +357,7 @@
   }
 
   @Override
-  public List<ClassSettings> classes() {
+  public List<RequestClass> classes() {
     return spec.settings().classes();
   }
 
@@ -359,7 +367,7 @@
   }
 
   @Override
-  public void joined(Clients.Client client) {
+  public void joined(FrontendConnections.Client client) {
     clients.add(client);
     if (sleep != null) {
       sleep.cancel();
@@ -369,7 +377,7 @@
   }
 
   @Override
-  public void parted(Clients.Client client) {
+  public void parted(FrontendConnections.Client client) {
     clients.remove(client);
     if (clients.isEmpty() && shares != null && state == State.ACTIVE) {
       sleep = loop.at(loop.now() + SLEEP_AFTER, this::fallAsleep);
@@ -388,14 +396,14 @@
 
   /** Guards an open request against another one under its id. */
   @Override
-  public void check(Exchange exchange) throws ProtocolException {
+  public void check(ClientRequest exchange) throws ProtocolException {
     if (exchanges.containsKey(exchange.id)) {
       throw new ProtocolException("42710", "a request with this id is open");
     }
   }
 
   @Override
-  public void take(Exchange exchange, String session, int group, long after, boolean repeat) {
+  public void take(ClientRequest exchange, String session, int group, long after, boolean repeat) {
     if (state == State.DRAINING || state == State.GONE) {
       exchange.asker.unavailable();
       return;
@@ -439,7 +447,7 @@
   }
 
   @Override
-  public void left(Exchange exchange) {
+  public void left(ClientRequest exchange) {
     if (exchanges.get(exchange.id) == exchange && !exchange.answered) {
       exchange.answered = true;
       router.onClientGone(loop.now(), exchange.id);
@@ -448,7 +456,7 @@
   }
 
   /** The one place where an answer leaves; the request's place is free from here. */
-  private void finished(Consumer<Exchange.Asker> answer, Exchange exchange) {
+  private void finished(Consumer<ClientRequest.ResponseListener> answer, ClientRequest exchange) {
     if (share != null) {
       shares.end(share);
     }
@@ -460,11 +468,11 @@
   // --------------------------------------------------------------------------------
 
   @Override
-  public void ended(Attempt attempt, Reply reply) {
-    Exchange exchange = attempt.exchange;
+  public void ended(BackendAttempt attempt, BackendResponse reply) {
+    ClientRequest exchange = attempt.exchange;
     attempt.out = false;
     network.counters().add(Counters.Name.valueOf("ATTEMPTS_" + reply.status()));
-    if (reply.status() == Status.OK && !exchange.answered) {
+    if (reply.status() == AttemptStatus.OK && !exchange.answered) {
       exchange.answered = true;
       finished(asker -> asker.served(reply.messages()), exchange);
     }
@@ -474,7 +482,7 @@
     long took = loop.now() - attempt.sentAt;
     router.onOutcome(
         loop.now(),
-        new Outcome(
+        new AttemptOutcome(
             exchange.id,
             attempt.number,
             attempt.member,
@@ -488,20 +496,20 @@
   }
 
   @Override
-  public boolean mayStart(Attempt attempt) {
+  public boolean mayStart(BackendAttempt attempt) {
     return router.mayStart(loop.now(), attempt.exchange.id, attempt.number);
   }
 
   @Override
-  public void probed(String member, Reply reply, long took) {
-    if (reply.status() != Status.OK) {
+  public void probed(String member, BackendResponse reply, long took) {
+    if (reply.status() != AttemptStatus.OK) {
       network.counters().add(Counters.Name.PROBES_FAILED);
     }
     router.onProbeResult(loop.now(), member, reply.status(), took, reply.load());
   }
 
   /** A request is kept until its last attempt has ended: the module is owed every outcome. */
-  private void forget(Exchange exchange) {
+  private void forget(ClientRequest exchange) {
     if (exchange.answered && exchange.attempts.stream().noneMatch(a -> a.out)) {
       exchanges.remove(exchange.id, exchange);
     }
@@ -511,19 +519,19 @@
   // --------------------------------------------------------------------------------
 
   @Override
-  public void heard(MemberList list) {
+  public void heard(EndpointList list) {
     heard = heard.with(list);
     servers.listed(list);
-    told(list.complete() ? ListKind.ALL : ListKind.CHANGES, list);
+    told(list.complete() ? EndpointUpdateKind.ALL : EndpointUpdateKind.CHANGES, list);
   }
 
   /**
    * Passes a list on to the module; what an administrator has drained is drained, whatever the list
    * says.
    */
-  private void told(ListKind kind, MemberList list) {
+  private void told(EndpointUpdateKind kind, EndpointList list) {
     Set<String> drained = new HashSet<>(spec.drained());
-    List<Member> members =
+    List<Endpoint> members =
         drained.isEmpty()
             ? list.members()
             : list.members().stream()
@@ -542,7 +550,7 @@
       return;
     }
     if (spec.settings().listAsked()) {
-      router.onMembers(loop.now(), ListKind.FAILED, 0, List.of());
+      router.onMembers(loop.now(), EndpointUpdateKind.FAILED, 0, List.of());
     } else {
       loop.at(loop.now() + AGENT_PAUSE, this::listen);
     }
@@ -562,11 +570,11 @@
 
   @Override
   public void send(String requestId, String member, long timeout) {
-    Exchange exchange = exchanges.get(requestId);
-    Attempt attempt = new Attempt(exchange, member, loop.now());
+    ClientRequest exchange = exchanges.get(requestId);
+    BackendAttempt attempt = new BackendAttempt(exchange, member, loop.now());
     exchange.attempts.add(attempt);
     if (exchange.answered || loop.now() >= exchange.deadline) {
-      network.post(() -> ended(attempt, Reply.of(Status.NOT_SENT)));
+      network.post(() -> ended(attempt, BackendResponse.of(AttemptStatus.NOT_SENT)));
       return;
     }
     network.counters().add(Counters.Name.ATTEMPTS_SENT);
@@ -575,7 +583,7 @@
 
   @Override
   public void cancel(String requestId, int attempt) {
-    Exchange exchange = exchanges.get(requestId);
+    ClientRequest exchange = exchanges.get(requestId);
     if (exchange != null && attempt < exchange.attempts.size()) {
       servers.cancel(exchange.attempts.get(attempt));
     }
@@ -588,11 +596,11 @@
 
   @Override
   public void fail(String requestId) {
-    end(requestId, Exchange.Asker::failed);
+    end(requestId, ClientRequest.ResponseListener::failed);
   }
 
-  private void end(String requestId, Consumer<Exchange.Asker> answer) {
-    Exchange exchange = exchanges.get(requestId);
+  private void end(String requestId, Consumer<ClientRequest.ResponseListener> answer) {
+    ClientRequest exchange = exchanges.get(requestId);
     if (exchange != null && !exchange.answered) {
       exchange.answered = true;
       finished(answer, exchange);
--- a/gateway/src/main/java/shelffront/tenant/Tenants.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -6,25 +6,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
-import shelffront.client.Clients;
+import shelffront.frontend.FrontendConnections;
 import shelffront.net.CloseReason;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
-import shelffront.share.DeficitRoundRobin.Flow;
-import shelffront.share.Holdings;
-import shelffront.share.Shares;
+import shelffront.quota.ConnectionQuotas;
+import shelffront.quota.DeficitRoundRobin.Flow;
+import shelffront.quota.TenantQuotas;
 
 /**
  * The tenants of a gateway by their names, and the door by which clients find theirs: the database
- * of the startup message. What all use is divided among them by {@link Shares}. On the loop thread.
+ * of the startup message. What all use is divided among them by {@link TenantQuotas}. On the loop
+ * thread.
  */
-public final class Tenants implements Clients.Door {
+public final class TenantRegistry implements FrontendConnections.TenantLookup {
 
   private static final byte[] NOBODY = new byte[32];
 
   private final Network network;
-  private final Shares shares;
-  private final Holdings hostSockets;
+  private final TenantQuotas shares;
+  private final ConnectionQuotas hostSockets;
   private final Map<String, Tenant> tenants = new HashMap<>();
 
   /**
@@ -35,7 +36,8 @@
 
   private long seed;
 
-  public Tenants(Network network, Shares shares, Holdings hostSockets, long seed) {
+  public TenantRegistry(
+      Network network, TenantQuotas shares, ConnectionQuotas hostSockets, long seed) {
     this.network = network;
     this.shares = shares;
     this.hostSockets = hostSockets;
@@ -182,10 +184,10 @@
     boolean known = false;
     for (TenantSpec.Credential c :
         tenant == null ? List.<TenantSpec.Credential>of() : tenant.spec().credentials()) {
-      known |= c.user().equals(user) && Keys.matches(c.hash(), password);
+      known |= c.user().equals(user) && ApiKeys.matches(c.hash(), password);
     }
     // A name that nobody has costs a comparison too, and is answered in the same words.
-    if (tenant == null && Keys.matches(NOBODY, password) || !known) {
+    if (tenant == null && ApiKeys.matches(NOBODY, password) || !known) {
       throw nobody();
     }
     tenant.checkRoom();
--- a/gateway/src/main/java/shelffront/tenant/TenantSpec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpec.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Set;
-import shelffront.config.MemberList;
-import shelffront.route.Router.Settings;
-import shelffront.server.Servers.Login;
+import shelffront.backend.BackendConnections.Login;
+import shelffront.config.EndpointList;
+import shelffront.routing.Router.RoutingSettings;
 
 /**
  * All that makes a tenant: what an administrator sets and a gateway takes up while it runs. Times
@@ -28,10 +28,10 @@
     double weight,
     double[] shares,
     Bounds bounds,
-    Settings settings,
+    RoutingSettings settings,
     Login login,
     InetSocketAddress discovery,
-    MemberList boxes,
+    EndpointList boxes,
     Set<String> drained,
     List<Credential> credentials,
     long grace) {
--- a/gateway/src/main/java/shelffront/tenant/SpecJson.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -25,28 +25,28 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import shelffront.backend.BackendConnections.Login;
+import shelffront.config.EndpointList;
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
-import shelffront.config.MemberList;
-import shelffront.route.Router.Availability;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Effect;
-import shelffront.route.Router.LagCheck;
-import shelffront.route.Router.Limits;
-import shelffront.route.Router.ListRole;
-import shelffront.route.Router.Member;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.ReportSource;
-import shelffront.route.Router.Rules;
-import shelffront.route.Router.Scope;
-import shelffront.route.Router.Settings;
-import shelffront.server.Servers.Login;
+import shelffront.routing.Router.Availability;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.DeduplicationScope;
+import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Router.Idempotency;
+import shelffront.routing.Router.LagCheck;
+import shelffront.routing.Router.ListedRoles;
+import shelffront.routing.Router.LoadReportSource;
+import shelffront.routing.Router.OperatingLimits;
+import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.Router.SafetyRules;
 
 /**
  * Reads a tenant from JSON: checked against the schema {@code tenant.schema.json}, then for what no
  * schema says.
  */
-public final class SpecJson {
+public final class TenantSpecCodec {
 
   /** What is wrong with a document: a JSON pointer (RFC 6901) to the field at fault, and why. */
   public static final class SpecException extends Exception {
@@ -77,10 +77,11 @@
   private static final JsonSchema SCHEMA = schema();
   private static final long MS = 1000;
 
-  private SpecJson() {}
+  private TenantSpecCodec() {}
 
   private static JsonSchema schema() {
-    try (InputStream in = SpecJson.class.getResourceAsStream("/shelffront/tenant.schema.json")) {
+    try (InputStream in =
+        TenantSpecCodec.class.getResourceAsStream("/shelffront/tenant.schema.json")) {
       return JsonSchemaFactory.getInstance(VersionFlag.V202012)
           .getSchema(
               JSON.readTree(in),
@@ -127,7 +128,7 @@
     if (fault != null) {
       throw new SpecException(fault.getInstanceLocation().toString(), fault.getError());
     }
-    List<ClassSettings> classes = new ArrayList<>();
+    List<RequestClass> classes = new ArrayList<>();
     List<Double> shares = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (JsonNode c : document.path("classes")) {
@@ -177,47 +178,48 @@
         boxes.has("discovery")
             ? address(boxes.path("discovery").asText(), "/boxes/discovery")
             : null,
-        boxes.has("list") ? list(boxes.path("list")) : MemberList.empty(),
+        boxes.has("list") ? list(boxes.path("list")) : EndpointList.empty(),
         Set.copyOf(drained),
         List.copyOf(credentials),
         document.path("graceMs").asLong(5000) * MS);
   }
 
-  private static ClassSettings classSettings(JsonNode c, String at) throws SpecException {
-    Read read = Read.valueOf(c.path("read").asText().toUpperCase(Locale.ROOT));
-    String effect = c.path("effect").asText(read == Read.WRITE ? "once" : "repeatable");
+  private static RequestClass classSettings(JsonNode c, String at) throws SpecException {
+    Consistency read = Consistency.valueOf(c.path("read").asText().toUpperCase(Locale.ROOT));
+    String effect = c.path("effect").asText(read == Consistency.WRITE ? "once" : "repeatable");
     long giveUp = c.path("giveUpMs").asLong() * MS;
     long aim = c.path("aimMs").asLong(giveUp / MS) * MS;
     if (aim > giveUp) {
       throw new SpecException(at + "/aimMs", "is later than giveUpMs");
     }
-    if (read == Read.WRITE && effect.equals("repeatable")) {
+    if (read == Consistency.WRITE && effect.equals("repeatable")) {
       throw new SpecException(at + "/effect", "a write can't be repeated without a key");
     }
-    if (read != Read.WRITE && !effect.equals("repeatable")) {
+    if (read != Consistency.WRITE && !effect.equals("repeatable")) {
       throw new SpecException(at + "/effect", "a read can always be repeated");
     }
-    return new ClassSettings(
+    return new RequestClass(
         c.path("name").asText(),
         aim,
         giveUp,
         c.path("worth").asDouble(1),
         c.path("lateShare").asDouble(0),
-        Effect.valueOf(effect.toUpperCase(Locale.ROOT)),
-        Scope.GROUP,
+        Idempotency.valueOf(effect.toUpperCase(Locale.ROOT)),
+        DeduplicationScope.GROUP,
         c.path("windowMs").asLong(0) * MS,
         read,
         c.path("boundMs").asLong(0) * MS);
   }
 
-  private static Settings settings(List<ClassSettings> classes, JsonNode hosts, boolean asked) {
+  private static RoutingSettings settings(
+      List<RequestClass> classes, JsonNode hosts, boolean asked) {
     LagCheck check =
         switch (hosts.path("check").asText("wait")) {
           case "silent" -> LagCheck.NONE;
           case "refuse" -> LagCheck.REFUSE;
           default -> LagCheck.WAIT;
         };
-    return new Settings(
+    return new RoutingSettings(
         0,
         hosts.path("gateways").asInt(1),
         "",
@@ -227,11 +229,11 @@
         hosts.path("patienceMs").asLong(100) * MS,
         false,
         false,
-        asked ? ListRole.LATE : ListRole.AT_START,
+        asked ? ListedRoles.LATE : ListedRoles.AT_START,
         asked,
-        ReportSource.PROBES,
-        new Rules(2_000 * MS, 0.21, 18_000 * MS, 4, 2_000 * MS, false, 10_000 * MS, 20 * MS),
-        new Limits(
+        LoadReportSource.PROBES,
+        new SafetyRules(2_000 * MS, 0.21, 18_000 * MS, 4, 2_000 * MS, false, 10_000 * MS, 20 * MS),
+        new OperatingLimits(
             hosts.path("attempts").asInt(8),
             2_000 * MS,
             true,
@@ -245,8 +247,8 @@
         0);
   }
 
-  private static MemberList list(JsonNode entries) throws SpecException {
-    List<Member> members = new ArrayList<>();
+  private static EndpointList list(JsonNode entries) throws SpecException {
+    List<Endpoint> members = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
     for (JsonNode b : entries) {
       String at = "/boxes/list/" + members.size();
@@ -255,7 +257,7 @@
         throw new SpecException(at + "/id", "two boxes have this id");
       }
       members.add(
-          new Member(
+          new Endpoint(
               id,
               b.path("kind").asText(""),
               b.path("zone").asText(""),
@@ -265,7 +267,7 @@
               b.path("role").asText().equals("primary"),
               Availability.LIVE));
     }
-    return new MemberList(0, true, List.copyOf(members), Map.copyOf(addresses));
+    return new EndpointList(0, true, List.copyOf(members), Map.copyOf(addresses));
   }
 
   private static InetSocketAddress address(String text, String pointer) throws SpecException {
--- a/gateway/src/main/java/shelffront/rehearsal/Rehearsal.java
+++ b/gateway/src/main/java/shelffront/training/TrainingRun.java
@@ -1,4 +1,4 @@
-package shelffront.rehearsal;
+package shelffront.training;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
@@ -22,7 +22,7 @@
  * on loopback. The build runs it so that the JVM can write down the classes in use: loading them
  * one by one took the better part of a gateway's share of its core in the first seconds.
  */
-public final class Rehearsal {
+public final class TrainingRun {
 
   private static final int REQUESTS = 200;
   private static final int PATIENCE_MS = 10_000;
@@ -35,12 +35,12 @@
   private final ServerSocket host = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   private final ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-  private Rehearsal() throws IOException {}
+  private TrainingRun() throws IOException {}
 
   /** Runs to its end with the classes of the configuration that the environment names. */
   public static void run(Map<String, String> environment, Network network)
       throws IOException, MalformedInputException, InterruptedException {
-    Rehearsal rehearsal = new Rehearsal();
+    TrainingRun rehearsal = new TrainingRun();
     GatewayConfig given = GatewayConfig.fromEnvironment(environment);
     GatewayConfig config =
         new GatewayConfig(
@@ -53,7 +53,7 @@
             given.settings(),
             given.known());
     Gateway gateway = new Gateway(network, config);
-    serve(rehearsal.host, Rehearsal::answer);
+    serve(rehearsal.host, TrainingRun::answer);
     serve(rehearsal.discovery, rehearsal::list);
     InetSocketAddress address = (InetSocketAddress) gateway.address();
     inBackground(
--- a/gateway/src/test/java/shelffront/ArrowsTest.java
+++ b/gateway/src/test/java/shelffront/ArchitectureTest.java
@@ -13,33 +13,33 @@
  * an exchange.
  */
 @AnalyzeClasses(packages = "shelffront", importOptions = DoNotIncludeTests.class)
-class ArrowsTest {
+class ArchitectureTest {
 
   @ArchTest
   static final ArchRule CLIENT_SIDE_KNOWS_NO_SERVER_SIDE =
       noClasses()
           .that()
-          .resideInAPackage("shelffront.client..")
+          .resideInAPackage("shelffront.frontend..")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
-              "shelffront.server..",
+              "shelffront.backend..",
               "shelffront.discovery..",
               "shelffront.gateway..",
-              "shelffront.decide..");
+              "shelffront.decision..");
 
   @ArchTest
   static final ArchRule SERVER_SIDE_KNOWS_NO_CLIENT_SIDE =
       noClasses()
           .that()
-          .resideInAPackage("shelffront.server..")
+          .resideInAPackage("shelffront.backend..")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
-              "shelffront.client..",
+              "shelffront.frontend..",
               "shelffront.discovery..",
               "shelffront.gateway..",
-              "shelffront.decide..");
+              "shelffront.decision..");
 
   @ArchTest
   static final ArchRule FRAMING_KNOWS_NO_SOCKETS =
@@ -49,7 +49,7 @@
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
-              "java.nio.channels..", "java.net..", "shelffront.net..", "shelffront.exchange..");
+              "java.nio.channels..", "java.net..", "shelffront.net..", "shelffront.request..");
 
   @ArchTest
   static final ArchRule NO_CYCLES =
--- a/gateway/src/test/java/shelffront/admin/AdminTest.java
+++ b/gateway/src/test/java/shelffront/admin/AdminTest.java
@@ -39,11 +39,11 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
-import shelffront.hosted.Hosted;
-import shelffront.hosted.HostedConfig;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
 import shelffront.pg.Message;
-import shelffront.store.Store.Audit;
-import shelffront.store.Store.Kind;
+import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.Kind;
 
 /**
  * The administration of a running gateway, over HTTP; every answer is held against
@@ -53,7 +53,7 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String SECRET = "harbour-secret-weight"; // Stands in the other tenant alone.
-  private static Hosted hosted;
+  private static MultiTenantGateway hosted;
   private static Thread turns;
   private static String operator;
   private static String own;
@@ -66,7 +66,7 @@
     openapi = JSON.readTree(Path.of("../docs/openapi.json").toFile());
     ObjectNode config =
         JSON.createObjectNode().put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
-    hosted = new Hosted(HostedConfig.read(config), line -> {});
+    hosted = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
     turns = hosted.start();
     operator = hosted.tokens().create(null, "test");
     assertEquals(201, call("POST", "/v1/tenants", operator, tenant("airport")).statusCode());
--- a/gateway/src/test/java/shelffront/server/ReportTest.java
+++ b/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
@@ -1,22 +1,23 @@
-package shelffront.server;
+package shelffront.backend;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNull;
 
 import org.junit.Test;
-import shelffront.route.Router;
-import shelffront.route.Router.Load;
-import shelffront.route.Router.Role;
+import shelffront.routing.Router;
+import shelffront.routing.Router.LoadReport;
+import shelffront.routing.Router.Role;
 
 /** Guards against a position or a role taken from a report that is not one. */
-public class ReportTest {
+public class LoadReportParserTest {
 
   @Test
   public void readsPositionRoundedDownAndRole() {
     assertEquals(
-        new Load(1_767_225_600_123_456L, Role.REPLICA, -1, -1, -1),
-        Report.read("x0=1767225600.1234569,x1=0,queue=3"));
-    assertEquals(new Load(Router.UNKNOWN, Role.PRIMARY, -1, -1, -1), Report.read("x1=1"));
+        new LoadReport(1_767_225_600_123_456L, Role.REPLICA, -1, -1, -1),
+        LoadReportParser.read("x0=1767225600.1234569,x1=0,queue=3"));
+    assertEquals(
+        new LoadReport(Router.UNKNOWN, Role.PRIMARY, -1, -1, -1), LoadReportParser.read("x1=1"));
   }
 
   @Test
@@ -36,7 +37,7 @@
           "x0=1.2.3",
           "a".repeat(5000)
         }) {
-      assertNull(text, Report.read(text));
+      assertNull(text, LoadReportParser.read(text));
     }
   }
 
@@ -47,17 +48,21 @@
   @Test
   public void aReportOfZerosTellsNeitherPositionNorRole() {
     for (String text : new String[] {"x0=0.000,x1=0,backlog=0", "x0=0,x1=1", "x0=0.0"}) {
-      assertEquals(text, new Load(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1), Report.read(text));
+      assertEquals(
+          text,
+          new LoadReport(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1),
+          LoadReportParser.read(text));
     }
-    assertEquals(new Load(1_000_000L, Role.REPLICA, -1, -1, -1), Report.read("x0=1,x1=0"));
-    assertEquals(Router.UNKNOWN, Report.position("0"));
+    assertEquals(
+        new LoadReport(1_000_000L, Role.REPLICA, -1, -1, -1), LoadReportParser.read("x0=1,x1=0"));
+    assertEquals(Router.UNKNOWN, LoadReportParser.position("0"));
   }
 
   @Test
   public void positionsOnTheWireAreWholeMilliseconds() {
-    assertEquals(1_767_225_600_123_000L, Report.position("1767225600123"));
+    assertEquals(1_767_225_600_123_000L, LoadReportParser.position("1767225600123"));
     for (String text : new String[] {null, "", "-1", "1.5", "99999999999999999999", "x"}) {
-      assertEquals(Router.UNKNOWN, Report.position(text));
+      assertEquals(Router.UNKNOWN, LoadReportParser.position(text));
     }
   }
 }
--- a/gateway/src/test/java/shelffront/cli/CliTest.java
+++ b/gateway/src/test/java/shelffront/cli/CliTest.java
@@ -9,26 +9,26 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shelffront.hosted.HostedConfig;
-import shelffront.store.Store;
-import shelffront.store.Store.Kind;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.store.DocumentStore;
+import shelffront.store.DocumentStore.Kind;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 class CliTest {
 
   @TempDir private Path folder;
 
-  private HostedConfig read(String text) throws Exception {
+  private MultiTenantConfig read(String text) throws Exception {
     Path file = folder.resolve("c.jsonnet");
     Files.writeString(file, text);
-    return HostedConfig.read(Templates.evaluate(file));
+    return MultiTenantConfig.read(JsonnetTemplates.evaluate(file));
   }
 
   @Test
   void theTemplateThatIsGivenIsValid() throws Exception {
-    HostedConfig config =
-        HostedConfig.read(Templates.evaluate(Path.of("../deploy/shelffront.jsonnet")));
+    MultiTenantConfig config =
+        MultiTenantConfig.read(JsonnetTemplates.evaluate(Path.of("../deploy/shelffront.jsonnet")));
     assertEquals(1, config.tenants().size());
     assertEquals(0, Cli.run("config", "check", "../deploy/shelffront.jsonnet"));
     assertEquals(0, Cli.run("config", "check", "../deploy/fleet.jsonnet"));
@@ -39,12 +39,12 @@
   void aStoreIsExportedAndTakenInElsewhere() throws Exception {
     Path document = folder.resolve("export.json");
     Path copy = folder.resolve("copy.store");
-    try (Store store = Store.inMemory()) {
+    try (DocumentStore store = DocumentStore.inMemory()) {
       store.put(
           Kind.TENANT,
           "a",
           0,
-          SpecJson.parse(
+          TenantSpecCodec.parse(
               ("{\"id\":\"a\",\"boxes\":{\"list\":[]},\"classes\":"
                       + "[{\"name\":\"r\",\"giveUpMs\":10,\"read\":\"any\"}]}")
                   .getBytes()),
@@ -54,7 +54,7 @@
       Files.writeString(document, store.export().toString());
     }
     assertEquals(0, Cli.run("store", "import", copy.toString(), document.toString()));
-    try (Store store = Store.open(copy)) {
+    try (DocumentStore store = DocumentStore.open(copy)) {
       assertEquals("a", store.get(Kind.TENANT, "a").document().path("id").asText());
     }
     Files.writeString(
--- a/gateway/src/test/java/shelffront/fleetconfig/ChangeStoreTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/ChangeStoreTest.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
-import shelffront.distribution.Change;
+import shelffront.controlplane.ChangeStore.Head;
+import shelffront.controlplane.ChangeStore.RecordChanged;
+import shelffront.controlplane.DistributionException.EngineSteppedBack;
+import shelffront.coordination.InMemoryCoordinationStore;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.engine.MemoryEngine;
-import shelffront.fleetconfig.ChangeStore.Head;
-import shelffront.fleetconfig.ChangeStore.RecordChanged;
-import shelffront.fleetconfig.DistributionException.EngineSteppedBack;
 
 class ChangeStoreTest {
 
-  private final MemoryEngine engine = new MemoryEngine();
+  private final InMemoryCoordinationStore engine = new InMemoryCoordinationStore();
   private final ChangeStore store = new ChangeStore(engine, "f");
 
   private Version put(String name, long expected, String document) throws Exception {
@@ -46,7 +46,7 @@
     for (int i = 0; i < 70; i++) {
       put("b" + i, 0, "x");
     }
-    List<Change> missing = store.changes(head, store.head());
+    List<RecordChange> missing = store.changes(head, store.head());
     assertEquals(70, missing.size());
     assertEquals("b0", missing.get(0).name());
     assertEquals(71, missing.get(69).version().sequence());
@@ -105,7 +105,7 @@
     Version begun = store.beginIncarnation();
     assertTrue(seen.version().isBefore(begun));
     assertNull(store.changes(seen, store.head()), "all records have to be read");
-    Change record = store.readAll().snapshot().records().get(0);
+    RecordChange record = store.readAll().snapshot().records().get(0);
     assertEquals("one", record.document());
     assertTrue(
         seen.version().isBefore(record.version()),
--- a/gateway/src/test/java/shelffront/fleetconfig/DistributionTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
@@ -1,4 +1,4 @@
-package shelffront.fleetconfig;
+package shelffront.controlplane;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -24,38 +24,39 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shelffront.distribution.Change;
-import shelffront.distribution.Endpoint;
-import shelffront.distribution.EndpointChoice;
-import shelffront.distribution.Timings;
+import shelffront.coordination.InMemoryCoordinationStore;
+import shelffront.distribution.DistributionTimings;
+import shelffront.distribution.DistributorEndpoint;
+import shelffront.distribution.DistributorSelector;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.engine.MemoryEngine;
 
 /** Engine, distributors and gateways' records in one process, over loopback. */
 class DistributionTest {
 
   /** As the standard ones, a tenth as long. */
-  private static final Timings QUICK = new Timings(150_000, 500_000, 40_000, 500_000, 50_000);
+  private static final DistributionTimings QUICK =
+      new DistributionTimings(150_000, 500_000, 40_000, 500_000, 50_000);
 
   private static final Duration MOST = Duration.ofSeconds(20);
 
   @TempDir private Path directory;
 
-  private final MemoryEngine engine = new MemoryEngine();
+  private final InMemoryCoordinationStore engine = new InMemoryCoordinationStore();
   private final ChangeStore store = new ChangeStore(engine, "f");
-  private final ScheduledThreadPoolExecutor timer = DistributorRole.timer(4, "test-timer");
+  private final ScheduledThreadPoolExecutor timer = DistributorProcess.timer(4, "test-timer");
   private final ExecutorService answers = Executors.newFixedThreadPool(8);
-  private final HttpClient http = FleetRecords.httpClient(QUICK);
+  private final HttpClient http = SubscribedRecords.httpClient(QUICK);
   private final List<AutoCloseable> open = new ArrayList<>();
   private final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
 
   /** What a gateway has in force. */
-  private static final class Force implements FleetRecords.Target {
+  private static final class Force implements SubscribedRecords.Target {
 
     private final Map<String, String> documents = new ConcurrentHashMap<>();
 
     @Override
-    public String put(Change record) {
+    public String put(RecordChange record) {
       if (record.document().startsWith("bad")) {
         return "it is bad";
       }
@@ -76,7 +77,7 @@
     return System.nanoTime() / 1000;
   }
 
-  private DistributionServer distributor(int port, Endpoint upstream) throws Exception {
+  private DistributionServer distributor(int port, DistributorEndpoint upstream) throws Exception {
     Distributor distributor = new Distributor(timer, answers, DistributionTest::clock);
     DistributionServer server =
         new DistributionServer(
@@ -96,7 +97,7 @@
               "d",
               new UpstreamFollower("d", distributor),
               http,
-              new EndpointChoice("d", "", "", List.of(upstream), 0, new Random(1)),
+              new DistributorSelector("d", "", "", List.of(upstream), 0, new Random(1)),
               QUICK,
               2_000_000,
               timer,
@@ -110,16 +111,17 @@
     return server;
   }
 
-  private static Endpoint endpoint(DistributionServer server) {
-    return new Endpoint("127.0.0.1:" + server.address().getPort(), "", "");
+  private static DistributorEndpoint endpoint(DistributionServer server) {
+    return new DistributorEndpoint("127.0.0.1:" + server.address().getPort(), "", "");
   }
 
-  private FleetRecords gateway(String name, Force force, Path file, Endpoint... distributors) {
-    FleetRecordsConfig config =
-        new FleetRecordsConfig(
+  private SubscribedRecords gateway(
+      String name, Force force, Path file, DistributorEndpoint... distributors) {
+    SubscribedRecordsConfig config =
+        new SubscribedRecordsConfig(
             name, "f", "", "", List.of(distributors), null, file, QUICK, 2_000_000, 4_000_000);
-    FleetRecords records =
-        new FleetRecords(
+    SubscribedRecords records =
+        new SubscribedRecords(
             config,
             force,
             http,
@@ -142,7 +144,7 @@
   }
 
   /** Asks again where nobody could tell in time: the distributor may have started just now. */
-  private static boolean found(FleetRecords records, String name) {
+  private static boolean found(SubscribedRecords records, String name) {
     AtomicBoolean found = new AtomicBoolean();
     await()
         .atMost(MOST)
@@ -159,10 +161,10 @@
   void aChangeComesThroughTwoDistributorsToWhoFollowsItAlone() throws Exception {
     store.write("a", 0, "one", Version.NONE);
     store.write("b", 0, "two", Version.NONE);
-    Endpoint region = endpoint(distributor(0, null));
-    Endpoint zone = endpoint(distributor(0, region));
+    DistributorEndpoint region = endpoint(distributor(0, null));
+    DistributorEndpoint zone = endpoint(distributor(0, region));
     Force force = new Force();
-    FleetRecords gateway = gateway("g", force, null, zone);
+    SubscribedRecords gateway = gateway("g", force, null, zone);
     assertTrue(found(gateway, "a"));
     assertEquals(Map.of("a", "one"), force.documents);
     store.write("a", 1, "three", Version.NONE);
@@ -176,9 +178,9 @@
   @Test
   void namesThatNobodyHasAreAskedForOnceInAWhileAndFoundOnceTheyAreMade() throws Exception {
     store.write("a", 0, "one", Version.NONE);
-    Endpoint region = endpoint(distributor(0, null));
+    DistributorEndpoint region = endpoint(distributor(0, null));
     Force force = new Force();
-    FleetRecords gateway = gateway("g", force, null, region);
+    SubscribedRecords gateway = gateway("g", force, null, region);
     assertFalse(found(gateway, "nobody"));
     store.write("nobody", 0, "somebody", Version.NONE);
     await().atMost(MOST).until(() -> found(gateway, "nobody"));
@@ -190,7 +192,7 @@
     store.write("a", 0, "one", Version.NONE);
     store.write("b", 0, "other", Version.NONE);
     Force force = new Force();
-    FleetRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
+    SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
     assertTrue(found(gateway, "a"));
     gateway.forget("a");
     assertEquals(Map.of(), force.documents);
@@ -204,8 +206,9 @@
   /** While no distributor answers, names that are asked for must not pile up without bound. */
   @Test
   void aFloodOfNamesStopsAtTheGatewayWhileNobodyAnswers() {
-    FleetRecords gateway = gateway("g", new Force(), null, new Endpoint("127.0.0.1:9", "", ""));
-    for (int i = 0; i < FleetRecords.MOST_LOOKUPS; i++) {
+    SubscribedRecords gateway =
+        gateway("g", new Force(), null, new DistributorEndpoint("127.0.0.1:9", "", ""));
+    for (int i = 0; i < SubscribedRecords.MOST_LOOKUPS; i++) {
       assertFalse(gateway.lookUp("n" + i).isDone());
     }
     assertTrue(gateway.lookUp("one more").isCompletedExceptionally());
@@ -217,7 +220,7 @@
   void aRecordThatIsNotValidLeavesTheOneBeforeAndIsReported() throws Exception {
     store.write("a", 0, "one", Version.NONE);
     Force force = new Force();
-    FleetRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
+    SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
     assertTrue(found(gateway, "a"));
     store.write("a", 1, "bad", Version.NONE);
     await().atMost(MOST).until(() -> gateway.status().rejected().containsKey("a"));
@@ -240,7 +243,7 @@
     DistributionServer first = distributor(0, null);
     DistributionServer second = distributor(0, null);
     Force force = new Force();
-    FleetRecords gateway = gateway("g", force, null, endpoint(first), endpoint(second));
+    SubscribedRecords gateway = gateway("g", force, null, endpoint(first), endpoint(second));
     assertTrue(found(gateway, "a"));
     DistributionServer followed =
         gateway.status().following().equals(endpoint(first).address()) ? first : second;
@@ -261,7 +264,7 @@
     store.write("a", 0, "one", Version.NONE);
     DistributionServer server = distributor(0, null);
     Path file = directory.resolve("kept.json");
-    FleetRecords before = gateway("g", new Force(), file, endpoint(server));
+    SubscribedRecords before = gateway("g", new Force(), file, endpoint(server));
     assertTrue(found(before, "a"));
     before.close();
     server.close();
@@ -282,7 +285,7 @@
     store.write("a", 0, "one", Version.NONE);
     var kept = engine.keep();
     Force force = new Force();
-    FleetRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
+    SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
     assertTrue(found(gateway, "a"));
     store.write("a", 1, "two", Version.NONE);
     await().atMost(MOST).until(() -> "two".equals(force.documents.get("a")));
--- a/gateway/src/test/java/shelffront/engine/MemoryEngine.java
+++ b/gateway/src/test/java/shelffront/coordination/InMemoryCoordinationStore.java
@@ -1,10 +1,10 @@
-package shelffront.engine;
+package shelffront.coordination;
 
 import java.util.List;
 import java.util.TreeMap;
 
 /** Keys in memory; all of the interface's promises in one lock. */
-public final class MemoryEngine implements Engine {
+public final class InMemoryCoordinationStore implements CoordinationStore {
 
   private final TreeMap<String, Value> values = new TreeMap<>();
   private long index = 1;
--- a/gateway/src/test/java/shelffront/gateway/BrokenAnswerTest.java
+++ b/gateway/src/test/java/shelffront/gateway/BrokenAnswerTest.java
@@ -26,18 +26,18 @@
           + " \"D\"{0001(00FF27)} \"C\"{\"SELECT 1\"00}";
   private static final String READY = "\"Z\"{\"I\"}";
   private static final byte[] WHOLE =
-      PlayRunner.bytes(ROW + " \"S\"{\"server_role\"00\"writer\"00} " + READY);
+      RecordedExchangeRunner.bytes(ROW + " \"S\"{\"server_role\"00\"writer\"00} " + READY);
 
   /** Where the host has said how the request ended, and stops at the end of a message. */
   private static final Set<Integer> SAID =
       Set.of(
-          PlayRunner.bytes(ROW).length,
-          WHOLE.length - PlayRunner.bytes(READY).length,
+          RecordedExchangeRunner.bytes(ROW).length,
+          WHOLE.length - RecordedExchangeRunner.bytes(READY).length,
           WHOLE.length);
 
-  private static final byte[] ADMIT = PlayRunner.bytes("\"R\"{00000000} " + READY);
+  private static final byte[] ADMIT = RecordedExchangeRunner.bytes("\"R\"{00000000} " + READY);
   private static final byte[] REPORT =
-      PlayRunner.bytes(
+      RecordedExchangeRunner.bytes(
           "\"T\"{0001\"usage\"00 00000000000000000019FFFFFFFFFFFF0000}"
               + " \"D\"{0001(\"x0=1800000000.000,x1=1,queue=0\")} \"C\"{\"SHOW\"00} "
               + READY);
@@ -110,7 +110,7 @@
 
   /** Plays a request whose first answer breaks off; gives how often it reached the host. */
   private static int play(String effect, int cut, boolean reset, String answer) throws Exception {
-    try (PlayRunner runner = new PlayRunner()) {
+    try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
       Host host = new Host(cut, reset);
       String name = effect + " cut after " + cut + (reset ? " by a reset" : "");
       runner.play(name, List.of("set \"by_key\" \"" + effect + "\"", "include start"));
@@ -147,7 +147,7 @@
     }
     // A reset may destroy what was written before it, so only what was never whole is sure to have
     // failed.
-    for (int cut = 0; cut < PlayRunner.bytes(ROW).length; cut++) {
+    for (int cut = 0; cut < RecordedExchangeRunner.bytes(ROW).length; cut++) {
       assertEquals("reset after " + cut, 1, play("once", cut, true, failed));
     }
   }
--- a/gateway/src/test/java/shelffront/gateway/DiscoveryClockTest.java
+++ b/gateway/src/test/java/shelffront/gateway/DiscoveryClockTest.java
@@ -91,7 +91,7 @@
   private static void holds(String mode) throws Exception {
     for (String often : FAULTS.keySet()) {
       for (String last : FAULTS.keySet()) {
-        try (PlayRunner runner = new PlayRunner()) {
+        try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
           runner.play(
               mode + ", four times " + often + ", then " + last,
               play(mode, List.of(often, often, often, often, last)));
--- a/gateway/src/test/java/shelffront/gateway/WatchedChannels.java
+++ b/gateway/src/test/java/shelffront/gateway/ObservedChannels.java
@@ -18,7 +18,7 @@
  * The machine's sockets, with a count of what has become of each call once its result stands in the
  * loop's queue. A play that goes on earlier would depend on the race between the system's threads.
  */
-final class WatchedChannels implements Channels {
+final class ObservedChannels implements Channels {
 
   /** Bytes that were read, ends of peers that were read, connections accepted. */
   final AtomicLong bytes = new AtomicLong();
@@ -31,7 +31,7 @@
 
   private final Channels sockets;
 
-  WatchedChannels() throws IOException {
+  ObservedChannels() throws IOException {
     sockets = Channels.sockets(1);
   }
 
--- a/gateway/src/test/java/shelffront/gateway/PlayRunner.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
@@ -25,22 +25,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
+import shelffront.config.EndpointList;
 import shelffront.config.GatewayConfig;
-import shelffront.config.Json;
-import shelffront.config.MemberList;
-import shelffront.config.SettingsReader;
-import shelffront.net.Budget;
+import shelffront.config.JsonReader;
+import shelffront.config.RoutingSettingsCodec;
 import shelffront.net.Counters;
+import shelffront.net.EventLog;
 import shelffront.net.EventLoop;
-import shelffront.net.Log;
 import shelffront.net.Network;
+import shelffront.net.ResourceBudget;
 
 /**
  * Plays the steps of a recorded exchange against a gateway in this process, on sockets with ports
  * of the system's choice. Time is the play's own; the only real limit is the one after which a
  * missing byte counts as missing.
  */
-final class PlayRunner implements AutoCloseable {
+final class RecordedExchangeRunner implements AutoCloseable {
 
   static final Path PLAYS = Path.of("src/test/resources/plays");
   private static final Path EXAMPLE = Path.of("../docs/example-config.json");
@@ -56,7 +56,7 @@
   private final Path file;
   private String example;
   private Gateway gateway;
-  private Reload reload;
+  private ConfigReload reload;
   private Thread turns;
 
   /** Holds that were asked for and not reached yet, in their order. */
@@ -64,13 +64,13 @@
 
   private final BlockingQueue<CountDownLatch> reached = new ArrayBlockingQueue<>(100);
   private CountDownLatch held; // where the loop stands still
-  private final WatchedChannels channels = new WatchedChannels();
+  private final ObservedChannels channels = new ObservedChannels();
   private long opened; // connections to the gateway
   private long ended; // ends of connections since the loop was held
   private long endsBefore;
   private long written;
 
-  PlayRunner() throws IOException {
+  RecordedExchangeRunner() throws IOException {
     file = Files.createTempFile("play", ".json");
     example = Files.readString(EXAMPLE);
   }
@@ -218,12 +218,12 @@
             7,
             Integer.parseInt(given.getOrDefault("@sockets", "1024")),
             100,
-            SettingsReader.read((Map<?, ?>) Json.object(example).get("settings")),
-            MemberList.read(Json.object(known)));
-    Log lines = line -> log.add(line.toString());
-    Network network = Network.open(loop, channels, new Budget(1 << 20), counters, lines);
+            RoutingSettingsCodec.read((Map<?, ?>) JsonReader.object(example).get("settings")),
+            EndpointList.read(JsonReader.object(known)));
+    EventLog lines = line -> log.add(line.toString());
+    Network network = Network.open(loop, channels, new ResourceBudget(1 << 20), counters, lines);
     gateway = new Gateway(network, config);
-    reload = new Reload(network, gateway, Map.of("BALANCER_CONFIG", file.toString()));
+    reload = new ConfigReload(network, gateway, Map.of("BALANCER_CONFIG", file.toString()));
     gateway.start();
     turns =
         new Thread(
--- a/gateway/src/test/java/shelffront/gateway/PlayTest.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
@@ -12,17 +12,17 @@
 
 /** Every recorded exchange of src/test/resources/plays, byte for byte. */
 @RunWith(Parameterized.class)
-public class PlayTest {
+public class RecordedExchangeTest {
 
   private final Path play;
 
-  public PlayTest(String name, Path play) {
+  public RecordedExchangeTest(String name, Path play) {
     this.play = play;
   }
 
   @Parameters(name = "{0}")
   public static List<Object[]> plays() throws IOException {
-    try (Stream<Path> files = Files.list(PlayRunner.PLAYS)) {
+    try (Stream<Path> files = Files.list(RecordedExchangeRunner.PLAYS)) {
       return files
           .filter(f -> f.toString().endsWith(".play"))
           .sorted()
@@ -33,7 +33,7 @@
 
   @Test
   public void goesAsRecorded() throws Exception {
-    try (PlayRunner runner = new PlayRunner()) {
+    try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
       runner.play(play);
     }
   }
--- a/gateway/src/test/java/shelffront/net/QueuedLogTest.java
+++ b/gateway/src/test/java/shelffront/net/AsyncEventLogTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class QueuedLogTest {
+class AsyncEventLogTest {
 
   /** A reader that takes nothing until it is told to. */
   private static final class Stalled extends OutputStream {
@@ -44,7 +44,7 @@
   @Test
   void aReaderThatStallsHoldsUpNobodyAndLostLinesAreCounted() throws Exception {
     Stalled reader = new Stalled();
-    QueuedLog log = new QueuedLog(new PrintStream(reader));
+    AsyncEventLog log = new AsyncEventLog(new PrintStream(reader));
     log.println("first");
     assertTrue(reader.taken.await(20, TimeUnit.SECONDS));
     for (int i = 0; i < 10_000; i++) {
--- a/gateway/src/test/java/shelffront/stages/StagesTest.java
+++ b/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
@@ -1,4 +1,4 @@
-package shelffront.stages;
+package shelffront.rolloutcontrol;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,17 +16,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import shelffront.engine.EngineException;
-import shelffront.engine.MemoryEngine;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.coordination.CoordinationException;
+import shelffront.coordination.InMemoryCoordinationStore;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /** One gateway's stages on an engine in memory, its settings, and the page of its errors. */
-class StagesTest {
+class RolloutCoordinatorTest {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private static StagesConfig config(String more) throws Exception {
-    return StagesConfig.read(
+  private static RolloutConfig config(String more) throws Exception {
+    return RolloutConfig.read(
         JSON.readTree(
             "{\"engine\":\"127.0.0.1:1\",\"fleet\":\"f\",\"name\":\"g\","
                 + "\"subjects\":{\"s\":[\"one\",\"two\",\"three\"]}"
@@ -52,19 +52,19 @@
   @Test
   void anActHoldsUpTheMoveAfterTheNextUntilItEnds() throws Exception {
     BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    MemoryEngine memory = new MemoryEngine();
-    try (Stages stages =
-        new Stages(
+    InMemoryCoordinationStore memory = new InMemoryCoordinationStore();
+    try (RolloutCoordinator stages =
+        new RolloutCoordinator(
             config(",\"leaseMs\":600000"),
             memory,
             "1",
-            History.to(null),
+            RolloutHistory.to(null),
             line -> log.add(String.valueOf(line)))) {
       assertNull(stages.inForce("s"), "the safe stage until it has joined");
       assertNull(stages.begin("s"));
       stages.start();
       awaitLine(log, "stage of s is one");
-      Stages.Act act = stages.begin("s");
+      RolloutCoordinator.Act act = stages.begin("s");
       assertEquals(1, act.under().epoch());
       stages.target("s", "three");
       awaitLine(log, "stage of s is two");
@@ -80,9 +80,9 @@
       act.close();
       act.close();
       awaitLine(log, "stage of s is three");
-      assertThrows(StageException.UnknownStage.class, () -> stages.target("s", "nine"));
-      assertThrows(StageException.UnknownSubject.class, () -> stages.inForce("t"));
-      assertThrows(StageException.UnknownSubject.class, () -> stages.show("t"));
+      assertThrows(RolloutException.UnknownStage.class, () -> stages.target("s", "nine"));
+      assertThrows(RolloutException.UnknownSubject.class, () -> stages.inForce("t"));
+      assertThrows(RolloutException.UnknownSubject.class, () -> stages.show("t"));
       assertEquals(1, stages.show(null).size());
     }
     assertTrue(
@@ -93,11 +93,15 @@
   @Test
   void whatStandsInTheEngineAndCantBeReadIsSaid() throws Exception {
     BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    MemoryEngine memory = new MemoryEngine();
+    InMemoryCoordinationStore memory = new InMemoryCoordinationStore();
     memory.put("shelffront/f/standing/s", 0, "{\"epoch\":1,\"stage\":\"five\",\"target\":\"one\"}");
-    try (Stages stages =
-        new Stages(
-            config(""), memory, "1", History.to(null), line -> log.add(String.valueOf(line)))) {
+    try (RolloutCoordinator stages =
+        new RolloutCoordinator(
+            config(""),
+            memory,
+            "1",
+            RolloutHistory.to(null),
+            line -> log.add(String.valueOf(line)))) {
       stages.start();
       awaitLine(log, "engine-garbled");
       assertNull(stages.inForce("s"));
@@ -130,8 +134,9 @@
   @Test
   void theOperatorsPageNamesEveryError() throws Exception {
     String page = Files.readString(Path.of("../docs/operators/fleet-changes.md"));
-    List<Class<?>> kinds = new ArrayList<>(List.of(StageException.class.getPermittedSubclasses()));
-    kinds.addAll(List.of(EngineException.class.getPermittedSubclasses()));
+    List<Class<?>> kinds =
+        new ArrayList<>(List.of(RolloutException.class.getPermittedSubclasses()));
+    kinds.addAll(List.of(CoordinationException.class.getPermittedSubclasses()));
     assertEquals(7, kinds.size());
     for (Class<?> kind : kinds) {
       String code =
--- a/gateway/src/test/java/shelffront/benchlink/AdapterIT.java
+++ b/gateway/src/test/java/shelffront/simulator/SimulatorAdapterIT.java
@@ -1,4 +1,4 @@
-package shelffront.benchlink;
+package shelffront.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The built jar over a short exchange written by hand. */
-class AdapterIT {
+class SimulatorAdapterIT {
 
   private static final String FACTS =
       """
--- a/gateway/src/test/java/shelffront/benchlink/WirePlayTest.java
+++ b/gateway/src/test/java/shelffront/simulator/SimulatorExchangeTest.java
@@ -1,4 +1,4 @@
-package shelffront.benchlink;
+package shelffront.simulator;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static java.util.stream.Collectors.joining;
@@ -15,12 +15,12 @@
  * Recorded batches of the simulator's wire: lines with {@code >} go in, those with {@code <} must
  * come out.
  */
-public class WirePlayTest {
+public class SimulatorExchangeTest {
 
   private static void play(String name) throws Exception {
     List<String> lines = Files.readAllLines(Path.of("src/test/resources/wires", name));
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new Wire(new ByteArrayInputStream(marked(lines, "> ").getBytes(UTF_8)), out).run();
+    new SimulatorAdapter(new ByteArrayInputStream(marked(lines, "> ").getBytes(UTF_8)), out).run();
     assertEquals(marked(lines, "< "), out.toString(UTF_8));
   }
 
--- a/gateway/src/test/java/shelffront/store/StoreTest.java
+++ b/gateway/src/test/java/shelffront/store/DocumentStoreTest.java
@@ -18,10 +18,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shelffront.store.Store.ConflictException;
-import shelffront.store.Store.Kind;
+import shelffront.store.DocumentStore.ConflictException;
+import shelffront.store.DocumentStore.Kind;
 
-class StoreTest {
+class DocumentStoreTest {
 
   private static final int KILLS = 50;
 
@@ -40,10 +40,10 @@
     private Writer() {}
 
     public static void main(String[] arguments) throws Exception {
-      try (Store store = Store.open(Path.of(arguments[0]))) {
+      try (DocumentStore store = DocumentStore.open(Path.of(arguments[0]))) {
         for (int n = (int) store.revision() + 1; ; n++) {
           String name = "t" + n % 2;
-          Store.Entry before = store.get(Kind.TENANT, name);
+          DocumentStore.Entry before = store.get(Kind.TENANT, name);
           long revision =
               store.put(
                   Kind.TENANT,
@@ -90,11 +90,11 @@
         }
       }
       assertTrue(writer.waitFor(30, TimeUnit.SECONDS));
-      try (Store store = Store.open(file)) {
+      try (DocumentStore store = DocumentStore.open(file)) {
         long last = store.revision();
         assertTrue(last >= answered, "answered up to " + answered + ", kept up to " + last);
         for (int back = 0; back < Math.min(2, last); back++) {
-          Store.Entry entry = store.get(Kind.TENANT, "t" + (last - back) % 2);
+          DocumentStore.Entry entry = store.get(Kind.TENANT, "t" + (last - back) % 2);
           assertEquals(last - back, entry.revision());
           assertEquals(document((int) (last - back)), entry.document(), "no half change");
         }
@@ -105,7 +105,7 @@
 
   @Test
   void aChangeForAnotherRevisionIsRefusedWithThePresentState() throws Exception {
-    try (Store store = Store.inMemory()) {
+    try (DocumentStore store = DocumentStore.inMemory()) {
       long first = store.put(Kind.TENANT, "a", 0, document(1), "x", "create", 5);
       assertEquals(1, first);
       ConflictException late =
@@ -120,7 +120,7 @@
           () -> store.put(Kind.TENANT, "a", 1, document(3), "y", "change", 8));
       assertEquals(
           List.of("create", "remove"),
-          store.audits(0, 10).stream().map(Store.Audit::what).toList());
+          store.audits(0, 10).stream().map(DocumentStore.Audit::what).toList());
       assertEquals(1, store.audits(1, 10).get(0).before());
     }
   }
@@ -130,7 +130,7 @@
     Path file = folder.resolve("other");
     byte[] text = "this is no store\n".repeat(1000).getBytes();
     Files.write(file, text);
-    IOException refused = assertThrows(IOException.class, () -> Store.open(file));
+    IOException refused = assertThrows(IOException.class, () -> DocumentStore.open(file));
     assertTrue(refused.getMessage().startsWith(file.toString()), refused.getMessage());
     assertArrayEquals(text, Files.readAllBytes(file));
   }
@@ -142,7 +142,7 @@
   @Test
   void aFileCutAtAnyLengthOpensAtAWholeChangeOrIsLeftUntouched() throws Exception {
     Path file = folder.resolve("whole");
-    try (Store store = Store.open(file)) {
+    try (DocumentStore store = DocumentStore.open(file)) {
       for (int n = 1; n <= 30; n++) {
         store.put(Kind.TENANT, "t" + n % 2, n <= 2 ? 0 : n - 2, document(n), "x", "change", n);
       }
@@ -153,7 +153,7 @@
       Path cut = folder.resolve("cut" + length);
       byte[] part = Arrays.copyOf(whole, length);
       Files.write(cut, part);
-      try (Store store = Store.open(cut)) {
+      try (DocumentStore store = DocumentStore.open(cut)) {
         opened++;
         long last = store.revision();
         if (last > 0) {
@@ -168,8 +168,8 @@
 
   @Test
   void anExportIsTakenInWhole() throws Exception {
-    try (Store one = Store.inMemory();
-        Store two = Store.inMemory()) {
+    try (DocumentStore one = DocumentStore.inMemory();
+        DocumentStore two = DocumentStore.inMemory()) {
       one.put(Kind.TENANT, "a", 0, document(1), "x", "create", 5);
       one.put(Kind.TOKEN, "b", 0, document(2), "x", "create", 5);
       two.put(Kind.TENANT, "a", 0, document(9), "x", "create", 5);
--- a/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
+++ b/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
@@ -12,19 +12,19 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import shelffront.client.Clients;
-import shelffront.exchange.Exchange;
-import shelffront.net.Budget;
+import shelffront.frontend.FrontendConnections;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
 import shelffront.net.EventLoop;
 import shelffront.net.Network;
+import shelffront.net.ResourceBudget;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
-import shelffront.route.Router;
-import shelffront.share.DeficitRoundRobin.Flow;
-import shelffront.share.Holdings;
-import shelffront.share.Shares;
+import shelffront.quota.ConnectionQuotas;
+import shelffront.quota.DeficitRoundRobin.Flow;
+import shelffront.quota.TenantQuotas;
+import shelffront.request.ClientRequest;
+import shelffront.routing.Router;
 
 /** A tenant without boxes, on a clock of the test's: when it sleeps and when it must not. */
 class TenantSleepTest {
@@ -38,8 +38,8 @@
   private Tenant tenant;
   private Thread turns;
 
-  private final Clients.Client client =
-      new Clients.Client() {
+  private final FrontendConnections.Client client =
+      new FrontendConnections.Client() {
         @Override
         public boolean isIdle() {
           return true;
@@ -51,8 +51,8 @@
         }
       };
 
-  private final Exchange.Asker asker =
-      new Exchange.Asker() {
+  private final ClientRequest.ResponseListener asker =
+      new ClientRequest.ResponseListener() {
         @Override
         public void served(byte[] messages) {
           answers.add("served");
@@ -76,10 +76,10 @@
 
   @BeforeEach
   void start() throws Exception {
-    network = Network.open(loop, new Budget(1 << 24), new Counters(), line -> {});
+    network = Network.open(loop, new ResourceBudget(1 << 24), new Counters(), line -> {});
     TenantSpec spec =
-        SpecJson.read(
-            SpecJson.parse(
+        TenantSpecCodec.read(
+            TenantSpecCodec.parse(
                 """
                 {"id": "airport", "boxes": {"list": []}, "graceMs": 2000,
                  "classes": [{"name": "read", "giveUpMs": 100000, "read": "session"}]}
@@ -90,8 +90,8 @@
             network.of("airport", new Flow<>(1), 1 << 20),
             spec,
             7,
-            new Holdings(10),
-            new Shares(0, 10, loop.now()));
+            new ConnectionQuotas(10),
+            new TenantQuotas(0, 10, loop.now()));
     turns =
         new Thread(
             () -> {
@@ -137,7 +137,7 @@
               ("/* id=" + id + ",c=read,d=1,cluster=1 */ SELECT 1")
                   .getBytes(StandardCharsets.UTF_8));
       tenant.take(
-          new Exchange(id, statement, 0, loop.now() + seconds * SECOND, asker),
+          new ClientRequest(id, statement, 0, loop.now() + seconds * SECOND, asker),
           "k",
           1,
           Router.UNKNOWN,
--- a/lab/src/main/java/shelffront/lab/Demo.java
+++ b/lab/src/main/java/shelffront/lab/Demo.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import shelffront.hosted.Hosted;
-import shelffront.hosted.HostedConfig;
-import shelffront.lab.load.Load;
-import shelffront.lab.standin.StandInSet;
-import shelffront.tenant.SpecJson;
+import shelffront.lab.emulator.EmulatedReplicaSet;
+import shelffront.lab.load.OpenLoopLoad;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
+import shelffront.tenant.TenantSpecCodec;
 
 /** A gateway on loopback with a set of stand-in boxes and a sample tenant, to look at. */
 @Command(
@@ -43,14 +43,15 @@
 
   @Override
   public Integer call() throws Exception {
-    try (StandInSet set = new StandInSet("sample", 2, 4, 5, 10)) {
+    try (EmulatedReplicaSet set = new EmulatedReplicaSet("sample", 2, 4, 5, 10)) {
       ObjectNode config =
-          SpecJson.JSON
+          TenantSpecCodec.JSON
               .createObjectNode()
               .put("listen", "127.0.0.1:" + port)
               .put("admin", "127.0.0.1:" + adminPort);
       config.putArray("tenants").add(sample(set));
-      Hosted hosted = new Hosted(HostedConfig.read(config), System.out::println);
+      MultiTenantGateway hosted =
+          new MultiTenantGateway(MultiTenantConfig.read(config), System.out::println);
       Thread turns = hosted.start();
       InetSocketAddress clients =
           new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort());
@@ -67,13 +68,13 @@
               + "' http://"
               + admin
               + "/v1/tenants/sample/usage");
-      Load.Result result =
-          Load.run(
+      OpenLoopLoad.Result result =
+          OpenLoopLoad.run(
               clients,
               "sample",
               null,
-              List.of(new Load.Kind("read", false, 200, 1000)),
-              Load.Habits.PLAIN,
+              List.of(new OpenLoopLoad.Kind("read", false, 200, 1000)),
+              OpenLoopLoad.Habits.PLAIN,
               20,
               4,
               Math.min(5, seconds));
@@ -87,8 +88,8 @@
     }
   }
 
-  private static JsonNode sample(StandInSet set) {
-    ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", "sample");
+  private static JsonNode sample(EmulatedReplicaSet set) {
+    ObjectNode tenant = TenantSpecCodec.JSON.createObjectNode().put("id", "sample");
     ArrayNode classes = tenant.putArray("classes");
     classes
         .addObject()
@@ -105,7 +106,7 @@
         .put("effect", "keyed")
         .put("windowMs", 2000);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
-    for (StandInSet.Box box : set.boxes()) {
+    for (EmulatedReplicaSet.Box box : set.boxes()) {
       list.addObject()
           .put("id", box.id())
           .put("address", box.address())
--- a/lab/src/main/java/shelffront/lab/Explore.java
+++ b/lab/src/main/java/shelffront/lab/Explore.java
@@ -13,10 +13,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import shelffront.lab.world.Fleet;
-import shelffront.lab.world.Scenario;
-import shelffront.lab.world.Shrinker;
-import shelffront.lab.world.Shrinker.Cut;
+import shelffront.lab.simulation.FleetSimulation;
+import shelffront.lab.simulation.Scenario;
+import shelffront.lab.simulation.ScenarioShrinker;
+import shelffront.lab.simulation.ScenarioShrinker.Cut;
 
 /** Plays scenarios drawn from seeds in virtual time, until a rule breaks or all are played. */
 @Command(
@@ -50,7 +50,7 @@
   @Option(names = "--no-shrink", description = "print failing seeds as they are")
   private boolean noShrink;
 
-  private record Failed(long seed, Fleet.Result result) {}
+  private record Failed(long seed, FleetSimulation.Result result) {}
 
   @Override
   public Integer call() throws Exception {
@@ -71,7 +71,7 @@
                   return null;
                 }
                 Scenario scenario = Scenario.draw(seed);
-                Fleet.Result result = Fleet.play(scenario);
+                FleetSimulation.Result result = FleetSimulation.play(scenario);
                 requests.addAndGet(result.requests());
                 events.addAndGet(result.events());
                 simulated.addAndGet(scenario.length());
@@ -109,9 +109,10 @@
     for (Failed f : failures.subList(0, Math.min(10, failures.size()))) {
       Cut cut =
           noShrink
-              ? Shrinker.whole(f.seed())
-              : Shrinker.shrink(f.seed(), s -> Fleet.play(s).violationCount() > 0);
-      Fleet.Result least = Fleet.play(cut.of(f.seed()));
+              ? ScenarioShrinker.whole(f.seed())
+              : ScenarioShrinker.shrink(
+                  f.seed(), s -> FleetSimulation.play(s).violationCount() > 0);
+      FleetSimulation.Result least = FleetSimulation.play(cut.of(f.seed()));
       System.out.println("seed " + f.seed() + ": " + least.violations().get(0));
       System.out.println("    " + cut.command(f.seed()));
     }
@@ -151,7 +152,7 @@
 
     @Override
     public Integer call() {
-      Cut whole = Shrinker.whole(seed);
+      Cut whole = ScenarioShrinker.whole(seed);
       List<Integer> kept = new ArrayList<>();
       if (faults != null && !faults.equals("none")) {
         for (String each : faults.split(",")) {
@@ -160,10 +161,10 @@
       }
       Scenario scenario =
           new Cut(faults == null ? whole.faults() : kept, rate, (long) (seconds * 1e6)).of(seed);
-      Fleet.Result result =
-          Fleet.play(
+      FleetSimulation.Result result =
+          FleetSimulation.play(
               scenario,
-              Fleet.Start::asItIs,
+              FleetSimulation.Start::asItIs,
               line -> {
                 if (trace) {
                   System.out.println(line);
--- a/lab/src/main/java/shelffront/lab/Idle.java
+++ b/lab/src/main/java/shelffront/lab/Idle.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import shelffront.hosted.Hosted;
-import shelffront.hosted.HostedConfig;
-import shelffront.lab.load.Relay;
+import shelffront.lab.load.TransparentProxy;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
 import shelffront.pg.Message;
-import shelffront.tenant.SpecJson;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * What a connection that asks nothing costs the heap: at the gateway, and at a relay that does
@@ -111,18 +111,18 @@
     }
     double relayed;
     try (Sink sink = new Sink();
-        Relay relay = new Relay(sink.address())) {
+        TransparentProxy relay = new TransparentProxy(sink.address())) {
       relayed = each(relay.address(), connections, false, () -> sink.await(connections)) - pair;
     }
     ObjectNode config =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("listen", "127.0.0.1:0")
             .put("sockets", 2 * connections + 200);
     ObjectNode tenant = Scale.tenant("t0", 1);
     tenant.with("limits").put("clientConnections", connections + 10);
     config.putArray("tenants").add(tenant);
-    Hosted hosted = new Hosted(HostedConfig.read(config), line -> {});
+    MultiTenantGateway hosted = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
     Thread turns = hosted.start();
     double served =
         each(
--- a/lab/src/main/java/shelffront/lab/LabMain.java
+++ b/lab/src/main/java/shelffront/lab/LabMain.java
@@ -11,18 +11,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import shelffront.cli.Templates;
+import shelffront.cli.JsonnetTemplates;
 import shelffront.lab.experiment.Experiment;
 import shelffront.lab.experiment.VirtualExperiment;
-import shelffront.lab.fleet.DistributionExplore;
-import shelffront.lab.fleet.FleetScale;
-import shelffront.lab.fleet.FleetScaleReport;
-import shelffront.lab.fleet.GatewayCost;
-import shelffront.lab.fleet.HollowGateways;
-import shelffront.lab.fleet.StageCost;
-import shelffront.lab.rig.ConsulStandIn;
-import shelffront.lab.rig.StageExplore;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.lab.faultinjection.ConsulEmulator;
+import shelffront.lab.faultinjection.RolloutExplore;
+import shelffront.lab.scale.DistributionExplore;
+import shelffront.lab.scale.FleetScale;
+import shelffront.lab.scale.FleetScaleReport;
+import shelffront.lab.scale.GatewayCost;
+import shelffront.lab.scale.HollowGateways;
+import shelffront.lab.scale.RolloutCost;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /** The lab's commands. */
 @Command(
@@ -38,13 +38,13 @@
       Scale.class,
       Idle.class,
       ServeFleet.class,
-      ConsulStandIn.class,
-      StageExplore.class,
+      ConsulEmulator.class,
+      RolloutExplore.class,
       FleetScale.class,
       FleetScaleReport.class,
       HollowGateways.class,
       GatewayCost.class,
-      StageCost.class,
+      RolloutCost.class,
       DistributionExplore.class,
       LabMain.Report.class
     })
@@ -140,7 +140,7 @@
 
     @Override
     public Integer call() throws IOException, SpecException, InterruptedException {
-      JsonNode experiment = Templates.evaluate(file);
+      JsonNode experiment = JsonnetTemplates.evaluate(file);
       if (isShort && experiment.has("short")) {
         ((ObjectNode) experiment).setAll((ObjectNode) experiment.path("short"));
       }
--- a/lab/src/main/java/shelffront/lab/Scale.java
+++ b/lab/src/main/java/shelffront/lab/Scale.java
@@ -12,13 +12,13 @@
 import java.util.function.LongConsumer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import shelffront.admin.Tenancy;
-import shelffront.hosted.Hosted;
-import shelffront.hosted.HostedConfig;
-import shelffront.store.Store.Kind;
-import shelffront.tenant.SpecJson;
+import shelffront.admin.TenantAdministration;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
+import shelffront.store.DocumentStore.Kind;
 import shelffront.tenant.Tenant;
 import shelffront.tenant.TenantSpec;
+import shelffront.tenant.TenantSpecCodec;
 
 /** What tenants that rest cost: the start, the memory of each, and a change among them. */
 @Command(
@@ -50,7 +50,7 @@
     Files.delete(file);
     try {
       ObjectNode config =
-          SpecJson.JSON
+          TenantSpecCodec.JSON
               .createObjectNode()
               .put("listen", "127.0.0.1:0")
               .put("store", file.toString());
@@ -58,13 +58,13 @@
       for (int i = 0; i < tenants; i++) {
         list.add(tenant("t" + i, 1));
       }
-      HostedConfig seeded = HostedConfig.read(config);
-      stop(new Hosted(seeded, line -> {}));
+      MultiTenantConfig seeded = MultiTenantConfig.read(config);
+      stop(new MultiTenantGateway(seeded, line -> {}));
       config.remove("tenants");
-      HostedConfig bare = HostedConfig.read(config);
+      MultiTenantConfig bare = MultiTenantConfig.read(config);
       long before = heap();
       long from = System.nanoTime();
-      Hosted hosted = new Hosted(bare, line -> {});
+      MultiTenantGateway hosted = new MultiTenantGateway(bare, line -> {});
       Thread turns = hosted.start();
       hosted.held().get(60, TimeUnit.SECONDS);
       double start = (System.nanoTime() - from) / 1e9;
@@ -86,16 +86,16 @@
   }
 
   /** Milliseconds from the call to the change being on disk and in force, in order. */
-  private static double[] changes(Hosted hosted, int tenants) throws Exception {
+  private static double[] changes(MultiTenantGateway hosted, int tenants) throws Exception {
     double[] took = new double[CHANGES];
     for (int i = 0; i < CHANGES; i++) {
       String id = "t" + i % tenants;
       long revision = hosted.store().get(Kind.TENANT, id).revision();
       CompletableFuture<Long> inForce = new CompletableFuture<>();
-      Tenancy tenancy =
-          new Tenancy(
+      TenantAdministration tenancy =
+          new TenantAdministration(
               hosted.store(),
-              new Tenancy.Control() {
+              new TenantAdministration.Control() {
                 @Override
                 public void apply(TenantSpec spec, LongConsumer then) {
                   hosted.apply(spec, at -> inForce.complete(at));
@@ -122,7 +122,7 @@
   }
 
   static ObjectNode tenant(String id, int weight) {
-    ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", id).put("weight", weight);
+    ObjectNode tenant = TenantSpecCodec.JSON.createObjectNode().put("id", id).put("weight", weight);
     ArrayNode classes = tenant.putArray("classes");
     classes.addObject().put("name", "read").put("giveUpMs", 1000).put("read", "session");
     classes
@@ -143,7 +143,7 @@
     return tenant;
   }
 
-  private static void stop(Hosted hosted) throws InterruptedException {
+  private static void stop(MultiTenantGateway hosted) throws InterruptedException {
     Thread turns = hosted.start();
     hosted.drain();
     turns.join();
--- a/lab/src/main/java/shelffront/lab/ServeFleet.java
+++ b/lab/src/main/java/shelffront/lab/ServeFleet.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import shelffront.lab.carrier.SocketCarrier;
-import shelffront.lab.model.Figures;
-import shelffront.lab.standin.Catalogue;
-import shelffront.lab.standin.StandInSet;
+import shelffront.lab.emulator.DiscoveryEmulator;
+import shelffront.lab.emulator.EmulatedReplicaSet;
+import shelffront.lab.model.ReplicaSetParameters;
+import shelffront.lab.transport.SocketTransport;
 
 /** Stand-in sets with their list of boxes on loopback, to point a gateway at and break by hand. */
 @Command(
@@ -64,15 +64,15 @@
       description = "how long it runs (${DEFAULT-VALUE})")
   private double seconds;
 
-  private final List<StandInSet> sets = new ArrayList<>();
-  private Catalogue catalogue;
-  private SocketCarrier carrier;
+  private final List<EmulatedReplicaSet> sets = new ArrayList<>();
+  private DiscoveryEmulator catalogue;
+  private SocketTransport carrier;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     long work = (long) (workMs * 1000);
-    Figures figures =
-        new Figures(
+    ReplicaSetParameters figures =
+        new ReplicaSetParameters(
             cores,
             60,
             500,
@@ -87,18 +87,18 @@
             SECOND,
             SECOND / 2,
             2 * SECOND,
-            Figures.Check.WAIT,
+            ReplicaSetParameters.Check.WAIT,
             50_000,
             4,
             2 * SECOND,
             false);
-    try (SocketCarrier own = new SocketCarrier("fleet")) {
+    try (SocketTransport own = new SocketTransport("fleet")) {
       carrier = own;
       for (int i = 1; i <= setCount; i++) {
-        sets.add(new StandInSet(carrier, "s" + i, boxCount, figures, this::tell));
+        sets.add(new EmulatedReplicaSet(carrier, "s" + i, boxCount, figures, this::tell));
       }
       InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-      catalogue = new Catalogue(carrier, at, (to, some, complete) -> {});
+      catalogue = new DiscoveryEmulator(carrier, at, (to, some, complete) -> {});
       carrier.post(() -> sets.forEach(this::tell));
       System.out.println("list of boxes: http://127.0.0.1:" + port);
       sets.forEach(s -> s.boxes().forEach(this::print));
@@ -126,21 +126,21 @@
     System.exit(0);
   }
 
-  private void print(StandInSet.Box box) {
+  private void print(EmulatedReplicaSet.Box box) {
     System.out.printf(
         "%s %s %s, %d begun%n",
         box.id(), box.address(), box.isPrimary() ? "primary" : "replica", box.begun());
   }
 
   /** What the list says of a set, after its delay. */
-  private void tell(StandInSet set) {
+  private void tell(EmulatedReplicaSet set) {
     int group = sets.indexOf(set) + 1;
     long delay = listDelayMs * 1000;
     set.boxes()
         .forEach(
             b ->
                 catalogue.change(
-                    new Catalogue.Line(
+                    new DiscoveryEmulator.Line(
                         b.id(), b.address(), group, b.phase(), b.startedAt() / 1000, b.isPrimary()),
                     delay));
   }
@@ -164,8 +164,8 @@
   }
 
   private boolean onBox(String[] words) {
-    for (StandInSet set : sets) {
-      for (StandInSet.Box box : set.boxes()) {
+    for (EmulatedReplicaSet set : sets) {
+      for (EmulatedReplicaSet.Box box : set.boxes()) {
         if (words.length > 1 && box.id().equals(words[1])) {
           boolean known = onBox(box, words);
           carrier.post(() -> tell(set));
@@ -176,7 +176,7 @@
     return false;
   }
 
-  private static boolean onBox(StandInSet.Box box, String[] words) {
+  private static boolean onBox(EmulatedReplicaSet.Box box, String[] words) {
     switch (words[0]) {
       case "kill" -> box.kill();
       case "restart" -> box.restart();
--- a/lab/src/main/java/shelffront/lab/standin/Catalogue.java
+++ b/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
@@ -1,4 +1,4 @@
-package shelffront.lab.standin;
+package shelffront.lab.emulator;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
@@ -12,15 +12,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import shelffront.lab.carrier.Carrier;
-import shelffront.lab.carrier.ConnectionHandler;
-import shelffront.lab.carrier.Wire;
-import shelffront.tenant.SpecJson;
+import shelffront.lab.transport.ConnectionHandler;
+import shelffront.lab.transport.Transport;
+import shelffront.lab.transport.TransportConnection;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * The list of boxes, late, over HTTP with watches: discovery as the platform's gateways know it.
  */
-public final class Catalogue {
+public final class DiscoveryEmulator {
 
   private static final long PING = 2_000_000;
 
@@ -31,10 +31,10 @@
   /** Told of what the list says to whom, as it is written. */
   public interface Told {
 
-    void told(Wire to, List<Line> some, boolean complete);
+    void told(TransportConnection to, List<Line> some, boolean complete);
   }
 
-  private final Carrier carrier;
+  private final Transport carrier;
   private final InetSocketAddress address;
   private final Told told;
   private final Map<String, Line> lines = new LinkedHashMap<>();
@@ -44,7 +44,8 @@
   private boolean down;
 
   /** Where it listens; throws where that address can't be had. */
-  public Catalogue(Carrier carrier, InetSocketAddress address, Told told) throws IOException {
+  public DiscoveryEmulator(Transport carrier, InetSocketAddress address, Told told)
+      throws IOException {
     this.carrier = carrier;
     this.address = address;
     this.told = told;
@@ -101,7 +102,7 @@
 
   ObjectNode json(List<Line> some, boolean complete) {
     ObjectNode list =
-        SpecJson.JSON.createObjectNode().put("revision", revision).put("complete", complete);
+        TenantSpecCodec.JSON.createObjectNode().put("revision", revision).put("complete", complete);
     ArrayNode members = list.putArray("members");
     for (Line l : some) {
       members
@@ -125,7 +126,7 @@
 
   private final class Call extends ConnectionHandler {
 
-    Call(Wire accepted) {
+    Call(TransportConnection accepted) {
       on(accepted);
     }
 
--- a/lab/src/main/java/shelffront/lab/standin/HostConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
@@ -1,28 +1,29 @@
-package shelffront.lab.standin;
+package shelffront.lab.emulator;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
 import java.nio.ByteBuffer;
 import java.util.Locale;
 import java.util.function.Consumer;
-import shelffront.lab.carrier.ConnectionHandler;
-import shelffront.lab.carrier.Wire;
-import shelffront.lab.model.DatabaseSet;
-import shelffront.lab.model.DatabaseSet.Answer;
-import shelffront.lab.model.DatabaseSet.Kind;
-import shelffront.lab.model.DatabaseSet.Query;
+import shelffront.lab.model.ReplicaSetModel;
+import shelffront.lab.model.ReplicaSetModel.Answer;
+import shelffront.lab.model.ReplicaSetModel.Kind;
+import shelffront.lab.model.ReplicaSetModel.Query;
+import shelffront.lab.transport.ConnectionHandler;
+import shelffront.lab.transport.TransportConnection;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
 
 /** A box's side of a connection, on PostgreSQL's wire as far as the gateway speaks it. */
-public final class HostConnectionHandler extends ConnectionHandler {
+public final class EmulatedHostConnection extends ConnectionHandler {
 
-  private final Hosting hosting;
-  private final DatabaseSet.Box box;
+  private final HostEnvironment hosting;
+  private final ReplicaSetModel.Box box;
   private boolean started;
 
-  public HostConnectionHandler(Hosting hosting, DatabaseSet.Box box, Wire accepted) {
+  public EmulatedHostConnection(
+      HostEnvironment hosting, ReplicaSetModel.Box box, TransportConnection accepted) {
     this.hosting = hosting;
     this.box = box;
     on(accepted);
--- a/lab/src/main/java/shelffront/lab/standin/StandInSet.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
@@ -1,4 +1,4 @@
-package shelffront.lab.standin;
+package shelffront.lab.emulator;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,14 +13,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import org.apache.commons.rng.simple.RandomSource;
-import shelffront.lab.carrier.SocketCarrier;
-import shelffront.lab.carrier.Wire;
 import shelffront.lab.model.Clock;
-import shelffront.lab.model.DatabaseSet;
-import shelffront.lab.model.DatabaseSet.Answer;
-import shelffront.lab.model.DatabaseSet.Effect;
-import shelffront.lab.model.DatabaseSet.Query;
-import shelffront.lab.model.Figures;
+import shelffront.lab.model.ReplicaSetModel;
+import shelffront.lab.model.ReplicaSetModel.Answer;
+import shelffront.lab.model.ReplicaSetModel.Effect;
+import shelffront.lab.model.ReplicaSetModel.Query;
+import shelffront.lab.model.ReplicaSetParameters;
+import shelffront.lab.transport.SocketTransport;
+import shelffront.lab.transport.TransportConnection;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
 
@@ -29,7 +29,7 @@
  * its key, and what a client was served can be held against it. Its methods may be called by any
  * thread; the model is its carrier's.
  */
-public final class StandInSet implements AutoCloseable {
+public final class EmulatedReplicaSet implements AutoCloseable {
 
   private static final int LONG = 60_000;
   private static final int MANY = 1 << 20;
@@ -37,27 +37,27 @@
   /** One box. */
   public final class Box {
 
-    private final DatabaseSet.Box model;
+    private final ReplicaSetModel.Box model;
     private final InetSocketAddress address;
-    private final Set<HostConnectionHandler> connections = new HashSet<>();
+    private final Set<EmulatedHostConnection> connections = new HashSet<>();
     private final AtomicLong begun = new AtomicLong();
     private volatile long lastBegun;
     private volatile boolean silent;
     private volatile boolean spoils;
     private volatile boolean primary;
 
-    private Box(DatabaseSet.Box model) throws IOException {
+    private Box(ReplicaSetModel.Box model) throws IOException {
       this.model = model;
       address = carrier.listen(this::accept);
       primary = model.isPrimary();
     }
 
-    private Wire.Owner accept(Wire wire) {
-      connections.removeIf(HostConnectionHandler::isOver);
+    private TransportConnection.Owner accept(TransportConnection wire) {
+      connections.removeIf(EmulatedHostConnection::isOver);
       if (!model.isUp() || connections.size() >= figures.connections()) {
         return null;
       }
-      HostConnectionHandler talker = new HostConnectionHandler(hosting, model, wire);
+      EmulatedHostConnection talker = new EmulatedHostConnection(hosting, model, wire);
       connections.add(talker);
       return talker;
     }
@@ -100,20 +100,20 @@
     public void kill() {
       onTurn(
           () -> {
-            StandInSet.this.model.kill(model);
-            connections.forEach(HostConnectionHandler::reset);
+            EmulatedReplicaSet.this.model.kill(model);
+            connections.forEach(EmulatedHostConnection::reset);
             connections.clear();
           });
     }
 
     /** Its process starts anew, cold, from the copy that it had. */
     public void restart() {
-      onTurn(() -> StandInSet.this.model.restart(model));
+      onTurn(() -> EmulatedReplicaSet.this.model.restart(model));
     }
 
     /** It finishes what it has and takes nothing new; a primary hands over. */
     public void drain() {
-      onTurn(() -> StandInSet.this.model.drain(model));
+      onTurn(() -> EmulatedReplicaSet.this.model.drain(model));
     }
 
     /** Takes so many times as long for everything, for a while. */
@@ -132,23 +132,23 @@
     }
   }
 
-  private final SocketCarrier carrier;
+  private final SocketTransport carrier;
   private final boolean ownCarrier;
-  private final Figures figures;
-  private final DatabaseSet model;
-  private final Hosting hosting = new Loopback();
+  private final ReplicaSetParameters figures;
+  private final ReplicaSetModel model;
+  private final HostEnvironment hosting = new Loopback();
   private final Map<String, Box> boxes = new LinkedHashMap<>();
   private final Map<String, AtomicLong> effects = new ConcurrentHashMap<>();
-  private final Consumer<StandInSet> elected;
+  private final Consumer<EmulatedReplicaSet> elected;
 
   /**
    * A primary and so many replicas, each with so many cores, which take {@code workMs} for a
    * request; all warm.
    */
-  public StandInSet(String name, int replicas, int cores, double workMs, long lagMs)
+  public EmulatedReplicaSet(String name, int replicas, int cores, double workMs, long lagMs)
       throws IOException {
     this(
-        new SocketCarrier("set " + name),
+        new SocketTransport("set " + name),
         true,
         name,
         replicas + 1,
@@ -160,45 +160,45 @@
    * Boxes by their figures on a carrier that others may use too; told on its thread when there is a
    * new primary.
    */
-  public StandInSet(
-      SocketCarrier carrier,
+  public EmulatedReplicaSet(
+      SocketTransport carrier,
       String name,
       int boxCount,
-      Figures figures,
-      Consumer<StandInSet> elected)
+      ReplicaSetParameters figures,
+      Consumer<EmulatedReplicaSet> elected)
       throws IOException {
     this(carrier, false, name, boxCount, figures, elected);
   }
 
-  private StandInSet(
-      SocketCarrier carrier,
+  private EmulatedReplicaSet(
+      SocketTransport carrier,
       boolean own,
       String name,
       int boxCount,
-      Figures figures,
-      Consumer<StandInSet> elected)
+      ReplicaSetParameters figures,
+      Consumer<EmulatedReplicaSet> elected)
       throws IOException {
     this.carrier = carrier;
     ownCarrier = own;
     this.figures = figures;
     this.elected = elected;
     model =
-        new DatabaseSet(
+        new ReplicaSetModel(
             name,
             boxCount,
             carrier,
             RandomSource.XO_RO_SHI_RO_128_PP.create(name.hashCode()),
             figures,
             new Counting());
-    for (DatabaseSet.Box box : model.boxes()) {
+    for (ReplicaSetModel.Box box : model.boxes()) {
       boxes.put(box.id(), new Box(box));
     }
   }
 
   /** Boxes that take the same time for everything, check nothing and bear whatever comes. */
-  public static Figures plain(int cores, double workMs, long lagMs) {
+  public static ReplicaSetParameters plain(int cores, double workMs, long lagMs) {
     long work = (long) (workMs * 1000);
-    return new Figures(
+    return new ReplicaSetParameters(
         cores,
         MANY,
         MANY,
@@ -213,7 +213,7 @@
         1_000_000,
         500_000,
         0,
-        Figures.Check.SILENT,
+        ReplicaSetParameters.Check.SILENT,
         0,
         MANY,
         1,
@@ -238,7 +238,7 @@
                 .values()
                 .forEach(
                     b -> {
-                      b.connections.removeIf(HostConnectionHandler::isOver);
+                      b.connections.removeIf(EmulatedHostConnection::isOver);
                       sum.addAndGet(b.connections.size());
                     }));
     return sum.get();
@@ -270,7 +270,7 @@
     }
   }
 
-  private final class Loopback implements Hosting {
+  private final class Loopback implements HostEnvironment {
 
     @Override
     public Clock clock() {
@@ -295,56 +295,57 @@
     }
 
     @Override
-    public Consumer<Answer> arrived(DatabaseSet.Box box, Wire from, Query query) {
+    public Consumer<Answer> arrived(
+        ReplicaSetModel.Box box, TransportConnection from, Query query) {
       return answer -> {};
     }
 
     @Override
-    public void tellsReplica(DatabaseSet.Box box, Wire to) {}
+    public void tellsReplica(ReplicaSetModel.Box box, TransportConnection to) {}
 
     @Override
-    public boolean spoils(DatabaseSet.Box box) {
+    public boolean spoils(ReplicaSetModel.Box box) {
       return boxes.get(box.id()).spoils;
     }
 
     @Override
-    public boolean silent(DatabaseSet.Box box) {
+    public boolean silent(ReplicaSetModel.Box box) {
       return boxes.get(box.id()).silent;
     }
 
     @Override
-    public void malformed(DatabaseSet.Box box, ProtocolException why) {}
+    public void malformed(ReplicaSetModel.Box box, ProtocolException why) {}
 
     @Override
-    public void left(DatabaseSet.Box box) {}
+    public void left(ReplicaSetModel.Box box) {}
   }
 
-  private final class Counting implements DatabaseSet.Witness {
+  private final class Counting implements ReplicaSetModel.Witness {
 
     @Override
-    public void begun(DatabaseSet.Box box, Query query) {
+    public void begun(ReplicaSetModel.Box box, Query query) {
       Box at = boxes.get(box.id());
       at.lastBegun = System.nanoTime();
       at.begun.incrementAndGet();
     }
 
     @Override
-    public void applied(DatabaseSet.Box box, Effect effect, Query by, boolean repeated) {
+    public void applied(ReplicaSetModel.Box box, Effect effect, Query by, boolean repeated) {
       if (!repeated) {
         effects.computeIfAbsent(effect.key(), k -> new AtomicLong()).incrementAndGet();
       }
     }
 
     @Override
-    public void read(DatabaseSet.Box box, Query query, long position) {}
+    public void read(ReplicaSetModel.Box box, Query query, long position) {}
 
     @Override
-    public void pushedOver(DatabaseSet.Box box) {}
+    public void pushedOver(ReplicaSetModel.Box box) {}
 
     @Override
-    public void primary(DatabaseSet.Box box, DatabaseSet.Box before, List<Effect> lost) {
+    public void primary(ReplicaSetModel.Box box, ReplicaSetModel.Box before, List<Effect> lost) {
       boxes.values().forEach(b -> b.primary = b.model == box);
-      elected.accept(StandInSet.this);
+      elected.accept(EmulatedReplicaSet.this);
     }
   }
 }
--- a/lab/src/main/java/shelffront/lab/standin/Hosting.java
+++ b/lab/src/main/java/shelffront/lab/emulator/HostEnvironment.java
@@ -1,18 +1,18 @@
-package shelffront.lab.standin;
+package shelffront.lab.emulator;
 
 import java.util.function.Consumer;
-import shelffront.lab.carrier.Wire;
 import shelffront.lab.model.Clock;
-import shelffront.lab.model.DatabaseSet.Answer;
-import shelffront.lab.model.DatabaseSet.Box;
-import shelffront.lab.model.DatabaseSet.Query;
+import shelffront.lab.model.ReplicaSetModel.Answer;
+import shelffront.lab.model.ReplicaSetModel.Box;
+import shelffront.lab.model.ReplicaSetModel.Query;
+import shelffront.lab.transport.TransportConnection;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
 
 /**
  * Where boxes stand: what they know beside the model, what goes wrong with them, and who watches.
  */
-public interface Hosting {
+public interface HostEnvironment {
 
   Clock clock();
 
@@ -26,10 +26,10 @@
    * A request has come over a connection; the answer is told to what is returned, before it is
    * sent.
    */
-  Consumer<Answer> arrived(Box box, Wire from, Query query);
+  Consumer<Answer> arrived(Box box, TransportConnection from, Query query);
 
   /** A box is about to say over a connection that it is a replica. */
-  void tellsReplica(Box box, Wire to);
+  void tellsReplica(Box box, TransportConnection to);
 
   /** Whether every answer tells the position; that of a write always does. */
   default boolean stamps() {
--- a/lab/src/main/java/shelffront/lab/experiment/Bootstrap.java
+++ b/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
@@ -8,14 +8,14 @@
  * Intervals by resampling (Efron, 1979): 95 % of the means of samples drawn with replacement. The
  * seed is fixed.
  */
-final class Bootstrap {
+final class BootstrapInterval {
 
   private static final int SAMPLES = 2_000;
 
   /** A mean and where it lies. */
   record Interval(double low, double mean, double high) {}
 
-  private Bootstrap() {}
+  private BootstrapInterval() {}
 
   /** Of the mean of some figures, at least one. */
   static Interval mean(double[] figures) {
--- a/lab/src/main/java/shelffront/lab/experiment/Experiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Experiment.java
@@ -18,14 +18,14 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import shelffront.hosted.Hosted;
-import shelffront.hosted.HostedConfig;
-import shelffront.lab.carrier.SocketCarrier;
-import shelffront.lab.load.Load;
-import shelffront.lab.load.Relay;
-import shelffront.lab.standin.StandInSet;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.lab.emulator.EmulatedReplicaSet;
+import shelffront.lab.load.OpenLoopLoad;
+import shelffront.lab.load.TransparentProxy;
+import shelffront.lab.transport.SocketTransport;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * Phases of open-loop load on a hosted gateway in this process, each tenant with stand-in boxes of
@@ -58,7 +58,7 @@
   private final JsonNode file;
   private final List<String> table = new ArrayList<>();
   private final List<String> claims = new ArrayList<>();
-  private final Map<String, Map<String, Load.Result>> results = new LinkedHashMap<>();
+  private final Map<String, Map<String, OpenLoopLoad.Result>> results = new LinkedHashMap<>();
   private final Map<String, Double> costs = new LinkedHashMap<>();
   private final List<String> wrong = new ArrayList<>();
   private boolean kept = true;
@@ -107,7 +107,7 @@
 
   private void keep(Path directory, Report report) throws IOException {
     Files.createDirectories(directory);
-    Files.writeString(directory.resolve(RunLog.EXPERIMENT), file.toPrettyString() + "\n");
+    Files.writeString(directory.resolve(RunJournal.EXPERIMENT), file.toPrettyString() + "\n");
     Charts charts = new Charts();
     StringBuilder runs = new StringBuilder();
     StringBuilder csv =
@@ -120,7 +120,7 @@
                 (tenant, r) -> {
                   double[] wanted = r.windows.stream().mapToDouble(w -> w[0]).toArray();
                   double[] served = r.windows.stream().mapToDouble(w -> w[1]).toArray();
-                  charts.add(phase + ", " + tenant, Load.WINDOW, wanted, served, r.served);
+                  charts.add(phase + ", " + tenant, OpenLoopLoad.WINDOW, wanted, served, r.served);
                   double p50 = r.served.getValueAtPercentile(50) / 1e3;
                   double p99 = r.served.getValueAtPercentile(99) / 1e3;
                   csv.append(
@@ -140,7 +140,7 @@
                           p99,
                           costs.get(phase)));
                   ObjectNode line =
-                      SpecJson.JSON
+                      TenantSpecCodec.JSON
                           .createObjectNode()
                           .put("phase", phase)
                           .put("tenant", tenant)
@@ -148,20 +148,20 @@
                           .put("worthKept", r.worthKept())
                           .put("p50Ms", p50)
                           .put("p99Ms", p99);
-                  line.set("wanted", SpecJson.JSON.valueToTree(wanted));
-                  line.set("kept", SpecJson.JSON.valueToTree(served));
+                  line.set("wanted", TenantSpecCodec.JSON.valueToTree(wanted));
+                  line.set("kept", TenantSpecCodec.JSON.valueToTree(served));
                   runs.append(line).append('\n');
                 }));
-    Files.writeString(directory.resolve(RunLog.RUNS), runs);
+    Files.writeString(directory.resolve(RunJournal.RUNS), runs);
     Files.writeString(directory.resolve("runs.csv"), csv);
     charts.save(directory, report);
   }
 
   private void phase(JsonNode phase) throws IOException, SpecException, InterruptedException {
-    Map<String, StandInSet> sets = new LinkedHashMap<>();
+    Map<String, EmulatedReplicaSet> sets = new LinkedHashMap<>();
     try {
       ObjectNode config =
-          SpecJson.JSON
+          TenantSpecCodec.JSON
               .createObjectNode()
               .put("listen", "127.0.0.1:0")
               .put("sockets", file.path("sockets").asInt(4096));
@@ -173,11 +173,11 @@
       for (Iterator<String> each = file.path("tenants").fieldNames();
           each.hasNext() && tenants.size() < most; ) {
         String id = each.next();
-        StandInSet boxes = sets.get("all");
+        EmulatedReplicaSet boxes = sets.get("all");
         if (boxes == null) {
           JsonNode set = file.path("set");
           boxes =
-              new StandInSet(
+              new EmulatedReplicaSet(
                   id,
                   set.path("replicas").asInt(2),
                   set.path("cores").asInt(16),
@@ -187,30 +187,31 @@
         }
         tenants.add(tenant(id, file.path("tenants").path(id), boxes));
       }
-      Hosted hosted = new Hosted(HostedConfig.read(config), line -> {});
+      MultiTenantGateway hosted =
+          new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
       Thread turns = hosted.start();
-      try (Relay relay = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
+      try (TransparentProxy relay = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
         load(phase, hosted, turns, tenants, relay, sets.values());
       }
       hosted.drain();
       turns.join();
     } finally {
-      sets.values().forEach(StandInSet::close);
+      sets.values().forEach(EmulatedReplicaSet::close);
     }
   }
 
   /** To the first replica of the first set, or its primary where it has no replica. */
-  private static Relay relay(Map<String, StandInSet> sets) throws IOException {
-    List<StandInSet.Box> boxes = sets.values().iterator().next().boxes();
+  private static TransparentProxy relay(Map<String, EmulatedReplicaSet> sets) throws IOException {
+    List<EmulatedReplicaSet.Box> boxes = sets.values().iterator().next().boxes();
     String[] at = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
-    return new Relay(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+    return new TransparentProxy(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
   }
 
-  private static ObjectNode tenant(String id, JsonNode given, StandInSet set) {
+  private static ObjectNode tenant(String id, JsonNode given, EmulatedReplicaSet set) {
     ObjectNode tenant = given.deepCopy();
     tenant.put("id", id);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
-    for (StandInSet.Box box : set.boxes()) {
+    for (EmulatedReplicaSet.Box box : set.boxes()) {
       list.addObject()
           .put("id", box.id())
           .put("address", box.address())
@@ -236,11 +237,11 @@
 
   private void load(
       JsonNode phase,
-      Hosted hosted,
+      MultiTenantGateway hosted,
       Thread turns,
       ArrayNode tenants,
-      Relay relay,
-      Collection<StandInSet> sets)
+      TransparentProxy relay,
+      Collection<EmulatedReplicaSet> sets)
       throws IOException, SpecException, InterruptedException {
     String name = phase.path("name").asText();
     InetSocketAddress gateway =
@@ -258,12 +259,12 @@
         if (tenant.path("id").asText().equals(id)) {
           ObjectNode next = tenant.deepCopy();
           next.setAll((ObjectNode) phase.path("change").path(id));
-          hosted.apply(SpecJson.read(next), at -> {});
+          hosted.apply(TenantSpecCodec.read(next), at -> {});
         }
       }
     }
     long before = cpu(turns);
-    Map<String, Load.Result> measured = run(phase, gateway, seconds);
+    Map<String, OpenLoopLoad.Result> measured = run(phase, gateway, seconds);
     double cost =
         (cpu(turns) - before) / 1e3 / measured.values().stream().mapToLong(r -> r.all.due).sum();
     results.put(name, measured);
@@ -273,7 +274,7 @@
           long lag = r.lag.getValueAtPercentile(99);
           tooSlow |= lag > MOST_LAG_MICROS;
           wrong.addAll(r.wrong);
-          Load.Tally all = r.all;
+          OpenLoopLoad.Tally all = r.all;
           table.add(
               String.format(
                   Locale.ROOT,
@@ -296,48 +297,49 @@
                   lag / 1e3,
                   cost));
         });
-    for (StandInSet set : sets) {
+    for (EmulatedReplicaSet set : sets) {
       tooSlow |= set.lateness() > MOST_LAG_MICROS;
     }
   }
 
-  private Map<String, Load.Result> run(JsonNode phase, InetSocketAddress gateway, double seconds)
+  private Map<String, OpenLoopLoad.Result> run(
+      JsonNode phase, InetSocketAddress gateway, double seconds)
       throws InterruptedException, IOException, SpecException {
-    Map<String, Load.Result> all = new LinkedHashMap<>();
-    List<SocketCarrier> carriers = new ArrayList<>();
+    Map<String, OpenLoopLoad.Result> all = new LinkedHashMap<>();
+    List<SocketTransport> carriers = new ArrayList<>();
     CountDownLatch over = new CountDownLatch(phase.path("load").size());
     try {
       for (Iterator<String> each = phase.path("load").fieldNames(); each.hasNext(); ) {
         String tenant = each.next();
         JsonNode l = phase.path("load").path(tenant);
-        SocketCarrier carrier = new SocketCarrier("load " + tenant);
+        SocketTransport carrier = new SocketTransport("load " + tenant);
         carriers.add(carrier);
-        Load load =
-            new Load(
+        OpenLoopLoad load =
+            new OpenLoopLoad(
                 carrier,
                 gateway,
                 tenant,
                 null,
-                LoadJson.kinds(l, file.path("tenants").path(tenant).path("classes")),
-                LoadJson.habits(l, "/phases/load/" + tenant),
+                LoadCodec.kinds(l, file.path("tenants").path(tenant).path("classes")),
+                LoadCodec.habits(l, "/phases/load/" + tenant),
                 l.path("perSecond").asDouble(),
                 l.path("connections").asInt(64),
                 tenant.hashCode());
         all.put(tenant, load.result());
         carrier.post(() -> load.start((long) (seconds * 1e6), over::countDown));
       }
-      for (SocketCarrier carrier : carriers) {
+      for (SocketTransport carrier : carriers) {
         carrier.await(over);
       }
     } finally {
-      carriers.forEach(SocketCarrier::close);
+      carriers.forEach(SocketTransport::close);
     }
     return all;
   }
 
   private void claim(JsonNode claim) {
     double within = claim.path("within").asDouble();
-    Map<String, Load.Result> phase = results.get(claim.path("phase").asText());
+    Map<String, OpenLoopLoad.Result> phase = results.get(claim.path("phase").asText());
     if (claim.has("medianAgainst")) {
       String tenant = claim.path("tenant").asText();
       double bare =
--- a/lab/src/main/java/shelffront/lab/experiment/LoadJson.java
+++ b/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
@@ -3,21 +3,21 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import shelffront.lab.load.Arrivals;
-import shelffront.lab.load.Load;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.lab.load.ArrivalSchedule;
+import shelffront.lab.load.OpenLoopLoad;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /** Loads as experiment files say them. */
-final class LoadJson {
+final class LoadCodec {
 
-  private LoadJson() {}
+  private LoadCodec() {}
 
   /**
    * One class by its number ({@code class}), or all by their parts ({@code mix}, in the order of
    * the tenant's classes).
    */
-  static List<Load.Kind> kinds(JsonNode load, JsonNode classes) {
-    List<Load.Kind> kinds = new ArrayList<>();
+  static List<OpenLoopLoad.Kind> kinds(JsonNode load, JsonNode classes) {
+    List<OpenLoopLoad.Kind> kinds = new ArrayList<>();
     for (int i = 0; i < classes.size(); i++) {
       double share =
           load.has("mix")
@@ -26,7 +26,7 @@
       JsonNode c = classes.path(i);
       if (share > 0) {
         kinds.add(
-            new Load.Kind(
+            new OpenLoopLoad.Kind(
                 c.path("name").asText(),
                 c.path("read").asText().equals("write"),
                 c.path("aimMs").asInt(c.path("giveUpMs").asInt()),
@@ -38,15 +38,15 @@
     return kinds;
   }
 
-  static Load.Habits habits(JsonNode load, String at) throws SpecException {
-    Load.Habits plain = Load.Habits.PLAIN;
-    Arrivals.Pattern pattern;
+  static OpenLoopLoad.Habits habits(JsonNode load, String at) throws SpecException {
+    OpenLoopLoad.Habits plain = OpenLoopLoad.Habits.PLAIN;
+    ArrivalSchedule.Pattern pattern;
     try {
-      pattern = Arrivals.Pattern.of(load.path("arrivals").asText(plain.arrivals().name()));
+      pattern = ArrivalSchedule.Pattern.of(load.path("arrivals").asText(plain.arrivals().name()));
     } catch (IllegalArgumentException e) {
       throw new SpecException(at + "/arrivals", "is none of even, poisson, waves, bursts");
     }
-    return new Load.Habits(
+    return new OpenLoopLoad.Habits(
         pattern,
         load.path("sessions").asInt(plain.sessions()),
         load.path("skew").asDouble(1),
--- a/lab/src/main/java/shelffront/lab/experiment/Progress.java
+++ b/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
@@ -6,7 +6,7 @@
 /**
  * A bar on standard error that grows with each run, where that is a terminal; nothing elsewhere.
  */
-final class Progress {
+final class ProgressBar {
 
   private static final int WIDTH = 40;
 
@@ -15,7 +15,7 @@
   private final long begun = System.nanoTime();
   private int done;
 
-  Progress(int all) {
+  ProgressBar(int all) {
     this.all = all;
   }
 
--- a/lab/src/main/java/shelffront/lab/experiment/KeptRun.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RecordedRun.java
@@ -7,11 +7,11 @@
 import java.util.Base64;
 import java.util.zip.DataFormatException;
 import org.HdrHistogram.Histogram;
-import shelffront.lab.world.Fleet;
-import shelffront.tenant.SpecJson;
+import shelffront.lab.simulation.FleetSimulation;
+import shelffront.tenant.TenantSpecCodec;
 
 /** What is kept of a run: a line of JSON with all that tables and charts are made of. */
-record KeptRun(
+record RecordedRun(
     String level,
     int seed,
     long requests,
@@ -23,15 +23,15 @@
     double[] kept,
     Histogram latency) {
 
-  static KeptRun of(String level, int seed, Fleet.Result r) {
-    return new KeptRun(
+  static RecordedRun of(String level, int seed, FleetSimulation.Result r) {
+    return new RecordedRun(
         level,
         seed,
         r.requests(),
         r.worthKept(),
         r.violationCount(),
         r.hash(),
-        SpecJson.JSON.valueToTree(r.worth()),
+        TenantSpecCodec.JSON.valueToTree(r.worth()),
         r.wanted(),
         r.kept(),
         r.latency());
@@ -39,7 +39,7 @@
 
   String line() {
     ObjectNode line =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("level", level)
             .put("seed", seed)
@@ -48,8 +48,8 @@
             .put("broken", broken)
             .put("hash", hash);
     line.set("classes", classes);
-    line.set("wanted", SpecJson.JSON.valueToTree(wanted));
-    line.set("kept", SpecJson.JSON.valueToTree(kept));
+    line.set("wanted", TenantSpecCodec.JSON.valueToTree(wanted));
+    line.set("kept", TenantSpecCodec.JSON.valueToTree(kept));
     ByteBuffer bytes = ByteBuffer.allocate(latency.getNeededByteBufferCapacity());
     int count = latency.encodeIntoCompressedByteBuffer(bytes);
     byte[] encoded = new byte[count];
@@ -60,13 +60,13 @@
   /**
    * Reads a line; null where it is cut or none, as the last one of a run that was stopped may be.
    */
-  static KeptRun read(String line) {
+  static RecordedRun read(String line) {
     try {
-      JsonNode j = SpecJson.JSON.readTree(line);
+      JsonNode j = TenantSpecCodec.JSON.readTree(line);
       Histogram latency =
           Histogram.decodeFromCompressedByteBuffer(
               ByteBuffer.wrap(Base64.getDecoder().decode(j.path("latency").asText())), 60_000_000L);
-      return new KeptRun(
+      return new RecordedRun(
           j.path("level").asText(),
           j.path("seed").asInt(),
           j.path("requests").asLong(),
@@ -74,8 +74,8 @@
           j.path("broken").asInt(),
           j.path("hash").asText(),
           j.path("classes"),
-          SpecJson.JSON.treeToValue(j.path("wanted"), double[].class),
-          SpecJson.JSON.treeToValue(j.path("kept"), double[].class),
+          TenantSpecCodec.JSON.treeToValue(j.path("wanted"), double[].class),
+          TenantSpecCodec.JSON.treeToValue(j.path("kept"), double[].class),
           latency);
     } catch (IOException | DataFormatException | RuntimeException e) {
       return null;
--- a/lab/src/main/java/shelffront/lab/experiment/RunLog.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
@@ -12,34 +12,34 @@
 import java.util.Map;
 import java.util.zip.CRC32;
 import shelffront.gateway.Gateway;
-import shelffront.lab.world.Fleet;
-import shelffront.route.Router;
+import shelffront.lab.simulation.FleetSimulation;
+import shelffront.routing.Router;
 
 /**
  * The runs of an experiment as they end, a line each, so that one that was stopped goes on where it
  * was. What another experiment left in the directory counts for nothing. May be used by several
  * threads.
  */
-final class RunLog {
+final class RunJournal {
 
   static final String EXPERIMENT = "experiment.json";
   private static final String PROGRAM = "program.crc";
   static final String RUNS = "runs.jsonl";
 
   private final Path runs; // null where nothing is kept
-  private final Map<String, KeptRun> known = new HashMap<>();
+  private final Map<String, RecordedRun> known = new HashMap<>();
 
-  private RunLog(Path runs) {
+  private RunJournal(Path runs) {
     this.runs = runs;
   }
 
   /** To go on in a directory, which is made where there is none; null for none. */
-  static RunLog open(Path directory, JsonNode experiment) throws IOException {
+  static RunJournal open(Path directory, JsonNode experiment) throws IOException {
     return open(directory, experiment, false);
   }
 
   /** To look at what a directory has, by whatever program it was played. */
-  static RunLog read(Path directory, JsonNode experiment) throws IOException {
+  static RunJournal read(Path directory, JsonNode experiment) throws IOException {
     return open(directory, experiment, true);
   }
 
@@ -50,7 +50,7 @@
   /** A digest of the jars that a run is played by: a changed gateway's runs are others. */
   private static String program() throws IOException {
     CRC32 sum = new CRC32();
-    for (Class<?> each : List.of(Fleet.class, Gateway.class, Router.class)) {
+    for (Class<?> each : List.of(FleetSimulation.class, Gateway.class, Router.class)) {
       URL at = each.getProtectionDomain().getCodeSource().getLocation();
       Path jar = Path.of(at.getPath());
       if (Files.isRegularFile(jar)) {
@@ -60,20 +60,20 @@
     return Long.toHexString(sum.getValue()) + "\n";
   }
 
-  private static RunLog open(Path directory, JsonNode experiment, boolean reading)
+  private static RunJournal open(Path directory, JsonNode experiment, boolean reading)
       throws IOException {
     if (directory == null) {
-      return new RunLog(null);
+      return new RunJournal(null);
     }
     Files.createDirectories(directory);
-    RunLog log = new RunLog(directory.resolve(RUNS));
+    RunJournal log = new RunJournal(directory.resolve(RUNS));
     Path file = directory.resolve(EXPERIMENT);
     String text = experiment.toPrettyString() + "\n";
     if (Files.exists(log.runs)
         && has(file, text)
         && (reading || has(directory.resolve(PROGRAM), program()))) {
       for (String line : Files.readAllLines(log.runs)) {
-        KeptRun run = KeptRun.read(line);
+        RecordedRun run = RecordedRun.read(line);
         if (run != null) {
           log.known.put(run.level() + "/" + run.seed(), run);
         }
@@ -89,7 +89,7 @@
   }
 
   /** Writes all runs anew in this order, whichever ended first. */
-  synchronized void inOrder(Collection<KeptRun> all) throws IOException {
+  synchronized void inOrder(Collection<RecordedRun> all) throws IOException {
     if (runs != null) {
       StringBuilder whole = new StringBuilder();
       all.forEach(r -> whole.append(r.line()).append('\n'));
@@ -97,11 +97,11 @@
     }
   }
 
-  synchronized KeptRun get(String level, int seed) {
+  synchronized RecordedRun get(String level, int seed) {
     return known.get(level + "/" + seed);
   }
 
-  synchronized void add(KeptRun run) throws IOException {
+  synchronized void add(RecordedRun run) throws IOException {
     known.put(run.level() + "/" + run.seed(), run);
     if (runs != null) {
       Files.writeString(runs, run.line() + "\n", StandardOpenOption.APPEND);
