--- a/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
@@ -17,16 +17,16 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import org.HdrHistogram.Histogram;
-import shelffront.lab.model.Figures;
-import shelffront.lab.virtual.VirtualNet.Weather;
-import shelffront.lab.world.Deployment;
-import shelffront.lab.world.Fleet;
-import shelffront.lab.world.Scenario;
-import shelffront.lab.world.Scenario.Fault;
-import shelffront.lab.world.Scenario.FaultKind;
-import shelffront.lab.world.Scenario.Means;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.lab.model.ReplicaSetParameters;
+import shelffront.lab.simulation.FleetSimulation;
+import shelffront.lab.simulation.RandomDeployment;
+import shelffront.lab.simulation.Scenario;
+import shelffront.lab.simulation.Scenario.Fault;
+import shelffront.lab.simulation.Scenario.FaultKind;
+import shelffront.lab.simulation.Scenario.Means;
+import shelffront.lab.virtual.VirtualNetwork.Weather;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * An experiment on the virtual fleet: a base scenario, levels that change it, seeds, claims. Each
@@ -38,14 +38,14 @@
   private static final long SECOND = 1_000_000;
 
   /** A level's runs, in the order of the seeds. */
-  private record Level(String name, Scenario scenario, List<KeptRun> runs) {
+  private record Level(String name, Scenario scenario, List<RecordedRun> runs) {
 
     double[] worth() {
-      return runs.stream().mapToDouble(KeptRun::worthKept).toArray();
+      return runs.stream().mapToDouble(RecordedRun::worthKept).toArray();
     }
 
     int broken() {
-      return runs.stream().mapToInt(KeptRun::broken).sum();
+      return runs.stream().mapToInt(RecordedRun::broken).sum();
     }
 
     Histogram latency() {
@@ -72,7 +72,7 @@
   public static Experiment.Report run(JsonNode file, Path directory)
       throws IOException, SpecException, InterruptedException {
     VirtualExperiment experiment = new VirtualExperiment(file);
-    RunLog log = RunLog.open(directory, file);
+    RunJournal log = RunJournal.open(directory, file);
     experiment.play(log);
     log.inOrder(experiment.levels.stream().flatMap(l -> l.runs().stream()).toList());
     return experiment.told(directory);
@@ -80,12 +80,13 @@
 
   /** What a directory's runs come to, with the summary and the charts made anew. */
   public static Experiment.Report report(Path directory) throws IOException, SpecException {
-    JsonNode file = SpecJson.JSON.readTree(directory.resolve(RunLog.EXPERIMENT).toFile());
+    JsonNode file =
+        TenantSpecCodec.JSON.readTree(directory.resolve(RunJournal.EXPERIMENT).toFile());
     VirtualExperiment experiment = new VirtualExperiment(file);
-    RunLog log = RunLog.read(directory, file);
+    RunJournal log = RunJournal.read(directory, file);
     for (Level level : experiment.planned()) {
       for (int seed = 1; seed <= experiment.seeds(); seed++) {
-        KeptRun run = log.get(level.name(), seed);
+        RecordedRun run = log.get(level.name(), seed);
         if (run != null) {
           level.runs().add(run);
         }
@@ -125,23 +126,23 @@
     return planned;
   }
 
-  private void play(RunLog log) throws SpecException, InterruptedException, IOException {
+  private void play(RunJournal log) throws SpecException, InterruptedException, IOException {
     ExecutorService pool = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
     try {
-      Map<Level, List<Future<KeptRun>>> out = new LinkedHashMap<>();
+      Map<Level, List<Future<RecordedRun>>> out = new LinkedHashMap<>();
       List<Level> planned = planned();
-      Progress progress = new Progress(planned.size() * seeds());
+      ProgressBar progress = new ProgressBar(planned.size() * seeds());
       for (Level level : planned) {
-        List<Future<KeptRun>> runs = new ArrayList<>();
+        List<Future<RecordedRun>> runs = new ArrayList<>();
         for (int seed = 1; seed <= seeds(); seed++) {
           int number = seed;
           Scenario one = level.scenario().of(seed);
           runs.add(
               pool.submit(
                   () -> {
-                    KeptRun run = log.get(level.name(), number);
+                    RecordedRun run = log.get(level.name(), number);
                     if (run == null) {
-                      run = KeptRun.of(level.name(), number, Fleet.play(one));
+                      run = RecordedRun.of(level.name(), number, FleetSimulation.play(one));
                       log.add(run);
                     }
                     progress.one();
@@ -151,7 +152,7 @@
         out.put(level, runs);
       }
       for (var each : out.entrySet()) {
-        for (Future<KeptRun> run : each.getValue()) {
+        for (Future<RecordedRun> run : each.getValue()) {
           each.getKey().runs().add(run.get());
         }
         levels.add(each.getKey());
@@ -179,15 +180,17 @@
             at + "/faults/" + faults.size() + "/kind", "is none of " + List.of(FaultKind.values()));
       }
     }
-    Figures.Check check;
+    ReplicaSetParameters.Check check;
     try {
-      check = Figures.Check.valueOf(s.path("check").asText("wait").toUpperCase(Locale.ROOT));
+      check =
+          ReplicaSetParameters.Check.valueOf(
+              s.path("check").asText("wait").toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
       throw new SpecException(at + "/check", "is none of silent, refuse, wait");
     }
     long work = s.path("workUs").asLong(6_000);
-    Figures figures =
-        new Figures(
+    ReplicaSetParameters figures =
+        new ReplicaSetParameters(
             s.path("cores").asInt(4),
             s.path("room").asInt(40),
             s.path("connections").asInt(200),
@@ -231,11 +234,11 @@
         List.copyOf(faults));
   }
 
-  private static Deployment deployment(JsonNode s) {
+  private static RandomDeployment deployment(JsonNode s) {
     boolean onceWrites = s.path("onceWrites").asBoolean(false);
     return s.path("carried").asBoolean(false)
-        ? Deployment.carrying(onceWrites)
-        : Deployment.plain(onceWrites);
+        ? RandomDeployment.carrying(onceWrites)
+        : RandomDeployment.plain(onceWrites);
   }
 
   private static long micros(JsonNode object, String name, double absent) {
@@ -258,7 +261,7 @@
             + "| broken rules |");
     table.add("|---|---|---|---|---|---|---|---|---|");
     for (Level l : levels) {
-      Bootstrap.Interval worth = Bootstrap.mean(l.worth());
+      BootstrapInterval.Interval worth = BootstrapInterval.mean(l.worth());
       Histogram latency = l.latency();
       table.add(
           String.format(
@@ -266,11 +269,11 @@
               "| %s | %d | %d | %.3f (%.3f to %.3f) | %.3f | %.1f | %.1f | %.1f | %d |",
               l.name(),
               l.runs().size(),
-              l.runs().stream().mapToLong(KeptRun::requests).sum(),
+              l.runs().stream().mapToLong(RecordedRun::requests).sum(),
               worth.mean(),
               worth.low(),
               worth.high(),
-              l.runs().stream().mapToDouble(KeptRun::worthKept).min().orElse(0),
+              l.runs().stream().mapToDouble(RecordedRun::worthKept).min().orElse(0),
               latency.getValueAtPercentile(50) / 1e3,
               latency.getValueAtPercentile(99) / 1e3,
               latency.getValueAtPercentile(99.9) / 1e3,
@@ -283,7 +286,7 @@
         continue;
       }
       Level l = level(claim.path("level").asText());
-      double low = Bootstrap.mean(l.worth()).low();
+      double low = BootstrapInterval.mean(l.worth()).low();
       if (claim.has("worthAtLeast")) {
         double least = claim.path("worthAtLeast").asDouble();
         say(
@@ -296,7 +299,7 @@
                 least));
       } else {
         Level other = level(claim.path("against").asText());
-        Bootstrap.Interval less = Bootstrap.difference(other.worth(), l.worth());
+        BootstrapInterval.Interval less = BootstrapInterval.difference(other.worth(), l.worth());
         double within = claim.path("within").asDouble();
         say(
             less.high() <= within,
@@ -325,7 +328,7 @@
     StringBuilder csv =
         new StringBuilder("level,seed,requests,worth_kept,p50_ms,p99_ms,broken,hash\n");
     for (Level l : levels) {
-      for (KeptRun r : l.runs()) {
+      for (RecordedRun r : l.runs()) {
         csv.append(
             String.format(
                 Locale.ROOT,
@@ -345,13 +348,13 @@
     for (Level l : levels) {
       double[] wanted = new double[l.runs().get(0).wanted().length];
       double[] served = new double[wanted.length];
-      for (KeptRun r : l.runs()) {
+      for (RecordedRun r : l.runs()) {
         for (int w = 0; w < wanted.length; w++) {
           wanted[w] += r.wanted()[w];
           served[w] += r.kept()[w];
         }
       }
-      charts.add(l.name(), Fleet.WINDOW, wanted, served, l.latency());
+      charts.add(l.name(), FleetSimulation.WINDOW, wanted, served, l.latency());
     }
     Set<String> drawn = new HashSet<>();
     for (Level l : levels) {
@@ -372,8 +375,8 @@
     List<String> lines = new ArrayList<>();
     for (var each : first.entrySet()) {
       if (second.containsKey(each.getKey())) {
-        Bootstrap.Interval d =
-            Bootstrap.difference(array(second.get(each.getKey())), array(each.getValue()));
+        BootstrapInterval.Interval d =
+            BootstrapInterval.difference(array(second.get(each.getKey())), array(each.getValue()));
         lines.add(
             String.format(
                 Locale.ROOT,
@@ -395,7 +398,7 @@
   private static Map<String, List<Double>> worth(Path directory) throws IOException {
     Map<String, List<Double>> all = new LinkedHashMap<>();
     for (String line : Files.readAllLines(directory.resolve("runs.jsonl"))) {
-      JsonNode run = SpecJson.JSON.readTree(line);
+      JsonNode run = TenantSpecCodec.JSON.readTree(line);
       all.computeIfAbsent(run.path("level").asText(), n -> new ArrayList<>())
           .add(run.path("worthKept").asDouble());
     }
--- a/lab/src/main/java/shelffront/lab/rig/ConsulStandIn.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
@@ -1,4 +1,4 @@
-package shelffront.lab.rig;
+package shelffront.lab.faultinjection;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -39,7 +39,7 @@
     mixinStandardHelpOptions = true,
     description =
         "Serves a stand-in for a Consul agent's key-value store on loopback until it is ended.")
-public final class ConsulStandIn implements Callable<Integer> {
+public final class ConsulEmulator implements Callable<Integer> {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final long LONGEST_WAIT_MS = 600_000;
--- a/lab/src/main/java/shelffront/lab/rig/Rig.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
@@ -1,4 +1,4 @@
-package shelffront.lab.rig;
+package shelffront.lab.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -28,7 +28,7 @@
  * gateway's way to the engine. All on loopback, on ports of the system's choice; signals go to its
  * own children only. Waits are for conditions, never for a time.
  */
-public final class Rig implements AutoCloseable {
+public final class FaultInjectionHarness implements AutoCloseable {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Duration MOST = Duration.ofSeconds(60);
@@ -41,7 +41,7 @@
   public final class Node {
 
     private final int number;
-    private final FaultRelay relay;
+    private final FaultProxy relay;
     private final long leaseMs;
     private JavaProcess process;
     private int starts;
@@ -49,10 +49,10 @@
     private Node(int number, long leaseMs) throws IOException {
       this.number = number;
       this.leaseMs = leaseMs;
-      relay = new FaultRelay(engine);
+      relay = new FaultProxy(engine);
     }
 
-    public FaultRelay relay() {
+    public FaultProxy relay() {
       return relay;
     }
 
@@ -169,7 +169,7 @@
   private InetSocketAddress engine;
 
   /** Starts the engine; gateways come with {@link #add}. Files go to the directory. */
-  public Rig(Path directory) throws IOException {
+  public FaultInjectionHarness(Path directory) throws IOException {
     this.directory = directory;
     Files.createDirectories(directory);
     startEngine(0);
@@ -263,8 +263,8 @@
   }
 
   /** All that was in force so far, held against each other. */
-  public StageHistories histories() throws IOException {
-    return StageHistories.read(nodes.stream().map(Node::history).toList());
+  public RolloutHistoryChecker histories() throws IOException {
+    return RolloutHistoryChecker.read(nodes.stream().map(Node::history).toList());
   }
 
   @Override
--- a/lab/src/main/java/shelffront/lab/rig/FaultRelay.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
@@ -1,4 +1,4 @@
-package shelffront.lab.rig;
+package shelffront.lab.faultinjection;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -13,7 +13,7 @@
  * and says nothing: connections stay open and silent, and what was written comes once it is whole
  * again, as on a network that lost a link.
  */
-public final class FaultRelay implements AutoCloseable {
+public final class FaultProxy implements AutoCloseable {
 
   private static final int BUFFER = 16 * 1024;
 
@@ -25,7 +25,7 @@
   private long delayMs;
   private int trickle; // bytes at a time; 0: all there are
 
-  public FaultRelay(InetSocketAddress to) throws IOException {
+  public FaultProxy(InetSocketAddress to) throws IOException {
     this.to = to;
     listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
     thread(this::accept);
--- a/lab/src/main/java/shelffront/lab/rig/JavaProcess.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/JavaProcess.java
@@ -1,4 +1,4 @@
-package shelffront.lab.rig;
+package shelffront.lab.faultinjection;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
--- a/lab/src/main/java/shelffront/lab/rig/StageExplore.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
@@ -1,4 +1,4 @@
-package shelffront.lab.rig;
+package shelffront.lab.faultinjection;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -30,7 +30,7 @@
       "Exit codes: 0 all held, 1 a seed is named that broke something, with the command that plays"
           + " it again."
     })
-public final class StageExplore implements Callable<Integer> {
+public final class RolloutExplore implements Callable<Integer> {
 
   private static final List<String> STAGES = List.of("one", "two", "three", "four");
   private static final int STEPS = 12;
@@ -64,13 +64,13 @@
       List<String> steps = new ArrayList<>();
       List<String> broken;
       int count = 0;
-      try (Rig rig = new Rig(directory)) {
+      try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
         try {
           play(rig, seed, steps);
         } catch (ConditionTimeoutException e) {
           steps.add("never arrived: " + e.getMessage());
         }
-        StageHistories all = rig.histories();
+        RolloutHistoryChecker all = rig.histories();
         broken = new ArrayList<>(all.broken());
         count = all.moves();
       }
@@ -96,7 +96,7 @@
     return failed == 0 ? 0 : 1;
   }
 
-  private void play(Rig rig, long seed, List<String> steps)
+  private void play(FaultInjectionHarness rig, long seed, List<String> steps)
       throws IOException, InterruptedException {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     for (int i = 0; i < gateways; i++) {
@@ -106,7 +106,7 @@
     boolean[] stopped = new boolean[gateways];
     for (int step = 0; step < STEPS; step++) {
       int number = random.nextInt(gateways);
-      Rig.Node node = rig.nodes().get(number);
+      FaultInjectionHarness.Node node = rig.nodes().get(number);
       int what = random.nextInt(11);
       // The draws of a step are made whatever becomes of it: the same seed gives the same schedule.
       boolean there = random.nextBoolean();
@@ -122,7 +122,7 @@
     }
     rig.engineFault("");
     for (int i = 0; i < gateways; i++) {
-      Rig.Node node = rig.nodes().get(i);
+      FaultInjectionHarness.Node node = rig.nodes().get(i);
       node.relay().heal();
       if (stopped[i]) {
         node.signal("CONT");
@@ -131,13 +131,18 @@
         node.start();
       }
     }
-    Rig.Node any = rig.nodes().get(0);
+    FaultInjectionHarness.Node any = rig.nodes().get(0);
     rig.await("the target is taken", () -> any.isReady() && any.target("three") == 200);
     rig.awaitStage("three");
   }
 
   private static String step(
-      Rig rig, Rig.Node node, int number, int what, boolean there, boolean[] stopped)
+      FaultInjectionHarness rig,
+      FaultInjectionHarness.Node node,
+      int number,
+      int what,
+      boolean there,
+      boolean[] stopped)
       throws IOException, InterruptedException {
     String name = " g" + number;
     switch (what) {
--- a/lab/src/main/java/shelffront/lab/rig/StageHistories.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
@@ -1,4 +1,4 @@
-package shelffront.lab.rig;
+package shelffront.lab.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -17,7 +17,7 @@
  * clocks are one. What came into force counts until the next line of its process, or the end of its
  * lease if that is sooner: a process that was killed or stopped could have acted until then.
  */
-public final class StageHistories {
+public final class RolloutHistoryChecker {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -31,8 +31,8 @@
   private final Map<String, TreeMap<Long, Integer>> stages = new TreeMap<>();
   private final List<String> broken = new ArrayList<>();
 
-  public static StageHistories read(List<Path> files) throws IOException {
-    StageHistories all = new StageHistories();
+  public static RolloutHistoryChecker read(List<Path> files) throws IOException {
+    RolloutHistoryChecker all = new RolloutHistoryChecker();
     for (Path file : files) {
       if (Files.exists(file)) {
         all.add(Files.readAllLines(file));
@@ -42,8 +42,8 @@
     return all;
   }
 
-  static StageHistories of(List<List<String>> files) throws IOException {
-    StageHistories all = new StageHistories();
+  static RolloutHistoryChecker of(List<List<String>> files) throws IOException {
+    RolloutHistoryChecker all = new RolloutHistoryChecker();
     for (List<String> lines : files) {
       all.add(lines);
     }
--- a/lab/src/main/java/shelffront/lab/audit/Auditor.java
+++ b/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
@@ -1,4 +1,4 @@
-package shelffront.lab.audit;
+package shelffront.lab.invariants;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -10,15 +10,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import shelffront.lab.model.DatabaseSet.Effect;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Read;
+import shelffront.lab.model.ReplicaSetModel.Effect;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.RequestClass;
 
 /**
  * Holds a run against the rules as it goes, from what clients saw and what truly happened in the
  * sets, never from the gateway's own account. Times are Unix microseconds.
  */
-public final class Auditor {
+public final class InvariantChecker {
 
   /** The rules, and what else must hold. */
   public enum Rule {
@@ -82,7 +82,7 @@
   public static final class Asked {
 
     public final String id;
-    public final ClassSettings type;
+    public final RequestClass type;
     public final String key;
     public final String session;
     public final int gateway;
@@ -97,7 +97,7 @@
 
     private Asked(
         String id,
-        ClassSettings type,
+        RequestClass type,
         String key,
         String session,
         int gateway,
@@ -140,7 +140,7 @@
    * Marks are the session's where clients carry them, else its gateway's; reads may have a copy out
    * or not.
    */
-  public Auditor(boolean carried, boolean copies) {
+  public InvariantChecker(boolean carried, boolean copies) {
     this.carried = carried;
     this.copies = copies;
   }
@@ -170,7 +170,7 @@
   /** The last byte of a request has been written by its client. */
   public Asked asks(
       String id,
-      ClassSettings type,
+      RequestClass type,
       String key,
       String session,
       int gateway,
@@ -356,7 +356,7 @@
     if (sent < known) {
       return;
     }
-    if (a.type.read() == Read.BOUNDED && position < sent - a.type.bound() - SLACK) {
+    if (a.type.read() == Consistency.BOUNDED && position < sent - a.type.bound() - SLACK) {
       violated(
           now,
           Rule.FRESH,
@@ -366,7 +366,7 @@
               id,
               box,
               (sent - position) / 1e3));
-    } else if (a.type.read() == Read.SESSION && position < a.mark) {
+    } else if (a.type.read() == Consistency.SESSION && position < a.mark) {
       violated(
           now,
           Rule.OWN_WRITES,
@@ -376,7 +376,7 @@
               id,
               box,
               (a.mark - position) / 1e3));
-    } else if (a.type.read() == Read.FRESH) {
+    } else if (a.type.read() == Consistency.FRESH) {
       violated(now, Rule.FRESH, id + " had to be current and was read from " + box);
     }
   }
--- a/lab/src/main/java/shelffront/lab/load/Arrivals.java
+++ b/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
@@ -9,7 +9,7 @@
  * waves, or in bursts, as when a gate changes and a terminal wakes at once. Times are microseconds
  * from the start; no clock.
  */
-public final class Arrivals {
+public final class ArrivalSchedule {
 
   /**
    * How they come. Waves swing by eight tenths over ten seconds; a burst is a tenth of a second
@@ -38,7 +38,7 @@
   private final ZigguratSampler.Exponential gaps;
   private double at;
 
-  public Arrivals(Pattern pattern, double perSecond, UniformRandomProvider random) {
+  public ArrivalSchedule(Pattern pattern, double perSecond, UniformRandomProvider random) {
     this.pattern = pattern;
     this.perSecond = perSecond;
     gaps = ZigguratSampler.Exponential.of(random);
--- a/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
@@ -4,8 +4,8 @@
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import shelffront.lab.carrier.Carrier;
-import shelffront.lab.carrier.ConnectionHandler;
+import shelffront.lab.transport.ConnectionHandler;
+import shelffront.lab.transport.Transport;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
 
@@ -41,7 +41,7 @@
 
   private static final int CLEAR_TEXT = 3;
 
-  private final Carrier carrier;
+  private final Transport carrier;
   private final Caller<R> caller;
   private final String database;
   private final String password;
@@ -54,7 +54,7 @@
 
   /** Connects as a user to a database; the password is null where none is to be asked for. */
   public ClientConnectionHandler(
-      Carrier carrier,
+      Transport carrier,
       InetSocketAddress gateway,
       String user,
       String database,
--- a/lab/src/main/java/shelffront/lab/load/Load.java
+++ b/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
@@ -14,8 +14,8 @@
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import shelffront.lab.carrier.Carrier;
-import shelffront.lab.carrier.SocketCarrier;
+import shelffront.lab.transport.SocketTransport;
+import shelffront.lab.transport.Transport;
 
 /**
  * Open-loop load on a gateway, on sockets or on the virtual network: requests are due at times set
@@ -23,7 +23,7 @@
  * (Tene, "How not to measure latency"). So many connections carry it; where all are busy a request
  * waits, and that counts too.
  */
-public final class Load implements ClientConnectionHandler.Caller<Load.Request> {
+public final class OpenLoopLoad implements ClientConnectionHandler.Caller<OpenLoopLoad.Request> {
 
   /**
    * A class of requests.
@@ -54,7 +54,7 @@
    * @param hangUp part of the requests whose client leaves before the answer
    */
   public record Habits(
-      Arrivals.Pattern arrivals,
+      ArrivalSchedule.Pattern arrivals,
       int sessions,
       double skew,
       double readBack,
@@ -63,7 +63,7 @@
       double hangUp) {
 
     /** Even arrivals of clients that ask once and wait. */
-    public static final Habits PLAIN = new Habits(Arrivals.Pattern.EVEN, 997, 1, 0, 0, 0, 0);
+    public static final Habits PLAIN = new Habits(ArrivalSchedule.Pattern.EVEN, 997, 1, 0, 0, 0, 0);
   }
 
   /** One request under way. */
@@ -157,7 +157,7 @@
   private static final long HEAD_START = 50_000;
   private static final long SOON = 20_000;
 
-  private final Carrier carrier;
+  private final Transport carrier;
   private final InetSocketAddress gateway;
   private final String tenant;
   private final String password;
@@ -170,7 +170,7 @@
   private final ArrayDeque<ClientConnectionHandler<Request>> free = new ArrayDeque<>();
   private final ArrayDeque<Request> waiting = new ArrayDeque<>();
   private final Result result = new Result();
-  private Arrivals arrivals;
+  private ArrivalSchedule arrivals;
   private Runnable whenOver;
   private boolean begun;
   private boolean over;
@@ -183,8 +183,8 @@
    * Kinds at least one; the password is null where none is asked for. Everything drawn follows from
    * the seed.
    */
-  public Load(
-      Carrier carrier,
+  public OpenLoopLoad(
+      Transport carrier,
       InetSocketAddress gateway,
       String tenant,
       String password,
@@ -219,9 +219,9 @@
       int connections,
       double seconds)
       throws InterruptedException, IOException {
-    try (SocketCarrier carrier = new SocketCarrier("load " + tenant)) {
-      Load load =
-          new Load(
+    try (SocketTransport carrier = new SocketTransport("load " + tenant)) {
+      OpenLoopLoad load =
+          new OpenLoopLoad(
               carrier,
               gateway,
               tenant,
@@ -243,7 +243,7 @@
    */
   public void start(long length, Runnable whenOver) {
     this.whenOver = whenOver;
-    arrivals = new Arrivals(habits.arrivals(), perSecond, random);
+    arrivals = new ArrivalSchedule(habits.arrivals(), perSecond, random);
     for (int i = 0; i < most; i++) {
       connect();
     }
--- a/lab/src/main/java/shelffront/lab/load/Relay.java
+++ b/lab/src/main/java/shelffront/lab/load/TransparentProxy.java
@@ -17,7 +17,7 @@
  * channels and with as many threads as the gateway's completions have. What the gateway costs is
  * told as a ratio to it.
  */
-public final class Relay implements AutoCloseable {
+public final class TransparentProxy implements AutoCloseable {
 
   private static final int BUFFER = 4096;
 
@@ -27,7 +27,7 @@
   private final Set<AsynchronousSocketChannel> open = ConcurrentHashMap.newKeySet();
 
   /** Listens on loopback, on any port. */
-  public Relay(InetSocketAddress to) throws IOException {
+  public TransparentProxy(InetSocketAddress to) throws IOException {
     this.to = to;
     group =
         AsynchronousChannelGroup.withFixedThreadPool(
--- a/lab/src/main/java/shelffront/lab/model/DatabaseSet.java
+++ b/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
@@ -19,7 +19,7 @@
  * that come back old. It keeps the true record of every effect. No I/O: a carrier brings requests
  * and takes answers, in real or virtual time. One thread.
  */
-public final class DatabaseSet {
+public final class ReplicaSetModel {
 
   /** How a box answers. */
   public enum Kind {
@@ -173,7 +173,8 @@
       if (draining || query.until() <= clock.now()) {
         reply(answer, Kind.FULL);
       } else if (!isPrimary()
-          && (query.write() || query.fresh() && figures.check() != Figures.Check.SILENT)) {
+          && (query.write()
+              || query.fresh() && figures.check() != ReplicaSetParameters.Check.SILENT)) {
         reply(answer, Kind.MISS);
       } else if (busy >= figures.cores() && room.size() >= figures.room()) {
         reply(answer, Kind.FULL);
@@ -270,10 +271,10 @@
               ? now
               : q.bound() > 0 ? now - q.bound() : sessions.getOrDefault(q.session(), 0L);
       boolean covered = isPrimary() || !q.fresh() && position() >= need;
-      if (covered || figures.check() == Figures.Check.SILENT) {
+      if (covered || figures.check() == ReplicaSetParameters.Check.SILENT) {
         witness.read(this, q, position());
         w.answer().accept(new Answer(Kind.OK, isPrimary(), position()));
-      } else if (figures.check() == Figures.Check.REFUSE || now >= until) {
+      } else if (figures.check() == ReplicaSetParameters.Check.REFUSE || now >= until) {
         reply(w.answer(), Kind.MISS);
       } else {
         clock.at(Math.min(until, now + 5_000), () -> read(w, until));
@@ -283,7 +284,7 @@
 
   private final Clock clock;
   private final UniformRandomProvider random;
-  private final Figures figures;
+  private final ReplicaSetParameters figures;
   private final Witness witness;
   private final List<Box> boxes = new ArrayList<>();
   private final List<Entry> log = new ArrayList<>();
@@ -295,12 +296,12 @@
   private int elections;
 
   /** A set of so many boxes, the first of which is primary. */
-  public DatabaseSet(
+  public ReplicaSetModel(
       String name,
       int boxCount,
       Clock clock,
       UniformRandomProvider random,
-      Figures figures,
+      ReplicaSetParameters figures,
       Witness witness) {
     this.clock = clock;
     this.random = random;
--- a/lab/src/main/java/shelffront/lab/model/Figures.java
+++ b/lab/src/main/java/shelffront/lab/model/ReplicaSetParameters.java
@@ -24,7 +24,7 @@
  * @param fallTime the length of that window
  * @param losesTail whether a replica is promoted without the log's end that it has not got
  */
-public record Figures(
+public record ReplicaSetParameters(
     int cores,
     int room,
     int connections,
--- a/lab/src/main/java/shelffront/lab/fleet/ClientProbe.java
+++ b/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
--- a/lab/src/main/java/shelffront/lab/fleet/DistributionExplore.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,13 +16,13 @@
 import org.apache.commons.rng.simple.RandomSource;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import shelffront.distribution.Change;
+import shelffront.controlplane.ChangeStore.RecordChanged;
+import shelffront.coordination.OperatorException;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.engine.OperatorException;
-import shelffront.fleetconfig.ChangeStore.RecordChanged;
-import shelffront.lab.fleet.DistributionHistories.Acknowledged;
-import shelffront.lab.fleet.DistributionHistories.Cut;
-import shelffront.lab.rig.FaultRelay;
+import shelffront.lab.faultinjection.FaultProxy;
+import shelffront.lab.scale.DistributionHistoryChecker.Acknowledged;
+import shelffront.lab.scale.DistributionHistoryChecker.Cut;
 
 /**
  * Plays drawn schedules of faults on a fleet of processes while tenants are made, changed and
@@ -112,7 +112,7 @@
     private final UniformRandomProvider
         random; // of the schedule: the same for a seed, whatever else takes long
     private final UniformRandomProvider changeRandom;
-    private final Map<String, FaultRelay> ways = new TreeMap<>(); // "from to"
+    private final Map<String, FaultProxy> ways = new TreeMap<>(); // "from to"
     private final ScaledFleet fleet;
     private final List<ClientProbe> clients = new ArrayList<>();
     private final Map<String, List<Acknowledged>> acknowledged = new HashMap<>();
@@ -121,7 +121,7 @@
     private final List<String> broken = new ArrayList<>();
     private Version newest = Version.NONE;
     private int refused;
-    private DistributionHistories histories = new DistributionHistories();
+    private DistributionHistoryChecker histories = new DistributionHistoryChecker();
 
     Play(Path directory, long seed) throws Exception {
       random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -129,15 +129,15 @@
       fleet = new ScaledFleet(directory, SIZE, this::way, true);
       fleet.start();
       for (int i = 0; i < SIZE.real(); i++) {
-        clients.add(new ClientProbe(fleet.clientAddress(i), FleetNames.COMMON));
+        clients.add(new ClientProbe(fleet.clientAddress(i), TrialTenants.COMMON));
       }
     }
 
     private String way(String from, String to, String address) throws IOException {
-      FaultRelay relay = ways.get(from + " " + to);
+      FaultProxy relay = ways.get(from + " " + to);
       if (relay == null) {
         String[] at = address.split(":");
-        relay = new FaultRelay(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+        relay = new FaultProxy(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
         ways.put(from + " " + to, relay);
       }
       return relay.address();
@@ -148,7 +148,7 @@
         Step step = Step.values()[random.nextInt(Step.values().length)];
         int which = random.nextInt(4);
         said.add(step + " " + which);
-        long began = FleetNames.clock();
+        long began = TrialTenants.clock();
         begin(step, which);
         changeFor(1000 + random.nextLong(LONGEST_HOLD_MILLIS), step == Step.BURST ? 20 : 300);
         end(step, which);
@@ -160,7 +160,7 @@
               default -> null;
             };
         if (concerned != null) {
-          cuts.add(new Cut(concerned, began, FleetNames.clock()));
+          cuts.add(new Cut(concerned, began, TrialTenants.clock()));
         }
         changeFor(1500, 300);
       }
@@ -201,7 +201,7 @@
         case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("CONT");
         case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).start();
         case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("CONT");
-        case SLOW_ZONE, CUT_ZONE, CUT_REGIONS -> ways.values().forEach(FaultRelay::heal);
+        case SLOW_ZONE, CUT_ZONE, CUT_REGIONS -> ways.values().forEach(FaultProxy::heal);
         case ENGINE_LEADERLESS -> fleet.engineFault("");
         case ENGINE_RESTORED -> beginIncarnation();
         case RESTART_ZONE -> fleet.awaitCurrent();
@@ -219,7 +219,7 @@
     }
 
     /** All ways out of a part of the fleet. */
-    private List<FaultRelay> waysOutOf(String from) {
+    private List<FaultProxy> waysOutOf(String from) {
       return ways.entrySet().stream()
           .filter(e -> e.getKey().startsWith(from + " "))
           .map(Map.Entry::getValue)
@@ -227,8 +227,8 @@
     }
 
     /** Zones 0 and 1 are of the first region; the engine stands in the first. */
-    private List<FaultRelay> betweenRegions() {
-      List<FaultRelay> between = new ArrayList<>();
+    private List<FaultProxy> betweenRegions() {
+      List<FaultProxy> between = new ArrayList<>();
       ways.forEach(
           (way, relay) -> {
             String[] ends = way.split(" ");
@@ -250,8 +250,8 @@
     // --------------------------------------------------------------------------------
 
     private void changeFor(long millis, long pauseMillis) throws InterruptedException {
-      long until = FleetNames.clock() + millis * 1000;
-      while (FleetNames.clock() < until) {
+      long until = TrialTenants.clock() + millis * 1000;
+      while (TrialTenants.clock() < until) {
         changeOne();
         Thread.sleep(pauseMillis);
       }
@@ -260,19 +260,20 @@
     private void changeOne() {
       int draw = changeRandom.nextInt(SIZE.tenants() + 1);
       boolean remove = changeRandom.nextInt(6) == 0 && draw > 0;
-      String id = draw == 0 ? FleetNames.COMMON : FleetNames.tenant(draw - 1);
+      String id = draw == 0 ? TrialTenants.COMMON : TrialTenants.tenant(draw - 1);
       String name = "tenant/" + id;
       try {
-        Change present = fleet.store().record(name);
+        RecordChange present = fleet.store().record(name);
         remove &= present != null;
-        String document = remove ? null : FleetNames.document(id, FleetNames.clock()).toString();
+        String document =
+            remove ? null : TrialTenants.document(id, TrialTenants.clock()).toString();
         newest =
             fleet
                 .store()
                 .write(name, present == null ? 0 : present.version().sequence(), document, newest);
         acknowledged
             .computeIfAbsent(name, n -> new ArrayList<>())
-            .add(new Acknowledged(name, newest, remove, FleetNames.clock()));
+            .add(new Acknowledged(name, newest, remove, TrialTenants.clock()));
       } catch (OperatorException | RecordChanged e) {
         refused++;
       }
@@ -291,7 +292,7 @@
       for (Map.Entry<String, List<Acknowledged>> each : acknowledged.entrySet()) {
         List<String> serving = new ArrayList<>();
         for (int g = 0; g < SIZE.gateways(); g++) {
-          if (FleetNames.served(g, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed())
+          if (TrialTenants.served(g, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed())
                   .contains(each.getKey())
               && neverRemoved(each.getValue())) {
             serving.add("g" + g);
@@ -336,7 +337,7 @@
     public void close() throws IOException {
       clients.forEach(ClientProbe::stop);
       fleet.close();
-      for (FaultRelay relay : ways.values()) {
+      for (FaultProxy relay : ways.values()) {
         relay.close();
       }
     }
--- a/lab/src/main/java/shelffront/lab/fleet/DistributionHistories.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,7 +11,7 @@
  * Holds what was in force at each gateway against the changes that the engine acknowledged. All
  * processes share a machine, so their monotonic clocks are one. Times are microseconds.
  */
-final class DistributionHistories {
+final class DistributionHistoryChecker {
 
   /** A change that was acknowledged; its version is that of a removal where it removes. */
   record Acknowledged(String name, Version version, boolean removal, long at) {}
--- a/lab/src/main/java/shelffront/lab/fleet/FleetScale.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScale.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -17,10 +17,10 @@
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import shelffront.distribution.Change;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.lab.rig.JavaProcess;
-import shelffront.tenant.SpecJson;
+import shelffront.lab.faultinjection.JavaProcess;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * Distribution of configuration at a fleet's size: what each role costs, and how long a change
@@ -112,7 +112,7 @@
 
   private final List<String> lines = new ArrayList<>();
   private final List<String> broken = new ArrayList<>();
-  private final ObjectNode figures = SpecJson.JSON.createObjectNode();
+  private final ObjectNode figures = TenantSpecCodec.JSON.createObjectNode();
 
   /** What a group of processes has used until a moment. */
   private record Use(double cpu, long io, long resident, long at, boolean intact) {
@@ -128,7 +128,7 @@
         resident += process.residentBytes();
       }
       boolean intact = parts.stream().allMatch(ScaledFleet.Part::isFirstAndUp);
-      return new Use(cpu, io, resident, FleetNames.clock(), intact);
+      return new Use(cpu, io, resident, TrialTenants.clock(), intact);
     }
 
     double cpuSince(Use before) {
@@ -142,7 +142,7 @@
 
   @Override
   public Integer call() throws Exception {
-    int tenants = hosts / FleetNames.HOSTS_OF_TENANT;
+    int tenants = hosts / TrialTenants.HOSTS_OF_TENANT;
     ScaledFleet.Size size =
         new ScaledFleet.Size(gateways, tenants, names, regions, zones, real, direct, seed);
     Path directory =
@@ -150,9 +150,9 @@
     Path work = Files.createTempDirectory("fleet-scale-work-");
     boolean tooSlow;
     try (ScaledFleet fleet = new ScaledFleet(work, size)) {
-      long from = FleetNames.clock();
+      long from = TrialTenants.clock();
       fleet.start();
-      note("start_s", (FleetNames.clock() - from) / 1e6);
+      note("start_s", (TrialTenants.clock() - from) / 1e6);
       note("slowest_zone_current_s", fleet.slowestStartMillis() / 1e3);
       Map<String, Use> before = use(fleet);
       long[] calls = fleet.engineCalls();
@@ -163,9 +163,9 @@
       report("idle", before, idle);
       note("idle_engine_calls_per_s", idlePerSecond);
       note("idle_engine_kb_per_s", (idleCalls[1] - calls[1]) / 1e3 / idleSeconds);
-      long began = FleetNames.clock();
+      long began = TrialTenants.clock();
       Map<String, Version> written = change(fleet, tenants);
-      double took = (FleetNames.clock() - began) / 1e6;
+      double took = (TrialTenants.clock() - began) / 1e6;
       tooSlow = took > TOO_SLOW * seconds;
       Map<String, Use> after = use(fleet);
       long[] afterCalls = fleet.engineCalls();
@@ -226,17 +226,19 @@
     Map<String, Version> written = new HashMap<>();
     long pause = TimeUnit.HOURS.toMicros(1) / changesPerHour;
     int count = (int) (TimeUnit.SECONDS.toMicros(seconds) / pause);
-    long next = FleetNames.clock();
+    long next = TrialTenants.clock();
     long slowest = 0;
     for (int i = 0; i < count; i++) {
       if (i == count / 2) {
         breakSomething(fleet);
       }
       String id =
-          i % COMMON_EVERY == 0 ? FleetNames.COMMON : FleetNames.tenant(random.nextInt(tenants));
+          i % COMMON_EVERY == 0
+              ? TrialTenants.COMMON
+              : TrialTenants.tenant(random.nextInt(tenants));
       String name = "tenant/" + id;
-      Change present = fleet.store().record(name);
-      long at = FleetNames.clock();
+      RecordChange present = fleet.store().record(name);
+      long at = TrialTenants.clock();
       written.put(
           name,
           fleet
@@ -244,11 +246,11 @@
               .write(
                   name,
                   present.version().sequence(),
-                  FleetNames.document(id, at).toString(),
+                  TrialTenants.document(id, at).toString(),
                   Version.NONE));
-      slowest = Math.max(slowest, FleetNames.clock() - at);
+      slowest = Math.max(slowest, TrialTenants.clock() - at);
       next += pause;
-      long left = next - FleetNames.clock();
+      long left = next - TrialTenants.clock();
       if (left > 0) {
         TimeUnit.MICROSECONDS.sleep(left);
       }
@@ -290,7 +292,7 @@
       for (var each : report.path("inForce").properties()) {
         int number = Integer.parseInt(each.getKey().substring(1));
         for (String name :
-            FleetNames.served(number, hosts / FleetNames.HOSTS_OF_TENANT, names, seed)) {
+            TrialTenants.served(number, hosts / TrialTenants.HOSTS_OF_TENANT, names, seed)) {
           Version wanted = written.get(name);
           missing +=
               wanted != null && each.getValue().path(name).asLong() != wanted.sequence() ? 1 : 0;
@@ -335,7 +337,7 @@
 
   private void save(Path directory) throws IOException {
     ObjectNode result =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("gateways", gateways)
             .put("hosts", hosts)
@@ -351,6 +353,6 @@
     result.putPOJO("broken", broken);
     Files.writeString(
         directory.resolve("result.json"),
-        SpecJson.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(result) + "\n");
+        TenantSpecCodec.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(result) + "\n");
   }
 }
--- a/lab/src/main/java/shelffront/lab/fleet/FleetScaleReport.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -16,7 +16,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import shelffront.tenant.SpecJson;
+import shelffront.tenant.TenantSpecCodec;
 
 /** Tables and charts over several kept runs of {@link FleetScale}. */
 @Command(
@@ -95,7 +95,7 @@
     try (Stream<Path> directories = Files.list(directory)) {
       for (Path each : directories.sorted().toList()) {
         if (Files.exists(each.resolve("result.json"))) {
-          runs.add(SpecJson.JSON.readTree(each.resolve("result.json").toFile()));
+          runs.add(TenantSpecCodec.JSON.readTree(each.resolve("result.json").toFile()));
         }
       }
     }
--- a/lab/src/main/java/shelffront/lab/fleet/GatewayCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -16,9 +16,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import shelffront.Main;
-import shelffront.lab.rig.JavaProcess;
-import shelffront.lab.standin.StandInSet;
-import shelffront.tenant.SpecJson;
+import shelffront.lab.emulator.EmulatedReplicaSet;
+import shelffront.lab.faultinjection.JavaProcess;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * What a gateway costs at rest, as a process: by hosts, by tenants at rest, by tenants awake, by
@@ -38,7 +38,7 @@
   private static final Pattern LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
   private static final long MISSING_MILLIS = 60_000;
   private static final int MOST_HOSTS = 1000; // of a tenant, by its schema
-  private static final int HOSTS_OF_TENANT = FleetNames.HOSTS_OF_TENANT;
+  private static final int HOSTS_OF_TENANT = TrialTenants.HOSTS_OF_TENANT;
 
   @Option(
       names = "--hosts",
@@ -89,7 +89,7 @@
       measure("tenants of five hosts, at rest", count, config(count, HOSTS_OF_TENANT), 0, 0);
     }
     // Hosts that answer, the same five for all: a gateway asks those again and again that do not.
-    StandInSet set = new StandInSet("cost", HOSTS_OF_TENANT - 1, 8, 1, 5);
+    EmulatedReplicaSet set = new EmulatedReplicaSet("cost", HOSTS_OF_TENANT - 1, 8, 1, 5);
     try {
       for (int count : awake) {
         measure(
@@ -113,7 +113,7 @@
     return 0;
   }
 
-  private static ObjectNode served(ObjectNode config, StandInSet set) {
+  private static ObjectNode served(ObjectNode config, EmulatedReplicaSet set) {
     for (JsonNode tenant : config.path("tenants")) {
       int h = 0;
       for (JsonNode box : tenant.path("boxes").path("list")) {
@@ -125,10 +125,10 @@
 
   private static ObjectNode config(int tenants, int hostsOfEach) {
     ObjectNode config =
-        SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("sockets", 40_000);
+        TenantSpecCodec.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("sockets", 40_000);
     ArrayNode list = config.putArray("tenants");
     for (int t = 0; t < tenants; t++) {
-      ObjectNode tenant = FleetNames.document(FleetNames.tenant(t), 0);
+      ObjectNode tenant = TrialTenants.document(TrialTenants.tenant(t), 0);
       ((ObjectNode) tenant.withObject("/limits")).put("clientConnections", 40_000);
       ArrayNode boxes = (ArrayNode) tenant.path("boxes").path("list");
       for (int h = boxes.size(); h < hostsOfEach; h++) {
@@ -165,7 +165,7 @@
       double start = process.cpuSeconds();
       for (int t = 0; t < tenants; t++) {
         for (int c = 0; c < clientsOfEach; c++) {
-          clients.add(ClientProbe.open(process.found(LISTENS), FleetNames.tenant(t)));
+          clients.add(ClientProbe.open(process.found(LISTENS), TrialTenants.tenant(t)));
         }
       }
       TimeUnit.SECONDS.sleep(2); // connections and probes of the first moment
--- a/lab/src/main/java/shelffront/lab/fleet/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -24,17 +24,17 @@
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import shelffront.distribution.Change;
-import shelffront.distribution.Timings;
+import shelffront.controlplane.ChangeStore;
+import shelffront.controlplane.DistributorProcess;
+import shelffront.controlplane.SubscribedRecords;
+import shelffront.controlplane.SubscribedRecordsConfig;
+import shelffront.coordination.ConsulCoordinationStore;
+import shelffront.coordination.OperatorException;
+import shelffront.distribution.DistributionTimings;
+import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.engine.ConsulEngine;
-import shelffront.engine.OperatorException;
-import shelffront.fleetconfig.ChangeStore;
-import shelffront.fleetconfig.DistributorRole;
-import shelffront.fleetconfig.FleetRecords;
-import shelffront.fleetconfig.FleetRecordsConfig;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * Many gateways of a fleet in one process, without clients and hosts: the real gateway's code for
@@ -63,10 +63,10 @@
   private Writer history; // null where none is kept
   private final Histogram delays = new Histogram(LONGEST_MICROS, 3);
   private long steppedBack;
-  private final long startedAt = FleetNames.clock();
+  private final long startedAt = TrialTenants.clock();
 
   /** A name that a gateway asks for. */
-  private record Lookup(FleetRecords records, String name) {
+  private record Lookup(SubscribedRecords records, String name) {
 
     /** Whether or not there is such a record. */
     void awaitAnswer() throws InterruptedException {
@@ -82,7 +82,7 @@
   }
 
   /** One gateway's table: what is in force, each by its sequence. */
-  private final class Table implements FleetRecords.Target {
+  private final class Table implements SubscribedRecords.Target {
 
     private final String gateway;
     private final Map<String, Long> inForce = new HashMap<>();
@@ -92,9 +92,9 @@
     }
 
     @Override
-    public synchronized String put(Change record) {
+    public synchronized String put(RecordChange record) {
       try {
-        SpecJson.read(SpecJson.parse(record.document().getBytes(UTF_8)));
+        TenantSpecCodec.read(TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
       } catch (SpecException e) {
         return e.pointer() + " " + e.getMessage();
       }
@@ -125,7 +125,7 @@
     }
     try {
       history.write(
-          FleetNames.clock()
+          TrialTenants.clock()
               + " "
               + gateway
               + " "
@@ -138,18 +138,18 @@
     }
   }
 
-  private synchronized void tookUp(Change record, Long before) {
+  private synchronized void tookUp(RecordChange record, Long before) {
     if (before == null) {
       return; // it comes as the gateway starts, not as a change
     }
     steppedBack += before > record.version().sequence() ? 1 : 0;
-    long took = FleetNames.clock() - FleetNames.writtenAt(record.document());
+    long took = TrialTenants.clock() - TrialTenants.writtenAt(record.document());
     delays.recordValue(Math.max(0, Math.min(LONGEST_MICROS, took)));
   }
 
   @Override
   public Integer call() throws Exception {
-    JsonNode config = SpecJson.JSON.readTree(file.toFile());
+    JsonNode config = TenantSpecCodec.JSON.readTree(file.toFile());
     history =
         historyFile == null
             ? null
@@ -157,20 +157,20 @@
                 historyFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     note("life", "begins", null);
     Map<String, Table> tables = new HashMap<>();
-    ScheduledThreadPoolExecutor timer = DistributorRole.timer(TIMER_THREADS, "hollow-timer");
-    HttpClient http = FleetRecords.httpClient(Timings.STANDARD);
+    ScheduledThreadPoolExecutor timer = DistributorProcess.timer(TIMER_THREADS, "hollow-timer");
+    HttpClient http = SubscribedRecords.httpClient(DistributionTimings.STANDARD);
     List<Lookup> lookups = new ArrayList<>();
     for (JsonNode each : config.path("gateways")) {
-      FleetRecordsConfig settings =
-          FleetRecordsConfig.read(each.path("distribution"), "/distribution");
+      SubscribedRecordsConfig settings =
+          SubscribedRecordsConfig.read(each.path("distribution"), "/distribution");
       Table table = new Table(settings.name());
-      FleetRecords records =
-          new FleetRecords(
+      SubscribedRecords records =
+          new SubscribedRecords(
               settings,
               table,
               http,
               timer,
-              FleetNames::clock,
+              TrialTenants::clock,
               new Random(settings.name().hashCode()),
               System.out::println);
       tables.put(settings.name(), table);
@@ -183,7 +183,7 @@
     for (Lookup lookup : lookups) {
       lookup.awaitAnswer();
     }
-    System.out.println("all current after " + (FleetNames.clock() - startedAt) / 1000 + " ms");
+    System.out.println("all current after " + (TrialTenants.clock() - startedAt) / 1000 + " ms");
     Thread.currentThread().join();
     return 0;
   }
@@ -194,7 +194,8 @@
       return;
     }
     String[] at = direct.path("engine").asText().split(":");
-    ConsulEngine engine = new ConsulEngine(at[0], Integer.parseInt(at[1]), Duration.ofMillis(1500));
+    ConsulCoordinationStore engine =
+        new ConsulCoordinationStore(at[0], Integer.parseInt(at[1]), Duration.ofMillis(1500));
     for (int i = 0; i < direct.path("count").asInt(); i++) {
       ChangeStore store = new ChangeStore(engine, direct.path("fleet").asText());
       Thread thread = new Thread(null, () -> watch(store), "direct-" + i, 256 << 10);
@@ -208,9 +209,9 @@
       ChangeStore.Head known = store.head();
       while (true) {
         ChangeStore.Head head = store.awaitHead(known);
-        List<Change> changes = store.changes(known, head);
+        List<RecordChange> changes = store.changes(known, head);
         known = head;
-        for (Change change : changes == null ? List.<Change>of() : changes) {
+        for (RecordChange change : changes == null ? List.<RecordChange>of() : changes) {
           tookUp(change, 0L);
         }
       }
@@ -221,7 +222,7 @@
 
   private synchronized void report(Map<String, Table> tables) {
     ObjectNode report =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("count", delays.getTotalCount())
             .put("steppedBack", steppedBack);
--- a/lab/src/main/java/shelffront/lab/fleet/StageCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/RolloutCost.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -19,8 +19,8 @@
 import picocli.CommandLine.Option;
 import shelffront.Main;
 import shelffront.lab.LabMain;
-import shelffront.lab.rig.JavaProcess;
-import shelffront.tenant.SpecJson;
+import shelffront.lab.faultinjection.JavaProcess;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * What leases on stages ask of the engine while nothing moves: calls and bytes by gateways and by
@@ -31,7 +31,7 @@
     mixinStandardHelpOptions = true,
     description =
         "Starts gateways that keep leases on subjects, and counts the engine's calls meanwhile.")
-public final class StageCost implements Callable<Integer> {
+public final class RolloutCost implements Callable<Integer> {
 
   private static final int HEAP_MB = 96;
   private static final Pattern LISTENS = Pattern.compile("listens on (127.0.0.1:[0-9]+)");
@@ -116,7 +116,7 @@
   }
 
   private static ObjectNode config(String engine, String name, int subjectCount) {
-    ObjectNode config = SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0");
+    ObjectNode config = TenantSpecCodec.JSON.createObjectNode().put("listen", "127.0.0.1:0");
     ObjectNode fleet =
         config.putObject("fleet").put("engine", engine).put("fleet", "cost").put("name", name);
     ObjectNode subjects = fleet.putObject("subjects");
@@ -127,7 +127,7 @@
   }
 
   private JsonNode calls(JavaProcess engine) throws IOException, InterruptedException {
-    return SpecJson.JSON.readTree(
+    return TenantSpecCodec.JSON.readTree(
         http.send(
                 HttpRequest.newBuilder(URI.create("http://" + engine.found(LISTENS) + "/calls"))
                     .build(),
--- a/lab/src/main/java/shelffront/lab/fleet/ScaledFleet.java
+++ b/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -21,12 +21,12 @@
 import java.util.regex.Pattern;
 import org.awaitility.Awaitility;
 import shelffront.Main;
+import shelffront.controlplane.ChangeStore;
+import shelffront.coordination.ConsulCoordinationStore;
 import shelffront.distribution.Version;
-import shelffront.engine.ConsulEngine;
-import shelffront.fleetconfig.ChangeStore;
 import shelffront.lab.LabMain;
-import shelffront.lab.rig.JavaProcess;
-import shelffront.tenant.SpecJson;
+import shelffront.lab.faultinjection.JavaProcess;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * A fleet in processes: the stand-in engine, a distributor for each region and each zone, the
@@ -117,8 +117,8 @@
   private final List<Part> zones = new ArrayList<>();
   private final List<Part> hollow = new ArrayList<>(); // by zone
   private final List<Part> real = new ArrayList<>();
-  private final ArrayNode regionEndpoints = SpecJson.JSON.createArrayNode();
-  private final ArrayNode zoneEndpoints = SpecJson.JSON.createArrayNode();
+  private final ArrayNode regionEndpoints = TenantSpecCodec.JSON.createArrayNode();
+  private final ArrayNode zoneEndpoints = TenantSpecCodec.JSON.createArrayNode();
 
   ScaledFleet(Path directory, Size size) throws Exception {
     this(directory, size, (from, to, address) -> address, false);
@@ -149,7 +149,7 @@
     engineAddress = "127.0.0.1:" + engine.process().found(LISTENS);
     store =
         new ChangeStore(
-            new ConsulEngine(
+            new ConsulCoordinationStore(
                 "127.0.0.1", Integer.parseInt(engine.process().found(LISTENS)), ENGINE_CALL),
             FLEET);
   }
@@ -162,16 +162,16 @@
   }
 
   private void fill(Path state) throws Exception {
-    StateFileEngine filled = new StateFileEngine();
+    StateFileCoordinationStore filled = new StateFileCoordinationStore();
     ChangeStore writer = new ChangeStore(filled, FLEET);
     writer.write(
-        "tenant/" + FleetNames.COMMON,
+        "tenant/" + TrialTenants.COMMON,
         0,
-        FleetNames.document(FleetNames.COMMON, 0).toString(),
+        TrialTenants.document(TrialTenants.COMMON, 0).toString(),
         Version.NONE);
     for (int i = 0; i < size.tenants(); i++) {
-      String id = FleetNames.tenant(i);
-      writer.write("tenant/" + id, 0, FleetNames.document(id, 0).toString(), Version.NONE);
+      String id = TrialTenants.tenant(i);
+      writer.write("tenant/" + id, 0, TrialTenants.document(id, 0).toString(), Version.NONE);
     }
     filled.save(state);
   }
@@ -215,7 +215,7 @@
 
   private static ObjectNode distributor(String name, String region, String zone) {
     ObjectNode config =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("listen", "127.0.0.1:0")
             .put("name", "d-" + name)
@@ -246,7 +246,7 @@
         endpoint.put("zone", zone(i));
       }
       Path file = directory.resolve(part.name + ".json");
-      ObjectNode config = (ObjectNode) SpecJson.JSON.readTree(file.toFile());
+      ObjectNode config = (ObjectNode) TenantSpecCodec.JSON.readTree(file.toFile());
       Files.writeString(file, config.put("listen", address).toString());
     }
   }
@@ -263,7 +263,7 @@
 
   private ObjectNode gateway(String name, int zone) throws IOException {
     ObjectNode config =
-        SpecJson.JSON
+        TenantSpecCodec.JSON
             .createObjectNode()
             .put("name", name)
             .put("fleet", FLEET)
@@ -276,13 +276,14 @@
   }
 
   private Part hollow(int zone) throws IOException {
-    ObjectNode config = SpecJson.JSON.createObjectNode();
+    ObjectNode config = TenantSpecCodec.JSON.createObjectNode();
     ArrayNode gateways = config.putArray("gateways");
     for (int g = zone; g < size.gateways(); g += size.zones()) {
       ObjectNode each = gateways.addObject();
       each.set("distribution", gateway("g" + g, zone));
       ArrayNode names = each.putArray("names");
-      FleetNames.served(g, size.tenants(), size.namesOfGateway(), size.seed()).forEach(names::add);
+      TrialTenants.served(g, size.tenants(), size.namesOfGateway(), size.seed())
+          .forEach(names::add);
     }
     if (size.direct() > 0) {
       config
@@ -348,7 +349,10 @@
 
   private Part real(int number) throws IOException {
     ObjectNode config =
-        SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
+        TenantSpecCodec.JSON
+            .createObjectNode()
+            .put("listen", "127.0.0.1:0")
+            .put("admin", "127.0.0.1:0");
     config.set(
         "distribution",
         gateway("real" + number, number % size.zones()).put("engine", engineAddress));
@@ -411,7 +415,7 @@
   /** Calls that the engine has answered, and bytes of their bodies. */
   long[] engineCalls() throws IOException, InterruptedException {
     JsonNode o =
-        SpecJson.JSON.readTree(
+        TenantSpecCodec.JSON.readTree(
             http.send(
                     HttpRequest.newBuilder(URI.create("http://" + engineAddress + "/calls"))
                         .build(),
@@ -427,7 +431,7 @@
       if (!hollow.get(z).process().terminate(MOST.toSeconds())) {
         throw new IllegalStateException(hollow.get(z).name + " does not end");
       }
-      reports.put(z, SpecJson.JSON.readTree(report(z).toFile()));
+      reports.put(z, TenantSpecCodec.JSON.readTree(report(z).toFile()));
     }
     return reports;
   }
--- a/lab/src/main/java/shelffront/lab/fleet/StateFileEngine.java
+++ b/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -9,14 +9,14 @@
 import java.util.Base64;
 import java.util.List;
 import java.util.TreeMap;
-import shelffront.engine.Engine;
-import shelffront.tenant.SpecJson;
+import shelffront.coordination.CoordinationStore;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * Fills the stand-in engine's file before that is started, by the same writes that would go to it
  * over HTTP.
  */
-final class StateFileEngine implements Engine {
+final class StateFileCoordinationStore implements CoordinationStore {
 
   private final TreeMap<String, Value> values = new TreeMap<>();
   private long index = 1;
@@ -29,7 +29,7 @@
         .forEach(
             v ->
                 lines.add(
-                    SpecJson.JSON
+                    TenantSpecCodec.JSON
                         .createObjectNode()
                         .put("index", v.index())
                         .put("key", v.key())
--- a/lab/src/main/java/shelffront/lab/fleet/FleetNames.java
+++ b/lab/src/main/java/shelffront/lab/scale/TrialTenants.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -7,13 +7,13 @@
 import java.util.SplittableRandom;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import shelffront.tenant.SpecJson;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * The tenants of a fleet on trial: which there are, who serves which, and documents that tell when
  * they were written.
  */
-final class FleetNames {
+final class TrialTenants {
 
   /** Hosts of each tenant: a primary and its replicas. */
   static final int HOSTS_OF_TENANT = 5;
@@ -23,7 +23,7 @@
 
   private static final Pattern WRITTEN_AT = Pattern.compile("\"w([0-9]+)\"");
 
-  private FleetNames() {}
+  private TrialTenants() {}
 
   static String tenant(int number) {
     return "t" + number;
@@ -44,7 +44,7 @@
 
   /** A tenant with its hosts; one host's name tells when it was written, in microseconds. */
   static ObjectNode document(String id, long writtenAt) {
-    ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", id);
+    ObjectNode tenant = TenantSpecCodec.JSON.createObjectNode().put("id", id);
     ArrayNode classes = tenant.putArray("classes");
     classes.addObject().put("name", "read").put("giveUpMs", 1000).put("read", "session");
     classes
--- a/lab/src/main/java/shelffront/lab/world/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -1,16 +1,16 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import shelffront.lab.audit.Auditor.Asked;
-import shelffront.lab.audit.Auditor.Rule;
+import shelffront.lab.invariants.InvariantChecker.Asked;
+import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.load.ClientConnectionHandler;
-import shelffront.lab.virtual.Machine;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Read;
+import shelffront.lab.virtual.SimulatedMachine;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.RequestClass;
 
 /**
  * The clients of one gateway: requests that come when they are due, whatever became of those
@@ -23,9 +23,9 @@
   private static final long PATIENCE =
       100_000; // Beyond its time a client looks whether an answer comes late.
 
-  private final Fleet fleet;
+  private final FleetSimulation fleet;
   private final int gateway;
-  private final Machine machine;
+  private final SimulatedMachine machine;
   private final UniformRandomProvider random;
   private final ZigguratSampler.Exponential gaps;
   private final double perSecond;
@@ -35,9 +35,9 @@
   private long asked;
 
   ClientPopulation(
-      Fleet fleet,
+      FleetSimulation fleet,
       int gateway,
-      Machine machine,
+      SimulatedMachine machine,
       UniformRandomProvider random,
       double perSecond,
       long until) {
@@ -71,9 +71,9 @@
   }
 
   private void request() {
-    List<ClassSettings> types = fleet.types();
+    List<RequestClass> types = fleet.types();
     double lot = random.nextDouble();
-    ClassSettings type =
+    RequestClass type =
         lot < 0.25
             ? types.get(3)
             : lot < 0.55
@@ -86,7 +86,7 @@
     ask(type, 1 + random.nextInt(fleet.scenario().sets()), "g" + gateway + "s" + session, 0);
   }
 
-  private void ask(ClassSettings type, int set, String session, int retries) {
+  private void ask(RequestClass type, int set, String session, int retries) {
     if (fleet.clock().now() >= until) {
       return;
     }
@@ -130,7 +130,9 @@
   }
 
   private long carried(Asked a) {
-    return fleet.scenario().deployment().carried() && a.type.read() == Read.SESSION ? a.mark : 0;
+    return fleet.scenario().deployment().carried() && a.type.read() == Consistency.SESSION
+        ? a.mark
+        : 0;
   }
 
   private ClientConnectionHandler<Asked> connect(String database) {
@@ -141,7 +143,7 @@
   /** A session is one tenant's, as is a connection. */
   private String database(int number) {
     int tenants = fleet.scenario().means().tenants();
-    return tenants == 0 ? "ledger" : Fleet.tenantName(Math.floorMod(number, tenants));
+    return tenants == 0 ? "ledger" : FleetSimulation.tenantName(Math.floorMod(number, tenants));
   }
 
   private static int set(Asked a) {
@@ -161,8 +163,11 @@
       ClientConnectionHandler<Asked> by, Asked a, String value, String error, long retryAfter) {
     fleet.answered(a, value, error);
     if (error == null && a.type.writes() && random.nextDouble() < 0.6) {
-      ClassSettings own =
-          fleet.types().stream().filter(t -> t.read() == Read.SESSION).findFirst().orElseThrow();
+      RequestClass own =
+          fleet.types().stream()
+              .filter(t -> t.read() == Consistency.SESSION)
+              .findFirst()
+              .orElseThrow();
       ClientPopulation next =
           fleet.scenario().deployment().carried() ? fleet.anyCrowd(random) : this;
       fleet
--- a/lab/src/main/java/shelffront/lab/world/Fleet.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
@@ -1,4 +1,4 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -21,55 +21,55 @@
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
+import shelffront.backend.BackendConnections.Login;
+import shelffront.config.EndpointList;
 import shelffront.config.GatewayConfig;
-import shelffront.config.Json;
+import shelffront.config.JsonReader;
 import shelffront.config.MalformedInputException;
-import shelffront.config.MemberList;
 import shelffront.gateway.Gateway;
-import shelffront.hosted.Environment;
-import shelffront.hosted.Hosted;
-import shelffront.hosted.HostedConfig;
-import shelffront.lab.audit.Auditor;
-import shelffront.lab.audit.Auditor.Asked;
-import shelffront.lab.audit.Auditor.Rule;
-import shelffront.lab.carrier.Wire;
+import shelffront.lab.emulator.DiscoveryEmulator;
+import shelffront.lab.emulator.EmulatedHostConnection;
+import shelffront.lab.emulator.HostEnvironment;
+import shelffront.lab.invariants.InvariantChecker;
+import shelffront.lab.invariants.InvariantChecker.Asked;
+import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.model.Clock;
-import shelffront.lab.model.DatabaseSet;
-import shelffront.lab.model.DatabaseSet.Answer;
-import shelffront.lab.model.DatabaseSet.Box;
-import shelffront.lab.model.DatabaseSet.Effect;
-import shelffront.lab.model.DatabaseSet.Kind;
-import shelffront.lab.model.DatabaseSet.Query;
-import shelffront.lab.standin.Catalogue;
-import shelffront.lab.standin.HostConnectionHandler;
-import shelffront.lab.standin.Hosting;
-import shelffront.lab.virtual.End;
-import shelffront.lab.virtual.Machine;
-import shelffront.lab.virtual.Scheduler;
+import shelffront.lab.model.ReplicaSetModel;
+import shelffront.lab.model.ReplicaSetModel.Answer;
+import shelffront.lab.model.ReplicaSetModel.Box;
+import shelffront.lab.model.ReplicaSetModel.Effect;
+import shelffront.lab.model.ReplicaSetModel.Kind;
+import shelffront.lab.model.ReplicaSetModel.Query;
+import shelffront.lab.simulation.Scenario.Fault;
+import shelffront.lab.simulation.Scenario.Means;
+import shelffront.lab.transport.TransportConnection;
+import shelffront.lab.virtual.SimulatedMachine;
+import shelffront.lab.virtual.SimulatedSocket;
 import shelffront.lab.virtual.VirtualChannels;
-import shelffront.lab.virtual.VirtualNet;
-import shelffront.lab.world.Scenario.Fault;
-import shelffront.lab.world.Scenario.Means;
-import shelffront.net.Budget;
+import shelffront.lab.virtual.VirtualNetwork;
+import shelffront.lab.virtual.VirtualTimeScheduler;
+import shelffront.multitenant.GatewayEnvironment;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
 import shelffront.net.Counters;
+import shelffront.net.EventLog;
 import shelffront.net.EventLoop;
-import shelffront.net.Log;
 import shelffront.net.Network;
+import shelffront.net.ResourceBudget;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.ReportSource;
-import shelffront.server.Servers.Login;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.LoadReportSource;
+import shelffront.routing.Router.RequestClass;
 import shelffront.tenant.TenantSpec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
  * A fleet of gateways with their sets, clients and list of boxes, in virtual time: the gateways are
  * the program's own classes on channels that exist in memory. One thread; the same scenario gives
  * the same run to the byte.
  */
-public final class Fleet {
+public final class FleetSimulation {
 
   /** Unix microseconds at the start: any time, but the same each run. */
   private static final long START = 1_800_000_000_000_000L;
@@ -105,7 +105,7 @@
    * @param latency microseconds from asking to a served answer
    */
   public record Result(
-      List<Auditor.Violation> violations,
+      List<InvariantChecker.Violation> violations,
       int violationCount,
       Map<String, Worth> worth,
       double worthKept,
@@ -120,11 +120,11 @@
   private final class Process {
 
     private final int index;
-    private final Machine machine;
+    private final SimulatedMachine machine;
     private final VirtualChannels channels;
     private final List<Network> networks;
     private final Gateway gateway; // null where it is hosted
-    private final Hosted hosted; // or null
+    private final MultiTenantGateway hosted; // or null
     private GatewayConfig config;
     private long worked;
     private long skew;
@@ -133,11 +133,11 @@
     private boolean stopping;
     private long stopAt;
 
-    private Process(int index, Machine machine) {
+    private Process(int index, SimulatedMachine machine) {
       this.index = index;
       this.machine = machine;
       channels = new VirtualChannels(net, machine, scenario.means().sockets());
-      Log log = line -> traced("log", "g" + index, String.valueOf(line), "");
+      EventLog log = line -> traced("log", "g" + index, String.valueOf(line), "");
       try {
         config =
             new GatewayConfig(
@@ -162,7 +162,8 @@
         } else {
           Counters counters = new Counters();
           EventLoop loop = new EventLoop(() -> scheduler.now() + skew, counters);
-          Network network = Network.open(loop, channels, new Budget(BUFFERS), counters, log);
+          Network network =
+              Network.open(loop, channels, new ResourceBudget(BUFFERS), counters, log);
           hosted = null;
           gateway = variant.apply(new Start(network, config, channels));
           networks = List.of(network);
@@ -173,11 +174,11 @@
       }
     }
 
-    private Hosted host(Log log) throws IOException, SpecException {
+    private MultiTenantGateway host(EventLog log) throws IOException, SpecException {
       Means means = scenario.means();
-      Hosted made =
-          new Hosted(
-              new HostedConfig(
+      MultiTenantGateway made =
+          new MultiTenantGateway(
+              new MultiTenantConfig(
                   config.listen(),
                   null,
                   null,
@@ -188,7 +189,7 @@
                   4000,
                   List.of()),
               log,
-              new Environment(() -> scheduler.now() + skew, n -> channels, config.seed()));
+              new GatewayEnvironment(() -> scheduler.now() + skew, n -> channels, config.seed()));
       for (int i = 0; i < means.tenants(); i++) {
         made.apply(spec(i, 1, Set.of()), at -> {});
       }
@@ -211,9 +212,9 @@
     }
 
     /** What an administrator copies from the list when setting a tenant. */
-    private MemberList listNow() {
+    private EndpointList listNow() {
       try {
-        return MemberList.read(Json.object(catalogue.whole().toString()));
+        return EndpointList.read(JsonReader.object(catalogue.whole().toString()));
       } catch (MalformedInputException e) {
         throw new IllegalStateException("the catalogue gives what the gateway can't read", e);
       }
@@ -320,27 +321,27 @@
     }
   }
 
-  private final Hosting hosting = new Virtual();
+  private final HostEnvironment hosting = new Virtual();
   private final Scenario scenario;
   private final Function<Start, Gateway> variant;
   private final UniformRandomProvider random;
-  private final Scheduler scheduler = new Scheduler(START);
-  private final VirtualNet net;
-  private final Auditor auditor;
-  private final Catalogue catalogue;
-  private final List<DatabaseSet> sets = new ArrayList<>();
+  private final VirtualTimeScheduler scheduler = new VirtualTimeScheduler(START);
+  private final VirtualNetwork net;
+  private final InvariantChecker auditor;
+  private final DiscoveryEmulator catalogue;
+  private final List<ReplicaSetModel> sets = new ArrayList<>();
   private final Map<String, Box> boxes = new TreeMap<>();
-  private final Map<String, Machine> boxMachines = new HashMap<>();
+  private final Map<String, SimulatedMachine> boxMachines = new HashMap<>();
   private final Map<String, InetSocketAddress> boxAddresses = new HashMap<>();
   private final Map<String, Integer> cells = new HashMap<>();
   private final Map<String, Long> spoiling = new HashMap<>();
   private final List<InetSocketAddress> gatewayAddresses = new ArrayList<>();
   private final List<Process> processes = new ArrayList<>();
-  private final Map<Machine, Integer> gatewayMachines = new HashMap<>();
+  private final Map<SimulatedMachine, Integer> gatewayMachines = new HashMap<>();
   private final List<ClientPopulation> crowds = new ArrayList<>();
-  private final List<ClassSettings> types;
+  private final List<RequestClass> types;
   private final Map<String, Integer> retries = new HashMap<>();
-  private final Map<String, Auditor.Try> begun = new HashMap<>();
+  private final Map<String, InvariantChecker.Try> begun = new HashMap<>();
   private final Map<String, long[]> worth = new TreeMap<>();
   private final Set<Integer> disturbed = new HashSet<>();
   private final Set<String> firstPrimaries = new HashSet<>();
@@ -352,7 +353,7 @@
    */
   private final Map<String, Long> shownAt = new HashMap<>();
 
-  private final Machine rude;
+  private final SimulatedMachine rude;
   private final InetSocketAddress otherDiscovery;
   private final MessageDigest hash;
   private final Consumer<String> trace;
@@ -365,16 +366,17 @@
   private boolean ending;
   private boolean strangers;
 
-  private Fleet(Scenario scenario, Function<Start, Gateway> variant, Consumer<String> trace) {
+  private FleetSimulation(
+      Scenario scenario, Function<Start, Gateway> variant, Consumer<String> trace) {
     this.scenario = scenario;
     this.variant = variant;
     this.trace = trace;
     wanted = new double[(int) (scenario.length() / WINDOW) + 1];
     kept = new double[wanted.length];
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed() * 31 + 7);
-    net = new VirtualNet(scheduler, fork(), scenario.weather());
+    net = new VirtualNetwork(scheduler, fork(), scenario.weather());
     types = scenario.deployment().types();
-    auditor = new Auditor(scenario.deployment().carried(), scenario.deployment().copies());
+    auditor = new InvariantChecker(scenario.deployment().carried(), scenario.deployment().copies());
     try {
       hash = MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
@@ -384,17 +386,18 @@
     otherDiscovery = net.newAddress();
     try {
       catalogue =
-          new Catalogue(
+          new DiscoveryEmulator(
               net.on(net.machine("catalogue")),
               discovery,
-              (to, some, complete) -> told(((End) to).other().machine(), some, complete));
+              (to, some, complete) ->
+                  told(((SimulatedSocket) to).other().machine(), some, complete));
       catalogue.listen(otherDiscovery);
     } catch (IOException e) {
       throw new IllegalStateException("the virtual network takes every listener", e);
     }
     for (int s = 1; s <= scenario.sets(); s++) {
-      DatabaseSet set =
-          new DatabaseSet(
+      ReplicaSetModel set =
+          new ReplicaSetModel(
               "s" + s, scenario.boxes(), scheduler, fork(), scenario.figures(), new SetWitness());
       sets.add(set);
       for (Box box : set.boxes()) {
@@ -443,7 +446,7 @@
    */
   public static Result play(
       Scenario scenario, Function<Start, Gateway> variant, Consumer<String> trace) {
-    return new Fleet(scenario, variant, trace).run();
+    return new FleetSimulation(scenario, variant, trace).run();
   }
 
   // ---- The run
@@ -453,7 +456,7 @@
     long from = START + 300_000;
     until(from); // the list is there
     for (int g = 0; g < scenario.gateways(); g++) {
-      Machine machine = net.machine("g" + g);
+      SimulatedMachine machine = net.machine("g" + g);
       gatewayMachines.put(machine, g);
       processes.add(new Process(g, machine));
     }
@@ -558,7 +561,7 @@
     return processes.get(target % processes.size());
   }
 
-  private DatabaseSet setOf(Box box) {
+  private ReplicaSetModel setOf(Box box) {
     return sets.get(cells.get(box.id()) - 1);
   }
 
@@ -579,7 +582,7 @@
         }
       }
       case VANISH_BOX -> {
-        Machine machine = boxMachines.get(box(fault.target()).id());
+        SimulatedMachine machine = boxMachines.get(box(fault.target()).id());
         machine.vanish();
         scheduler.after(fault.time(), machine::comeBack);
       }
@@ -587,8 +590,8 @@
       case SPOIL_BOX -> spoiling.put(box(fault.target()).id(), scheduler.now() + fault.time());
       case RESET_BOX -> boxMachines.get(box(fault.target()).id()).resetAll();
       case BAD_NETWORK -> {
-        VirtualNet.Weather w = scenario.weather();
-        net.weather(new VirtualNet.Weather(w.latency() * 3, w.jitter() + 10_000, 0.9));
+        VirtualNetwork.Weather w = scenario.weather();
+        net.weather(new VirtualNetwork.Weather(w.latency() * 3, w.jitter() + 10_000, 0.9));
         scheduler.after(fault.time(), () -> net.weather(w));
       }
       case BREAK_WATCHES -> catalogue.breakWatches();
@@ -629,7 +632,7 @@
           scheduler.after(
               random.nextLong(fault.time() + 1),
               () ->
-                  new RudeClientHandler(
+                  new MisbehavingClientHandler(
                       net.on(rude), gatewayAddress(fault.target() % processes.size()), random));
         }
       }
@@ -697,7 +700,7 @@
   }
 
   private void stand(Box box, int cell) {
-    Machine machine = net.machine(box.id());
+    SimulatedMachine machine = net.machine(box.id());
     boxes.put(box.id(), box);
     cells.put(box.id(), cell);
     boxMachines.put(box.id(), machine);
@@ -706,19 +709,19 @@
   }
 
   private void listen(Box box) {
-    Machine machine = boxMachines.get(box.id());
+    SimulatedMachine machine = boxMachines.get(box.id());
     net.listen(
         machine,
         boxAddresses.get(box.id()),
         end ->
             !box.isUp() || machine.connections() >= scenario.figures().connections()
                 ? null
-                : new HostConnectionHandler(hosting, box, end));
+                : new EmulatedHostConnection(hosting, box, end));
   }
 
-  private Catalogue.Line line(Box box, String phase) {
+  private DiscoveryEmulator.Line line(Box box, String phase) {
     InetSocketAddress at = boxAddresses.get(box.id());
-    return new Catalogue.Line(
+    return new DiscoveryEmulator.Line(
         box.id(),
         at.getHostString() + ":" + at.getPort(),
         cells.get(box.id()),
@@ -780,7 +783,7 @@
       return;
     }
     traced("drain", box.id(), "", "");
-    DatabaseSet set = setOf(box);
+    ReplicaSetModel set = setOf(box);
     set.drain(box);
     leaves(box, "Terminating", 1);
     Box next = set.join("n" + newBoxes++);
@@ -812,7 +815,7 @@
     if (ending) {
       return;
     }
-    Machine machine = net.machine("g" + index);
+    SimulatedMachine machine = net.machine("g" + index);
     gatewayMachines.put(machine, index);
     auditor.restarted(index);
     processes.set(index, new Process(index, machine));
@@ -856,19 +859,19 @@
     return scheduler;
   }
 
-  VirtualNet net() {
+  VirtualNetwork net() {
     return net;
   }
 
-  Auditor auditor() {
+  InvariantChecker auditor() {
     return auditor;
   }
 
-  List<ClassSettings> types() {
+  List<RequestClass> types() {
     return types;
   }
 
-  ClassSettings type(String name) {
+  RequestClass type(String name) {
     return types.stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow();
   }
 
@@ -881,7 +884,7 @@
     return gatewayAddresses.get(gateway);
   }
 
-  void told(Machine machine, List<Catalogue.Line> some, boolean complete) {
+  void told(SimulatedMachine machine, List<DiscoveryEmulator.Line> some, boolean complete) {
     Integer gateway = gatewayMachines.get(machine);
     if (gateway == null
         || processes.size() <= gateway
@@ -889,7 +892,7 @@
       return;
     }
     Set<String> named = new LinkedHashSet<>();
-    for (Catalogue.Line l : some) {
+    for (DiscoveryEmulator.Line l : some) {
       named.add(l.id());
       if (l.phase().equals("Ready")) {
         auditor.drainOver(gateway, l.id());
@@ -912,7 +915,7 @@
     return !p.stopping || scheduler.now() < p.stopAt + LAST_ARRIVALS;
   }
 
-  private long[] worthOf(ClassSettings type) {
+  private long[] worthOf(RequestClass type) {
     return worth.computeIfAbsent(type.name(), n -> new long[6]);
   }
 
@@ -933,7 +936,7 @@
    * The load found no connection: that is asked for and not answered, and nobody's fault but the
    * crowd's.
    */
-  void notAsked(ClassSettings type) {
+  void notAsked(RequestClass type) {
     worthOf(type)[0]++;
     worthOf(type)[5]++;
   }
@@ -994,7 +997,7 @@
    * The boxes' place here: a schema of its own for each class, faults by the scenario, and the
    * auditor's eyes.
    */
-  private final class Virtual implements Hosting {
+  private final class Virtual implements HostEnvironment {
 
     @Override
     public Clock clock() {
@@ -1008,24 +1011,24 @@
 
     @Override
     public Query query(Statement s, String text) throws ProtocolException {
-      ClassSettings type = type(s.value("c"));
+      RequestClass type = type(s.value("c"));
       return new Query(
           s.value("id"),
           s.value("k"),
           s.key(),
           type.writes(),
-          type.read() == Read.FRESH,
+          type.read() == Consistency.FRESH,
           type.bound(),
           scheduler.now() + s.number("d", 0) * 1000L);
     }
 
     @Override
-    public Consumer<Answer> arrived(Box box, Wire from, Query query) {
+    public Consumer<Answer> arrived(Box box, TransportConnection from, Query query) {
       if (strangers && auditor.gatewayOf(query.id()) < 0) {
         return answer -> {}; // of a client that does not keep to the protocol
       }
-      End gateway = ((End) from).other();
-      Auditor.Try attempt =
+      SimulatedSocket gateway = ((SimulatedSocket) from).other();
+      InvariantChecker.Try attempt =
           auditor.arrives(
               query.id(), box.id(), scheduler.now(), gateway.writtenAt(), gateway::overAt);
       begun.put(query.id(), attempt);
@@ -1037,8 +1040,8 @@
     }
 
     @Override
-    public void tellsReplica(Box box, Wire to) {
-      Integer gateway = gatewayMachines.get(((End) to).other().machine());
+    public void tellsReplica(Box box, TransportConnection to) {
+      Integer gateway = gatewayMachines.get(((SimulatedSocket) to).other().machine());
       if (gateway != null) {
         shownAt.computeIfPresent(
             gateway + "/" + box.id(), (k, at) -> Math.min(at, scheduler.now()));
@@ -1052,7 +1055,7 @@
 
     @Override
     public boolean reports() {
-      return scenario.deployment().reports() == ReportSource.ANSWERS;
+      return scenario.deployment().reports() == LoadReportSource.ANSWERS;
     }
 
     @Override
@@ -1077,11 +1080,11 @@
     }
   }
 
-  private final class SetWitness implements DatabaseSet.Witness {
+  private final class SetWitness implements ReplicaSetModel.Witness {
 
     @Override
     public void begun(Box box, Query query) {
-      Auditor.Try attempt = begun.get(query.id());
+      InvariantChecker.Try attempt = begun.get(query.id());
       if (attempt != null) {
         auditor.begins(attempt);
       }
@@ -1131,7 +1134,7 @@
     Map<String, Worth> out = new TreeMap<>();
     double served = 0;
     double due = 0;
-    for (ClassSettings type : types) {
+    for (RequestClass type : types) {
       long[] w = worthOf(type);
       out.put(type.name(), new Worth(w[0], w[1], w[2], w[3], w[4], w[5]));
       served += type.worth() * (w[1] + type.lateShare() * w[2]);
--- a/lab/src/main/java/shelffront/lab/world/RudeClientHandler.java
+++ b/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
@@ -1,23 +1,24 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import org.apache.commons.rng.UniformRandomProvider;
-import shelffront.lab.carrier.Carrier;
-import shelffront.lab.carrier.ConnectionHandler;
+import shelffront.lab.transport.ConnectionHandler;
+import shelffront.lab.transport.Transport;
 import shelffront.pg.Message;
 
 /**
  * A client that does not keep to the protocol: anything at any place, cut anywhere; it may also
  * just stay.
  */
-final class RudeClientHandler extends ConnectionHandler {
+final class MisbehavingClientHandler extends ConnectionHandler {
 
   private static final long STAYS = 1_500_000;
 
-  RudeClientHandler(Carrier carrier, InetSocketAddress gateway, UniformRandomProvider random) {
+  MisbehavingClientHandler(
+      Transport carrier, InetSocketAddress gateway, UniformRandomProvider random) {
     end = carrier.connect(gateway, this);
     byte[] startup = Message.startup("api", "ledger");
     byte[] query =
--- a/lab/src/main/java/shelffront/lab/world/Deployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -1,19 +1,19 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import shelffront.lab.model.Figures;
-import shelffront.route.Router;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.LagCheck;
-import shelffront.route.Router.Limits;
-import shelffront.route.Router.ListRole;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.ReportSource;
-import shelffront.route.Router.Rules;
-import shelffront.route.Router.Scope;
-import shelffront.route.Router.Settings;
+import shelffront.lab.model.ReplicaSetParameters;
+import shelffront.routing.Router;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.DeduplicationScope;
+import shelffront.routing.Router.LagCheck;
+import shelffront.routing.Router.ListedRoles;
+import shelffront.routing.Router.LoadReportSource;
+import shelffront.routing.Router.OperatingLimits;
+import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.Router.SafetyRules;
 
 /**
  * What the protocol leaves to a deployment: how positions and roles are told, how the list comes,
@@ -30,13 +30,13 @@
  * @param retryAfter whether clients may be told when to come back
  * @param probePrice what a probe for each request costs
  */
-public record Deployment(
+public record RandomDeployment(
     boolean onceWrites,
     boolean carried,
     boolean pushed,
-    ReportSource reports,
+    LoadReportSource reports,
     boolean stamped,
-    ListRole listRole,
+    ListedRoles listRole,
     boolean copies,
     boolean retryAfter,
     double probePrice) {
@@ -47,89 +47,114 @@
    * Marks remembered by the gateway, a list that is asked for and names roles late, reports in
    * probes alone.
    */
-  public static Deployment plain(boolean onceWrites) {
-    return new Deployment(
-        onceWrites, false, false, ReportSource.PROBES, true, ListRole.LATE, false, true, 0.01);
+  public static RandomDeployment plain(boolean onceWrites) {
+    return new RandomDeployment(
+        onceWrites,
+        false,
+        false,
+        LoadReportSource.PROBES,
+        true,
+        ListedRoles.LATE,
+        false,
+        true,
+        0.01);
   }
 
   /**
    * Marks carried, a pushed list with the first roles, reports in every answer, copies, no word
    * when to come back.
    */
-  public static Deployment carrying(boolean onceWrites) {
-    return new Deployment(
-        onceWrites, true, true, ReportSource.ANSWERS, true, ListRole.AT_START, true, false, 0.07);
+  public static RandomDeployment carrying(boolean onceWrites) {
+    return new RandomDeployment(
+        onceWrites,
+        true,
+        true,
+        LoadReportSource.ANSWERS,
+        true,
+        ListedRoles.AT_START,
+        true,
+        false,
+        0.07);
   }
 
   /** Any that the protocol permits, each setting by itself. */
-  static Deployment draw(UniformRandomProvider r, boolean onceWrites) {
+  static RandomDeployment draw(UniformRandomProvider r, boolean onceWrites) {
     boolean stamped = r.nextBoolean();
-    ReportSource reports =
+    LoadReportSource reports =
         stamped && r.nextInt(3) == 0
-            ? ReportSource.NONE
-            : r.nextBoolean() ? ReportSource.ANSWERS : ReportSource.PROBES;
-    return new Deployment(
+            ? LoadReportSource.NONE
+            : r.nextBoolean() ? LoadReportSource.ANSWERS : LoadReportSource.PROBES;
+    return new RandomDeployment(
         onceWrites,
         r.nextBoolean(),
         r.nextBoolean(),
         reports,
         stamped,
-        ListRole.values()[r.nextInt(ListRole.values().length)],
+        ListedRoles.values()[r.nextInt(ListedRoles.values().length)],
         r.nextBoolean(),
         r.nextBoolean(),
         r.nextBoolean() ? 0.01 : 0.07);
   }
 
-  List<ClassSettings> types() {
-    List<ClassSettings> types =
+  List<RequestClass> types() {
+    List<RequestClass> types =
         new ArrayList<>(
             List.of(
-                type("map-read", 500 * MS, 1200 * MS, 2, Read.BOUNDED, 500 * MS),
-                type("own-edit-read", 700 * MS, 2000 * MS, 3, Read.SESSION, 0),
-                type("live-read", 500 * MS, 1500 * MS, 1, Read.FRESH, 0),
-                new ClassSettings(
+                type("map-read", 500 * MS, 1200 * MS, 2, Consistency.BOUNDED, 500 * MS),
+                type("own-edit-read", 700 * MS, 2000 * MS, 3, Consistency.SESSION, 0),
+                type("live-read", 500 * MS, 1500 * MS, 1, Consistency.FRESH, 0),
+                new RequestClass(
                     "map-write",
                     1200 * MS,
                     3000 * MS,
                     6,
                     0.7,
-                    Router.Effect.KEYED,
-                    Scope.GROUP,
+                    Router.Idempotency.KEYED,
+                    DeduplicationScope.GROUP,
                     2000 * MS,
-                    Read.WRITE,
+                    Consistency.WRITE,
                     0)));
     if (onceWrites) {
       types.add(
-          new ClassSettings(
+          new RequestClass(
               "once-write",
               1200 * MS,
               3000 * MS,
               6,
               0.7,
-              Router.Effect.ONCE,
-              Scope.GROUP,
+              Router.Idempotency.ONCE,
+              DeduplicationScope.GROUP,
               0,
-              Read.WRITE,
+              Consistency.WRITE,
               0));
     }
     return types;
   }
 
-  private static ClassSettings type(
-      String name, long aim, long giveUp, double worth, Read read, long bound) {
-    return new ClassSettings(
-        name, aim, giveUp, worth, 0, Router.Effect.REPEATABLE, Scope.GROUP, 0, read, bound);
+  private static RequestClass type(
+      String name, long aim, long giveUp, double worth, Consistency read, long bound) {
+    return new RequestClass(
+        name,
+        aim,
+        giveUp,
+        worth,
+        0,
+        Router.Idempotency.REPEATABLE,
+        DeduplicationScope.GROUP,
+        0,
+        read,
+        bound);
   }
 
   /** What one of so many modules is told. */
-  Settings settings(int self, int modules, Figures f) {
+  RoutingSettings settings(int self, int modules, ReplicaSetParameters f) {
     LagCheck check =
         switch (f.check()) {
           case SILENT -> LagCheck.NONE;
           case REFUSE -> LagCheck.REFUSE;
           case WAIT -> LagCheck.WAIT;
         };
-    return new Settings(
+    return new RoutingSettings(
         self,
         modules,
         "a",
@@ -142,7 +167,7 @@
         listRole,
         !pushed,
         reports,
-        new Rules(
+        new SafetyRules(
             2_000_000,
             f.coldFrom(),
             f.coldTime(),
@@ -151,7 +176,8 @@
             false,
             10_000_000,
             20_000),
-        new Limits(8, 2_000_000, retryAfter, true, copies, true, false, 250_000, 30_000_000),
+        new OperatingLimits(
+            8, 2_000_000, retryAfter, true, copies, true, false, 250_000, 30_000_000),
         0,
         probePrice);
   }
--- a/lab/src/main/java/shelffront/lab/world/Scenario.java
+++ b/lab/src/main/java/shelffront/lab/simulation/Scenario.java
@@ -1,12 +1,12 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import shelffront.lab.model.Figures;
-import shelffront.lab.virtual.VirtualNet.Weather;
+import shelffront.lab.model.ReplicaSetParameters;
+import shelffront.lab.virtual.VirtualNetwork.Weather;
 
 /**
  * A run of the virtual fleet: everything in it follows from this. Drawn from a seed, and cut down
@@ -19,10 +19,10 @@
     int boxes,
     double perSecond,
     long length,
-    Figures figures,
+    ReplicaSetParameters figures,
     Weather weather,
     long listDelay,
-    Deployment deployment,
+    RandomDeployment deployment,
     Means means,
     List<Fault> faults) {
 
@@ -98,12 +98,12 @@
     int sets = 1 + r.nextInt(2);
     int boxes = 2 + r.nextInt(3);
     long length = (6 + r.nextInt(10)) * SECOND;
-    Figures.Check check = Figures.Check.values()[r.nextInt(3)];
+    ReplicaSetParameters.Check check = ReplicaSetParameters.Check.values()[r.nextInt(3)];
     int cores = 2 + r.nextInt(7);
     long work = 1_000 + r.nextInt(12_000);
     double load = 0.15 + 1.1 * r.nextDouble() * r.nextDouble();
-    Figures figures =
-        new Figures(
+    ReplicaSetParameters figures =
+        new ReplicaSetParameters(
             cores,
             8 + r.nextInt(60),
             40 + r.nextInt(200),
@@ -160,7 +160,7 @@
         figures,
         weather,
         listDelay,
-        Deployment.draw(r, onceWrites),
+        RandomDeployment.draw(r, onceWrites),
         means,
         List.copyOf(faults));
   }
@@ -182,7 +182,7 @@
   }
 
   /** The same day on another deployment. */
-  public Scenario as(Deployment other) {
+  public Scenario as(RandomDeployment other) {
     return new Scenario(
         seed, gateways, sets, boxes, perSecond, length, figures, weather, listDelay, other, means,
         faults);
--- a/lab/src/main/java/shelffront/lab/world/Shrinker.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ScenarioShrinker.java
@@ -1,13 +1,13 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Predicate;
-import shelffront.lab.world.Scenario.Fault;
+import shelffront.lab.simulation.Scenario.Fault;
 
 /** Finds the least of a scenario that still fails: fewer faults, a shorter run, fewer requests. */
-public final class Shrinker {
+public final class ScenarioShrinker {
 
   /** What of a seed's scenario is played; all of it at first. */
   public record Cut(List<Integer> faults, double rate, long length) {
@@ -37,7 +37,7 @@
 
   private static final int MOST_PLAYS = 60;
 
-  private Shrinker() {}
+  private ScenarioShrinker() {}
 
   /** All of a seed's scenario. */
   public static Cut whole(long seed) {
--- a/lab/src/main/java/shelffront/lab/carrier/ConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
@@ -1,4 +1,4 @@
-package shelffront.lab.carrier;
+package shelffront.lab.transport;
 
 import java.nio.ByteBuffer;
 
@@ -6,11 +6,11 @@
  * One of the lab's own parties on a connection: takes what comes, at once, and writes as the window
  * lets it.
  */
-public abstract class ConnectionHandler implements Wire.Owner {
+public abstract class ConnectionHandler implements TransportConnection.Owner {
 
   private static final int MOST = 1 << 20;
 
-  protected Wire end;
+  protected TransportConnection end;
   private byte[] pending = new byte[0];
   private byte[] unread = new byte[0];
   private boolean closing;
@@ -18,7 +18,7 @@
   private boolean stalled;
 
   /** Of a connection that was accepted. */
-  protected final ConnectionHandler on(Wire accepted) {
+  protected final ConnectionHandler on(TransportConnection accepted) {
     end = accepted;
     return this;
   }
--- a/lab/src/main/java/shelffront/lab/carrier/SocketCarrier.java
+++ b/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
@@ -1,4 +1,4 @@
-package shelffront.lab.carrier;
+package shelffront.lab.transport;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -29,7 +29,7 @@
  * two. Within a millisecond of what is due it does not sleep. It notes how late its tasks run: a
  * party that was slow because the machine is says so.
  */
-public final class SocketCarrier implements Carrier, Clock, AutoCloseable {
+public final class SocketTransport implements Transport, Clock, AutoCloseable {
 
   private static final int BACKLOG = 4096;
   private static final int CHUNK = 16 * 1024;
@@ -38,7 +38,7 @@
   /** Closer than this a wait could only end too late: a selector waits whole milliseconds. */
   private static final long TOO_SHORT = 1_200;
 
-  private final Agenda events = new Agenda();
+  private final TaskScheduler events = new TaskScheduler();
   private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
   private final Selector selector;
   private final ByteBuffer into = ByteBuffer.allocateDirect(CHUNK);
@@ -48,7 +48,7 @@
   private volatile RuntimeException failure;
 
   /** Its thread is a daemon, which ends with {@link #close}. */
-  public SocketCarrier(String name) throws IOException {
+  public SocketTransport(String name) throws IOException {
     selector = Selector.open();
     thread = new Thread(null, this::run, name, 256 * 1024);
     thread.setDaemon(true);
@@ -142,7 +142,7 @@
   }
 
   @Override
-  public Wire connect(InetSocketAddress to, Wire.Owner owner) {
+  public TransportConnection connect(InetSocketAddress to, TransportConnection.Owner owner) {
     SocketWire wire = new SocketWire(owner);
     try {
       wire.channel = SocketChannel.open();
@@ -157,16 +157,20 @@
   }
 
   @Override
-  public void listen(InetSocketAddress at, Function<Wire, Wire.Owner> accept) throws IOException {
+  public void listen(
+      InetSocketAddress at, Function<TransportConnection, TransportConnection.Owner> accept)
+      throws IOException {
     open(at, accept);
   }
 
   /** Listens on a port that nobody else has; where. Any thread may call. */
-  public InetSocketAddress listen(Function<Wire, Wire.Owner> accept) throws IOException {
+  public InetSocketAddress listen(Function<TransportConnection, TransportConnection.Owner> accept)
+      throws IOException {
     return open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), accept);
   }
 
-  private InetSocketAddress open(InetSocketAddress at, Function<Wire, Wire.Owner> accept)
+  private InetSocketAddress open(
+      InetSocketAddress at, Function<TransportConnection, TransportConnection.Owner> accept)
       throws IOException {
     ServerSocketChannel listener = ServerSocketChannel.open();
     try {
@@ -182,7 +186,9 @@
     return (InetSocketAddress) listener.getLocalAddress();
   }
 
-  private void accept(ServerSocketChannel listener, Function<Wire, Wire.Owner> accept) {
+  private void accept(
+      ServerSocketChannel listener,
+      Function<TransportConnection, TransportConnection.Owner> accept) {
     try {
       for (SocketChannel channel = listener.accept();
           channel != null;
@@ -226,7 +232,7 @@
     }
   }
 
-  private final class SocketWire implements Wire, Ready {
+  private final class SocketWire implements TransportConnection, Ready {
 
     private SocketChannel channel;
     private SelectionKey key;
--- a/lab/src/main/java/shelffront/lab/carrier/Agenda.java
+++ b/lab/src/main/java/shelffront/lab/transport/TaskScheduler.java
@@ -1,4 +1,4 @@
-package shelffront.lab.carrier;
+package shelffront.lab.transport;
 
 import java.util.PriorityQueue;
 
@@ -6,7 +6,7 @@
  * What is due when: by its time and, at the same time, in the order in which it was set. One
  * thread.
  */
-public final class Agenda {
+public final class TaskScheduler {
 
   private record Event(long at, long order, Runnable task) implements Comparable<Event> {
 
--- a/lab/src/main/java/shelffront/lab/carrier/Carrier.java
+++ b/lab/src/main/java/shelffront/lab/transport/Transport.java
@@ -1,4 +1,4 @@
-package shelffront.lab.carrier;
+package shelffront.lab.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,12 +9,12 @@
  * What the lab's parties live on: a clock and connections, real or virtual. All calls and tasks are
  * one thread's.
  */
-public interface Carrier {
+public interface Transport {
 
   Clock clock();
 
   /** Sets up a connection; the owner is told how it went. */
-  Wire connect(InetSocketAddress to, Wire.Owner owner);
+  TransportConnection connect(InetSocketAddress to, TransportConnection.Owner owner);
 
   /**
    * Takes connections at an address; each is given the owner that the function returns, null
@@ -22,5 +22,6 @@
    *
    * @throws IOException where the address can't be had
    */
-  void listen(InetSocketAddress at, Function<Wire, Wire.Owner> accept) throws IOException;
+  void listen(InetSocketAddress at, Function<TransportConnection, TransportConnection.Owner> accept)
+      throws IOException;
 }
--- a/lab/src/main/java/shelffront/lab/carrier/Wire.java
+++ b/lab/src/main/java/shelffront/lab/transport/TransportConnection.java
@@ -1,4 +1,4 @@
-package shelffront.lab.carrier;
+package shelffront.lab.transport;
 
 import java.nio.ByteBuffer;
 
@@ -6,7 +6,7 @@
  * One party's end of a connection, on sockets or on the virtual network: a stream of bytes each
  * way, bounded.
  */
-public interface Wire {
+public interface TransportConnection {
 
   /** What its owner is told; each call only says that there is something to look at. */
   interface Owner {
--- a/lab/src/main/java/shelffront/lab/virtual/Machine.java
+++ b/lab/src/main/java/shelffront/lab/virtual/SimulatedMachine.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 
 /** A machine on the virtual network, with the ends of its connections. */
-public final class Machine {
+public final class SimulatedMachine {
 
   final String name;
-  final Set<End> ends = new LinkedHashSet<>();
+  final Set<SimulatedSocket> ends = new LinkedHashSet<>();
   private boolean away;
 
-  Machine(String name) {
+  SimulatedMachine(String name) {
     this.name = name;
   }
 
@@ -24,7 +24,7 @@
   /** Back again: what was open before is reset when anything comes on it. */
   public void comeBack() {
     away = false;
-    ends.forEach(End::forget);
+    ends.forEach(SimulatedSocket::forget);
   }
 
   public boolean isAway() {
@@ -33,8 +33,8 @@
 
   /** Its process ends: all its connections are reset. */
   public void resetAll() {
-    List<End> all = new ArrayList<>(ends);
-    all.forEach(End::reset);
+    List<SimulatedSocket> all = new ArrayList<>(ends);
+    all.forEach(SimulatedSocket::reset);
   }
 
   /** Connections that are open on it. */
--- a/lab/src/main/java/shelffront/lab/virtual/End.java
+++ b/lab/src/main/java/shelffront/lab/virtual/SimulatedSocket.java
@@ -2,19 +2,19 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
-import shelffront.lab.carrier.Wire;
+import shelffront.lab.transport.TransportConnection;
 
 /**
  * One end of a connection on the virtual network: a stream of bytes each way, which arrives in
  * order, in pieces, late, and within a window. Whoever has it is told when there is something to
  * look at.
  */
-public final class End implements Wire {
+public final class SimulatedSocket implements TransportConnection {
 
-  final VirtualNet net;
-  final Machine machine;
+  final VirtualNetwork net;
+  final SimulatedMachine machine;
   Owner owner;
-  End other;
+  SimulatedSocket other;
   long lastArrival; // of what is under way to this end: pieces never overtake each other
   private final ArrayDeque<byte[]> in = new ArrayDeque<>();
   private int inBytes;
@@ -27,7 +27,7 @@
   private long overAt = Long.MAX_VALUE;
   private long writtenAt;
 
-  End(VirtualNet net, Machine machine, Owner owner) {
+  SimulatedSocket(VirtualNetwork net, SimulatedMachine machine, Owner owner) {
     this.net = net;
     this.machine = machine;
     this.owner = owner;
@@ -75,7 +75,7 @@
       }
     }
     inBytes -= count;
-    End sender = other;
+    SimulatedSocket sender = other;
     if (count > 0 && sender != null) {
       net.deliver(
           this,
@@ -102,7 +102,7 @@
       return;
     }
     writtenAt = net.clock().now();
-    End to = other;
+    SimulatedSocket to = other;
     for (byte[] piece : net.pieces(bytes)) {
       to.onTheWay += piece.length;
       net.deliver(this, to, () -> to.arrive(piece));
@@ -123,7 +123,7 @@
   }
 
   private void answerWithReset() {
-    End to = other;
+    SimulatedSocket to = other;
     net.deliver(this, to, to::arriveReset);
   }
 
@@ -144,7 +144,7 @@
       return;
     }
     finOut = true;
-    End to = other;
+    SimulatedSocket to = other;
     net.deliver(
         this,
         to,
@@ -209,12 +209,12 @@
   }
 
   /** The other end; null until it is connected. */
-  public End other() {
+  public SimulatedSocket other() {
     return other;
   }
 
   /** Whose machine it is on. */
-  public Machine machine() {
+  public SimulatedMachine machine() {
     return machine;
   }
 
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualChannels.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualChannels.java
@@ -18,18 +18,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 import java.util.function.UnaryOperator;
-import shelffront.lab.carrier.Wire;
+import shelffront.lab.transport.TransportConnection;
 import shelffront.net.Channels;
 
 /**
  * A program's channels on the virtual network: NIO.2's classes with nothing behind them but {@link
- * End}s. Completion handlers run as events of their own, never from within the call that began the
- * operation. What the program under test does not use is not there.
+ * SimulatedSocket}s. Completion handlers run as events of their own, never from within the call
+ * that began the operation. What the program under test does not use is not there.
  */
 public final class VirtualChannels implements Channels {
 
-  private final VirtualNet net;
-  private final Machine machine;
+  private final VirtualNetwork net;
+  private final SimulatedMachine machine;
   private final int mostOpen;
   private UnaryOperator<byte[]> out = bytes -> bytes;
   private UnaryOperator<byte[]> in = bytes -> bytes;
@@ -37,7 +37,7 @@
   private int open;
 
   /** Of a process on a machine that may have so many descriptors. */
-  public VirtualChannels(VirtualNet net, Machine machine, int mostOpen) {
+  public VirtualChannels(VirtualNetwork net, SimulatedMachine machine, int mostOpen) {
     this.net = net;
     this.machine = machine;
     this.mostOpen = mostOpen;
@@ -84,9 +84,10 @@
     return new UnsupportedOperationException("not part of the virtual network");
   }
 
-  private final class Channel extends AsynchronousSocketChannel implements Wire.Owner {
+  private final class Channel extends AsynchronousSocketChannel
+      implements TransportConnection.Owner {
 
-    private End end;
+    private SimulatedSocket end;
     private boolean closed;
     private InetSocketAddress remote;
     private Runnable connectDone;
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualNet.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.function.Function;
 import org.apache.commons.rng.UniformRandomProvider;
-import shelffront.lab.carrier.Carrier;
-import shelffront.lab.carrier.Wire;
 import shelffront.lab.model.Clock;
+import shelffront.lab.transport.Transport;
+import shelffront.lab.transport.TransportConnection;
 
 /**
  * A network in memory, in virtual time: who listens where, and how long what is sent takes. All by
  * one seed.
  */
-public final class VirtualNet {
+public final class VirtualNetwork {
 
   /**
    * How it behaves. Times are microseconds.
@@ -32,9 +32,10 @@
   private Weather weather;
   private int nextPort = 20_000;
 
-  private record Listening(Machine machine, Function<End, Wire.Owner> accept) {}
+  private record Listening(
+      SimulatedMachine machine, Function<SimulatedSocket, TransportConnection.Owner> accept) {}
 
-  public VirtualNet(Clock clock, UniformRandomProvider random, Weather weather) {
+  public VirtualNetwork(Clock clock, UniformRandomProvider random, Weather weather) {
     this.clock = clock;
     this.random = random;
     this.weather = weather;
@@ -48,8 +49,8 @@
     return clock;
   }
 
-  public Machine machine(String name) {
-    return new Machine(name);
+  public SimulatedMachine machine(String name) {
+    return new SimulatedMachine(name);
   }
 
   /** An address that nobody else has. */
@@ -58,7 +59,10 @@
   }
 
   /** Takes connections; each new end is given the owner that the function returns, null refuses. */
-  public void listen(Machine machine, InetSocketAddress at, Function<End, Wire.Owner> accept) {
+  public void listen(
+      SimulatedMachine machine,
+      InetSocketAddress at,
+      Function<SimulatedSocket, TransportConnection.Owner> accept) {
     listeners.put(at, new Listening(machine, accept));
   }
 
@@ -67,28 +71,30 @@
   }
 
   /** What a party on a machine lives on. */
-  public Carrier on(Machine machine) {
-    return new Carrier() {
+  public Transport on(SimulatedMachine machine) {
+    return new Transport() {
       @Override
       public Clock clock() {
         return clock;
       }
 
       @Override
-      public Wire connect(InetSocketAddress to, Wire.Owner owner) {
-        return VirtualNet.this.connect(machine, to, owner);
+      public TransportConnection connect(InetSocketAddress to, TransportConnection.Owner owner) {
+        return VirtualNetwork.this.connect(machine, to, owner);
       }
 
       @Override
-      public void listen(InetSocketAddress at, Function<Wire, Wire.Owner> accept) {
-        VirtualNet.this.listen(machine, at, accept::apply);
+      public void listen(
+          InetSocketAddress at, Function<TransportConnection, TransportConnection.Owner> accept) {
+        VirtualNetwork.this.listen(machine, at, accept::apply);
       }
     };
   }
 
   /** Sets up a connection; the owner is told how it went, or nothing where a machine is away. */
-  public End connect(Machine from, InetSocketAddress to, Wire.Owner owner) {
-    End end = new End(this, from, owner);
+  public SimulatedSocket connect(
+      SimulatedMachine from, InetSocketAddress to, TransportConnection.Owner owner) {
+    SimulatedSocket end = new SimulatedSocket(this, from, owner);
     from.ends.add(end);
     clock.after(
         delay(),
@@ -97,8 +103,9 @@
           if (from.isAway() || there != null && there.machine().isAway()) {
             return;
           }
-          End far = there == null ? null : new End(this, there.machine(), null);
-          Wire.Owner taker = far == null ? null : there.accept().apply(far);
+          SimulatedSocket far =
+              there == null ? null : new SimulatedSocket(this, there.machine(), null);
+          TransportConnection.Owner taker = far == null ? null : there.accept().apply(far);
           if (taker == null) {
             clock.after(
                 delay(),
@@ -138,7 +145,7 @@
    * Has something arrive at an end, in order behind what was sent to it before, unless a machine is
    * away.
    */
-  void deliver(End from, End to, Runnable arrival) {
+  void deliver(SimulatedSocket from, SimulatedSocket to, Runnable arrival) {
     to.lastArrival = Math.max(to.lastArrival, clock.now() + delay());
     clock.at(
         to.lastArrival,
--- a/lab/src/main/java/shelffront/lab/virtual/Scheduler.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualTimeScheduler.java
@@ -1,18 +1,18 @@
 package shelffront.lab.virtual;
 
-import shelffront.lab.carrier.Agenda;
 import shelffront.lab.model.Clock;
+import shelffront.lab.transport.TaskScheduler;
 
 /**
  * Virtual time: events by their times and, at the same time, in the order in which they were set.
  * One thread.
  */
-public final class Scheduler implements Clock {
+public final class VirtualTimeScheduler implements Clock {
 
-  private final Agenda events = new Agenda();
+  private final TaskScheduler events = new TaskScheduler();
   private long now;
 
-  public Scheduler(long start) {
+  public VirtualTimeScheduler(long start) {
     now = start;
   }
 
--- a/lab/src/test/java/shelffront/lab/ArrowsTest.java
+++ b/lab/src/test/java/shelffront/lab/ArchitectureTest.java
@@ -8,7 +8,7 @@
 
 /** The lab stands on the gateway, and nothing stands on the lab. */
 @AnalyzeClasses(packages = "shelffront")
-class ArrowsTest {
+class ArchitectureTest {
 
   @ArchTest
   static final ArchRule NOTHING_STANDS_ON_THE_LAB =
@@ -29,7 +29,7 @@
           .dependOnClassesThat()
           .resideInAnyPackage(
               "shelffront.tenant..",
-              "shelffront.hosted..",
+              "shelffront.multitenant..",
               "shelffront.gateway..",
-              "shelffront.decide..");
+              "shelffront.decision..");
 }
--- a/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import shelffront.hosted.Hosted;
-import shelffront.lab.standin.StandInSet;
+import shelffront.lab.emulator.EmulatedReplicaSet;
+import shelffront.multitenant.MultiTenantGateway;
 import shelffront.net.Counters;
 import shelffront.pg.Message;
-import shelffront.tenant.Keys;
+import shelffront.tenant.ApiKeys;
 
 /**
  * All that holds of one event loop, on three; and what only several have: connections handed over,
@@ -35,13 +35,13 @@
     return hosted.loopOf(id).get(MISSING_MS, TimeUnit.MILLISECONDS);
   }
 
-  private ObjectNode[] three(StandInSet set) {
+  private ObjectNode[] three(EmulatedReplicaSet set) {
     return new ObjectNode[] {tenant("a", set), tenant("b", set), tenant("c", set)};
   }
 
   @Test
   void tenantsLiveOnDifferentLoopsAndEachIsServed() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet set = boxes("s", 1, 1);
     start(three(set));
     List<Integer> loops = new ArrayList<>();
     for (String id : List.of("a", "b", "c")) {
@@ -60,7 +60,7 @@
    */
   @Test
   void whatFollowsTheStartupAtOnceIsNotLostInTheHandOver() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet set = boxes("s", 1, 1);
     start(three(set));
     for (int i = 0; i < 150; i++) {
       String id = List.of("a", "b", "c").get(i % 3);
@@ -83,7 +83,7 @@
    */
   @Test
   void aStartupInPiecesIsHandedOver() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet set = boxes("s", 1, 1);
     start(three(set));
     byte[] startup = Message.startup("api", "c");
     for (int cut = 1; cut < startup.length; cut++) {
@@ -104,14 +104,14 @@
 
   @Test
   void aKeyIsAskedForAndJudgedOnTheLoopWhereTheTenantLives() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
-    String key = Keys.generate();
+    EmulatedReplicaSet set = boxes("s", 1, 1);
+    String key = ApiKeys.generate();
     ObjectNode[] tenants = three(set);
     tenants[2]
         .putArray("credentials")
         .addObject()
         .put("user", "api")
-        .put("sha256", HexFormat.of().formatHex(Keys.hash(key)));
+        .put("sha256", HexFormat.of().formatHex(ApiKeys.hash(key)));
     start(tenants);
     Client client = new Client("c", key);
     assertEquals(List.of(), client.answers());
@@ -127,7 +127,7 @@
    */
   @Test
   void placesOfConnectionsThatEndedElsewhereAreFreeAgain() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet set = boxes("s", 1, 1);
     start(three(set));
     byte[] startup = Message.startup("api", "c");
     for (int i = 0; i < 1200; i++) { // more than the listener has places for at a time
@@ -150,7 +150,7 @@
    */
   @Test
   void aTenantThatWakesLeavesABusyLoop() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet set = boxes("s", 1, 1);
     ObjectNode[] tenants = new ObjectNode[6];
     for (int i = 0; i < 6; i++) {
       tenants[i] = tenant("t" + i, set);
@@ -207,7 +207,7 @@
    */
   @Test
   void aDrainWaitsForTheRequestsOfAllLoops() throws Exception {
-    StandInSet set = boxes("s", 1, 100);
+    EmulatedReplicaSet set = boxes("s", 1, 100);
     start(three(set));
     List<Client> clients = new ArrayList<>();
     for (String id : List.of("a", "b", "c", "a", "b", "c")) {
@@ -232,7 +232,7 @@
    */
   @Test
   void removalMeetsHandOvers() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet set = boxes("s", 1, 1);
     start(three(set));
     CompletableFuture<Long> gone = new CompletableFuture<>();
     List<Client> clients = new ArrayList<>();
@@ -257,7 +257,7 @@
           answers.toString());
       clients.get(i).close();
     }
-    Hosted.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
+    MultiTenantGateway.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
     assertEquals(
         held.counters().get(Counters.Name.REQUESTS_TAKEN),
         held.counters().get(Counters.Name.ANSWERS_SERVED)
--- a/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
@@ -22,13 +22,13 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import shelffront.hosted.Hosted;
-import shelffront.hosted.HostedConfig;
-import shelffront.lab.standin.StandInSet;
+import shelffront.lab.emulator.EmulatedReplicaSet;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
 import shelffront.net.Counters;
 import shelffront.pg.Message;
-import shelffront.tenant.Keys;
-import shelffront.tenant.SpecJson;
+import shelffront.tenant.ApiKeys;
+import shelffront.tenant.TenantSpecCodec;
 
 /**
  * A hosted gateway with stand-in boxes, where tenants come, change, stall and go while requests are
@@ -39,7 +39,7 @@
   static final int MISSING_MS = 20_000;
 
   private final List<AutoCloseable> open = new ArrayList<>();
-  Hosted hosted;
+  MultiTenantGateway hosted;
   private Thread turns;
 
   /** Event loops of the gateway. */
@@ -49,13 +49,13 @@
 
   void start(ObjectNode... tenants) throws Exception {
     ObjectNode config =
-        SpecJson.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("cores", cores());
+        TenantSpecCodec.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("cores", cores());
     config.putObject("capacity").put("openRequests", 100);
     ArrayNode list = config.putArray("tenants");
     for (ObjectNode tenant : tenants) {
       list.add(tenant);
     }
-    hosted = new Hosted(HostedConfig.read(config), line -> {});
+    hosted = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
     turns = hosted.start();
   }
 
@@ -69,14 +69,14 @@
     assertTrue(!turns.isAlive(), "the gateway did not stop");
   }
 
-  StandInSet boxes(String name, int replicas, double workMs) throws IOException {
-    StandInSet set = new StandInSet(name, replicas, 4, workMs, 5);
+  EmulatedReplicaSet boxes(String name, int replicas, double workMs) throws IOException {
+    EmulatedReplicaSet set = new EmulatedReplicaSet(name, replicas, 4, workMs, 5);
     open.add(set);
     return set;
   }
 
-  static ObjectNode tenant(String id, StandInSet set) {
-    ObjectNode tenant = SpecJson.JSON.createObjectNode().put("id", id).put("graceMs", 0);
+  static ObjectNode tenant(String id, EmulatedReplicaSet set) {
+    ObjectNode tenant = TenantSpecCodec.JSON.createObjectNode().put("id", id).put("graceMs", 0);
     ArrayNode classes = tenant.putArray("classes");
     classes.addObject().put("name", "read").put("giveUpMs", 20_000).put("read", "any");
     classes
@@ -88,7 +88,7 @@
         .put("windowMs", 2000);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
     if (set != null) {
-      for (StandInSet.Box box : set.boxes()) {
+      for (EmulatedReplicaSet.Box box : set.boxes()) {
         list.addObject()
             .put("id", box.id())
             .put("address", box.address())
@@ -199,7 +199,7 @@
    */
   @Test
   void aTenantRemovedWithRequestsInItAnswersEachOnceAndLeavesNothing() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet set = boxes("s", 1, 1);
     set.boxes().forEach(b -> b.silence(true));
     start(tenant("airport", set));
     int idle = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
@@ -235,7 +235,7 @@
       client.close(); // the gateway lingers until its clients have closed too
     }
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
-    Hosted.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
+    MultiTenantGateway.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
     while (set.connections() > 0 || held.deadlines() > idle || held.bufferBytes() > 0) {
       assertTrue(
           System.nanoTime() < end,
@@ -272,7 +272,7 @@
   /** What a tenant has taken may end within the grace, and is served as if nothing were. */
   @Test
   void withinTheGraceWhatWasTakenIsServed() throws Exception {
-    StandInSet set = boxes("s", 1, 200);
+    EmulatedReplicaSet set = boxes("s", 1, 200);
     start(tenant("airport", set).put("graceMs", 15_000));
     Client client = new Client("airport", null);
     assertEquals(List.of(), client.answers());
@@ -294,9 +294,9 @@
    */
   @Test
   void aTenantWhoseBoxesAreSilentIsNotNoticedByAnother() throws Exception {
-    StandInSet silent = boxes("s", 1, 1);
+    EmulatedReplicaSet silent = boxes("s", 1, 1);
     silent.boxes().forEach(b -> b.silence(true));
-    StandInSet well = boxes("w", 1, 1);
+    EmulatedReplicaSet well = boxes("w", 1, 1);
     ObjectNode stuck = tenant("stuck", silent);
     stuck
         .putObject("limits")
@@ -323,7 +323,7 @@
   /** Requests that meet a change which only a new module can take up are each answered once. */
   @Test
   void aTenantWhoseClassesChangeUnderLoadLosesNothing() throws Exception {
-    StandInSet set = boxes("s", 1, 2);
+    EmulatedReplicaSet set = boxes("s", 1, 2);
     start(tenant("airport", set).put("graceMs", 10_000));
     for (int round = 0; round < 20; round++) {
       Client client = new Client("airport", null);
@@ -333,7 +333,7 @@
       ObjectNode next = tenant("airport", set).put("graceMs", 10_000);
       ((ObjectNode) next.path("classes").path(0)).put("giveUpMs", 10_000 + round);
       CompletableFuture<Long> inForce = new CompletableFuture<>();
-      hosted.apply(SpecJson.read(next), inForce::complete);
+      hosted.apply(TenantSpecCodec.read(next), inForce::complete);
       assertEquals(List.of("w" + round), client.answers());
       inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
     }
@@ -343,14 +343,14 @@
 
   @Test
   void anAdministratorsDrainStopsNewWorkWithTheChange() throws Exception {
-    StandInSet set = boxes("s", 2, 1);
+    EmulatedReplicaSet set = boxes("s", 2, 1);
     start(tenant("airport", set));
     Client client = new Client("airport", null);
     assertEquals(List.of(), client.answers());
     ObjectNode next = tenant("airport", set);
     next.putArray("drained").add("s-1");
     CompletableFuture<Long> inForce = new CompletableFuture<>();
-    hosted.apply(SpecJson.read(next), inForce::complete);
+    hosted.apply(TenantSpecCodec.read(next), inForce::complete);
     inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
     long before = set.boxes().get(1).begun();
     for (int i = 0; i < 50; i++) {
@@ -361,14 +361,14 @@
   }
 
   /** The same classes in the opposite order, on boxes of the same names, which are others. */
-  private static ObjectNode mirrored(String id, StandInSet set) {
+  private static ObjectNode mirrored(String id, EmulatedReplicaSet set) {
     ObjectNode tenant = tenant(id, set).put("graceMs", 10_000);
     ArrayNode classes = (ArrayNode) tenant.path("classes");
     classes.add(classes.remove(0));
     return tenant;
   }
 
-  private static Set<String> firstLetters(StandInSet set) {
+  private static Set<String> firstLetters(EmulatedReplicaSet set) {
     return set.effects().keySet().stream().map(k -> k.substring(0, 1)).collect(Collectors.toSet());
   }
 
@@ -379,8 +379,8 @@
    */
   @Test
   void nothingOfOneTenantServesAnother() throws Exception {
-    StandInSet ours = boxes("s", 1, 1);
-    StandInSet theirs = boxes("s", 1, 1);
+    EmulatedReplicaSet ours = boxes("s", 1, 1);
+    EmulatedReplicaSet theirs = boxes("s", 1, 1);
     start(tenant("one", ours), mirrored("other", theirs));
     Client a = new Client("one", null);
     Client b = new Client("other", null);
@@ -405,8 +405,8 @@
    */
   @Test
   void aTenantMadeAnewServesNobodyOfTheOldOne() throws Exception {
-    StandInSet before = boxes("s", 1, 20);
-    StandInSet after = boxes("s", 1, 1);
+    EmulatedReplicaSet before = boxes("s", 1, 20);
+    EmulatedReplicaSet after = boxes("s", 1, 1);
     start(tenant("one", before).put("graceMs", 10_000));
     Client old = new Client("one", null);
     assertEquals(List.of(), old.answers());
@@ -417,7 +417,7 @@
     CompletableFuture<Long> gone = new CompletableFuture<>();
     hosted.remove("one", gone::complete);
     CompletableFuture<Long> inForce = new CompletableFuture<>();
-    hosted.apply(SpecJson.read(mirrored("one", after)), inForce::complete);
+    hosted.apply(TenantSpecCodec.read(mirrored("one", after)), inForce::complete);
     inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
     Client next = new Client("one", null);
     assertEquals(List.of(), next.answers());
@@ -442,20 +442,20 @@
   /** A wrong key, another tenant's key and a name that nobody has are told the same. */
   @Test
   void keysAreOfOneTenantAlone() throws Exception {
-    StandInSet set = boxes("s", 0, 1);
-    String ours = Keys.generate();
-    String theirs = Keys.generate();
+    EmulatedReplicaSet set = boxes("s", 0, 1);
+    String ours = ApiKeys.generate();
+    String theirs = ApiKeys.generate();
     ObjectNode one = tenant("one", set);
     one.putArray("credentials")
         .addObject()
         .put("user", "api")
-        .put("sha256", HexFormat.of().formatHex(Keys.hash(ours)));
+        .put("sha256", HexFormat.of().formatHex(ApiKeys.hash(ours)));
     ObjectNode other = tenant("other", set);
     other
         .putArray("credentials")
         .addObject()
         .put("user", "api")
-        .put("sha256", HexFormat.of().formatHex(Keys.hash(theirs)));
+        .put("sha256", HexFormat.of().formatHex(ApiKeys.hash(theirs)));
     start(one, other);
     Client client = new Client("one", ours);
     assertEquals(List.of(), client.answers());
@@ -481,13 +481,13 @@
   /** 2,000 tenants at rest hold no timer and no connection. */
   @Test
   void tenantsThatRestCostNoTimerAndNoConnection() throws Exception {
-    StandInSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet set = boxes("s", 1, 1);
     ObjectNode[] tenants = new ObjectNode[2000];
     for (int i = 0; i < tenants.length; i++) {
       tenants[i] = tenant("t" + i, set);
     }
     start(tenants);
-    Hosted.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
+    MultiTenantGateway.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
     assertEquals(0, held.deadlines());
     assertEquals(0, set.connections());
     for (int i = 0; i < 20; i++) {
--- a/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
@@ -11,16 +11,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import shelffront.cli.Templates;
-import shelffront.tenant.SpecJson;
-import shelffront.tenant.SpecJson.SpecException;
+import shelffront.cli.JsonnetTemplates;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
 
 class VirtualExperimentTest {
 
   @TempDir private Path directory;
 
   private static ObjectNode smoke() throws Exception {
-    ObjectNode file = (ObjectNode) Templates.evaluate(Path.of("experiments/virtual-smoke.jsonnet"));
+    ObjectNode file =
+        (ObjectNode) JsonnetTemplates.evaluate(Path.of("experiments/virtual-smoke.jsonnet"));
     file.setAll((ObjectNode) file.path("short"));
     ((ObjectNode) file.path("base")).put("seconds", 8).put("perSecond", 250);
     return file;
@@ -86,7 +87,7 @@
 
   @Test
   void aFaultThatDoesNotExistIsNamed() throws Exception {
-    JsonNode scenario = SpecJson.parse("{\"faults\": [{\"kind\": \"FLOOD\"}]}".getBytes());
+    JsonNode scenario = TenantSpecCodec.parse("{\"faults\": [{\"kind\": \"FLOOD\"}]}".getBytes());
     SpecException e =
         assertThrows(SpecException.class, () -> VirtualExperiment.scenario(scenario, "/levels/0"));
     assertEquals("/levels/0/faults/0/kind", e.pointer());
@@ -97,15 +98,15 @@
   void intervalsTellChanceFromDifference() {
     double[] low = {0.50, 0.52, 0.48, 0.51, 0.49};
     double[] high = {0.90, 0.91, 0.89, 0.92, 0.88};
-    Bootstrap.Interval mean = Bootstrap.mean(low);
+    BootstrapInterval.Interval mean = BootstrapInterval.mean(low);
     assertTrue(
         mean.low() > 0.48
             && mean.low() < mean.mean()
             && mean.mean() < mean.high()
             && mean.high() < 0.52);
     assertEquals(0.5, mean.mean(), 1e-9);
-    assertTrue(Bootstrap.difference(high, low).low() > 0.35);
-    Bootstrap.Interval none = Bootstrap.difference(low, low);
+    assertTrue(BootstrapInterval.difference(high, low).low() > 0.35);
+    BootstrapInterval.Interval none = BootstrapInterval.difference(low, low);
     assertTrue(none.low() < 0 && none.high() > 0);
   }
 }
--- a/lab/src/test/java/shelffront/lab/rig/StageRigTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
@@ -1,4 +1,4 @@
-package shelffront.lab.rig;
+package shelffront.lab.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,7 +13,7 @@
  * Several gateways as processes, with faults between them, moving one subject; their histories are
  * held together.
  */
-class StageRigTest {
+class RolloutFaultInjectionTest {
 
   private static final long LEASE_MS = 1_200;
 
@@ -21,14 +21,15 @@
 
   @Test
   void stagesStayAdjacentWhileOwnersDieAndGatewaysAreCutOffStoppedAndRestarted() throws Exception {
-    try (Rig rig = new Rig(directory)) {
+    try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
       for (int i = 0; i < 5; i++) {
         rig.add(LEASE_MS);
       }
       rig.awaitStage("one");
       rig.await("there is an owner", () -> rig.owner() != null);
-      Rig.Node owner = rig.owner();
-      List<Rig.Node> others = rig.nodes().stream().filter(n -> n != owner).toList();
+      FaultInjectionHarness.Node owner = rig.owner();
+      List<FaultInjectionHarness.Node> others =
+          rig.nodes().stream().filter(n -> n != owner).toList();
 
       // One is cut off, one is stopped, and the owner dies while the subject is on its way.
       others.get(0).relay().cut(true, true);
@@ -36,7 +37,7 @@
       assertEquals(200, others.get(2).target("four"));
       rig.await("the owner has begun", () -> rig.moves() > 0);
       owner.kill();
-      Rig.Node seeing = others.get(2);
+      FaultInjectionHarness.Node seeing = others.get(2);
       rig.await(
           "the rest go on without them",
           () ->
@@ -55,7 +56,7 @@
       others.get(0).relay().slow(40, 200);
       rig.awaitStage("one");
 
-      StageHistories all = rig.histories();
+      RolloutHistoryChecker all = rig.histories();
       assertTrue(all.broken().isEmpty(), () -> String.join("\n", all.broken()));
       assertTrue(all.moves() >= 6, "noted moves " + all.moves());
       assertEquals(7, all.actors(), "five processes, and two that started again");
@@ -65,9 +66,9 @@
 
   @Test
   void anEngineThatGarblesOrHasNoLeaderLeavesAllInTheSafeStageAndNothingIsLost() throws Exception {
-    try (Rig rig = new Rig(directory)) {
-      Rig.Node one = rig.add(LEASE_MS);
-      Rig.Node two = rig.add(LEASE_MS);
+    try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
+      FaultInjectionHarness.Node one = rig.add(LEASE_MS);
+      FaultInjectionHarness.Node two = rig.add(LEASE_MS);
       rig.awaitStage("one");
       assertEquals(200, one.target("two"));
       rig.awaitStage("two");
@@ -91,12 +92,12 @@
    */
   @Test
   void aGatewayThatTrustsItsLeaseForTooLongIsCaught() throws Exception {
-    try (Rig rig = new Rig(directory)) {
-      Rig.Node first = rig.add(LEASE_MS);
+    try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
+      FaultInjectionHarness.Node first = rig.add(LEASE_MS);
       rig.add(LEASE_MS);
       rig.awaitStage("one");
       rig.await("there is an owner", () -> rig.owner() != null);
-      Rig.Node late = rig.add(LEASE_MS * 100);
+      FaultInjectionHarness.Node late = rig.add(LEASE_MS * 100);
       rig.awaitStage("one");
       late.relay().cut(true, true);
       assertEquals(200, first.target("four"));
--- a/lab/src/test/java/shelffront/lab/rig/StageHistoriesTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
@@ -1,4 +1,4 @@
-package shelffront.lab.rig;
+package shelffront.lab.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** That the checker of histories says no. */
-class StageHistoriesTest {
+class RolloutHistoryCheckerTest {
 
   private static String force(String who, long at, long epoch, int stage, long until) {
     return String.format(
@@ -24,7 +24,7 @@
   }
 
   private static List<String> broken(List<String> one, List<String> other) throws IOException {
-    return StageHistories.of(List.of(one, other)).broken();
+    return RolloutHistoryChecker.of(List.of(one, other)).broken();
   }
 
   @Test
--- a/lab/src/test/java/shelffront/lab/load/LoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -10,22 +10,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import shelffront.lab.carrier.ConnectionHandler;
-import shelffront.lab.carrier.Wire;
-import shelffront.lab.virtual.Scheduler;
-import shelffront.lab.virtual.VirtualNet;
+import shelffront.lab.transport.ConnectionHandler;
+import shelffront.lab.transport.TransportConnection;
+import shelffront.lab.virtual.VirtualNetwork;
+import shelffront.lab.virtual.VirtualTimeScheduler;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
 
 /** The load by itself, on the virtual network, before a server that does as it is told. */
-class LoadTest {
+class OpenLoopLoadTest {
 
   private static final long SECOND = 1_000_000;
 
-  private final Scheduler clock = new Scheduler(1_000 * SECOND);
-  private final VirtualNet net =
-      new VirtualNet(
-          clock, RandomSource.XO_RO_SHI_RO_128_PP.create(3), new VirtualNet.Weather(200, 300, 0.3));
+  private final VirtualTimeScheduler clock = new VirtualTimeScheduler(1_000 * SECOND);
+  private final VirtualNetwork net =
+      new VirtualNetwork(
+          clock,
+          RandomSource.XO_RO_SHI_RO_128_PP.create(3),
+          new VirtualNetwork.Weather(200, 300, 0.3));
   private final InetSocketAddress address = net.newAddress();
   private long serverTakes = 2_000;
   private String code;
@@ -35,7 +37,7 @@
 
     private boolean started;
 
-    Server(Wire wire) {
+    Server(TransportConnection wire) {
       on(wire);
     }
 
@@ -79,18 +81,18 @@
     protected void ended(boolean reset) {}
   }
 
-  private Load.Result play(Load.Habits habits, double perSecond, int connections) {
+  private OpenLoopLoad.Result play(OpenLoopLoad.Habits habits, double perSecond, int connections) {
     net.listen(net.machine("server"), address, Server::new);
     boolean[] over = new boolean[1];
-    Load load =
-        new Load(
+    OpenLoopLoad load =
+        new OpenLoopLoad(
             net.on(net.machine("clients")),
             address,
             "t",
             null,
             List.of(
-                new Load.Kind("read", false, 50, 400, 3, 1),
-                new Load.Kind("write", true, 50, 400, 1, 5)),
+                new OpenLoopLoad.Kind("read", false, 50, 400, 3, 1),
+                new OpenLoopLoad.Kind("write", true, 50, 400, 1, 5)),
             habits,
             perSecond,
             connections,
@@ -101,7 +103,7 @@
       clock.step();
     }
     assertTrue(over[0], "it never ended");
-    Load.Tally all = load.result().all;
+    OpenLoopLoad.Tally all = load.result().all;
     assertEquals(
         all.due,
         all.onTime + all.late + all.refused + all.failed + all.unanswered,
@@ -110,15 +112,16 @@
     return load.result();
   }
 
-  private static Load.Habits habits(
-      Arrivals.Pattern pattern, int retries, double roam, double hangUp) {
-    return new Load.Habits(pattern, 100, 2, 0.5, retries, roam, hangUp);
+  private static OpenLoopLoad.Habits habits(
+      ArrivalSchedule.Pattern pattern, int retries, double roam, double hangUp) {
+    return new OpenLoopLoad.Habits(pattern, 100, 2, 0.5, retries, roam, hangUp);
   }
 
   @ParameterizedTest
-  @EnumSource(Arrivals.Pattern.class)
-  void everyPatternComesAtItsMeanRateAndInOrder(Arrivals.Pattern pattern) {
-    Arrivals arrivals = new Arrivals(pattern, 500, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
+  @EnumSource(ArrivalSchedule.Pattern.class)
+  void everyPatternComesAtItsMeanRateAndInOrder(ArrivalSchedule.Pattern pattern) {
+    ArrivalSchedule arrivals =
+        new ArrivalSchedule(pattern, 500, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
     long last = 0;
     int count = 0;
     for (long at = arrivals.next(); at < 40 * SECOND; at = arrivals.next()) {
@@ -131,8 +134,9 @@
 
   @Test
   void burstsBringHalfOfAllInATwentiethOfTheTime() {
-    Arrivals arrivals =
-        new Arrivals(Arrivals.Pattern.BURSTS, 1000, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
+    ArrivalSchedule arrivals =
+        new ArrivalSchedule(
+            ArrivalSchedule.Pattern.BURSTS, 1000, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
     int in = 0;
     int count = 0;
     for (long at = arrivals.next(); at < 20 * SECOND; at = arrivals.next()) {
@@ -144,7 +148,7 @@
 
   @Test
   void allIsServedWhereThereIsRoomWhateverClientsDo() {
-    Load.Result r = play(habits(Arrivals.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
+    OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
     assertTrue(
         r.all.due > 1_000 && r.all.hungUp > 10, r.all.due + " due, " + r.all.hungUp + " hung up");
     assertTrue(r.worthKept() > 0.98, "worth kept " + r.worthKept());
@@ -158,7 +162,7 @@
   @Test
   void whatWaitsForAConnectionIsLateByThat() {
     serverTakes = 20_000;
-    Load.Result r = play(habits(Arrivals.Pattern.EVEN, 0, 0, 0), 400, 4);
+    OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
     assertTrue(r.waited > 500, "waited " + r.waited);
     assertTrue(r.worthKept() < 0.5, "worth kept " + r.worthKept());
     assertTrue(r.all.unanswered > 100, "unanswered " + r.all.unanswered);
@@ -168,7 +172,7 @@
   @Test
   void whatIsRefusedComesBackWhenItWasToldAndEndsOnce() {
     code = "53300";
-    Load.Result never = play(habits(Arrivals.Pattern.EVEN, 2, 0, 0), 50, 20);
+    OpenLoopLoad.Result never = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(never.all.due, never.all.refused);
     assertEquals(0, never.served.getTotalCount());
   }
@@ -176,7 +180,7 @@
   @Test
   void anErrorThatIsNoRefusalIsAFailure() {
     code = "40003";
-    Load.Result r = play(habits(Arrivals.Pattern.EVEN, 2, 0, 0), 50, 20);
+    OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(r.all.due, r.all.failed);
   }
 }
--- a/lab/src/test/java/shelffront/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
@@ -1,4 +1,4 @@
-package shelffront.lab.fleet;
+package shelffront.lab.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 import shelffront.distribution.Version;
-import shelffront.lab.fleet.DistributionHistories.Acknowledged;
-import shelffront.lab.fleet.DistributionHistories.Cut;
-import shelffront.lab.rig.FaultRelay;
-import shelffront.tenant.SpecJson;
+import shelffront.lab.faultinjection.FaultProxy;
+import shelffront.lab.scale.DistributionHistoryChecker.Acknowledged;
+import shelffront.lab.scale.DistributionHistoryChecker.Cut;
+import shelffront.tenant.TenantSpecCodec;
 
 /** A fleet of processes, small; and that what judges one can say no. */
-class FleetTest {
+class ScaledFleetTest {
 
   private static final long SECOND = 1_000_000;
   private static final long BOUND = 14 * SECOND;
@@ -69,11 +69,11 @@
       ScaledFleet.await(
           "both administrations have reached the engine",
           () -> reachesEngine(fleet, 0) && reachesEngine(fleet, 1));
-      String document = FleetNames.document("new", 1).toString();
+      String document = TrialTenants.document("new", 1).toString();
       HttpResponse<String> made = fleet.administer(0, "POST", "/v1/tenants", 0, document);
       assertEquals(201, made.statusCode(), made.body());
       ScaledFleet.await("its clients are served", () -> ClientProbe.isServed(other, "new"));
-      long revision = SpecJson.JSON.readTree(made.body()).path("revision").asLong();
+      long revision = TenantSpecCodec.JSON.readTree(made.body()).path("revision").asLong();
       assertEquals(
           412, fleet.administer(1, "PUT", "/v1/tenants/new", revision - 1, document).statusCode());
       HttpResponse<String> changed =
@@ -99,7 +99,8 @@
     try {
       String changes =
           fleet.administer(1, "GET", "/v1/changes?after=" + (revision - 1), 0, "").body();
-      return SpecJson.JSON.readTree(changes).path("changes").path(0).path("inForce").asLong() > 0;
+      return TenantSpecCodec.JSON.readTree(changes).path("changes").path(0).path("inForce").asLong()
+          > 0;
     } catch (IOException | InterruptedException e) {
       throw new IllegalStateException(e);
     }
@@ -109,14 +110,14 @@
   @Test
   void aSnapshotThatTakesLongerThanASilenceArrives(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 2500, 3, 1, 1, 0, 0, 1);
-    List<FaultRelay> relays = new ArrayList<>();
+    List<FaultProxy> relays = new ArrayList<>();
     ScaledFleet.Ways slow =
         (from, to, address) -> {
           if (!to.startsWith("r")) {
             return address;
           }
           String[] at = address.split(":");
-          FaultRelay relay = new FaultRelay(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+          FaultProxy relay = new FaultProxy(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
           relay.slow(20, 16 << 10); // 0.8 MB a second, for 2.4 MB
           relays.add(relay);
           return relay.address();
@@ -125,14 +126,14 @@
       fleet.start();
       assertEquals(1, fleet.endHollow().size());
     } finally {
-      for (FaultRelay relay : relays) {
+      for (FaultProxy relay : relays) {
         relay.close();
       }
     }
   }
 
   private static List<String> judged(List<Cut> cuts, List<Acknowledged> changes, String... lines) {
-    DistributionHistories histories = new DistributionHistories();
+    DistributionHistoryChecker histories = new DistributionHistoryChecker();
     histories.add("z0", List.of(lines));
     histories.check("n", List.of("g"), changes, cuts, BOUND);
     return histories.broken();
--- a/lab/src/test/java/shelffront/lab/world/FleetTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
@@ -1,4 +1,4 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -10,25 +10,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import shelffront.lab.model.Figures;
-import shelffront.lab.virtual.VirtualNet.Weather;
-import shelffront.lab.world.Scenario.Fault;
-import shelffront.lab.world.Scenario.FaultKind;
-import shelffront.lab.world.Scenario.Means;
-import shelffront.lab.world.Shrinker.Cut;
+import shelffront.lab.model.ReplicaSetParameters;
+import shelffront.lab.simulation.Scenario.Fault;
+import shelffront.lab.simulation.Scenario.FaultKind;
+import shelffront.lab.simulation.Scenario.Means;
+import shelffront.lab.simulation.ScenarioShrinker.Cut;
+import shelffront.lab.virtual.VirtualNetwork.Weather;
 
 /**
  * The virtual fleet: the same run each time, every rule kept on a fixed set of seeds, failures cut
  * down.
  */
-class FleetTest {
+class FleetSimulationTest {
 
   private static final long SECOND = 1_000_000;
 
   /** Hashes of everything that happened, of a few seeds: printed by {@link #main}, and compared. */
   private static List<String> hashes() {
     return LongStream.of(3, 11, 25, 66)
-        .mapToObj(s -> Fleet.play(Scenario.draw(s).at(0.5, 4 * SECOND)).hash())
+        .mapToObj(s -> FleetSimulation.play(Scenario.draw(s).at(0.5, 4 * SECOND)).hash())
         .toList();
   }
 
@@ -45,13 +45,13 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
-                FleetTest.class.getName())
+                FleetSimulationTest.class.getName())
             .redirectErrorStream(true)
             .start();
     String printed = new String(child.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(child.waitFor(60, TimeUnit.SECONDS));
     assertEquals(String.join("\n", here), printed.strip(), "in another process");
-    assertNotEquals(here.get(0), Fleet.play(Scenario.draw(3).at(0.5, 3 * SECOND)).hash());
+    assertNotEquals(here.get(0), FleetSimulation.play(Scenario.draw(3).at(0.5, 3 * SECOND)).hash());
   }
 
   /** Among them each that has shown a fault of the gateway or of the lab, and what it was. */
@@ -61,7 +61,8 @@
         .parallel()
         .forEach(
             seed -> {
-              Fleet.Result result = Fleet.play(Scenario.draw(seed).at(0.6, 6 * SECOND));
+              FleetSimulation.Result result =
+                  FleetSimulation.play(Scenario.draw(seed).at(0.6, 6 * SECOND));
               assertEquals(List.of(), result.violations(), "seed " + seed);
             });
   }
@@ -83,7 +84,7 @@
             .findFirst()
             .orElseThrow();
     Cut cut =
-        Shrinker.shrink(
+        ScenarioShrinker.shrink(
             seed,
             s ->
                 s.faults().stream().anyMatch(f -> f.kind() == FaultKind.KILL_BOX)
@@ -95,9 +96,13 @@
   }
 
   private static Scenario day(
-      int gateways, double perSecond, Figures.Check check, boolean losesTail, Fault... faults) {
-    Figures figures =
-        new Figures(
+      int gateways,
+      double perSecond,
+      ReplicaSetParameters.Check check,
+      boolean losesTail,
+      Fault... faults) {
+    ReplicaSetParameters figures =
+        new ReplicaSetParameters(
             8,
             60,
             400,
@@ -127,7 +132,7 @@
         figures,
         new Weather(300, 700, 0.1),
         SECOND / 2,
-        Deployment.plain(true),
+        RandomDeployment.plain(true),
         Means.PLAIN,
         List.of(faults));
   }
@@ -135,7 +140,8 @@
   /** Three gateways, eight boxes and 1,500 requests a second, many at once when a crowd comes. */
   @Test
   void aQuietDayIsServedWhole() {
-    Fleet.Result result = Fleet.play(day(3, 1500, Figures.Check.WAIT, false));
+    FleetSimulation.Result result =
+        FleetSimulation.play(day(3, 1500, ReplicaSetParameters.Check.WAIT, false));
     assertEquals(List.of(), result.violations());
     assertTrue(result.requests() > 10_000, "requests " + result.requests());
     assertTrue(result.worthKept() > 0.99, "worth kept " + result.worthKept());
@@ -147,12 +153,12 @@
    */
   @Test
   void aPrimaryThatTakesItsLogsEndAlongBreaksNoRule() {
-    Fleet.Result result =
-        Fleet.play(
+    FleetSimulation.Result result =
+        FleetSimulation.play(
             day(
                 2,
                 800,
-                Figures.Check.SILENT,
+                ReplicaSetParameters.Check.SILENT,
                 true,
                 new Fault(2 * SECOND, FaultKind.KILL_PRIMARY, 0, SECOND),
                 new Fault(5 * SECOND, FaultKind.KILL_PRIMARY, 1, SECOND)));
@@ -162,12 +168,12 @@
   /** A clock that steps 20 ms either way under load, twice. */
   @Test
   void clocksThatStepBreakNoRule() {
-    Fleet.Result result =
-        Fleet.play(
+    FleetSimulation.Result result =
+        FleetSimulation.play(
             day(
                 2,
                 800,
-                Figures.Check.WAIT,
+                ReplicaSetParameters.Check.WAIT,
                 false,
                 new Fault(2 * SECOND, FaultKind.STEP_CLOCK, 0, SECOND),
                 new Fault(3 * SECOND, FaultKind.STEP_CLOCK, 1, SECOND),
@@ -182,8 +188,8 @@
    */
   @Test
   void gatewaysThatDoNotKnowOfEachOtherDoNotPushAColdBoxOver() {
-    Figures figures =
-        new Figures(
+    ReplicaSetParameters figures =
+        new ReplicaSetParameters(
             4,
             60,
             400,
@@ -198,7 +204,7 @@
             SECOND,
             SECOND / 2,
             2 * SECOND,
-            Figures.Check.WAIT,
+            ReplicaSetParameters.Check.WAIT,
             50_000,
             1.5,
             2 * SECOND,
@@ -214,12 +220,12 @@
             figures,
             new Weather(300, 700, 0.1),
             SECOND / 2,
-            Deployment.plain(false),
+            RandomDeployment.plain(false),
             Means.PLAIN,
             List.of(
                 new Fault(2 * SECOND, FaultKind.KILL_BOX, 1, SECOND / 4),
                 new Fault(6 * SECOND, FaultKind.KILL_BOX, 2, SECOND / 4)));
-    Fleet.Result result = Fleet.play(day);
+    FleetSimulation.Result result = FleetSimulation.play(day);
     assertEquals(List.of(), result.violations());
     assertTrue(result.worthKept() > 0.8, "worth kept " + result.worthKept());
   }
@@ -234,7 +240,8 @@
     for (int i = 0; i < bursts.length; i++) {
       bursts[i] = new Fault(2 * SECOND, FaultKind.BURST, i, SECOND);
     }
-    Fleet.Result result = Fleet.play(day(8, 2500, Figures.Check.REFUSE, false, bursts));
+    FleetSimulation.Result result =
+        FleetSimulation.play(day(8, 2500, ReplicaSetParameters.Check.REFUSE, false, bursts));
     assertEquals(List.of(), result.violations());
     assertTrue(result.requests() > 20_000, "requests " + result.requests());
   }
@@ -254,7 +261,8 @@
               i % 8,
               SECOND / 2);
     }
-    Fleet.Result result = Fleet.play(day(2, 1000, Figures.Check.WAIT, false, resets));
+    FleetSimulation.Result result =
+        FleetSimulation.play(day(2, 1000, ReplicaSetParameters.Check.WAIT, false, resets));
     assertEquals(List.of(), result.violations());
     assertTrue(result.worth().get("once-write").failed() > 0, "no write's answer was lost");
   }
@@ -269,7 +277,10 @@
     for (int i = 0; i < rude.length; i++) {
       rude[i] = new Fault(SECOND + i * SECOND / 8, FaultKind.GARBAGE, i, SECOND);
     }
-    assertEquals(List.of(), Fleet.play(day(2, 400, Figures.Check.WAIT, false, rude)).violations());
+    assertEquals(
+        List.of(),
+        FleetSimulation.play(day(2, 400, ReplicaSetParameters.Check.WAIT, false, rude))
+            .violations());
   }
 
   /**
@@ -282,7 +293,8 @@
     for (int i = 0; i < crowds.length; i++) {
       crowds[i] = new Fault(2 * SECOND, FaultKind.IDLE_CROWD, i, SECOND);
     }
-    Fleet.Result result = Fleet.play(day(5, 1000, Figures.Check.REFUSE, false, crowds));
+    FleetSimulation.Result result =
+        FleetSimulation.play(day(5, 1000, ReplicaSetParameters.Check.REFUSE, false, crowds));
     assertEquals(List.of(), result.violations());
     assertTrue(result.worthKept() > 0.9, "worth kept " + result.worthKept());
   }
@@ -299,13 +311,14 @@
               i,
               SECOND);
     }
-    Fleet.Result result = Fleet.play(day(2, 600, Figures.Check.WAIT, false, reloads));
+    FleetSimulation.Result result =
+        FleetSimulation.play(day(2, 600, ReplicaSetParameters.Check.WAIT, false, reloads));
     assertEquals(List.of(), result.violations());
     assertTrue(result.worthKept() > 0.95, "worth kept " + result.worthKept());
   }
 
   private static Scenario hosted(int loops, Fault... faults) {
-    Scenario d = day(2, 400, Figures.Check.WAIT, false, faults);
+    Scenario d = day(2, 400, ReplicaSetParameters.Check.WAIT, false, faults);
     return new Scenario(
         d.seed(),
         d.gateways(),
@@ -327,8 +340,8 @@
    */
   @Test
   void aHostedGatewayStopsWithIdleClientsOnEveryLoop() {
-    Fleet.Result result =
-        Fleet.play(
+    FleetSimulation.Result result =
+        FleetSimulation.play(
             hosted(
                 3,
                 new Fault(2 * SECOND, FaultKind.STOP_GATEWAY, 0, SECOND),
@@ -355,7 +368,8 @@
       faults[i] = new Fault(SECOND + i * SECOND / 6, kinds[i % kinds.length], i * 5, SECOND / 2);
     }
     for (int loops = 1; loops <= 3; loops++) {
-      assertEquals(List.of(), Fleet.play(hosted(loops, faults)).violations(), loops + " loops");
+      assertEquals(
+          List.of(), FleetSimulation.play(hosted(loops, faults)).violations(), loops + " loops");
     }
   }
 }
--- a/lab/src/test/java/shelffront/lab/world/FleetSizeTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
@@ -1,4 +1,4 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,28 +9,28 @@
 import org.junit.jupiter.api.Test;
 import shelffront.config.GatewayConfig;
 import shelffront.gateway.Gateway;
-import shelffront.lab.model.Figures;
-import shelffront.lab.virtual.VirtualNet.Weather;
-import shelffront.lab.world.Scenario.Fault;
-import shelffront.lab.world.Scenario.FaultKind;
-import shelffront.lab.world.Scenario.Means;
+import shelffront.lab.model.ReplicaSetParameters;
+import shelffront.lab.simulation.Scenario.Fault;
+import shelffront.lab.simulation.Scenario.FaultKind;
+import shelffront.lab.simulation.Scenario.Means;
+import shelffront.lab.virtual.VirtualNetwork.Weather;
 import shelffront.net.Counters;
 import shelffront.net.Network;
-import shelffront.route.Router.Settings;
+import shelffront.routing.Router.RoutingSettings;
 
 /** A hundred gateways of little traffic in virtual time: what they cost their hosts together. */
-class FleetSizeTest {
+class FleetSizeSimulationTest {
 
   private static final long SECOND = 1_000_000;
   private static final int GATEWAYS = 100;
 
   /** What all gateways of a run sent and opened. */
-  private record Cost(Fleet.Result result, long probes, long connections) {}
+  private record Cost(FleetSimulation.Result result, long probes, long connections) {}
 
-  private static Cost cost(Scenario scenario, Function<Fleet.Start, Gateway> made) {
+  private static Cost cost(Scenario scenario, Function<FleetSimulation.Start, Gateway> made) {
     List<Network> networks = new ArrayList<>();
-    Fleet.Result result =
-        Fleet.play(
+    FleetSimulation.Result result =
+        FleetSimulation.play(
             scenario,
             start -> {
               networks.add(start.network());
@@ -50,9 +50,9 @@
   /**
    * A gateway that takes itself for the only one, which switches off what it leaves to the others.
    */
-  private static Gateway alone(Fleet.Start start) {
+  private static Gateway alone(FleetSimulation.Start start) {
     GatewayConfig c = start.config();
-    Settings s = c.settings();
+    RoutingSettings s = c.settings();
     return start.with(
         new GatewayConfig(
             c.name(),
@@ -61,7 +61,7 @@
             c.seed(),
             c.sockets(),
             c.openCap(),
-            new Settings(
+            new RoutingSettings(
                 0,
                 1,
                 s.zone(),
@@ -83,8 +83,8 @@
 
   /** Two sets of six hosts, ten requests a second at each gateway. */
   private static Scenario day(Fault... faults) {
-    Figures figures =
-        new Figures(
+    ReplicaSetParameters figures =
+        new ReplicaSetParameters(
             8,
             60,
             800,
@@ -99,7 +99,7 @@
             SECOND,
             SECOND / 2,
             2 * SECOND,
-            Figures.Check.WAIT,
+            ReplicaSetParameters.Check.WAIT,
             50_000,
             4,
             2 * SECOND,
@@ -114,15 +114,15 @@
         figures,
         new Weather(300, 700, 0.1),
         SECOND / 2,
-        Deployment.plain(false),
+        RandomDeployment.plain(false),
         Means.PLAIN,
         List.of(faults));
   }
 
   @Test
   void gatewaysThatKnowTheirNumberCostTheirHostsLessThanHalfOfWhatTheyWouldAlone() {
-    Cost together = cost(day(), Fleet.Start::asItIs);
-    Cost alone = cost(day(), FleetSizeTest::alone);
+    Cost together = cost(day(), FleetSimulation.Start::asItIs);
+    Cost alone = cost(day(), FleetSizeSimulationTest::alone);
     assertEquals(List.of(), together.result().violations());
     assertTrue(
         together.result().worthKept() > alone.result().worthKept() - 0.01,
@@ -149,7 +149,7 @@
     faults[20] = new Fault(2 * SECOND, FaultKind.KILL_BOX, 1, SECOND / 4);
     faults[21] = new Fault(3 * SECOND, FaultKind.KILL_BOX, 8, SECOND / 4);
     faults[22] = new Fault(4 * SECOND, FaultKind.KILL_PRIMARY, 0, SECOND / 4);
-    Cost cost = cost(day(faults), Fleet.Start::asItIs);
+    Cost cost = cost(day(faults), FleetSimulation.Start::asItIs);
     assertEquals(List.of(), cost.result().violations());
     assertTrue(cost.result().worthKept() > 0.85, "worth kept " + cost.result().worthKept());
   }
--- a/lab/src/test/java/shelffront/lab/world/PlantedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -1,4 +1,4 @@
-package shelffront.lab.world;
+package shelffront.lab.simulation;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,42 +12,47 @@
 import org.junit.jupiter.api.Test;
 import shelffront.config.GatewayConfig;
 import shelffront.gateway.Gateway;
-import shelffront.lab.audit.Auditor.Rule;
-import shelffront.lab.audit.Auditor.Violation;
-import shelffront.lab.model.Figures;
-import shelffront.lab.virtual.VirtualNet.Weather;
-import shelffront.lab.world.Scenario.Fault;
-import shelffront.lab.world.Scenario.FaultKind;
-import shelffront.lab.world.Scenario.Means;
-import shelffront.route.Router.ClassSettings;
-import shelffront.route.Router.Effect;
-import shelffront.route.Router.LagCheck;
-import shelffront.route.Router.Limits;
-import shelffront.route.Router.Read;
-import shelffront.route.Router.Rules;
-import shelffront.route.Router.Settings;
+import shelffront.lab.invariants.InvariantChecker.Rule;
+import shelffront.lab.invariants.InvariantChecker.Violation;
+import shelffront.lab.model.ReplicaSetParameters;
+import shelffront.lab.simulation.Scenario.Fault;
+import shelffront.lab.simulation.Scenario.FaultKind;
+import shelffront.lab.simulation.Scenario.Means;
+import shelffront.lab.virtual.VirtualNetwork.Weather;
+import shelffront.routing.Router.Consistency;
+import shelffront.routing.Router.Idempotency;
+import shelffront.routing.Router.LagCheck;
+import shelffront.routing.Router.OperatingLimits;
+import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.Router.SafetyRules;
 
 /**
  * Broken gateways: each must be caught by the check made for it, and the whole one by none on the
  * same days.
  */
-class PlantedFaultsTest {
+class InjectedFaultsTest {
 
   private static final long SECOND = 1_000_000;
 
-  private static Scenario scenario(Figures.Check check, double perSecond, Fault... faults) {
+  private static Scenario scenario(
+      ReplicaSetParameters.Check check, double perSecond, Fault... faults) {
     return scenario(check, 4, perSecond, faults);
   }
 
   private static Scenario scenario(
-      Figures.Check check, double fall, double perSecond, Fault... faults) {
+      ReplicaSetParameters.Check check, double fall, double perSecond, Fault... faults) {
     return scenario(check, fall, 400, perSecond, faults);
   }
 
   private static Scenario scenario(
-      Figures.Check check, double fall, long applyCost, double perSecond, Fault... faults) {
-    Figures figures =
-        new Figures(
+      ReplicaSetParameters.Check check,
+      double fall,
+      long applyCost,
+      double perSecond,
+      Fault... faults) {
+    ReplicaSetParameters figures =
+        new ReplicaSetParameters(
             4,
             40,
             200,
@@ -77,7 +82,7 @@
         figures,
         new Weather(300, 700, 0.2),
         SECOND / 2,
-        Deployment.plain(true),
+        RandomDeployment.plain(true),
         Means.PLAIN,
         List.of(faults));
   }
@@ -90,13 +95,17 @@
    * Plays a day on the whole gateway and on a broken one: only the broken one is caught, by this
    * rule.
    */
-  private static void caught(Rule rule, Scenario scenario, Function<Fleet.Start, Gateway> broken) {
-    assertEquals(List.of(), Fleet.play(scenario).violations(), "the whole gateway on the same day");
-    List<Violation> found = Fleet.play(scenario, broken, line -> {}).violations();
+  private static void caught(
+      Rule rule, Scenario scenario, Function<FleetSimulation.Start, Gateway> broken) {
+    assertEquals(
+        List.of(),
+        FleetSimulation.play(scenario).violations(),
+        "the whole gateway on the same day");
+    List<Violation> found = FleetSimulation.play(scenario, broken, line -> {}).violations();
     assertTrue(found.stream().anyMatch(v -> v.rule() == rule), rule + " was not caught: " + found);
   }
 
-  private static Gateway told(Fleet.Start start, UnaryOperator<Settings> change) {
+  private static Gateway told(FleetSimulation.Start start, UnaryOperator<RoutingSettings> change) {
     GatewayConfig c = start.config();
     return start.with(
         new GatewayConfig(
@@ -110,9 +119,13 @@
             c.known()));
   }
 
-  private static Settings with(
-      Settings s, List<ClassSettings> classes, LagCheck check, Rules rules, Limits limits) {
-    return new Settings(
+  private static RoutingSettings with(
+      RoutingSettings s,
+      List<RequestClass> classes,
+      LagCheck check,
+      SafetyRules rules,
+      OperatingLimits limits) {
+    return new RoutingSettings(
         s.self(),
         s.routers(),
         s.zone(),
@@ -131,15 +144,15 @@
         s.probePrice());
   }
 
-  private static Settings types(Settings s, UnaryOperator<ClassSettings> change) {
-    List<ClassSettings> classes = new ArrayList<>();
+  private static RoutingSettings types(RoutingSettings s, UnaryOperator<RequestClass> change) {
+    List<RequestClass> classes = new ArrayList<>();
     s.classes().forEach(c -> classes.add(change.apply(c)));
     return with(s, classes, s.check(), s.rules(), s.limits());
   }
 
-  private static ClassSettings as(
-      ClassSettings c, Effect effect, long window, Read read, long bound) {
-    return new ClassSettings(
+  private static RequestClass as(
+      RequestClass c, Idempotency effect, long window, Consistency read, long bound) {
+    return new RequestClass(
         c.name(),
         c.aim(),
         c.deadline(),
@@ -156,7 +169,7 @@
    * Alters what the gateway writes, or what it reads, wherever a text stands in it; lengths stay.
    */
   private static Gateway tampered(
-      Fleet.Start start, String out, String outAs, String in, String inAs) {
+      FleetSimulation.Start start, String out, String outAs, String in, String inAs) {
     start.channels().tamper(replacing(out, outAs), replacing(in, inAs));
     return start.asItIs();
   }
@@ -171,7 +184,7 @@
     // Writes come faster than a replica can apply them.
     caught(
         Rule.FRESH,
-        scenario(Figures.Check.SILENT, 4, 12_000, 500),
+        scenario(ReplicaSetParameters.Check.SILENT, 4, 12_000, 500),
         s ->
             told(
                 s,
@@ -179,8 +192,8 @@
                     types(
                         t,
                         c ->
-                            c.read() == Read.BOUNDED
-                                ? as(c, c.effect(), 0, Read.BOUNDED, 60 * SECOND)
+                            c.read() == Consistency.BOUNDED
+                                ? as(c, c.effect(), 0, Consistency.BOUNDED, 60 * SECOND)
                                 : c)));
   }
 
@@ -188,36 +201,46 @@
   void currentReadsFromReplicas() {
     caught(
         Rule.FRESH,
-        scenario(Figures.Check.SILENT, 100),
+        scenario(ReplicaSetParameters.Check.SILENT, 100),
         s ->
             told(
                 s,
                 t ->
-                    types(t, c -> c.read() == Read.FRESH ? as(c, c.effect(), 0, Read.ANY, 0) : c)));
+                    types(
+                        t,
+                        c ->
+                            c.read() == Consistency.FRESH
+                                ? as(c, c.effect(), 0, Consistency.ANY, 0)
+                                : c)));
   }
 
   @Test
   void sessionsThatDoNotSeeTheirWrites() {
     caught(
         Rule.OWN_WRITES,
-        scenario(Figures.Check.SILENT, 300),
+        scenario(ReplicaSetParameters.Check.SILENT, 300),
         s ->
             told(
                 s,
                 t ->
                     types(
-                        t, c -> c.read() == Read.SESSION ? as(c, c.effect(), 0, Read.ANY, 0) : c)));
+                        t,
+                        c ->
+                            c.read() == Consistency.SESSION
+                                ? as(c, c.effect(), 0, Consistency.ANY, 0)
+                                : c)));
   }
 
-  private static Scenario carrying(Figures.Check check, double perSecond, Fault... faults) {
-    return scenario(check, perSecond, faults).as(Deployment.carrying(true));
+  private static Scenario carrying(
+      ReplicaSetParameters.Check check, double perSecond, Fault... faults) {
+    return scenario(check, perSecond, faults).as(RandomDeployment.carrying(true));
   }
 
   @Test
   void carriedMarksThatAreNotRead() {
     caught(
         Rule.OWN_WRITES,
-        carrying(Figures.Check.SILENT, 300),
+        carrying(ReplicaSetParameters.Check.SILENT, 300),
         s -> tampered(s, null, null, ",after=", ",aftex="));
   }
 
@@ -225,7 +248,7 @@
   void pushedListsThatNobodyWatches() {
     caught(
         Rule.DRAIN,
-        carrying(Figures.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
+        carrying(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
         s -> {
           GatewayConfig c = s.config();
           return s.with(
@@ -245,7 +268,7 @@
   void workForABoxThatDrains() {
     caught(
         Rule.DRAIN,
-        scenario(Figures.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
+        scenario(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
         s -> {
           // It does not read that the box drains.
           s.channels().tamper(b -> b, replacing("Terminating", "Ready      "));
@@ -258,7 +281,7 @@
     Fault[] faults = {fault(1, FaultKind.KILL_BOX, 1, 0.2)};
     caught(
         Rule.COLD,
-        scenario(Figures.Check.WAIT, 0.6, 900, faults),
+        scenario(ReplicaSetParameters.Check.WAIT, 0.6, 900, faults),
         s ->
             told(
                 s,
@@ -267,7 +290,7 @@
                         t,
                         t.classes(),
                         t.check(),
-                        new Rules(
+                        new SafetyRules(
                             t.rules().drainGrace(),
                             1,
                             0,
@@ -288,7 +311,7 @@
     };
     caught(
         Rule.CLASS_PERMITS,
-        scenario(Figures.Check.WAIT, 500, faults),
+        scenario(ReplicaSetParameters.Check.WAIT, 500, faults),
         s ->
             told(
                 s,
@@ -296,12 +319,12 @@
                     types(
                         t,
                         c ->
-                            c.effect() == Effect.ONCE
-                                ? as(c, Effect.REPEATABLE, 0, Read.WRITE, 0)
+                            c.effect() == Idempotency.ONCE
+                                ? as(c, Idempotency.REPEATABLE, 0, Consistency.WRITE, 0)
                                 : c)));
     caught(
         Rule.NO_DOUBLE_EFFECT,
-        scenario(Figures.Check.WAIT, 500, faults),
+        scenario(ReplicaSetParameters.Check.WAIT, 500, faults),
         s -> {
           // A key that is another each time it is sent.
           int[] sent = {0};
@@ -327,7 +350,7 @@
     Fault[] faults = {
       fault(2, FaultKind.SLOW_BOX, 18, 1), fault(2.2, FaultKind.KILL_PRIMARY, 0, 1)
     };
-    Function<Fleet.Start, Gateway> broken =
+    Function<FleetSimulation.Start, Gateway> broken =
         s ->
             told(
                 s,
@@ -335,16 +358,17 @@
                     types(
                         t,
                         c ->
-                            c.effect() == Effect.KEYED
-                                ? as(c, Effect.KEYED, 10 * SECOND, Read.WRITE, 0)
+                            c.effect() == Idempotency.KEYED
+                                ? as(c, Idempotency.KEYED, 10 * SECOND, Consistency.WRITE, 0)
                                 : c));
     int found = 0;
     for (int seed = 1; seed <= 12; seed++) {
-      Scenario day = scenario(Figures.Check.WAIT, 300, faults).of(seed);
-      assertEquals(List.of(), Fleet.play(day).violations(), "the whole gateway on seed " + seed);
+      Scenario day = scenario(ReplicaSetParameters.Check.WAIT, 300, faults).of(seed);
+      assertEquals(
+          List.of(), FleetSimulation.play(day).violations(), "the whole gateway on seed " + seed);
       found +=
           (int)
-              Fleet.play(day, broken, line -> {}).violations().stream()
+              FleetSimulation.play(day, broken, line -> {}).violations().stream()
                   .filter(v -> v.rule() == Rule.CLASS_PERMITS)
                   .count();
     }
@@ -357,7 +381,7 @@
     // is kept back.
     caught(
         Rule.ONE_ATTEMPT_OUT,
-        scenario(Figures.Check.WAIT, 500, fault(2, FaultKind.SLOW_BOX, 16, 4)),
+        scenario(ReplicaSetParameters.Check.WAIT, 500, fault(2, FaultKind.SLOW_BOX, 16, 4)),
         s -> {
           s.channels().keepOpen();
           return s.asItIs();
@@ -368,7 +392,7 @@
   void answersThatAreNotTheRequests() {
     caught(
         Rule.RIGHT_VALUE,
-        scenario(Figures.Check.WAIT, 100),
+        scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> tampered(s, null, null, "r1", "r2"));
   }
 
@@ -376,7 +400,7 @@
   void writesThatNeverRanAndWereToldServed() {
     caught(
         Rule.NOTHING_LOST,
-        scenario(Figures.Check.WAIT, 100),
+        scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> tampered(s, "c=map-write,", "c=map-read, ", null, null));
   }
 
@@ -384,7 +408,7 @@
   void writesThatRanAndWereToldUntouched() {
     caught(
         Rule.TRUE_REFUSAL,
-        scenario(Figures.Check.WAIT, 500, fault(2, FaultKind.SPOIL_BOX, 0, 4)),
+        scenario(ReplicaSetParameters.Check.WAIT, 500, fault(2, FaultKind.SPOIL_BOX, 0, 4)),
         s -> tampered(s, "C40003", "C53300", null, null));
   }
 
@@ -392,7 +416,7 @@
   void requestsWithoutAnAnswer() {
     caught(
         Rule.ONE_ANSWER,
-        scenario(Figures.Check.WAIT, 100),
+        scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> {
           int[] count = {0};
           s.channels()
@@ -410,7 +434,7 @@
   void requestsAnsweredTwice() {
     caught(
         Rule.ONE_ANSWER,
-        scenario(Figures.Check.WAIT, 100),
+        scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> {
           s.channels()
               .tamper(
@@ -428,7 +452,7 @@
     // It takes its clients for more patient than they are.
     caught(
         Rule.IN_TIME,
-        scenario(Figures.Check.WAIT, 300, fault(2, FaultKind.VANISH_BOX, 0, 9)),
+        scenario(ReplicaSetParameters.Check.WAIT, 300, fault(2, FaultKind.VANISH_BOX, 0, 9)),
         s -> tampered(s, null, null, ",d=3000,", ",d=3085,"));
   }
 
@@ -436,7 +460,7 @@
   void whatIsLeftAtTheEnd() {
     caught(
         Rule.NOTHING_LEFT,
-        scenario(Figures.Check.WAIT, 100),
+        scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> {
           s.network().budget().take(100);
           return s.asItIs();
@@ -447,7 +471,7 @@
   void faultsInATurn() {
     caught(
         Rule.NO_FAULT,
-        scenario(Figures.Check.WAIT, 100),
+        scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> {
           s.network().counters().add(shelffront.net.Counters.Name.FAULTS);
           return s.asItIs();
