--- /dev/null
+++ b/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
@@ -0,0 +1,150 @@
+package shelffront.compatibility;
+
+import static org.awaitility.Awaitility.await;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.List;
+import java.util.Queue;
+import java.util.concurrent.Callable;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import shelffront.engine.Engine.Value;
+import shelffront.engine.MemoryEngine;
+import shelffront.stage.Standing;
+import shelffront.stages.History;
+import shelffront.stages.Stages;
+import shelffront.stages.StagesConfig;
+
+/**
+ * Where subjects stand, their members and the owner, as version 0.2.0 wrote them to the engine:
+ * drill is on its way from half to open and waits for g2, which still acts under epoch 1; valve is
+ * wide, and the membership of g3 there is revoked.
+ */
+class StagesCompatibilityTest {
+
+  private static final String FLEET = "shelffront/maps/";
+
+  @TempDir private Path directory;
+
+  private final Queue<String> log = new ConcurrentLinkedQueue<>();
+  private MemoryEngine engine;
+
+  @BeforeEach
+  void loadEngine() throws Exception {
+    engine = StoredEngine.load(StoredResource.copy("fleet-stages.jsonl", directory));
+  }
+
+  /** Leases are so long that none ends within a test. */
+  private Stages stages(String name, String instance) throws Exception {
+    StagesConfig config =
+        StagesConfig.read(
+            new ObjectMapper()
+                .readTree(
+                    "{\"engine\":\"127.0.0.1:1\",\"fleet\":\"maps\",\"name\":\""
+                        + name
+                        + "\",\"leaseMs\":600000,\"actMs\":600000,\"subjects\":{"
+                        + "\"drill\":[\"closed\",\"half\",\"open\"],"
+                        + "\"valve\":[\"shut\",\"wide\"]}}"),
+            "/fleet");
+    return new Stages(
+        config, engine, instance, History.to(null), line -> log.add(String.valueOf(line)));
+  }
+
+  private static void awaitTrue(Callable<Boolean> condition) {
+    await().atMost(Duration.ofSeconds(20)).until(condition);
+  }
+
+  private void assertNothingGarbled() {
+    assertFalse(log.stream().anyMatch(line -> line.contains("garbled")), log.toString());
+  }
+
+  @Test
+  void readsWhereSubjectsStand() throws Exception {
+    try (Stages stages = stages("g9", "z9")) {
+      assertEquals(
+          List.of(
+              new Stages.Shown("drill", "half", "open", 2, null, false, List.of()),
+              new Stages.Shown("valve", "wide", "wide", 2, null, false, List.of())),
+          stages.show(null));
+    }
+  }
+
+  @Test
+  void joinsAtTheStageInForce() throws Exception {
+    try (Stages stages = stages("g9", "z9")) {
+      stages.start();
+      awaitTrue(() -> stages.inForce("drill") != null && stages.inForce("valve") != null);
+      assertEquals(new Standing(2, 1, 2), stages.inForce("drill"));
+      assertEquals(new Standing(2, 1, 1), stages.inForce("valve"));
+      Value member = engine.read(FLEET + "members/valve/g9-z9.1");
+      assertTrue(member.text().startsWith("{\"epoch\":2,\"revoked\":false,\"nonce\":"),
+          member.text());
+      assertNothingGarbled();
+    }
+  }
+
+  /** The owner knows its own key again; another's would hold it off for two leases. */
+  @Test
+  void readsOwnerAndTheMemberThatHoldsUpTheMove() throws Exception {
+    try (Stages stages = stages("g1", "a1")) {
+      stages.start();
+      awaitTrue(() -> stages.show("drill").get(0).waitsFor().equals(List.of("g2-b2.1")));
+      Stages.Shown drill = stages.show("drill").get(0);
+      assertTrue(drill.owner());
+      assertEquals("half", drill.stage());
+      assertEquals(2, drill.epoch());
+      assertNothingGarbled();
+    }
+  }
+
+  @Test
+  void keepsAwayFromOwnershipThatAnotherHolds() throws Exception {
+    try (Stages stages = stages("g9", "z9")) {
+      stages.start();
+      awaitTrue(() -> stages.inForce("drill") != null);
+      assertFalse(stages.show("drill").get(0).owner());
+      assertEquals("g1-a1 38", engine.read(FLEET + "owner").text());
+    }
+  }
+
+  /** All other members of valve have acknowledged epoch 2. */
+  @Test
+  void waitsForTheLapseOfRevokedMember() throws Exception {
+    try (Stages stages = stages("g1", "a1")) {
+      stages.start();
+      awaitTrue(() -> stages.show("valve").get(0).owner());
+      Standing asked = stages.target("valve", "shut");
+      assertEquals(new Standing(2, 1, 0), asked);
+      awaitTrue(() -> stages.show("valve").get(0).waitsFor().equals(List.of("g3-c3.1")));
+      assertEquals(
+          "{\"epoch\":2,\"stage\":\"wide\",\"target\":\"shut\"}",
+          engine.read(FLEET + "standing/valve").text());
+      assertEquals(
+          "{\"epoch\":1,\"revoked\":true,\"nonce\":0}",
+          engine.read(FLEET + "members/valve/g3-c3.1").text());
+      assertNothingGarbled();
+    }
+  }
+
+  @Test
+  void movesOnOnceTheMemberHasLeft() throws Exception {
+    Value member = engine.read(FLEET + "members/drill/g2-b2.1");
+    assertEquals("{\"epoch\":1,\"revoked\":false,\"nonce\":384534809}", member.text());
+    try (Stages stages = stages("g1", "a1")) {
+      stages.start();
+      awaitTrue(() -> stages.show("drill").get(0).waitsFor().equals(List.of("g2-b2.1")));
+      engine.delete(member.key(), member.index());
+      awaitTrue(() -> stages.show("drill").get(0).stage().equals("open"));
+      assertEquals(
+          "{\"epoch\":3,\"stage\":\"open\",\"target\":\"open\"}",
+          engine.read(FLEET + "standing/drill").text());
+    }
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/shelffront/compatibility/StoredEngine.java
@@ -0,0 +1,47 @@
+package shelffront.compatibility;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Base64;
+import java.util.TreeMap;
+import shelffront.engine.Engine.Value;
+import shelffront.engine.MemoryEngine;
+
+/** Puts the keys of a file of the stand-in engine into one in memory, with the file's indexes. */
+final class StoredEngine {
+
+  private static final ObjectMapper JSON = new ObjectMapper();
+
+  private StoredEngine() {}
+
+  /** The engine as it was once it had written an index, and nothing later. */
+  static MemoryEngine asOf(long lastIndex, Path file) throws IOException {
+    TreeMap<String, Value> values = new TreeMap<>();
+    for (String line : Files.readAllLines(file)) {
+      JsonNode write = JSON.readTree(line);
+      long index = write.path("index").asLong();
+      String key = write.path("key").asText();
+      if (index > lastIndex) {
+        continue;
+      }
+      if (write.has("value")) {
+        byte[] decoded = Base64.getDecoder().decode(write.path("value").asText());
+        values.put(key, new Value(key, index, new String(decoded, UTF_8)));
+      } else {
+        values.remove(key);
+      }
+    }
+    MemoryEngine engine = new MemoryEngine();
+    engine.restore(values);
+    return engine;
+  }
+
+  static MemoryEngine load(Path file) throws IOException {
+    return asOf(Long.MAX_VALUE, file);
+  }
+}
