--- /dev/null
+++ b/lab/src/test/java/shelffront/lab/compatibility/StoredResource.java
@@ -0,0 +1,26 @@
+package shelffront.lab.compatibility;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+
+/** Copies the data of version 0.2.0, so that no test can change what is committed. */
+public final class StoredResource {
+
+  private StoredResource() {}
+
+  /** Copies a file below the resources' directory "compatibility" into a directory; gives the copy. */
+  public static Path copy(String name, Path directory) throws IOException {
+    Path target = directory.resolve(name);
+    Files.createDirectories(target.getParent());
+    try (InputStream resource =
+        StoredResource.class.getResourceAsStream("/compatibility/" + name)) {
+      if (resource == null) {
+        throw new IOException("no resource compatibility/" + name);
+      }
+      Files.copy(resource, target);
+    }
+    return target;
+  }
+}
