--- /dev/null
+++ b/lab/src/test/java/shelffront/lab/experiment/KeptRunCompatibilityTest.java
@@ -0,0 +1,227 @@
+package shelffront.lab.experiment;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import shelffront.lab.compatibility.StoredResource;
+import shelffront.tenant.SpecJson;
+
+/** A virtual experiment's directory, as version 0.2.0 kept it: two levels, two seeds each. */
+class KeptRunCompatibilityTest {
+
+  private static final String PROGRAM = "program.crc";
+
+  @TempDir private Path directory;
+
+  private Path kept;
+  private JsonNode experiment;
+  private List<String> lines;
+
+  @BeforeEach
+  void copyKeptRun() throws Exception {
+    for (String name : List.of(RunLog.EXPERIMENT, PROGRAM, RunLog.RUNS)) {
+      kept = StoredResource.copy("kept-run/" + name, directory).getParent();
+    }
+    experiment = SpecJson.JSON.readTree(kept.resolve(RunLog.EXPERIMENT).toFile());
+    lines = Files.readAllLines(kept.resolve(RunLog.RUNS));
+  }
+
+  /**
+   * Runs are taken up by the program that played them alone, and every build is another one. Says
+   * that this one played them; all else in the directory stays as version 0.2.0 wrote it.
+   */
+  private void claimByThisProgram() throws Exception {
+    Path other = directory.resolve("other");
+    RunLog.open(other, experiment);
+    Files.copy(
+        other.resolve(PROGRAM), kept.resolve(PROGRAM), StandardCopyOption.REPLACE_EXISTING);
+  }
+
+  private static void assertRun(
+      KeptRun run, String level, int seed, long requests, double worthKept, String hash) {
+    assertNotNull(run, level + " " + seed);
+    assertEquals(level, run.level());
+    assertEquals(seed, run.seed());
+    assertEquals(requests, run.requests());
+    assertEquals(worthKept, run.worthKept());
+    assertEquals(0, run.broken());
+    assertEquals(hash, run.hash());
+  }
+
+  private static void assertAllRuns(RunLog log) {
+    assertRun(
+        log.get("calm", 1),
+        "calm",
+        1,
+        251,
+        1.0,
+        "a28c71a83b8c7663a4ec2ddeeae375c8738ab87cf81764f01e68cdebe7a348b1");
+    assertRun(
+        log.get("calm", 2),
+        "calm",
+        2,
+        186,
+        1.0,
+        "13dbefde73fb0a542d990c972932d8a8e7bdffa34d94a40457e29dd68955e3ac");
+    assertRun(
+        log.get("restart", 1),
+        "restart",
+        1,
+        200,
+        0.8081694402420576,
+        "64e880d8643f0e7b1bfae26b6a52dccfbad1680f98b1fe6ce99303d281a416b1");
+    assertRun(
+        log.get("restart", 2),
+        "restart",
+        2,
+        191,
+        0.7386327503974564,
+        "8a28537aa1b9d79d4cf09496b03cd3886f202df36429669d95bc265e0cbc1850");
+  }
+
+  @Test
+  void readsKeptRuns() throws Exception {
+    assertAllRuns(RunLog.read(kept, experiment));
+  }
+
+  @Test
+  void readsClassesWindowsAndLatencyOfRun() throws Exception {
+    KeptRun run = RunLog.read(kept, experiment).get("restart", 1);
+    assertEquals(
+        SpecJson.JSON.readTree(
+            "{\"live-read\":{\"asked\":28,\"onTime\":11,\"late\":0,\"refused\":17,\"failed\":0,"
+                + "\"unanswered\":0},"
+                + "\"map-read\":{\"asked\":57,\"onTime\":57,\"late\":0,\"refused\":0,\"failed\":0,"
+                + "\"unanswered\":0},"
+                + "\"map-write\":{\"asked\":58,\"onTime\":32,\"late\":11,\"refused\":15,"
+                + "\"failed\":0,\"unanswered\":0},"
+                + "\"own-edit-read\":{\"asked\":57,\"onTime\":57,\"late\":0,\"refused\":0,"
+                + "\"failed\":0,\"unanswered\":0}}"),
+        run.classes());
+    assertArrayEquals(
+        new double[] {52, 54, 87, 53, 51, 47, 49, 65, 77, 54, 38, 34, 0}, run.wanted());
+    assertArrayEquals(
+        new double[] {
+          52, 54, 87, 53, 44.60000000000001, 23.4, 30.599999999999998, 37.599999999999994, 55, 31,
+          32, 34, 0
+        },
+        run.kept());
+    assertEquals(168, run.latency().getTotalCount(), "57 + 57 + 32 + 11 + 11 were served");
+    assertEquals(10_823, run.latency().getValueAtPercentile(50));
+    assertEquals(2_043_903, run.latency().getValueAtPercentile(99));
+  }
+
+  @Test
+  void writesTheSameLines() {
+    for (String line : lines) {
+      assertEquals(line, KeptRun.read(line).line());
+    }
+  }
+
+  @Test
+  void skipsLineThatWasCut() {
+    assertNull(KeptRun.read(lines.get(3).substring(0, lines.get(3).length() - 20)));
+  }
+
+  /** A run that was played again would have its true number of requests and not the marked one. */
+  @Test
+  void resumesWhereItWasStopped() throws Exception {
+    claimByThisProgram();
+    String marked = lines.get(0).replaceFirst("\"requests\":251,", "\"requests\":777777,");
+    Files.writeString(
+        kept.resolve(RunLog.RUNS),
+        marked + "\n" + lines.get(1) + "\n" + lines.get(2) + "\n" + lines.get(3).substring(0, 300));
+    VirtualExperiment.run(experiment, kept);
+    List<String> resumed = Files.readAllLines(kept.resolve(RunLog.RUNS));
+    assertEquals(4, resumed.size());
+    assertEquals(marked, resumed.get(0));
+    assertEquals(lines.subList(1, 3), resumed.subList(1, 3));
+    KeptRun played = KeptRun.read(resumed.get(3));
+    assertEquals("restart", played.level());
+    assertEquals(2, played.seed());
+  }
+
+  @Test
+  void takesUpAllRunsOfTheSameExperiment() throws Exception {
+    claimByThisProgram();
+    assertAllRuns(RunLog.open(kept, experiment));
+    assertEquals(lines.size(), Files.readAllLines(kept.resolve(RunLog.RUNS)).size());
+  }
+
+  @Test
+  void takesUpNoRunsOfAnotherProgram() throws Exception {
+    Files.writeString(kept.resolve(PROGRAM), "14835f98 of another\n");
+    RunLog log = RunLog.open(kept, experiment);
+    assertNull(log.get("calm", 1));
+    assertNull(log.get("restart", 2));
+  }
+
+  @Test
+  void reportsOnKeptRuns() throws Exception {
+    Experiment.Report report = VirtualExperiment.report(kept);
+    assertTrue(report.kept());
+    assertFalse(report.isVoid());
+    assertEquals(
+        List.of(
+            "| calm | 2 | 437 | 1.000 (1.000 to 1.000) | 1.000 | 10.5 | 33.6 | 61.0 | 0 |",
+            "| restart | 2 | 391 | 0.773 (0.739 to 0.808) | 0.739 | 10.9 | 2254.8 | 2699.3 | 0 |"),
+        report.table().subList(2, 4));
+    assertEquals(
+        List.of(
+            "kept: restart keeps 0.227 less than calm (0.192 to 0.261): 0.900 at the most wanted",
+            "kept: 0 rules broken in all runs"),
+        report.claims());
+  }
+
+  /** Every field's path, and what stands there in place of a value: its kind. */
+  private static void collectFields(
+      String path, JsonNode node, Map<String, TreeSet<String>> found) {
+    if (node.isObject()) {
+      node.fields()
+          .forEachRemaining(
+              field -> collectFields(path + "/" + field.getKey(), field.getValue(), found));
+    } else {
+      found.computeIfAbsent(path, any -> new TreeSet<>()).add(node.getNodeType().name());
+    }
+  }
+
+  private static Map<String, TreeSet<String>> fields(List<String> written) throws Exception {
+    Map<String, TreeSet<String>> found = new TreeMap<>();
+    for (String line : written) {
+      collectFields("", SpecJson.JSON.readTree(line), found);
+    }
+    return found;
+  }
+
+  /** What a new version keeps has the fields that an old one reads, and experiments compare. */
+  @Test
+  void keepsRunsWithTheSameFields() throws Exception {
+    Path again = directory.resolve("again");
+    VirtualExperiment.run(experiment, again);
+    List<String> written = Files.readAllLines(again.resolve(RunLog.RUNS));
+    assertEquals(fields(lines), fields(written));
+    assertEquals(
+        Files.readString(kept.resolve(RunLog.EXPERIMENT)),
+        Files.readString(again.resolve(RunLog.EXPERIMENT)));
+    List<String> levels = new ArrayList<>();
+    VirtualExperiment.compare(kept, again)
+        .forEach(line -> levels.add(line.substring(0, line.indexOf(':'))));
+    assertEquals(List.of("calm", "restart"), levels);
+  }
+}
--- /dev/null
+++ b/lab/src/test/resources/compatibility/experiment-full.jsonnet
@@ -0,0 +1,48 @@
+// A virtual experiment with every setting of a level, and a fault of every kind.
+local kinds = [
+  'KILL_BOX', 'KILL_PRIMARY', 'DRAIN_BOX', 'DRAIN_PRIMARY', 'VANISH_BOX', 'SLOW_BOX', 'SPOIL_BOX', 'RESET_BOX',
+  'BAD_NETWORK', 'BREAK_WATCHES', 'DISCOVERY_DOWN', 'KILL_GATEWAY', 'STOP_GATEWAY', 'PAUSE_GATEWAY', 'STEP_CLOCK',
+  'BURST', 'HANG_UPS', 'STALL_READERS', 'RELOAD', 'GARBAGE', 'IDLE_CROWD', 'HICCUP_BOX', 'REMOVE_TENANT',
+  'CHANGE_TENANT', 'DRAIN_BY_TENANT',
+];
+{
+  virtual: true,
+  seeds: 3,
+  base: {
+    gateways: 5,
+    sets: 2,
+    boxes: 4,
+    perSecond: 321.5,
+    seconds: 9,
+    cores: 6,
+    room: 33,
+    connections: 177,
+    workUs: 5000,
+    sigma: 0.75,
+    shipUs: 15000,
+    applyUs: 350,
+    electionSeconds: 1.25,
+    handOverSeconds: 0.75,
+    check: 'refuse',
+    losesTail: true,
+    latencyUs: 250,
+    jitterUs: 650,
+    chop: 0.2,
+    listDelaySeconds: 1.5,
+    onceWrites: true,
+    carried: true,
+    sockets: 512,
+    gatewayWorkUs: 45,
+    gatewayPauses: 0.5,
+    tenants: 3,
+    loops: 2,
+    clientConnections: 140,
+  },
+  levels: [
+    {
+      name: 'troubled',
+      faults: [{ kind: kinds[i], at: i + 0.5, target: i, seconds: 2 + i } for i in std.range(0, std.length(kinds) - 1)],
+    },
+  ],
+  claims: [{ rules: true }, { level: 'troubled', worthAtLeast: 0.5 }],
+}
