--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -467,11 +467,26 @@
   // ---- From the server side
   // --------------------------------------------------------------------------------
 
+  /** The counter's name is published at exit and by the administration. */
+  private static Counters.Name attemptCounter(AttemptStatus status) {
+    return switch (status) {
+      case OK -> Counters.Name.ATTEMPTS_OK;
+      case ERROR -> Counters.Name.ATTEMPTS_ERROR;
+      case FULL -> Counters.Name.ATTEMPTS_FULL;
+      case TIMEOUT -> Counters.Name.ATTEMPTS_TIMEOUT;
+      case CONNECT_FAILED -> Counters.Name.ATTEMPTS_CONNECT_FAILED;
+      case RESET -> Counters.Name.ATTEMPTS_RESET;
+      case CANCELLED -> Counters.Name.ATTEMPTS_CANCELLED;
+      case NOT_SENT -> Counters.Name.ATTEMPTS_NOT_SENT;
+      case MISS -> Counters.Name.ATTEMPTS_MISS;
+    };
+  }
+
   @Override
   public void ended(BackendAttempt attempt, BackendResponse reply) {
     ClientRequest exchange = attempt.exchange;
     attempt.out = false;
-    network.counters().add(Counters.Name.valueOf("ATTEMPTS_" + reply.status()));
+    network.counters().add(attemptCounter(reply.status()));
     if (reply.status() == AttemptStatus.OK && !exchange.answered) {
       exchange.answered = true;
       finished(asker -> asker.served(reply.messages()), exchange);
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -22,7 +22,6 @@
 import java.util.HexFormat;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import shelffront.backend.BackendConnections.Login;
@@ -185,7 +184,7 @@
   }
 
   private static RequestClass classSettings(JsonNode c, String at) throws SpecException {
-    Consistency read = Consistency.valueOf(c.path("read").asText().toUpperCase(Locale.ROOT));
+    Consistency read = consistency(c.path("read").asText());
     String effect = c.path("effect").asText(read == Consistency.WRITE ? "once" : "repeatable");
     long giveUp = c.path("giveUpMs").asLong() * MS;
     long aim = c.path("aimMs").asLong(giveUp / MS) * MS;
@@ -204,13 +203,35 @@
         giveUp,
         c.path("worth").asDouble(1),
         c.path("lateShare").asDouble(0),
-        Idempotency.valueOf(effect.toUpperCase(Locale.ROOT)),
+        idempotency(effect),
         DeduplicationScope.GROUP,
         c.path("windowMs").asLong(0) * MS,
         read,
         c.path("boundMs").asLong(0) * MS);
   }
 
+  /** The schema admits these words alone. */
+  private static Consistency consistency(String read) {
+    return switch (read) {
+      case "write" -> Consistency.WRITE;
+      case "fresh" -> Consistency.FRESH;
+      case "session" -> Consistency.SESSION;
+      case "bounded" -> Consistency.BOUNDED;
+      case "any" -> Consistency.ANY;
+      default -> throw new IllegalArgumentException("unknown kind of read: " + read);
+    };
+  }
+
+  /** The schema admits these words alone. */
+  private static Idempotency idempotency(String effect) {
+    return switch (effect) {
+      case "repeatable" -> Idempotency.REPEATABLE;
+      case "keyed" -> Idempotency.KEYED;
+      case "once" -> Idempotency.ONCE;
+      default -> throw new IllegalArgumentException("unknown effect: " + effect);
+    };
+  }
+
   private static RoutingSettings settings(
       List<RequestClass> classes, JsonNode hosts, boolean asked) {
     LagCheck check =
