--- a/core/src/main/java/shelffront/consistency/ReplicationProgress.java
+++ b/core/src/main/java/shelffront/consistency/ReplicationProgress.java
@@ -21,7 +21,7 @@
   private long heardAt = UNKNOWN; // when that position was heard
   private long missedAt = UNKNOWN; // when it turned a read away as too recent
 
-  public long heardAt() {
+  public long lastReportedAt() {
     return heardAt;
   }
 
@@ -34,12 +34,12 @@
   }
 
   /** It turned a read away. */
-  public void missed(long now) {
+  public void recordRejectedRead(long now) {
     missedAt = now;
   }
 
   /** It answered a read that needed this position when it was sent. */
-  public void proved(long sentAt, long need) {
+  public void recordProvenPosition(long sentAt, long need) {
     if (need > position) {
       long lag = position == UNKNOWN ? sentAt : heardAt - position;
       heardAt = Math.min(sentAt, need + lag);
@@ -48,7 +48,7 @@
   }
 
   /** Whether it is known to have a position. */
-  public boolean has(long need) {
+  public boolean hasApplied(long need) {
     return position >= need;
   }
 
@@ -59,9 +59,9 @@
    *
    * @param patience how long it waits for what it lacks before it refuses
    */
-  public boolean mayHave(long now, long need, long patience) {
+  public boolean mayHaveApplied(long now, long need, long patience) {
     boolean disproved = missedAt >= heardAt && missedAt > now - OLD;
-    return has(need)
+    return hasApplied(need)
         || position != UNKNOWN
             && !disproved
             && heardAt > now - TRUST
@@ -74,16 +74,16 @@
    * @param wanted whether it lives is what is asked, so that what was heard of its position does
    *     not count
    */
-  public boolean newsIsDue(long now, long probedAt, boolean wanted) {
+  public boolean isHealthCheckDue(long now, long probedAt, boolean wanted) {
     long last = Math.max(probedAt, wanted ? UNKNOWN : heardAt);
-    return now - last > (wanted ? OLD / 2 : newsAfter());
+    return now - last > (wanted ? OLD / 2 : healthCheckIntervalMicros());
   }
 
   /**
    * Time after the last word, or question, from which a probe may tell something new: one that was
    * far behind is so for a while, for it catches up no faster than it applies.
    */
-  public long newsAfter() {
+  public long healthCheckIntervalMicros() {
     return Math.max(OLD / 2, position == UNKNOWN ? 0 : (heardAt - position) / 4);
   }
 }
--- a/core/src/main/java/shelffront/consistency/SessionPositions.java
+++ b/core/src/main/java/shelffront/consistency/SessionPositions.java
@@ -25,7 +25,7 @@
   }
 
   /** A write of the session was committed at the position; an earlier one changes nothing. */
-  public void wrote(String session, int group, long position) {
+  public void recordWrite(String session, int group, long position) {
     sessions.merge(session, new Mark(group, position), (a, b) -> b.position > a.position ? b : a);
     if (sessions.size() > most) {
       var eldest = sessions.entrySet().iterator();
@@ -39,7 +39,7 @@
    * Position that a read of the session must see; UNKNOWN where no write of its group was forgotten
    * or of it seen.
    */
-  public long of(String session, int group) {
+  public long requiredPosition(String session, int group) {
     Mark mark = sessions.get(session);
     return Math.max(mark == null ? UNKNOWN : mark.position, floors.getOrDefault(group, UNKNOWN));
   }
--- a/core/src/main/java/shelffront/decision/AttemptAdmission.java
+++ b/core/src/main/java/shelffront/decision/AttemptAdmission.java
@@ -22,12 +22,12 @@
 
   /** Share of its capacity that a member has at least, by the time since it started. */
   double warmth(EndpointState n) {
-    return n.entry.startedAt() <= 0
+    return n.entry.startedAtMicros() <= 0
         ? 1
-        : SlowStartBudget.warmth(
-            state.now - n.entry.startedAt(),
-            state.settings.rules().coldFrom(),
-            state.settings.rules().coldTime());
+        : SlowStartBudget.capacityFraction(
+            state.now - n.entry.startedAtMicros(),
+            state.settings.safetyRules().slowStartInitialCapacity(),
+            state.settings.safetyRules().slowStartDurationMicros());
   }
 
   /**
@@ -52,7 +52,7 @@
     return n.group.cold.admits(
         state.now,
         p.request.id(),
-        p.type.needsPrimary(),
+        p.type.requiresPrimary(),
         n == first,
         first != null,
         before,
@@ -63,7 +63,7 @@
     return n.group.cold.budget(
         state.now,
         warmth(n),
-        state.settings.rules().fallMultiple(),
+        state.settings.safetyRules().overloadFactor(),
         state.usualSends * n.size() + 1.0 / n.group.nodes.size(),
         n == n.group.primary);
   }
@@ -72,14 +72,15 @@
     Attempt ran = p.mayHaveRun();
     return p.open
         && state.now < p.deadline
-        && p.attempts.size() < state.settings.limits().attempts()
+        && p.attempts.size() < state.settings.limits().maxAttempts()
         && n.open
-        && n.entry.group() == p.request.group()
+        && n.entry.replicaSet() == p.request.replicaSet()
         && mayTryAgain(p)
         && (ran == null
-            || !p.type.keyedFor(DeduplicationScope.ZONE)
+            || !p.type.isDeduplicatedWithin(DeduplicationScope.ZONE)
             || ran.node.entry.zone().equals(n.entry.zone()))
-        && (p.outstanding() == 0 || p.type.repeatable() && state.settings.limits().duplicate())
+        && (p.outstanding() == 0
+            || p.type.isIdempotent() && state.settings.limits().hedgingAllowed())
         && withinColdBudget(p, n)
         && freshEnough(p, n);
   }
@@ -88,19 +89,21 @@
   boolean mayTryAgain(PendingRequest p) {
     Attempt ran = p.mayHaveRun();
     return ran == null
-        || switch (p.type.effect()) {
-          case REPEATABLE -> true;
-          case KEYED -> state.now + state.settings.tick() < ran.sentAt + p.type.window();
-          case ONCE -> false;
+        || switch (p.type.idempotency()) {
+          case IDEMPOTENT -> true;
+          case IDEMPOTENCY_KEY ->
+              state.now + state.settings.tickMicros()
+                  < ran.sentAt + p.type.deduplicationWindowMicros();
+          case NON_IDEMPOTENT -> false;
         };
   }
 
   /** Stale reads: only the primary, or a member that has the position or refuses for itself. */
   boolean freshEnough(PendingRequest p, EndpointState n) {
-    if (n == p.group.primary || p.type.read() == Consistency.ANY || p.type.writes()) {
+    if (n == p.group.primary || p.type.consistency() == Consistency.EVENTUAL || p.type.isWrite()) {
       return true;
     }
-    return p.type.read() != Consistency.FRESH
-        && (state.settings.check() != LagCheck.NONE || n.progress.has(p.need(state.now)));
+    return p.type.consistency() != Consistency.STRONG
+        && (state.settings.lagCheck() != LagCheck.NONE || n.progress.hasApplied(p.need(state.now)));
   }
 }
--- a/core/src/main/java/shelffront/decision/EndpointRegistry.java
+++ b/core/src/main/java/shelffront/decision/EndpointRegistry.java
@@ -17,25 +17,25 @@
 
   void open(Endpoint m) {
     EndpointState before = state.nodes.get(m.id());
-    if (before != null && before.entry.group() != m.group()) {
+    if (before != null && before.entry.replicaSet() != m.replicaSet()) {
       before.open = false;
       close(before, true); // what is known of it is of another set's log
     }
     EndpointState n = state.nodes.computeIfAbsent(m.id(), EndpointState::new);
-    boolean fresh = n.entry == null || !n.open || n.entry.startedAt() != m.startedAt();
+    boolean fresh = n.entry == null || !n.open || n.entry.startedAtMicros() != m.startedAtMicros();
     n.entry = m;
     n.open = true;
-    n.limit.open(Math.max(1, FIRST_LIMIT / state.settings.routers()));
-    n.group = state.group(m.group());
+    n.limit.initialize(Math.max(1, FIRST_LIMIT / state.settings.gatewayCount()));
+    n.group = state.group(m.replicaSet());
     n.group.nodes.put(n.id, n);
-    if (m.primary() && n.group.primary == null && n.group.primaryAt == UNKNOWN) {
+    if (m.listedAsPrimary() && n.group.primary == null && n.group.primaryAt == UNKNOWN) {
       n.group.primary = n;
     }
     n.group.own = null;
     if (fresh) {
       n.bannedUntil = UNKNOWN;
       n.probedAt = UNKNOWN;
-      if (EndpointSubsetting.wholeFor(state.settings.routers())) {
+      if (EndpointSubsetting.coversAllEndpoints(state.settings.gatewayCount())) {
         probe(n);
       }
     }
@@ -51,14 +51,16 @@
               .filter(n -> n.open && n != g.primary)
               .map(n -> n.id)
               .collect(toList());
-      g.own = EndpointSubsetting.of(state.settings.self(), state.settings.routers(), replicas);
+      g.own =
+          EndpointSubsetting.subsets(
+              state.settings.gatewayIndex(), state.settings.gatewayCount(), replicas);
       g.own.stream().map(g.nodes::get).filter(n -> n.probedAt == UNKNOWN).forEach(this::probe);
     }
     return g.own;
   }
 
   void close(EndpointState n, boolean gone) {
-    if (gone && n.open && state.settings.rules().softRemoval()) {
+    if (gone && n.open && state.settings.safetyRules().removalIsAdvisory()) {
       return; // the list does not prove it down (rule 6): own attempts tell
     }
     n.open = false;
@@ -71,10 +73,10 @@
   }
 
   void probe(EndpointState n) {
-    if (state.settings.limits().probe() && n.open) {
+    if (state.settings.limits().healthChecksAllowed() && n.open) {
       n.probedAt = state.now;
       n.probing = true;
-      state.actions.probe(n.id);
+      state.actions.checkHealth(n.id);
     }
   }
 
@@ -88,7 +90,7 @@
     List<EndpointState> old =
         g.nodes.values().stream()
             .filter(n -> lost || n != g.primary)
-            .filter(n -> n.progress.newsIsDue(state.now, n.probedAt, lost))
+            .filter(n -> n.progress.isHealthCheckDue(state.now, n.probedAt, lost))
             .collect(toList());
     Collections.shuffle(old, state.random);
     // What waits for the primary has no other; then those that are used most.
@@ -96,7 +98,7 @@
         Comparator.comparing((EndpointState n) -> n != g.primary)
             .thenComparing(n -> !own(g).contains(n.id)));
     for (EndpointState n : old) {
-      if (out < PROBES_AT_ONCE && state.probes.take()) {
+      if (out < PROBES_AT_ONCE && state.probes.tryAcquire()) {
         out++;
         probe(n);
       }
--- a/core/src/main/java/shelffront/decision/EndpointSelector.java
+++ b/core/src/main/java/shelffront/decision/EndpointSelector.java
@@ -14,12 +14,12 @@
   static final double UNCONNECTED = 1.5; // Cost of a member to which no connection is open.
 
   EndpointState choose(PendingRequest p) {
-    Consistency read = p.type.read();
-    if (p.type.needsPrimary()) {
+    Consistency read = p.type.consistency();
+    if (p.type.requiresPrimary()) {
       return choosePrimary(p);
     }
     EndpointState n = cheapest(p, p.need(state.now));
-    boolean waited = p.missed || state.now >= p.arrival + HOLD || read == Consistency.ANY;
+    boolean waited = p.missed || state.now >= p.arrival + HOLD || read == Consistency.EVENTUAL;
     return n == null && waited ? fallback(p, read == Consistency.SESSION ? 1 : PRIMARY_SHARE) : n;
   }
 
@@ -41,7 +41,7 @@
               * (state.now < n.connectedUntil ? 1 : state.now < state.dearUntil ? 4 : UNCONNECTED)
               * (n.entry.zone().equals(state.settings.zone())
                   ? 1
-                  : 1 + 5 * state.settings.crossZonePrice());
+                  : 1 + 5 * state.settings.crossZoneCost());
       if (cost < bestCost) {
         best = n;
         bestCost = cost;
@@ -56,7 +56,8 @@
    */
   EndpointState fallback(PendingRequest p, double share) {
     EndpointState n = p.group.primary;
-    boolean spare = n != null && (share >= 1 || n.answers.load() < OutlierDetector.FULL_LOAD);
+    boolean spare =
+        n != null && (share >= 1 || n.answers.latencyOverObjective() < OutlierDetector.FULL_LOAD);
     return spare && fits(n, p, share) ? n : null;
   }
 
@@ -74,8 +75,8 @@
     }
     if (g.scout != null && g.scout.open && g.scout != p && g.scout.outstanding() > 0
         || state.now < g.scoutAfter
-        || !p.type.writes()
-        || p.attempts.size() + 2 > state.settings.limits().attempts()) {
+        || !p.type.isWrite()
+        || p.attempts.size() + 2 > state.settings.limits().maxAttempts()) {
       return null;
     }
     String next = g.scouted;
@@ -99,7 +100,8 @@
   /** Whether the member is expected to answer in time; else the try is not worth its work. */
   boolean inTime(EndpointState n, PendingRequest p) {
     double usually = state.usual(p) * health.slow(n);
-    double takes = Math.max(IN_TIME * usually, Math.min(2 * usually, p.type.aim() / 2.0));
+    double takes =
+        Math.max(IN_TIME * usually, Math.min(2 * usually, p.type.latencyObjectiveMicros() / 2.0));
     return state.now + takes < p.usefulUntil();
   }
 }
--- a/core/src/main/java/shelffront/decision/EndpointState.java
+++ b/core/src/main/java/shelffront/decision/EndpointState.java
@@ -42,6 +42,6 @@
   }
 
   double size() {
-    return Math.max(0.01, entry.size());
+    return Math.max(0.01, entry.capacityHint());
   }
 }
--- a/core/src/main/java/shelffront/decision/OutlierDetector.java
+++ b/core/src/main/java/shelffront/decision/OutlierDetector.java
@@ -27,7 +27,9 @@
 
   /** Whether a member may be tried: listed, not banned, not silent, one at a time on trial. */
   boolean healthy(EndpointState n, PendingRequest p) {
-    if (!n.open || state.now < n.bannedUntil || n.onTrial && (!n.out.isEmpty() || p.type.once())) {
+    if (!n.open
+        || state.now < n.bannedUntil
+        || n.onTrial && (!n.out.isEmpty() || p.type.isNonIdempotent())) {
       return false;
     }
     if (silent(n)) {
@@ -46,7 +48,7 @@
         since = Math.min(since, Math.max(n.answeredAt, a.sentAt));
       }
     }
-    return state.now - since >= Math.max(HICCUP, n.answers.took() / 2)
+    return state.now - since >= Math.max(HICCUP, n.answers.latencyMicros() / 2)
         && waits > SILENT_WAITS * Math.max(1, Math.min(3, slow(n)));
   }
 
@@ -67,8 +69,8 @@
 
   /** Whether a member may get one more now. */
   boolean hasRoom(EndpointState n, double share) {
-    return n.limit.hasRoom(
-        state.now, guards.warmth(n) * share, n.out.size(), n.sentAt, n.answers.took());
+    return n.limit.hasCapacity(
+        state.now, guards.warmth(n) * share, n.out.size(), n.sentAt, n.answers.latencyMicros());
   }
 
   /** What an outcome says about the member's health and load. */
@@ -76,7 +78,7 @@
     EndpointState n = a.node;
     RequestClass type = a.request.type;
     int c = a.request.request.classIndex();
-    if (o.status() == AttemptStatus.FULL) {
+    if (o.status() == AttemptStatus.CAPACITY_EXCEEDED) {
       n.answeredAt = state.now;
       slowness(n, MOST_SLOW);
     }
@@ -84,21 +86,21 @@
       case OK -> {
         n.servedTo = Math.max(n.servedTo, a.sentAt);
         positions.proved(a);
-        double took = Math.max(1, o.took());
+        double took = Math.max(1, o.elapsedMicros());
         state.usual[c] += 0.03 * (Math.min(took, 4 * state.usual[c]) - state.usual[c]);
         slowness(n, took / state.usual[c]);
         alive(n);
         weigh(n, took, type);
-        if (n.answers.load() <= FULL_LOAD) {
-          n.limit.answered(n.out.size());
+        if (n.answers.latencyOverObjective() <= FULL_LOAD) {
+          n.limit.increase(n.out.size());
         }
       }
-      case MISS -> alive(n);
-      case FULL -> n.limit.cut(state.now, n.answers.took(), 0.7);
+      case REPLICA_UNSUITABLE -> alive(n);
+      case CAPACITY_EXCEEDED -> n.limit.decrease(state.now, n.answers.latencyMicros(), 0.7);
       case TIMEOUT, CANCELLED -> {
         if (!a.overtaken()) { // else its connection is lost, and says nothing of the member
           slowness(n, (state.now - a.sentAt) / state.usual[c]);
-          weigh(n, Math.max(state.now - a.sentAt, n.answers.took()), type);
+          weigh(n, Math.max(state.now - a.sentAt, n.answers.latencyMicros()), type);
         }
       }
       // Thin proof of a dead member: one that is well loses connections too. It is probed; after
@@ -109,7 +111,8 @@
       case CONNECT_FAILED, RESET -> {
         n.connectedUntil = UNKNOWN;
         boolean unmade = o.status() == AttemptStatus.CONNECT_FAILED;
-        boolean dear = unmade && o.took() > state.settings.limits().connectTimeout() / 2;
+        boolean dear =
+            unmade && o.elapsedMicros() > state.settings.limits().connectTimeoutMicros() / 2;
         state.dearUntil = dear ? state.now + SCARCE : state.dearUntil;
         if (dear || ++n.breaks > BREAKS) {
           n.scarceUntil = unmade && !dear ? state.now + SCARCE : UNKNOWN;
@@ -125,15 +128,15 @@
 
   /** Takes an answer time, or how long one has been waited for, into the member's load. */
   void weigh(EndpointState n, double took, RequestClass type) {
-    n.answers.take(state.now, took, type.aim());
-    if (n.answers.load() > FULL_LOAD) {
-      n.limit.cut(state.now, n.answers.took(), 0.85);
+    n.answers.record(state.now, took, type.latencyObjectiveMicros());
+    if (n.answers.latencyOverObjective() > FULL_LOAD) {
+      n.limit.decrease(state.now, n.answers.latencyMicros(), 0.85);
     }
   }
 
   void slowness(EndpointState n, double ratio) {
-    n.slow.add(state.now, Math.min(ratio, MOST_SLOW));
-    n.group.slow.add(state.now, Math.min(ratio, MOST_SLOW));
+    n.slow.record(state.now, Math.min(ratio, MOST_SLOW));
+    n.group.slow.record(state.now, Math.min(ratio, MOST_SLOW));
   }
 
   /**
--- a/core/src/main/java/shelffront/decision/PendingRequest.java
+++ b/core/src/main/java/shelffront/decision/PendingRequest.java
@@ -27,13 +27,15 @@
     this.type = type;
     this.group = group;
     arrival = now;
-    this.deadline = arrival + request.left();
+    this.deadline = arrival + request.timeToDeadlineMicros();
     this.token = token;
   }
 
   /** Position that a replica must have to answer this now. */
   long need(long now) {
-    return type.read() == Consistency.BOUNDED ? now - type.bound() : token;
+    return type.consistency() == Consistency.BOUNDED_STALENESS
+        ? now - type.maxStalenessMicros()
+        : token;
   }
 
   int outstanding() {
@@ -43,7 +45,7 @@
   /** First attempt that ran or may have run; null when it is known that none did. */
   Attempt mayHaveRun() {
     return attempts.stream()
-        .filter(a -> a.status == null || !a.status.neverRan)
+        .filter(a -> a.status == null || !a.status.provesNotExecuted)
         .findFirst()
         .orElse(null);
   }
@@ -54,6 +56,8 @@
 
   /** After this time an answer is worth little or nothing. */
   long usefulUntil() {
-    return type.lateShare() < LATE_WORTH ? Math.min(deadline, arrival + type.aim()) : deadline;
+    return type.lateValueFraction() < LATE_WORTH
+        ? Math.min(deadline, arrival + type.latencyObjectiveMicros())
+        : deadline;
   }
 }
--- a/core/src/main/java/shelffront/decision/ReplicaPositions.java
+++ b/core/src/main/java/shelffront/decision/ReplicaPositions.java
@@ -16,21 +16,25 @@
 
   /** Position that a request of a session must see; UNKNOWN where there is none. */
   long token(Request request) {
-    if (state.settings.classes().get(request.classIndex()).read() != Consistency.SESSION) {
+    if (state.settings.requestClasses().get(request.classIndex()).consistency()
+        != Consistency.SESSION) {
       return UNKNOWN;
     }
-    return Math.max(state.sessions.of(request.session(), request.group()), request.after());
+    return Math.max(
+        state.sessions.requiredPosition(request.sessionId(), request.replicaSet()),
+        request.requiredPositionMicros());
   }
 
   /**
    * Whether a replica is known to have the position, or may be trusted to where it checks itself.
    */
   boolean covers(EndpointState n, long need) {
-    if (need == UNKNOWN || state.settings.check() == LagCheck.NONE) {
-      return need == UNKNOWN || n.progress.has(need);
+    if (need == UNKNOWN || state.settings.lagCheck() == LagCheck.NONE) {
+      return need == UNKNOWN || n.progress.hasApplied(need);
     }
-    long patience = state.settings.check() == LagCheck.WAIT ? state.settings.hold() / 2 : 0;
-    return n.progress.mayHave(state.now, need, patience);
+    long patience =
+        state.settings.lagCheck() == LagCheck.WAIT ? state.settings.lagWaitMicros() / 2 : 0;
+    return n.progress.mayHaveApplied(state.now, need, patience);
   }
 
   /**
@@ -47,20 +51,20 @@
       g.own = null;
       g.primaryAt = asOf;
       g.scouted = "";
-      state.note("primary of group " + n.entry.group() + " is " + n.id);
+      state.note("primary of group " + n.entry.replicaSet() + " is " + n.id);
     } else if (g.primary == n) {
       g.primary = null;
       g.own = null;
       g.primaryAt = asOf;
       g.scouted = n.id;
-      state.note("group " + n.entry.group() + " has no known primary");
+      state.note("group " + n.entry.replicaSet() + " has no known primary");
     }
   }
 
   void hear(EndpointState n, LoadReport load) {
-    if (load != null && load.position() != UNKNOWN) {
-      n.progress.advance(state.now, load.position());
-      told(n, load.role(), Math.min(load.position(), state.now));
+    if (load != null && load.positionMicros() != UNKNOWN) {
+      n.progress.advance(state.now, load.positionMicros());
+      told(n, load.role(), Math.min(load.positionMicros(), state.now));
     }
   }
 
@@ -70,8 +74,8 @@
    * them.
    */
   void proved(Attempt a) {
-    if (state.settings.check() != LagCheck.NONE) {
-      a.node.progress.proved(a.sentAt, a.need);
+    if (state.settings.lagCheck() != LagCheck.NONE) {
+      a.node.progress.recordProvenPosition(a.sentAt, a.need);
     }
   }
 }
--- a/core/src/main/java/shelffront/decision/RequestScheduler.java
+++ b/core/src/main/java/shelffront/decision/RequestScheduler.java
@@ -31,7 +31,7 @@
     if (!p.open || p.outstanding() > 0) { // the timer of one that was held finds it sent
       return;
     }
-    if (p.attempts.size() >= state.settings.limits().attempts()
+    if (p.attempts.size() >= state.settings.limits().maxAttempts()
         || !guards.mayTryAgain(p)
         || state.now >= lastStart(p)) {
       giveUp(p);
@@ -43,10 +43,14 @@
     }
     if (p.queue == null) {
       hold(p, 0);
-      state.at(p, Math.max(state.now + state.settings.tick(), lastStart(p)), () -> dispatch(p));
-      if (p.type.lateShare() >= PendingRequest.LATE_WORTH) {
+      state.at(
+          p, Math.max(state.now + state.settings.tickMicros(), lastStart(p)), () -> dispatch(p));
+      if (p.type.lateValueFraction() >= PendingRequest.LATE_WORTH) {
         int late = state.usual.length;
-        state.at(p, p.arrival + p.type.aim(), () -> hold(p, p.queue == null ? -1 : late));
+        state.at(
+            p,
+            p.arrival + p.type.latencyObjectiveMicros(),
+            () -> hold(p, p.queue == null ? -1 : late));
       }
       state.at(p, p.arrival + EndpointSelector.HOLD, () -> release(p.group));
       membership.wantPositions(p.group);
@@ -60,8 +64,8 @@
    */
   private long lastStart(PendingRequest p) {
     return Math.min(
-        p.attempts.isEmpty() ? p.arrival + p.request.left() * 2 / 5 : p.deadline,
-        p.usefulUntil() - (long) Math.min(state.usual(p), p.type.aim() / 2.0));
+        p.attempts.isEmpty() ? p.arrival + p.request.timeToDeadlineMicros() * 2 / 5 : p.deadline,
+        p.usefulUntil() - (long) Math.min(state.usual(p), p.type.latencyObjectiveMicros() / 2.0));
   }
 
   /** Puts a request in the queue of its class, the one for late requests where that is asked. */
@@ -104,10 +108,10 @@
     p.queue = null;
     n.out.add(a);
     state.attemptsOut.put(p.request.id() + a.number, a);
-    n.sends.add(state.now, 1);
+    n.sends.record(state.now, 1);
     n.sentAt = state.now;
-    state.actions.send(p.request.id(), n.id, 0);
-    if (p.type.repeatable()) {
+    state.actions.startAttempt(p.request.id(), n.id, 0);
+    if (p.type.isIdempotent()) {
       state.at(p, state.now + (long) state.usual(p), () -> secondCopy(a));
     }
     return true;
@@ -119,10 +123,12 @@
       return;
     }
     close(p);
-    if (p.type.repeatable() || p.mayHaveRun() == null || p.type.keyedFor(DeduplicationScope.ALL)) {
+    if (p.type.isIdempotent()
+        || p.mayHaveRun() == null
+        || p.type.isDeduplicatedWithin(DeduplicationScope.ALL)) {
       long wait =
           p.group.primary == null ? 1_000_000 : 200_000; // usual length of what is in the way
-      state.actions.reject(p.request.id(), state.settings.limits().toldWait(wait));
+      state.actions.reject(p.request.id(), state.settings.limits().retryAfterMicros(wait));
     } else {
       state.actions.fail(p.request.id());
     }
@@ -135,11 +141,13 @@
     state.pending.remove(p.request.id());
     if (++state.ended > 64 + state.timers.size() / 8) { // those of ended requests must not pile up
       state.ended = 0;
-      state.timers.sweep();
+      state.timers.removeCancelled();
     }
     for (Attempt a : p.attempts) {
-      if (a.status == null && state.settings.limits().cancel() && p.type.repeatable()) {
-        state.actions.cancel(p.request.id(), a.number);
+      if (a.status == null
+          && state.settings.limits().cancellationAllowed()
+          && p.type.isIdempotent()) {
+        state.actions.cancelAttempt(p.request.id(), a.number);
       }
     }
   }
@@ -158,11 +166,11 @@
             || health.silent(a.node)
             || a.overtaken()
                 && state.now - a.sentAt > OutlierDetector.SILENT_WAITS * state.usual(p);
-    boolean may = state.settings.limits().duplicate() && state.now < lastStart(p);
+    boolean may = state.settings.limits().hedgingAllowed() && state.now < lastStart(p);
     EndpointState n = may && lost ? choice.choose(p) : null;
     boolean copied = n != null && n != a.node && send(p, n);
-    if (lost && state.settings.limits().cancel() && (copied || !may)) {
-      state.actions.cancel(p.request.id(), a.number);
+    if (lost && state.settings.limits().cancellationAllowed() && (copied || !may)) {
+      state.actions.cancelAttempt(p.request.id(), a.number);
     }
     if (!copied && state.now < lastStart(p)) {
       state.at(p, state.now + (long) state.usual(p), () -> secondCopy(a));
@@ -171,9 +179,9 @@
 
   /** Worth of a queue's requests for their usual work. */
   double urgency(int queue) {
-    RequestClass type = state.settings.classes().get(queue % state.usual.length);
-    return type.worth()
-        * (queue < state.usual.length ? 1 : type.lateShare())
+    RequestClass type = state.settings.requestClasses().get(queue % state.usual.length);
+    return type.priorityWeight()
+        * (queue < state.usual.length ? 1 : type.lateValueFraction())
         / state.usual[queue % state.usual.length];
   }
 }
--- a/core/src/main/java/shelffront/decision/RoutingEngine.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -42,40 +42,41 @@
     state.now = time;
     state.settings = given;
     state.random = new Random(seed);
-    state.probes = new HealthCheckBudget(given.probePrice(), given.routers());
-    state.usual = new double[given.classes().size()];
+    state.probes = new HealthCheckBudget(given.healthCheckCost(), given.gatewayCount());
+    state.usual = new double[given.requestClasses().size()];
     for (int i = 0; i < state.usual.length; i++) {
-      state.usual[i] = given.classes().get(i).aim() / 4.0;
+      state.usual[i] = given.requestClasses().get(i).latencyObjectiveMicros() / 4.0;
     }
-    if (given.listAsked()) {
-      state.actions.subscribe(true);
+    if (given.endpointListPolled()) {
+      state.actions.watchEndpoints(true);
     }
     tend();
   }
 
   @Override
-  public void onMembers(long time, EndpointUpdateKind kind, long version, List<Endpoint> members) {
+  public void onEndpoints(
+      long time, EndpointUpdateKind kind, long version, List<Endpoint> members) {
     state.now = time;
     if (kind == EndpointUpdateKind.FAILED) {
       long wait = Math.min(600_000, 100_000L << Math.min(5, listFailures++));
       state.at(
           null,
           state.now + wait / 2 + state.random.nextInt((int) wait),
-          () -> state.actions.subscribe(true));
+          () -> state.actions.watchEndpoints(true));
       return;
     }
     listFailures = 0;
-    if (kind != EndpointUpdateKind.CHANGES) {
+    if (kind != EndpointUpdateKind.DELTA) {
       List<String> named = members.stream().map(Endpoint::id).toList();
       List.copyOf(state.nodes.values()).stream()
           .filter(n -> !named.contains(n.id))
           .forEach(n -> membership.close(n, true));
     }
     for (Endpoint m : members) {
-      if (m.availability() == Availability.LIVE) {
+      if (m.availability() == Availability.READY) {
         membership.open(m);
       } else if (state.nodes.containsKey(m.id())) {
-        membership.close(state.nodes.get(m.id()), m.availability() == Availability.GONE);
+        membership.close(state.nodes.get(m.id()), m.availability() == Availability.REMOVED);
       }
     }
     state.groups.values().forEach(queue::release);
@@ -84,30 +85,31 @@
   @Override
   public void onRequest(long time, Request request) {
     state.now = time;
-    state.probes.asked();
-    RequestClass type = state.settings.classes().get(request.classIndex());
-    ReplicaSet group = state.group(request.group());
+    state.probes.recordRequest();
+    RequestClass type = state.settings.requestClasses().get(request.classIndex());
+    ReplicaSet group = state.group(request.replicaSet());
     PendingRequest p =
         new PendingRequest(request, type, group, positions.token(request), state.now);
     state.pending.put(request.id(), p);
-    group.cold.asked(state.now, type.needsPrimary());
-    state.at(p, Math.max(state.now, p.deadline - state.settings.tick()), () -> queue.giveUp(p));
+    group.cold.recordRequest(state.now, type.requiresPrimary());
+    state.at(
+        p, Math.max(state.now, p.deadline - state.settings.tickMicros()), () -> queue.giveUp(p));
     queue.dispatch(p);
   }
 
   @Override
-  public void onOutcome(long time, AttemptOutcome o) {
+  public void onAttemptOutcome(long time, AttemptOutcome o) {
     state.now = time;
-    Attempt a = state.attemptsOut.remove(o.requestId() + o.attempt());
-    EndpointState node = a != null ? a.node : state.nodes.get(o.member());
+    Attempt a = state.attemptsOut.remove(o.requestId() + o.attemptNumber());
+    EndpointState node = a != null ? a.node : state.nodes.get(o.endpointId());
     if (node != null) {
-      positions.hear(node, o.load());
+      positions.hear(node, o.loadReport());
       positions.told(node, o.role(), state.now);
-      if (o.position() != UNKNOWN && o.role() != Role.UNKNOWN) {
-        node.progress.advance(time, o.position());
+      if (o.positionMicros() != UNKNOWN && o.role() != Role.UNKNOWN) {
+        node.progress.advance(time, o.positionMicros());
       }
-      if (o.status() == AttemptStatus.MISS) {
-        node.progress.missed(time);
+      if (o.status() == AttemptStatus.REPLICA_UNSUITABLE) {
+        node.progress.recordRejectedRead(time);
       }
     }
     if (a == null) {
@@ -117,31 +119,31 @@
     a.node.out.remove(a);
     boolean giveBack = state.now < a.node.scarceUntil && a.node.out.isEmpty();
     a.node.connectedUntil =
-        giveBack ? UNKNOWN : state.now + state.settings.limits().connectionIdle();
+        giveBack ? UNKNOWN : state.now + state.settings.limits().connectionIdleMicros();
     if (giveBack) {
-      state.actions.closeIdle(a.node.id);
+      state.actions.closeIdleConnections(a.node.id);
     }
     health.judge(a, o);
     PendingRequest p = a.request;
     if (o.status() == AttemptStatus.OK
-        && p.type.writes()
-        && p.request.session() != null
-        && !state.settings.tokensCarried()) {
-      long commit = o.position() == UNKNOWN ? state.now : o.position();
-      state.sessions.wrote(p.request.session(), p.request.group(), commit);
+        && p.type.isWrite()
+        && p.request.sessionId() != null
+        && !state.settings.clientsCarryPosition()) {
+      long commit = o.positionMicros() == UNKNOWN ? state.now : o.positionMicros();
+      state.sessions.recordWrite(p.request.sessionId(), p.request.replicaSet(), commit);
     }
-    if (o.finished() || o.status() == AttemptStatus.OK) {
+    if (o.requestCompleted() || o.status() == AttemptStatus.OK) {
       queue.close(p);
     }
     if (p.open && p.outstanding() == 0) {
-      p.missed |= o.status() == AttemptStatus.MISS && !p.type.writes();
+      p.missed |= o.status() == AttemptStatus.REPLICA_UNSUITABLE && !p.type.isWrite();
       queue.dispatch(p);
     }
     queue.release(p.group);
   }
 
   @Override
-  public boolean mayStart(long time, String requestId, int attempt) {
+  public boolean mayStartAttempt(long time, String requestId, int attempt) {
     state.now = time;
     Attempt a = state.attemptsOut.get(requestId + attempt);
     return a != null
@@ -152,7 +154,7 @@
   }
 
   @Override
-  public void onProbeResult(
+  public void onHealthCheckResult(
       long time, String member, AttemptStatus status, long took, LoadReport load) {
     state.now = time;
     EndpointState node = state.nodes.get(member);
@@ -173,18 +175,18 @@
   }
 
   @Override
-  public void onMessage(long time, int from, byte[] payload) {
+  public void onPeerMessage(long time, int from, byte[] payload) {
     state.now = time;
   }
 
   @Override
   public void onTimer(long time, String name) {
     state.now = time;
-    state.timers.run(time);
+    state.timers.runDue(time);
   }
 
   @Override
-  public void onClientGone(long time, String requestId) {
+  public void onClientDisconnected(long time, String requestId) {
     state.now = time;
     Optional.ofNullable(state.pending.get(requestId)).ifPresent(queue::close);
   }
--- a/core/src/main/java/shelffront/decision/RoutingState.java
+++ b/core/src/main/java/shelffront/decision/RoutingState.java
@@ -45,7 +45,7 @@
 
   /** Runs the task at a time, unless it is about a request that has ended by then. */
   void at(PendingRequest owner, long when, Runnable task) {
-    timers.at(when, () -> owner == null || owner.open, task);
+    timers.schedule(when, () -> owner == null || owner.open, task);
   }
 
   /** Usual answer time of a request's class. */
@@ -54,7 +54,7 @@
   }
 
   ReplicaSet group(int number) {
-    double fallSeconds = Math.max(0.001, settings.rules().fallTime() / 1e6);
+    double fallSeconds = Math.max(0.001, settings.safetyRules().overloadWindowMicros() / 1e6);
     return groups.computeIfAbsent(number, k -> new ReplicaSet(2 * usual.length, fallSeconds));
   }
 
--- a/core/src/main/java/shelffront/distribution/DistributionTimings.java
+++ b/core/src/main/java/shelffront/distribution/DistributionTimings.java
@@ -22,7 +22,11 @@
  * accepts and is silent.
  */
 public record DistributionTimings(
-    long pollWait, long answerGrace, long reconnectSpread, long connectTimeout, long putInForce) {
+    long pollWaitMicros,
+    long responseGraceMicros,
+    long reconnectJitterMicros,
+    long connectTimeoutMicros,
+    long applyMicros) {
 
   private static final int HOPS = 3;
 
@@ -33,17 +37,17 @@
       new DistributionTimings(1_500_000, 600_000, 400_000, 1_000_000, 500_000);
 
   /** How long a hop that fails may hold a change up. */
-  public long failedHop() {
-    return pollWait + answerGrace + reconnectSpread + connectTimeout;
+  public long failedHopMicros() {
+    return pollWaitMicros + responseGraceMicros + reconnectJitterMicros + connectTimeoutMicros;
   }
 
   /** From the engine's answer to in force, so many hops having failed just before. */
-  public long untilInForce(int failedHops) {
-    return failedHops * failedHop() + HOPS * HOP_DELAY + putInForce;
+  public long propagationBoundMicros(int failedHops) {
+    return failedHops * failedHopMicros() + HOPS * HOP_DELAY + applyMicros;
   }
 
   /** The age that a view has at most while nothing fails: each hop may wait for a whole poll. */
-  public long calmAge() {
-    return HOPS * (pollWait + HOP_DELAY);
+  public long maxHealthyAgeMicros() {
+    return HOPS * (pollWaitMicros + HOP_DELAY);
   }
 }
--- a/core/src/main/java/shelffront/distribution/Staleness.java
+++ b/core/src/main/java/shelffront/distribution/Staleness.java
@@ -27,7 +27,7 @@
   }
 
   /** The greatest age that the view may have; {@link #NEVER} before it was confirmed. */
-  public long age(long now) {
+  public long maxAgeMicros(long now) {
     return confirmed ? now - asOf : NEVER;
   }
 }
--- a/core/src/main/java/shelffront/fleet/EndpointSubsetting.java
+++ b/core/src/main/java/shelffront/fleet/EndpointSubsetting.java
@@ -50,7 +50,7 @@
   }
 
   /** Whether every gateway of a fleet of so many prefers all hosts. */
-  public static boolean wholeFor(int gateways) {
+  public static boolean coversAllEndpoints(int gateways) {
     return gateways <= GATEWAYS_A_HOST;
   }
 
@@ -58,15 +58,15 @@
    * The hosts that one gateway of a fleet prefers where nothing is known of the others but their
    * number.
    */
-  public static List<String> of(int self, int gateways, Collection<String> hosts) {
-    if (wholeFor(gateways)) {
+  public static List<String> subsets(int self, int gateways, Collection<String> hosts) {
+    if (coversAllEndpoints(gateways)) {
       return List.copyOf(hosts);
     }
     List<String> names = new ArrayList<>(gateways);
     for (int g = 0; g < gateways; g++) {
       names.add("n" + g);
     }
-    return of(names, g -> true, hosts, size(gateways, hosts.size()))
+    return subsets(names, g -> true, hosts, size(gateways, hosts.size()))
         .get(Math.floorMod(self, gateways));
   }
 
@@ -79,7 +79,7 @@
    * @param hosts the names of all hosts, in any order
    * @param size of each subset, from 0; all hosts where there are fewer
    */
-  public static List<List<String>> of(
+  public static List<List<String>> subsets(
       List<String> known, IntPredicate up, Collection<String> hosts, int size) {
     List<String> names = new ArrayList<>(new TreeSet<>(hosts));
     int most = Math.min(size, names.size());
--- a/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
+++ b/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
@@ -33,12 +33,12 @@
   }
 
   /** A request came. */
-  public void asked() {
+  public void recordRequest() {
     left = Math.min(most, left + each);
   }
 
   /** Takes a probe from the allowance; false where none is left. */
-  public boolean take() {
+  public boolean tryAcquire() {
     boolean may = left >= 1;
     left -= may ? 1 : 0;
     return may;
--- a/core/src/main/java/shelffront/fleet/SlowStartBudget.java
+++ b/core/src/main/java/shelffront/fleet/SlowStartBudget.java
@@ -41,7 +41,7 @@
   }
 
   /** Takes in a request of the group, once, when it arrives; the time is in microseconds. */
-  public void asked(long now, boolean needsPrimary) {
+  public void recordRequest(long now, boolean needsPrimary) {
     (needsPrimary ? owed : reads).add(now);
   }
 
@@ -49,7 +49,7 @@
    * The share of its capacity that a host has at least, 0 to 1, by its age and the figures of the
    * platform's rule.
    */
-  public static double warmth(long age, double coldFrom, long coldTime) {
+  public static double capacityFraction(long age, double coldFrom, long coldTime) {
     return age >= coldTime ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, age) / coldTime;
   }
 
@@ -110,8 +110,8 @@
     }
 
     void add(long now) {
-      steady.add(now, 1);
-      sudden.add(now, 1);
+      steady.record(now, 1);
+      sudden.record(now, 1);
     }
 
     double count(long now) {
--- a/core/src/main/java/shelffront/quota/ConnectionQuotas.java
+++ b/core/src/main/java/shelffront/quota/ConnectionQuotas.java
@@ -53,7 +53,7 @@
     }
 
     /** Changes the figures; what is held beyond them is not taken away at once. */
-    public void change(double weight, int newMost) {
+    public void update(double weight, int newMost) {
       long next = Math.max(1, Math.round(weight * UNIT));
       if (counted) {
         weights.addAndGet(next - units);
@@ -66,10 +66,10 @@
      * Asks for one. With {@code instead} it has just given one back for this, and its part is not
      * asked after.
      */
-    public Verdict take(boolean instead) {
+    public Verdict tryAcquire(boolean instead) {
       int now = mine.get();
       boolean own = now < part();
-      if (now >= most || !take(own || instead ? total : total * LENT)) {
+      if (now >= most || !tryAcquire(own || instead ? total : total * LENT)) {
         return now < most && own && owed() ? Verdict.OWED : Verdict.REFUSED;
       }
       mine.incrementAndGet();
@@ -89,7 +89,7 @@
       }
     }
 
-    private boolean take(double bound) {
+    private boolean tryAcquire(double bound) {
       int before = held.get();
       while (before < bound && !held.compareAndSet(before, before + 1)) {
         before = held.get();
@@ -104,7 +104,7 @@
       count(); // its weight makes the others' parts smaller
       ConnectionQuota furthest = null;
       for (ConnectionQuota h : holders) {
-        furthest = h.beyond() > (furthest == null ? 0 : furthest.beyond()) ? h : furthest;
+        furthest = h.excess() > (furthest == null ? 0 : furthest.excess()) ? h : furthest;
       }
       if (furthest == null) {
         waits = already;
@@ -119,7 +119,7 @@
     }
 
     /** Gives one back. */
-    public void giveBack() {
+    public void release() {
       mine.decrementAndGet();
       count();
       held.decrementAndGet();
@@ -130,13 +130,13 @@
     }
 
     /** To be called by its own thread once {@code oneCame} has reached it. */
-    public void told() {
+    public void acknowledgeAvailable() {
       waits = false;
       count();
     }
 
     /** How many it holds beyond its part; 0 or less where it has not more than that. */
-    public int beyond() {
+    public int excess() {
       return mine.get() - part();
     }
 
@@ -167,7 +167,7 @@
    * @param giveOneBack asks it to give one back, soon, if it can
    * @param oneCame tells it that one has come free after {@link Verdict#OWED}
    */
-  public ConnectionQuota join(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
+  public ConnectionQuota register(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
     return new ConnectionQuota(weight, most, giveOneBack, oneCame);
   }
 
--- a/core/src/main/java/shelffront/quota/TenantQuotas.java
+++ b/core/src/main/java/shelffront/quota/TenantQuotas.java
@@ -71,7 +71,7 @@
     }
 
     /** Requests that hold a place now, of all tenants of all loops. */
-    public int open() {
+    public int openRequests() {
       return open.get();
     }
 
@@ -154,19 +154,19 @@
    * A new tenant. Weights are above 0; one for each class, or null where its classes have no
    * shares.
    */
-  public Quota join(double weight, double[] classWeights) {
+  public Quota register(double weight, double[] classWeights) {
     return new Quota(weight, classWeights);
   }
 
   /** Changes a tenant's weights; both follow with the next request. */
-  public void change(Quota share, double weight, double[] classWeights) {
+  public void updateWeights(Quota share, double weight, double[] classWeights) {
     weights += share.listed ? weight - share.weight : 0;
     share.set(weight, classWeights);
     dirty = true;
   }
 
-  /** Forgets a tenant; its open requests still end by {@link #end}. */
-  public void leave(Quota share) {
+  /** Forgets a tenant; its open requests still end by {@link #release}. */
+  public void unregister(Quota share) {
     if (asking.remove(share)) {
       share.listed = false;
       weights -= share.weight;
@@ -174,7 +174,7 @@
   }
 
   /**
-   * Whether a request may be taken now: 0, and it holds a place until {@link #end}; else the
+   * Whether a request may be taken now: 0, and it holds a place until {@link #release}; else the
    * microseconds after which it is worth coming again.
    */
   public long admit(Quota share, int classIndex, long now) {
@@ -219,14 +219,14 @@
   }
 
   /** The request has had its answer. */
-  public void end(Quota share) {
+  public void release(Quota share) {
     share.open--;
     common.open.decrementAndGet();
   }
 
   /** Requests that hold a place now, of all tenants of all loops. */
-  public int open() {
-    return common.open();
+  public int openRequests() {
+    return common.openRequests();
   }
 
   private void divide(long now) {
--- a/core/src/main/java/shelffront/rollout/FencingGuard.java
+++ b/core/src/main/java/shelffront/rollout/FencingGuard.java
@@ -9,13 +9,13 @@
   private long newest;
 
   /** Whether the act is taken. */
-  public boolean takes(long epoch) {
+  public boolean admits(long epoch) {
     newest = Math.max(newest, epoch);
     return epoch == newest;
   }
 
   /** The newest epoch under which an act was taken; 0 before the first. */
-  public long newest() {
+  public long newestEpoch() {
     return newest;
   }
 }
--- a/core/src/main/java/shelffront/rollout/LeaseHolder.java
+++ b/core/src/main/java/shelffront/rollout/LeaseHolder.java
@@ -18,7 +18,7 @@
   public record Write(long index, Member member) implements Action {}
 
   /** Read its own key: what became of a write is not known. */
-  public record Look() implements Action {}
+  public record ReadOwnKey() implements Action {}
 
   private final LeaseTimings bounds;
   private final Set<SafetyRule> off;
@@ -91,9 +91,9 @@
    * @param oldestOpen the oldest epoch under which anything of it still acts; the greatest number
    *     where nothing does
    */
-  public Action action(long now, long oldestOpen) {
+  public Action nextAction(long now, long oldestOpen) {
     if (unsure) {
-      return new Look();
+      return new ReadOwnKey();
     }
     boolean quiet = held != null && (oldestOpen >= held.epoch() || off.contains(SafetyRule.QUIET));
     long epoch = quiet ? held.epoch() : acknowledged;
@@ -108,7 +108,7 @@
   }
 
   /** Whether it waits for acts under an older epoch to end before it acknowledges what it has. */
-  public boolean waitsForQuiet() {
+  public boolean waitsForOpenOperations() {
     return index != 0 && held != null && held.epoch() > acknowledged;
   }
 
@@ -118,9 +118,10 @@
    * @param sentAt when it was sent: its lease runs from there
    * @param newIndex of its key, where it was taken
    */
-  public LeaseHolder written(long sentAt, long now, Write write, boolean taken, long newIndex) {
+  public LeaseHolder onWriteAnswered(
+      long sentAt, long now, Write write, boolean taken, long newIndex) {
     if (!taken) {
-      return unsure(now);
+      return onWriteUnknown(now);
     }
     long from = off.contains(SafetyRule.LEASE_FROM_SEND) ? now : sentAt;
     return new LeaseHolder(
@@ -131,18 +132,26 @@
         write.member().epoch(),
         false,
         held,
-        Math.max(leaseUntil, from + bounds.lease()),
-        from + bounds.renewEvery());
+        Math.max(leaseUntil, from + bounds.leaseMicros()),
+        from + bounds.renewIntervalMicros());
   }
 
   /** No answer came, or one that does not say: its key has to be looked at. */
-  public LeaseHolder unsure(long now) {
+  public LeaseHolder onWriteUnknown(long now) {
     return new LeaseHolder(
-        bounds, off, term, index, acknowledged, true, held, leaseUntil, now + bounds.renewEvery());
+        bounds,
+        off,
+        term,
+        index,
+        acknowledged,
+        true,
+        held,
+        leaseUntil,
+        now + bounds.renewIntervalMicros());
   }
 
   /** Its own key was read; null: there is none. */
-  public LeaseHolder looked(long now, Member member, long at) {
+  public LeaseHolder onOwnKeyRead(long now, Member member, long at) {
     if (member == null && index == 0) {
       return new LeaseHolder(bounds, off, term, 0, 0, false, held, leaseUntil, now);
     }
@@ -155,7 +164,7 @@
   /**
    * The subject's standing was read, by a read that was sent in this term while it was a member.
    */
-  public LeaseHolder heard(int readTerm, RolloutState standing) {
+  public LeaseHolder onStateRead(int readTerm, RolloutState standing) {
     boolean fits = readTerm == term && index != 0 || off.contains(SafetyRule.JOIN_FIRST);
     if (!fits
         || held != null && standing.epoch() < held.epoch() && !off.contains(SafetyRule.EPOCH)) {
--- a/core/src/main/java/shelffront/rollout/LeaseTimings.java
+++ b/core/src/main/java/shelffront/rollout/LeaseTimings.java
@@ -3,17 +3,22 @@
 /**
  * How long things may last, in microseconds.
  *
- * @param lease from when a renewal was sent to the end of what it allows
- * @param act the longest that something begun under a lease goes on after its end (a request's
- *     deadline)
- * @param drift the most that any machine's clock runs fast or slow, as a part of one, below 1
- * @param suspect a member that did not renew for so long holds up a move no more and is revoked
+ * @param leaseMicros from when a renewal was sent to the end of what it allows
+ * @param operationMicros the longest that something begun under a lease goes on after its end (a
+ *     request's deadline)
+ * @param clockDrift the most that any machine's clock runs fast or slow, as a part of one, below 1
+ * @param suspectAfterMicros a member that did not renew for so long holds up a move no more and is
+ *     revoked
  */
-public record LeaseTimings(long lease, long act, double drift, long suspect) {
+public record LeaseTimings(
+    long leaseMicros, long operationMicros, double clockDrift, long suspectAfterMicros) {
 
   /** Throws where nothing sensible follows from the figures. */
   public LeaseTimings {
-    if (lease <= 0 || act < 0 || suspect < 0 || !(drift >= 0 && drift < 1)) {
+    if (leaseMicros <= 0
+        || operationMicros < 0
+        || suspectAfterMicros < 0
+        || !(clockDrift >= 0 && clockDrift < 1)) {
       throw new IllegalArgumentException(
           "a lease above 0, no negative times and a drift of 0 to 1 are wanted");
     }
@@ -25,12 +30,12 @@
    * the renewal that the revoking cut off before that, so no delay of messages adds to it. The
    * holder's clock may be slow by the drift and the owner's fast by it.
    */
-  public long lapse() {
-    return (long) Math.ceil((lease + act) * (1 + drift) / (1 - drift));
+  public long leaseExpiryBoundMicros() {
+    return (long) Math.ceil((leaseMicros + operationMicros) * (1 + clockDrift) / (1 - clockDrift));
   }
 
   /** How often a lease is renewed: two renewals may be lost before it lapses. */
-  public long renewEvery() {
-    return lease / 3;
+  public long renewIntervalMicros() {
+    return leaseMicros / 3;
   }
 }
--- a/core/src/main/java/shelffront/rollout/RolloutLeader.java
+++ b/core/src/main/java/shelffront/rollout/RolloutLeader.java
@@ -15,7 +15,7 @@
 public final class RolloutLeader {
 
   /** A member as it was read. */
-  public record Seen(Member member, long index) {}
+  public record VersionedMember(Member member, long index) {}
 
   /**
    * What it wants done at the engine, in this order; each only where the key still has the index.
@@ -23,13 +23,13 @@
   public sealed interface Action {}
 
   /** Move the subject on. */
-  public record Move(long index, RolloutState to) implements Action {}
+  public record Advance(long index, RolloutState to) implements Action {}
 
   /** Put an end to a membership that holds up a move. */
   public record Revoke(String key, long index, Member revoked) implements Action {}
 
   /** Take away the mark of one whose lease has lapsed for sure. */
-  public record Forget(String key, long index) implements Action {}
+  public record RemoveMember(String key, long index) implements Action {}
 
   /** Since when a member's key has had the same index, by the owner's clock. */
   private record Since(long index, long at) {}
@@ -79,7 +79,7 @@
   /**
    * Keys of the members that a move waits for; empty where none is wanted or nothing holds it up.
    */
-  public List<String> waitsFor() {
+  public List<String> blockingMembers() {
     return waitsFor;
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** The same, its actions done or given up. */
-  public RolloutLeader done() {
+  public RolloutLeader withoutActions() {
     return new RolloutLeader(bounds, off, since, List.of(), waitsFor, lookedAt, wakeAt);
   }
 
@@ -99,19 +99,19 @@
    *
    * @param now when the answer came
    */
-  public RolloutLeader looked(
-      long now, RolloutState standing, long index, Map<String, Seen> members) {
+  public RolloutLeader onRead(
+      long now, RolloutState standing, long index, Map<String, VersionedMember> members) {
     Map<String, Since> known = new TreeMap<>();
     List<Action> next = new ArrayList<>();
     List<String> waits = new ArrayList<>();
     boolean wanted = standing.stage() != standing.target();
     // Guards against blaming members for a time in which nobody reached the engine: they renew as
     // it comes back.
-    boolean blind = now - lookedAt > bounds.suspect() / 2;
-    long patience = bounds.suspect() * (wanted ? 1 : IDLE_PATIENCE);
+    boolean blind = now - lookedAt > bounds.suspectAfterMicros() / 2;
+    long patience = bounds.suspectAfterMicros() * (wanted ? 1 : IDLE_PATIENCE);
     long wake = Long.MAX_VALUE;
-    for (Map.Entry<String, Seen> each : members.entrySet()) {
-      Seen seen = each.getValue();
+    for (Map.Entry<String, VersionedMember> each : members.entrySet()) {
+      VersionedMember seen = each.getValue();
       Since before = since.get(each.getKey());
       boolean revoked = seen.member().revoked();
       boolean same = before != null && before.index() == seen.index() && (revoked || !blind);
@@ -125,7 +125,7 @@
       if (revoked) {
         long until = here.at() + lapse();
         if (now >= until) {
-          next.add(new Forget(each.getKey(), seen.index()));
+          next.add(new RemoveMember(each.getKey(), seen.index()));
         } else {
           waits.add(each.getKey());
           wake = Math.min(wake, until);
@@ -144,7 +144,7 @@
       }
     }
     if (wanted && waits.isEmpty()) {
-      next.add(0, new Move(index, standing.next()));
+      next.add(0, new Advance(index, standing.next()));
     }
     return new RolloutLeader(bounds, off, known, next, wanted ? waits : List.of(), now, wake);
   }
@@ -152,7 +152,9 @@
   private long lapse() {
     return off.contains(SafetyRule.LAPSE)
         ? 0
-        : off.contains(SafetyRule.DRIFT) ? bounds.lease() + bounds.act() : bounds.lapse();
+        : off.contains(SafetyRule.DRIFT)
+            ? bounds.leaseMicros() + bounds.operationMicros()
+            : bounds.leaseExpiryBoundMicros();
   }
 
   /** Everything that its behaviour depends on, with times relative to now. */
@@ -163,8 +165,13 @@
             text.append(key)
                 .append(s.index())
                 .append('@')
-                .append(Math.min(now - s.at(), Math.max(bounds.suspect(), bounds.lapse())))
+                .append(
+                    Math.min(
+                        now - s.at(),
+                        Math.max(bounds.suspectAfterMicros(), bounds.leaseExpiryBoundMicros())))
                 .append(' '));
-    return text.append(actions).append(Math.min(now - lookedAt, bounds.suspect())).toString();
+    return text.append(actions)
+        .append(Math.min(now - lookedAt, bounds.suspectAfterMicros()))
+        .toString();
   }
 }
--- a/core/src/main/java/shelffront/routing/Router.java
+++ b/core/src/main/java/shelffront/routing/Router.java
@@ -22,38 +22,38 @@
   /** What a request class needs of the member that answers it. */
   enum Consistency {
     WRITE,
-    FRESH,
+    STRONG,
     SESSION,
-    BOUNDED,
-    ANY
+    BOUNDED_STALENESS,
+    EVENTUAL
   }
 
   /** Whether a request may run more than once. */
   enum Idempotency {
-    REPEATABLE,
-    KEYED,
-    ONCE
+    IDEMPOTENT,
+    IDEMPOTENCY_KEY,
+    NON_IDEMPOTENT
   }
 
   /** The members that discard repeats of a keyed request. */
   enum DeduplicationScope {
     ALL,
     ZONE,
-    GROUP
+    REPLICA_SET
   }
 
   /** What a member does with a read for which it lags too far. */
   enum LagCheck {
     NONE,
-    REFUSE,
+    REJECT,
     WAIT
   }
 
   /** Where members' reports about themselves arrive. */
   enum LoadReportSource {
     NONE,
-    ANSWERS,
-    PROBES
+    RESPONSES,
+    HEALTH_CHECKS
   }
 
   /** How the list of members follows the roles. */
@@ -72,9 +72,9 @@
 
   /** State of a member in the list. */
   enum Availability {
-    LIVE,
+    READY,
     DRAINING,
-    GONE
+    REMOVED
   }
 
   /**
@@ -82,9 +82,9 @@
    * outdated.
    */
   enum EndpointUpdateKind {
-    CHANGES,
-    ALL,
-    REMEMBERED,
+    DELTA,
+    SNAPSHOT,
+    CACHED,
     FAILED
   }
 
@@ -92,87 +92,87 @@
   enum AttemptStatus {
     OK(false),
     ERROR(false),
-    FULL(true),
+    CAPACITY_EXCEEDED(true),
     TIMEOUT(false),
     CONNECT_FAILED(true),
     RESET(false),
     CANCELLED(false),
     NOT_SENT(true),
-    MISS(true);
+    REPLICA_UNSUITABLE(true);
 
     /** True when this outcome proves that the request never ran. */
-    public final boolean neverRan;
+    public final boolean provesNotExecuted;
 
     AttemptStatus(boolean neverRan) {
-      this.neverRan = neverRan;
+      this.provesNotExecuted = neverRan;
     }
   }
 
   /** One request class. {@code bound} is the greatest age of data, for bounded reads. */
   record RequestClass(
       String name,
-      long aim,
-      long deadline,
-      double worth,
-      double lateShare,
-      Idempotency effect,
-      DeduplicationScope scope,
-      long window,
-      Consistency read,
-      long bound) {
-
-    public boolean repeatable() {
-      return effect == Idempotency.REPEATABLE;
+      long latencyObjectiveMicros,
+      long deadlineMicros,
+      double priorityWeight,
+      double lateValueFraction,
+      Idempotency idempotency,
+      DeduplicationScope deduplicationScope,
+      long deduplicationWindowMicros,
+      Consistency consistency,
+      long maxStalenessMicros) {
+
+    public boolean isIdempotent() {
+      return idempotency == Idempotency.IDEMPOTENT;
     }
 
-    public boolean once() {
-      return effect == Idempotency.ONCE;
+    public boolean isNonIdempotent() {
+      return idempotency == Idempotency.NON_IDEMPOTENT;
     }
 
     /** Whether those of the given scope drop a repeat of a request of this class. */
-    public boolean keyedFor(DeduplicationScope given) {
-      return effect == Idempotency.KEYED && scope == given;
+    public boolean isDeduplicatedWithin(DeduplicationScope given) {
+      return idempotency == Idempotency.IDEMPOTENCY_KEY && deduplicationScope == given;
     }
 
-    public boolean writes() {
-      return read == Consistency.WRITE;
+    public boolean isWrite() {
+      return consistency == Consistency.WRITE;
     }
 
     /** Whether only the primary may answer it. */
-    public boolean needsPrimary() {
-      return read == Consistency.WRITE || read == Consistency.FRESH;
+    public boolean requiresPrimary() {
+      return consistency == Consistency.WRITE || consistency == Consistency.STRONG;
     }
   }
 
   /** The figures of the rules. */
   record SafetyRules(
-      long drainGrace,
-      double coldFrom,
-      long coldTime,
-      double fallMultiple,
-      long fallTime,
-      boolean softRemoval,
-      long askWithin,
-      long answerSlack) {}
+      long drainGraceMicros,
+      double slowStartInitialCapacity,
+      long slowStartDurationMicros,
+      double overloadFactor,
+      long overloadWindowMicros,
+      boolean removalIsAdvisory,
+      long pollIntervalMicros,
+      long responseSlackMicros) {}
 
   /** What the site permits; a connection that takes longer than its limit to set up fails. */
   record OperatingLimits(
-      int attempts,
-      long maxRetryAfter,
-      boolean retryAfter,
-      boolean cancel,
-      boolean duplicate,
-      boolean probe,
-      boolean tell,
-      long connectTimeout,
-      long connectionIdle) {
+      int maxAttempts,
+      long maxRetryAfterMicros,
+      boolean retryAfterAllowed,
+      boolean cancellationAllowed,
+      boolean hedgingAllowed,
+      boolean healthChecksAllowed,
+      boolean peerMessagesAllowed,
+      long connectTimeoutMicros,
+      long connectionIdleMicros) {
 
     /**
      * The wait that a refusal may tell of; 0, which is no advice, where the site does not permit
      * any.
      */
-    public long toldWait(long wait) {
-      return retryAfter ? Math.min(maxRetryAfter, wait) : 0;
+    public long retryAfterMicros(long wait) {
+      return retryAfterAllowed ? Math.min(maxRetryAfterMicros, wait) : 0;
     }
   }
 
@@ -181,42 +181,43 @@
    * events.
    */
   record RoutingSettings(
-      int self,
-      int routers,
+      int gatewayIndex,
+      int gatewayCount,
       String zone,
-      long tick,
-      List<RequestClass> classes,
-      LagCheck check,
-      long hold,
-      boolean answersStamped,
-      boolean tokensCarried,
-      ListedRoles listRole,
-      boolean listAsked,
-      LoadReportSource reports,
-      SafetyRules rules,
+      long tickMicros,
+      List<RequestClass> requestClasses,
+      LagCheck lagCheck,
+      long lagWaitMicros,
+      boolean responsesCarryPosition,
+      boolean clientsCarryPosition,
+      ListedRoles listedRoles,
+      boolean endpointListPolled,
+      LoadReportSource loadReportSource,
+      SafetyRules safetyRules,
       OperatingLimits limits,
-      double crossZonePrice,
-      double probePrice) {}
+      double crossZoneCost,
+      double healthCheckCost) {}
 
   /** A line of the list. {@code startedAt} is 0 when the member has been up for long. */
   record Endpoint(
       String id,
       String kind,
       String zone,
-      int group,
-      double size,
-      long startedAt,
-      boolean primary,
+      int replicaSet,
+      double capacityHint,
+      long startedAtMicros,
+      boolean listedAsPrimary,
       Availability availability) {
 
-    public Endpoint as(Availability other) {
-      return new Endpoint(id, kind, zone, group, size, startedAt, primary, other);
+    public Endpoint withAvailability(Availability other) {
+      return new Endpoint(
+          id, kind, zone, replicaSet, capacityHint, startedAtMicros, listedAsPrimary, other);
     }
   }
 
   /** A member's report about itself; negative figures and {@link #UNKNOWN} were not given. */
   record LoadReport(
-      long position, Role role, double outstanding, double queued, double utilization) {}
+      long positionMicros, Role role, double outstanding, double queued, double utilization) {}
 
   /**
    * A request. {@code left} is the time until the client gives up, {@code after} the carried
@@ -225,31 +226,31 @@
   record Request(
       String id,
       int classIndex,
-      String session,
-      int group,
-      long left,
-      long after,
-      boolean repeat) {}
+      String sessionId,
+      int replicaSet,
+      long timeToDeadlineMicros,
+      long requiredPositionMicros,
+      boolean clientRetry) {}
 
   /** How an attempt ended; {@code finished} when the client has had its answer. */
   record AttemptOutcome(
       String requestId,
-      int attempt,
-      String member,
+      int attemptNumber,
+      String endpointId,
       AttemptStatus status,
-      boolean finished,
-      long took,
+      boolean requestCompleted,
+      long elapsedMicros,
       Role role,
-      long position,
-      LoadReport load) {}
+      long positionMicros,
+      LoadReport loadReport) {}
 
   void onStart(long now, long seed, RoutingSettings settings);
 
-  void onMembers(long now, EndpointUpdateKind kind, long version, List<Endpoint> members);
+  void onEndpoints(long now, EndpointUpdateKind kind, long version, List<Endpoint> members);
 
   void onRequest(long now, Request request);
 
-  void onOutcome(long now, AttemptOutcome outcome);
+  void onAttemptOutcome(long now, AttemptOutcome outcome);
 
   /**
    * Whether an attempt may be written now that a connection is there for it: while it waited its
@@ -257,23 +258,24 @@
    * window for repeats may have ended. Where not, it ends as NOT_SENT, and its request, if it is
    * open, is looked at again.
    */
-  boolean mayStart(long now, String requestId, int attempt);
+  boolean mayStartAttempt(long now, String requestId, int attempt);
 
-  void onProbeResult(long now, String member, AttemptStatus status, long took, LoadReport load);
+  void onHealthCheckResult(
+      long now, String member, AttemptStatus status, long took, LoadReport load);
 
-  void onMessage(long now, int from, byte[] payload);
+  void onPeerMessage(long now, int from, byte[] payload);
 
   void onTimer(long now, String name);
 
-  void onClientGone(long now, String requestId);
+  void onClientDisconnected(long now, String requestId);
 
   /** What the embedding proxy does for the module. */
   interface Actions {
 
     /** Starts an attempt; {@code timeout} 0 means until the client gives up. */
-    void send(String requestId, String member, long timeout);
+    void startAttempt(String requestId, String member, long timeout);
 
-    void cancel(String requestId, int attempt);
+    void cancelAttempt(String requestId, int attempt);
 
     /** Final answer: refused, a further try does no harm. {@code retryAfter} 0 means no advice. */
     void reject(String requestId, long retryAfter);
@@ -281,18 +283,18 @@
     /** Final answer: failed, with no promise about its effect. */
     void fail(String requestId);
 
-    void probe(String member);
+    void checkHealth(String member);
 
     void setTimer(String name, long at);
 
-    void subscribe(boolean on);
+    void watchEndpoints(boolean on);
 
-    void fetchList();
+    void fetchEndpoints();
 
     /** Sends a message to one peer, or to all for a negative number. */
-    void tellPeers(int peer, byte[] payload);
+    void sendToPeers(int peer, byte[] payload);
 
-    void closeIdle(String member);
+    void closeIdleConnections(String member);
 
     void log(String text);
   }
--- a/core/src/main/java/shelffront/statistics/ConcurrencyLimit.java
+++ b/core/src/main/java/shelffront/statistics/ConcurrencyLimit.java
@@ -13,7 +13,7 @@
   private double cutAt = Double.NEGATIVE_INFINITY;
 
   /** A window that was never opened takes this size; one that was keeps what it learned. */
-  public void open(double first) {
+  public void initialize(double first) {
     limit = limit > 0 ? limit : first;
   }
 
@@ -21,20 +21,20 @@
    * Whether one more has room in a part of the window, with so many out and an answer time in
    * microseconds.
    */
-  public boolean hasRoom(long now, double part, int out, long sentAt, double took) {
+  public boolean hasCapacity(long now, double part, int out, long sentAt, double took) {
     double size = limit * part;
     return out < size && (size >= 1 || now > sentAt + took / size);
   }
 
   /** An answer came as it should while so many were out. */
-  public void answered(int out) {
+  public void increase(int out) {
     if (out + 1 >= limit * 0.7) {
       limit = Math.min(MOST, limit + Math.min(0.2, 1 / limit));
     }
   }
 
   /** Answers are late, or none came. */
-  public void cut(long now, double took, double factor) {
+  public void decrease(long now, double took, double factor) {
     if (now - cutAt > took) {
       cutAt = now;
       limit = Math.max(LEAST, limit * factor);
--- a/core/src/main/java/shelffront/statistics/DecayingAverage.java
+++ b/core/src/main/java/shelffront/statistics/DecayingAverage.java
@@ -27,7 +27,7 @@
     return (sum * faded + prior * weight) / (count * faded + weight);
   }
 
-  public void add(long time, double value) {
+  public void record(long time, double value) {
     double faded = Math.exp((since - time) / (seconds * 1e6));
     sum = sum * faded + value;
     count = count * faded + 1;
--- a/core/src/main/java/shelffront/statistics/LatencyStatistics.java
+++ b/core/src/main/java/shelffront/statistics/LatencyStatistics.java
@@ -22,7 +22,7 @@
   }
 
   /** Takes in an answer, or how long one was waited for; all in microseconds. */
-  public void take(long now, double answer, long aim) {
+  public void record(long now, double answer, long aim) {
     double weight = Math.max(LEAST_WEIGHT, 1 - Math.exp((at - now) / smoothing));
     at = now;
     took += weight * (answer - took);
@@ -30,11 +30,11 @@
   }
 
   /** Microseconds. */
-  public double took() {
+  public double latencyMicros() {
     return took;
   }
 
-  public double load() {
+  public double latencyOverObjective() {
     return load;
   }
 }
--- a/core/src/main/java/shelffront/time/TimerQueue.java
+++ b/core/src/main/java/shelffront/time/TimerQueue.java
@@ -21,20 +21,21 @@
   private long alarmAt = Long.MAX_VALUE;
 
   /**
-   * The alarm is told each time that is earlier than those it was told since the last {@link #run}.
+   * The alarm is told each time that is earlier than those it was told since the last {@link
+   * #runDue}.
    */
   public TimerQueue(LongConsumer alarm) {
     this.alarm = alarm;
   }
 
-  /** Runs the task at a time; {@link #sweep} drops it once it is no longer wanted. */
-  public void at(long when, BooleanSupplier wanted, Runnable task) {
+  /** Runs the task at a time; {@link #removeCancelled} drops it once it is no longer wanted. */
+  public void schedule(long when, BooleanSupplier wanted, Runnable task) {
     timers.add(new Timer(when, nextOrder++, wanted, task));
     arm();
   }
 
   /** Runs what is due; to be called when the alarm goes off, and harmless at other times. */
-  public void run(long now) {
+  public void runDue(long now) {
     if (now >= alarmAt) {
       alarmAt = Long.MAX_VALUE;
     }
@@ -52,7 +53,7 @@
   }
 
   /** Drops timers that nobody wants any more; takes time in proportion to {@link #size}. */
-  public void sweep() {
+  public void removeCancelled() {
     timers.removeIf(t -> !t.wanted().getAsBoolean());
   }
 
--- a/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
+++ b/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
@@ -22,48 +22,51 @@
 
   @Test
   void nothingIsKnownBeforeTheFirstWord() {
-    assertFalse(new ReplicationProgress().has(0));
-    assertFalse(new ReplicationProgress().mayHave(NOW, 0, 0));
+    assertFalse(new ReplicationProgress().hasApplied(0));
+    assertFalse(new ReplicationProgress().mayHaveApplied(NOW, 0, 0));
   }
 
   @Test
   void aPositionMovesForwardOnlyAndNeverAheadOfTheClock() {
     progress.advance(NOW, NOW - 200 * MS);
-    assertTrue(progress.has(NOW - 100 * MS));
+    assertTrue(progress.hasApplied(NOW - 100 * MS));
     progress.advance(NOW + MS, NOW + 2 * MS);
-    assertFalse(progress.has(NOW - 100 * MS + 1));
+    assertFalse(progress.hasApplied(NOW - 100 * MS + 1));
   }
 
   @Test
   void itIsTrustedToKeepItsPace() {
-    assertTrue(progress.mayHave(NOW + 300 * MS, NOW + 200 * MS, 0));
-    assertFalse(progress.mayHave(NOW + 300 * MS, NOW + 200 * MS + 1, 0));
+    assertTrue(progress.mayHaveApplied(NOW + 300 * MS, NOW + 200 * MS, 0));
+    assertFalse(progress.mayHaveApplied(NOW + 300 * MS, NOW + 200 * MS + 1, 0));
     assertTrue(
-        progress.mayHave(NOW + 300 * MS, NOW + 250 * MS, 50 * MS), "it waits for what it lacks");
-    assertFalse(progress.mayHave(NOW + 21_000 * MS, NOW + 1_000 * MS, 0), "not for ever");
-    assertFalse(progress.has(NOW - 50 * MS), "which is no knowledge");
+        progress.mayHaveApplied(NOW + 300 * MS, NOW + 250 * MS, 50 * MS),
+        "it waits for what it lacks");
+    assertFalse(progress.mayHaveApplied(NOW + 21_000 * MS, NOW + 1_000 * MS, 0), "not for ever");
+    assertFalse(progress.hasApplied(NOW - 50 * MS), "which is no knowledge");
   }
 
   @Test
   void aReadTurnedAwayDisprovesThatUntilNewsComeOrItIsOld() {
-    progress.missed(NOW + MS);
-    assertFalse(progress.mayHave(NOW + 100 * MS, NOW, 0));
-    assertTrue(progress.mayHave(NOW + 202 * MS, NOW, 0));
-    progress.missed(NOW + 210 * MS);
+    progress.recordRejectedRead(NOW + MS);
+    assertFalse(progress.mayHaveApplied(NOW + 100 * MS, NOW, 0));
+    assertTrue(progress.mayHaveApplied(NOW + 202 * MS, NOW, 0));
+    progress.recordRejectedRead(NOW + 210 * MS);
     progress.advance(NOW + 220 * MS, NOW + 190 * MS);
-    assertTrue(progress.mayHave(NOW + 230 * MS, NOW + 200 * MS, 0));
+    assertTrue(progress.mayHaveApplied(NOW + 230 * MS, NOW + 200 * MS, 0));
   }
 
   @Test
   void anAnswerProvesWhatItNeeded() {
-    progress.proved(NOW + 500 * MS, NOW + 300 * MS);
-    assertTrue(progress.has(NOW + 300 * MS));
-    assertEquals(NOW + 400 * MS, progress.heardAt(), "at its lag of 100 ms it was there then");
-    progress.proved(NOW + 600 * MS, NOW + 200 * MS);
-    assertEquals(NOW + 400 * MS, progress.heardAt(), "one that needed less proves nothing new");
+    progress.recordProvenPosition(NOW + 500 * MS, NOW + 300 * MS);
+    assertTrue(progress.hasApplied(NOW + 300 * MS));
+    assertEquals(
+        NOW + 400 * MS, progress.lastReportedAt(), "at its lag of 100 ms it was there then");
+    progress.recordProvenPosition(NOW + 600 * MS, NOW + 200 * MS);
+    assertEquals(
+        NOW + 400 * MS, progress.lastReportedAt(), "one that needed less proves nothing new");
     ReplicationProgress first = new ReplicationProgress();
-    first.proved(NOW, NOW - 500 * MS);
-    assertTrue(first.has(NOW - 500 * MS));
+    first.recordProvenPosition(NOW, NOW - 500 * MS);
+    assertTrue(first.hasApplied(NOW - 500 * MS));
   }
 
   /**
@@ -71,10 +74,10 @@
    */
   @Test
   void theFurtherBehindTheLaterANewWordIsWorthAProbe() {
-    assertEquals(100 * MS, new ReplicationProgress().newsAfter());
-    assertEquals(100 * MS, progress.newsAfter());
+    assertEquals(100 * MS, new ReplicationProgress().healthCheckIntervalMicros());
+    assertEquals(100 * MS, progress.healthCheckIntervalMicros());
     ReplicationProgress old = new ReplicationProgress();
     old.advance(NOW, NOW - 8_000 * MS);
-    assertEquals(2_000 * MS, old.newsAfter());
+    assertEquals(2_000 * MS, old.healthCheckIntervalMicros());
   }
 }
--- a/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
@@ -40,9 +40,9 @@
     bed.bare("m1", "m2", "m3");
     bed.news();
     bed.request("a", RoutingTestHarness.KEYED);
-    bed.outcome("a", 0, "m1", AttemptStatus.MISS, Role.REPLICA);
-    bed.outcome("a", 1, "m2", AttemptStatus.MISS, Role.REPLICA);
-    bed.outcome("a", 2, "m3", AttemptStatus.MISS, Role.REPLICA);
+    bed.outcome("a", 0, "m1", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+    bed.outcome("a", 1, "m2", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+    bed.outcome("a", 2, "m3", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
     assertEquals(List.of("send a m1", "send a m2", "send a m3"), bed.news());
     bed.pass(90 * RoutingTestHarness.MS);
     assertEquals(List.of(), bed.news());
@@ -155,14 +155,14 @@
 
   @Test
   void whereMembersRefuseAReplicaThatKeptPaceIsTrustedUntilAMiss() {
-    bed.check = LagCheck.REFUSE;
+    bed.check = LagCheck.REJECT;
     bed.start();
     bed.pass(150 * RoutingTestHarness.MS);
     bed.news();
     bed.request("a", RoutingTestHarness.SESSION, 20 * RoutingTestHarness.MS);
     String first = bed.news().get(0);
     assertTrue(first.matches("send a m[23]"), first);
-    bed.outcome("a", 0, first.substring(7), AttemptStatus.MISS, Role.REPLICA);
+    bed.outcome("a", 0, first.substring(7), AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
     String second = bed.news().get(0);
     assertFalse(second.equals(first), "not to the member that just missed");
   }
--- a/core/src/test/java/shelffront/decision/FailureHandlingTest.java
+++ b/core/src/test/java/shelffront/decision/FailureHandlingTest.java
@@ -62,7 +62,7 @@
     bed.request("c", RoutingTestHarness.ANY);
     assertTrue(sendsTo("m2") > 0, "its table was full, it lives");
     for (int i = 0; i < 6; i++) {
-      bed.router.onProbeResult(
+      bed.router.onHealthCheckResult(
           bed.now, "m2", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
     }
     bed.news();
@@ -163,7 +163,7 @@
     bed.pass(RoutingTestHarness.MS);
     bed.request("later", RoutingTestHarness.ANY);
     bed.outcome("later", 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
-    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.LIVE));
+    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.READY));
     bed.probed("m3", Role.REPLICA, bed.now);
     bed.news();
     for (int i = 0; i < 30; i++) {
@@ -190,7 +190,7 @@
     for (int i = 0; i < 6; i++) {
       bed.outcome("w" + i, 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
     }
-    bed.router.onProbeResult(
+    bed.router.onHealthCheckResult(
         bed.now, "m1", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
     bed.probed("m2", Role.REPLICA, bed.now);
     bed.probed("m3", Role.REPLICA, bed.now);
@@ -205,7 +205,7 @@
   void aMemberThatAnswersProbesAgainIsUsedAtOnce() {
     bed.start();
     for (int i = 0; i < 8; i++) {
-      bed.router.onProbeResult(
+      bed.router.onHealthCheckResult(
           bed.now, "m1", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
     }
     bed.request("w", RoutingTestHarness.ONCE);
@@ -228,11 +228,11 @@
       held.changed(RoutingTestHarness.member("m1", 0, Router.Availability.DRAINING));
       held.request("r", type);
       held.pass(100 * RoutingTestHarness.MS);
-      held.changed(RoutingTestHarness.member("m1", 0, Router.Availability.LIVE));
+      held.changed(RoutingTestHarness.member("m1", 0, Router.Availability.READY));
       held.probed("m1", Role.PRIMARY, held.now);
       for (String line : held.news()) {
         if (line.startsWith("send r") && !line.endsWith("m1")) {
-          held.outcome("r", 0, line.split(" ")[2], AttemptStatus.MISS, Role.REPLICA);
+          held.outcome("r", 0, line.split(" ")[2], AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
         }
       }
       held.pass(20 * RoutingTestHarness.MS);
@@ -254,7 +254,7 @@
     bed.changed(RoutingTestHarness.member("m1", 0, Router.Availability.DRAINING));
     for (String m : List.of("m2", "m3")) {
       for (int i = 0; i < 12; i++) {
-        bed.router.onProbeResult(
+        bed.router.onHealthCheckResult(
             bed.now, m, AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
       }
     }
@@ -333,7 +333,7 @@
     bed.news();
     bed.request("low", RoutingTestHarness.FRESH);
     bed.request("high", RoutingTestHarness.KEYED);
-    bed.outcome("high", 0, "m1", AttemptStatus.MISS, Role.REPLICA);
+    bed.outcome("high", 0, "m1", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
     bed.outcome("high", 1, "m2", AttemptStatus.OK, Role.PRIMARY);
     assertEquals(List.of("send high m1", "send high m2", "send low m2"), bed.news());
   }
@@ -344,7 +344,7 @@
     bed.bare("m1");
     assertTrue(bed.news().contains("subscribe true"));
     for (int i = 0; i < 8; i++) {
-      bed.router.onMembers(bed.now, EndpointUpdateKind.FAILED, 0, List.of());
+      bed.router.onEndpoints(bed.now, EndpointUpdateKind.FAILED, 0, List.of());
       bed.pass(3_100 * RoutingTestHarness.MS);
       assertEquals(List.of("subscribe true"), bed.news());
     }
@@ -374,11 +374,11 @@
   @Test
   void unknownMessagesAndLateEventsArePassedOver() {
     bed.start();
-    bed.router.onMessage(bed.now, 2, new byte[] {9, 9});
+    bed.router.onPeerMessage(bed.now, 2, new byte[] {9, 9});
     bed.outcome("never", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
     bed.outcome("never", 3, "nobody", AttemptStatus.RESET, Role.UNKNOWN);
-    bed.router.onClientGone(bed.now, "never");
-    bed.router.onProbeResult(bed.now, "nobody", AttemptStatus.OK, 1, null);
+    bed.router.onClientDisconnected(bed.now, "never");
+    bed.router.onHealthCheckResult(bed.now, "nobody", AttemptStatus.OK, 1, null);
     bed.router.onTimer(bed.now, "odd");
     assertEquals(List.of(), bed.news());
   }
@@ -446,7 +446,7 @@
     String used = bed.news().get(0).substring("send a ".length());
     bed.outcome("a", 0, used, AttemptStatus.OK, Role.REPLICA);
     bed.request("w", RoutingTestHarness.KEYED);
-    bed.router.onOutcome(
+    bed.router.onAttemptOutcome(
         bed.now,
         new Router.AttemptOutcome(
             "w",
--- a/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
@@ -122,7 +122,7 @@
   @Test
   void aReplicaThatIsFarBehindIsNotAskedAgainAtOnce() {
     RoutingTestHarness bed = new RoutingTestHarness();
-    bed.check = LagCheck.REFUSE;
+    bed.check = LagCheck.REJECT;
     bed.start();
     bed.pass(200 * RoutingTestHarness.MS);
     bed.probed("m2", Role.REPLICA, bed.now - 8_000 * RoutingTestHarness.MS);
--- a/core/src/test/java/shelffront/decision/RecordingActions.java
+++ b/core/src/test/java/shelffront/decision/RecordingActions.java
@@ -13,12 +13,12 @@
   final List<Timer> timers = new ArrayList<>();
 
   @Override
-  public void send(String requestId, String member, long timeout) {
+  public void startAttempt(String requestId, String member, long timeout) {
     lines.add("send " + requestId + " " + member);
   }
 
   @Override
-  public void cancel(String requestId, int attempt) {
+  public void cancelAttempt(String requestId, int attempt) {
     lines.add("cancel " + requestId + " " + attempt);
   }
 
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public void probe(String member) {
+  public void checkHealth(String member) {
     lines.add("probe " + member);
   }
 
@@ -43,22 +43,22 @@
   }
 
   @Override
-  public void subscribe(boolean on) {
+  public void watchEndpoints(boolean on) {
     lines.add("subscribe " + on);
   }
 
   @Override
-  public void fetchList() {
+  public void fetchEndpoints() {
     lines.add("fetchList");
   }
 
   @Override
-  public void tellPeers(int peer, byte[] payload) {
+  public void sendToPeers(int peer, byte[] payload) {
     lines.add("tell " + peer);
   }
 
   @Override
-  public void closeIdle(String member) {
+  public void closeIdleConnections(String member) {
     lines.add("closeIdle " + member);
   }
 
--- a/core/src/test/java/shelffront/decision/RoutingTestHarness.java
+++ b/core/src/test/java/shelffront/decision/RoutingTestHarness.java
@@ -52,7 +52,7 @@
   int attempts = 6;
   int routers = 4;
   int self;
-  DeduplicationScope scope = DeduplicationScope.GROUP;
+  DeduplicationScope scope = DeduplicationScope.REPLICA_SET;
   double probePrice = 0.01;
 
   RoutingSettings settings() {
@@ -64,10 +64,10 @@
                 1500 * MS,
                 1,
                 0,
-                Idempotency.REPEATABLE,
+                Idempotency.IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
-                Consistency.BOUNDED,
+                Consistency.BOUNDED_STALENESS,
                 800 * MS),
             new RequestClass(
                 "session",
@@ -75,7 +75,7 @@
                 1500 * MS,
                 1,
                 0,
-                Idempotency.REPEATABLE,
+                Idempotency.IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
                 Consistency.SESSION,
@@ -86,7 +86,7 @@
                 3000 * MS,
                 3,
                 0.5,
-                Idempotency.ONCE,
+                Idempotency.NON_IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
                 Consistency.WRITE,
@@ -97,7 +97,7 @@
                 5000 * MS,
                 3,
                 0.5,
-                Idempotency.KEYED,
+                Idempotency.IDEMPOTENCY_KEY,
                 scope,
                 3000 * MS,
                 Consistency.WRITE,
@@ -108,10 +108,10 @@
                 1200 * MS,
                 1,
                 0.2,
-                Idempotency.REPEATABLE,
+                Idempotency.IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
-                Consistency.ANY,
+                Consistency.EVENTUAL,
                 0),
             new RequestClass(
                 "fresh",
@@ -119,10 +119,10 @@
                 1500 * MS,
                 1,
                 0,
-                Idempotency.REPEATABLE,
+                Idempotency.IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
-                Consistency.FRESH,
+                Consistency.STRONG,
                 0));
     return new RoutingSettings(
         self,
@@ -136,7 +136,7 @@
         carried,
         ListedRoles.NONE,
         listAsked,
-        LoadReportSource.PROBES,
+        LoadReportSource.HEALTH_CHECKS,
         new SafetyRules(
             500 * MS, 0.25, 20_000 * MS, 2.5, 1500 * MS, softRemoval, 10_000 * MS, 20 * MS),
         new OperatingLimits(
@@ -160,9 +160,9 @@
     router.onStart(now, 7, settings());
     List<Endpoint> members = new ArrayList<>();
     for (String id : ids) {
-      members.add(member(id, 0, Availability.LIVE));
+      members.add(member(id, 0, Availability.READY));
     }
-    router.onMembers(now, EndpointUpdateKind.REMEMBERED, 1, members);
+    router.onEndpoints(now, EndpointUpdateKind.CACHED, 1, members);
     return this;
   }
 
@@ -171,11 +171,11 @@
   }
 
   void changed(Endpoint... members) {
-    router.onMembers(now, EndpointUpdateKind.CHANGES, 2, List.of(members));
+    router.onEndpoints(now, EndpointUpdateKind.DELTA, 2, List.of(members));
   }
 
   void probed(String member, Role role, long position) {
-    router.onProbeResult(
+    router.onHealthCheckResult(
         now, member, AttemptStatus.OK, MS, new LoadReport(position, role, -1, -1, -1));
   }
 
@@ -184,7 +184,7 @@
   }
 
   void request(String id, int classIndex, long sinceWrite) {
-    long left = settings().classes().get(classIndex).deadline();
+    long left = settings().requestClasses().get(classIndex).deadlineMicros();
     long after = sinceWrite > 0 ? now - sinceWrite : Router.UNKNOWN;
     router.onRequest(now, new Request(id, classIndex, "s", 1, left, after, false));
   }
@@ -194,7 +194,7 @@
   }
 
   void outcome(String id, int attempt, String member, AttemptStatus status, Role role, long took) {
-    router.onOutcome(
+    router.onAttemptOutcome(
         now,
         new AttemptOutcome(
             id,
--- a/core/src/test/java/shelffront/decision/SafetyRulesTest.java
+++ b/core/src/test/java/shelffront/decision/SafetyRulesTest.java
@@ -37,8 +37,8 @@
     bed.start();
     // Its position is one in the log of the first set, and says nothing of the second one's.
     bed.changed(
-        new Endpoint("m2", "kind", "z1", 2, 1, 0, false, Availability.LIVE),
-        new Endpoint("m1", "kind", "z1", 2, 1, 0, false, Availability.LIVE));
+        new Endpoint("m2", "kind", "z1", 2, 1, 0, false, Availability.READY),
+        new Endpoint("m1", "kind", "z1", 2, 1, 0, false, Availability.READY));
     bed.router.onRequest(
         bed.now,
         new Request(
@@ -90,7 +90,7 @@
   void nothingIsSentForARequestWhoseClientHasGone() {
     bed.bare("m1", "m2");
     bed.request("a", RoutingTestHarness.BOUNDED);
-    bed.router.onClientGone(bed.now, "a");
+    bed.router.onClientDisconnected(bed.now, "a");
     bed.probed("m1", Role.PRIMARY, bed.now);
     bed.probed("m2", Role.REPLICA, bed.now);
     bed.pass(2_000 * RoutingTestHarness.MS);
@@ -101,7 +101,7 @@
   void anUnsafeWriteIsTriedAgainOnlyWhenItNeverRan() {
     bed.start();
     bed.request("a", RoutingTestHarness.ONCE);
-    bed.outcome("a", 0, "m1", AttemptStatus.MISS, Role.REPLICA);
+    bed.outcome("a", 0, "m1", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
     bed.probed("m2", Role.PRIMARY, bed.now);
     assertTrue(bed.news().contains("send a m2"));
     bed.outcome("a", 1, "m2", AttemptStatus.RESET, Role.UNKNOWN);
@@ -152,7 +152,7 @@
 
   @Test
   void nothingNewGoesToADrainingOrGoneMember() {
-    for (Availability state : List.of(Availability.DRAINING, Availability.GONE)) {
+    for (Availability state : List.of(Availability.DRAINING, Availability.REMOVED)) {
       RoutingTestHarness b = new RoutingTestHarness().start();
       b.changed(
           RoutingTestHarness.member("m2", 0, state), RoutingTestHarness.member("m1", 0, state));
@@ -187,7 +187,7 @@
             RoutingTestHarness.member(
                 id,
                 id.equals(member) ? b.now : 0,
-                id.equals(member) ? Availability.LIVE : Availability.DRAINING));
+                id.equals(member) ? Availability.READY : Availability.DRAINING));
       }
       b.news();
       b.request("c" + i, classIndex);
@@ -228,7 +228,7 @@
   void aWriteInSearchOfAPrimaryTriesAColdMemberOnceAtMost() {
     bed.start();
     for (String id : List.of("m1", "m2", "m3")) {
-      bed.changed(RoutingTestHarness.member(id, bed.now, Availability.LIVE));
+      bed.changed(RoutingTestHarness.member(id, bed.now, Availability.READY));
       bed.probed(id, Role.REPLICA, bed.now);
     }
     int tries = 0;
@@ -240,14 +240,19 @@
         for (String line : bed.news()) {
           if (line.startsWith("send " + id + " ")) {
             all.add(line);
-            bed.outcome(id, all.size() - 1, line.split(" ")[2], AttemptStatus.MISS, Role.REPLICA);
+            bed.outcome(
+                id,
+                all.size() - 1,
+                line.split(" ")[2],
+                AttemptStatus.REPLICA_UNSUITABLE,
+                Role.REPLICA);
           }
         }
         bed.pass(110 * RoutingTestHarness.MS);
       }
       assertEquals(all.stream().distinct().toList(), all);
       tries += all.size();
-      bed.router.onClientGone(bed.now, id);
+      bed.router.onClientDisconnected(bed.now, id);
     }
     assertTrue(tries > 0, "a cold member is tried");
   }
@@ -258,10 +263,10 @@
     bed.start();
     bed.changed(
         RoutingTestHarness.member("m3", 0, Availability.DRAINING),
-        RoutingTestHarness.member("m2", 0, Availability.GONE));
+        RoutingTestHarness.member("m2", 0, Availability.REMOVED));
     bed.request("a", RoutingTestHarness.ANY);
     assertEquals(List.of("send a m2"), bed.news());
-    bed.changed(RoutingTestHarness.member("m3", 0, Availability.GONE));
+    bed.changed(RoutingTestHarness.member("m3", 0, Availability.REMOVED));
     bed.outcome("a", 0, "m2", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
     bed.pass(300 * RoutingTestHarness.MS);
     assertFalse(bed.news().stream().anyMatch(l -> l.endsWith("m3")));
--- a/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
+++ b/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
@@ -97,14 +97,15 @@
   @Test
   void ageCountsFromTheQuestionAndAddsWhatTheAnswerStates() {
     Staleness freshness = new Staleness();
-    assertEquals(Staleness.NEVER, freshness.age(5 * SECOND));
+    assertEquals(Staleness.NEVER, freshness.maxAgeMicros(5 * SECOND));
     freshness.confirm(SECOND, 2 * SECOND);
-    assertEquals(100 * SECOND, freshness.age(99 * SECOND));
+    assertEquals(100 * SECOND, freshness.maxAgeMicros(99 * SECOND));
     freshness.confirm(98 * SECOND, Staleness.NEVER);
-    assertEquals(100 * SECOND, freshness.age(99 * SECOND));
+    assertEquals(100 * SECOND, freshness.maxAgeMicros(99 * SECOND));
     freshness.confirm(98 * SECOND, 0);
     freshness.confirm(98 * SECOND, 3 * SECOND);
-    assertEquals(SECOND, freshness.age(99 * SECOND), "an older confirmation takes nothing back");
+    assertEquals(
+        SECOND, freshness.maxAgeMicros(99 * SECOND), "an older confirmation takes nothing back");
   }
 
   @Test
@@ -123,7 +124,7 @@
 
   @Test
   void theBoundsOfTheOperatorsAreSumsOfTheStandardTimings() {
-    assertTrue(DistributionTimings.STANDARD.untilInForce(1) <= 5 * SECOND);
-    assertTrue(DistributionTimings.STANDARD.untilInForce(3) <= 14 * SECOND);
+    assertTrue(DistributionTimings.STANDARD.propagationBoundMicros(1) <= 5 * SECOND);
+    assertTrue(DistributionTimings.STANDARD.propagationBoundMicros(3) <= 14 * SECOND);
   }
 }
--- a/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
+++ b/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
@@ -33,7 +33,7 @@
 
   private static Set<String> pairs(
       List<String> gateways, IntPredicate up, List<String> hosts, int size) {
-    List<List<String>> all = EndpointSubsetting.of(gateways, up, hosts, size);
+    List<List<String>> all = EndpointSubsetting.subsets(gateways, up, hosts, size);
     Set<String> pairs = new HashSet<>();
     for (int g = 0; g < gateways.size(); g++) {
       for (String host : all.get(g)) {
@@ -49,7 +49,7 @@
       @ForAll @IntRange(min = 1, max = 12) int hosts,
       @ForAll @IntRange(min = 1, max = 12) int size) {
     List<List<String>> all =
-        EndpointSubsetting.of(names("n", 0, gateways), g -> true, names("s-", 0, hosts), size);
+        EndpointSubsetting.subsets(names("n", 0, gateways), g -> true, names("s-", 0, hosts), size);
     Map<String, Long> load =
         all.stream()
             .flatMap(List::stream)
@@ -69,21 +69,22 @@
   void aFleetOfOneTwoAndAThousand() {
     assertEquals(
         List.of("s-0", "s-1", "s-2"),
-        EndpointSubsetting.of(
+        EndpointSubsetting.subsets(
                 List.of("n0"), g -> true, names("s-", 0, 3), EndpointSubsetting.size(1, 3))
             .get(0));
     assertEquals(
         3,
-        EndpointSubsetting.of(
+        EndpointSubsetting.subsets(
                 names("n", 0, 2), g -> true, names("s-", 0, 3), EndpointSubsetting.size(2, 3))
             .get(1)
             .size());
     assertEquals(
         List.of(List.of()),
-        EndpointSubsetting.of(List.of("n0"), g -> true, List.of(), EndpointSubsetting.size(1, 0)));
-    assertEquals(List.of(), EndpointSubsetting.of(List.of(), g -> true, names("s-", 0, 3), 2));
+        EndpointSubsetting.subsets(
+            List.of("n0"), g -> true, List.of(), EndpointSubsetting.size(1, 0)));
+    assertEquals(List.of(), EndpointSubsetting.subsets(List.of(), g -> true, names("s-", 0, 3), 2));
     List<List<String>> all =
-        EndpointSubsetting.of(names("n", 0, 1000), g -> true, names("s-", 0, 120), 3);
+        EndpointSubsetting.subsets(names("n", 0, 1000), g -> true, names("s-", 0, 120), 3);
     Map<String, Long> load =
         all.stream()
             .flatMap(List::stream)
@@ -96,10 +97,10 @@
   @Test
   void hostsInAnyOrderGiveTheSame() {
     List<String> hosts = names("s-", 0, 6);
-    List<List<String>> all = EndpointSubsetting.of(names("n", 0, 100), g -> true, hosts, 2);
+    List<List<String>> all = EndpointSubsetting.subsets(names("n", 0, 100), g -> true, hosts, 2);
     for (int seed = 0; seed < 10; seed++) {
       Collections.shuffle(hosts, new Random(seed));
-      assertEquals(all, EndpointSubsetting.of(names("n", 0, 100), g -> true, hosts, 2));
+      assertEquals(all, EndpointSubsetting.subsets(names("n", 0, 100), g -> true, hosts, 2));
     }
   }
 
@@ -154,7 +155,7 @@
       left += up[g] ? 1 : 0;
     }
     Map<String, Long> load =
-        EndpointSubsetting.of(names("n", 0, gateways), g -> up[g], names("s-", 0, hosts), 2)
+        EndpointSubsetting.subsets(names("n", 0, gateways), g -> up[g], names("s-", 0, hosts), 2)
             .stream()
             .flatMap(List::stream)
             .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
--- a/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
@@ -11,10 +11,10 @@
   private static int spent(HealthCheckBudget allowance, int requests) {
     int probes = 0;
     for (int i = 0; i <= requests; i++) {
-      while (allowance.take()) {
+      while (allowance.tryAcquire()) {
         probes++;
       }
-      allowance.asked();
+      allowance.recordRequest();
     }
     return probes;
   }
@@ -44,7 +44,7 @@
   void whatIsSavedInAQuietHourIsBounded() {
     HealthCheckBudget allowance = new HealthCheckBudget(0.01, 100);
     for (int i = 0; i < 10_000; i++) {
-      allowance.asked();
+      allowance.recordRequest();
     }
     assertEquals(4, spent(allowance, 0));
   }
--- a/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
@@ -37,7 +37,7 @@
       if (now > 60 * SECOND) {
         return new Asked(budget, 60 * SECOND);
       }
-      budget.asked((long) now, random.nextDouble() < owedShare);
+      budget.recordRequest((long) now, random.nextDouble() < owedShare);
     }
   }
 
@@ -145,7 +145,7 @@
       Asked a = traffic(random, rate, 0);
       double budget = a.budget.budget(a.now, warmth, 2, each, false);
       // The requests of the next moment, each of which counts itself.
-      a.budget.asked(a.now, false);
+      a.budget.recordRequest(a.now, false);
       int admitted = 0;
       for (int i = 0; i < 50; i++) {
         admitted += a.budget.admits(a.now, g + "-" + i, false, false, true, 0, budget) ? 1 : 0;
@@ -228,7 +228,7 @@
           warm = new DecayingAverage(SlowStartBudget.WINDOW);
         }
         long now = (long) (at * SECOND);
-        budget.asked(now, false);
+        budget.recordRequest(now, false);
         double usual = Math.max(least, warm.count(now) + 1.0 / HOSTS);
         double may = times * budget.budget(now, warmth, MULTIPLE, usual, false);
         boolean admitted = false;
@@ -241,7 +241,7 @@
           }
         }
         if (!admitted && random.nextInt(HOSTS - cold) == 0) {
-          warm.add(now, 1);
+          warm.record(now, 1);
         }
       }
     }
@@ -302,7 +302,7 @@
       before += a.budget.admits(a.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
     }
     for (int i = 0; i < 60; i++) {
-      a.budget.asked(a.now + i * SECOND / 60, false);
+      a.budget.recordRequest(a.now + i * SECOND / 60, false);
     }
     for (int i = 0; i < 1_000; i++) {
       after += a.budget.admits(a.now + SECOND, "r" + i, false, false, true, 0, 20) ? 1 : 0;
@@ -312,15 +312,17 @@
 
   @Test
   void warmthGrowsWithAgeAndStaysInBounds() {
-    assertEquals(0.2, SlowStartBudget.warmth(0, 0.2, 10 * SECOND));
+    assertEquals(0.2, SlowStartBudget.capacityFraction(0, 0.2, 10 * SECOND));
     assertEquals(
         0.2,
-        SlowStartBudget.warmth(-SECOND, 0.2, 10 * SECOND),
+        SlowStartBudget.capacityFraction(-SECOND, 0.2, 10 * SECOND),
         "started in the future by the list");
-    assertEquals(0.6, SlowStartBudget.warmth(5 * SECOND, 0.2, 10 * SECOND), 1e-9);
-    assertEquals(1, SlowStartBudget.warmth(10 * SECOND, 0.2, 10 * SECOND));
+    assertEquals(0.6, SlowStartBudget.capacityFraction(5 * SECOND, 0.2, 10 * SECOND), 1e-9);
+    assertEquals(1, SlowStartBudget.capacityFraction(10 * SECOND, 0.2, 10 * SECOND));
     assertEquals(
-        1, SlowStartBudget.warmth(0, 0.2, 0), "nothing is cold where the rule gives no time");
+        1,
+        SlowStartBudget.capacityFraction(0, 0.2, 0),
+        "nothing is cold where the rule gives no time");
   }
 
   @Test
--- a/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
@@ -18,13 +18,13 @@
   private final List<String> said = new ArrayList<>();
 
   private ConnectionQuota join(String name, double weight, int most) {
-    return holdings.join(
+    return holdings.register(
         weight, most, () -> said.add(name + " asked"), () -> said.add(name + " told"));
   }
 
   private static int fill(ConnectionQuota who) {
     int got = 0;
-    while (who.take(false) == Verdict.TAKEN) {
+    while (who.tryAcquire(false) == Verdict.TAKEN) {
       got++;
     }
     return got;
@@ -46,19 +46,19 @@
     ConnectionQuota first = join("first", 1, 100);
     ConnectionQuota second = join("second", 1, 100);
     fill(first);
-    assertEquals(Verdict.OWED, second.take(false));
-    assertEquals(Verdict.OWED, second.take(false));
+    assertEquals(Verdict.OWED, second.tryAcquire(false));
+    assertEquals(Verdict.OWED, second.tryAcquire(false));
     assertEquals(List.of("first asked", "first asked"), said);
-    first.giveBack();
+    first.release();
     assertEquals("second told", said.get(2));
-    second.told();
-    assertEquals(Verdict.TAKEN, second.take(false));
-    while (first.beyond() > 0) {
-      first.giveBack();
+    second.acknowledgeAvailable();
+    assertEquals(Verdict.TAKEN, second.tryAcquire(false));
+    while (first.excess() > 0) {
+      first.release();
     }
     assertEquals(20, second.held() + fill(second));
     assertEquals(20, first.held());
-    assertEquals(Verdict.REFUSED, second.take(false), "it has its part, and all are held");
+    assertEquals(Verdict.REFUSED, second.tryAcquire(false), "it has its part, and all are held");
   }
 
   /** What is lent stops short of all: whoever holds less than its part finds some at once. */
@@ -66,7 +66,7 @@
   void beyondItsPartATenantLeavesSomeForOthers() {
     ConnectionQuota small = join("small", 1, 100);
     ConnectionQuota large = join("large", 1, 100);
-    small.take(false);
+    small.tryAcquire(false);
     assertEquals(29, fill(large));
     assertEquals(10, fill(small));
   }
@@ -75,23 +75,23 @@
   void partsFollowWeightsAndTheirChange() {
     ConnectionQuota one = join("one", 1, 100);
     ConnectionQuota three = join("three", 3, 100);
-    one.take(false);
-    three.take(false);
-    assertEquals(1 - 10, one.beyond());
-    assertEquals(1 - 30, three.beyond());
-    three.change(1, 100);
-    assertEquals(1 - 20, one.beyond());
+    one.tryAcquire(false);
+    three.tryAcquire(false);
+    assertEquals(1 - 10, one.excess());
+    assertEquals(1 - 30, three.excess());
+    three.update(1, 100);
+    assertEquals(1 - 20, one.excess());
   }
 
   @Test
   void oneGivenBackForAnotherIsNotLostToTheBound() {
     ConnectionQuota a = join("a", 1, 100);
     ConnectionQuota b = join("b", 1, 100);
-    b.take(false);
+    b.tryAcquire(false);
     fill(a);
-    assertEquals(Verdict.REFUSED, a.take(false));
-    a.giveBack();
-    assertEquals(Verdict.TAKEN, a.take(true));
+    assertEquals(Verdict.REFUSED, a.tryAcquire(false));
+    a.release();
+    assertEquals(Verdict.TAKEN, a.tryAcquire(true));
   }
 
   /**
@@ -105,21 +105,21 @@
     List<ConnectionQuota> all = new ArrayList<>();
     for (int t = 0; t < 4; t++) {
       int seed = t;
-      ConnectionQuota mine = holdings.join(1 + t, 30, () -> {}, () -> {});
+      ConnectionQuota mine = holdings.register(1 + t, 30, () -> {}, () -> {});
       all.add(mine);
       new Thread(
               () -> {
                 Random random = new Random(seed);
                 for (int i = 0; i < 50_000; i++) {
                   if (random.nextBoolean()) {
-                    mine.take(random.nextInt(10) == 0);
+                    mine.tryAcquire(random.nextInt(10) == 0);
                   } else if (mine.held() > 0) {
-                    mine.giveBack();
+                    mine.release();
                   }
                   over[seed] |= holdings.held() > 40;
                 }
                 while (mine.held() > 0) {
-                  mine.giveBack();
+                  mine.release();
                 }
                 done.countDown();
               })
@@ -130,7 +130,7 @@
       assertTrue(!each, "more were held than there are");
     }
     assertEquals(0, holdings.held());
-    all.forEach(ConnectionQuota::told);
+    all.forEach(ConnectionQuota::acknowledgeAvailable);
     assertEquals(40, fill(join("last", 1, 100)), "no weight of the others is left");
   }
 }
--- a/core/src/test/java/shelffront/quota/TenantQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/TenantQuotasTest.java
@@ -22,7 +22,7 @@
     ArrayDeque<long[]> out = new ArrayDeque<>();
     for (long end = now + time; now < end; now += 100) {
       while (!out.isEmpty() && out.peek()[0] <= now) {
-        shares.end(who[(int) out.poll()[1]]);
+        shares.release(who[(int) out.poll()[1]]);
       }
       for (int i = 0; i < who.length; i++) {
         for (due[i] += rates[i] / 1e4; due[i] >= 1; due[i]--) {
@@ -33,7 +33,7 @@
         }
       }
     }
-    out.forEach(o -> shares.end(who[(int) o[1]]));
+    out.forEach(o -> shares.release(who[(int) o[1]]));
     for (int i = 0; i < who.length; i++) {
       admitted[i] *= 1e6 / time;
     }
@@ -42,15 +42,17 @@
 
   @Test
   void oneAloneHasAll() {
-    TenantQuotas.Quota a = shares.join(1, null);
-    shares.join(9, null);
+    TenantQuotas.Quota a = shares.register(1, null);
+    shares.register(9, null);
     run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND);
     assertEquals(1000, run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND)[0], 30);
   }
 
   @Test
   void threeThatFloodHaveTheirWeights() {
-    TenantQuotas.Quota[] three = {shares.join(1, null), shares.join(2, null), shares.join(4, null)};
+    TenantQuotas.Quota[] three = {
+      shares.register(1, null), shares.register(2, null), shares.register(4, null)
+    };
     run(three, new double[] {4000, 4000, 4000}, SECOND);
     double[] got = run(three, new double[] {4000, 4000, 4000}, 2 * SECOND);
     assertEquals(1000.0 / 7, got[0], 0.05 * 1000 / 7);
@@ -60,7 +62,7 @@
 
   @Test
   void oneWithinItsShareIsNotRefusedThoughAnotherFloods() {
-    TenantQuotas.Quota[] two = {shares.join(1, null), shares.join(1, null)};
+    TenantQuotas.Quota[] two = {shares.register(1, null), shares.register(1, null)};
     run(two, new double[] {400, 5000}, SECOND);
     double[] got = run(two, new double[] {400, 5000}, SECOND);
     assertEquals(400, got[0], 4);
@@ -70,29 +72,29 @@
   /** The stated time: one window, in which it has its own part already. */
   @Test
   void oneThatReturnsHasItsPartAtOnce() {
-    TenantQuotas.Quota[] two = {shares.join(1, null), shares.join(1, null)};
+    TenantQuotas.Quota[] two = {shares.register(1, null), shares.register(1, null)};
     run(two, new double[] {0, 5000}, 5 * SECOND);
     assertEquals(400, run(two, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW)[0], 20);
   }
 
   @Test
   void aWeightCutWhileItFloodsGivesTheOthersTheirPartWithinAWindow() {
-    TenantQuotas.Quota[] two = {shares.join(9, null), shares.join(1, null)};
+    TenantQuotas.Quota[] two = {shares.register(9, null), shares.register(1, null)};
     run(two, new double[] {5000, 5000}, SECOND);
     assertEquals(100, run(two, new double[] {5000, 5000}, SECOND)[1], 10);
-    shares.change(two[0], 1, null);
+    shares.updateWeights(two[0], 1, null);
     run(two, new double[] {5000, 5000}, TenantQuotas.WINDOW);
     assertEquals(500, run(two, new double[] {5000, 5000}, SECOND)[1], 25);
   }
 
   @Test
   void classesOfATenantShareWhatItHas() {
-    TenantQuotas.Quota a = shares.join(1, new double[] {1, 3});
+    TenantQuotas.Quota a = shares.register(1, new double[] {1, 3});
     double[] admitted = new double[2];
     for (int turn = 0; turn < 20_000; turn++, now += 100) {
       for (int c = 0; c < 2; c++) {
         if (shares.admit(a, c, now) == 0) {
-          shares.end(a);
+          shares.release(a);
           admitted[c] += turn >= 10_000 ? 1 : 0;
         }
       }
@@ -104,8 +106,8 @@
   @Test
   void placesHeldBeyondItsOwnLeaveRoomForTheOthers() {
     TenantQuotas places = new TenantQuotas(0, 100, now);
-    TenantQuotas.Quota a = places.join(1, null);
-    TenantQuotas.Quota b = places.join(1, null);
+    TenantQuotas.Quota a = places.register(1, null);
+    TenantQuotas.Quota b = places.register(1, null);
     int held = 0;
     while (places.admit(a, 0, now) == 0) {
       held++;
@@ -117,24 +119,24 @@
     }
     assertEquals(25, others);
     for (int i = 0; i < 20; i++) {
-      places.end(a);
+      places.release(a);
     }
     assertTrue(
         places.admit(b, 0, now) == 0 && places.admit(a, 0, now) > 0,
         "b is under its own half, a is not");
-    assertEquals(81, places.open());
+    assertEquals(81, places.openRequests());
   }
 
   /** 2,000 tenants that rest cost a busy one nothing: they are not among those who ask. */
   @Test
   void thoseWhoAskForNothingAreForgotten() {
     for (int i = 0; i < 2000; i++) {
-      TenantQuotas.Quota s = shares.join(1, null);
+      TenantQuotas.Quota s = shares.register(1, null);
       assertEquals(0, shares.admit(s, 0, now));
-      shares.end(s);
+      shares.release(s);
       now += 2000;
     }
-    TenantQuotas.Quota a = shares.join(1, null);
+    TenantQuotas.Quota a = shares.register(1, null);
     run(new TenantQuotas.Quota[] {a}, new double[] {5000}, 3 * SECOND);
     assertEquals(1000, run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND)[0], 30);
   }
@@ -147,7 +149,7 @@
     TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
     TenantQuotas.Quota[] who = {
-      loops[0].join(1, null), loops[1].join(1, null), loops[1].join(2, null)
+      loops[0].register(1, null), loops[1].register(1, null), loops[1].register(2, null)
     };
     int[] on = {0, 1, 1};
     double[] got = acrossLoops(loops, who, on, new double[] {4000, 4000, 4000}, SECOND);
@@ -155,7 +157,7 @@
     assertEquals(250, got[0], 15);
     assertEquals(250, got[1], 15);
     assertEquals(500, got[2], 30);
-    assertEquals(0, common.open(), "places");
+    assertEquals(0, common.openRequests(), "places");
   }
 
   /** What one loop's tenants leave idle the other's use, and give back within two windows. */
@@ -163,7 +165,7 @@
   void whatOneLoopLeavesIdleTheOtherUses() {
     TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    TenantQuotas.Quota[] who = {loops[0].join(1, null), loops[1].join(1, null)};
+    TenantQuotas.Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] on = {0, 1};
     acrossLoops(loops, who, on, new double[] {100, 4000}, SECOND);
     double[] got = acrossLoops(loops, who, on, new double[] {100, 4000}, SECOND);
@@ -180,7 +182,7 @@
   void aLoopThatFallsSilentHoldsNothingBack() {
     TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    TenantQuotas.Quota[] who = {loops[0].join(1, null), loops[1].join(1, null)};
+    TenantQuotas.Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] on = {0, 1};
     acrossLoops(loops, who, on, new double[] {4000, 4000}, SECOND);
     acrossLoops(loops, who, on, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW);
@@ -195,7 +197,7 @@
     for (long end = now + time; now < end; now += 100) {
       while (!out.isEmpty() && out.peek()[0] <= now) {
         int i = (int) out.poll()[1];
-        loops[on[i]].end(who[i]);
+        loops[on[i]].release(who[i]);
       }
       for (int i = 0; i < who.length; i++) {
         for (due[i] += rates[i] / 1e4; due[i] >= 1; due[i]--) {
@@ -206,7 +208,7 @@
         }
       }
     }
-    out.forEach(o -> loops[on[(int) o[1]]].end(who[(int) o[1]]));
+    out.forEach(o -> loops[on[(int) o[1]]].release(who[(int) o[1]]));
     for (int i = 0; i < who.length; i++) {
       admitted[i] *= 1e6 / time;
     }
--- a/core/src/test/java/shelffront/rollout/RolloutModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -37,24 +37,27 @@
 
   /** What the engine keeps. */
   private record Engine(
-      RolloutState standing, long index, Map<String, RolloutLeader.Seen> members, long next) {
+      RolloutState standing,
+      long index,
+      Map<String, RolloutLeader.VersionedMember> members,
+      long next) {
 
     Engine put(String key, long at, Member member, boolean checked) {
-      RolloutLeader.Seen now = members.get(key);
+      RolloutLeader.VersionedMember now = members.get(key);
       if (checked && (now == null ? 0 : now.index()) != at) {
         return this;
       }
-      Map<String, RolloutLeader.Seen> map = new TreeMap<>(members);
-      map.put(key, new RolloutLeader.Seen(member, next));
+      Map<String, RolloutLeader.VersionedMember> map = new TreeMap<>(members);
+      map.put(key, new RolloutLeader.VersionedMember(member, next));
       return new Engine(standing, index, map, next + 1);
     }
 
     Engine forget(String key, long at, boolean checked) {
-      RolloutLeader.Seen now = members.get(key);
+      RolloutLeader.VersionedMember now = members.get(key);
       if (now == null || checked && now.index() != at) {
         return this;
       }
-      Map<String, RolloutLeader.Seen> map = new TreeMap<>(members);
+      Map<String, RolloutLeader.VersionedMember> map = new TreeMap<>(members);
       map.remove(key);
       return new Engine(standing, index, map, next);
     }
@@ -128,7 +131,7 @@
       long clock,
       RolloutState standing,
       long index,
-      Map<String, RolloutLeader.Seen> members) {
+      Map<String, RolloutLeader.VersionedMember> members) {
 
     Mover with(RolloutLeader next) {
       return new Mover(next, clock, null, 0, null);
@@ -210,10 +213,12 @@
       Gateway g =
           new Gateway(0, LeaseHolder.absent(bounds, off), 0, null, 0, null, 0, false, 0, null, 0);
       for (int write = 0; joined && write < 2; write++) {
-        LeaseHolder.Write w = (LeaseHolder.Write) g.holder().action(0, Long.MAX_VALUE);
+        LeaseHolder.Write w = (LeaseHolder.Write) g.holder().nextAction(0, Long.MAX_VALUE);
         engine = engine.put(g.key(i), w.index(), w.member(), true);
-        g = g.with(g.holder().written(0, 0, w, true, engine.members().get(g.key(i)).index()));
-        g = g.with(g.holder().heard(g.holder().term(), engine.standing()));
+        g =
+            g.with(
+                g.holder().onWriteAnswered(0, 0, w, true, engine.members().get(g.key(i)).index()));
+        g = g.with(g.holder().onStateRead(g.holder().term(), engine.standing()));
       }
       all.add(g);
     }
@@ -360,11 +365,11 @@
               s,
               e,
               i,
-              g.with(h.written(g.sentAt(), now, g.out(), g.taken(), g.answered())),
+              g.with(h.onWriteAnswered(g.sentAt(), now, g.out(), g.taken(), g.answered())),
               "hears late that its write was " + (g.taken() ? "" : "not ") + "taken"));
     } else {
       LeaseHolder.Action action =
-          h.action(now, g.open() == null ? Long.MAX_VALUE : g.open().epoch());
+          h.nextAction(now, g.open() == null ? Long.MAX_VALUE : g.open().epoch());
       if (action instanceof LeaseHolder.Write w) {
         Engine after = e.put(key, w.index(), w.member(), checked);
         boolean taken = after != e;
@@ -375,7 +380,7 @@
                 s,
                 after,
                 i,
-                g.with(h.written(now, now, w, taken, at)),
+                g.with(h.onWriteAnswered(now, now, w, taken, at)),
                 what + (taken ? "" : " fails")));
         if (fault) {
           to.accept(
@@ -392,26 +397,26 @@
                   s,
                   e,
                   i,
-                  g.with(h.unsure(now)),
+                  g.with(h.onWriteUnknown(now)),
                   plus(s.loose(), new Loose(what, x -> x.put(key, w.index(), w.member(), checked))),
                   s.faults() - 1,
                   what + " is held up and given up"));
         }
-      } else if (action instanceof LeaseHolder.Look) {
-        RolloutLeader.Seen seen = e.members().get(key);
+      } else if (action instanceof LeaseHolder.ReadOwnKey) {
+        RolloutLeader.VersionedMember seen = e.members().get(key);
         to.accept(
             set(
                 s,
                 e,
                 i,
                 g.with(
-                    h.looked(
+                    h.onOwnKeyRead(
                         now, seen == null ? null : seen.member(), seen == null ? 0 : seen.index())),
                 "looks at " + key));
       }
     }
     if (h.isMember() || off.contains(SafetyRule.JOIN_FIRST)) {
-      LeaseHolder heard = h.heard(h.term(), e.standing());
+      LeaseHolder heard = h.onStateRead(h.term(), e.standing());
       if (heard != h) {
         to.accept(
             set(
@@ -452,7 +457,7 @@
               i,
               new Gateway(
                   g.life(),
-                  h.heard(g.lateTerm(), g.late()),
+                  h.onStateRead(g.lateTerm(), g.late()),
                   now,
                   g.open(),
                   g.openUntil(),
@@ -466,7 +471,12 @@
     }
     if (g.open() == null && h.inForce(now) != null) {
       to.accept(
-          set(s, e, i, g.acting(h.inForce(now), h.leaseUntil() + bounds.act()), "begins an act"));
+          set(
+              s,
+              e,
+              i,
+              g.acting(h.inForce(now), h.leaseUntil() + bounds.operationMicros()),
+              "begins an act"));
     } else if (g.open() != null) {
       to.accept(set(s, e, i, g.acting(null, 0), "ends an act"));
     }
@@ -519,7 +529,7 @@
               s,
               e,
               i,
-              m.with(m.owner().looked(m.clock(), e.standing(), e.index(), e.members())),
+              m.with(m.owner().onRead(m.clock(), e.standing(), e.index(), e.members())),
               s.loose(),
               s.faults(),
               "looks"));
@@ -533,13 +543,14 @@
     } else {
       RolloutState standing = m.standing() != null ? m.standing() : e.standing();
       long index = m.standing() != null ? m.index() : e.index();
-      Map<String, RolloutLeader.Seen> members = m.members() != null ? m.members() : e.members();
+      Map<String, RolloutLeader.VersionedMember> members =
+          m.members() != null ? m.members() : e.members();
       to.accept(
           set(
               s,
               e,
               i,
-              m.with(m.owner().looked(m.clock(), standing, index, members)),
+              m.with(m.owner().onRead(m.clock(), standing, index, members)),
               s.loose(),
               s.faults(),
               "ends its look"));
@@ -551,7 +562,7 @@
               s,
               effect.apply(e),
               i,
-              m.with(m.owner().done()),
+              m.with(m.owner().withoutActions()),
               s.loose(),
               s.faults(),
               action.toString()));
@@ -561,7 +572,7 @@
                 s,
                 e,
                 i,
-                m.with(m.owner().done()),
+                m.with(m.owner().withoutActions()),
                 plus(s.loose(), new Loose("the owner's " + action, effect)),
                 s.faults() - 1,
                 action + " is held up and given up"));
@@ -581,13 +592,13 @@
   }
 
   private Engine effect(Engine e, RolloutLeader.Action action) {
-    if (action instanceof RolloutLeader.Move move) {
+    if (action instanceof RolloutLeader.Advance move) {
       return e.stand(move.index(), move.to(), checked);
     }
     if (action instanceof RolloutLeader.Revoke r) {
       return e.put(r.key(), r.index(), r.revoked(), checked);
     }
-    RolloutLeader.Forget f = (RolloutLeader.Forget) action;
+    RolloutLeader.RemoveMember f = (RolloutLeader.RemoveMember) action;
     return e.forget(f.key(), f.index(), checked);
   }
 
--- a/core/src/test/java/shelffront/rollout/RolloutTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutTest.java
@@ -17,8 +17,9 @@
   private static final LeaseTimings BOUNDS = new LeaseTimings(3_000, 500, 0.01, 2_000);
   private static final RolloutState FIRST = new RolloutState(1, 0, 2);
 
-  private static Map<String, RolloutLeader.Seen> one(long epoch, boolean revoked, long index) {
-    return Map.of("g", new RolloutLeader.Seen(new Member(epoch, revoked), index));
+  private static Map<String, RolloutLeader.VersionedMember> one(
+      long epoch, boolean revoked, long index) {
+    return Map.of("g", new RolloutLeader.VersionedMember(new Member(epoch, revoked), index));
   }
 
   @Test
@@ -36,7 +37,7 @@
   void theLapseCoversASlowHolderAndAFastOwner() {
     // 3.5 ms of a clock that is 1 % slow are 3.535 ms, and those are 3.571 ms of one that is 1 %
     // fast.
-    assertEquals(3_571, BOUNDS.lapse());
+    assertEquals(3_571, BOUNDS.leaseExpiryBoundMicros());
     assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(3_000, 0, 1, 0));
     assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(0, 0, 0, 0));
     assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(1, 0, Double.NaN, 0));
@@ -44,69 +45,70 @@
 
   @Test
   void aMemberThatAcknowledgedLetsTheSubjectMove() {
-    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).looked(0, FIRST, 5, one(1, false, 9));
-    assertEquals(List.of(new RolloutLeader.Move(5, FIRST.next())), owner.actions());
-    assertTrue(owner.waitsFor().isEmpty());
+    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).onRead(0, FIRST, 5, one(1, false, 9));
+    assertEquals(List.of(new RolloutLeader.Advance(5, FIRST.next())), owner.actions());
+    assertTrue(owner.blockingMembers().isEmpty());
   }
 
   @Test
   void aMemberThatRenewsIsWaitedForAndOneThatDoesNotIsRevoked() {
     RolloutLeader owner = RolloutLeader.fresh(BOUNDS);
     for (int i = 0; i < 20; i++) {
-      owner = owner.looked(i * 500, FIRST, 5, one(0, false, 9 + i / 2));
+      owner = owner.onRead(i * 500, FIRST, 5, one(0, false, 9 + i / 2));
       assertTrue(owner.actions().isEmpty(), "it renews");
-      assertEquals(List.of("g"), owner.waitsFor());
+      assertEquals(List.of("g"), owner.blockingMembers());
     }
     for (int i = 20; i < 26; i++) {
-      owner = owner.looked(i * 500, FIRST, 5, one(0, false, 18));
+      owner = owner.onRead(i * 500, FIRST, 5, one(0, false, 18));
     }
     assertEquals(List.of(new RolloutLeader.Revoke("g", 18, new Member(0, true))), owner.actions());
   }
 
   @Test
   void nobodyIsBlamedForATimeInWhichTheOwnerSawNothing() {
-    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).looked(0, FIRST, 5, one(0, false, 9));
-    owner = owner.looked(60_000, FIRST, 5, one(0, false, 9));
+    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).onRead(0, FIRST, 5, one(0, false, 9));
+    owner = owner.onRead(60_000, FIRST, 5, one(0, false, 9));
     assertTrue(owner.actions().isEmpty(), "the engine was away; members renew as it comes back");
   }
 
   @Test
   void theMarkOfARevokedMemberGoesOnceItsLeaseHasLapsed() {
-    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).looked(0, FIRST, 5, one(0, true, 9));
+    RolloutLeader owner = RolloutLeader.fresh(BOUNDS).onRead(0, FIRST, 5, one(0, true, 9));
     assertTrue(owner.actions().isEmpty());
-    assertEquals(BOUNDS.lapse(), owner.wakeAt());
-    owner = owner.looked(BOUNDS.lapse(), FIRST, 5, one(0, true, 9));
+    assertEquals(BOUNDS.leaseExpiryBoundMicros(), owner.wakeAt());
+    owner = owner.onRead(BOUNDS.leaseExpiryBoundMicros(), FIRST, 5, one(0, true, 9));
     assertEquals(
-        List.of(new RolloutLeader.Move(5, FIRST.next()), new RolloutLeader.Forget("g", 9)),
+        List.of(new RolloutLeader.Advance(5, FIRST.next()), new RolloutLeader.RemoveMember("g", 9)),
         owner.actions());
   }
 
   @Test
   void aHolderJoinsTakesUpWhatItReadsAndFallsBackByItself() {
     LeaseHolder h = LeaseHolder.absent(BOUNDS);
-    assertNull(h.heard(1, FIRST).inForce(0), "no member yet");
-    LeaseHolder.Write join = assertInstanceOf(LeaseHolder.Write.class, h.action(0, Long.MAX_VALUE));
-    h = h.written(0, 40, join, true, 3).heard(1, FIRST);
+    assertNull(h.onStateRead(1, FIRST).inForce(0), "no member yet");
+    LeaseHolder.Write join =
+        assertInstanceOf(LeaseHolder.Write.class, h.nextAction(0, Long.MAX_VALUE));
+    h = h.onWriteAnswered(0, 40, join, true, 3).onStateRead(1, FIRST);
     assertEquals(FIRST, h.inForce(2_999));
     assertNull(h.inForce(3_000), "its lease ran from when it asked");
     assertEquals(
         new LeaseHolder.Write(3, new Member(1, false)),
-        h.action(100, Long.MAX_VALUE),
+        h.nextAction(100, Long.MAX_VALUE),
         "it acknowledges at once");
-    assertNull(h.action(100, 0), "not while something older goes on");
-    assertTrue(h.waitsForQuiet());
-    LeaseHolder gone = h.unsure(100).looked(110, new Member(0, true), 4);
+    assertNull(h.nextAction(100, 0), "not while something older goes on");
+    assertTrue(h.waitsForOpenOperations());
+    LeaseHolder gone = h.onWriteUnknown(100).onOwnKeyRead(110, new Member(0, true), 4);
     assertNull(gone.inForce(110));
     assertFalse(gone.isMember());
     assertEquals(2, gone.term(), "it joins anew under another name");
-    assertNull(gone.heard(1, FIRST).inForce(110), "what was read before tells nothing now");
+    assertNull(gone.onStateRead(1, FIRST).inForce(110), "what was read before tells nothing now");
   }
 
   @Test
   void theFenceTakesNothingOlderThanWhatItTook() {
     FencingGuard fence = new FencingGuard();
-    assertTrue(fence.takes(3) && fence.takes(3) && fence.takes(4));
-    assertFalse(fence.takes(3));
-    assertEquals(4, fence.newest());
+    assertTrue(fence.admits(3) && fence.admits(3) && fence.admits(4));
+    assertFalse(fence.admits(3));
+    assertEquals(4, fence.newestEpoch());
   }
 }
--- a/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
+++ b/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
@@ -13,27 +13,27 @@
   private final ConcurrencyLimit window = new ConcurrencyLimit();
 
   private boolean room(int out) {
-    return window.hasRoom(1_000_000, 1, out, 0, TOOK);
+    return window.hasCapacity(1_000_000, 1, out, 0, TOOK);
   }
 
   @Test
   void aSecondOpeningKeepsWhatWasLearned() {
-    window.open(2);
-    window.open(50);
+    window.initialize(2);
+    window.initialize(50);
     assertTrue(room(1));
     assertFalse(room(2));
-    assertFalse(window.hasRoom(1_000_000, 0.5, 1, 0, TOOK), "a part of it");
+    assertFalse(window.hasCapacity(1_000_000, 0.5, 1, 0, TOOK), "a part of it");
   }
 
   @Test
   void itGrowsWhileItIsUsedAndNoFurtherThanItsBound() {
-    window.open(4);
+    window.initialize(4);
     for (int i = 0; i < 100; i++) {
-      window.answered(0);
+      window.increase(0);
     }
     assertFalse(room(4), "one that is not used does not grow");
     for (int i = 0; i < 100_000; i++) {
-      window.answered(300);
+      window.increase(300);
     }
     assertTrue(room(199));
     assertFalse(room(200));
@@ -41,25 +41,25 @@
 
   @Test
   void itIsCutOnceInAnAnswerTime() {
-    window.open(16);
-    window.cut(1_000_000, TOOK, 0.5);
-    window.cut(1_000_001, TOOK, 0.5);
+    window.initialize(16);
+    window.decrease(1_000_000, TOOK, 0.5);
+    window.decrease(1_000_001, TOOK, 0.5);
     assertTrue(room(7));
-    window.cut(1_000_000 + TOOK + 1, TOOK, 0.5);
+    window.decrease(1_000_000 + TOOK + 1, TOOK, 0.5);
     assertFalse(room(4));
   }
 
   @Test
   void underOneItSpacesRequestsOut() {
-    window.open(1);
-    window.cut(0, TOOK, 0.5);
-    assertFalse(window.hasRoom(2 * TOOK, 1, 0, 0, TOOK));
-    assertTrue(window.hasRoom(2 * TOOK + 1, 1, 0, 0, TOOK));
+    window.initialize(1);
+    window.decrease(0, TOOK, 0.5);
+    assertFalse(window.hasCapacity(2 * TOOK, 1, 0, 0, TOOK));
+    assertTrue(window.hasCapacity(2 * TOOK + 1, 1, 0, 0, TOOK));
     for (int i = 1; i < 100; i++) {
-      window.cut(i * 2 * TOOK, TOOK, 0.5);
+      window.decrease(i * 2 * TOOK, TOOK, 0.5);
     }
-    assertTrue(window.hasRoom(40 * TOOK, 1, 0, 0, TOOK), "never shut for ever");
+    assertTrue(window.hasCapacity(40 * TOOK, 1, 0, 0, TOOK), "never shut for ever");
     window.halve();
-    assertTrue(window.hasRoom(1, 1, 0, 0, TOOK), "back from a ban it begins with one");
+    assertTrue(window.hasCapacity(1, 1, 0, 0, TOOK), "back from a ban it begins with one");
   }
 }
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -69,7 +69,7 @@
     this.network = network;
     this.limits = limits;
     this.sockets =
-        sockets.join(
+        sockets.register(
             weight,
             mostSockets,
             () -> network.post(this::giveOneBack),
@@ -81,7 +81,7 @@
   /** Takes the addresses of a list; connections to hosts that left it, or moved, are given back. */
   public void listed(EndpointList list) {
     for (Endpoint m : list.members()) {
-      if (m.availability() == Availability.GONE) {
+      if (m.availability() == Availability.REMOVED) {
         leave(m.id());
         continue;
       }
@@ -118,7 +118,9 @@
     BackendCall call = new BackendCall(member, hosts.get(member), null, network.loop().now());
     network.counters().add(Counters.Name.PROBES_SENT);
     call.endBy =
-        network.loop().after(limits.connectTimeout(), () -> giveUp(call, AttemptStatus.TIMEOUT));
+        network
+            .loop()
+            .after(limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.TIMEOUT));
     begin(call);
   }
 
@@ -175,7 +177,7 @@
     call.connectBy =
         network
             .loop()
-            .after(limits.connectTimeout(), () -> giveUp(call, AttemptStatus.CONNECT_FAILED));
+            .after(limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.CONNECT_FAILED));
     host.waiting.add(call);
     if (host.opening < host.waiting.size()) {
       open(host);
@@ -187,9 +189,9 @@
    * free.
    */
   private void open(BackendHost host) {
-    Verdict verdict = sockets.take(false);
+    Verdict verdict = sockets.tryAcquire(false);
     if (verdict != Verdict.TAKEN && evict()) {
-      verdict = sockets.take(true);
+      verdict = sockets.tryAcquire(true);
     }
     if (verdict != Verdict.TAKEN) {
       return;
@@ -199,24 +201,24 @@
       channel = network.newChannel();
     } catch (IOException e) {
       network.log().println("no socket for " + host.id + ": " + e.getMessage());
-      sockets.giveBack();
+      sockets.release();
       return;
     }
     host.opening++;
     network.counters().add(Counters.Name.HOST_CONNECTIONS_OPENED);
     BackendConnection connection =
-        new BackendConnection(network, channel, host, this, limits.connectTimeout());
+        new BackendConnection(network, channel, host, this, limits.connectTimeoutMicros());
     host.connections.add(connection);
     connection.open();
   }
 
   /** What another tenant is owed: an idle connection goes now, or the next that falls idle. */
   private void giveOneBack() {
-    owes = sockets.beyond() > 0 && !evict();
+    owes = sockets.excess() > 0 && !evict();
   }
 
   private void oneCame() {
-    sockets.told();
+    sockets.acknowledgeAvailable();
     for (BackendHost host : hosts.values()) {
       if (!openForWaiting(host)) {
         return;
@@ -238,7 +240,7 @@
 
   /** Its part of the sockets, which it shares with others, may change. */
   public void bound(double weight, int mostSockets) {
-    sockets.change(weight, mostSockets);
+    sockets.update(weight, mostSockets);
   }
 
   /** Sockets that are open to hosts. */
@@ -283,14 +285,14 @@
     }
     if (next != null) {
       carry(connection, next);
-    } else if (owes && sockets.beyond() > 0) {
+    } else if (owes && sockets.excess() > 0) {
       owes = false;
       connection.close(CloseReason.GIVEN_BACK);
     } else if (hosts.get(host.id) != host) {
       connection.close(CloseReason.LEFT_LIST);
     } else {
       host.idle.addLast(connection);
-      connection.idleUntil(network.loop().now() + limits.connectionIdle() * 4 / 5);
+      connection.idleUntil(network.loop().now() + limits.connectionIdleMicros() * 4 / 5);
     }
   }
 
@@ -312,7 +314,7 @@
   /** A connection that ends while it opens takes the call that waited longest with it. */
   void ended(BackendConnection connection) {
     BackendHost host = connection.host;
-    sockets.giveBack();
+    sockets.release();
     host.connections.remove(connection);
     host.idle.remove(connection);
     if (!connection.ready()) {
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -131,8 +131,8 @@
         errorCode == null
             ? AttemptStatus.OK
             : switch (errorCode) {
-              case "25006", "72000" -> AttemptStatus.MISS;
-              case "53300", "57P03" -> AttemptStatus.FULL;
+              case "25006", "72000" -> AttemptStatus.REPLICA_UNSUITABLE;
+              case "53300", "57P03" -> AttemptStatus.CAPACITY_EXCEEDED;
               default -> AttemptStatus.ERROR;
             };
     LoadReport report = LoadReportParser.read(probe ? value : told.get("usage"));
--- a/gateway/src/main/java/shelffront/config/EndpointList.java
+++ b/gateway/src/main/java/shelffront/config/EndpointList.java
@@ -22,11 +22,11 @@
   private static final Map<String, Availability> PHASES =
       Map.of(
           "Ready",
-          Availability.LIVE,
+          Availability.READY,
           "Terminating",
           Availability.DRAINING,
           "Gone",
-          Availability.GONE);
+          Availability.REMOVED);
 
   public static EndpointList empty() {
     return new EndpointList(0, true, List.of(), Map.of());
@@ -43,7 +43,7 @@
     Map<String, Endpoint> all = new LinkedHashMap<>();
     members.forEach(m -> all.put(m.id(), m));
     news.members.forEach(m -> all.put(m.id(), m));
-    all.values().removeIf(m -> m.availability() == Availability.GONE);
+    all.values().removeIf(m -> m.availability() == Availability.REMOVED);
     Map<String, InetSocketAddress> where = new HashMap<>(addresses);
     where.putAll(news.addresses);
     where.keySet().retainAll(all.keySet());
@@ -65,7 +65,7 @@
       if (phase == null) {
         throw new MalformedInputException("phase of " + id + " is not known");
       }
-      if (phase != Availability.GONE) {
+      if (phase != Availability.REMOVED) {
         addresses.put(id, GatewayConfig.address(JsonReader.text(m, "host_port")));
       }
       members.add(
--- a/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
+++ b/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
@@ -20,11 +20,11 @@
   private static final Map<String, Idempotency> EFFECTS =
       Map.of(
           "repeatable",
-          Idempotency.REPEATABLE,
+          Idempotency.IDEMPOTENT,
           "by_key",
-          Idempotency.KEYED,
+          Idempotency.IDEMPOTENCY_KEY,
           "once",
-          Idempotency.ONCE);
+          Idempotency.NON_IDEMPOTENT);
   private static final Map<String, DeduplicationScope> SCOPES =
       Map.of(
           "all",
@@ -32,21 +32,21 @@
           "zone",
           DeduplicationScope.ZONE,
           "cell",
-          DeduplicationScope.GROUP);
+          DeduplicationScope.REPLICA_SET);
   private static final Map<String, Consistency> READS =
       Map.of(
           "write",
           Consistency.WRITE,
           "fresh",
-          Consistency.FRESH,
+          Consistency.STRONG,
           "session",
           Consistency.SESSION,
           "bounded",
-          Consistency.BOUNDED,
+          Consistency.BOUNDED_STALENESS,
           "any",
-          Consistency.ANY);
+          Consistency.EVENTUAL);
   private static final Map<String, LagCheck> CHECKS =
-      Map.of("silent", LagCheck.NONE, "refuse", LagCheck.REFUSE, "wait", LagCheck.WAIT);
+      Map.of("silent", LagCheck.NONE, "refuse", LagCheck.REJECT, "wait", LagCheck.WAIT);
   private static final Map<String, ListedRoles> LIST_ROLES =
       Map.of("silent", ListedRoles.NONE, "start", ListedRoles.AT_START, "late", ListedRoles.LATE);
   private static final Map<String, LoadReportSource> SOURCES =
@@ -54,9 +54,9 @@
           "silent",
           LoadReportSource.NONE,
           "piggyback",
-          LoadReportSource.ANSWERS,
+          LoadReportSource.RESPONSES,
           "pull",
-          LoadReportSource.PROBES);
+          LoadReportSource.HEALTH_CHECKS);
 
   private final String path;
   private final Map<?, ?> values;
@@ -86,8 +86,8 @@
           new RoutingSettingsCodec("facts.categories[" + i + "]", asMap(entry));
       Consistency read =
           i < reads.size() && reads.get(i) instanceof String word
-              ? READS.getOrDefault(word, Consistency.FRESH)
-              : Consistency.FRESH;
+              ? READS.getOrDefault(word, Consistency.STRONG)
+              : Consistency.STRONG;
       long bound = i < bounds.size() && bounds.get(i) instanceof Number n ? n.longValue() : 0;
       long deadline = c.integer("hardLimit", 0);
       classes.add(
@@ -97,8 +97,8 @@
               deadline,
               c.number("points", 1),
               c.number("lateShare", 0),
-              c.word("effect", EFFECTS, Idempotency.ONCE),
-              c.word("group", SCOPES, DeduplicationScope.GROUP),
+              c.word("effect", EFFECTS, Idempotency.NON_IDEMPOTENT),
+              c.word("group", SCOPES, DeduplicationScope.REPLICA_SET),
               c.integer("dedupWindow", 0),
               read,
               bound));
--- a/gateway/src/main/java/shelffront/controlplane/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -90,7 +90,7 @@
 
   long age() {
     synchronized (table) {
-      return freshness.age(clock.getAsLong());
+      return freshness.maxAgeMicros(clock.getAsLong());
     }
   }
 
@@ -240,7 +240,7 @@
     synchronized (table) {
       List<RecordChange> records = new ArrayList<>();
       change.add().stream().map(table::record).filter(r -> r != null).forEach(records::add);
-      added = new Added(table.version(), freshness.age(clock.getAsLong()), records);
+      added = new Added(table.version(), freshness.maxAgeMicros(clock.getAsLong()), records);
     }
     Set<String> absent = new HashSet<>(change.add());
     added.records().forEach(r -> absent.remove(r.name()));
@@ -319,7 +319,7 @@
     long age;
     synchronized (table) {
       update = table.updateFor(poll.after, interest);
-      age = freshness.age(clock.getAsLong());
+      age = freshness.maxAgeMicros(clock.getAsLong());
     }
     if (update == null) {
       poll.responder.answer(BEHIND, NOTHING);
--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -51,7 +51,7 @@
               config.region(),
               config.zone(),
               config.distributors(),
-              config.timings().reconnectSpread(),
+              config.timings().reconnectJitterMicros(),
               new Random());
       Subscriber subscriber =
           new Subscriber(
@@ -91,7 +91,7 @@
         new ConsulCoordinationStore(
             config.engine().getHostString(),
             config.engine().getPort(),
-            Duration.of(config.timings().pollWait(), ChronoUnit.MICROS)),
+            Duration.of(config.timings().pollWaitMicros(), ChronoUnit.MICROS)),
         config.fleet());
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -104,7 +104,7 @@
             config.region(),
             config.zone(),
             config.distributors(),
-            config.timings().reconnectSpread(),
+            config.timings().reconnectJitterMicros(),
             random);
     subscriber =
         new Subscriber(
@@ -123,7 +123,7 @@
   public static HttpClient httpClient(DistributionTimings timings) {
     return HttpClient.newBuilder()
         .version(HttpClient.Version.HTTP_1_1)
-        .connectTimeout(Duration.ofNanos(timings.connectTimeout() * 1000))
+        .connectTimeout(Duration.ofNanos(timings.connectTimeoutMicros() * 1000))
         .build();
   }
 
@@ -312,7 +312,7 @@
 
   private ViewTooOld ageError() {
     long now = clock.getAsLong();
-    long age = freshness.age(now);
+    long age = freshness.maxAgeMicros(now);
     boolean starting = age == Staleness.NEVER && now - startedAt <= config.greatestAge();
     return starting || age <= config.greatestAge()
         ? null
@@ -341,7 +341,7 @@
   }
 
   private synchronized Status status(DistributorEndpoint following) {
-    long age = freshness.age(clock.getAsLong());
+    long age = freshness.maxAgeMicros(clock.getAsLong());
     ViewTooOld e = ageError();
     return new Status(
         view.version(),
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -107,11 +107,11 @@
   private static long millis(JsonNode o, String at, String field, long absent)
       throws SpecException {
     long value = o.path(field).asLong(absent);
-    if (value * MS < DistributionTimings.STANDARD.calmAge() || value > 3_600_000) {
+    if (value * MS < DistributionTimings.STANDARD.maxHealthyAgeMicros() || value > 3_600_000) {
       throw new SpecException(
           at + "/" + field,
           "is not from "
-              + DistributionTimings.STANDARD.calmAge() / MS
+              + DistributionTimings.STANDARD.maxHealthyAgeMicros() / MS
               + " to 3600000 milliseconds");
     }
     return value * MS;
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -127,7 +127,7 @@
   /** Tells the distributor that a record can't be put in force here. */
   synchronized void reject(DistributionMessages.Rejected rejected) {
     if (client != null) {
-      client.reject(subscription, rejected, timings.connectTimeout());
+      client.reject(subscription, rejected, timings.connectTimeoutMicros());
     }
   }
 
@@ -166,7 +166,7 @@
     adding = false;
     DistributorClient asked = new DistributorClient(http, endpoint);
     asked
-        .subscribe(owner.subscribing(), timings.connectTimeout())
+        .subscribe(owner.subscribing(), timings.connectTimeoutMicros())
         .whenCompleteAsync(
             (answer, failure) -> guarded(() -> subscribed(mine, asked, answer, failure)), timer);
   }
@@ -220,8 +220,8 @@
         .poll(
             subscription,
             owner.version(),
-            timings.pollWait(),
-            timings.pollWait() + patience * timings.answerGrace())
+            timings.pollWaitMicros(),
+            timings.pollWaitMicros() + patience * timings.responseGraceMicros())
         .whenCompleteAsync(
             (answer, failure) -> guarded(() -> polled(mine, asked, sentAt, answer, failure)),
             timer);
@@ -258,7 +258,7 @@
     boolean stale = answer.age() == Staleness.NEVER || answer.age() > staleAfter;
     // Where all are stale it would go round and round: one is given the time in which its own
     // upstream recovers.
-    if (stale && now - switchedAt > timings.failedHop()) {
+    if (stale && now - switchedAt > timings.failedHopMicros()) {
       log.println(
           name + " leaves distributor " + asked.endpoint().address() + ", whose view is old");
       choice.failed(asked.endpoint(), now);
@@ -292,7 +292,7 @@
             owner.beginAdding(names), names, List.copyOf(forgotten));
     forgotten.clear();
     client
-        .changeNames(subscription, change, timings.connectTimeout())
+        .changeNames(subscription, change, timings.connectTimeoutMicros())
         .whenCompleteAsync(
             (answer, failure) -> guarded(() -> added(mine, sentAt, names, answer, failure)), timer);
   }
--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -417,8 +417,8 @@
     Statement statement = Statement.read(bytes);
     int classIndex = classIndex(statement.value("c"));
     RequestClass type = taker.classes().get(classIndex);
-    Consistency read = type.read();
-    if (type.effect() == Idempotency.KEYED && statement.value("k") == null) {
+    Consistency read = type.consistency();
+    if (type.idempotency() == Idempotency.IDEMPOTENCY_KEY && statement.value("k") == null) {
       throw new ProtocolException("42601", "the class needs a key k");
     }
     long deadline = arrival + statement.number("d", 0) * 1000L;
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
@@ -108,7 +108,9 @@
   private static RolloutCoordinator stages(RolloutConfig fleet, EventLog log) throws IOException {
     CoordinationStore engine =
         new ConsulCoordinationStore(
-            fleet.host(), fleet.port(), Duration.of(fleet.bounds().lease() / 4, ChronoUnit.MICROS));
+            fleet.host(),
+            fleet.port(),
+            Duration.of(fleet.bounds().leaseMicros() / 4, ChronoUnit.MICROS));
     return new RolloutCoordinator(
         fleet,
         engine,
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
@@ -221,7 +221,7 @@
 
   private void keep(List<Subject> shard) {
     while (!closed) {
-      long wake = now() + bounds.renewEvery();
+      long wake = now() + bounds.renewIntervalMicros();
       for (Subject s : shard) {
         try {
           while (!closed && attend(shard, s)) {
@@ -229,11 +229,11 @@
           }
         } catch (CoordinationException e) {
           complain(s.name, e);
-          wake = now() + bounds.renewEvery() / 4;
+          wake = now() + bounds.renewIntervalMicros() / 4;
         }
         synchronized (shard) {
           publish(s);
-          wake = Math.min(wake, s.holder.waitsForQuiet() ? now() : s.holder.wakeAt());
+          wake = Math.min(wake, s.holder.waitsForOpenOperations() ? now() : s.holder.wakeAt());
         }
       }
       synchronized (shard) {
@@ -264,17 +264,17 @@
     long sentAt = now();
     synchronized (shard) {
       publish(s); // before what is open is looked at: see begin
-      action = s.holder.action(sentAt, s.open.oldest());
+      action = s.holder.nextAction(sentAt, s.open.oldest());
       key = prefix + "members/" + s.name + "/" + instance + "." + s.holder.term();
     }
     if (action == null) {
       return false;
     }
-    if (action instanceof LeaseHolder.Look) {
+    if (action instanceof LeaseHolder.ReadOwnKey) {
       Value value = engine.read(key);
       Member member = value == null ? null : member(value);
       synchronized (shard) {
-        s.holder = s.holder.looked(now(), member, value == null ? 0 : value.index());
+        s.holder = s.holder.onOwnKeyRead(now(), member, value == null ? 0 : value.index());
         publish(s);
       }
     } else {
@@ -300,8 +300,8 @@
         boolean ours = known && taken && after != null && after.text().equals(text);
         s.holder =
             ours
-                ? s.holder.written(sentAt, now(), write, true, after.index())
-                : s.holder.unsure(now());
+                ? s.holder.onWriteAnswered(sentAt, now(), write, true, after.index())
+                : s.holder.onWriteUnknown(now());
         publish(s);
       }
     }
@@ -320,7 +320,7 @@
     if (value != null) {
       RolloutState standing = standing(s, value);
       synchronized (shard) {
-        s.holder = s.holder.heard(term, standing);
+        s.holder = s.holder.onStateRead(term, standing);
         publish(s);
       }
     }
@@ -376,7 +376,7 @@
         complain("watch", e);
         index = 0;
         synchronized (this) {
-          pause(this, now() + bounds.renewEvery() / 4);
+          pause(this, now() + bounds.renewIntervalMicros() / 4);
         }
       }
     }
@@ -390,7 +390,7 @@
     long index = 0;
     long since = now();
     while (!closed) {
-      long wake = now() + bounds.renewEvery();
+      long wake = now() + bounds.renewIntervalMicros();
       try {
         Value value = engine.read(prefix + "owner");
         long at = value == null ? 0 : value.index();
@@ -399,7 +399,8 @@
           since = now();
         }
         boolean mine = value != null && value.text().startsWith(instance + " ");
-        boolean free = value == null || now() - since > OWNER_PATIENCE * bounds.suspect();
+        boolean free =
+            value == null || now() - since > OWNER_PATIENCE * bounds.suspectAfterMicros();
         boolean led = leads;
         leads = (mine || free) && engine.put(prefix + "owner", at, instance + " " + ++beat);
         if (leads != led) {
@@ -432,18 +433,18 @@
     }
     RolloutState standing = standing(s, value);
     String members = prefix + "members/" + s.name + "/";
-    Map<String, RolloutLeader.Seen> seen = new TreeMap<>();
+    Map<String, RolloutLeader.VersionedMember> seen = new TreeMap<>();
     for (Value m : engine.list(members).values()) {
-      seen.put(m.key(), new RolloutLeader.Seen(member(m), m.index()));
+      seen.put(m.key(), new RolloutLeader.VersionedMember(member(m), m.index()));
     }
     RolloutLeader owner =
         owners
             .getOrDefault(s.name, RolloutLeader.fresh(bounds))
-            .looked(now(), standing, value.index(), seen);
-    owners.put(s.name, owner.done());
-    s.waitsFor = owner.waitsFor().stream().map(k -> k.substring(members.length())).toList();
+            .onRead(now(), standing, value.index(), seen);
+    owners.put(s.name, owner.withoutActions());
+    s.waitsFor = owner.blockingMembers().stream().map(k -> k.substring(members.length())).toList();
     for (RolloutLeader.Action action : owner.actions()) {
-      if (action instanceof RolloutLeader.Move m) {
+      if (action instanceof RolloutLeader.Advance m) {
         if (engine.put(key, m.index(), text(s, m.to()))) {
           history.moved(instance, s.name, m.to(), now());
           log.println(
@@ -460,15 +461,15 @@
               "revoked "
                   + r.key()
                   + ", which did not renew; its lease may run for "
-                  + bounds.lapse() / 1000
+                  + bounds.leaseExpiryBoundMicros() / 1000
                   + " ms");
         }
-      } else if (action instanceof RolloutLeader.Forget f) {
+      } else if (action instanceof RolloutLeader.RemoveMember f) {
         engine.delete(f.key(), f.index());
       }
     }
     boolean moving = standing.stage() != standing.target();
-    return moving ? now() + Math.min(bounds.renewEvery() / 4, MOVING) : owner.wakeAt();
+    return moving ? now() + Math.min(bounds.renewIntervalMicros() / 4, MOVING) : owner.wakeAt();
   }
 
   // ---- Operators
--- a/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
@@ -42,7 +42,7 @@
           "error",
           AttemptStatus.ERROR,
           "full",
-          AttemptStatus.FULL,
+          AttemptStatus.CAPACITY_EXCEEDED,
           "timeout",
           AttemptStatus.TIMEOUT,
           "connect_failed",
@@ -54,18 +54,23 @@
           "moot",
           AttemptStatus.NOT_SENT,
           "miss",
-          AttemptStatus.MISS);
+          AttemptStatus.REPLICA_UNSUITABLE);
   private static final Map<String, Availability> AVAILABILITIES =
       Map.of(
-          "live", Availability.LIVE, "quiescing", Availability.DRAINING, "dead", Availability.GONE);
+          "live",
+          Availability.READY,
+          "quiescing",
+          Availability.DRAINING,
+          "dead",
+          Availability.REMOVED);
   private static final Map<String, EndpointUpdateKind> LIST_KINDS =
       Map.of(
           "changes",
-          EndpointUpdateKind.CHANGES,
+          EndpointUpdateKind.DELTA,
           "all",
-          EndpointUpdateKind.ALL,
+          EndpointUpdateKind.SNAPSHOT,
           "remembered",
-          EndpointUpdateKind.REMEMBERED,
+          EndpointUpdateKind.CACHED,
           "refused",
           EndpointUpdateKind.FAILED);
 
@@ -196,7 +201,7 @@
       }
       Router.RoutingSettings settings = RoutingSettingsCodec.read(facts);
       Map<String, Integer> classes = new HashMap<>();
-      for (Router.RequestClass c : settings.classes()) {
+      for (Router.RequestClass c : settings.requestClasses()) {
         classes.put(c.name(), classes.size());
       }
       Instance instance =
@@ -233,7 +238,7 @@
         if (members == null) {
           throw new MalformedInputException("discovery: list " + list + " was not given");
         }
-        return () -> router.onMembers(now, kind, version, members);
+        return () -> router.onEndpoints(now, kind, version, members);
       }
       case "query" -> {
         String id = row.text("xid");
@@ -269,14 +274,14 @@
         long position = stand >= 4 ? instance.zero + stand / 4 * 1000 : Router.UNKNOWN;
         AttemptOutcome outcome =
             new AttemptOutcome(id, attempt, member, status, finished, took, role, position, load);
-        return () -> router.onOutcome(now, outcome);
+        return () -> router.onAttemptOutcome(now, outcome);
       }
       case "sampled" -> {
         String member = row.text("member");
         AttemptStatus status = row.word("stateCode", STATUSES);
         long took = row.integer("took", 0);
         LoadReport load = load(row.object("usage"), instance.zero);
-        return () -> router.onProbeResult(now, member, status, took, load);
+        return () -> router.onHealthCheckResult(now, member, status, took, load);
       }
       case "deadlineHit" -> {
         String handle = row.text("handle");
@@ -284,12 +289,12 @@
       }
       case "gone" -> {
         String id = row.text("xid");
-        return () -> router.onClientGone(now, id);
+        return () -> router.onClientDisconnected(now, id);
       }
       case "message" -> {
         int from = (int) row.integer("neighbour");
         byte[] payload = decode(row.text("payload"));
-        return () -> router.onMessage(now, from, payload);
+        return () -> router.onPeerMessage(now, from, payload);
       }
       case "underWay" -> {
         return null;
@@ -398,12 +403,12 @@
     }
 
     @Override
-    public void send(String requestId, String member, long timeout) {
+    public void startAttempt(String requestId, String member, long timeout) {
       action("place", requestId, timeout, member);
     }
 
     @Override
-    public void cancel(String requestId, int attempt) {
+    public void cancelAttempt(String requestId, int attempt) {
       action("abortAttempt", requestId, attempt);
     }
 
@@ -418,7 +423,7 @@
     }
 
     @Override
-    public void probe(String member) {
+    public void checkHealth(String member) {
       action("soundOut", member);
     }
 
@@ -428,17 +433,17 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void watchEndpoints(boolean on) {
       action("listen", on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
       action("pull");
     }
 
     @Override
-    public void tellPeers(int peer, byte[] payload) {
+    public void sendToPeers(int peer, byte[] payload) {
       String text = Base64.getEncoder().encodeToString(payload);
       if (peer < 0) {
         action("publish", "all", text);
@@ -448,7 +453,7 @@
     }
 
     @Override
-    public void closeIdle(String member) {
+    public void closeIdleConnections(String member) {
       action("disconnect", member);
     }
 
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -99,7 +99,7 @@
     this.seed = seed;
     this.sockets = sockets;
     this.shares = shares;
-    share = shares == null ? null : shares.join(spec.weight(), spec.shares());
+    share = shares == null ? null : shares.register(spec.weight(), spec.shares());
     rate = new TokenBucket(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.now());
   }
 
@@ -153,13 +153,13 @@
       listen();
       // In a turn of its own: the first connections to hosts would else be late before the loop
       // looks at them.
-      network.post(() -> told(EndpointUpdateKind.REMEMBERED, heard));
+      network.post(() -> told(EndpointUpdateKind.CACHED, heard));
       return;
     }
     if (discovery != null) {
       discovery.watchAnew();
     } else {
-      told(EndpointUpdateKind.ALL, heard);
+      told(EndpointUpdateKind.SNAPSHOT, heard);
     }
     if (parked != 0) {
       setTimer("wake", parked);
@@ -176,7 +176,7 @@
     }
     // What was known of boxes will be old by then; an empty list leaves the module its sessions'
     // marks.
-    router.onMembers(loop.now(), EndpointUpdateKind.ALL, heard.revision(), List.of());
+    router.onEndpoints(loop.now(), EndpointUpdateKind.SNAPSHOT, heard.revision(), List.of());
     state = State.ASLEEP;
     if (discovery != null) {
       discovery.watch(false);
@@ -207,7 +207,7 @@
     }
     network.flow().weight(next.weight());
     if (share != null) {
-      shares.change(share, next.weight(), next.shares());
+      shares.updateWeights(share, next.weight(), next.shares());
     }
     if (moved) {
       discovery.move(next.discovery());
@@ -217,7 +217,7 @@
     }
     if (router != null && state != State.ASLEEP && (listed || drained)) {
       servers.listed(heard);
-      told(EndpointUpdateKind.ALL, heard);
+      told(EndpointUpdateKind.SNAPSHOT, heard);
     }
     return true;
   }
@@ -257,10 +257,10 @@
         // The module is told that nobody waits, so that it calls off what is out and counts nothing
         // more.
         exchange.answered = true;
-        router.onClientGone(loop.now(), exchange.id);
+        router.onClientDisconnected(loop.now(), exchange.id);
         boolean harmless =
             exchange.attempts.isEmpty()
-                || spec.settings().classes().get(exchange.classIndex).repeatable();
+                || spec.settings().requestClasses().get(exchange.classIndex).isIdempotent();
         finished(
             harmless
                 ? ClientRequest.ResponseListener::unavailable
@@ -276,7 +276,7 @@
 
   private void gone() {
     if (share != null) {
-      shares.leave(share);
+      shares.unregister(share);
     }
     left = true;
     if (!predecessor) { // else whoever comes after this one would not wait for the one before it
@@ -358,7 +358,7 @@
 
   @Override
   public List<RequestClass> classes() {
-    return spec.settings().classes();
+    return spec.settings().requestClasses();
   }
 
   @Override
@@ -443,14 +443,14 @@
   }
 
   private long told(long wait) {
-    return spec.settings().limits().toldWait(wait);
+    return spec.settings().limits().retryAfterMicros(wait);
   }
 
   @Override
   public void left(ClientRequest exchange) {
     if (exchanges.get(exchange.id) == exchange && !exchange.answered) {
       exchange.answered = true;
-      router.onClientGone(loop.now(), exchange.id);
+      router.onClientDisconnected(loop.now(), exchange.id);
       finished(asker -> {}, exchange);
     }
   }
@@ -458,7 +458,7 @@
   /** The one place where an answer leaves; the request's place is free from here. */
   private void finished(Consumer<ClientRequest.ResponseListener> answer, ClientRequest exchange) {
     if (share != null) {
-      shares.end(share);
+      shares.release(share);
     }
     answer.accept(exchange.asker);
     forget(exchange);
@@ -472,13 +472,13 @@
     return switch (status) {
       case OK -> Counters.Name.ATTEMPTS_OK;
       case ERROR -> Counters.Name.ATTEMPTS_ERROR;
-      case FULL -> Counters.Name.ATTEMPTS_FULL;
+      case CAPACITY_EXCEEDED -> Counters.Name.ATTEMPTS_FULL;
       case TIMEOUT -> Counters.Name.ATTEMPTS_TIMEOUT;
       case CONNECT_FAILED -> Counters.Name.ATTEMPTS_CONNECT_FAILED;
       case RESET -> Counters.Name.ATTEMPTS_RESET;
       case CANCELLED -> Counters.Name.ATTEMPTS_CANCELLED;
       case NOT_SENT -> Counters.Name.ATTEMPTS_NOT_SENT;
-      case MISS -> Counters.Name.ATTEMPTS_MISS;
+      case REPLICA_UNSUITABLE -> Counters.Name.ATTEMPTS_MISS;
     };
   }
 
@@ -495,7 +495,7 @@
     // this program's
     // own in its first seconds, for slowness of the host.
     long took = loop.now() - attempt.sentAt;
-    router.onOutcome(
+    router.onAttemptOutcome(
         loop.now(),
         new AttemptOutcome(
             exchange.id,
@@ -512,7 +512,7 @@
 
   @Override
   public boolean mayStart(BackendAttempt attempt) {
-    return router.mayStart(loop.now(), attempt.exchange.id, attempt.number);
+    return router.mayStartAttempt(loop.now(), attempt.exchange.id, attempt.number);
   }
 
   @Override
@@ -520,7 +520,7 @@
     if (reply.status() != AttemptStatus.OK) {
       network.counters().add(Counters.Name.PROBES_FAILED);
     }
-    router.onProbeResult(loop.now(), member, reply.status(), took, reply.load());
+    router.onHealthCheckResult(loop.now(), member, reply.status(), took, reply.load());
   }
 
   /** A request is kept until its last attempt has ended: the module is owed every outcome. */
@@ -537,7 +537,7 @@
   public void heard(EndpointList list) {
     heard = heard.with(list);
     servers.listed(list);
-    told(list.complete() ? EndpointUpdateKind.ALL : EndpointUpdateKind.CHANGES, list);
+    told(list.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
   }
 
   /**
@@ -552,11 +552,11 @@
             : list.members().stream()
                 .map(
                     m ->
-                        drained.contains(m.id()) && m.availability() == Availability.LIVE
-                            ? m.as(Availability.DRAINING)
+                        drained.contains(m.id()) && m.availability() == Availability.READY
+                            ? m.withAvailability(Availability.DRAINING)
                             : m)
                 .toList();
-    router.onMembers(loop.now(), kind, list.revision(), members);
+    router.onEndpoints(loop.now(), kind, list.revision(), members);
   }
 
   @Override
@@ -564,8 +564,8 @@
     if (!runs()) {
       return;
     }
-    if (spec.settings().listAsked()) {
-      router.onMembers(loop.now(), EndpointUpdateKind.FAILED, 0, List.of());
+    if (spec.settings().endpointListPolled()) {
+      router.onEndpoints(loop.now(), EndpointUpdateKind.FAILED, 0, List.of());
     } else {
       loop.at(loop.now() + AGENT_PAUSE, this::listen);
     }
@@ -575,7 +575,10 @@
    * Where lists are pushed the module asks for none: on sockets they come by a watch all the same.
    */
   private void listen() {
-    if (runs() && discovery != null && !spec.settings().listAsked() && !discovery.isOpen()) {
+    if (runs()
+        && discovery != null
+        && !spec.settings().endpointListPolled()
+        && !discovery.isOpen()) {
       discovery.watch(true);
     }
   }
@@ -584,7 +587,7 @@
   // --------------------------------------------------------------------------------
 
   @Override
-  public void send(String requestId, String member, long timeout) {
+  public void startAttempt(String requestId, String member, long timeout) {
     ClientRequest exchange = exchanges.get(requestId);
     BackendAttempt attempt = new BackendAttempt(exchange, member, loop.now());
     exchange.attempts.add(attempt);
@@ -597,7 +600,7 @@
   }
 
   @Override
-  public void cancel(String requestId, int attempt) {
+  public void cancelAttempt(String requestId, int attempt) {
     ClientRequest exchange = exchanges.get(requestId);
     if (exchange != null && attempt < exchange.attempts.size()) {
       servers.cancel(exchange.attempts.get(attempt));
@@ -627,7 +630,7 @@
    * with a probe.
    */
   @Override
-  public void probe(String member) {
+  public void checkHealth(String member) {
     if (runs()) {
       servers.probe(member);
     }
@@ -652,7 +655,7 @@
   }
 
   @Override
-  public void subscribe(boolean on) {
+  public void watchEndpoints(boolean on) {
     // One that stands is not begun anew: a move to another address may have come between its
     // failure and now.
     if (discovery != null && runs() && !(on && discovery.isOpen())) {
@@ -661,7 +664,7 @@
   }
 
   @Override
-  public void fetchList() {
+  public void fetchEndpoints() {
     discovery.fetch();
   }
 
@@ -669,12 +672,12 @@
    * Gateways of this kind can't reach each other; the settings say so and the module never asks.
    */
   @Override
-  public void tellPeers(int peer, byte[] payload) {
+  public void sendToPeers(int peer, byte[] payload) {
     throw new UnsupportedOperationException("gateways have no way to talk to each other");
   }
 
   @Override
-  public void closeIdle(String member) {
+  public void closeIdleConnections(String member) {
     servers.closeIdle(member);
   }
 
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -204,7 +204,7 @@
         c.path("worth").asDouble(1),
         c.path("lateShare").asDouble(0),
         idempotency(effect),
-        DeduplicationScope.GROUP,
+        DeduplicationScope.REPLICA_SET,
         c.path("windowMs").asLong(0) * MS,
         read,
         c.path("boundMs").asLong(0) * MS);
@@ -214,10 +214,10 @@
   private static Consistency consistency(String read) {
     return switch (read) {
       case "write" -> Consistency.WRITE;
-      case "fresh" -> Consistency.FRESH;
+      case "fresh" -> Consistency.STRONG;
       case "session" -> Consistency.SESSION;
-      case "bounded" -> Consistency.BOUNDED;
-      case "any" -> Consistency.ANY;
+      case "bounded" -> Consistency.BOUNDED_STALENESS;
+      case "any" -> Consistency.EVENTUAL;
       default -> throw new IllegalArgumentException("unknown kind of read: " + read);
     };
   }
@@ -225,9 +225,9 @@
   /** The schema admits these words alone. */
   private static Idempotency idempotency(String effect) {
     return switch (effect) {
-      case "repeatable" -> Idempotency.REPEATABLE;
-      case "keyed" -> Idempotency.KEYED;
-      case "once" -> Idempotency.ONCE;
+      case "repeatable" -> Idempotency.IDEMPOTENT;
+      case "keyed" -> Idempotency.IDEMPOTENCY_KEY;
+      case "once" -> Idempotency.NON_IDEMPOTENT;
       default -> throw new IllegalArgumentException("unknown effect: " + effect);
     };
   }
@@ -237,7 +237,7 @@
     LagCheck check =
         switch (hosts.path("check").asText("wait")) {
           case "silent" -> LagCheck.NONE;
-          case "refuse" -> LagCheck.REFUSE;
+          case "refuse" -> LagCheck.REJECT;
           default -> LagCheck.WAIT;
         };
     return new RoutingSettings(
@@ -252,7 +252,7 @@
         false,
         asked ? ListedRoles.LATE : ListedRoles.AT_START,
         asked,
-        LoadReportSource.PROBES,
+        LoadReportSource.HEALTH_CHECKS,
         new SafetyRules(2_000 * MS, 0.21, 18_000 * MS, 4, 2_000 * MS, false, 10_000 * MS, 20 * MS),
         new OperatingLimits(
             hosts.path("attempts").asInt(8),
@@ -286,7 +286,7 @@
               b.path("size").asDouble(1),
               0,
               b.path("role").asText().equals("primary"),
-              Availability.LIVE));
+              Availability.READY));
     }
     return new EndpointList(0, true, List.copyOf(members), Map.copyOf(addresses));
   }
--- a/gateway/src/main/java/shelffront/training/TrainingRun.java
+++ b/gateway/src/main/java/shelffront/training/TrainingRun.java
@@ -103,7 +103,12 @@
     out.write(Message.startup("api", "ledger"));
     untilReady(in);
     for (int i = 0; i < REQUESTS; i++) {
-      String name = config.settings().classes().get(i % config.settings().classes().size()).name();
+      String name =
+          config
+              .settings()
+              .requestClasses()
+              .get(i % config.settings().requestClasses().size())
+              .name();
       out.write(
           Message.query(
               ("/* id=r"
--- a/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
@@ -63,10 +63,10 @@
               1_200_000,
               2,
               0,
-              Idempotency.REPEATABLE,
-              DeduplicationScope.GROUP,
+              Idempotency.IDEMPOTENT,
+              DeduplicationScope.REPLICA_SET,
               0,
-              Consistency.BOUNDED,
+              Consistency.BOUNDED_STALENESS,
               500_000),
           new RequestClass(
               "own-edit-read",
@@ -74,8 +74,8 @@
               2_000_000,
               3,
               0,
-              Idempotency.REPEATABLE,
-              DeduplicationScope.GROUP,
+              Idempotency.IDEMPOTENT,
+              DeduplicationScope.REPLICA_SET,
               0,
               Consistency.SESSION,
               0),
@@ -85,10 +85,10 @@
               1_500_000,
               1,
               0,
-              Idempotency.REPEATABLE,
-              DeduplicationScope.GROUP,
+              Idempotency.IDEMPOTENT,
+              DeduplicationScope.REPLICA_SET,
               0,
-              Consistency.FRESH,
+              Consistency.STRONG,
               0),
           new RequestClass(
               "map-write",
@@ -96,8 +96,8 @@
               3_000_000,
               6,
               0.7,
-              Idempotency.KEYED,
-              DeduplicationScope.GROUP,
+              Idempotency.IDEMPOTENCY_KEY,
+              DeduplicationScope.REPLICA_SET,
               2_000_000,
               Consistency.WRITE,
               0));
@@ -131,7 +131,7 @@
         false,
         ListedRoles.LATE,
         true,
-        LoadReportSource.PROBES,
+        LoadReportSource.HEALTH_CHECKS,
         TENANT_RULES,
         new OperatingLimits(8, 2_000_000, true, true, false, true, false, 250_000, 30_000_000),
         0,
@@ -185,7 +185,7 @@
                         2_000_000,
                         3,
                         0,
-                        Idempotency.REPEATABLE,
+                        Idempotency.IDEMPOTENT,
                         DeduplicationScope.ALL,
                         5_000_000,
                         Consistency.SESSION,
@@ -196,10 +196,10 @@
                         1_500_000,
                         1,
                         0,
-                        Idempotency.REPEATABLE,
+                        Idempotency.IDEMPOTENT,
                         DeduplicationScope.ALL,
                         5_000_000,
-                        Consistency.FRESH,
+                        Consistency.STRONG,
                         0),
                     new RequestClass(
                         "order",
@@ -207,8 +207,8 @@
                         3_000_000,
                         6,
                         0.7,
-                        Idempotency.KEYED,
-                        DeduplicationScope.GROUP,
+                        Idempotency.IDEMPOTENCY_KEY,
+                        DeduplicationScope.REPLICA_SET,
                         2_000_000,
                         Consistency.WRITE,
                         0)),
@@ -218,7 +218,7 @@
                 false,
                 ListedRoles.LATE,
                 true,
-                LoadReportSource.PROBES,
+                LoadReportSource.HEALTH_CHECKS,
                 new SafetyRules(
                     2_000_000, 0.21, 18_000_000, 4, 2_000_000, false, 10_000_000, 20_000),
                 new OperatingLimits(
@@ -253,8 +253,8 @@
                     3_000_000,
                     6,
                     0.7,
-                    Idempotency.KEYED,
-                    DeduplicationScope.GROUP,
+                    Idempotency.IDEMPOTENCY_KEY,
+                    DeduplicationScope.REPLICA_SET,
                     2_000_000,
                     Consistency.WRITE,
                     0),
@@ -264,10 +264,10 @@
                     1_500_000,
                     1,
                     0.1,
-                    Idempotency.REPEATABLE,
+                    Idempotency.IDEMPOTENT,
                     DeduplicationScope.ALL,
                     5_000_000,
-                    Consistency.FRESH,
+                    Consistency.STRONG,
                     0),
                 new RequestClass(
                     "own",
@@ -275,7 +275,7 @@
                     1_600_000,
                     2,
                     0.2,
-                    Idempotency.REPEATABLE,
+                    Idempotency.IDEMPOTENT,
                     DeduplicationScope.ZONE,
                     0,
                     Consistency.SESSION,
@@ -286,10 +286,10 @@
                     1_700_000,
                     3,
                     0.3,
-                    Idempotency.REPEATABLE,
+                    Idempotency.IDEMPOTENT,
                     DeduplicationScope.ALL,
                     0,
-                    Consistency.BOUNDED,
+                    Consistency.BOUNDED_STALENESS,
                     450_000),
                 new RequestClass(
                     "any",
@@ -297,10 +297,10 @@
                     1_800_000,
                     4,
                     0.4,
-                    Idempotency.REPEATABLE,
+                    Idempotency.IDEMPOTENT,
                     DeduplicationScope.ALL,
                     0,
-                    Consistency.ANY,
+                    Consistency.EVENTUAL,
                     0),
                 new RequestClass(
                     "pay",
@@ -308,18 +308,18 @@
                     1_900_000,
                     5,
                     0.5,
-                    Idempotency.ONCE,
+                    Idempotency.NON_IDEMPOTENT,
                     DeduplicationScope.ALL,
                     0,
                     Consistency.WRITE,
                     0)),
-            LagCheck.REFUSE,
+            LagCheck.REJECT,
             60_000,
             true,
             true,
             ListedRoles.AT_START,
             true,
-            LoadReportSource.ANSWERS,
+            LoadReportSource.RESPONSES,
             new SafetyRules(1_500_000, 0.25, 17_000_000, 2.5, 3_000_000, true, 9_000_000, 25_000),
             new OperatingLimits(5, 1_200_000, true, true, true, true, true, 400_000, 8_000_000),
             0.125,
@@ -330,9 +330,9 @@
             17,
             true,
             List.of(
-                new Endpoint("b1", "large", "a", 4, 1.5, 1_234_000, true, Availability.LIVE),
+                new Endpoint("b1", "large", "a", 4, 1.5, 1_234_000, true, Availability.READY),
                 new Endpoint("b2", "small", "b", 4, 0.5, 0, false, Availability.DRAINING),
-                new Endpoint("b3", "", "", 0, 1, 0, false, Availability.GONE)),
+                new Endpoint("b3", "", "", 0, 1, 0, false, Availability.REMOVED)),
             Map.of(
                 "b1",
                 new InetSocketAddress("10.0.0.1", 5432),
@@ -362,37 +362,37 @@
   @Test
   void readsEveryWordOfGatewaySettings() throws Exception {
     for (Map.Entry<String, LagCheck> word :
-        Map.of("silent", LagCheck.NONE, "refuse", LagCheck.REFUSE, "wait", LagCheck.WAIT)
+        Map.of("silent", LagCheck.NONE, "refuse", LagCheck.REJECT, "wait", LagCheck.WAIT)
             .entrySet()) {
       String json = "{\"familyInfo\":{\"checks\":\"" + word.getKey() + "\"}}";
-      assertEquals(word.getValue(), settings(json).check(), json);
+      assertEquals(word.getValue(), settings(json).lagCheck(), json);
     }
     for (Map.Entry<String, ListedRoles> word :
         Map.of("silent", ListedRoles.NONE, "start", ListedRoles.AT_START, "late", ListedRoles.LATE)
             .entrySet()) {
       String json = "{\"familyInfo\":{\"roleInList\":\"" + word.getKey() + "\"}}";
-      assertEquals(word.getValue(), settings(json).listRole(), json);
+      assertEquals(word.getValue(), settings(json).listedRoles(), json);
     }
     for (Map.Entry<String, LoadReportSource> word :
         Map.of(
                 "silent",
                 LoadReportSource.NONE,
                 "piggyback",
-                LoadReportSource.ANSWERS,
+                LoadReportSource.RESPONSES,
                 "pull",
-                LoadReportSource.PROBES)
+                LoadReportSource.HEALTH_CHECKS)
             .entrySet()) {
       String json = "{\"loadInfo\":{\"source\":\"" + word.getKey() + "\"}}";
-      assertEquals(word.getValue(), settings(json).reports(), json);
+      assertEquals(word.getValue(), settings(json).loadReportSource(), json);
     }
     for (Map.Entry<String, Boolean> word : Map.of("ask", true, "push", false).entrySet()) {
       String json = "{\"membershipMode\":\"" + word.getKey() + "\"}";
-      assertEquals(word.getValue(), settings(json).listAsked(), json);
+      assertEquals(word.getValue(), settings(json).endpointListPolled(), json);
     }
     for (Map.Entry<String, Boolean> word :
         Map.of("carried", true, "remembered", false).entrySet()) {
       String json = "{\"familyInfo\":{\"sessionMarks\":\"" + word.getKey() + "\"}}";
-      assertEquals(word.getValue(), settings(json).tokensCarried(), json);
+      assertEquals(word.getValue(), settings(json).clientsCarryPosition(), json);
     }
     assertEquals(
         99, RoutingSettingsCodec.zero(JsonReader.object("{\"familyInfo\":{\"zero\":99}}")));
@@ -589,10 +589,10 @@
                     1_200_000,
                     2,
                     0.25,
-                    Idempotency.REPEATABLE,
-                    DeduplicationScope.GROUP,
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.REPLICA_SET,
                     0,
-                    Consistency.BOUNDED,
+                    Consistency.BOUNDED_STALENESS,
                     500_000),
                 new RequestClass(
                     "own-read",
@@ -600,8 +600,8 @@
                     2_000_000,
                     3,
                     0,
-                    Idempotency.REPEATABLE,
-                    DeduplicationScope.GROUP,
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.REPLICA_SET,
                     0,
                     Consistency.SESSION,
                     0),
@@ -611,10 +611,10 @@
                     1_500_000,
                     1,
                     0,
-                    Idempotency.REPEATABLE,
-                    DeduplicationScope.GROUP,
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.REPLICA_SET,
                     0,
-                    Consistency.FRESH,
+                    Consistency.STRONG,
                     0),
                 new RequestClass(
                     "old-read",
@@ -622,10 +622,10 @@
                     900_000,
                     1,
                     0,
-                    Idempotency.REPEATABLE,
-                    DeduplicationScope.GROUP,
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.REPLICA_SET,
                     0,
-                    Consistency.ANY,
+                    Consistency.EVENTUAL,
                     0),
                 new RequestClass(
                     "map-write",
@@ -633,8 +633,8 @@
                     3_000_000,
                     6,
                     0.7,
-                    Idempotency.KEYED,
-                    DeduplicationScope.GROUP,
+                    Idempotency.IDEMPOTENCY_KEY,
+                    DeduplicationScope.REPLICA_SET,
                     2_000_000,
                     Consistency.WRITE,
                     0),
@@ -644,18 +644,18 @@
                     2_500_000,
                     1,
                     0,
-                    Idempotency.ONCE,
-                    DeduplicationScope.GROUP,
+                    Idempotency.NON_IDEMPOTENT,
+                    DeduplicationScope.REPLICA_SET,
                     0,
                     Consistency.WRITE,
                     0)),
-            LagCheck.REFUSE,
+            LagCheck.REJECT,
             80_000,
             false,
             false,
             ListedRoles.AT_START,
             false,
-            LoadReportSource.PROBES,
+            LoadReportSource.HEALTH_CHECKS,
             TENANT_RULES,
             new OperatingLimits(5, 2_000_000, true, true, false, true, false, 300_000, 12_000_000),
             0,
@@ -668,9 +668,9 @@
             0,
             true,
             List.of(
-                new Endpoint("box_1", "large", "a", 7, 2, 0, true, Availability.LIVE),
-                new Endpoint("box-2", "small", "b", 7, 0.5, 0, false, Availability.LIVE),
-                new Endpoint("box.3", "", "", 0, 1, 0, false, Availability.LIVE)),
+                new Endpoint("box_1", "large", "a", 7, 2, 0, true, Availability.READY),
+                new Endpoint("box-2", "small", "b", 7, 0.5, 0, false, Availability.READY),
+                new Endpoint("box.3", "", "", 0, 1, 0, false, Availability.READY)),
             Map.of(
                 "box_1",
                 new InetSocketAddress("10.0.0.1", 5432),
@@ -704,8 +704,8 @@
                     1_200_000,
                     1,
                     0,
-                    Idempotency.REPEATABLE,
-                    DeduplicationScope.GROUP,
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.REPLICA_SET,
                     0,
                     Consistency.SESSION,
                     0),
@@ -715,8 +715,8 @@
                     2_400_000,
                     1,
                     0,
-                    Idempotency.ONCE,
-                    DeduplicationScope.GROUP,
+                    Idempotency.NON_IDEMPOTENT,
+                    DeduplicationScope.REPLICA_SET,
                     0,
                     Consistency.WRITE,
                     0))),
--- a/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
+++ b/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
@@ -212,15 +212,15 @@
       if (!a.id.equals(value)) {
         violated(now, Rule.RIGHT_VALUE, a.id + " was answered with " + value);
       }
-      if (a.type.writes() && !a.applied && !lostKeys.contains(a.key)) {
+      if (a.type.isWrite() && !a.applied && !lostKeys.contains(a.key)) {
         violated(now, Rule.NOTHING_LOST, a.id + " was told served and has no effect");
       }
-      if (a.type.writes() && !lostKeys.contains(a.key)) {
+      if (a.type.isWrite() && !lostKeys.contains(a.key)) {
         marks.merge(markOf(a.gateway, a.session), commits.getOrDefault(a.key, 0L), Math::max);
       }
     } else if (code.equals("53300") || code.equals("57P03")) {
       for (Try t : a.tries) {
-        if (!a.type.repeatable() && t.begun && !t.neverRan) {
+        if (!a.type.isIdempotent() && t.begun && !t.neverRan) {
           violated(now, Rule.TRUE_REFUSAL, a.id + " was told untouched, and had begun at " + t.box);
         }
       }
@@ -271,7 +271,7 @@
       if (Math.min(earlier.answeredAt, earlier.overAt.getAsLong())
           > Math.max(t.sentAt, writtenAt)) {
         out++;
-        if (out > (copies && a.type.repeatable() ? 1 : 0)) {
+        if (out > (copies && a.type.isIdempotent() ? 1 : 0)) {
           violated(
               now, Rule.ONE_ATTEMPT_OUT, id + " was sent to " + box + " while out at " + t.box);
         }
@@ -281,11 +281,11 @@
       }
     }
     if (first < Long.MAX_VALUE) {
-      switch (a.type.effect()) {
-        case ONCE ->
+      switch (a.type.idempotency()) {
+        case NON_IDEMPOTENT ->
             violated(now, Rule.CLASS_PERMITS, id + " may run once and was sent again to " + box);
-        case KEYED -> {
-          if (writtenAt > first + a.type.window() + SLACK) {
+        case IDEMPOTENCY_KEY -> {
+          if (writtenAt > first + a.type.deduplicationWindowMicros() + SLACK) {
             violated(
                 now,
                 Rule.CLASS_PERMITS,
@@ -356,7 +356,8 @@
     if (sent < known) {
       return;
     }
-    if (a.type.read() == Consistency.BOUNDED && position < sent - a.type.bound() - SLACK) {
+    if (a.type.consistency() == Consistency.BOUNDED_STALENESS
+        && position < sent - a.type.maxStalenessMicros() - SLACK) {
       violated(
           now,
           Rule.FRESH,
@@ -366,7 +367,7 @@
               id,
               box,
               (sent - position) / 1e3));
-    } else if (a.type.read() == Consistency.SESSION && position < a.mark) {
+    } else if (a.type.consistency() == Consistency.SESSION && position < a.mark) {
       violated(
           now,
           Rule.OWN_WRITES,
@@ -376,7 +377,7 @@
               id,
               box,
               (a.mark - position) / 1e3));
-    } else if (a.type.read() == Consistency.FRESH) {
+    } else if (a.type.consistency() == Consistency.STRONG) {
       violated(now, Rule.FRESH, id + " had to be current and was read from " + box);
     }
   }
--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -109,28 +109,28 @@
     }
     long now = fleet.clock().now();
     String id = "g" + gateway + "r" + asked++;
-    String key = type.writes() ? "k" + id : null;
+    String key = type.isWrite() ? "k" + id : null;
     Asked a =
         fleet
             .auditor()
-            .asks(id, type, key, set + "/" + session, gateway, now, now + type.deadline());
+            .asks(id, type, key, set + "/" + session, gateway, now, now + type.deadlineMicros());
     fleet.asked(a, retries);
     connection.ask(
         a,
         ClientConnectionHandler.statement(
             id,
             type.name(),
-            type.deadline() / 1000,
+            type.deadlineMicros() / 1000,
             key,
             set,
             set + "/" + session,
-            type.writes(),
+            type.isWrite(),
             carried(a)),
-        now + type.deadline() + PATIENCE);
+        now + type.deadlineMicros() + PATIENCE);
   }
 
   private long carried(Asked a) {
-    return fleet.scenario().deployment().carried() && a.type.read() == Consistency.SESSION
+    return fleet.scenario().deployment().carried() && a.type.consistency() == Consistency.SESSION
         ? a.mark
         : 0;
   }
@@ -162,10 +162,10 @@
   public void answered(
       ClientConnectionHandler<Asked> by, Asked a, String value, String error, long retryAfter) {
     fleet.answered(a, value, error);
-    if (error == null && a.type.writes() && random.nextDouble() < 0.6) {
+    if (error == null && a.type.isWrite() && random.nextDouble() < 0.6) {
       RequestClass own =
           fleet.types().stream()
-              .filter(t -> t.read() == Consistency.SESSION)
+              .filter(t -> t.consistency() == Consistency.SESSION)
               .findFirst()
               .orElseThrow();
       ClientPopulation next =
--- a/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
@@ -921,7 +921,7 @@
 
   void asked(Asked a, int tried) {
     requests++;
-    wanted[window(a)] += a.type.worth();
+    wanted[window(a)] += a.type.priorityWeight();
     worthOf(a.type)[0]++;
     if (tried > 0) {
       retries.put(a.id, tried);
@@ -951,12 +951,15 @@
     auditor.answered(a, now, value, code);
     int what =
         code == null
-            ? now <= a.sentAt + a.type.aim() ? 1 : 2
+            ? now <= a.sentAt + a.type.latencyObjectiveMicros() ? 1 : 2
             : code.equals("53300") || code.equals("57P03") ? 3 : 4;
     worthOf(a.type)[what]++;
     if (code == null) {
       latency.recordValue(Math.max(0, now - a.sentAt));
-      kept[window(a)] += what == 1 ? a.type.worth() : a.type.worth() * a.type.lateShare();
+      kept[window(a)] +=
+          what == 1
+              ? a.type.priorityWeight()
+              : a.type.priorityWeight() * a.type.lateValueFraction();
     }
   }
 
@@ -1016,9 +1019,9 @@
           s.value("id"),
           s.value("k"),
           s.key(),
-          type.writes(),
-          type.read() == Consistency.FRESH,
-          type.bound(),
+          type.isWrite(),
+          type.consistency() == Consistency.STRONG,
+          type.maxStalenessMicros(),
           scheduler.now() + s.number("d", 0) * 1000L);
     }
 
@@ -1055,7 +1058,7 @@
 
     @Override
     public boolean reports() {
-      return scenario.deployment().reports() == LoadReportSource.ANSWERS;
+      return scenario.deployment().reports() == LoadReportSource.RESPONSES;
     }
 
     @Override
@@ -1137,8 +1140,8 @@
     for (RequestClass type : types) {
       long[] w = worthOf(type);
       out.put(type.name(), new Worth(w[0], w[1], w[2], w[3], w[4], w[5]));
-      served += type.worth() * (w[1] + type.lateShare() * w[2]);
-      due += type.worth() * w[0];
+      served += type.priorityWeight() * (w[1] + type.lateValueFraction() * w[2]);
+      due += type.priorityWeight() * w[0];
     }
     return new Result(
         auditor.violations(),
--- a/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -52,7 +52,7 @@
         onceWrites,
         false,
         false,
-        LoadReportSource.PROBES,
+        LoadReportSource.HEALTH_CHECKS,
         true,
         ListedRoles.LATE,
         false,
@@ -69,7 +69,7 @@
         onceWrites,
         true,
         true,
-        LoadReportSource.ANSWERS,
+        LoadReportSource.RESPONSES,
         true,
         ListedRoles.AT_START,
         true,
@@ -83,7 +83,7 @@
     LoadReportSource reports =
         stamped && r.nextInt(3) == 0
             ? LoadReportSource.NONE
-            : r.nextBoolean() ? LoadReportSource.ANSWERS : LoadReportSource.PROBES;
+            : r.nextBoolean() ? LoadReportSource.RESPONSES : LoadReportSource.HEALTH_CHECKS;
     return new RandomDeployment(
         onceWrites,
         r.nextBoolean(),
@@ -100,17 +100,17 @@
     List<RequestClass> types =
         new ArrayList<>(
             List.of(
-                type("map-read", 500 * MS, 1200 * MS, 2, Consistency.BOUNDED, 500 * MS),
+                type("map-read", 500 * MS, 1200 * MS, 2, Consistency.BOUNDED_STALENESS, 500 * MS),
                 type("own-edit-read", 700 * MS, 2000 * MS, 3, Consistency.SESSION, 0),
-                type("live-read", 500 * MS, 1500 * MS, 1, Consistency.FRESH, 0),
+                type("live-read", 500 * MS, 1500 * MS, 1, Consistency.STRONG, 0),
                 new RequestClass(
                     "map-write",
                     1200 * MS,
                     3000 * MS,
                     6,
                     0.7,
-                    Router.Idempotency.KEYED,
-                    DeduplicationScope.GROUP,
+                    Router.Idempotency.IDEMPOTENCY_KEY,
+                    DeduplicationScope.REPLICA_SET,
                     2000 * MS,
                     Consistency.WRITE,
                     0)));
@@ -122,8 +122,8 @@
               3000 * MS,
               6,
               0.7,
-              Router.Idempotency.ONCE,
-              DeduplicationScope.GROUP,
+              Router.Idempotency.NON_IDEMPOTENT,
+              DeduplicationScope.REPLICA_SET,
               0,
               Consistency.WRITE,
               0));
@@ -139,8 +139,8 @@
         giveUp,
         worth,
         0,
-        Router.Idempotency.REPEATABLE,
-        DeduplicationScope.GROUP,
+        Router.Idempotency.IDEMPOTENT,
+        DeduplicationScope.REPLICA_SET,
         0,
         read,
         bound);
@@ -151,7 +151,7 @@
     LagCheck check =
         switch (f.check()) {
           case SILENT -> LagCheck.NONE;
-          case REFUSE -> LagCheck.REFUSE;
+          case REFUSE -> LagCheck.REJECT;
           case WAIT -> LagCheck.WAIT;
         };
     return new RoutingSettings(
--- a/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -126,40 +126,40 @@
       SafetyRules rules,
       OperatingLimits limits) {
     return new RoutingSettings(
-        s.self(),
-        s.routers(),
+        s.gatewayIndex(),
+        s.gatewayCount(),
         s.zone(),
-        s.tick(),
+        s.tickMicros(),
         classes,
         check,
-        s.hold(),
-        s.answersStamped(),
-        s.tokensCarried(),
-        s.listRole(),
-        s.listAsked(),
-        s.reports(),
+        s.lagWaitMicros(),
+        s.responsesCarryPosition(),
+        s.clientsCarryPosition(),
+        s.listedRoles(),
+        s.endpointListPolled(),
+        s.loadReportSource(),
         rules,
         limits,
-        s.crossZonePrice(),
-        s.probePrice());
+        s.crossZoneCost(),
+        s.healthCheckCost());
   }
 
   private static RoutingSettings types(RoutingSettings s, UnaryOperator<RequestClass> change) {
     List<RequestClass> classes = new ArrayList<>();
-    s.classes().forEach(c -> classes.add(change.apply(c)));
-    return with(s, classes, s.check(), s.rules(), s.limits());
+    s.requestClasses().forEach(c -> classes.add(change.apply(c)));
+    return with(s, classes, s.lagCheck(), s.safetyRules(), s.limits());
   }
 
   private static RequestClass as(
       RequestClass c, Idempotency effect, long window, Consistency read, long bound) {
     return new RequestClass(
         c.name(),
-        c.aim(),
-        c.deadline(),
-        c.worth(),
-        c.lateShare(),
+        c.latencyObjectiveMicros(),
+        c.deadlineMicros(),
+        c.priorityWeight(),
+        c.lateValueFraction(),
         effect,
-        c.scope(),
+        c.deduplicationScope(),
         window,
         read,
         bound);
@@ -192,8 +192,13 @@
                     types(
                         t,
                         c ->
-                            c.read() == Consistency.BOUNDED
-                                ? as(c, c.effect(), 0, Consistency.BOUNDED, 60 * SECOND)
+                            c.consistency() == Consistency.BOUNDED_STALENESS
+                                ? as(
+                                    c,
+                                    c.idempotency(),
+                                    0,
+                                    Consistency.BOUNDED_STALENESS,
+                                    60 * SECOND)
                                 : c)));
   }
 
@@ -209,8 +214,8 @@
                     types(
                         t,
                         c ->
-                            c.read() == Consistency.FRESH
-                                ? as(c, c.effect(), 0, Consistency.ANY, 0)
+                            c.consistency() == Consistency.STRONG
+                                ? as(c, c.idempotency(), 0, Consistency.EVENTUAL, 0)
                                 : c)));
   }
 
@@ -226,8 +231,8 @@
                     types(
                         t,
                         c ->
-                            c.read() == Consistency.SESSION
-                                ? as(c, c.effect(), 0, Consistency.ANY, 0)
+                            c.consistency() == Consistency.SESSION
+                                ? as(c, c.idempotency(), 0, Consistency.EVENTUAL, 0)
                                 : c)));
   }
 
@@ -288,17 +293,17 @@
                 t ->
                     with(
                         t,
-                        t.classes(),
-                        t.check(),
+                        t.requestClasses(),
+                        t.lagCheck(),
                         new SafetyRules(
-                            t.rules().drainGrace(),
+                            t.safetyRules().drainGraceMicros(),
                             1,
                             0,
                             100,
-                            t.rules().fallTime(),
+                            t.safetyRules().overloadWindowMicros(),
                             false,
-                            t.rules().askWithin(),
-                            t.rules().answerSlack()),
+                            t.safetyRules().pollIntervalMicros(),
+                            t.safetyRules().responseSlackMicros()),
                         t.limits())));
   }
 
@@ -319,8 +324,8 @@
                     types(
                         t,
                         c ->
-                            c.effect() == Idempotency.ONCE
-                                ? as(c, Idempotency.REPEATABLE, 0, Consistency.WRITE, 0)
+                            c.idempotency() == Idempotency.NON_IDEMPOTENT
+                                ? as(c, Idempotency.IDEMPOTENT, 0, Consistency.WRITE, 0)
                                 : c)));
     caught(
         Rule.NO_DOUBLE_EFFECT,
@@ -358,8 +363,13 @@
                     types(
                         t,
                         c ->
-                            c.effect() == Idempotency.KEYED
-                                ? as(c, Idempotency.KEYED, 10 * SECOND, Consistency.WRITE, 0)
+                            c.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                ? as(
+                                    c,
+                                    Idempotency.IDEMPOTENCY_KEY,
+                                    10 * SECOND,
+                                    Consistency.WRITE,
+                                    0)
                                 : c));
     int found = 0;
     for (int seed = 1; seed <= 12; seed++) {
