--- a/core/src/main/java/shelffront/decision/Attempt.java
+++ b/core/src/main/java/shelffront/decision/Attempt.java
@@ -1,6 +1,6 @@
 package shelffront.decision;
 
-import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.AttemptStatus;
 
 /** One try of a request at a member. */
 final class Attempt {
--- a/core/src/main/java/shelffront/decision/AttemptAdmission.java
+++ b/core/src/main/java/shelffront/decision/AttemptAdmission.java
@@ -1,9 +1,9 @@
 package shelffront.decision;
 
 import shelffront.fleet.SlowStartBudget;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.DeduplicationScope;
-import shelffront.routing.Router.LagCheck;
+import shelffront.routing.Consistency;
+import shelffront.routing.DeduplicationScope;
+import shelffront.routing.LagCheck;
 
 /**
  * The rules that every attempt is held against, whatever chose its member; cold members among them.
--- a/core/src/main/java/shelffront/decision/EndpointRegistry.java
+++ b/core/src/main/java/shelffront/decision/EndpointRegistry.java
@@ -7,7 +7,7 @@
 import java.util.Comparator;
 import java.util.List;
 import shelffront.fleet.EndpointSubsetting;
-import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Endpoint;
 
 /** The members that the list names, and the probes sent to them. */
 record EndpointRegistry(RoutingState state) {
--- a/core/src/main/java/shelffront/decision/EndpointSelector.java
+++ b/core/src/main/java/shelffront/decision/EndpointSelector.java
@@ -1,7 +1,7 @@
 package shelffront.decision;
 
 import java.util.List;
-import shelffront.routing.Router.Consistency;
+import shelffront.routing.Consistency;
 
 /** The ordinary path: the member that a request goes to, or none yet. */
 record EndpointSelector(RoutingState state, OutlierDetector health, ReplicaPositions positions) {
--- a/core/src/main/java/shelffront/decision/EndpointState.java
+++ b/core/src/main/java/shelffront/decision/EndpointState.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashSet;
 import shelffront.consistency.ReplicationProgress;
 import shelffront.fleet.SlowStartBudget;
-import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Endpoint;
 import shelffront.statistics.ConcurrencyLimit;
 import shelffront.statistics.DecayingAverage;
 import shelffront.statistics.LatencyStatistics;
--- a/core/src/main/java/shelffront/decision/OutlierDetector.java
+++ b/core/src/main/java/shelffront/decision/OutlierDetector.java
@@ -2,9 +2,9 @@
 
 import static shelffront.routing.Router.UNKNOWN;
 
-import shelffront.routing.Router.AttemptOutcome;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.RequestClass;
+import shelffront.routing.AttemptOutcome;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.RequestClass;
 
 /** Whether a member may be tried, and how much at a time: what its answers and its silence say. */
 record OutlierDetector(
--- a/core/src/main/java/shelffront/decision/PendingRequest.java
+++ b/core/src/main/java/shelffront/decision/PendingRequest.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.Request;
-import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Consistency;
+import shelffront.routing.Request;
+import shelffront.routing.RequestClass;
 
 /** A request that still owes its final answer. */
 final class PendingRequest {
--- a/core/src/main/java/shelffront/decision/ReplicaPositions.java
+++ b/core/src/main/java/shelffront/decision/ReplicaPositions.java
@@ -2,11 +2,11 @@
 
 import static shelffront.routing.Router.UNKNOWN;
 
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.LagCheck;
-import shelffront.routing.Router.LoadReport;
-import shelffront.routing.Router.Request;
-import shelffront.routing.Router.Role;
+import shelffront.routing.Consistency;
+import shelffront.routing.LagCheck;
+import shelffront.routing.LoadReport;
+import shelffront.routing.Request;
+import shelffront.routing.Role;
 
 /**
  * What is known of how far each member has applied the log, of who is primary, and of sessions'
--- a/core/src/main/java/shelffront/decision/RequestScheduler.java
+++ b/core/src/main/java/shelffront/decision/RequestScheduler.java
@@ -3,8 +3,8 @@
 import java.util.Comparator;
 import java.util.LinkedHashSet;
 import java.util.stream.IntStream;
-import shelffront.routing.Router.DeduplicationScope;
-import shelffront.routing.Router.RequestClass;
+import shelffront.routing.DeduplicationScope;
+import shelffront.routing.RequestClass;
 
 /** The requests in hand: sent, held, looked at again, refused or failed; each ends exactly once. */
 record RequestScheduler(
--- a/core/src/main/java/shelffront/decision/RoutingEngine.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -5,7 +5,18 @@
 import java.util.Random;
 import shelffront.consistency.ReplicationProgress;
 import shelffront.fleet.HealthCheckBudget;
+import shelffront.routing.AttemptOutcome;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.Endpoint;
+import shelffront.routing.EndpointUpdateKind;
+import shelffront.routing.LoadReport;
+import shelffront.routing.Request;
+import shelffront.routing.RequestClass;
+import shelffront.routing.Role;
 import shelffront.routing.Router;
+import shelffront.routing.RouterActions;
+import shelffront.routing.RoutingSettings;
 
 /**
  * All decisions of shelffront. The interface, with every type, event and action, is Router.java;
@@ -25,7 +36,7 @@
   private final RequestScheduler queue;
   private int listFailures;
 
-  public RoutingEngine(Actions actions) {
+  public RoutingEngine(RouterActions actions) {
     state = new RoutingState(actions);
     positions = new ReplicaPositions(state);
     AttemptAdmission guards = new AttemptAdmission(state);
--- a/core/src/main/java/shelffront/decision/RoutingState.java
+++ b/core/src/main/java/shelffront/decision/RoutingState.java
@@ -9,14 +9,14 @@
 import java.util.function.Consumer;
 import shelffront.consistency.SessionPositions;
 import shelffront.fleet.HealthCheckBudget;
-import shelffront.routing.Router.Actions;
-import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.RouterActions;
+import shelffront.routing.RoutingSettings;
 import shelffront.time.TimerQueue;
 
 /** All that changes in the module; the parts that decide hold nothing of their own. */
 final class RoutingState {
 
-  final Actions actions;
+  final RouterActions actions;
 
   /** Looks again at what is held in a group, since something in it changed. */
   Consumer<ReplicaSet> changed;
@@ -38,7 +38,7 @@
   long dearUntil = UNKNOWN; // connections take too long to set up
   private long loggedAt = UNKNOWN;
 
-  RoutingState(Actions actions) {
+  RoutingState(RouterActions actions) {
     this.actions = actions;
     timers = new TimerQueue(at -> actions.setTimer("wake", at));
   }
--- a/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
@@ -6,9 +6,9 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.LagCheck;
-import shelffront.routing.Router.Role;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.LagCheck;
+import shelffront.routing.Role;
 
 /** What the design page says of the ordinary path. */
 class EndpointSelectionTest {
--- a/core/src/test/java/shelffront/decision/FailureHandlingTest.java
+++ b/core/src/test/java/shelffront/decision/FailureHandlingTest.java
@@ -8,10 +8,13 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import shelffront.routing.AttemptOutcome;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.EndpointUpdateKind;
+import shelffront.routing.Request;
+import shelffront.routing.Role;
 import shelffront.routing.Router;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.EndpointUpdateKind;
-import shelffront.routing.Router.Role;
 
 /**
  * What the module does when things fail; each test stands for a failure met on the bench or on a
@@ -49,7 +52,7 @@
   @Test
   void aRefusedConnectionIsThinProofButFailedProbesAddUp() {
     bed.start();
-    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.DRAINING));
+    bed.changed(RoutingTestHarness.member("m3", 0, Availability.DRAINING));
     for (int i = 0; i < 3; i++) {
       bed.request("a" + i, RoutingTestHarness.ANY);
       bed.outcome("a" + i, 0, "m2", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
@@ -154,7 +157,7 @@
   @Test
   void aReadThatOthersOvertookIsCopied() {
     bed.start();
-    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.DRAINING));
+    bed.changed(RoutingTestHarness.member("m3", 0, Availability.DRAINING));
     for (int i = 0; i < 120; i++) {
       bed.request("r" + i, RoutingTestHarness.ANY);
       bed.outcome("r" + i, 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
@@ -163,7 +166,7 @@
     bed.pass(RoutingTestHarness.MS);
     bed.request("later", RoutingTestHarness.ANY);
     bed.outcome("later", 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
-    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.READY));
+    bed.changed(RoutingTestHarness.member("m3", 0, Availability.READY));
     bed.probed("m3", Role.REPLICA, bed.now);
     bed.news();
     for (int i = 0; i < 30; i++) {
@@ -225,10 +228,10 @@
         List.of(RoutingTestHarness.ONCE, RoutingTestHarness.KEYED, RoutingTestHarness.FRESH)) {
       RoutingTestHarness held = new RoutingTestHarness();
       held.start();
-      held.changed(RoutingTestHarness.member("m1", 0, Router.Availability.DRAINING));
+      held.changed(RoutingTestHarness.member("m1", 0, Availability.DRAINING));
       held.request("r", type);
       held.pass(100 * RoutingTestHarness.MS);
-      held.changed(RoutingTestHarness.member("m1", 0, Router.Availability.READY));
+      held.changed(RoutingTestHarness.member("m1", 0, Availability.READY));
       held.probed("m1", Role.PRIMARY, held.now);
       for (String line : held.news()) {
         if (line.startsWith("send r") && !line.endsWith("m1")) {
@@ -251,7 +254,7 @@
   @Test
   void whatWasNeverTriedIsRefusedBeforeHalfOfItsTime() {
     bed.start();
-    bed.changed(RoutingTestHarness.member("m1", 0, Router.Availability.DRAINING));
+    bed.changed(RoutingTestHarness.member("m1", 0, Availability.DRAINING));
     for (String m : List.of("m2", "m3")) {
       for (int i = 0; i < 12; i++) {
         bed.router.onHealthCheckResult(
@@ -307,7 +310,7 @@
   void abandonedReadsLowerAMembersLimitUnderOneAtATime() {
     bed.routers = 20;
     bed.start();
-    bed.changed(RoutingTestHarness.member("m3", 0, Router.Availability.DRAINING));
+    bed.changed(RoutingTestHarness.member("m3", 0, Availability.DRAINING));
     for (int i = 0; i < 60; i++) {
       bed.request("a" + i, RoutingTestHarness.BOUNDED);
       bed.probed("m2", Role.REPLICA, bed.now);
@@ -322,8 +325,7 @@
     bed.start();
     bed.router.onRequest(
         bed.now,
-        new Router.Request(
-            "a", RoutingTestHarness.ONCE, "s", 1, 60 * RoutingTestHarness.MS, 0, true));
+        new Request("a", RoutingTestHarness.ONCE, "s", 1, 60 * RoutingTestHarness.MS, 0, true));
     assertEquals(List.of("reject a"), bed.news());
   }
 
@@ -431,7 +433,7 @@
   void aReadWorthLittleWhenLateIsGivenUpAtItsAim() {
     bed.start();
     for (String id : List.of("m1", "m2", "m3")) {
-      bed.changed(RoutingTestHarness.member(id, 0, Router.Availability.DRAINING));
+      bed.changed(RoutingTestHarness.member(id, 0, Availability.DRAINING));
     }
     bed.request("a", RoutingTestHarness.ANY);
     bed.pass(401 * RoutingTestHarness.MS);
@@ -448,7 +450,7 @@
     bed.request("w", RoutingTestHarness.KEYED);
     bed.router.onAttemptOutcome(
         bed.now,
-        new Router.AttemptOutcome(
+        new AttemptOutcome(
             "w",
             0,
             "m1",
--- a/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.Availability;
-import shelffront.routing.Router.LagCheck;
-import shelffront.routing.Router.Role;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.LagCheck;
+import shelffront.routing.Role;
 
 /** A hundred instances that know of each other only their number: what they choose adds up. */
 class FleetEndpointSelectionTest {
--- a/core/src/test/java/shelffront/decision/RecordingActions.java
+++ b/core/src/test/java/shelffront/decision/RecordingActions.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import shelffront.routing.Router;
+import shelffront.routing.RouterActions;
 
 /** Records what the module asks for, one plain line an action, and the timers it set. */
-final class RecordingActions implements Router.Actions {
+final class RecordingActions implements RouterActions {
 
   record Timer(String name, long at) {}
 
--- a/core/src/test/java/shelffront/decision/SafetyRulesTest.java
+++ b/core/src/test/java/shelffront/decision/SafetyRulesTest.java
@@ -7,12 +7,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.Availability;
-import shelffront.routing.Router.DeduplicationScope;
-import shelffront.routing.Router.Endpoint;
-import shelffront.routing.Router.Request;
-import shelffront.routing.Router.Role;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.DeduplicationScope;
+import shelffront.routing.Endpoint;
+import shelffront.routing.Request;
+import shelffront.routing.Role;
 
 /** The five rules, each on both sides of its boundary. */
 class SafetyRulesTest {
--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -9,7 +9,7 @@
 import shelffront.net.Network;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
-import shelffront.routing.Router.AttemptStatus;
+import shelffront.routing.AttemptStatus;
 
 /**
  * A connection to a database host. It carries a single call at a time and is closed to abandon one.
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -18,10 +18,10 @@
 import shelffront.quota.ConnectionQuotas.ConnectionQuota;
 import shelffront.quota.ConnectionQuotas.Verdict;
 import shelffront.request.BackendAttempt;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.Availability;
-import shelffront.routing.Router.Endpoint;
-import shelffront.routing.Router.OperatingLimits;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.Endpoint;
+import shelffront.routing.OperatingLimits;
 
 /** The server side: a pool of connections to each database host, the attempts and the probes. */
 public final class BackendConnections {
--- a/gateway/src/main/java/shelffront/backend/BackendResponse.java
+++ b/gateway/src/main/java/shelffront/backend/BackendResponse.java
@@ -1,9 +1,9 @@
 package shelffront.backend;
 
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.LoadReport;
+import shelffront.routing.Role;
 import shelffront.routing.Router;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.LoadReport;
-import shelffront.routing.Router.Role;
 
 /**
  * How an attempt or a probe ended, with what the host told of itself; the messages of an answer if
--- a/gateway/src/main/java/shelffront/backend/LoadReportParser.java
+++ b/gateway/src/main/java/shelffront/backend/LoadReportParser.java
@@ -4,9 +4,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import shelffront.pg.Statement;
+import shelffront.routing.LoadReport;
+import shelffront.routing.Role;
 import shelffront.routing.Router;
-import shelffront.routing.Router.LoadReport;
-import shelffront.routing.Router.Role;
 
 /**
  * A host's report on itself: {@code x0=1767225600.123,x1=0,queue=3}, the position in Unix seconds
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.LoadReport;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.LoadReport;
 
 /**
  * What a host says to one query, message by message: RowDescription, one DataRow of one column,
--- a/gateway/src/main/java/shelffront/config/EndpointList.java
+++ b/gateway/src/main/java/shelffront/config/EndpointList.java
@@ -6,8 +6,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import shelffront.routing.Router.Availability;
-import shelffront.routing.Router.Endpoint;
+import shelffront.routing.Availability;
+import shelffront.routing.Endpoint;
 
 /**
  * A list of database hosts in discovery's form: the module's members, and where each is to be
--- a/gateway/src/main/java/shelffront/config/GatewayConfig.java
+++ b/gateway/src/main/java/shelffront/config/GatewayConfig.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.RoutingSettings;
 
 /** What the environment and the configuration file tell a gateway at its start. */
 public record GatewayConfig(
--- a/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
+++ b/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.DeduplicationScope;
-import shelffront.routing.Router.Idempotency;
-import shelffront.routing.Router.LagCheck;
-import shelffront.routing.Router.ListedRoles;
-import shelffront.routing.Router.LoadReportSource;
-import shelffront.routing.Router.OperatingLimits;
-import shelffront.routing.Router.RequestClass;
-import shelffront.routing.Router.RoutingSettings;
-import shelffront.routing.Router.SafetyRules;
+import shelffront.routing.Consistency;
+import shelffront.routing.DeduplicationScope;
+import shelffront.routing.Idempotency;
+import shelffront.routing.LagCheck;
+import shelffront.routing.ListedRoles;
+import shelffront.routing.LoadReportSource;
+import shelffront.routing.OperatingLimits;
+import shelffront.routing.RequestClass;
+import shelffront.routing.RoutingSettings;
+import shelffront.routing.SafetyRules;
 
 /** Translates the settings object of the wire; keys that are not known are ignored. */
 public final class RoutingSettingsCodec {
--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -14,10 +14,10 @@
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
 import shelffront.request.ClientRequest;
+import shelffront.routing.Consistency;
+import shelffront.routing.Idempotency;
+import shelffront.routing.RequestClass;
 import shelffront.routing.Router;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.Idempotency;
-import shelffront.routing.Router.RequestClass;
 
 /**
  * A client's connection: reads its commands, has one at a time in work, and answers them in their
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -17,7 +17,7 @@
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
 import shelffront.request.ClientRequest;
-import shelffront.routing.Router.RequestClass;
+import shelffront.routing.RequestClass;
 
 /**
  * The client side: accepts connections, bounded in number, and passes their requests on as
--- a/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
@@ -19,15 +19,18 @@
 import shelffront.config.MalformedInputException;
 import shelffront.config.RoutingSettingsCodec;
 import shelffront.decision.RoutingEngine;
+import shelffront.routing.AttemptOutcome;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.Endpoint;
+import shelffront.routing.EndpointUpdateKind;
+import shelffront.routing.LoadReport;
+import shelffront.routing.Request;
+import shelffront.routing.RequestClass;
+import shelffront.routing.Role;
 import shelffront.routing.Router;
-import shelffront.routing.Router.AttemptOutcome;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.Availability;
-import shelffront.routing.Router.Endpoint;
-import shelffront.routing.Router.EndpointUpdateKind;
-import shelffront.routing.Router.LoadReport;
-import shelffront.routing.Router.Request;
-import shelffront.routing.Router.Role;
+import shelffront.routing.RouterActions;
+import shelffront.routing.RoutingSettings;
 
 /**
  * Speaks the simulator's wire: reads batches of events, hands them to the instances, writes their
@@ -199,9 +202,9 @@
       if (facts == null) {
         throw new MalformedInputException("up: facts are missing");
       }
-      Router.RoutingSettings settings = RoutingSettingsCodec.read(facts);
+      RoutingSettings settings = RoutingSettingsCodec.read(facts);
       Map<String, Integer> classes = new HashMap<>();
-      for (Router.RequestClass c : settings.requestClasses()) {
+      for (RequestClass c : settings.requestClasses()) {
         classes.put(c.name(), classes.size());
       }
       Instance instance =
@@ -374,7 +377,7 @@
   }
 
   /** Writes the actions of one instance. */
-  private final class Sink implements Router.Actions {
+  private final class Sink implements RouterActions {
 
     private final int proxy;
 
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -25,14 +25,15 @@
 import shelffront.quota.TokenBucket;
 import shelffront.request.BackendAttempt;
 import shelffront.request.ClientRequest;
+import shelffront.routing.AttemptOutcome;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.Endpoint;
+import shelffront.routing.EndpointUpdateKind;
+import shelffront.routing.Request;
+import shelffront.routing.RequestClass;
 import shelffront.routing.Router;
-import shelffront.routing.Router.AttemptOutcome;
-import shelffront.routing.Router.AttemptStatus;
-import shelffront.routing.Router.Availability;
-import shelffront.routing.Router.Endpoint;
-import shelffront.routing.Router.EndpointUpdateKind;
-import shelffront.routing.Router.Request;
-import shelffront.routing.Router.RequestClass;
+import shelffront.routing.RouterActions;
 
 /**
  * One tenant while it runs: its decision module, boxes, sessions and requests. Joins the client
@@ -44,7 +45,7 @@
  * it wakes, and learns it anew.
  */
 public final class Tenant
-    implements Router.Actions,
+    implements RouterActions,
         FrontendConnections.Taker,
         BackendConnections.Listener,
         DiscoveryClient.Listener {
--- a/gateway/src/main/java/shelffront/tenant/TenantSpec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpec.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import shelffront.backend.BackendConnections.Login;
 import shelffront.config.EndpointList;
-import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.RoutingSettings;
 
 /**
  * All that makes a tenant: what an administrator sets and a gateway takes up while it runs. Times
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -28,18 +28,18 @@
 import shelffront.config.EndpointList;
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
-import shelffront.routing.Router.Availability;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.DeduplicationScope;
-import shelffront.routing.Router.Endpoint;
-import shelffront.routing.Router.Idempotency;
-import shelffront.routing.Router.LagCheck;
-import shelffront.routing.Router.ListedRoles;
-import shelffront.routing.Router.LoadReportSource;
-import shelffront.routing.Router.OperatingLimits;
-import shelffront.routing.Router.RequestClass;
-import shelffront.routing.Router.RoutingSettings;
-import shelffront.routing.Router.SafetyRules;
+import shelffront.routing.Availability;
+import shelffront.routing.Consistency;
+import shelffront.routing.DeduplicationScope;
+import shelffront.routing.Endpoint;
+import shelffront.routing.Idempotency;
+import shelffront.routing.LagCheck;
+import shelffront.routing.ListedRoles;
+import shelffront.routing.LoadReportSource;
+import shelffront.routing.OperatingLimits;
+import shelffront.routing.RequestClass;
+import shelffront.routing.RoutingSettings;
+import shelffront.routing.SafetyRules;
 
 /**
  * Reads a tenant from JSON: checked against the schema {@code tenant.schema.json}, then for what no
--- a/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
+++ b/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
@@ -4,9 +4,9 @@
 import static org.junit.Assert.assertNull;
 
 import org.junit.Test;
+import shelffront.routing.LoadReport;
+import shelffront.routing.Role;
 import shelffront.routing.Router;
-import shelffront.routing.Router.LoadReport;
-import shelffront.routing.Router.Role;
 
 /** Guards against a position or a role taken from a report that is not one. */
 public class LoadReportParserTest {
--- a/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
+++ b/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import shelffront.lab.model.ReplicaSetModel.Effect;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Consistency;
+import shelffront.routing.RequestClass;
 
 /**
  * Holds a run against the rules as it goes, from what clients saw and what truly happened in the
--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -9,8 +9,8 @@
 import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.load.ClientConnectionHandler;
 import shelffront.lab.virtual.SimulatedMachine;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Consistency;
+import shelffront.routing.RequestClass;
 
 /**
  * The clients of one gateway: requests that come when they are due, whatever became of those
--- a/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
@@ -58,9 +58,9 @@
 import shelffront.net.ResourceBudget;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.LoadReportSource;
-import shelffront.routing.Router.RequestClass;
+import shelffront.routing.Consistency;
+import shelffront.routing.LoadReportSource;
+import shelffront.routing.RequestClass;
 import shelffront.tenant.TenantSpec;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
--- a/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 import shelffront.lab.model.ReplicaSetParameters;
-import shelffront.routing.Router;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.DeduplicationScope;
-import shelffront.routing.Router.LagCheck;
-import shelffront.routing.Router.ListedRoles;
-import shelffront.routing.Router.LoadReportSource;
-import shelffront.routing.Router.OperatingLimits;
-import shelffront.routing.Router.RequestClass;
-import shelffront.routing.Router.RoutingSettings;
-import shelffront.routing.Router.SafetyRules;
+import shelffront.routing.Consistency;
+import shelffront.routing.DeduplicationScope;
+import shelffront.routing.Idempotency;
+import shelffront.routing.LagCheck;
+import shelffront.routing.ListedRoles;
+import shelffront.routing.LoadReportSource;
+import shelffront.routing.OperatingLimits;
+import shelffront.routing.RequestClass;
+import shelffront.routing.RoutingSettings;
+import shelffront.routing.SafetyRules;
 
 /**
  * What the protocol leaves to a deployment: how positions and roles are told, how the list comes,
@@ -109,7 +109,7 @@
                     3000 * MS,
                     6,
                     0.7,
-                    Router.Idempotency.IDEMPOTENCY_KEY,
+                    Idempotency.IDEMPOTENCY_KEY,
                     DeduplicationScope.REPLICA_SET,
                     2000 * MS,
                     Consistency.WRITE,
@@ -122,7 +122,7 @@
               3000 * MS,
               6,
               0.7,
-              Router.Idempotency.NON_IDEMPOTENT,
+              Idempotency.NON_IDEMPOTENT,
               DeduplicationScope.REPLICA_SET,
               0,
               Consistency.WRITE,
@@ -139,7 +139,7 @@
         giveUp,
         worth,
         0,
-        Router.Idempotency.IDEMPOTENT,
+        Idempotency.IDEMPOTENT,
         DeduplicationScope.REPLICA_SET,
         0,
         read,
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
@@ -16,7 +16,7 @@
 import shelffront.lab.virtual.VirtualNetwork.Weather;
 import shelffront.net.Counters;
 import shelffront.net.Network;
-import shelffront.routing.Router.RoutingSettings;
+import shelffront.routing.RoutingSettings;
 
 /** A hundred gateways of little traffic in virtual time: what they cost their hosts together. */
 class FleetSizeSimulationTest {
--- a/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -19,13 +19,13 @@
 import shelffront.lab.simulation.Scenario.FaultKind;
 import shelffront.lab.simulation.Scenario.Means;
 import shelffront.lab.virtual.VirtualNetwork.Weather;
-import shelffront.routing.Router.Consistency;
-import shelffront.routing.Router.Idempotency;
-import shelffront.routing.Router.LagCheck;
-import shelffront.routing.Router.OperatingLimits;
-import shelffront.routing.Router.RequestClass;
-import shelffront.routing.Router.RoutingSettings;
-import shelffront.routing.Router.SafetyRules;
+import shelffront.routing.Consistency;
+import shelffront.routing.Idempotency;
+import shelffront.routing.LagCheck;
+import shelffront.routing.OperatingLimits;
+import shelffront.routing.RequestClass;
+import shelffront.routing.RoutingSettings;
+import shelffront.routing.SafetyRules;
 
 /**
  * Broken gateways: each must be caught by the check made for it, and the whole one by none on the
