--- a/core/src/main/java/shelffront/distribution/ChangeLog.java
+++ b/core/src/main/java/shelffront/distribution/ChangeLog.java
@@ -51,7 +51,7 @@
       if (!version.isBefore(change.version())) {
         break;
       }
-      if (interest.covers(change.name())) {
+      if (interest.matches(change.name())) {
         found.add(0, change);
       }
     }
--- a/core/src/main/java/shelffront/distribution/DistributorSelector.java
+++ b/core/src/main/java/shelffront/distribution/DistributorSelector.java
@@ -17,13 +17,13 @@
 public final class DistributorSelector {
 
   /** The pause after a first failure. */
-  public static final long FIRST_PAUSE = 500_000;
+  public static final long INITIAL_BACKOFF_MICROS = 500_000;
 
   /** The longest pause. */
-  public static final long LONGEST_PAUSE = 2_000_000;
+  public static final long MAX_BACKOFF_MICROS = 2_000_000;
 
   /** Whom to ask, and from when on. */
-  public record Next(DistributorEndpoint endpoint, long at) {}
+  public record Selection(DistributorEndpoint endpoint, long atMicros) {}
 
   private static final class Health {
     private long pause;
@@ -70,7 +70,7 @@
   }
 
   /** All of them, the preferred first. */
-  public List<DistributorEndpoint> order() {
+  public List<DistributorEndpoint> preferenceOrder() {
     return List.copyOf(order);
   }
 
@@ -78,36 +78,36 @@
    * The first that is not left out, at a moment within the spread; else the one that comes back
    * first.
    */
-  public Next next(long now) {
+  public Selection next(long now) {
     long start = now + (spread == 0 ? 0 : random.nextLong(spread));
     DistributorEndpoint soonest = order.get(0);
     for (DistributorEndpoint endpoint : order) {
       if (health.get(endpoint).leftOutUntil <= start) {
-        return new Next(endpoint, start);
+        return new Selection(endpoint, start);
       }
       if (health.get(endpoint).leftOutUntil < health.get(soonest).leftOutUntil) {
         soonest = endpoint;
       }
     }
-    return new Next(soonest, health.get(soonest).leftOutUntil);
+    return new Selection(soonest, health.get(soonest).leftOutUntil);
   }
 
   /** It broke, was silent, or its view was older than another's. */
-  public void failed(DistributorEndpoint endpoint, long now) {
+  public void recordFailure(DistributorEndpoint endpoint, long now) {
     Health h = health.get(endpoint);
-    h.pause = h.pause == 0 ? FIRST_PAUSE : Math.min(LONGEST_PAUSE, 2 * h.pause);
+    h.pause = h.pause == 0 ? INITIAL_BACKOFF_MICROS : Math.min(MAX_BACKOFF_MICROS, 2 * h.pause);
     h.leftOutUntil = now + h.pause;
   }
 
   /** It gave a fresh answer. */
-  public void succeeded(DistributorEndpoint endpoint) {
+  public void recordSuccess(DistributorEndpoint endpoint) {
     Health h = health.get(endpoint);
     h.pause = 0;
     h.leftOutUntil = 0;
   }
 
   /** Whether one that is preferred to this could be tried again. */
-  public boolean hasBetter(DistributorEndpoint present, long now) {
+  public boolean hasPreferredAlternative(DistributorEndpoint present, long now) {
     for (DistributorEndpoint endpoint : order) {
       if (endpoint.equals(present)) {
         return false;
--- a/core/src/main/java/shelffront/distribution/RecordTable.java
+++ b/core/src/main/java/shelffront/distribution/RecordTable.java
@@ -12,11 +12,11 @@
 public final class RecordTable {
 
   /** What became of a change that was offered. */
-  public enum Applied {
+  public enum ApplyResult {
     /** It was the next one and is in force. */
-    DONE,
+    APPLIED,
     /** It stands already, or a newer history does. */
-    KNOWN,
+    ALREADY_KNOWN,
     /** Changes before it are missing; only a snapshot helps. */
     GAP
   }
@@ -44,17 +44,17 @@
   }
 
   /** Takes the change that follows the present version. */
-  public Applied apply(RecordChange change) {
+  public ApplyResult apply(RecordChange change) {
     if (!version.isBefore(change.version())) {
-      return Applied.KNOWN;
+      return ApplyResult.ALREADY_KNOWN;
     }
     if (!version.next().equals(change.version())) {
-      return Applied.GAP;
+      return ApplyResult.GAP;
     }
     version = change.version();
     log.append(change);
     put(change);
-    return Applied.DONE;
+    return ApplyResult.APPLIED;
   }
 
   /**
@@ -97,7 +97,7 @@
   /** All that there is of what is followed. */
   public Update.Snapshot snapshot(SubscriptionFilter interest) {
     List<RecordChange> found = new ArrayList<>();
-    if (interest.all()) {
+    if (interest.matchesAll()) {
       found.addAll(records.values());
     } else {
       interest.names().stream().map(records::get).filter(r -> r != null).forEach(found::add);
--- a/core/src/main/java/shelffront/distribution/ReplicatedView.java
+++ b/core/src/main/java/shelffront/distribution/ReplicatedView.java
@@ -11,7 +11,7 @@
 
 /**
  * The records of the names that a subscriber follows, as of a version that never steps back. What
- * is in force changes by what {@link #take} and {@link #added} give, in that order. Not safe for
+ * is in force changes by what {@link #apply} and {@link #follow} give, in that order. Not safe for
  * several threads: its owner has a lock.
  *
  * <p>The set of names has an edition. A distributor answers for the edition that it was told; an
@@ -86,10 +86,10 @@
   }
 
   /**
-   * Begins to ask for names, from this edition on; each is followed once {@link #added} has been
+   * Begins to ask for names, from this edition on; each is followed once {@link #follow} has been
    * told its record.
    */
-  public long beginAdding() {
+  public long beginEdition() {
     return ++edition;
   }
 
@@ -98,7 +98,7 @@
    * distributor is behind this view: changes of the name that this view has passed may be missing,
    * and it has to be fetched again.
    */
-  public boolean added(String name, RecordChange fetched, Version asOf) {
+  public boolean follow(String name, RecordChange fetched, Version asOf) {
     if (asOf.isBefore(version) && guards.contains(Guard.FETCHED_NOT_BEHIND)) {
       return false;
     }
@@ -111,7 +111,7 @@
    * Follows a name no longer. The edition stays: a distributor that still counts the name among
    * those followed gives more than is wanted, and never less.
    */
-  public void forget(String name) {
+  public void unfollow(String name) {
     names.remove(name);
     records.remove(name);
   }
@@ -120,7 +120,7 @@
    * Takes what a distributor gave for an edition of the names, and gives the changes that come into
    * force by it. What does not fit changes nothing and gives nothing.
    */
-  public List<RecordChange> take(Update update, long forEdition) {
+  public List<RecordChange> apply(Update update, long forEdition) {
     if (!fits(update, forEdition)) {
       return List.of();
     }
--- a/core/src/main/java/shelffront/distribution/Update.java
+++ b/core/src/main/java/shelffront/distribution/Update.java
@@ -25,7 +25,7 @@
      * list. Taken for a snapshot at the first version, the list would hold later changes and lack
      * what was removed later, and two such snapshots of one version would differ.
      */
-    public static Snapshot assembled(
+    public static Snapshot assemble(
         Version last, List<RecordChange> listed, List<RecordChange> since) {
       Map<String, RecordChange> records = new HashMap<>();
       listed.forEach(r -> records.put(r.name(), r));
--- a/core/src/main/java/shelffront/quota/ConnectionQuotas.java
+++ b/core/src/main/java/shelffront/quota/ConnectionQuotas.java
@@ -25,13 +25,13 @@
       1000; // weights are summed in thousandths, to the same sum in any order
 
   /** What came of asking for one. */
-  public enum Verdict {
+  public enum Acquisition {
     /** It holds one more. */
-    TAKEN,
+    ACQUIRED,
     /** It holds all that its own bound allows, or what is lent out is used up; it has its part. */
-    REFUSED,
+    REJECTED,
     /** Others hold what is its own; it is told when one has been given back. */
-    OWED
+    PENDING
   }
 
   /** One tenant's. Its figures belong to its own thread. */
@@ -66,15 +66,15 @@
      * Asks for one. With {@code instead} it has just given one back for this, and its part is not
      * asked after.
      */
-    public Verdict tryAcquire(boolean instead) {
+    public Acquisition tryAcquire(boolean instead) {
       int now = mine.get();
       boolean own = now < part();
       if (now >= most || !tryAcquire(own || instead ? total : total * LENT)) {
-        return now < most && own && owed() ? Verdict.OWED : Verdict.REFUSED;
+        return now < most && own && owed() ? Acquisition.PENDING : Acquisition.REJECTED;
       }
       mine.incrementAndGet();
       count();
-      return Verdict.TAKEN;
+      return Acquisition.ACQUIRED;
     }
 
     private void count() {
@@ -140,7 +140,7 @@
       return mine.get() - part();
     }
 
-    public int held() {
+    public int inUse() {
       return mine.get();
     }
 
@@ -165,14 +165,14 @@
    * A new tenant's; its weight is above 0.
    *
    * @param giveOneBack asks it to give one back, soon, if it can
-   * @param oneCame tells it that one has come free after {@link Verdict#OWED}
+   * @param oneCame tells it that one has come free after {@link Acquisition#PENDING}
    */
   public ConnectionQuota register(double weight, int most, Runnable giveOneBack, Runnable oneCame) {
     return new ConnectionQuota(weight, most, giveOneBack, oneCame);
   }
 
   /** Held by all. */
-  public int held() {
+  public int inUse() {
     return held.get();
   }
 }
--- a/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
+++ b/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
@@ -28,7 +28,7 @@
     }
 
     /** Above 0. */
-    public void weight(double given) {
+    public void setWeight(double given) {
       weight = given;
     }
   }
--- a/core/src/main/java/shelffront/quota/EventLoopPlacement.java
+++ b/core/src/main/java/shelffront/quota/EventLoopPlacement.java
@@ -9,7 +9,7 @@
 public final class EventLoopPlacement {
 
   /** Over how long a loop's load is judged. */
-  public static final long MEMORY = 1_000_000;
+  public static final long LOAD_MEMORY_MICROS = 1_000_000;
 
   /** A tenant stays where it was unless its loop works this much more than the least loaded one. */
   private static final double WORTH_A_MOVE = 0.2;
@@ -33,12 +33,12 @@
   }
 
   /** Takes in how long each loop has worked since its start. */
-  public void seen(long[] workedSoFar, long now) {
+  public void recordBusyTime(long[] workedSoFar, long now) {
     long passed = now - seenAt;
     if (passed <= 0) {
       return;
     }
-    double fades = Math.exp(-(double) passed / MEMORY);
+    double fades = Math.exp(-(double) passed / LOAD_MEMORY_MICROS);
     for (int i = 0; i < load.length; i++) {
       double part = Math.min(1, Math.max(0, workedSoFar[i] - worked[i]) / (double) passed);
       load[i] = load[i] * fades + part * (1 - fades);
@@ -49,7 +49,7 @@
   }
 
   /** Where a tenant that is new is to live: with the least weight, for it may never wake. */
-  public int home(double weight) {
+  public int placeNew(double weight) {
     int least = 0;
     for (int i = 1; i < weights.length; i++) {
       least = weights[i] < weights[least] ? i : least;
@@ -59,12 +59,12 @@
   }
 
   /** A tenant of a weight no longer lives there. */
-  public void left(int loop, double weight) {
+  public void remove(int loop, double weight) {
     weights[loop] -= weight;
   }
 
   /** Where a tenant that wakes is to live, which has lived on a loop and has nothing open. */
-  public int woken(int present, double weight) {
+  public int placeResumed(int present, double weight) {
     int least = present;
     for (int i = 0; i < load.length; i++) {
       least = load[i] + expected[i] < load[least] + expected[least] ? i : least;
--- a/core/src/main/java/shelffront/quota/TenantQuotas.java
+++ b/core/src/main/java/shelffront/quota/TenantQuotas.java
@@ -10,8 +10,8 @@
 /**
  * Divides what a gateway can take among its tenants by weight: requests a second, and requests open
  * at a time. Work conserving: what one leaves idle others use, and it has its own back within
- * {@link #WINDOW} for the rate, and as fast as others' open requests end for the places. Where a
- * tenant gives its classes shares, its own part is divided again in the same way.
+ * {@link #WINDOW_MICROS} for the rate, and as fast as others' open requests end for the places.
+ * Where a tenant gives its classes shares, its own part is divided again in the same way.
  *
  * <p>Costs nothing for tenants that ask for nothing: figures are counted anew at the first request
  * after a window has passed, and only over those who asked of late. Times are microseconds and
@@ -28,7 +28,7 @@
    * The rate is divided anew this often; the time within which a change of demand or weight takes
    * effect.
    */
-  public static final long WINDOW = 100_000;
+  public static final long WINDOW_MICROS = 100_000;
 
   /** Windows without a request after which a tenant no longer counts among those who ask. */
   private static final int FORGOTTEN = 20;
@@ -185,9 +185,9 @@
       share.idle = 0;
       // Its own part at once: others give it back when the rate is next divided.
       double part = rate * share.weight / (weights + elsewhere);
-      share.limit.set(part, part * BURST * WINDOW / 1e6, now);
+      share.limit.reconfigure(part, part * BURST * WINDOW_MICROS / 1e6, now);
     }
-    if (dirty || now - windowFrom >= WINDOW) {
+    if (dirty || now - windowFrom >= WINDOW_MICROS) {
       dirty = false;
       divide(now);
     }
@@ -197,13 +197,14 @@
       part.asked++;
     }
     double most = share.open >= own(share) ? places * LENT : places;
-    long wait = Math.max(share.limit.waitTime(now), part == null ? 0 : part.limit.waitTime(now));
+    long wait =
+        Math.max(share.limit.waitMicros(now), part == null ? 0 : part.limit.waitMicros(now));
     if (wait > 0 || !common.take(most)) {
-      return Math.max(wait, WINDOW);
+      return Math.max(wait, WINDOW_MICROS);
     }
-    share.limit.take();
+    share.limit.consume();
     if (part != null) {
-      part.limit.take();
+      part.limit.consume();
     }
     share.open++;
     return 0;
@@ -232,7 +233,7 @@
   private void divide(long now) {
     // After a rest the last window's count says little of the time since: it is taken over one
     // window at least.
-    double seconds = Math.min(10 * WINDOW, Math.max(WINDOW, now - windowFrom)) / 1e6;
+    double seconds = Math.min(10 * WINDOW_MICROS, Math.max(WINDOW_MICROS, now - windowFrom)) / 1e6;
     windowFrom = now;
     asking.forEach(s -> s.count(seconds));
     asking.removeIf(
@@ -251,7 +252,7 @@
     List<Told> others = new ArrayList<>();
     for (int i = 0; i < common.told.length(); i++) {
       Told t = common.told.get(i);
-      if (i != loop && t != null && now - t.at < STALE * WINDOW) {
+      if (i != loop && t != null && now - t.at < STALE * WINDOW_MICROS) {
         others.add(t);
       }
     }
@@ -288,7 +289,7 @@
       // Its own part is free to it at any time, lent or not: who borrowed it has less after this
       // window.
       double part = Math.max(rate * weight[i] / all, parts[i] + spare * weight[i] / all);
-      among.get(i).limit.set(part, part * BURST * WINDOW / 1e6, now);
+      among.get(i).limit.reconfigure(part, part * BURST * WINDOW_MICROS / 1e6, now);
     }
   }
 }
--- a/core/src/main/java/shelffront/quota/TokenBucket.java
+++ b/core/src/main/java/shelffront/quota/TokenBucket.java
@@ -13,12 +13,12 @@
 
   /** A rate of 0 or less is no limit. The bucket begins full; its burst is 1 at least. */
   public TokenBucket(double perSecond, double burst, long now) {
-    set(perSecond, burst, now);
+    reconfigure(perSecond, burst, now);
     tokens = this.burst;
   }
 
   /** Changes the figures; what has been saved up counts on, as far as the new burst allows. */
-  public void set(double perSecond, double newBurst, long now) {
+  public void reconfigure(double perSecond, double newBurst, long now) {
     fill(now);
     perMicro = perSecond / 1e6;
     burst = Math.max(1, newBurst);
@@ -35,7 +35,7 @@
   }
 
   /** Microseconds until one more may be taken; 0 if now. Takes nothing. */
-  public long waitTime(long now) {
+  public long waitMicros(long now) {
     if (perMicro <= 0) {
       return 0;
     }
@@ -43,8 +43,8 @@
     return tokens >= 1 ? 0 : (long) Math.ceil((1 - tokens) / perMicro);
   }
 
-  /** Takes one; to be called after {@link #waitTime} gave 0. */
-  public void take() {
+  /** Takes one; to be called after {@link #waitMicros} gave 0. */
+  public void consume() {
     tokens -= perMicro > 0 ? 1 : 0;
   }
 }
--- a/core/src/main/java/shelffront/rollout/LeaseHolder.java
+++ b/core/src/main/java/shelffront/rollout/LeaseHolder.java
@@ -15,7 +15,7 @@
   public sealed interface Action {}
 
   /** Put this at its key where the key has that index; index 0: where there is none. */
-  public record Write(long index, Member member) implements Action {}
+  public record Write(long expectedIndex, Member member) implements Action {}
 
   /** Read its own key: what became of a write is not known. */
   public record ReadOwnKey() implements Action {}
--- a/core/src/main/java/shelffront/rollout/RolloutLeader.java
+++ b/core/src/main/java/shelffront/rollout/RolloutLeader.java
@@ -23,13 +23,13 @@
   public sealed interface Action {}
 
   /** Move the subject on. */
-  public record Advance(long index, RolloutState to) implements Action {}
+  public record Advance(long expectedIndex, RolloutState newState) implements Action {}
 
   /** Put an end to a membership that holds up a move. */
-  public record Revoke(String key, long index, Member revoked) implements Action {}
+  public record Revoke(String memberKey, long expectedIndex, Member revoked) implements Action {}
 
   /** Take away the mark of one whose lease has lapsed for sure. */
-  public record RemoveMember(String key, long index) implements Action {}
+  public record RemoveMember(String memberKey, long expectedIndex) implements Action {}
 
   /** Since when a member's key has had the same index, by the owner's clock. */
   private record Since(long index, long at) {}
--- a/core/src/main/java/shelffront/rollout/RolloutState.java
+++ b/core/src/main/java/shelffront/rollout/RolloutState.java
@@ -17,7 +17,7 @@
   }
 
   /** The same, on its way elsewhere. No move by itself, so the epoch stays. */
-  public RolloutState towards(int other) {
+  public RolloutState withTarget(int other) {
     return new RolloutState(epoch, stage, other);
   }
 }
--- a/core/src/test/java/shelffront/distribution/DistributionModel.java
+++ b/core/src/test/java/shelffront/distribution/DistributionModel.java
@@ -67,7 +67,7 @@
     Update.Snapshot snapshot(Version readFirst) {
       List<RecordChange> since =
           history.stream().filter(c -> readFirst.isBefore(c.version())).toList();
-      return Update.Snapshot.assembled(version, List.copyOf(recordsAt(version).values()), since);
+      return Update.Snapshot.assemble(version, List.copyOf(recordsAt(version).values()), since);
     }
   }
 
@@ -119,7 +119,7 @@
         if (!view.follows(name)
             && fetches.isEmpty()
             && !distributor.version().equals(Version.NONE)) {
-          view.beginAdding();
+          view.beginEdition();
           fetch(name, distributor);
         }
       }
@@ -132,7 +132,7 @@
     switch (random.nextInt(5)) {
       case 0 -> distributors[random.nextInt(2)] = new RecordTable(4, 1000);
       case 1 -> {
-        view.forget(name);
+        view.unfollow(name);
         inForce.remove(name);
         lastInForce.remove(name);
       }
@@ -168,7 +168,7 @@
     Update update =
         distributor.version().equals(Version.NONE)
             ? null
-            : distributor.updateFor(view.version(), SubscriptionFilter.in(toldNames));
+            : distributor.updateFor(view.version(), SubscriptionFilter.ofNames(toldNames));
     if (update != null) {
       answers.add(new InFlight(update, toldEdition));
     }
@@ -195,7 +195,7 @@
   }
 
   private boolean added(String name, Fetched fetched) {
-    if (fetched.record() != null && view.added(name, fetched.record(), fetched.asOf())) {
+    if (fetched.record() != null && view.follow(name, fetched.record(), fetched.asOf())) {
       took(view.record(name));
     }
     return true;
@@ -207,7 +207,7 @@
       int which = random.nextInt(answers.size());
       InFlight answer = random.nextInt(4) == 0 ? answers.get(which) : answers.remove(which);
       Version before = view.version();
-      view.take(answer.update(), answer.edition()).forEach(this::took);
+      view.apply(answer.update(), answer.edition()).forEach(this::took);
       if (view.version().isBefore(before)) {
         broken.add("the view stepped back from " + before + " to " + view.version());
       }
--- a/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
+++ b/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
@@ -33,7 +33,7 @@
 
   @Test
   void theOwnZoneComesFirstThenTheRegionThenAny() {
-    List<DistributorEndpoint> order = choice("g").order();
+    List<DistributorEndpoint> order = choice("g").preferenceOrder();
     assertTrue(
         order.subList(0, 3).stream()
             .allMatch(e -> e.region().equals("r1") && e.zone().equals("y")));
@@ -53,7 +53,7 @@
       DistributorEndpoint chosen = choice.next(0).endpoint();
       first.merge(chosen.address(), 1, Integer::sum);
       if (chosen.address().equals("r1y0:1")) {
-        choice.failed(chosen, 0);
+        choice.recordFailure(chosen, 0);
         second.merge(choice.next(0).endpoint().address(), 1, Integer::sum);
       }
     }
@@ -65,29 +65,35 @@
   @Test
   void oneThatFailedIsLeftOutForAPauseThatDoublesAndIsPreferredAgainAfterwards() {
     DistributorSelector choice = choice("g");
-    DistributorEndpoint preferred = choice.order().get(0);
-    choice.failed(preferred, 0);
-    assertEquals(choice.order().get(1), choice.next(0).endpoint());
-    assertFalse(choice.hasBetter(choice.order().get(1), 0));
-    assertTrue(choice.hasBetter(choice.order().get(1), DistributorSelector.FIRST_PAUSE));
-    choice.failed(preferred, SECOND);
-    assertFalse(choice.hasBetter(choice.order().get(1), SECOND + DistributorSelector.FIRST_PAUSE));
+    DistributorEndpoint preferred = choice.preferenceOrder().get(0);
+    choice.recordFailure(preferred, 0);
+    assertEquals(choice.preferenceOrder().get(1), choice.next(0).endpoint());
+    assertFalse(choice.hasPreferredAlternative(choice.preferenceOrder().get(1), 0));
+    assertTrue(
+        choice.hasPreferredAlternative(
+            choice.preferenceOrder().get(1), DistributorSelector.INITIAL_BACKOFF_MICROS));
+    choice.recordFailure(preferred, SECOND);
+    assertFalse(
+        choice.hasPreferredAlternative(
+            choice.preferenceOrder().get(1), SECOND + DistributorSelector.INITIAL_BACKOFF_MICROS));
     for (int i = 0; i < 10; i++) {
-      choice.failed(preferred, 2 * SECOND);
+      choice.recordFailure(preferred, 2 * SECOND);
     }
     assertTrue(
-        choice.hasBetter(choice.order().get(1), 2 * SECOND + DistributorSelector.LONGEST_PAUSE));
-    choice.succeeded(preferred);
+        choice.hasPreferredAlternative(
+            choice.preferenceOrder().get(1), 2 * SECOND + DistributorSelector.MAX_BACKOFF_MICROS));
+    choice.recordSuccess(preferred);
     assertEquals(preferred, choice.next(2 * SECOND).endpoint());
   }
 
   @Test
   void whereAllAreLeftOutTheSoonestIsAskedWhenItsPauseIsOver() {
     DistributorSelector choice = choice("g");
-    choice.order().forEach(e -> choice.failed(e, 0));
-    choice.failed(choice.order().get(0), 0);
+    choice.preferenceOrder().forEach(e -> choice.recordFailure(e, 0));
+    choice.recordFailure(choice.preferenceOrder().get(0), 0);
     assertEquals(
-        new DistributorSelector.Next(choice.order().get(1), DistributorSelector.FIRST_PAUSE),
+        new DistributorSelector.Selection(
+            choice.preferenceOrder().get(1), DistributorSelector.INITIAL_BACKOFF_MICROS),
         choice.next(0));
   }
 
--- a/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
@@ -8,8 +8,8 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
+import shelffront.quota.ConnectionQuotas.Acquisition;
 import shelffront.quota.ConnectionQuotas.ConnectionQuota;
-import shelffront.quota.ConnectionQuotas.Verdict;
 
 /** Forty sockets for tenants who open, keep and close them. */
 class ConnectionQuotasTest {
@@ -24,7 +24,7 @@
 
   private static int fill(ConnectionQuota who) {
     int got = 0;
-    while (who.tryAcquire(false) == Verdict.TAKEN) {
+    while (who.tryAcquire(false) == Acquisition.ACQUIRED) {
       got++;
     }
     return got;
@@ -33,7 +33,7 @@
   @Test
   void oneAloneHasAllAndNotMore() {
     assertEquals(40, fill(join("a", 1, 100)));
-    assertEquals(40, holdings.held());
+    assertEquals(40, holdings.inUse());
   }
 
   @Test
@@ -46,19 +46,20 @@
     ConnectionQuota first = join("first", 1, 100);
     ConnectionQuota second = join("second", 1, 100);
     fill(first);
-    assertEquals(Verdict.OWED, second.tryAcquire(false));
-    assertEquals(Verdict.OWED, second.tryAcquire(false));
+    assertEquals(Acquisition.PENDING, second.tryAcquire(false));
+    assertEquals(Acquisition.PENDING, second.tryAcquire(false));
     assertEquals(List.of("first asked", "first asked"), said);
     first.release();
     assertEquals("second told", said.get(2));
     second.acknowledgeAvailable();
-    assertEquals(Verdict.TAKEN, second.tryAcquire(false));
+    assertEquals(Acquisition.ACQUIRED, second.tryAcquire(false));
     while (first.excess() > 0) {
       first.release();
     }
-    assertEquals(20, second.held() + fill(second));
-    assertEquals(20, first.held());
-    assertEquals(Verdict.REFUSED, second.tryAcquire(false), "it has its part, and all are held");
+    assertEquals(20, second.inUse() + fill(second));
+    assertEquals(20, first.inUse());
+    assertEquals(
+        Acquisition.REJECTED, second.tryAcquire(false), "it has its part, and all are held");
   }
 
   /** What is lent stops short of all: whoever holds less than its part finds some at once. */
@@ -89,9 +90,9 @@
     ConnectionQuota b = join("b", 1, 100);
     b.tryAcquire(false);
     fill(a);
-    assertEquals(Verdict.REFUSED, a.tryAcquire(false));
+    assertEquals(Acquisition.REJECTED, a.tryAcquire(false));
     a.release();
-    assertEquals(Verdict.TAKEN, a.tryAcquire(true));
+    assertEquals(Acquisition.ACQUIRED, a.tryAcquire(true));
   }
 
   /**
@@ -113,12 +114,12 @@
                 for (int i = 0; i < 50_000; i++) {
                   if (random.nextBoolean()) {
                     mine.tryAcquire(random.nextInt(10) == 0);
-                  } else if (mine.held() > 0) {
+                  } else if (mine.inUse() > 0) {
                     mine.release();
                   }
-                  over[seed] |= holdings.held() > 40;
+                  over[seed] |= holdings.inUse() > 40;
                 }
-                while (mine.held() > 0) {
+                while (mine.inUse() > 0) {
                   mine.release();
                 }
                 done.countDown();
@@ -129,7 +130,7 @@
     for (boolean each : over) {
       assertTrue(!each, "more were held than there are");
     }
-    assertEquals(0, holdings.held());
+    assertEquals(0, holdings.inUse());
     all.forEach(ConnectionQuota::acknowledgeAvailable);
     assertEquals(40, fill(join("last", 1, 100)), "no weight of the others is left");
   }
--- a/core/src/test/java/shelffront/quota/EventLoopPlacementTest.java
+++ b/core/src/test/java/shelffront/quota/EventLoopPlacementTest.java
@@ -12,24 +12,24 @@
 
   @Test
   void newTenantsAreSpreadByWeight() {
-    assertEquals(0, placement.home(4));
-    assertEquals(1, placement.home(1));
-    assertEquals(2, placement.home(1));
-    assertEquals(1, placement.home(1));
-    placement.left(0, 4);
-    assertEquals(0, placement.home(1));
+    assertEquals(0, placement.placeNew(4));
+    assertEquals(1, placement.placeNew(1));
+    assertEquals(2, placement.placeNew(1));
+    assertEquals(1, placement.placeNew(1));
+    placement.remove(0, 4);
+    assertEquals(0, placement.placeNew(1));
   }
 
   @Test
   void oneThatWakesLeavesALoopThatWorksMuchMore() {
-    placement.seen(new long[] {900_000, 100_000, 300_000}, SECOND);
-    assertEquals(1, placement.woken(0, 1));
+    placement.recordBusyTime(new long[] {900_000, 100_000, 300_000}, SECOND);
+    assertEquals(1, placement.placeResumed(0, 1));
   }
 
   @Test
   void oneThatWakesStaysWhereTheDifferenceIsSmall() {
-    placement.seen(new long[] {300_000, 100_000, 200_000}, SECOND);
-    assertEquals(0, placement.woken(0, 1));
+    placement.recordBusyTime(new long[] {300_000, 100_000, 200_000}, SECOND);
+    assertEquals(0, placement.placeResumed(0, 1));
   }
 
   /**
@@ -38,10 +38,10 @@
    */
   @Test
   void thoseThatWakeTogetherAreSpread() {
-    placement.seen(new long[] {SECOND, 0, 0}, SECOND);
+    placement.recordBusyTime(new long[] {SECOND, 0, 0}, SECOND);
     int[] sent = new int[3];
     for (int i = 0; i < 100; i++) {
-      sent[placement.woken(0, 1)]++;
+      sent[placement.placeResumed(0, 1)]++;
     }
     assertEquals(
         true,
@@ -52,18 +52,18 @@
   @Test
   void whatWasExpectedFades() {
     for (int i = 0; i < 20; i++) {
-      placement.woken(0, 1);
+      placement.placeResumed(0, 1);
     }
-    placement.seen(new long[3], 10 * SECOND);
-    assertEquals(0, placement.woken(0, 1));
+    placement.recordBusyTime(new long[3], 10 * SECOND);
+    assertEquals(0, placement.placeResumed(0, 1));
   }
 
   /** A clock that stands still, and a count that seems to go back, change nothing for the worse. */
   @Test
   void oddFiguresAreTakenCalmly() {
-    placement.seen(new long[] {500_000, 0, 0}, SECOND);
-    placement.seen(new long[] {0, 0, 0}, SECOND);
-    placement.seen(new long[] {0, 0, 0}, 2 * SECOND);
-    assertEquals(0, placement.woken(0, 1));
+    placement.recordBusyTime(new long[] {500_000, 0, 0}, SECOND);
+    placement.recordBusyTime(new long[] {0, 0, 0}, SECOND);
+    placement.recordBusyTime(new long[] {0, 0, 0}, 2 * SECOND);
+    assertEquals(0, placement.placeResumed(0, 1));
   }
 }
--- a/core/src/test/java/shelffront/quota/TenantQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/TenantQuotasTest.java
@@ -74,7 +74,7 @@
   void oneThatReturnsHasItsPartAtOnce() {
     TenantQuotas.Quota[] two = {shares.register(1, null), shares.register(1, null)};
     run(two, new double[] {0, 5000}, 5 * SECOND);
-    assertEquals(400, run(two, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW)[0], 20);
+    assertEquals(400, run(two, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW_MICROS)[0], 20);
   }
 
   @Test
@@ -83,7 +83,7 @@
     run(two, new double[] {5000, 5000}, SECOND);
     assertEquals(100, run(two, new double[] {5000, 5000}, SECOND)[1], 10);
     shares.updateWeights(two[0], 1, null);
-    run(two, new double[] {5000, 5000}, TenantQuotas.WINDOW);
+    run(two, new double[] {5000, 5000}, TenantQuotas.WINDOW_MICROS);
     assertEquals(500, run(two, new double[] {5000, 5000}, SECOND)[1], 25);
   }
 
@@ -171,7 +171,7 @@
     double[] got = acrossLoops(loops, who, on, new double[] {100, 4000}, SECOND);
     assertEquals(100, got[0], 4);
     assertEquals(900, got[1], 45);
-    acrossLoops(loops, who, on, new double[] {4000, 4000}, 2 * TenantQuotas.WINDOW);
+    acrossLoops(loops, who, on, new double[] {4000, 4000}, 2 * TenantQuotas.WINDOW_MICROS);
     got = acrossLoops(loops, who, on, new double[] {4000, 4000}, SECOND);
     assertEquals(500, got[0], 25);
     assertEquals(500, got[1], 25);
@@ -185,7 +185,7 @@
     TenantQuotas.Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] on = {0, 1};
     acrossLoops(loops, who, on, new double[] {4000, 4000}, SECOND);
-    acrossLoops(loops, who, on, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW);
+    acrossLoops(loops, who, on, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW_MICROS);
     assertEquals(1000, acrossLoops(loops, who, on, new double[] {0, 4000}, SECOND)[1], 50);
   }
 
--- a/core/src/test/java/shelffront/rollout/RolloutModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -214,7 +214,7 @@
           new Gateway(0, LeaseHolder.absent(bounds, off), 0, null, 0, null, 0, false, 0, null, 0);
       for (int write = 0; joined && write < 2; write++) {
         LeaseHolder.Write w = (LeaseHolder.Write) g.holder().nextAction(0, Long.MAX_VALUE);
-        engine = engine.put(g.key(i), w.index(), w.member(), true);
+        engine = engine.put(g.key(i), w.expectedIndex(), w.member(), true);
         g =
             g.with(
                 g.holder().onWriteAnswered(0, 0, w, true, engine.members().get(g.key(i)).index()));
@@ -287,7 +287,7 @@
               s.engine()
                   .stand(
                       s.engine().index(),
-                      s.engine().standing().towards(s.engine().standing().target() == 0 ? 3 : 0),
+                      s.engine().standing().withTarget(s.engine().standing().target() == 0 ? 3 : 0),
                       true),
               s.gateways(),
               s.movers(),
@@ -371,7 +371,7 @@
       LeaseHolder.Action action =
           h.nextAction(now, g.open() == null ? Long.MAX_VALUE : g.open().epoch());
       if (action instanceof LeaseHolder.Write w) {
-        Engine after = e.put(key, w.index(), w.member(), checked);
+        Engine after = e.put(key, w.expectedIndex(), w.member(), checked);
         boolean taken = after != e;
         long at = taken ? after.members().get(key).index() : 0;
         String what = "write of " + key + " " + w;
@@ -398,7 +398,9 @@
                   e,
                   i,
                   g.with(h.onWriteUnknown(now)),
-                  plus(s.loose(), new Loose(what, x -> x.put(key, w.index(), w.member(), checked))),
+                  plus(
+                      s.loose(),
+                      new Loose(what, x -> x.put(key, w.expectedIndex(), w.member(), checked))),
                   s.faults() - 1,
                   what + " is held up and given up"));
         }
@@ -593,13 +595,13 @@
 
   private Engine effect(Engine e, RolloutLeader.Action action) {
     if (action instanceof RolloutLeader.Advance move) {
-      return e.stand(move.index(), move.to(), checked);
+      return e.stand(move.expectedIndex(), move.newState(), checked);
     }
     if (action instanceof RolloutLeader.Revoke r) {
-      return e.put(r.key(), r.index(), r.revoked(), checked);
+      return e.put(r.memberKey(), r.expectedIndex(), r.revoked(), checked);
     }
     RolloutLeader.RemoveMember f = (RolloutLeader.RemoveMember) action;
-    return e.forget(f.key(), f.index(), checked);
+    return e.forget(f.memberKey(), f.expectedIndex(), checked);
   }
 
   private static long hash(State s) {
--- a/core/src/test/java/shelffront/rollout/RolloutTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutTest.java
@@ -29,7 +29,7 @@
     assertEquals(new RolloutState(7, 2, 2), new RolloutState(7, 2, 2).next());
     assertEquals(
         new RolloutState(1, 0, 1),
-        FIRST.towards(1),
+        FIRST.withTarget(1),
         "the epoch is that of a stage, not of a action");
   }
 
--- a/gateway/src/main/java/shelffront/admin/FleetResource.java
+++ b/gateway/src/main/java/shelffront/admin/FleetResource.java
@@ -46,22 +46,22 @@
         throw new ProblemException(
             422, "Not a valid document", "a stage is needed", "/target", null);
       }
-      stages.target(parts[3], target.asText());
+      stages.requestStage(parts[3], target.asText());
     } else {
       AdminServer.only(method, "GET");
     }
     ArrayNode list = TenantSpecCodec.JSON.createArrayNode();
-    for (RolloutCoordinator.Shown s : stages.show(parts.length == 4 ? parts[3] : null)) {
+    for (RolloutCoordinator.SubjectStatus s : stages.status(parts.length == 4 ? parts[3] : null)) {
       ArrayNode waits =
           list.addObject()
               .put("subject", s.subject())
               .put("stage", s.stage())
               .put("target", s.target())
               .put("epoch", s.epoch())
-              .put("inForceHere", s.inForceHere())
-              .put("owner", s.owner())
+              .put("inForceHere", s.stageInForceHere())
+              .put("owner", s.isLeader())
               .putArray("waitsFor");
-      s.waitsFor().forEach(waits::add);
+      s.blockingMembers().forEach(waits::add);
     }
     return AdminResponse.of(200, TenantSpecCodec.JSON.createObjectNode().set("subjects", list));
   }
@@ -88,14 +88,14 @@
         TenantSpecCodec.JSON
             .createObjectNode()
             .put("ageMillis", status.ageMillis())
-            .put("following", status.following())
-            .put("names", status.names())
-            .put("inForce", status.inForce());
+            .put("following", status.followedDistributor())
+            .put("names", status.subscribedNames())
+            .put("inForce", status.recordsInForce());
     put(answer.putObject("version"), status.version());
     ObjectNode rejected = answer.putObject("rejected");
-    status.rejected().forEach(rejected::put);
-    if (status.error() != null) {
-      answer.put("error", status.error()).put("advice", status.advice());
+    status.rejectionReasons().forEach(rejected::put);
+    if (status.errorCode() != null) {
+      answer.put("error", status.errorCode()).put("advice", status.advice());
     }
     return AdminResponse.of(200, answer);
   }
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -15,8 +15,8 @@
 import shelffront.net.Network;
 import shelffront.pg.Message;
 import shelffront.quota.ConnectionQuotas;
+import shelffront.quota.ConnectionQuotas.Acquisition;
 import shelffront.quota.ConnectionQuotas.ConnectionQuota;
-import shelffront.quota.ConnectionQuotas.Verdict;
 import shelffront.request.BackendAttempt;
 import shelffront.routing.AttemptStatus;
 import shelffront.routing.Availability;
@@ -189,11 +189,11 @@
    * free.
    */
   private void open(BackendHost host) {
-    Verdict verdict = sockets.tryAcquire(false);
-    if (verdict != Verdict.TAKEN && evict()) {
+    Acquisition verdict = sockets.tryAcquire(false);
+    if (verdict != Acquisition.ACQUIRED && evict()) {
       verdict = sockets.tryAcquire(true);
     }
-    if (verdict != Verdict.TAKEN) {
+    if (verdict != Acquisition.ACQUIRED) {
       return;
     }
     AsynchronousSocketChannel channel;
@@ -245,7 +245,7 @@
 
   /** Sockets that are open to hosts. */
   public int held() {
-    return sockets.held();
+    return sockets.inUse();
   }
 
   private boolean evict() {
--- a/gateway/src/main/java/shelffront/cli/Cli.java
+++ b/gateway/src/main/java/shelffront/cli/Cli.java
@@ -210,7 +210,7 @@
           new AsyncEventLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
       EventLog log = GatewayLogging.open(false, lines);
       try (DistributorProcess role =
-          DistributorProcess.read(JsonnetTemplates.evaluate(file), log)) {
+          DistributorProcess.fromSettings(JsonnetTemplates.evaluate(file), log)) {
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(stopped::countDown, "stop"));
         role.start();
--- a/gateway/src/main/java/shelffront/controlplane/ChangeStore.java
+++ b/gateway/src/main/java/shelffront/controlplane/ChangeStore.java
@@ -37,7 +37,7 @@
   public static final int LOG_SLOTS = 1024;
 
   /** Characters of a document; the engine takes values of 512 KB, and holds them in base 64. */
-  public static final int GREATEST_DOCUMENT = 256 << 10;
+  public static final int MAX_DOCUMENT_CHARACTERS = 256 << 10;
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int MOST_TRIES = 20;
@@ -65,7 +65,7 @@
     }
 
     /** As it stands; null where there is none. */
-    public RecordChange present() {
+    public RecordChange currentRecord() {
       return present;
     }
   }
@@ -101,7 +101,7 @@
   }
 
   /** The changes between two heads; null where the log no longer reaches back so far. */
-  public List<RecordChange> changes(Head after, Head upTo)
+  public List<RecordChange> changesBetween(Head after, Head upTo)
       throws CoordinationException, EngineSteppedBack {
     long missing = upTo.version().sequence() - after.version().sequence();
     if (after.version().incarnation() != upTo.version().incarnation() || missing >= LOG_SLOTS) {
@@ -114,9 +114,10 @@
     String previousId = after.changeId();
     for (long from = after.version().sequence() + 1;
         from <= upTo.version().sequence();
-        from += CoordinationStore.MOST_IN_TRANSACTION) {
+        from += CoordinationStore.MAX_TRANSACTION_OPERATIONS) {
       long to =
-          Math.min(upTo.version().sequence(), from + CoordinationStore.MOST_IN_TRANSACTION - 1);
+          Math.min(
+              upTo.version().sequence(), from + CoordinationStore.MAX_TRANSACTION_OPERATIONS - 1);
       Map<Long, Entry> entries = entries(from, to);
       for (long sequence = from; sequence <= to; sequence++) {
         Entry entry = entries.get(sequence);
@@ -148,10 +149,10 @@
   }
 
   /** A snapshot and the head that it is as of. */
-  public record Read(Update.Snapshot snapshot, Head head) {}
+  public record VersionedSnapshot(Update.Snapshot snapshot, Head head) {}
 
   /** All records, as of one head. */
-  public Read readAll() throws CoordinationException, EngineSteppedBack {
+  public VersionedSnapshot readAll() throws CoordinationException, EngineSteppedBack {
     while (true) {
       Head before = head();
       List<RecordChange> listed = new ArrayList<>();
@@ -159,10 +160,11 @@
         listed.add(change(value, ValueJson.object(value)));
       }
       Head after = head();
-      List<RecordChange> since = changes(before, after);
+      List<RecordChange> since = changesBetween(before, after);
       if (since != null) {
         listed.replaceAll(r -> within(after.version().incarnation(), r));
-        return new Read(Update.Snapshot.assembled(after.version(), listed, since), after);
+        return new VersionedSnapshot(
+            Update.Snapshot.assemble(after.version(), listed, since), after);
       }
     }
   }
@@ -194,7 +196,7 @@
    */
   public Version write(String name, long expectedSequence, String document, Version seen)
       throws CoordinationException, RecordChanged, EngineSteppedBack, RecordTooLarge {
-    if (document != null && document.length() > GREATEST_DOCUMENT) {
+    if (document != null && document.length() > MAX_DOCUMENT_CHARACTERS) {
       throw new RecordTooLarge(name, document.length());
     }
     for (int i = 0; i < MOST_TRIES; i++) {
@@ -245,7 +247,7 @@
       long incarnation = Math.max(head.version().incarnation() + 1, System.currentTimeMillis());
       Version version = new Version(incarnation, head.version().sequence());
       String text = version(version).put("id", UUID.randomUUID().toString()).toString();
-      if (engine.put(headKey, head.index(), text)) {
+      if (engine.checkAndSet(headKey, head.index(), text)) {
         return version;
       }
     }
--- a/gateway/src/main/java/shelffront/controlplane/DistributionException.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionException.java
@@ -78,7 +78,11 @@
     RecordTooLarge(String name, int characters) {
       super(
           "record-too-large",
-          name + " has " + characters + " characters, more than " + ChangeStore.GREATEST_DOCUMENT,
+          name
+              + " has "
+              + characters
+              + " characters, more than "
+              + ChangeStore.MAX_DOCUMENT_CHARACTERS,
           "Give it fewer hosts, or let it have them from discovery.",
           null);
     }
--- a/gateway/src/main/java/shelffront/controlplane/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -141,7 +141,7 @@
     boolean complete = true;
     synchronized (table) {
       for (RecordChange change : update.changes()) {
-        complete &= table.apply(change) != RecordTable.Applied.GAP;
+        complete &= table.apply(change) != RecordTable.ApplyResult.GAP;
         changed.add(change.name());
       }
       complete &= !table.version().isBefore(update.version());
--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -36,12 +36,12 @@
   private DistributorProcess(InetSocketAddress listen, SubscribedRecordsConfig config, EventLog log)
       throws IOException {
     LongSupplier clock = () -> System.nanoTime() / 1000;
-    timer = timer(2, "distributor-timer");
+    timer = newTimer(2, "distributor-timer");
     answers = Executors.newFixedThreadPool(ANSWER_THREADS, daemons("distributor-answer"));
     Distributor distributor = new Distributor(timer, answers, clock);
     server = new DistributionServer(listen, distributor, answers, log);
     if (config.distributors().isEmpty()) {
-      EngineFollower engine = new EngineFollower(changeStore(config), distributor, clock, log);
+      EngineFollower engine = new EngineFollower(openChangeStore(config), distributor, clock, log);
       follower = engine;
       start = engine::start;
     } else {
@@ -60,7 +60,7 @@
               SubscribedRecords.httpClient(config.timings()),
               choice,
               config.timings(),
-              config.staleAfter(),
+              config.staleAfterMicros(),
               timer,
               clock,
               log);
@@ -70,7 +70,7 @@
   }
 
   /** By settings that hold where it listens, beside what {@link SubscribedRecordsConfig} reads. */
-  public static DistributorProcess read(JsonNode settings, EventLog log)
+  public static DistributorProcess fromSettings(JsonNode settings, EventLog log)
       throws SpecException, IOException {
     if (!settings.isObject()) {
       throw new SpecException("", "not a JSON object");
@@ -86,17 +86,17 @@
   }
 
   /** The engine's side, for whoever has an engine in its settings. */
-  public static ChangeStore changeStore(SubscribedRecordsConfig config) {
+  public static ChangeStore openChangeStore(SubscribedRecordsConfig config) {
     return new ChangeStore(
         new ConsulCoordinationStore(
-            config.engine().getHostString(),
-            config.engine().getPort(),
+            config.engineAddress().getHostString(),
+            config.engineAddress().getPort(),
             Duration.of(config.timings().pollWaitMicros(), ChronoUnit.MICROS)),
         config.fleet());
   }
 
   /** Threads for timed work, which end with the process. */
-  public static ScheduledThreadPoolExecutor timer(int threads, String name) {
+  public static ScheduledThreadPoolExecutor newTimer(int threads, String name) {
     ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(threads, daemons(name));
     timer.setRemoveOnCancelPolicy(true);
     return timer;
--- a/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
@@ -79,7 +79,7 @@
     long sentAt = clock.getAsLong();
     Head head = read ? store.awaitHead(known) : store.head();
     boolean sameIncarnation = head.version().incarnation() == known.version().incarnation();
-    List<RecordChange> missing = read && sameIncarnation ? store.changes(known, head) : null;
+    List<RecordChange> missing = read && sameIncarnation ? store.changesBetween(known, head) : null;
     if (missing != null) {
       distributor.take(new Update.Changes(known.version(), head.version(), missing));
       known = head;
@@ -92,7 +92,7 @@
   }
 
   private void readAll() throws CoordinationException, EngineSteppedBack {
-    ChangeStore.Read all = store.readAll();
+    ChangeStore.VersionedSnapshot all = store.readAll();
     distributor.take(all.snapshot());
     known = all.head();
     read = true;
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -35,10 +35,10 @@
 public final class SubscribedRecords implements Subscriber.Owner, AutoCloseable {
 
   /** Puts records in force. Called in the order of changes, never twice at once. */
-  public interface Target {
+  public interface RecordApplier {
 
     /** Null where it was put in force; else why it is not valid, and what it replaces stays. */
-    String put(RecordChange record);
+    String apply(RecordChange record);
 
     void remove(String name);
 
@@ -46,7 +46,7 @@
      * The view has come to this version: every change up to it is in force here, or concerns
      * nothing here.
      */
-    void reached(Version version);
+    void onVersionReached(Version version);
   }
 
   private static final int MOST_ABSENT = 10_000;
@@ -65,7 +65,7 @@
   private static final long LOOKUP_MILLIS = 2_000;
 
   private final SubscribedRecordsConfig config;
-  private final Target target;
+  private final RecordApplier target;
   private final EventLog log;
   private final ScheduledExecutorService timer;
   private final LongSupplier clock;
@@ -85,7 +85,7 @@
   /** The clock is monotonic, in microseconds. */
   public SubscribedRecords(
       SubscribedRecordsConfig config,
-      Target target,
+      RecordApplier target,
       HttpClient http,
       ScheduledExecutorService timer,
       LongSupplier clock,
@@ -97,7 +97,7 @@
     this.clock = clock;
     this.log = log;
     lastKnownGood =
-        config.lastKnownGood() == null ? null : new LastKnownGood(config.lastKnownGood());
+        config.lastKnownGoodFile() == null ? null : new LastKnownGood(config.lastKnownGoodFile());
     DistributorSelector choice =
         new DistributorSelector(
             config.name(),
@@ -113,7 +113,7 @@
             http,
             choice,
             config.timings(),
-            config.staleAfter(),
+            config.staleAfterMicros(),
             timer,
             clock,
             log);
@@ -180,8 +180,8 @@
   }
 
   /** Follows a name no longer, and has it put out of force here. */
-  public synchronized void forget(String name) {
-    view.forget(name);
+  public synchronized void unsubscribe(String name) {
+    view.unfollow(name);
     timer.execute(() -> subscriber.forget(name));
     if (inForce.remove(name) != null) {
       target.remove(name);
@@ -206,16 +206,16 @@
   @Override
   public synchronized boolean polled(DistributionMessages.Polled answer) {
     Version before = view.version();
-    view.take(answer.update(), answer.edition()).forEach(this::takeUp);
+    view.apply(answer.update(), answer.edition()).forEach(this::takeUp);
     if (!view.version().equals(before)) {
-      target.reached(view.version());
+      target.onVersionReached(view.version());
     }
     return true;
   }
 
   @Override
   public synchronized long beginAdding(List<String> names) {
-    return view.beginAdding();
+    return view.beginEdition();
   }
 
   @Override
@@ -230,7 +230,7 @@
       if (record == null) {
         absent.add(name, clock.getAsLong());
       } else {
-        view.added(name, record, answer.version());
+        view.follow(name, record, answer.version());
         absent.remove(name);
         takeUp(view.record(name));
       }
@@ -259,7 +259,7 @@
   }
 
   private void putInForce(RecordChange change) {
-    String reason = target.put(change);
+    String reason = target.apply(change);
     if (reason == null) {
       inForce.put(change.name(), change);
       rejected.remove(change.name());
@@ -313,26 +313,26 @@
   private ViewTooOld ageError() {
     long now = clock.getAsLong();
     long age = freshness.maxAgeMicros(now);
-    boolean starting = age == Staleness.NEVER && now - startedAt <= config.greatestAge();
-    return starting || age <= config.greatestAge()
+    boolean starting = age == Staleness.NEVER && now - startedAt <= config.maxAgeMicros();
+    return starting || age <= config.maxAgeMicros()
         ? null
-        : new ViewTooOld(age == Staleness.NEVER ? -1 : age / 1000, config.greatestAge() / 1000);
+        : new ViewTooOld(age == Staleness.NEVER ? -1 : age / 1000, config.maxAgeMicros() / 1000);
   }
 
   /**
    * What an administrator sees of it.
    *
    * @param ageMillis -1 where it was never current since the start
-   * @param error the code of what an operator should look at; null where nothing is
+   * @param errorCode the code of what an operator should look at; null where nothing is
    */
   public record Status(
       Version version,
       long ageMillis,
-      String following,
-      int names,
-      int inForce,
-      Map<String, String> rejected,
-      String error,
+      String followedDistributor,
+      int subscribedNames,
+      int recordsInForce,
+      Map<String, String> rejectionReasons,
+      String errorCode,
       String advice) {}
 
   public Status status() {
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -20,11 +20,11 @@
  * @param name of this process, its own in the fleet
  * @param fleet under which the engine keeps the records
  * @param distributors those that may be followed; empty where the engine is followed itself
- * @param engine where the engine's agent answers, null where this process neither follows nor
- *     changes anything there
- * @param lastKnownGood the file that keeps what is in force; null where there is no disk
- * @param staleAfter a distributor whose view is older is left for another
- * @param greatestAge of a view; an older one is an error
+ * @param engineAddress where the engine's agent answers, null where this process neither follows
+ *     nor changes anything there
+ * @param lastKnownGoodFile the file that keeps what is in force; null where there is no disk
+ * @param staleAfterMicros a distributor whose view is older is left for another
+ * @param maxAgeMicros of a view; an older one is an error
  */
 public record SubscribedRecordsConfig(
     String name,
@@ -32,11 +32,11 @@
     String region,
     String zone,
     List<DistributorEndpoint> distributors,
-    InetSocketAddress engine,
-    Path lastKnownGood,
+    InetSocketAddress engineAddress,
+    Path lastKnownGoodFile,
     DistributionTimings timings,
-    long staleAfter,
-    long greatestAge) {
+    long staleAfterMicros,
+    long maxAgeMicros) {
 
   private static final Set<String> NAMES =
       Set.of(
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -146,7 +146,7 @@
     client = null;
     adding = false;
     long now = clock.getAsLong();
-    DistributorSelector.Next next = choice.next(now);
+    DistributorSelector.Selection next = choice.next(now);
     long mine = ++attempt;
     timer.schedule(
         () -> {
@@ -156,7 +156,7 @@
             }
           }
         },
-        Math.max(0, next.at() - now),
+        Math.max(0, next.atMicros() - now),
         TimeUnit.MICROSECONDS);
   }
 
@@ -205,7 +205,7 @@
   private void leave(DistributorEndpoint endpoint, Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
     log.println(name + " leaves distributor " + endpoint.address() + ": " + cause.getMessage());
-    choice.failed(endpoint, clock.getAsLong());
+    choice.recordFailure(endpoint, clock.getAsLong());
     follow();
   }
 
@@ -261,14 +261,14 @@
     if (stale && now - switchedAt > timings.failedHopMicros()) {
       log.println(
           name + " leaves distributor " + asked.endpoint().address() + ", whose view is old");
-      choice.failed(asked.endpoint(), now);
+      choice.recordFailure(asked.endpoint(), now);
       follow();
       return;
     }
     if (!stale) {
-      choice.succeeded(asked.endpoint());
-      if (choice.hasBetter(asked.endpoint(), now)
-          && now - switchedAt > DistributorSelector.LONGEST_PAUSE) {
+      choice.recordSuccess(asked.endpoint());
+      if (choice.hasPreferredAlternative(asked.endpoint(), now)
+          && now - switchedAt > DistributorSelector.MAX_BACKOFF_MICROS) {
         follow();
         return;
       }
--- a/gateway/src/main/java/shelffront/controlplane/Subscription.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscription.java
@@ -47,7 +47,7 @@
     all = asked.all();
     names = new HashSet<>(asked.names());
     edition = asked.edition();
-    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.in(names);
+    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.ofNames(names);
     usedAt = now;
   }
 
@@ -70,14 +70,14 @@
   void change(DistributionMessages.ChangeNames change) {
     change.remove().forEach(names::remove);
     names.addAll(change.add());
-    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.in(names);
+    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.ofNames(names);
     edition = Math.max(edition, change.edition());
   }
 
   /** Follows these no longer. */
   void drop(Collection<String> dropped) {
     dropped.forEach(names::remove);
-    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.in(names);
+    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.ofNames(names);
   }
 
   /** Has a poll wait; gives the one that waited before, which nobody asks for any more. */
--- a/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
@@ -120,13 +120,13 @@
   }
 
   @Override
-  public boolean put(String key, long index, String text) throws CoordinationException {
+  public boolean checkAndSet(String key, long index, String text) throws CoordinationException {
     return ask(
         () -> calls.putValue(key, text, 0, ImmutablePutOptions.builder().cas(index).build()));
   }
 
   @Override
-  public void delete(String key, long index) throws CoordinationException {
+  public void checkAndDelete(String key, long index) throws CoordinationException {
     ask(
         () -> {
           calls.deleteKey(key, ImmutableDeleteOptions.builder().cas(index).build());
@@ -142,7 +142,7 @@
   }
 
   private static Operation operation(Write write) {
-    boolean removes = write.text() == null;
+    boolean removes = write.newText() == null;
     boolean checked = write.index() != Write.ANY_INDEX;
     Verb verb =
         removes
@@ -150,7 +150,7 @@
             : checked ? Verb.CHECK_AND_SET : Verb.SET;
     ImmutableOperation.Builder operation = Operation.builder(verb).key(write.key());
     if (!removes) {
-      operation.value(write.text());
+      operation.value(write.newText());
     }
     return checked ? operation.index(BigInteger.valueOf(write.index())).build() : operation.build();
   }
--- a/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
@@ -27,31 +27,35 @@
   Listing watch(String prefix, long after) throws CoordinationException;
 
   /** Whether it was taken; index 0: only where there is no such key. */
-  boolean put(String key, long index, String text) throws CoordinationException;
+  boolean checkAndSet(String key, long index, String text) throws CoordinationException;
 
   /** Takes the key away where it has the index. */
-  void delete(String key, long index) throws CoordinationException;
+  void checkAndDelete(String key, long index) throws CoordinationException;
 
   /**
    * One key's part in a transaction: its index must be this one (0: there is no such key); a text
    * of null removes it.
    */
-  record Write(String key, long index, String text) {
+  record Write(String key, long index, String newText) {
 
     /** Whatever the key's index is. */
     public static final long ANY_INDEX = -1;
   }
 
   /**
-   * Carries out all writes, at most {@link #MOST_IN_TRANSACTION}, or none; whether they were taken.
+   * Carries out all writes, at most {@link #MAX_TRANSACTION_OPERATIONS}, or none; whether they were
+   * taken.
    */
   boolean transact(List<Write> writes) throws CoordinationException;
 
-  /** Several keys as of one moment, those that there are; at most {@link #MOST_IN_TRANSACTION}. */
+  /**
+   * Several keys as of one moment, those that there are; at most {@link
+   * #MAX_TRANSACTION_OPERATIONS}.
+   */
   List<Value> readAll(List<String> keys) throws CoordinationException;
 
   /** Operations that one transaction may have. */
-  int MOST_IN_TRANSACTION = 64;
+  int MAX_TRANSACTION_OPERATIONS = 64;
 
   @Override
   void close();
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -154,7 +154,7 @@
   void apply(TenantSpec spec, LongConsumer inForce) {
     Home home = homes.get(spec.id());
     if (home == null) {
-      home = new Home(spec, placement.home(spec.weight()));
+      home = new Home(spec, placement.placeNew(spec.weight()));
       homes.put(spec.id(), home);
     }
     home.spec = spec;
@@ -168,7 +168,7 @@
       gone.accept(front.loop().now());
       return;
     }
-    placement.left(home.loopIndex, home.spec.weight());
+    placement.remove(home.loopIndex, home.spec.weight());
     TenantRegistry there = members.get(home.loopIndex).tenants();
     on(home.loopIndex, () -> there.remove(id, gone));
   }
@@ -316,9 +316,9 @@
     for (int i = 0; i < worked.length; i++) {
       worked[i] = loop(i).worked();
     }
-    placement.seen(worked, front.loop().now());
+    placement.recordBusyTime(worked, front.loop().now());
     int before = home.loopIndex;
-    home.loopIndex = placement.woken(before, home.spec.weight());
+    home.loopIndex = placement.placeResumed(before, home.spec.weight());
     if (home.loopIndex == before) {
       return;
     }
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
@@ -92,7 +92,7 @@
       }
       return version.sequence();
     } catch (RecordChanged e) {
-      throw new ConflictException(e.present() == null ? null : entry(e.present()));
+      throw new ConflictException(e.currentRecord() == null ? null : entry(e.currentRecord()));
     }
   }
 
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -25,10 +25,10 @@
  * The tenants that a gateway of a fleet serves, by distribution: puts their records in force as
  * they come, and finds those that a client names first.
  */
-final class FleetTenants implements SubscribedRecords.Target, AutoCloseable {
+final class FleetTenants implements SubscribedRecords.RecordApplier, AutoCloseable {
 
   private final TenantAdministration.Control control;
-  private final ScheduledThreadPoolExecutor timer = DistributorProcess.timer(1, "fleet-records");
+  private final ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(1, "fleet-records");
   private final SubscribedRecords records;
   private final ChangeStore engine; // null where this gateway changes nothing
   private volatile LongConsumer reached = sequence -> {};
@@ -44,7 +44,7 @@
             () -> System.nanoTime() / 1000,
             new Random(),
             log);
-    engine = config.engine() == null ? null : DistributorProcess.changeStore(config);
+    engine = config.engineAddress() == null ? null : DistributorProcess.openChangeStore(config);
   }
 
   /** Told of each sequence up to which every change is in force here. */
@@ -90,11 +90,11 @@
 
   /** No client has asked for it for long. An event loop may call. */
   void forget(String id) {
-    timer.execute(() -> records.forget(FleetTenantDocuments.PREFIX + id));
+    timer.execute(() -> records.unsubscribe(FleetTenantDocuments.PREFIX + id));
   }
 
   @Override
-  public String put(RecordChange record) {
+  public String apply(RecordChange record) {
     try {
       TenantSpec spec =
           TenantSpecCodec.read(TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
@@ -114,7 +114,7 @@
   }
 
   @Override
-  public void reached(Version version) {
+  public void onVersionReached(Version version) {
     reached.accept(version.sequence());
   }
 
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
@@ -108,14 +108,14 @@
   private static RolloutCoordinator stages(RolloutConfig fleet, EventLog log) throws IOException {
     CoordinationStore engine =
         new ConsulCoordinationStore(
-            fleet.host(),
-            fleet.port(),
-            Duration.of(fleet.bounds().leaseMicros() / 4, ChronoUnit.MICROS));
+            fleet.engineHost(),
+            fleet.enginePort(),
+            Duration.of(fleet.leaseTimings().leaseMicros() / 4, ChronoUnit.MICROS));
     return new RolloutCoordinator(
         fleet,
         engine,
         UUID.randomUUID().toString().substring(0, 8),
-        RolloutHistory.to(fleet.history()),
+        RolloutHistory.appendingTo(fleet.historyFile()),
         log);
   }
 
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
@@ -16,22 +16,23 @@
 /**
  * The part {@code fleet} of a hosted gateway's settings.
  *
- * @param host the engine's agent
+ * @param engineHost the engine's agent
  * @param fleet names the keys: gateways of one fleet share it
- * @param name of this gateway, its own in the fleet
- * @param subjects by name, the stages of each in order; the first is in force at the beginning
+ * @param gatewayName of this gateway, its own in the fleet
+ * @param stagesBySubject by name, the stages of each in order; the first is in force at the
+ *     beginning
  * @param shards threads that keep leases, each with its part of the subjects
- * @param history where what came into force is written, a JSON object a line; null: nowhere
+ * @param historyFile where what came into force is written, a JSON object a line; null: nowhere
  */
 public record RolloutConfig(
-    String host,
-    int port,
+    String engineHost,
+    int enginePort,
     String fleet,
-    String name,
-    LeaseTimings bounds,
-    Map<String, List<String>> subjects,
+    String gatewayName,
+    LeaseTimings leaseTimings,
+    Map<String, List<String>> stagesBySubject,
     int shards,
-    Path history) {
+    Path historyFile) {
 
   private static final Set<String> NAMES =
       Set.of(
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
@@ -28,7 +28,7 @@
  * A gateway's part in what its fleet changes stage by stage. Threads of its own: one for each shard
  * of subjects, which keeps their leases, one that watches where subjects stand, and one that tries
  * to be owner and moves them on. Whoever acts reads a snapshot without a lock: {@link #inForce}, or
- * {@link #begin} where the act takes time.
+ * {@link #beginOperation} where the act takes time.
  *
  * <p>The owner is found by a key that its holder writes anew in time; who sees it unchanged for
  * long enough takes it. That saves the engine work and no more: what keeps stages apart is in
@@ -98,14 +98,14 @@
     this.engine = engine;
     this.log = log;
     this.history = history;
-    this.instance = config.name() + "-" + instance;
-    bounds = config.bounds();
+    this.instance = config.gatewayName() + "-" + instance;
+    bounds = config.leaseTimings();
     prefix = "shelffront/" + config.fleet() + "/";
     for (int i = 0; i < config.shards(); i++) {
       shards.add(new ArrayList<>());
     }
     config
-        .subjects()
+        .stagesBySubject()
         .forEach(
             (name, stages) -> {
               Subject subject = new Subject(name, stages, bounds);
@@ -165,9 +165,9 @@
   /**
    * Something that goes on under a stage; until it is closed the gateway acknowledges no later one.
    */
-  public interface Act extends AutoCloseable {
+  public interface Operation extends AutoCloseable {
 
-    RolloutState under();
+    RolloutState state();
 
     @Override
     void close();
@@ -177,7 +177,7 @@
    * Begins an act under what is in force; null: in the safe stage nothing begins. Waits for
    * nothing.
    */
-  public Act begin(String name) throws UnknownSubject {
+  public Operation beginOperation(String name) throws UnknownSubject {
     Subject subject = subject(name);
     while (true) {
       InForce force = subject.force;
@@ -196,13 +196,13 @@
     }
   }
 
-  private static Act act(Subject subject, RolloutState under) {
-    return new Act() {
+  private static Operation act(Subject subject, RolloutState under) {
+    return new Operation() {
 
       private boolean over;
 
       @Override
-      public RolloutState under() {
+      public RolloutState state() {
         return under;
       }
 
@@ -292,7 +292,7 @@
     Value after = null;
     boolean known = false;
     try {
-      taken = engine.put(key, write.index(), text);
+      taken = engine.checkAndSet(key, write.expectedIndex(), text);
       after = taken ? engine.read(key) : null;
       known = true;
     } finally {
@@ -402,7 +402,7 @@
         boolean free =
             value == null || now() - since > OWNER_PATIENCE * bounds.suspectAfterMicros();
         boolean led = leads;
-        leads = (mine || free) && engine.put(prefix + "owner", at, instance + " " + ++beat);
+        leads = (mine || free) && engine.checkAndSet(prefix + "owner", at, instance + " " + ++beat);
         if (leads != led) {
           log.println(leads ? "owns the fleet's stages" : "owns the fleet's stages no longer");
           owners.clear(); // what was seen before tells nothing of the time between
@@ -428,7 +428,7 @@
     String key = prefix + "standing/" + s.name;
     Value value = engine.read(key);
     if (value == null) {
-      engine.put(key, 0, text(s, new RolloutState(1, 0, 0)));
+      engine.checkAndSet(key, 0, text(s, new RolloutState(1, 0, 0)));
       return now();
     }
     RolloutState standing = standing(s, value);
@@ -445,27 +445,27 @@
     s.waitsFor = owner.blockingMembers().stream().map(k -> k.substring(members.length())).toList();
     for (RolloutLeader.Action action : owner.actions()) {
       if (action instanceof RolloutLeader.Advance m) {
-        if (engine.put(key, m.index(), text(s, m.to()))) {
-          history.moved(instance, s.name, m.to(), now());
+        if (engine.checkAndSet(key, m.expectedIndex(), text(s, m.newState()))) {
+          history.moved(instance, s.name, m.newState(), now());
           log.println(
               "moved "
                   + s.name
                   + " to "
-                  + s.stages.get(m.to().stage())
+                  + s.stages.get(m.newState().stage())
                   + ", epoch "
-                  + m.to().epoch());
+                  + m.newState().epoch());
         }
       } else if (action instanceof RolloutLeader.Revoke r) {
-        if (engine.put(r.key(), r.index(), text(r.revoked(), 0))) {
+        if (engine.checkAndSet(r.memberKey(), r.expectedIndex(), text(r.revoked(), 0))) {
           log.println(
               "revoked "
-                  + r.key()
+                  + r.memberKey()
                   + ", which did not renew; its lease may run for "
                   + bounds.leaseExpiryBoundMicros() / 1000
                   + " ms");
         }
       } else if (action instanceof RolloutLeader.RemoveMember f) {
-        engine.delete(f.key(), f.index());
+        engine.checkAndDelete(f.memberKey(), f.expectedIndex());
       }
     }
     boolean moving = standing.stage() != standing.target();
@@ -478,28 +478,28 @@
   /**
    * Where a subject stands.
    *
-   * @param inForceHere null: the safe stage
-   * @param owner whether this gateway is the fleet's owner
-   * @param waitsFor where it is, the members that hold up the next move
+   * @param stageInForceHere null: the safe stage
+   * @param isLeader whether this gateway is the fleet's owner
+   * @param blockingMembers where it is, the members that hold up the next move
    */
-  public record Shown(
+  public record SubjectStatus(
       String subject,
       String stage,
       String target,
       long epoch,
-      String inForceHere,
-      boolean owner,
-      List<String> waitsFor) {}
+      String stageInForceHere,
+      boolean isLeader,
+      List<String> blockingMembers) {}
 
   /** Where all subjects stand, by name, or the one that is named; null: all. */
-  public List<Shown> show(String only) throws RolloutException, CoordinationException {
-    List<Shown> shown = new ArrayList<>();
+  public List<SubjectStatus> status(String only) throws RolloutException, CoordinationException {
+    List<SubjectStatus> shown = new ArrayList<>();
     for (Subject s : only == null ? new TreeMap<>(subjects).values() : List.of(subject(only))) {
       Value value = engine.read(prefix + "standing/" + s.name);
       RolloutState standing = value == null ? new RolloutState(0, 0, 0) : standing(s, value);
       RolloutState here = inForce(s.name);
       shown.add(
-          new Shown(
+          new SubjectStatus(
               s.name,
               s.stages.get(standing.stage()),
               s.stages.get(standing.target()),
@@ -512,7 +512,7 @@
   }
 
   /** Asks that a subject go to a stage, one after another; gives where it stands now. */
-  public RolloutState target(String name, String stage)
+  public RolloutState requestStage(String name, String stage)
       throws RolloutException, CoordinationException {
     Subject s = subject(name);
     int to = s.stages.indexOf(stage);
@@ -522,8 +522,8 @@
     String key = prefix + "standing/" + name;
     Value value = engine.read(key);
     RolloutState standing = value == null ? new RolloutState(1, 0, 0) : standing(s, value);
-    RolloutState next = standing.towards(to);
-    if (!engine.put(key, value == null ? 0 : value.index(), text(s, next))) {
+    RolloutState next = standing.withTarget(to);
+    if (!engine.checkAndSet(key, value == null ? 0 : value.index(), text(s, next))) {
       throw new Contended(name);
     }
     return next;
@@ -585,7 +585,7 @@
         s.force = null;
         if (s.open.oldest() == Long.MAX_VALUE && s.holder.isMember()) {
           try {
-            engine.delete(
+            engine.checkAndDelete(
                 prefix + "members/" + s.name + "/" + instance + "." + s.holder.term(),
                 s.holder.index());
           } catch (CoordinationException e) {
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutHistory.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutHistory.java
@@ -26,7 +26,7 @@
   }
 
   /** Appends to the file; null: nowhere. */
-  public static RolloutHistory to(Path file) throws IOException {
+  public static RolloutHistory appendingTo(Path file) throws IOException {
     return new RolloutHistory(
         file == null
             ? null
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -201,12 +201,12 @@
     boolean listed = next.discovery() == null && !next.boxes().equals(spec.boxes());
     boolean drained = !next.drained().equals(spec.drained());
     spec = next;
-    rate.set(next.bounds().requestsPerSecond(), next.bounds().burst(), loop.now());
+    rate.reconfigure(next.bounds().requestsPerSecond(), next.bounds().burst(), loop.now());
     network.budget().bound(next.bounds().bufferBytes());
     if (servers != null) {
       servers.bound(next.weight(), next.bounds().hostConnections());
     }
-    network.flow().weight(next.weight());
+    network.flow().setWeight(next.weight());
     if (share != null) {
       shares.updateWeights(share, next.weight(), next.shares());
     }
@@ -409,7 +409,7 @@
       exchange.asker.unavailable();
       return;
     }
-    long wait = rate.waitTime(loop.now());
+    long wait = rate.waitMicros(loop.now());
     if (wait > 0 || exchanges.size() >= spec.bounds().openRequests()) {
       network.counters().add(Counters.Name.REFUSED_BY_LIMIT);
       exchange.asker.refused(told(Math.max(wait, BUSY_WAIT)));
@@ -421,7 +421,7 @@
       exchange.asker.refused(told(later));
       return;
     }
-    rate.take();
+    rate.consume();
     exchanges.put(exchange.id, exchange);
     router.onRequest(
         loop.now(),
--- a/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
@@ -561,7 +561,7 @@
             7_000_000,
             20_000_000),
         SubscribedRecordsConfig.read(withoutListen, ""));
-    try (DistributorProcess role = DistributorProcess.read(settings, line -> {})) {
+    try (DistributorProcess role = DistributorProcess.fromSettings(settings, line -> {})) {
       assertTrue(role.address().getAddress().isLoopbackAddress());
       assertTrue(role.address().getPort() > 0);
     }
--- a/gateway/src/test/java/shelffront/compatibility/FleetRecordsCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/FleetRecordsCompatibilityTest.java
@@ -71,7 +71,7 @@
 
   @Test
   void readsAllRecordsAsOfTheHead() throws Exception {
-    ChangeStore.Read read = store().readAll();
+    ChangeStore.VersionedSnapshot read = store().readAll();
     assertEquals(HEAD, read.head());
     assertEquals(HEAD.version(), read.snapshot().version());
     List<RecordChange> records =
@@ -97,7 +97,7 @@
             change(FIRST, 3, "station", tenant("station", 1)),
             change(FIRST, 4, "airport", tenant("airport", 3)),
             change(FIRST, 5, "harbour", null)),
-        store.changes(FIRST_CHANGE, HEAD_OF_FIRST));
+        store.changesBetween(FIRST_CHANGE, HEAD_OF_FIRST));
   }
 
   @Test
@@ -107,15 +107,15 @@
         List.of(
             change(SECOND, 6, "station", tenant("station", 5)),
             change(SECOND, 7, "harbour", tenant("harbour", 7))),
-        store.changes(START_OF_SECOND, HEAD));
-    assertNull(store.changes(HEAD_OF_FIRST, HEAD), "another incarnation needs all records");
+        store.changesBetween(START_OF_SECOND, HEAD));
+    assertNull(store.changesBetween(HEAD_OF_FIRST, HEAD), "another incarnation needs all records");
   }
 
   @Test
   void recognizesHistoryThatDoesNotContinue() throws Exception {
     ChangeStore store = store();
     Head other = new Head(new Version(SECOND, 6), "another-change", 8);
-    assertThrows(EngineSteppedBack.class, () -> store.changes(other, HEAD));
+    assertThrows(EngineSteppedBack.class, () -> store.changesBetween(other, HEAD));
   }
 
   @Test
@@ -128,7 +128,7 @@
             change(SECOND, 6, "station", tenant("station", 5)),
             change(SECOND, 7, "harbour", tenant("harbour", 7)),
             change(SECOND, 8, "airport", tenant("airport", 9))),
-        store.changes(START_OF_SECOND, store.head()));
+        store.changesBetween(START_OF_SECOND, store.head()));
   }
 
   /** Gateways of the version before read what this one writes, while a fleet is replaced. */
--- a/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
@@ -54,7 +54,11 @@
                         + "\"valve\":[\"shut\",\"wide\"]}}"),
             "/fleet");
     return new RolloutCoordinator(
-        config, engine, instance, RolloutHistory.to(null), line -> log.add(String.valueOf(line)));
+        config,
+        engine,
+        instance,
+        RolloutHistory.appendingTo(null),
+        line -> log.add(String.valueOf(line)));
   }
 
   private static void awaitTrue(Callable<Boolean> condition) {
@@ -70,9 +74,11 @@
     try (RolloutCoordinator stages = stages("g9", "z9")) {
       assertEquals(
           List.of(
-              new RolloutCoordinator.Shown("drill", "half", "open", 2, null, false, List.of()),
-              new RolloutCoordinator.Shown("valve", "wide", "wide", 2, null, false, List.of())),
-          stages.show(null));
+              new RolloutCoordinator.SubjectStatus(
+                  "drill", "half", "open", 2, null, false, List.of()),
+              new RolloutCoordinator.SubjectStatus(
+                  "valve", "wide", "wide", 2, null, false, List.of())),
+          stages.status(null));
     }
   }
 
@@ -95,9 +101,9 @@
   void readsOwnerAndTheMemberThatHoldsUpTheMove() throws Exception {
     try (RolloutCoordinator stages = stages("g1", "a1")) {
       stages.start();
-      awaitTrue(() -> stages.show("drill").get(0).waitsFor().equals(List.of("g2-b2.1")));
-      RolloutCoordinator.Shown drill = stages.show("drill").get(0);
-      assertTrue(drill.owner());
+      awaitTrue(() -> stages.status("drill").get(0).blockingMembers().equals(List.of("g2-b2.1")));
+      RolloutCoordinator.SubjectStatus drill = stages.status("drill").get(0);
+      assertTrue(drill.isLeader());
       assertEquals("half", drill.stage());
       assertEquals(2, drill.epoch());
       assertNothingGarbled();
@@ -109,7 +115,7 @@
     try (RolloutCoordinator stages = stages("g9", "z9")) {
       stages.start();
       awaitTrue(() -> stages.inForce("drill") != null);
-      assertFalse(stages.show("drill").get(0).owner());
+      assertFalse(stages.status("drill").get(0).isLeader());
       assertEquals("g1-a1 38", engine.read(FLEET + "owner").text());
     }
   }
@@ -119,10 +125,10 @@
   void waitsForTheLapseOfRevokedMember() throws Exception {
     try (RolloutCoordinator stages = stages("g1", "a1")) {
       stages.start();
-      awaitTrue(() -> stages.show("valve").get(0).owner());
-      RolloutState asked = stages.target("valve", "shut");
+      awaitTrue(() -> stages.status("valve").get(0).isLeader());
+      RolloutState asked = stages.requestStage("valve", "shut");
       assertEquals(new RolloutState(2, 1, 0), asked);
-      awaitTrue(() -> stages.show("valve").get(0).waitsFor().equals(List.of("g3-c3.1")));
+      awaitTrue(() -> stages.status("valve").get(0).blockingMembers().equals(List.of("g3-c3.1")));
       assertEquals(
           "{\"epoch\":2,\"stage\":\"wide\",\"target\":\"shut\"}",
           engine.read(FLEET + "standing/valve").text());
@@ -139,9 +145,9 @@
     assertEquals("{\"epoch\":1,\"revoked\":false,\"nonce\":384534809}", member.text());
     try (RolloutCoordinator stages = stages("g1", "a1")) {
       stages.start();
-      awaitTrue(() -> stages.show("drill").get(0).waitsFor().equals(List.of("g2-b2.1")));
-      engine.delete(member.key(), member.index());
-      awaitTrue(() -> stages.show("drill").get(0).stage().equals("open"));
+      awaitTrue(() -> stages.status("drill").get(0).blockingMembers().equals(List.of("g2-b2.1")));
+      engine.checkAndDelete(member.key(), member.index());
+      awaitTrue(() -> stages.status("drill").get(0).stage().equals("open"));
       assertEquals(
           "{\"epoch\":3,\"stage\":\"open\",\"target\":\"open\"}",
           engine.read(FLEET + "standing/drill").text());
--- a/gateway/src/test/java/shelffront/controlplane/ChangeStoreTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/ChangeStoreTest.java
@@ -33,7 +33,7 @@
     assertThrows(RecordChanged.class, () -> put("a", 0, "two"));
     Version second = put("a", 1, "two");
     RecordChanged e = assertThrows(RecordChanged.class, () -> put("a", 1, null));
-    assertEquals("two", e.present().document());
+    assertEquals("two", e.currentRecord().document());
     put("a", second.sequence(), null);
     assertNull(store.record("a"));
     assertThrows(RecordChanged.class, () -> put("a", 3, "four"));
@@ -46,7 +46,7 @@
     for (int i = 0; i < 70; i++) {
       put("b" + i, 0, "x");
     }
-    List<RecordChange> missing = store.changes(head, store.head());
+    List<RecordChange> missing = store.changesBetween(head, store.head());
     assertEquals(70, missing.size());
     assertEquals("b0", missing.get(0).name());
     assertEquals(71, missing.get(69).version().sequence());
@@ -61,7 +61,7 @@
     for (int i = 0; i < ChangeStore.LOG_SLOTS; i++) {
       sequence = put("a", sequence, "x" + i).sequence();
     }
-    assertNull(store.changes(head, store.head()));
+    assertNull(store.changesBetween(head, store.head()));
   }
 
   @Test
@@ -72,7 +72,7 @@
     put("a", 2, "three");
     Head seen = store.head();
     engine.restore(kept);
-    assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
+    assertThrows(EngineSteppedBack.class, () -> store.changesBetween(seen, store.head()));
     assertThrows(EngineSteppedBack.class, () -> store.write("a", 1, "again", seen.version()));
   }
 
@@ -89,10 +89,10 @@
     engine.restore(kept);
     put("b", 0, "other");
     assertEquals(seen.version(), store.head().version());
-    assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
+    assertThrows(EngineSteppedBack.class, () -> store.changesBetween(seen, store.head()));
     put("b", 2, "more");
     put("b", 3, "still more");
-    assertThrows(EngineSteppedBack.class, () -> store.changes(seen, store.head()));
+    assertThrows(EngineSteppedBack.class, () -> store.changesBetween(seen, store.head()));
   }
 
   @Test
@@ -104,7 +104,7 @@
     engine.restore(kept);
     Version begun = store.beginIncarnation();
     assertTrue(seen.version().isBefore(begun));
-    assertNull(store.changes(seen, store.head()), "all records have to be read");
+    assertNull(store.changesBetween(seen, store.head()), "all records have to be read");
     RecordChange record = store.readAll().snapshot().records().get(0);
     assertEquals("one", record.document());
     assertTrue(
@@ -117,7 +117,7 @@
   void aDocumentThatTheEngineCantHoldIsRefused() {
     assertThrows(
         DistributionException.RecordTooLarge.class,
-        () -> put("a", 0, "x".repeat(ChangeStore.GREATEST_DOCUMENT + 1)));
+        () -> put("a", 0, "x".repeat(ChangeStore.MAX_DOCUMENT_CHARACTERS + 1)));
   }
 
   /** Each error that there is stands on the page with its code. */
--- a/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
@@ -44,19 +44,19 @@
 
   private final InMemoryCoordinationStore engine = new InMemoryCoordinationStore();
   private final ChangeStore store = new ChangeStore(engine, "f");
-  private final ScheduledThreadPoolExecutor timer = DistributorProcess.timer(4, "test-timer");
+  private final ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(4, "test-timer");
   private final ExecutorService answers = Executors.newFixedThreadPool(8);
   private final HttpClient http = SubscribedRecords.httpClient(QUICK);
   private final List<AutoCloseable> open = new ArrayList<>();
   private final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
 
   /** What a gateway has in force. */
-  private static final class Force implements SubscribedRecords.Target {
+  private static final class Force implements SubscribedRecords.RecordApplier {
 
     private final Map<String, String> documents = new ConcurrentHashMap<>();
 
     @Override
-    public String put(RecordChange record) {
+    public String apply(RecordChange record) {
       if (record.document().startsWith("bad")) {
         return "it is bad";
       }
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void reached(Version version) {}
+    public void onVersionReached(Version version) {}
   }
 
   private static long clock() {
@@ -194,7 +194,7 @@
     Force force = new Force();
     SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
     assertTrue(found(gateway, "a"));
-    gateway.forget("a");
+    gateway.unsubscribe("a");
     assertEquals(Map.of(), force.documents);
     store.write("a", 1, "two", Version.NONE);
     assertTrue(found(gateway, "b"));
@@ -223,14 +223,14 @@
     SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
     assertTrue(found(gateway, "a"));
     store.write("a", 1, "bad", Version.NONE);
-    await().atMost(MOST).until(() -> gateway.status().rejected().containsKey("a"));
+    await().atMost(MOST).until(() -> gateway.status().rejectionReasons().containsKey("a"));
     assertEquals("one", force.documents.get("a"));
     await()
         .atMost(MOST)
         .until(() -> log.stream().anyMatch(l -> l.startsWith("record-rejected by a subscriber")));
     store.write("a", 2, "three", Version.NONE);
     await().atMost(MOST).until(() -> "three".equals(force.documents.get("a")));
-    assertTrue(gateway.status().rejected().isEmpty());
+    assertTrue(gateway.status().rejectionReasons().isEmpty());
   }
 
   /**
@@ -246,15 +246,15 @@
     SubscribedRecords gateway = gateway("g", force, null, endpoint(first), endpoint(second));
     assertTrue(found(gateway, "a"));
     DistributionServer followed =
-        gateway.status().following().equals(endpoint(first).address()) ? first : second;
+        gateway.status().followedDistributor().equals(endpoint(first).address()) ? first : second;
     followed.close();
     store.write("a", 1, "two", Version.NONE);
     await().atMost(MOST).until(() -> "two".equals(force.documents.get("a")));
     (followed == first ? second : first).close();
-    await().atMost(MOST).until(() -> "view-too-old".equals(gateway.status().error()));
+    await().atMost(MOST).until(() -> "view-too-old".equals(gateway.status().errorCode()));
     assertEquals("two", force.documents.get("a"));
     distributor(followed.address().getPort(), null);
-    await().atMost(MOST).until(() -> gateway.status().error() == null);
+    await().atMost(MOST).until(() -> gateway.status().errorCode() == null);
     store.write("a", 2, "three", Version.NONE);
     await().atMost(MOST).until(() -> "three".equals(force.documents.get("a")));
   }
--- a/gateway/src/test/java/shelffront/coordination/InMemoryCoordinationStore.java
+++ b/gateway/src/test/java/shelffront/coordination/InMemoryCoordinationStore.java
@@ -34,12 +34,12 @@
   }
 
   @Override
-  public synchronized boolean put(String key, long at, String text) {
+  public synchronized boolean checkAndSet(String key, long at, String text) {
     return transact(List.of(new Write(key, at, text)));
   }
 
   @Override
-  public synchronized void delete(String key, long at) {
+  public synchronized void checkAndDelete(String key, long at) {
     if (values.containsKey(key)) {
       transact(List.of(new Write(key, at, null)));
     }
@@ -55,10 +55,10 @@
     }
     index++;
     for (Write write : writes) {
-      if (write.text() == null) {
+      if (write.newText() == null) {
         values.remove(write.key());
       } else {
-        values.put(write.key(), new Value(write.key(), index, write.text()));
+        values.put(write.key(), new Value(write.key(), index, write.newText()));
       }
     }
     notifyAll();
--- a/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
@@ -58,32 +58,32 @@
             config(",\"leaseMs\":600000"),
             memory,
             "1",
-            RolloutHistory.to(null),
+            RolloutHistory.appendingTo(null),
             line -> log.add(String.valueOf(line)))) {
       assertNull(stages.inForce("s"), "the safe stage until it has joined");
-      assertNull(stages.begin("s"));
+      assertNull(stages.beginOperation("s"));
       stages.start();
       awaitLine(log, "stage of s is one");
-      RolloutCoordinator.Act act = stages.begin("s");
-      assertEquals(1, act.under().epoch());
-      stages.target("s", "three");
+      RolloutCoordinator.Operation act = stages.beginOperation("s");
+      assertEquals(1, act.state().epoch());
+      stages.requestStage("s", "three");
       awaitLine(log, "stage of s is two");
       assertEquals(
           "two",
-          stages.show("s").get(0).stage(),
+          stages.status("s").get(0).stage(),
           "nothing further while something goes on under one");
       assertTrue(
           memory.list("shelffront/f/members/").values().get(0).text().contains("\"epoch\":1"));
       await()
           .atMost(Duration.ofSeconds(20))
-          .until(() -> stages.show("s").get(0).waitsFor().equals(List.of("g-1.1")));
+          .until(() -> stages.status("s").get(0).blockingMembers().equals(List.of("g-1.1")));
       act.close();
       act.close();
       awaitLine(log, "stage of s is three");
-      assertThrows(RolloutException.UnknownStage.class, () -> stages.target("s", "nine"));
+      assertThrows(RolloutException.UnknownStage.class, () -> stages.requestStage("s", "nine"));
       assertThrows(RolloutException.UnknownSubject.class, () -> stages.inForce("t"));
-      assertThrows(RolloutException.UnknownSubject.class, () -> stages.show("t"));
-      assertEquals(1, stages.show(null).size());
+      assertThrows(RolloutException.UnknownSubject.class, () -> stages.status("t"));
+      assertEquals(1, stages.status(null).size());
     }
     assertTrue(
         memory.list("shelffront/f/members/").values().isEmpty(),
@@ -94,13 +94,14 @@
   void whatStandsInTheEngineAndCantBeReadIsSaid() throws Exception {
     BlockingQueue<String> log = new LinkedBlockingQueue<>();
     InMemoryCoordinationStore memory = new InMemoryCoordinationStore();
-    memory.put("shelffront/f/standing/s", 0, "{\"epoch\":1,\"stage\":\"five\",\"target\":\"one\"}");
+    memory.checkAndSet(
+        "shelffront/f/standing/s", 0, "{\"epoch\":1,\"stage\":\"five\",\"target\":\"one\"}");
     try (RolloutCoordinator stages =
         new RolloutCoordinator(
             config(""),
             memory,
             "1",
-            RolloutHistory.to(null),
+            RolloutHistory.appendingTo(null),
             line -> log.add(String.valueOf(line)))) {
       stages.start();
       awaitLine(log, "engine-garbled");
--- a/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
@@ -82,7 +82,7 @@
   }
 
   /** One gateway's table: what is in force, each by its sequence. */
-  private final class Table implements SubscribedRecords.Target {
+  private final class Table implements SubscribedRecords.RecordApplier {
 
     private final String gateway;
     private final Map<String, Long> inForce = new HashMap<>();
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public synchronized String put(RecordChange record) {
+    public synchronized String apply(RecordChange record) {
       try {
         TenantSpecCodec.read(TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
       } catch (SpecException e) {
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void reached(Version version) {}
+    public void onVersionReached(Version version) {}
 
     private synchronized Map<String, Long> copy() {
       return new HashMap<>(inForce);
@@ -157,7 +157,7 @@
                 historyFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     note("life", "begins", null);
     Map<String, Table> tables = new HashMap<>();
-    ScheduledThreadPoolExecutor timer = DistributorProcess.timer(TIMER_THREADS, "hollow-timer");
+    ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(TIMER_THREADS, "hollow-timer");
     HttpClient http = SubscribedRecords.httpClient(DistributionTimings.STANDARD);
     List<Lookup> lookups = new ArrayList<>();
     for (JsonNode each : config.path("gateways")) {
@@ -209,7 +209,7 @@
       ChangeStore.Head known = store.head();
       while (true) {
         ChangeStore.Head head = store.awaitHead(known);
-        List<RecordChange> changes = store.changes(known, head);
+        List<RecordChange> changes = store.changesBetween(known, head);
         known = head;
         for (RecordChange change : changes == null ? List.<RecordChange>of() : changes) {
           tookUp(change, 0L);
--- a/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
+++ b/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
@@ -58,12 +58,12 @@
   }
 
   @Override
-  public boolean put(String key, long at, String text) {
+  public boolean checkAndSet(String key, long at, String text) {
     return transact(List.of(new Write(key, at, text)));
   }
 
   @Override
-  public void delete(String key, long at) {
+  public void checkAndDelete(String key, long at) {
     transact(List.of(new Write(key, at, null)));
   }
 
@@ -71,10 +71,10 @@
   public boolean transact(List<Write> writes) {
     index++;
     for (Write write : writes) {
-      if (write.text() == null) {
+      if (write.newText() == null) {
         values.remove(write.key());
       } else {
-        values.put(write.key(), new Value(write.key(), index, write.text()));
+        values.put(write.key(), new Value(write.key(), index, write.newText()));
       }
     }
     return true;
--- a/lab/src/test/java/shelffront/lab/compatibility/EngineFileCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/compatibility/EngineFileCompatibilityTest.java
@@ -104,7 +104,7 @@
               List.of(
                   change(SECOND, 6, "station", tenant("station", 5)),
                   change(SECOND, 7, "harbour", tenant("harbour", 7))),
-              store.changes(START_OF_SECOND, head));
+              store.changesBetween(START_OF_SECOND, head));
         });
   }
 
@@ -126,7 +126,7 @@
                   change(SECOND, 6, "station", tenant("station", 5)),
                   change(SECOND, 7, "harbour", tenant("harbour", 7)),
                   change(SECOND, 8, "station", null)),
-              store.changes(START_OF_SECOND, store.head()));
+              store.changesBetween(START_OF_SECOND, store.head()));
         });
   }
 
@@ -146,7 +146,7 @@
                   change(FILLED, 2, "harbour", tenant("harbour", 1)),
                   change(FILLED, 3, "airport", tenant("airport", 3)),
                   change(FILLED, 4, "harbour", null)),
-              store.changes(FIRST_CHANGE_OF_FILLED, head));
+              store.changesBetween(FIRST_CHANGE_OF_FILLED, head));
         });
   }
 }
