--- a/core/src/main/java/shelffront/decision/AttemptAdmission.java
+++ b/core/src/main/java/shelffront/decision/AttemptAdmission.java
@@ -104,6 +104,7 @@
       return true;
     }
     return p.type.consistency() != Consistency.STRONG
-        && (state.settings.lagCheck() != LagCheck.NONE || n.progress.hasApplied(p.need(state.now)));
+        && (state.settings.consistency().lagCheck() != LagCheck.NONE
+            || n.progress.hasApplied(p.need(state.now)));
   }
 }
--- a/core/src/main/java/shelffront/decision/EndpointRegistry.java
+++ b/core/src/main/java/shelffront/decision/EndpointRegistry.java
@@ -25,7 +25,7 @@
     boolean fresh = n.entry == null || !n.open || n.entry.startedAtMicros() != m.startedAtMicros();
     n.entry = m;
     n.open = true;
-    n.limit.initialize(Math.max(1, FIRST_LIMIT / state.settings.gatewayCount()));
+    n.limit.initialize(Math.max(1, FIRST_LIMIT / state.settings.gateway().gatewayCount()));
     n.group = state.group(m.replicaSet());
     n.group.nodes.put(n.id, n);
     if (m.listedAsPrimary() && n.group.primary == null && n.group.primaryAt == UNKNOWN) {
@@ -35,7 +35,7 @@
     if (fresh) {
       n.bannedUntil = UNKNOWN;
       n.probedAt = UNKNOWN;
-      if (EndpointSubsetting.coversAllEndpoints(state.settings.gatewayCount())) {
+      if (EndpointSubsetting.coversAllEndpoints(state.settings.gateway().gatewayCount())) {
         probe(n);
       }
     }
@@ -53,7 +53,9 @@
               .collect(toList());
       g.own =
           EndpointSubsetting.subsets(
-              state.settings.gatewayIndex(), state.settings.gatewayCount(), replicas);
+              state.settings.gateway().gatewayIndex(),
+              state.settings.gateway().gatewayCount(),
+              replicas);
       g.own.stream().map(g.nodes::get).filter(n -> n.probedAt == UNKNOWN).forEach(this::probe);
     }
     return g.own;
--- a/core/src/main/java/shelffront/decision/EndpointSelector.java
+++ b/core/src/main/java/shelffront/decision/EndpointSelector.java
@@ -39,7 +39,7 @@
               * (0.95 + 0.1 * state.random.nextDouble())
               * (own.contains(n.id) ? 1 : FOREIGN)
               * (state.now < n.connectedUntil ? 1 : state.now < state.dearUntil ? 4 : UNCONNECTED)
-              * (n.entry.zone().equals(state.settings.zone())
+              * (n.entry.zone().equals(state.settings.gateway().zone())
                   ? 1
                   : 1 + 5 * state.settings.crossZoneCost());
       if (cost < bestCost) {
--- a/core/src/main/java/shelffront/decision/ReplicaPositions.java
+++ b/core/src/main/java/shelffront/decision/ReplicaPositions.java
@@ -29,11 +29,13 @@
    * Whether a replica is known to have the position, or may be trusted to where it checks itself.
    */
   boolean covers(EndpointState n, long need) {
-    if (need == UNKNOWN || state.settings.lagCheck() == LagCheck.NONE) {
+    if (need == UNKNOWN || state.settings.consistency().lagCheck() == LagCheck.NONE) {
       return need == UNKNOWN || n.progress.hasApplied(need);
     }
     long patience =
-        state.settings.lagCheck() == LagCheck.WAIT ? state.settings.lagWaitMicros() / 2 : 0;
+        state.settings.consistency().lagCheck() == LagCheck.WAIT
+            ? state.settings.consistency().lagWaitMicros() / 2
+            : 0;
     return n.progress.mayHaveApplied(state.now, need, patience);
   }
 
@@ -74,7 +76,7 @@
    * them.
    */
   void proved(Attempt a) {
-    if (state.settings.lagCheck() != LagCheck.NONE) {
+    if (state.settings.consistency().lagCheck() != LagCheck.NONE) {
       a.node.progress.recordProvenPosition(a.sentAt, a.need);
     }
   }
--- a/core/src/main/java/shelffront/decision/RoutingEngine.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -53,12 +53,12 @@
     state.now = time;
     state.settings = given;
     state.random = new Random(seed);
-    state.probes = new HealthCheckBudget(given.healthCheckCost(), given.gatewayCount());
+    state.probes = new HealthCheckBudget(given.healthCheckCost(), given.gateway().gatewayCount());
     state.usual = new double[given.requestClasses().size()];
     for (int i = 0; i < state.usual.length; i++) {
       state.usual[i] = given.requestClasses().get(i).latencyObjectiveMicros() / 4.0;
     }
-    if (given.endpointListPolled()) {
+    if (given.endpointList().polled()) {
       state.actions.watchEndpoints(true);
     }
     tend();
@@ -139,7 +139,7 @@
     if (o.status() == AttemptStatus.OK
         && p.type.isWrite()
         && p.request.sessionId() != null
-        && !state.settings.clientsCarryPosition()) {
+        && !state.settings.consistency().clientsCarryPosition()) {
       long commit = o.positionMicros() == UNKNOWN ? state.now : o.positionMicros();
       state.sessions.recordWrite(p.request.sessionId(), p.request.replicaSet(), commit);
     }
--- a/core/src/main/java/shelffront/routing/AttemptStatus.java
+++ b/core/src/main/java/shelffront/routing/AttemptStatus.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** How an attempt or a probe ended. */
+/** How an attempt or a health check ended. */
 public enum AttemptStatus {
   OK(false),
   ERROR(false),
@@ -15,7 +15,7 @@
   /** True when this outcome proves that the request never ran. */
   public final boolean provesNotExecuted;
 
-  AttemptStatus(boolean neverRan) {
-    this.provesNotExecuted = neverRan;
+  AttemptStatus(boolean provesNotExecuted) {
+    this.provesNotExecuted = provesNotExecuted;
   }
 }
--- a/core/src/main/java/shelffront/routing/Availability.java
+++ b/core/src/main/java/shelffront/routing/Availability.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** State of a member in the list. */
+/** State of an endpoint in the endpoint list. */
 public enum Availability {
   READY,
   DRAINING,
--- a/core/src/main/java/shelffront/routing/Consistency.java
+++ b/core/src/main/java/shelffront/routing/Consistency.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** What a request class needs of the member that answers it. */
+/** What the host of a request class must have applied. */
 public enum Consistency {
   WRITE,
   STRONG,
--- a/core/src/main/java/shelffront/routing/DeduplicationScope.java
+++ b/core/src/main/java/shelffront/routing/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** The members that discard repeats of a keyed request. */
+/** The hosts that discard repeats of a request with an idempotency key. */
 public enum DeduplicationScope {
   ALL,
   ZONE,
--- a/core/src/main/java/shelffront/routing/Endpoint.java
+++ b/core/src/main/java/shelffront/routing/Endpoint.java
@@ -1,6 +1,14 @@
 package shelffront.routing;
 
-/** A line of the list. {@code startedAt} is 0 when the member has been up for long. */
+/**
+ * An entry of the endpoint list.
+ *
+ * @param kind kind of machine, as the list names it
+ * @param replicaSet number of the replica set whose data the endpoint holds
+ * @param capacityHint capacity relative to other endpoints
+ * @param startedAtMicros when it started; 0 when it has been up for long
+ * @param listedAsPrimary whether the list names it as its set's primary
+ */
 public record Endpoint(
     String id,
     String kind,
@@ -11,6 +19,7 @@
     boolean listedAsPrimary,
     Availability availability) {
 
+  /** The same entry with another availability. */
   public Endpoint withAvailability(Availability other) {
     return new Endpoint(
         id, kind, zone, replicaSet, capacityHint, startedAtMicros, listedAsPrimary, other);
--- a/core/src/main/java/shelffront/routing/EndpointUpdateKind.java
+++ b/core/src/main/java/shelffront/routing/EndpointUpdateKind.java
@@ -1,9 +1,6 @@
 package shelffront.routing;
 
-/**
- * Kind of news about the list; {@code REMEMBERED} is the last list before a restart, maybe
- * outdated.
- */
+/** Kind of an endpoint update; {@code CACHED} is the last list before a restart, maybe outdated. */
 public enum EndpointUpdateKind {
   DELTA,
   SNAPSHOT,
--- a/core/src/main/java/shelffront/routing/LagCheck.java
+++ b/core/src/main/java/shelffront/routing/LagCheck.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** What a member does with a read for which it lags too far. */
+/** What a host does with a read that it is too far behind for. */
 public enum LagCheck {
   NONE,
   REJECT,
--- a/core/src/main/java/shelffront/routing/ListedRoles.java
+++ b/core/src/main/java/shelffront/routing/ListedRoles.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** How the list of members follows the roles. */
+/** How the endpoint list follows changes of roles. */
 public enum ListedRoles {
   NONE,
   AT_START,
--- a/core/src/main/java/shelffront/routing/LoadReport.java
+++ b/core/src/main/java/shelffront/routing/LoadReport.java
@@ -1,5 +1,5 @@
 package shelffront.routing;
 
-/** A member's report about itself; negative figures and {@link #UNKNOWN} were not given. */
+/** A host's report about itself; negative figures and {@link Router#UNKNOWN} were not given. */
 public record LoadReport(
     long positionMicros, Role role, double outstanding, double queued, double utilization) {}
--- a/core/src/main/java/shelffront/routing/LoadReportSource.java
+++ b/core/src/main/java/shelffront/routing/LoadReportSource.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** Where members' reports about themselves arrive. */
+/** Where hosts' load reports arrive. */
 public enum LoadReportSource {
   NONE,
   RESPONSES,
--- a/core/src/main/java/shelffront/routing/RequestClass.java
+++ b/core/src/main/java/shelffront/routing/RequestClass.java
@@ -1,6 +1,16 @@
 package shelffront.routing;
 
-/** One request class. {@code bound} is the greatest age of data, for bounded reads. */
+/**
+ * What requests of one kind need and are worth.
+ *
+ * @param latencyObjectiveMicros an answer within this time earns the full value
+ * @param deadlineMicros how long a client waits in all
+ * @param priorityWeight value of an answer in time, relative to other classes
+ * @param lateValueFraction part of that value which an answer after the objective keeps
+ * @param deduplicationScope hosts that discard repeats; counts with an idempotency key only
+ * @param deduplicationWindowMicros how long they do so, from the first attempt on
+ * @param maxStalenessMicros greatest age of data, for {@link Consistency#BOUNDED_STALENESS}
+ */
 public record RequestClass(
     String name,
     long latencyObjectiveMicros,
@@ -13,19 +23,22 @@
     Consistency consistency,
     long maxStalenessMicros) {
 
+  /** Whether it may run any number of times. */
   public boolean isIdempotent() {
     return idempotency == Idempotency.IDEMPOTENT;
   }
 
+  /** Whether it may run once at most. */
   public boolean isNonIdempotent() {
     return idempotency == Idempotency.NON_IDEMPOTENT;
   }
 
-  /** Whether those of the given scope drop a repeat of a request of this class. */
-  public boolean isDeduplicatedWithin(DeduplicationScope given) {
-    return idempotency == Idempotency.IDEMPOTENCY_KEY && deduplicationScope == given;
+  /** Whether the hosts of a scope discard repeats of a request of this class. */
+  public boolean isDeduplicatedWithin(DeduplicationScope scope) {
+    return idempotency == Idempotency.IDEMPOTENCY_KEY && deduplicationScope == scope;
   }
 
+  /** Whether it changes data. */
   public boolean isWrite() {
     return consistency == Consistency.WRITE;
   }
--- a/core/src/main/java/shelffront/routing/Role.java
+++ b/core/src/main/java/shelffront/routing/Role.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** What a member is, as far as a message told. */
+/** Role of a host in its replica set, as far as a message told. */
 public enum Role {
   UNKNOWN,
   PRIMARY,
--- a/core/src/main/java/shelffront/routing/RouterActions.java
+++ b/core/src/main/java/shelffront/routing/RouterActions.java
@@ -1,31 +1,46 @@
 package shelffront.routing;
 
-/** What the embedding proxy does for the module. */
+/**
+ * What the embedding proxy does for the decision module. The module calls these methods from within
+ * those of {@link Router}, on the same thread.
+ */
 public interface RouterActions {
 
-  /** Starts an attempt; {@code timeout} 0 means until the client gives up. */
-  void startAttempt(String requestId, String member, long timeout);
+  /** Starts an attempt; a timeout of 0 means until the client's deadline. */
+  void startAttempt(String requestId, String endpointId, long timeoutMicros);
 
-  void cancelAttempt(String requestId, int attempt);
+  /** Stops waiting for an attempt, whose host may execute it nevertheless. */
+  void cancelAttempt(String requestId, int attemptNumber);
 
-  /** Final answer: refused, a further try does no harm. {@code retryAfter} 0 means no advice. */
-  void reject(String requestId, long retryAfter);
+  /**
+   * Final answer: rejected; repeating the request does no harm. A Retry-After of 0 gives no advice.
+   */
+  void reject(String requestId, long retryAfterMicros);
 
   /** Final answer: failed, with no promise about its effect. */
   void fail(String requestId);
 
-  void checkHealth(String member);
+  /** Asks an endpoint for its load report. */
+  void checkHealth(String endpointId);
 
-  void setTimer(String name, long at);
+  /**
+   * Calls {@link Router#onTimer} at this time. A timer that is not due yet is only ever set to an
+   * earlier time, so that one timer a name is enough.
+   */
+  void setTimer(String timerName, long atMicros);
 
-  void watchEndpoints(boolean on);
+  /** Starts or stops watching the endpoint list. */
+  void watchEndpoints(boolean enabled);
 
+  /** Asks once for the whole endpoint list. */
   void fetchEndpoints();
 
-  /** Sends a message to one peer, or to all for a negative number. */
-  void sendToPeers(int peer, byte[] payload);
+  /** Sends a message to one gateway of the fleet, or to all for a negative index. */
+  void sendToPeers(int gatewayIndex, byte[] payload);
 
-  void closeIdleConnections(String member);
+  /** Closes the connections to an endpoint that no request uses. */
+  void closeIdleConnections(String endpointId);
 
+  /** Writes a line to the log. */
   void log(String text);
 }
--- a/core/src/test/java/shelffront/decision/RoutingTestHarness.java
+++ b/core/src/test/java/shelffront/decision/RoutingTestHarness.java
@@ -7,9 +7,12 @@
 import shelffront.routing.AttemptStatus;
 import shelffront.routing.Availability;
 import shelffront.routing.Consistency;
+import shelffront.routing.ConsistencySettings;
 import shelffront.routing.DeduplicationScope;
 import shelffront.routing.Endpoint;
+import shelffront.routing.EndpointListSettings;
 import shelffront.routing.EndpointUpdateKind;
+import shelffront.routing.GatewayIdentity;
 import shelffront.routing.Idempotency;
 import shelffront.routing.LagCheck;
 import shelffront.routing.ListedRoles;
@@ -125,17 +128,11 @@
                 Consistency.STRONG,
                 0));
     return new RoutingSettings(
-        self,
-        routers,
-        "z1",
+        new GatewayIdentity(self, routers, "z1"),
         5 * MS,
         classes,
-        check,
-        100 * MS,
-        false,
-        carried,
-        ListedRoles.NONE,
-        listAsked,
+        new ConsistencySettings(check, 100 * MS, false, carried),
+        new EndpointListSettings(ListedRoles.NONE, listAsked),
         LoadReportSource.HEALTH_CHECKS,
         new SafetyRules(
             500 * MS, 0.25, 20_000 * MS, 2.5, 1500 * MS, softRemoval, 10_000 * MS, 20 * MS),
--- a/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
+++ b/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import shelffront.routing.Consistency;
+import shelffront.routing.ConsistencySettings;
 import shelffront.routing.DeduplicationScope;
+import shelffront.routing.EndpointListSettings;
+import shelffront.routing.GatewayIdentity;
 import shelffront.routing.Idempotency;
 import shelffront.routing.LagCheck;
 import shelffront.routing.ListedRoles;
@@ -104,17 +107,20 @@
               bound));
     }
     return new RoutingSettings(
-        (int) top.integer("selfIndex", 0),
-        (int) top.integer("balancers", 1),
-        top.text("zone", ""),
+        new GatewayIdentity(
+            (int) top.integer("selfIndex", 0),
+            (int) top.integer("balancers", 1),
+            top.text("zone", "")),
         top.integer("period", 1000),
         List.copyOf(classes),
-        family.word("checks", CHECKS, LagCheck.NONE),
-        family.integer("patience", 0),
-        family.flag("answersStamped"),
-        !family.text("sessionMarks", "carried").equals("remembered"),
-        family.word("roleInList", LIST_ROLES, ListedRoles.NONE),
-        top.text("membershipMode", "push").equals("ask"),
+        new ConsistencySettings(
+            family.word("checks", CHECKS, LagCheck.NONE),
+            family.integer("patience", 0),
+            family.flag("answersStamped"),
+            !family.text("sessionMarks", "carried").equals("remembered")),
+        new EndpointListSettings(
+            family.word("roleInList", LIST_ROLES, ListedRoles.NONE),
+            top.text("membershipMode", "push").equals("ask")),
         top.part("loadInfo").word("source", SOURCES, LoadReportSource.NONE),
         new SafetyRules(
             rules.integer("drainGrace", 0),
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -565,7 +565,7 @@
     if (!runs()) {
       return;
     }
-    if (spec.settings().endpointListPolled()) {
+    if (spec.settings().endpointList().polled()) {
       router.onEndpoints(loop.now(), EndpointUpdateKind.FAILED, 0, List.of());
     } else {
       loop.at(loop.now() + AGENT_PAUSE, this::listen);
@@ -578,7 +578,7 @@
   private void listen() {
     if (runs()
         && discovery != null
-        && !spec.settings().endpointListPolled()
+        && !spec.settings().endpointList().polled()
         && !discovery.isOpen()) {
       discovery.watch(true);
     }
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -30,8 +30,11 @@
 import shelffront.config.MalformedInputException;
 import shelffront.routing.Availability;
 import shelffront.routing.Consistency;
+import shelffront.routing.ConsistencySettings;
 import shelffront.routing.DeduplicationScope;
 import shelffront.routing.Endpoint;
+import shelffront.routing.EndpointListSettings;
+import shelffront.routing.GatewayIdentity;
 import shelffront.routing.Idempotency;
 import shelffront.routing.LagCheck;
 import shelffront.routing.ListedRoles;
@@ -241,17 +244,11 @@
           default -> LagCheck.WAIT;
         };
     return new RoutingSettings(
-        0,
-        hosts.path("gateways").asInt(1),
-        "",
+        new GatewayIdentity(0, hosts.path("gateways").asInt(1), ""),
         MS,
         List.copyOf(classes),
-        check,
-        hosts.path("patienceMs").asLong(100) * MS,
-        false,
-        false,
-        asked ? ListedRoles.LATE : ListedRoles.AT_START,
-        asked,
+        new ConsistencySettings(check, hosts.path("patienceMs").asLong(100) * MS, false, false),
+        new EndpointListSettings(asked ? ListedRoles.LATE : ListedRoles.AT_START, asked),
         LoadReportSource.HEALTH_CHECKS,
         new SafetyRules(2_000 * MS, 0.21, 18_000 * MS, 4, 2_000 * MS, false, 10_000 * MS, 20 * MS),
         new OperatingLimits(
--- a/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
@@ -32,8 +32,11 @@
 import shelffront.rolloutcontrol.RolloutConfig;
 import shelffront.routing.Availability;
 import shelffront.routing.Consistency;
+import shelffront.routing.ConsistencySettings;
 import shelffront.routing.DeduplicationScope;
 import shelffront.routing.Endpoint;
+import shelffront.routing.EndpointListSettings;
+import shelffront.routing.GatewayIdentity;
 import shelffront.routing.Idempotency;
 import shelffront.routing.LagCheck;
 import shelffront.routing.ListedRoles;
@@ -120,17 +123,11 @@
   /** The settings of a tenant whose {@code hosts} are left out. */
   private static RoutingSettings plainSettings(List<RequestClass> classes) {
     return new RoutingSettings(
-        0,
-        1,
-        "",
+        new GatewayIdentity(0, 1, ""),
         1_000,
         classes,
-        LagCheck.WAIT,
-        100_000,
-        false,
-        false,
-        ListedRoles.LATE,
-        true,
+        new ConsistencySettings(LagCheck.WAIT, 100_000, false, false),
+        new EndpointListSettings(ListedRoles.LATE, true),
         LoadReportSource.HEALTH_CHECKS,
         TENANT_RULES,
         new OperatingLimits(8, 2_000_000, true, true, false, true, false, 250_000, 30_000_000),
@@ -174,9 +171,7 @@
             1024,
             100,
             new RoutingSettings(
-                0,
-                1,
-                "a",
+                new GatewayIdentity(0, 1, "a"),
                 5_000,
                 List.of(
                     new RequestClass(
@@ -212,12 +207,8 @@
                         2_000_000,
                         Consistency.WRITE,
                         0)),
-                LagCheck.WAIT,
-                100_000,
-                false,
-                false,
-                ListedRoles.LATE,
-                true,
+                new ConsistencySettings(LagCheck.WAIT, 100_000, false, false),
+                new EndpointListSettings(ListedRoles.LATE, true),
                 LoadReportSource.HEALTH_CHECKS,
                 new SafetyRules(
                     2_000_000, 0.21, 18_000_000, 4, 2_000_000, false, 10_000_000, 20_000),
@@ -242,9 +233,7 @@
     assertEquals(321, config.openCap());
     assertEquals(
         new RoutingSettings(
-            3,
-            4,
-            "b",
+            new GatewayIdentity(3, 4, "b"),
             7_000,
             List.of(
                 new RequestClass(
@@ -313,12 +302,8 @@
                     0,
                     Consistency.WRITE,
                     0)),
-            LagCheck.REJECT,
-            60_000,
-            true,
-            true,
-            ListedRoles.AT_START,
-            true,
+            new ConsistencySettings(LagCheck.REJECT, 60_000, true, true),
+            new EndpointListSettings(ListedRoles.AT_START, true),
             LoadReportSource.RESPONSES,
             new SafetyRules(1_500_000, 0.25, 17_000_000, 2.5, 3_000_000, true, 9_000_000, 25_000),
             new OperatingLimits(5, 1_200_000, true, true, true, true, true, 400_000, 8_000_000),
@@ -365,13 +350,13 @@
         Map.of("silent", LagCheck.NONE, "refuse", LagCheck.REJECT, "wait", LagCheck.WAIT)
             .entrySet()) {
       String json = "{\"familyInfo\":{\"checks\":\"" + word.getKey() + "\"}}";
-      assertEquals(word.getValue(), settings(json).lagCheck(), json);
+      assertEquals(word.getValue(), settings(json).consistency().lagCheck(), json);
     }
     for (Map.Entry<String, ListedRoles> word :
         Map.of("silent", ListedRoles.NONE, "start", ListedRoles.AT_START, "late", ListedRoles.LATE)
             .entrySet()) {
       String json = "{\"familyInfo\":{\"roleInList\":\"" + word.getKey() + "\"}}";
-      assertEquals(word.getValue(), settings(json).listedRoles(), json);
+      assertEquals(word.getValue(), settings(json).endpointList().listedRoles(), json);
     }
     for (Map.Entry<String, LoadReportSource> word :
         Map.of(
@@ -387,12 +372,12 @@
     }
     for (Map.Entry<String, Boolean> word : Map.of("ask", true, "push", false).entrySet()) {
       String json = "{\"membershipMode\":\"" + word.getKey() + "\"}";
-      assertEquals(word.getValue(), settings(json).endpointListPolled(), json);
+      assertEquals(word.getValue(), settings(json).endpointList().polled(), json);
     }
     for (Map.Entry<String, Boolean> word :
         Map.of("carried", true, "remembered", false).entrySet()) {
       String json = "{\"familyInfo\":{\"sessionMarks\":\"" + word.getKey() + "\"}}";
-      assertEquals(word.getValue(), settings(json).clientsCarryPosition(), json);
+      assertEquals(word.getValue(), settings(json).consistency().clientsCarryPosition(), json);
     }
     assertEquals(
         99, RoutingSettingsCodec.zero(JsonReader.object("{\"familyInfo\":{\"zero\":99}}")));
@@ -578,9 +563,7 @@
     assertEquals(new TenantSpec.Bounds(300, 45, 150, 90, 48, 4 * MEBIBYTE), spec.bounds());
     assertEquals(
         new RoutingSettings(
-            0,
-            4,
-            "",
+            new GatewayIdentity(0, 4, ""),
             1_000,
             List.of(
                 new RequestClass(
@@ -649,12 +632,8 @@
                     0,
                     Consistency.WRITE,
                     0)),
-            LagCheck.REJECT,
-            80_000,
-            false,
-            false,
-            ListedRoles.AT_START,
-            false,
+            new ConsistencySettings(LagCheck.REJECT, 80_000, false, false),
+            new EndpointListSettings(ListedRoles.AT_START, false),
             LoadReportSource.HEALTH_CHECKS,
             TENANT_RULES,
             new OperatingLimits(5, 2_000_000, true, true, false, true, false, 300_000, 12_000_000),
--- a/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -5,7 +5,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import shelffront.lab.model.ReplicaSetParameters;
 import shelffront.routing.Consistency;
+import shelffront.routing.ConsistencySettings;
 import shelffront.routing.DeduplicationScope;
+import shelffront.routing.EndpointListSettings;
+import shelffront.routing.GatewayIdentity;
 import shelffront.routing.Idempotency;
 import shelffront.routing.LagCheck;
 import shelffront.routing.ListedRoles;
@@ -155,17 +158,11 @@
           case WAIT -> LagCheck.WAIT;
         };
     return new RoutingSettings(
-        self,
-        modules,
-        "a",
+        new GatewayIdentity(self, modules, "a"),
         1000,
         types(),
-        check,
-        f.patience(),
-        stamped,
-        carried,
-        listRole,
-        !pushed,
+        new ConsistencySettings(check, f.patience(), stamped, carried),
+        new EndpointListSettings(listRole, !pushed),
         reports,
         new SafetyRules(
             2_000_000,
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
@@ -16,6 +16,9 @@
 import shelffront.lab.virtual.VirtualNetwork.Weather;
 import shelffront.net.Counters;
 import shelffront.net.Network;
+import shelffront.routing.ConsistencySettings;
+import shelffront.routing.EndpointListSettings;
+import shelffront.routing.GatewayIdentity;
 import shelffront.routing.RoutingSettings;
 
 /** A hundred gateways of little traffic in virtual time: what they cost their hosts together. */
@@ -62,17 +65,15 @@
             c.sockets(),
             c.openCap(),
             new RoutingSettings(
-                0,
-                1,
-                s.zone(),
+                new GatewayIdentity(0, 1, s.gateway().zone()),
                 s.tickMicros(),
                 s.requestClasses(),
-                s.lagCheck(),
-                s.lagWaitMicros(),
-                s.responsesCarryPosition(),
-                s.clientsCarryPosition(),
-                s.listedRoles(),
-                s.endpointListPolled(),
+                new ConsistencySettings(
+                    s.consistency().lagCheck(),
+                    s.consistency().lagWaitMicros(),
+                    s.consistency().responsesCarryPosition(),
+                    s.consistency().clientsCarryPosition()),
+                new EndpointListSettings(s.endpointList().listedRoles(), s.endpointList().polled()),
                 s.loadReportSource(),
                 s.safetyRules(),
                 s.limits(),
--- a/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -20,6 +20,9 @@
 import shelffront.lab.simulation.Scenario.Means;
 import shelffront.lab.virtual.VirtualNetwork.Weather;
 import shelffront.routing.Consistency;
+import shelffront.routing.ConsistencySettings;
+import shelffront.routing.EndpointListSettings;
+import shelffront.routing.GatewayIdentity;
 import shelffront.routing.Idempotency;
 import shelffront.routing.LagCheck;
 import shelffront.routing.OperatingLimits;
@@ -126,17 +129,16 @@
       SafetyRules rules,
       OperatingLimits limits) {
     return new RoutingSettings(
-        s.gatewayIndex(),
-        s.gatewayCount(),
-        s.zone(),
+        new GatewayIdentity(
+            s.gateway().gatewayIndex(), s.gateway().gatewayCount(), s.gateway().zone()),
         s.tickMicros(),
         classes,
-        check,
-        s.lagWaitMicros(),
-        s.responsesCarryPosition(),
-        s.clientsCarryPosition(),
-        s.listedRoles(),
-        s.endpointListPolled(),
+        new ConsistencySettings(
+            check,
+            s.consistency().lagWaitMicros(),
+            s.consistency().responsesCarryPosition(),
+            s.consistency().clientsCarryPosition()),
+        new EndpointListSettings(s.endpointList().listedRoles(), s.endpointList().polled()),
         s.loadReportSource(),
         rules,
         limits,
@@ -147,7 +149,7 @@
   private static RoutingSettings types(RoutingSettings s, UnaryOperator<RequestClass> change) {
     List<RequestClass> classes = new ArrayList<>();
     s.requestClasses().forEach(c -> classes.add(change.apply(c)));
-    return with(s, classes, s.lagCheck(), s.safetyRules(), s.limits());
+    return with(s, classes, s.consistency().lagCheck(), s.safetyRules(), s.limits());
   }
 
   private static RequestClass as(
@@ -294,7 +296,7 @@
                     with(
                         t,
                         t.requestClasses(),
-                        t.lagCheck(),
+                        t.consistency().lagCheck(),
                         new SafetyRules(
                             t.safetyRules().drainGraceMicros(),
                             1,
