--- a/gateway/src/main/java/shelffront/Main.java
+++ b/gateway/src/main/java/shelffront/Main.java
@@ -109,7 +109,7 @@
                 + " listens on "
                 + gateway.address()
                 + ", discovery is "
-                + config.discovery());
+                + config.discoveryAddress());
     loop.run();
     stopped.countDown();
   }
--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -45,7 +45,8 @@
     this.host = host;
     address = host.address;
     this.servers = servers;
-    this.openBy = network.loop().after(openWithin, () -> close(CloseReason.CONNECT_TIMEOUT));
+    this.openBy =
+        network.loop().scheduleAfter(openWithin, () -> close(CloseReason.CONNECT_TIMEOUT));
   }
 
   /** Connects; may end it at once, so whoever counts it has done so before. */
@@ -74,7 +75,7 @@
   }
 
   void idleUntil(long time) {
-    idleUntil = network.loop().at(time, () -> close(CloseReason.IDLE));
+    idleUntil = network.loop().scheduleAt(time, () -> close(CloseReason.IDLE));
   }
 
   private static void cancel(Deadline deadline) {
@@ -84,7 +85,7 @@
   }
 
   @Override
-  protected void written() {
+  protected void onOutputWritten() {
     requestWritten = call != null;
   }
 
@@ -98,7 +99,7 @@
   }
 
   @Override
-  protected void received(ByteBuffer bytes) {
+  protected void onBytesReceived(ByteBuffer bytes) {
     try {
       while (!isClosed() && (ready ? take(bytes) : greeting(bytes))) {
         continue;
@@ -109,7 +110,8 @@
     }
     inPieces = bytes.hasRemaining();
     if (!isClosed() && call != null && answerBy == null && (inPieces || answer.begun())) {
-      answerBy = network.loop().at(now() + ANSWER_TIME, () -> spoilt("it does not go on"));
+      answerBy =
+          network.loop().scheduleAt(nowMicros() + ANSWER_TIME, () -> spoilt("it does not go on"));
     }
   }
 
@@ -134,7 +136,7 @@
     } else if (m.type() == 'Z') {
       ready = true;
       openBy.cancel();
-      servers.opened(this);
+      servers.onConnectionReady(this);
     }
     return true;
   }
@@ -161,7 +163,7 @@
       return false;
     }
     answer.take(m);
-    if (!network.budget().take(answer.size() - held)) {
+    if (!network.budget().tryAcquire(answer.size() - held)) {
       close(CloseReason.NO_MEMORY);
       return false;
     }
@@ -183,9 +185,10 @@
     if (surplus) {
       close(CloseReason.SURPLUS);
     } else {
-      servers.freed(this); // before the outcome, whose next send may want this connection
+      servers.onConnectionFree(
+          this); // before the outcome, whose next send may want this connection
     }
-    servers.finish(done, reply);
+    servers.finishCall(done, reply);
   }
 
   /**
@@ -194,7 +197,7 @@
    * proves nothing.
    */
   @Override
-  protected void ended(CloseReason reason) {
+  protected void onClosed(CloseReason reason) {
     openBy.cancel();
     cancel(idleUntil);
     BackendCall broken = call;
@@ -211,9 +214,9 @@
                       : requestWritten ? AttemptStatus.RESET : AttemptStatus.CONNECT_FAILED);
     }
     dropAnswer();
-    servers.ended(this);
+    servers.onConnectionClosed(this);
     if (broken != null) {
-      servers.finish(broken, reply);
+      servers.finishCall(broken, reply);
     }
   }
 
@@ -223,7 +226,7 @@
   private void dropAnswer() {
     cancel(answerBy);
     answerBy = null;
-    network.budget().giveBack(held);
+    network.budget().release(held);
     held = 0;
     answer = new QueryResponse();
   }
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -32,12 +32,12 @@
    */
   public interface Listener {
 
-    void ended(BackendAttempt attempt, BackendResponse reply);
+    void onAttemptEnded(BackendAttempt attempt, BackendResponse reply);
 
     /** Whether an attempt may still be written, now that a connection is there for it. */
-    boolean mayStart(BackendAttempt attempt);
+    boolean mayStartAttempt(BackendAttempt attempt);
 
-    void probed(String member, BackendResponse reply, long took);
+    void onHealthCheckEnded(String member, BackendResponse reply, long took);
   }
 
   /** Who the hosts are told this is. */
@@ -79,8 +79,8 @@
   }
 
   /** Takes the addresses of a list; connections to hosts that left it, or moved, are given back. */
-  public void listed(EndpointList list) {
-    for (Endpoint m : list.members()) {
+  public void updateEndpoints(EndpointList list) {
+    for (Endpoint m : list.endpoints()) {
       if (m.availability() == Availability.REMOVED) {
         leave(m.id());
         continue;
@@ -88,12 +88,12 @@
       InetSocketAddress address = list.addresses().get(m.id());
       BackendHost host = hosts.computeIfAbsent(m.id(), BackendHost::new);
       if (host.address != null && !host.address.equals(address)) {
-        closeIdle(host, CloseReason.LEFT_LIST);
+        closeIdleConnections(host, CloseReason.LEFT_LIST);
       }
       host.address = address;
     }
     if (list.complete()) {
-      List<String> named = list.members().stream().map(Endpoint::id).toList();
+      List<String> named = list.endpoints().stream().map(Endpoint::id).toList();
       List.copyOf(hosts.keySet()).stream().filter(id -> !named.contains(id)).forEach(this::leave);
     }
   }
@@ -101,41 +101,45 @@
   private void leave(String member) {
     BackendHost host = hosts.remove(member);
     if (host != null) {
-      closeIdle(host, CloseReason.LEFT_LIST);
+      closeIdleConnections(host, CloseReason.LEFT_LIST);
     }
   }
 
-  public void start(BackendAttempt attempt) {
-    BackendHost host = hosts.get(attempt.member);
-    BackendCall call = new BackendCall(attempt.member, host, attempt, network.loop().now());
+  public void startAttempt(BackendAttempt attempt) {
+    BackendHost host = hosts.get(attempt.endpointId);
+    BackendCall call =
+        new BackendCall(attempt.endpointId, host, attempt, network.loop().nowMicros());
     calls.put(attempt, call);
     call.endBy =
-        network.loop().at(attempt.exchange.deadline, () -> giveUp(call, AttemptStatus.TIMEOUT));
+        network
+            .loop()
+            .scheduleAt(attempt.request.deadlineMicros, () -> giveUp(call, AttemptStatus.TIMEOUT));
     begin(call);
   }
 
-  public void probe(String member) {
-    BackendCall call = new BackendCall(member, hosts.get(member), null, network.loop().now());
+  public void checkHealth(String member) {
+    BackendCall call = new BackendCall(member, hosts.get(member), null, network.loop().nowMicros());
     network.counters().add(Counters.Name.PROBES_SENT);
     call.endBy =
         network
             .loop()
-            .after(limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.TIMEOUT));
+            .scheduleAfter(
+                limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.TIMEOUT));
     begin(call);
   }
 
   /** Calls the attempt off; its outcome follows unless it is over already. */
-  public void cancel(BackendAttempt attempt) {
+  public void cancelAttempt(BackendAttempt attempt) {
     BackendCall call = calls.get(attempt);
     if (call != null) {
       abandon(call, CloseReason.CANCELLED);
-      network.post(() -> finish(call, BackendResponse.of(AttemptStatus.CANCELLED)));
+      network.post(() -> finishCall(call, BackendResponse.of(AttemptStatus.CANCELLED)));
     }
   }
 
-  public void closeIdle(String member) {
+  public void closeIdleConnections(String member) {
     if (hosts.containsKey(member)) {
-      closeIdle(hosts.get(member), CloseReason.GIVEN_BACK);
+      closeIdleConnections(hosts.get(member), CloseReason.GIVEN_BACK);
     }
   }
 
@@ -144,28 +148,28 @@
     for (BackendHost host : hosts.values()) {
       List.copyOf(host.connections).forEach(c -> c.close(reason));
       List.copyOf(host.waiting)
-          .forEach(e -> finish(e, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
+          .forEach(e -> finishCall(e, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       host.waiting.clear();
     }
     // Hosts that have left the list may still carry some.
     for (BackendCall call : List.copyOf(calls.values())) {
       abandon(call, reason);
-      finish(call, BackendResponse.of(AttemptStatus.CANCELLED));
+      finishCall(call, BackendResponse.of(AttemptStatus.CANCELLED));
     }
   }
 
-  private void closeIdle(BackendHost host, CloseReason reason) {
+  private void closeIdleConnections(BackendHost host, CloseReason reason) {
     List.copyOf(host.idle).forEach(c -> c.close(reason));
   }
 
   private void begin(BackendCall call) {
     BackendHost host = call.host;
     if (host == null) {
-      network.post(() -> finish(call, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
+      network.post(() -> finishCall(call, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       return;
     }
     BackendConnection connection = host.idle.pollLast();
-    while (connection != null && connection.hasUnseen()) {
+    while (connection != null && connection.hasUnprocessedInput()) {
       // Its end, or what nobody asked for, waits to be looked at: written to, it would seem to have
       // been sent.
       connection = host.idle.pollLast();
@@ -177,7 +181,8 @@
     call.connectBy =
         network
             .loop()
-            .after(limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.CONNECT_FAILED));
+            .scheduleAfter(
+                limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.CONNECT_FAILED));
     host.waiting.add(call);
     if (host.opening < host.waiting.size()) {
       open(host);
@@ -239,12 +244,12 @@
   }
 
   /** Its part of the sockets, which it shares with others, may change. */
-  public void bound(double weight, int mostSockets) {
+  public void updateQuota(double weight, int mostSockets) {
     sockets.update(weight, mostSockets);
   }
 
   /** Sockets that are open to hosts. */
-  public int held() {
+  public int openConnectionCount() {
     return sockets.inUse();
   }
 
@@ -258,15 +263,15 @@
     return false;
   }
 
-  void opened(BackendConnection connection) {
+  void onConnectionReady(BackendConnection connection) {
     connection.host.opening--;
-    freed(connection);
+    onConnectionFree(connection);
   }
 
   /**
    * The connection carries nothing now: it takes the next call or idles, for less than hosts allow.
    */
-  void freed(BackendConnection connection) {
+  void onConnectionFree(BackendConnection connection) {
     BackendHost host = connection.host;
     if (connection.isClosed()) {
       return;
@@ -278,9 +283,9 @@
     }
     BackendCall next = host.waiting.poll();
     // What the choice of one that waited rested on may hold no longer.
-    while (next != null && next.attempt != null && !listener.mayStart(next.attempt)) {
+    while (next != null && next.attempt != null && !listener.mayStartAttempt(next.attempt)) {
       BackendCall late = next;
-      network.post(() -> finish(late, BackendResponse.of(AttemptStatus.NOT_SENT)));
+      network.post(() -> finishCall(late, BackendResponse.of(AttemptStatus.NOT_SENT)));
       next = host.waiting.poll();
     }
     if (next != null) {
@@ -292,7 +297,7 @@
       connection.close(CloseReason.LEFT_LIST);
     } else {
       host.idle.addLast(connection);
-      connection.idleUntil(network.loop().now() + limits.connectionIdleMicros() * 4 / 5);
+      connection.idleUntil(network.loop().nowMicros() + limits.connectionIdleMicros() * 4 / 5);
     }
   }
 
@@ -305,14 +310,16 @@
       connection.begin(call, PROBE);
       return;
     }
-    call.attempt.sentAt = network.loop().now();
-    long left = call.attempt.exchange.deadline - network.loop().now();
+    call.attempt.sentAtMicros = network.loop().nowMicros();
+    long left = call.attempt.request.deadlineMicros - network.loop().nowMicros();
     connection.begin(
-        call, Message.query(call.attempt.exchange.statement.withWait(Math.max(1, left / 1000))));
+        call,
+        Message.query(
+            call.attempt.request.statement.withTimeToDeadlineMillis(Math.max(1, left / 1000))));
   }
 
   /** A connection that ends while it opens takes the call that waited longest with it. */
-  void ended(BackendConnection connection) {
+  void onConnectionClosed(BackendConnection connection) {
     BackendHost host = connection.host;
     sockets.release();
     host.connections.remove(connection);
@@ -321,7 +328,7 @@
       host.opening--;
       BackendCall first = host.waiting.poll();
       if (first != null) {
-        network.post(() -> finish(first, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
+        network.post(() -> finishCall(first, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       }
     }
   }
@@ -333,9 +340,9 @@
       // dead,
       // and each would cost a request. Probes are answered beside the queue, so silence is no
       // overload.
-      closeIdle(call.host, CloseReason.SILENT);
+      closeIdleConnections(call.host, CloseReason.SILENT);
     }
-    finish(call, BackendResponse.of(status));
+    finishCall(call, BackendResponse.of(status));
   }
 
   private void abandon(BackendCall call, CloseReason reason) {
@@ -346,7 +353,7 @@
     }
   }
 
-  void finish(BackendCall call, BackendResponse reply) {
+  void finishCall(BackendCall call, BackendResponse reply) {
     if (call.over) {
       return;
     }
@@ -358,9 +365,9 @@
     }
     if (call.attempt != null) {
       calls.remove(call.attempt);
-      listener.ended(call.attempt, reply);
+      listener.onAttemptEnded(call.attempt, reply);
     } else {
-      listener.probed(call.member, reply, network.loop().now() - call.startedAt);
+      listener.onHealthCheckEnded(call.member, reply, network.loop().nowMicros() - call.startedAt);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/backend/BackendResponse.java
+++ b/gateway/src/main/java/shelffront/backend/BackendResponse.java
@@ -10,7 +10,7 @@
  * it is OK.
  */
 public record BackendResponse(
-    AttemptStatus status, Role role, long position, LoadReport load, byte[] messages) {
+    AttemptStatus status, Role role, long positionMicros, LoadReport loadReport, byte[] messages) {
 
   public static BackendResponse of(AttemptStatus status) {
     return new BackendResponse(status, Role.UNKNOWN, Router.UNKNOWN, null, null);
--- a/gateway/src/main/java/shelffront/backend/LoadReportParser.java
+++ b/gateway/src/main/java/shelffront/backend/LoadReportParser.java
@@ -66,7 +66,7 @@
     long position =
         milliseconds == null
             ? Router.UNKNOWN
-            : Statement.position(milliseconds).orElse(Router.UNKNOWN);
+            : Statement.positionMicros(milliseconds).orElse(Router.UNKNOWN);
     return position == 0 ? Router.UNKNOWN : position;
   }
 }
--- a/gateway/src/main/java/shelffront/config/EndpointList.java
+++ b/gateway/src/main/java/shelffront/config/EndpointList.java
@@ -16,7 +16,7 @@
 public record EndpointList(
     long revision,
     boolean complete,
-    List<Endpoint> members,
+    List<Endpoint> endpoints,
     Map<String, InetSocketAddress> addresses) {
 
   private static final Map<String, Availability> PHASES =
@@ -36,13 +36,13 @@
    * The list after news: those of a complete one alone, else with the changes put in and those gone
    * left out.
    */
-  public EndpointList with(EndpointList news) {
+  public EndpointList apply(EndpointList news) {
     if (news.complete) {
       return news;
     }
     Map<String, Endpoint> all = new LinkedHashMap<>();
-    members.forEach(m -> all.put(m.id(), m));
-    news.members.forEach(m -> all.put(m.id(), m));
+    endpoints.forEach(m -> all.put(m.id(), m));
+    news.endpoints.forEach(m -> all.put(m.id(), m));
     all.values().removeIf(m -> m.availability() == Availability.REMOVED);
     Map<String, InetSocketAddress> where = new HashMap<>(addresses);
     where.putAll(news.addresses);
@@ -66,7 +66,7 @@
         throw new MalformedInputException("phase of " + id + " is not known");
       }
       if (phase != Availability.REMOVED) {
-        addresses.put(id, GatewayConfig.address(JsonReader.text(m, "host_port")));
+        addresses.put(id, GatewayConfig.parseAddress(JsonReader.text(m, "host_port")));
       }
       members.add(
           new Endpoint(
--- a/gateway/src/main/java/shelffront/config/GatewayConfig.java
+++ b/gateway/src/main/java/shelffront/config/GatewayConfig.java
@@ -13,24 +13,24 @@
 /** What the environment and the configuration file tell a gateway at its start. */
 public record GatewayConfig(
     String name,
-    InetSocketAddress listen,
-    InetSocketAddress discovery,
+    InetSocketAddress listenAddress,
+    InetSocketAddress discoveryAddress,
     long seed,
-    int sockets,
-    int openCap,
+    int maxSockets,
+    int maxOpenRequests,
     RoutingSettings settings,
-    EndpointList known) {
+    EndpointList knownEndpoints) {
 
   private static final int GREATEST_FILE = 1 << 20;
 
   public static GatewayConfig fromEnvironment(Map<String, String> environment)
       throws IOException, MalformedInputException {
-    Map<?, ?> top = JsonReader.object(text(file(environment)));
+    Map<?, ?> top = JsonReader.parseObject(text(file(environment)));
     Map<?, ?> settings = JsonReader.part(top, "settings");
     return new GatewayConfig(
         given(environment, "BALANCER_NAME", top, "name"),
-        address(given(environment, "BALANCER_LISTEN", top, "listen")),
-        address(given(environment, "BALANCER_DISCOVERY", top, "discovery")),
+        parseAddress(given(environment, "BALANCER_LISTEN", top, "listen")),
+        parseAddress(given(environment, "BALANCER_DISCOVERY", top, "discovery")),
         seed(JsonReader.text(top, "seed")),
         (int) JsonReader.number(JsonReader.part(top, "limits"), "sockets", 1024),
         (int) JsonReader.number(JsonReader.part(settings, "limits"), "openCap", 20_000),
@@ -75,7 +75,7 @@
   }
 
   /** An address in the form {@code host:port}, with a literal host: there is no DNS to ask. */
-  public static InetSocketAddress address(String text) throws MalformedInputException {
+  public static InetSocketAddress parseAddress(String text) throws MalformedInputException {
     int colon = text.lastIndexOf(':');
     String host = text.substring(0, Math.max(0, colon));
     String port = text.substring(colon + 1);
--- a/gateway/src/main/java/shelffront/config/JsonReader.java
+++ b/gateway/src/main/java/shelffront/config/JsonReader.java
@@ -16,7 +16,7 @@
   private JsonReader() {}
 
   /** The object that the text holds. */
-  public static Map<?, ?> object(String text) throws MalformedInputException {
+  public static Map<?, ?> parseObject(String text) throws MalformedInputException {
     JsonReader json = new JsonReader();
     try {
       new JsonParser(json).parse(text);
--- a/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
+++ b/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
@@ -70,7 +70,7 @@
   }
 
   /** Clock time from which the wire counts positions. */
-  public static long zero(Map<?, ?> facts) throws MalformedInputException {
+  public static long positionZeroMicros(Map<?, ?> facts) throws MalformedInputException {
     return new RoutingSettingsCodec("facts", facts).part("familyInfo").integer("zero", 0);
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -78,7 +78,7 @@
     ObjectNode rest = settings.deepCopy();
     JsonNode listen = rest.remove("listen");
     try {
-      InetSocketAddress address = GatewayConfig.address(listen == null ? "" : listen.asText());
+      InetSocketAddress address = GatewayConfig.parseAddress(listen == null ? "" : listen.asText());
       return new DistributorProcess(address, SubscribedRecordsConfig.read(rest, ""), log);
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException("/listen", "is not an address host:port");
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -120,7 +120,7 @@
   private static InetSocketAddress address(JsonNode o, String pointer, String field)
       throws SpecException {
     try {
-      return GatewayConfig.address(o.path(field).asText());
+      return GatewayConfig.parseAddress(o.path(field).asText());
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException(pointer, "is not an address host:port");
     }
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
@@ -49,7 +49,10 @@
     if (silence != null) {
       silence.cancel();
     }
-    silence = network.loop().after(DiscoveryClient.PATIENCE, () -> end(CloseReason.SILENT));
+    silence =
+        network
+            .loop()
+            .scheduleAfter(DiscoveryClient.SILENCE_TIMEOUT_MICROS, () -> end(CloseReason.SILENT));
   }
 
   /**
@@ -57,7 +60,7 @@
    * told.
    */
   void end(CloseReason reason) {
-    if (hasUnseen()) {
+    if (hasUnprocessedInput()) {
       network.post(() -> end(reason));
     } else {
       close(reason);
@@ -65,7 +68,7 @@
   }
 
   @Override
-  protected void received(ByteBuffer bytes) {
+  protected void onBytesReceived(ByteBuffer bytes) {
     boolean before = answer.hasHeaders();
     try {
       answer.take(bytes);
@@ -141,14 +144,14 @@
   private void list(String text) {
     EndpointList list;
     try {
-      list = EndpointList.read(JsonReader.object(text));
+      list = EndpointList.read(JsonReader.parseObject(text));
     } catch (MalformedInputException e) {
       network.log().println("discovery: " + e.getMessage());
       close(CloseReason.BAD_ANSWER);
       return;
     }
     listCame = true;
-    discovery.heard(list);
+    discovery.onEndpointList(list);
   }
 
   private void finish(CloseReason reason) {
@@ -159,9 +162,9 @@
   }
 
   @Override
-  protected void ended(CloseReason reason) {
+  protected void onClosed(CloseReason reason) {
     silence.cancel();
-    discovery.ended(this, standing, listCame);
+    discovery.onCallClosed(this, standing, listCame);
   }
 
   @Override
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
@@ -15,10 +15,10 @@
   /** Takes what discovery tells. */
   public interface Listener {
 
-    void heard(EndpointList list);
+    void onEndpoints(EndpointList list);
 
     /** A watch or a fetch has failed; the list stands. */
-    void failed();
+    void onDiscoveryFailed();
   }
 
   /**
@@ -34,19 +34,19 @@
    * nothing of the grace that the settings give a drain. Only a call whose headers came in between
    * has 2.5 s more for its first line, which that grace covers.
    */
-  static final long PATIENCE = 2_500_000;
+  static final long SILENCE_TIMEOUT_MICROS = 2_500_000;
 
   /**
    * For so long after the newest list an older one is late, not the beginning of another count of
    * revisions.
    */
-  private static final long LATE_LIST = 30_000_000;
+  private static final long STALE_LIST_WINDOW_MICROS = 30_000_000;
 
   private final Network network;
   private final Listener listener;
   private InetSocketAddress address;
   private long revision;
-  private long newestAt;
+  private long newestAtMicros;
   private boolean watching; // as asked; the watch itself may have failed
   private DiscoveryCall watch;
 
@@ -71,7 +71,7 @@
   /**
    * Starts the watch as if nothing had been heard before, so that it begins with the whole list.
    */
-  public void watchAnew() {
+  public void watchFromStart() {
     revision = 0;
     watch(true);
   }
@@ -80,7 +80,7 @@
    * Discovery answers elsewhere from now on. A watch that is asked for starts there at once: the
    * old address may close late, and what it no longer tells counts as told all the same.
    */
-  public void move(InetSocketAddress to) {
+  public void changeAddress(InetSocketAddress to) {
     address = to;
     if (watching) {
       watch(true);
@@ -92,7 +92,7 @@
     return watch != null;
   }
 
-  public void fetch() {
+  public void fetchEndpoints() {
     call("/catalog/members", false);
   }
 
@@ -130,19 +130,20 @@
    * Guards against an older list after a newer one, which would have what drains and what is gone
    * used again.
    */
-  void heard(EndpointList list) {
-    if (list.revision() < revision && network.loop().now() < newestAt + LATE_LIST) {
+  void onEndpointList(EndpointList list) {
+    if (list.revision() < revision
+        && network.loop().nowMicros() < newestAtMicros + STALE_LIST_WINDOW_MICROS) {
       network.log().println("discovery: list " + list.revision() + " is older than " + revision);
       return;
     }
     revision = list.revision();
-    newestAt = network.loop().now();
+    newestAtMicros = network.loop().nowMicros();
     network.counters().add(Counters.Name.LISTS_HEARD);
-    listener.heard(list);
+    listener.onEndpoints(list);
   }
 
   /** A watch counts as failed whatever ended it; a fetch only where no list came. */
-  void ended(DiscoveryCall call, boolean standing, boolean listCame) {
+  void onCallClosed(DiscoveryCall call, boolean standing, boolean listCame) {
     if (call == watch) {
       watch = null;
       failed();
@@ -153,6 +154,6 @@
 
   private void failed() {
     network.counters().add(Counters.Name.DISCOVERY_FAILURES);
-    listener.failed();
+    listener.onDiscoveryFailed();
   }
 }
--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -24,7 +24,7 @@
  * order.
  */
 final class ClientConnection extends Connection
-    implements ClientRequest.ResponseListener, FrontendConnections.Client {
+    implements ClientRequest.ResponseListener, FrontendConnections.ClientHandle {
 
   private static final int GREATEST_PASSWORD = 1024;
   private static final int MOST_WAITING = 8; // Commands read ahead of the one in work.
@@ -71,7 +71,7 @@
   private final long openedAt;
   private Map<String, String> startup = Map.of();
   private boolean asksPassword; // the next message is one
-  private FrontendConnections.Taker taker; // who serves it, once that is known
+  private FrontendConnections.RequestHandler taker; // who serves it, once that is known
   private boolean started;
   private boolean named; // the startup message has come, and it is where its tenant lives
   private boolean lookingUp; // who serves it is being found out
@@ -90,29 +90,29 @@
     super(clients.network, "client", channel, Message.GREATEST);
     this.clients = clients;
     cameIn = clients;
-    openedAt = now();
+    openedAt = nowMicros();
     heardAt = openedAt;
     limit =
         clients
             .network
             .loop()
-            .at(openedAt + FIRST_COMMAND_TIME, () -> expire(CloseReason.STARTUP_TIMEOUT));
+            .scheduleAt(openedAt + FIRST_COMMAND_TIME, () -> expire(CloseReason.STARTUP_TIMEOUT));
   }
 
   /** Reads what comes; may end it at once, so whoever counts it has done so before. */
   void begin() {
-    start();
+    startReading();
   }
 
   /** Whether it may be closed without a loss: nothing of it is in work or unsent. */
   @Override
   public boolean isIdle() {
-    return current == null && waiting.isEmpty() && drained();
+    return current == null && waiting.isEmpty() && isOutputEmpty();
   }
 
   /** Whether it has sent no whole command in the time in which clients do. */
   boolean isSilent() {
-    return !asked && now() > openedAt + SILENT;
+    return !asked && nowMicros() > openedAt + SILENT;
   }
 
   /**
@@ -133,8 +133,8 @@
   private boolean mayRetire(long patience) {
     return isIdle()
         && !isEnding()
-        && !hasUnseen()
-        && (asked && !half || now() > heardAt + patience);
+        && !hasUnprocessedInput()
+        && (asked && !half || nowMicros() > heardAt + patience);
   }
 
   /**
@@ -142,7 +142,7 @@
    * it elsewhere.
    */
   boolean retire(CloseReason reason) {
-    return mayMakeRoom() && rest(reason);
+    return mayMakeRoom() && tryCloseInOrder(reason);
   }
 
   /**
@@ -150,29 +150,29 @@
    * first.
    */
   private void expire(CloseReason reason) {
-    if (!isIdle() || !rest(reason)) {
-      limit = network.loop().at(now() + LOOK_AGAIN, () -> expire(reason));
+    if (!isIdle() || !tryCloseInOrder(reason)) {
+      limit = network.loop().scheduleAt(nowMicros() + LOOK_AGAIN, () -> expire(reason));
     }
   }
 
   @Override
-  protected void lingering() {
+  protected void onLingering() {
     limit.cancel();
     clients.lingers(this);
   }
 
   @Override
-  protected boolean dropsInput() {
+  protected boolean discardsInput() {
     return unreadable != null;
   }
 
   /** Connections that are served together with this one. */
   int siblings() {
-    return taker == null ? 0 : taker.clients();
+    return taker == null ? 0 : taker.clientCount();
   }
 
   @Override
-  public void dismiss(ProtocolException why, CloseReason reason) {
+  public void endWithError(ProtocolException why, CloseReason reason) {
     if (unreadable == null && !isClosed()) {
       unreadable(why, reason);
       work();
@@ -188,8 +188,8 @@
   }
 
   @Override
-  protected void received(ByteBuffer bytes) {
-    heardAt = now();
+  protected void onBytesReceived(ByteBuffer bytes) {
+    heardAt = nowMicros();
     try {
       while (!started && startup(bytes)) {
         continue;
@@ -204,7 +204,7 @@
           throw new ProtocolException(NO_MEMORY, "there is no room for the command");
         }
         waitingBytes += message.body().length;
-        waiting.add(new Command(message, arrivalOfTaken(bytes), null, null));
+        waiting.add(new Command(message, arrivalMicrosOfConsumed(bytes), null, null));
         asked = true;
       }
     } catch (ProtocolException e) {
@@ -229,14 +229,14 @@
   }
 
   private boolean hold(int bytes) {
-    boolean taken = network.budget().take(bytes);
+    boolean taken = network.budget().tryAcquire(bytes);
     held += taken ? bytes : 0;
     return taken;
   }
 
   private void unreadable(ProtocolException why, CloseReason reason) {
     unreadable = why.getMessage();
-    waiting.add(new Command(null, now(), why, reason));
+    waiting.add(new Command(null, nowMicros(), why, reason));
   }
 
   /** Takes a message of the startup; false where more bytes are needed or it is over. */
@@ -265,7 +265,7 @@
           throw new ProtocolException("0A000", "only version 3 of the protocol is spoken here");
         }
         startup = message.startupParameters();
-        lookingUp = clients.door.lookUp(startup, clients, this::found);
+        lookingUp = clients.tenantLookup.lookUp(startup, clients, this::found);
         return !lookingUp && enter();
       }
     }
@@ -281,32 +281,32 @@
       return;
     }
     found = true;
-    offerAgain();
+    reofferInput();
   }
 
   private boolean enter() throws ProtocolException {
     found = false;
-    home = clients.door.home(startup, clients);
+    home = clients.tenantLookup.connectionsFor(startup, clients);
     named = true;
     if (home == clients) {
       return admitted();
     }
-    moveTo(home.network, this::arrive);
+    moveToLoop(home.network, this::arrive);
     return false;
   }
 
   private boolean admitted() throws ProtocolException {
-    asksPassword = clients.door.asksPassword(startup);
+    asksPassword = clients.tenantLookup.requiresPassword(startup);
     if (asksPassword) {
-      write(Message.askPassword());
+      write(Message.authenticationCleartextPassword());
       return true;
     }
-    welcome(clients.door.admit(startup));
+    welcome(clients.tenantLookup.authenticate(startup));
     return false;
   }
 
   @Override
-  protected void leaving() {
+  protected void onLeavingLoop() {
     limit.cancel();
     clients.leaves(this, home);
   }
@@ -316,8 +316,10 @@
     clients = home;
     clients.arrives(this);
     limit =
-        network.loop().at(openedAt + FIRST_COMMAND_TIME, () -> expire(CloseReason.STARTUP_TIMEOUT));
-    resume();
+        network
+            .loop()
+            .scheduleAt(openedAt + FIRST_COMMAND_TIME, () -> expire(CloseReason.STARTUP_TIMEOUT));
+    resumeAfterMove();
   }
 
   private boolean password(ByteBuffer bytes) throws ProtocolException {
@@ -327,17 +329,17 @@
     }
     asksPassword = false;
     welcome(
-        clients.door.admit(
+        clients.tenantLookup.authenticate(
             startup, Arrays.copyOf(message.body(), Math.max(0, message.body().length - 1))));
     return false;
   }
 
-  private void welcome(FrontendConnections.Taker by) throws ProtocolException {
-    if (!join(by.network())) {
+  private void welcome(FrontendConnections.RequestHandler by) throws ProtocolException {
+    if (!tryJoinTenant(by.network())) {
       throw new ProtocolException(NO_MEMORY, "there is no room for the connection");
     }
     taker = by;
-    taker.joined(this);
+    taker.onClientConnected(this);
     started = true;
     write(Message.authenticationOk());
     write(Message.parameterStatus("server_version", "15.0"));
@@ -352,7 +354,9 @@
     limit =
         network
             .loop()
-            .at(now() + (half ? HALF_COMMAND_TIME : IDLE_TIME), () -> expire(CloseReason.IDLE));
+            .scheduleAt(
+                nowMicros() + (half ? HALF_COMMAND_TIME : IDLE_TIME),
+                () -> expire(CloseReason.IDLE));
     clients.used(this);
   }
 
@@ -362,7 +366,7 @@
    * out.
    */
   private void work() {
-    while (!isEnding() && current == null && drained() && !waiting.isEmpty()) {
+    while (!isEnding() && current == null && isOutputEmpty() && !waiting.isEmpty()) {
       Command command = waiting.poll();
       waitingBytes -= command.message() == null ? 0 : command.message().body().length;
       try {
@@ -414,9 +418,9 @@
       answer(Message.emptyQueryResponse());
       return;
     }
-    Statement statement = Statement.read(bytes);
+    Statement statement = Statement.parse(bytes);
     int classIndex = classIndex(statement.value("c"));
-    RequestClass type = taker.classes().get(classIndex);
+    RequestClass type = taker.requestClasses().get(classIndex);
     Consistency read = type.consistency();
     if (type.idempotency() == Idempotency.IDEMPOTENCY_KEY && statement.value("k") == null) {
       throw new ProtocolException("42601", "the class needs a key k");
@@ -426,18 +430,18 @@
     int group = statement.number("cluster", 0);
     String session =
         read == Consistency.WRITE || read == Consistency.SESSION ? statement.key() : null;
-    long after = statement.position("after", Router.UNKNOWN);
+    long after = statement.positionMicros("after", Router.UNKNOWN);
     ClientRequest exchange =
         new ClientRequest(statement.value("id"), statement, classIndex, deadline, this);
-    taker.check(exchange);
+    taker.validate(exchange);
     network.counters().add(Counters.Name.REQUESTS_TAKEN);
     limit.cancel();
     current = exchange;
-    taker.take(exchange, session, group, after, "1".equals(statement.value("r")));
+    taker.handle(exchange, session, group, after, "1".equals(statement.value("r")));
   }
 
   private int classIndex(String name) throws ProtocolException {
-    List<RequestClass> classes = taker.classes();
+    List<RequestClass> classes = taker.requestClasses();
     for (int i = 0; i < classes.size(); i++) {
       if (classes.get(i).name().equals(name)) {
         return i;
@@ -456,9 +460,9 @@
   }
 
   @Override
-  public void served(byte[] messages) {
+  public void onServed(byte[] messages) {
     if (!hold(messages.length)) {
-      failed(); // there is no room to keep the value until the client takes it
+      onFailed(); // there is no room to keep the value until the client takes it
       return;
     }
     network.counters().add(Counters.Name.ANSWERS_SERVED);
@@ -466,7 +470,7 @@
   }
 
   @Override
-  public void refused(long retryAfter) {
+  public void onRejected(long retryAfter) {
     network.counters().add(Counters.Name.ANSWERS_REFUSED);
     over(
         Message.error(
@@ -477,13 +481,13 @@
   }
 
   @Override
-  public void unavailable() {
+  public void onUnavailable() {
     network.counters().add(Counters.Name.ANSWERS_REFUSED);
     over(Message.error(false, "57P03", "refused untouched, the database is being removed", null));
   }
 
   @Override
-  public void failed() {
+  public void onFailed() {
     network.counters().add(Counters.Name.ANSWERS_FAILED);
     over(Message.error(false, "40003", "failed, its effect is not known", null));
   }
@@ -501,15 +505,15 @@
   }
 
   @Override
-  protected void written() {
-    network.budget().giveBack(held - waitingBytes);
+  protected void onOutputWritten() {
+    network.budget().release(held - waitingBytes);
     held = waitingBytes;
     work();
     clients.finished(this);
   }
 
   @Override
-  protected void refuse(CloseReason reason) {
+  protected void onInputOverflow(CloseReason reason) {
     unreadable(
         new ProtocolException(
             reason == CloseReason.NO_MEMORY ? NO_MEMORY : Message.TOO_LARGE,
@@ -519,15 +523,15 @@
   }
 
   @Override
-  protected void ended(CloseReason reason) {
+  protected void onClosed(CloseReason reason) {
     limit.cancel();
-    network.budget().giveBack(held);
+    network.budget().release(held);
     if (current != null) {
       network.counters().add(Counters.Name.REQUESTS_LEFT);
-      taker.left(current);
+      taker.onRequestAbandoned(current);
     }
     if (taker != null) {
-      taker.parted(this);
+      taker.onClientClosed(this);
     }
     clients.ended(this);
     if (cameIn != clients) {
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -41,64 +41,66 @@
     /**
      * Who serves a client on the loop where its tenant lives; by default those where it came in.
      */
-    default FrontendConnections home(Map<String, String> startup, FrontendConnections here) {
+    default FrontendConnections connectionsFor(
+        Map<String, String> startup, FrontendConnections here) {
       return here;
     }
 
-    /** A connection that {@link #home} sent elsewhere has ended there. */
-    default void ended(Map<String, String> startup, FrontendConnections there) {}
+    /** A connection that {@link #connectionsFor} sent elsewhere has ended there. */
+    default void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {}
 
     /**
      * By the parameters of its startup message; throws where nobody does, with what the client is
      * told.
      */
-    Taker admit(Map<String, String> startup) throws ProtocolException;
+    RequestHandler authenticate(Map<String, String> startup) throws ProtocolException;
 
     /**
      * Whether a client that begins like this is asked for a password first; the same for names
      * nobody has.
      */
-    boolean asksPassword(Map<String, String> startup);
+    boolean requiresPassword(Map<String, String> startup);
 
-    /** As {@link #admit(Map)}, with the password that it gave. */
-    Taker admit(Map<String, String> startup, byte[] password) throws ProtocolException;
+    /** As {@link #authenticate(Map)}, with the password that it gave. */
+    RequestHandler authenticate(Map<String, String> startup, byte[] password)
+        throws ProtocolException;
   }
 
   /** A client's connection, as the one that serves it sees it. */
-  public interface Client {
+  public interface ClientHandle {
 
     boolean isIdle();
 
     /** Ends it with an error once what is in work has been answered. */
-    void dismiss(ProtocolException why, CloseReason reason);
+    void endWithError(ProtocolException why, CloseReason reason);
   }
 
   /** Takes requests in; each is answered through its exchange. */
-  public interface Taker {
+  public interface RequestHandler {
 
     /** What its clients' connections post to, borrow from and count in. */
     Network network();
 
-    List<RequestClass> classes();
+    List<RequestClass> requestClasses();
 
-    void joined(Client client);
+    void onClientConnected(ClientHandle client);
 
-    void parted(Client client);
+    void onClientClosed(ClientHandle client);
 
     /** Connections that it has now. */
-    int clients();
+    int clientCount();
 
     /** Throws where the request can't be taken for what it says; nothing has been done then. */
-    void check(ClientRequest exchange) throws ProtocolException;
+    void validate(ClientRequest exchange) throws ProtocolException;
 
     /**
      * The position, in microseconds, is that of the session's last write as the client tells it, or
      * unknown.
      */
-    void take(ClientRequest exchange, String session, int group, long after, boolean repeat);
+    void handle(ClientRequest exchange, String session, int group, long after, boolean repeat);
 
     /** The client waits no longer; no answer is owed. */
-    void left(ClientRequest exchange);
+    void onRequestAbandoned(ClientRequest exchange);
   }
 
   private static final int BACKLOG = 1024;
@@ -111,7 +113,7 @@
   private static final long ACCEPT_PAUSE = 20_000;
 
   final Network network;
-  final TenantLookup door;
+  final TenantLookup tenantLookup;
   private final int mostConnections;
   private final int mostLingering;
   private final AsynchronousServerSocketChannel
@@ -136,14 +138,14 @@
     this.network = network;
     mostLingering = Math.max(1, mostConnections / LINGERING_PART);
     this.mostConnections = mostConnections;
-    this.door = door;
+    this.tenantLookup = door;
     listener = network.channels().listen(listen, BACKLOG);
   }
 
   /** Those of a loop without a listener: they come from one that has. */
   public FrontendConnections(Network network, TenantLookup door) {
     this.network = network;
-    this.door = door;
+    this.tenantLookup = door;
     mostConnections = Integer.MAX_VALUE;
     mostLingering = Integer.MAX_VALUE;
     listener = null;
@@ -180,7 +182,7 @@
     connections.add(connection);
     connection.begin();
     if (connections.size() + awayCount() > mostConnections && !evict()) {
-      connection.dismiss(
+      connection.endWithError(
           new ProtocolException("53300", "too many connections"), CloseReason.NO_PLACE);
     }
     makeRoom();
@@ -199,7 +201,7 @@
     accepting = false;
     if (listener.isOpen()) {
       network.log().println("accept failed: " + failure);
-      network.loop().at(network.loop().now() + ACCEPT_PAUSE, this::makeRoom);
+      network.loop().scheduleAt(network.loop().nowMicros() + ACCEPT_PAUSE, this::makeRoom);
     } else if (whenStopped != null) {
       whenStopped.run();
     }
@@ -250,7 +252,7 @@
 
   /** One that came in here has ended with another loop's clients. */
   void endedAway(Map<String, String> startup, FrontendConnections there) {
-    door.ended(startup, there);
+    tenantLookup.onConnectionClosed(startup, there);
     away.merge(there, -1, (a, b) -> a + b == 0 ? null : a + b);
     makeRoom();
   }
@@ -312,8 +314,8 @@
       lookingAgain = true;
       network
           .loop()
-          .at(
-              network.loop().now() + ClientConnection.BRIEF + 1,
+          .scheduleAt(
+              network.loop().nowMicros() + ClientConnection.BRIEF + 1,
               () -> {
                 lookingAgain = false;
                 turnsAway = true;
--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -52,26 +52,27 @@
             network,
             only(config),
             config.seed(),
-            new ConnectionQuotas(hostSockets(config.sockets())),
+            new ConnectionQuotas(hostSockets(config.maxSockets())),
             null);
     clients =
         new FrontendConnections(
             network,
-            config.listen(),
-            clientSockets(config.sockets()),
+            config.listenAddress(),
+            clientSockets(config.maxSockets()),
             new FrontendConnections.TenantLookup() {
               @Override
-              public FrontendConnections.Taker admit(Map<String, String> startup) {
+              public FrontendConnections.RequestHandler authenticate(Map<String, String> startup) {
                 return single;
               }
 
               @Override
-              public boolean asksPassword(Map<String, String> startup) {
+              public boolean requiresPassword(Map<String, String> startup) {
                 return false;
               }
 
               @Override
-              public FrontendConnections.Taker admit(Map<String, String> startup, byte[] password) {
+              public FrontendConnections.RequestHandler authenticate(
+                  Map<String, String> startup, byte[] password) {
                 return single;
               }
             });
@@ -113,7 +114,7 @@
   private static TenantSpec only(GatewayConfig config) {
     TenantSpec.Bounds bounds =
         new TenantSpec.Bounds(
-            0, 0, config.openCap(), Integer.MAX_VALUE, Integer.MAX_VALUE, Long.MAX_VALUE);
+            0, 0, config.maxOpenRequests(), Integer.MAX_VALUE, Integer.MAX_VALUE, Long.MAX_VALUE);
     return new TenantSpec(
         "",
         1,
@@ -121,8 +122,8 @@
         bounds,
         config.settings(),
         new Login("api", "ledger"),
-        config.discovery(),
-        config.known(),
+        config.discoveryAddress(),
+        config.knownEndpoints(),
         Set.of(),
         List.of(),
         0);
@@ -139,7 +140,7 @@
 
   /** Starts the module with the list as this gateway last had it, then takes clients in. */
   public void start() {
-    loop.tick(); // Loading took a while: time limits set here would else be over at once.
+    loop.updateClock(); // Loading took a while: time limits set here would else be over at once.
     if (single != null) {
       single.start();
     }
@@ -152,12 +153,12 @@
    * than the file's.
    */
   public void reload(GatewayConfig next) {
-    single.move(next.discovery());
+    single.move(next.discoveryAddress());
     network
         .log()
         .println(
             "reloaded, discovery is "
-                + next.discovery()
+                + next.discoveryAddress()
                 + (next.settings().equals(single.spec().settings())
                     ? ""
                     : "; other settings hold from the next start"));
@@ -166,7 +167,7 @@
   /** Finishes what was taken and what still comes in, then stops the loop. */
   public void drain() {
     network.log().println("stopping");
-    loop.at(loop.now() + LAST_ARRIVALS, this::stopWhenDone);
+    loop.scheduleAt(loop.nowMicros() + LAST_ARRIVALS, this::stopWhenDone);
   }
 
   /**
@@ -179,7 +180,7 @@
     // here.
     boolean drained = idle.getAsBoolean();
     if (!clients.isEmpty() || !drained) {
-      loop.at(loop.now() + DRAIN_CHECK, this::stopWhenDone);
+      loop.scheduleAt(loop.nowMicros() + DRAIN_CHECK, this::stopWhenDone);
       return;
     }
     if (!refusing) {
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -85,14 +85,15 @@
       TenantRegistry tenants =
           new TenantRegistry(
               network,
-              new TenantQuotas(shares, i, loop.now()),
+              new TenantQuotas(shares, i, loop.nowMicros()),
               hostSockets,
               environment.seed() + ((long) i << 20));
       members.add(new Member(network, tenants));
     }
     Network first = members.get(0).network();
-    placement = new EventLoopPlacement(members.size(), first.loop().now());
-    front = members.size() == 1 ? first : first.with(environment.channels().on(members.size()));
+    placement = new EventLoopPlacement(members.size(), first.loop().nowMicros());
+    front =
+        members.size() == 1 ? first : first.withChannels(environment.channels().on(members.size()));
   }
 
   /** The first loop, as the listener sees it. */
@@ -165,7 +166,7 @@
   void remove(String id, LongConsumer gone) {
     Home home = homes.remove(id);
     if (home == null) {
-      gone.accept(front.loop().now());
+      gone.accept(front.loop().nowMicros());
       return;
     }
     placement.remove(home.loopIndex, home.spec.weight());
@@ -213,7 +214,7 @@
                 copy.addAll(network.counters());
                 one.complete(
                     new MultiTenantGateway.Held(
-                        network.loop().deadlines(), network.budget().held(), copy));
+                        network.loop().deadlineCount(), network.budget().held(), copy));
               });
       sum =
           sum.thenCombine(
@@ -239,7 +240,7 @@
   }
 
   private void forgetUnused() {
-    long now = front.loop().now();
+    long now = front.loop().nowMicros();
     List<String> unused = new ArrayList<>();
     homes.forEach(
         (id, home) -> {
@@ -251,7 +252,7 @@
           }
         });
     unused.forEach(forget);
-    front.loop().at(now + FORGET_AFTER / 10, this::forgetUnused);
+    front.loop().scheduleAt(now + FORGET_AFTER / 10, this::forgetUnused);
   }
 
   // ---- The door
@@ -282,7 +283,7 @@
   }
 
   @Override
-  public FrontendConnections home(Map<String, String> startup, FrontendConnections here) {
+  public FrontendConnections connectionsFor(Map<String, String> startup, FrontendConnections here) {
     Home home = homes.get(TenantRegistry.name(startup));
     if (home == null || members.size() == 1) {
       return here; // who names nobody is told so here
@@ -301,7 +302,7 @@
   }
 
   @Override
-  public void ended(Map<String, String> startup, FrontendConnections there) {
+  public void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {
     Home home = homes.get(TenantRegistry.name(startup));
     // One that was removed meanwhile, and came again, has other clients; none of them is counted
     // twice.
@@ -314,9 +315,9 @@
   private void wake(Home home) {
     long[] worked = new long[members.size()];
     for (int i = 0; i < worked.length; i++) {
-      worked[i] = loop(i).worked();
+      worked[i] = loop(i).busyMicros();
     }
-    placement.recordBusyTime(worked, front.loop().now());
+    placement.recordBusyTime(worked, front.loop().nowMicros());
     int before = home.loopIndex;
     home.loopIndex = placement.placeResumed(before, home.spec.weight());
     if (home.loopIndex == before) {
@@ -333,19 +334,20 @@
   }
 
   @Override
-  public boolean asksPassword(Map<String, String> startup) {
-    return members.get(0).tenants().asksPassword(startup);
+  public boolean requiresPassword(Map<String, String> startup) {
+    return members.get(0).tenants().requiresPassword(startup);
   }
 
   @Override
-  public FrontendConnections.Taker admit(Map<String, String> startup) throws ProtocolException {
-    return members.get(0).tenants().admit(startup);
+  public FrontendConnections.RequestHandler authenticate(Map<String, String> startup)
+      throws ProtocolException {
+    return members.get(0).tenants().authenticate(startup);
   }
 
   @Override
-  public FrontendConnections.Taker admit(Map<String, String> startup, byte[] password)
-      throws ProtocolException {
-    return members.get(0).tenants().admit(startup, password);
+  public FrontendConnections.RequestHandler authenticate(
+      Map<String, String> startup, byte[] password) throws ProtocolException {
+    return members.get(0).tenants().authenticate(startup, password);
   }
 
   // ---- Stopping
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
@@ -141,7 +141,7 @@
 
   private static InetSocketAddress address(JsonNode top, String name) throws SpecException {
     try {
-      return GatewayConfig.address(top.path(name).asText());
+      return GatewayConfig.parseAddress(top.path(name).asText());
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException("/" + name, "is not an address host:port");
     }
--- a/gateway/src/main/java/shelffront/net/Connection.java
+++ b/gateway/src/main/java/shelffront/net/Connection.java
@@ -40,7 +40,7 @@
   private ByteBuffer ahead; // only while a read ahead is out
 
   /** What a read brought waits for its turn on the loop. Set by the thread that completes it. */
-  private volatile boolean unseen;
+  private volatile boolean unprocessedInput;
 
   private boolean paused; // what was read is not all consumed, since no more input was wanted
   private CloseReason peerEnded;
@@ -64,18 +64,18 @@
    * What has arrived and was not consumed; whatever is left in it is offered again with what
    * follows.
    */
-  protected abstract void received(ByteBuffer bytes);
+  protected abstract void onBytesReceived(ByteBuffer bytes);
 
   /**
-   * When the last byte taken from what {@link #received} was given had been read from the socket.
-   * Bytes may have stood in the buffer for long by then, behind commands that come first.
+   * When the last byte taken from what {@link #onBytesReceived} was given had been read from the
+   * socket. Bytes may have stood in the buffer for long by then, behind commands that come first.
    */
-  protected final long arrivalOfTaken(ByteBuffer bytes) {
+  protected final long arrivalMicrosOfConsumed(ByteBuffer bytes) {
     return arrivals.readTime(consumed + bytes.position());
   }
 
   /** All output was handed to the socket. */
-  protected void written() {}
+  protected void onOutputWritten() {}
 
   /**
    * Whether to take what was read; a connection that says no calls {@link #readMore} later. Reading
@@ -87,13 +87,13 @@
   }
 
   /** Whether what is read is of no use any more and is dropped; the peer's end is still seen. */
-  protected boolean dropsInput() {
+  protected boolean discardsInput() {
     return false;
   }
 
   /** Bytes, or the peer's end, were read from the system and have not been looked at yet. */
-  public final boolean hasUnseen() {
-    return unseen;
+  public final boolean hasUnprocessedInput() {
+    return unprocessedInput;
   }
 
   /**
@@ -105,18 +105,18 @@
   }
 
   /** Called once, after the socket was closed. */
-  protected abstract void ended(CloseReason reason);
+  protected abstract void onClosed(CloseReason reason);
 
   /**
    * Belongs to another view of the same loop from now on, a tenant's; false if that has no room for
    * its buffer.
    */
-  protected final boolean join(Network next) {
+  protected final boolean tryJoinTenant(Network next) {
     long counted = input.capacity() - FIRST_BUFFER;
-    if (!next.budget().take(counted)) {
+    if (!next.budget().tryAcquire(counted)) {
       return false;
     }
-    network.budget().giveBack(counted);
+    network.budget().release(counted);
     network = next;
     return true;
   }
@@ -126,34 +126,34 @@
    * from then on nothing of it is on this one, and {@code there} runs on that one, as its first
    * turn. Neither loop has it in between.
    */
-  protected final void moveTo(Network next, Runnable there) {
+  protected final void moveToLoop(Network next, Runnable there) {
     movingTo = next;
     moving = there;
   }
 
-  private void move() {
-    if (moving == null || reading || !drained()) {
+  private void completeMove() {
+    if (moving == null || reading || !isOutputEmpty()) {
       return;
     }
-    network.loop().leave(this);
+    network.loop().cancelFlush(this);
     if (stall != null) {
       stall.cancel();
     }
     Runnable there = moving;
     moving = null;
-    leaving();
+    onLeavingLoop();
     network = movingTo;
     network.loop().post(there);
   }
 
   /** Nothing of it is out on the present loop, which it leaves now. */
-  protected void leaving() {}
+  protected void onLeavingLoop() {}
 
   /**
    * Goes on after a move, on the new loop: with what had been read before, then with what comes.
    */
-  protected final void resume() {
-    offer();
+  protected final void resumeAfterMove() {
+    offerInput();
     readMore();
   }
 
@@ -161,13 +161,13 @@
    * Offers what was read, whether or not anything was left when input was last wanted; then reads
    * on.
    */
-  protected final void offerAgain() {
+  protected final void reofferInput() {
     paused = true;
     readMore();
   }
 
-  protected final long now() {
-    return network.loop().now();
+  protected final long nowMicros() {
+    return network.loop().nowMicros();
   }
 
   public final boolean isClosed() {
@@ -175,7 +175,7 @@
   }
 
   /** Nothing waits to be written. */
-  protected final boolean drained() {
+  protected final boolean isOutputEmpty() {
     return writing == null && output.isEmpty();
   }
 
@@ -188,14 +188,14 @@
               if (failure != null) {
                 close(CloseReason.CONNECT_FAILED);
               } else {
-                start();
+                startReading();
               }
             },
             false));
   }
 
   /** Begins reading on a channel that is connected. */
-  protected final void start() {
+  protected final void startReading() {
     connected = true;
     try {
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -218,9 +218,9 @@
     }
     if (paused && wantsInput() && (!reading || readingAhead)) {
       // Nothing more may ever come that would have the rest looked at.
-      offer();
+      offerInput();
       if (moving != null) {
-        move();
+        completeMove();
         return;
       }
       if (closed || closeWhenWritten != null) {
@@ -250,7 +250,7 @@
    * later.
    */
   private boolean hasRoomAhead() {
-    if (dropsInput()) {
+    if (discardsInput()) {
       dropped += input.position();
       consumed += input.position();
       input.clear();
@@ -278,35 +278,35 @@
     }
     network.counters().add(Counters.Name.BYTES_IN, count);
     if (toDrop > 0) {
-      drop(count);
+      discardInput(count);
       return;
     }
-    arrivals.read(count, now());
+    arrivals.read(count, nowMicros());
     if (wasAhead) {
       input.put(ahead.flip());
       ahead = null;
     }
     reading = false;
     if (wantsInput()) {
-      offer();
+      offerInput();
     } else {
       paused = true;
     }
     if (moving != null) {
-      move();
+      completeMove();
     } else {
       readMore();
     }
   }
 
   /** No read is begun from within: it would fill the buffer while it is being parsed. */
-  private void offer() {
+  private void offerInput() {
     offering = true;
     input.flip();
     int before;
     do {
       before = input.remaining();
-      received(input);
+      onBytesReceived(input);
     } while (input.remaining() < before
         && input.hasRemaining()
         && !closed
@@ -319,7 +319,7 @@
       arrivals.allTaken();
     }
     if (input.position() == 0 && input.capacity() > FIRST_BUFFER) {
-      network.budget().giveBack(input.capacity() - FIRST_BUFFER);
+      network.budget().release(input.capacity() - FIRST_BUFFER);
       input = ByteBuffer.allocate(FIRST_BUFFER);
     }
     offering = false;
@@ -331,11 +331,11 @@
    */
   private boolean grow() {
     if (input.capacity() == greatestBuffer) {
-      refuse(CloseReason.TOO_LARGE);
+      onInputOverflow(CloseReason.TOO_LARGE);
       return false;
     }
     if (!enlarge()) {
-      refuse(CloseReason.NO_MEMORY);
+      onInputOverflow(CloseReason.NO_MEMORY);
       return false;
     }
     return true;
@@ -343,7 +343,7 @@
 
   private boolean enlarge() {
     int wanted = Math.min(greatestBuffer, input.capacity() * 4);
-    if (!network.budget().take(wanted - input.capacity())) {
+    if (!network.budget().tryAcquire(wanted - input.capacity())) {
       return false;
     }
     ByteBuffer larger = ByteBuffer.allocate(wanted);
@@ -353,7 +353,7 @@
   }
 
   /** Input that can't be taken; a protocol may tell its peer before it closes. */
-  protected void refuse(CloseReason reason) {
+  protected void onInputOverflow(CloseReason reason) {
     close(reason);
   }
 
@@ -370,8 +370,8 @@
    * and false, where something was read already and only waits for its turn: that may be a request,
    * which was taken.
    */
-  protected final boolean rest(CloseReason reason) {
-    if (unseen || moving != null || isEnding()) {
+  protected final boolean tryCloseInOrder(CloseReason reason) {
+    if (unprocessedInput || moving != null || isEnding()) {
       return false;
     }
     closeWhenWritten(reason);
@@ -383,8 +383,8 @@
    */
   protected final void closeWhenWritten(CloseReason reason) {
     closeWhenWritten = closeWhenWritten == null ? reason : closeWhenWritten;
-    if (drained()) {
-      linger();
+    if (isOutputEmpty()) {
+      startLingering();
     }
   }
 
@@ -392,25 +392,25 @@
    * Guards the last output: a socket closed with input unread is reset, which may destroy what was
    * just written.
    */
-  private void linger() {
+  private void startLingering() {
     try {
       channel.shutdownOutput();
     } catch (IOException e) {
       close(closeWhenWritten);
       return;
     }
-    lingering();
-    stall = network.loop().at(now() + LINGER, () -> close(closeWhenWritten));
+    onLingering();
+    stall = network.loop().scheduleAt(nowMicros() + LINGER, () -> close(closeWhenWritten));
     toDrop = GREATEST_DROPPED;
     if (!reading) {
-      drop(0);
+      discardInput(0);
     }
   }
 
   /** Nothing more is sent on it; it ends with its peer's end, or after a moment. */
-  protected void lingering() {}
+  protected void onLingering() {}
 
-  private void drop(int count) {
+  private void discardInput(int count) {
     toDrop -= count;
     if (toDrop <= 0) {
       close(closeWhenWritten);
@@ -431,7 +431,7 @@
     output.clear();
     writing.flip();
     network.counters().add(Counters.Name.BYTES_OUT, size);
-    stall = network.loop().at(now() + STALL, () -> close(CloseReason.WRITE_STALLED));
+    stall = network.loop().scheduleAt(nowMicros() + STALL, () -> close(CloseReason.WRITE_STALLED));
     channel.write(writing, null, handler(this::onWritten, false));
   }
 
@@ -447,20 +447,20 @@
     stall.cancel();
     writing = null;
     if (output.isEmpty()) {
-      written();
+      onOutputWritten();
     }
     if (closed) {
       return;
     }
     if (moving != null && output.isEmpty()) {
-      move();
+      completeMove();
       return;
     }
     network.loop().flushLater(this);
     if (peerEnded != null) {
       close(peerEnded);
     } else if (closeWhenWritten != null && output.isEmpty()) {
-      linger();
+      startLingering();
     }
   }
 
@@ -472,7 +472,7 @@
     if (stall != null) {
       stall.cancel();
     }
-    network.budget().giveBack(input.capacity() - FIRST_BUFFER);
+    network.budget().release(input.capacity() - FIRST_BUFFER);
     try {
       channel.close();
     } catch (IOException e) {
@@ -485,10 +485,10 @@
                 + kind
                 + " "
                 + describe()
-                + (network.tenant().isEmpty() ? "" : " tenant=" + network.tenant())
+                + (network.tenantId().isEmpty() ? "" : " tenant=" + network.tenantId())
                 + " reason="
                 + reason.code());
-    ended(reason);
+    onClosed(reason);
   }
 
   /** What the log line says of this connection beside the reason. */
@@ -509,13 +509,13 @@
 
       private void pass(T result, Throwable failure) {
         if (ofRead) {
-          unseen = true;
+          unprocessedInput = true;
         }
         network.post(
             () -> {
               try {
                 if (ofRead) {
-                  unseen = false;
+                  unprocessedInput = false;
                 }
                 if (!closed) {
                   then.accept(result, failure);
--- a/gateway/src/main/java/shelffront/net/Counters.java
+++ b/gateway/src/main/java/shelffront/net/Counters.java
@@ -38,7 +38,7 @@
     FAULTS
   }
 
-  private final Counters whole;
+  private final Counters parent;
   private final Map<Name, Long> values = new EnumMap<>(Name.class);
 
   public Counters() {
@@ -47,7 +47,7 @@
 
   /** A part of others: what is counted here counts there too. */
   public Counters(Counters whole) {
-    this.whole = whole;
+    this.parent = whole;
   }
 
   public void add(Name name) {
@@ -56,8 +56,8 @@
 
   public void add(Name name, long amount) {
     values.merge(name, amount, Long::sum);
-    if (whole != null) {
-      whole.add(name, amount);
+    if (parent != null) {
+      parent.add(name, amount);
     }
   }
 
--- a/gateway/src/main/java/shelffront/net/EventLoop.java
+++ b/gateway/src/main/java/shelffront/net/EventLoop.java
@@ -20,12 +20,12 @@
   /** A task with its time; cancelled by whoever set it when it is no longer needed. */
   public final class Deadline {
 
-    private final long at;
-    private final long order = deadlineOrder++;
+    private final long atMicros;
+    private final long sequence = nextDeadlineSequence++;
     private final Runnable task;
 
     private Deadline(long at, Runnable task) {
-      this.at = at;
+      this.atMicros = at;
       this.task = task;
     }
 
@@ -35,40 +35,41 @@
   }
 
   /** Results taken before deadlines get their turn, so that a flood of input can't starve them. */
-  private static final int RESULTS_A_TURN = 256;
+  private static final int MAX_TASKS_PER_TURN = 256;
 
   /** Microseconds that a flow of weight 1 may use before the next one has its turn. */
-  private static final long QUANTUM = 200;
+  private static final long QUANTUM_MICROS = 200;
 
-  private record Result(Flow<Runnable> flow, Runnable task) {}
+  private record PostedTask(Flow<Runnable> flow, Runnable task) {}
 
   /** Bounded by what can be out: a read and a write for each connection, and one accept. */
-  private final LinkedBlockingQueue<Result> results = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<PostedTask> postedTasks = new LinkedBlockingQueue<>();
 
-  private final DeficitRoundRobin<Runnable> rounds = new DeficitRoundRobin<>(QUANTUM);
-  private final Flow<Runnable> common = new Flow<>(1);
+  private final DeficitRoundRobin<Runnable> readyTasks = new DeficitRoundRobin<>(QUANTUM_MICROS);
+  private final Flow<Runnable> sharedFlow = new Flow<>(1);
   private final TreeSet<Deadline> deadlines =
-      new TreeSet<>(Comparator.<Deadline>comparingLong(d -> d.at).thenComparingLong(d -> d.order));
+      new TreeSet<>(
+          Comparator.<Deadline>comparingLong(d -> d.atMicros).thenComparingLong(d -> d.sequence));
   private final Set<Connection> toFlush = new LinkedHashSet<>();
   private final LongSupplier clock;
   private final Counters counters;
-  private long now;
-  private long deadlineOrder;
+  private long nowMicros;
+  private long nextDeadlineSequence;
   private boolean stopped;
-  private volatile long worked;
+  private volatile long busyMicros;
 
   /** The clock gives Unix microseconds; it may step back, the time seen here never does. */
   public EventLoop(LongSupplier clock, Counters counters) {
     this.clock = clock;
     this.counters = counters;
-    now = clock.getAsLong();
+    nowMicros = clock.getAsLong();
   }
 
   /**
    * Hands a result to the loop thread; the two ways to post are all that other threads may call.
    */
   public void post(Runnable result) {
-    post(common, result);
+    post(sharedFlow, result);
   }
 
   /**
@@ -76,29 +77,29 @@
    * from others.
    */
   public void post(Flow<Runnable> flow, Runnable result) {
-    results.add(new Result(flow, result));
+    postedTasks.add(new PostedTask(flow, result));
   }
 
   /** The flow of what belongs to no tenant. */
-  public Flow<Runnable> common() {
-    return common;
+  public Flow<Runnable> sharedFlow() {
+    return sharedFlow;
   }
 
   /** Results that were posted and not taken yet. Any thread may ask. */
-  public int waiting() {
-    return results.size();
+  public int queuedTaskCount() {
+    return postedTasks.size();
   }
 
   /** Deadlines that are set and not yet due. */
-  public int deadlines() {
+  public int deadlineCount() {
     return deadlines.size();
   }
 
-  public long now() {
-    return now;
+  public long nowMicros() {
+    return nowMicros;
   }
 
-  public Deadline at(long time, Runnable task) {
+  public Deadline scheduleAt(long time, Runnable task) {
     Deadline deadline = new Deadline(time, task);
     deadlines.add(deadline);
     return deadline;
@@ -108,16 +109,16 @@
    * Counts from the clock as it is now: the turn's own time is old where what came before took
    * long.
    */
-  public Deadline after(long delay, Runnable task) {
-    tick();
-    return at(now + delay, task);
+  public Deadline scheduleAfter(long delay, Runnable task) {
+    updateClock();
+    return scheduleAt(nowMicros + delay, task);
   }
 
   void flushLater(Connection connection) {
     toFlush.add(connection);
   }
 
-  void leave(Connection connection) {
+  void cancelFlush(Connection connection) {
     toFlush.remove(connection);
   }
 
@@ -127,21 +128,22 @@
 
   public void run() throws InterruptedException {
     while (!stopped) {
-      turn(
-          rounds.isEmpty()
-              ? results.poll(untilNextDeadline(), TimeUnit.MICROSECONDS)
-              : results.poll());
+      runTurn(
+          readyTasks.isEmpty()
+              ? postedTasks.poll(microsUntilNextDeadline(), TimeUnit.MICROSECONDS)
+              : postedTasks.poll());
     }
   }
 
   /** Takes a turn with what is there, without waiting: for whoever keeps the time himself. */
-  public void turn() {
-    turn(results.poll());
+  public void runTurn() {
+    runTurn(postedTasks.poll());
   }
 
   /** Whether a turn now would have anything to do; false once it is stopped. */
   public boolean isReady() {
-    return !stopped && (!rounds.isEmpty() || !results.isEmpty() || untilNextDeadline() == 0);
+    return !stopped
+        && (!readyTasks.isEmpty() || !postedTasks.isEmpty() || microsUntilNextDeadline() == 0);
   }
 
   public boolean isStopped() {
@@ -149,60 +151,62 @@
   }
 
   /** When the next deadline is due; {@link Long#MAX_VALUE} if there is none. */
-  public long nextDeadline() {
-    return deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.first().at;
+  public long nextDeadlineMicros() {
+    return deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.first().atMicros;
   }
 
-  private void turn(Result first) {
-    sort(first);
-    tick();
-    long began = now;
-    Runnable result = rounds.next();
+  private void runTurn(PostedTask first) {
+    distributeToFlows(first);
+    updateClock();
+    long began = nowMicros;
+    Runnable result = readyTasks.next();
     for (int i = 0; result != null; i++) {
-      long from = now;
-      guarded(result);
-      tick();
-      rounds.charge(now - from);
-      sort(results.poll());
-      result = i < RESULTS_A_TURN ? rounds.next() : null;
+      long from = nowMicros;
+      runGuarded(result);
+      updateClock();
+      readyTasks.charge(nowMicros - from);
+      distributeToFlows(postedTasks.poll());
+      result = i < MAX_TASKS_PER_TURN ? readyTasks.next() : null;
     }
-    while (!deadlines.isEmpty() && deadlines.first().at <= now) {
-      guarded(deadlines.pollFirst().task);
+    while (!deadlines.isEmpty() && deadlines.first().atMicros <= nowMicros) {
+      runGuarded(deadlines.pollFirst().task);
     }
     while (!toFlush.isEmpty()) {
       Connection connection = toFlush.iterator().next();
       toFlush.remove(connection);
-      guarded(connection::flush);
+      runGuarded(connection::flush);
     }
-    tick();
-    worked += now - began;
+    updateClock();
+    busyMicros += nowMicros - began;
   }
 
   /** Microseconds that it has worked and not waited, as of its last turn. Any thread may ask. */
-  public long worked() {
-    return worked;
+  public long busyMicros() {
+    return busyMicros;
   }
 
   /** Puts what has come into its flows. */
-  private void sort(Result result) {
-    for (Result each = result; each != null; each = results.poll()) {
-      rounds.add(each.flow(), each.task());
+  private void distributeToFlows(PostedTask result) {
+    for (PostedTask each = result; each != null; each = postedTasks.poll()) {
+      readyTasks.add(each.flow(), each.task());
     }
   }
 
-  private long untilNextDeadline() {
-    return deadlines.isEmpty() ? Long.MAX_VALUE : Math.max(0, deadlines.first().at - now);
+  private long microsUntilNextDeadline() {
+    return deadlines.isEmpty()
+        ? Long.MAX_VALUE
+        : Math.max(0, deadlines.first().atMicros - nowMicros);
   }
 
   /**
    * Looks at the clock: once for each result, and where a start took long before the first turn.
    */
-  public void tick() {
-    now = Math.max(now, clock.getAsLong());
+  public void updateClock() {
+    nowMicros = Math.max(nowMicros, clock.getAsLong());
   }
 
   /** Guards against one faulty turn ending the program and with it every request that it holds. */
-  private void guarded(Runnable task) {
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
--- a/gateway/src/main/java/shelffront/net/Network.java
+++ b/gateway/src/main/java/shelffront/net/Network.java
@@ -15,8 +15,8 @@
     ResourceBudget budget,
     Counters counters,
     EventLog log,
-    Flow<Runnable> flow,
-    String tenant) {
+    Flow<Runnable> taskFlow,
+    String tenantId) {
 
   /** On the machine's sockets. */
   public static Network open(EventLoop loop, ResourceBudget budget, Counters counters, EventLog log)
@@ -26,7 +26,7 @@
 
   public static Network open(
       EventLoop loop, Channels channels, ResourceBudget budget, Counters counters, EventLog log) {
-    return new Network(loop, channels, budget, counters, log, loop.common(), "");
+    return new Network(loop, channels, budget, counters, log, loop.sharedFlow(), "");
   }
 
   /**
@@ -34,12 +34,12 @@
    * connections that need not see a write's completion before the answer to it, as a listener's
    * before several loops.
    */
-  public Network with(Channels other) {
-    return new Network(loop, other, budget, counters, log, flow, tenant);
+  public Network withChannels(Channels other) {
+    return new Network(loop, other, budget, counters, log, taskFlow, tenantId);
   }
 
   /** A tenant's view: its own flow, budget and counters, which count in the common ones too. */
-  public Network of(String id, Flow<Runnable> own, long bufferBytes) {
+  public Network forTenant(String id, Flow<Runnable> own, long bufferBytes) {
     return new Network(
         loop,
         channels,
@@ -52,7 +52,7 @@
 
   /** Hands a result to the loop thread, in this view's flow. Any thread may call it. */
   public void post(Runnable result) {
-    loop.post(flow, result);
+    loop.post(taskFlow, result);
   }
 
   public AsynchronousSocketChannel newChannel() throws IOException {
--- a/gateway/src/main/java/shelffront/net/ResourceBudget.java
+++ b/gateway/src/main/java/shelffront/net/ResourceBudget.java
@@ -9,9 +9,9 @@
  */
 public final class ResourceBudget {
 
-  private final ResourceBudget whole;
+  private final ResourceBudget parent;
   private final AtomicLong held = new AtomicLong();
-  private volatile long most;
+  private volatile long limit;
 
   public ResourceBudget(long most) {
     this(null, most);
@@ -19,37 +19,37 @@
 
   /** A part of another; what is taken here is taken there too. */
   public ResourceBudget(ResourceBudget whole, long most) {
-    this.whole = whole;
-    this.most = most;
+    this.parent = whole;
+    this.limit = most;
   }
 
   /**
    * Changes the bound; what is held beyond it is not taken away, but nothing more is given until it
    * is under it.
    */
-  public void bound(long newMost) {
-    most = newMost;
+  public void updateLimit(long newMost) {
+    limit = newMost;
   }
 
-  public boolean take(long amount) {
+  public boolean tryAcquire(long amount) {
     long before = held.get();
-    while (amount <= most - before && !held.compareAndSet(before, before + amount)) {
+    while (amount <= limit - before && !held.compareAndSet(before, before + amount)) {
       before = held.get();
     }
-    if (amount > most - before) {
+    if (amount > limit - before) {
       return false;
     }
-    if (whole != null && !whole.take(amount)) {
+    if (parent != null && !parent.tryAcquire(amount)) {
       held.addAndGet(-amount);
       return false;
     }
     return true;
   }
 
-  public void giveBack(long amount) {
+  public void release(long amount) {
     held.addAndGet(-amount);
-    if (whole != null) {
-      whole.giveBack(amount);
+    if (parent != null) {
+      parent.release(amount);
     }
   }
 
--- a/gateway/src/main/java/shelffront/pg/Message.java
+++ b/gateway/src/main/java/shelffront/pg/Message.java
@@ -174,7 +174,7 @@
   }
 
   /** AuthenticationCleartextPassword. */
-  public static byte[] askPassword() {
+  public static byte[] authenticationCleartextPassword() {
     return new Message('R', new byte[] {0, 0, 0, 3}).bytes();
   }
 
--- a/gateway/src/main/java/shelffront/pg/Statement.java
+++ b/gateway/src/main/java/shelffront/pg/Statement.java
@@ -26,7 +26,7 @@
   }
 
   /** Reads the comment; a statement without one, or with a broken one, is no request. */
-  public static Statement read(byte[] bytes) throws ProtocolException {
+  public static Statement parse(byte[] bytes) throws ProtocolException {
     Statement statement = new Statement(bytes);
     String head = new String(bytes, 0, Math.min(bytes.length, GREATEST_COMMENT), ISO_8859_1);
     int end = head.indexOf("*/");
@@ -92,12 +92,12 @@
   /**
    * A value that must be a position of the wire, in microseconds; the given one where it is absent.
    */
-  public long position(String name, long absent) throws ProtocolException {
+  public long positionMicros(String name, long absent) throws ProtocolException {
     String value = values.get(name);
     if (value == null) {
       return absent;
     }
-    return position(value)
+    return positionMicros(value)
         .orElseThrow(() -> new ProtocolException("42601", name + " is not a position"));
   }
 
@@ -105,7 +105,7 @@
    * A position as every message writes it, in whole Unix milliseconds, in microseconds; empty where
    * it is none.
    */
-  public static OptionalLong position(String milliseconds) {
+  public static OptionalLong positionMicros(String milliseconds) {
     return milliseconds.matches("[0-9]{1,15}")
         ? OptionalLong.of(Long.parseLong(milliseconds) * 1000)
         : OptionalLong.empty();
@@ -142,7 +142,7 @@
    * The statement with another {@code d}, in the form in which clients write it: whole
    * milliseconds.
    */
-  public byte[] withWait(long milliseconds) {
+  public byte[] withTimeToDeadlineMillis(long milliseconds) {
     byte[] digits = Long.toString(milliseconds).getBytes(ISO_8859_1);
     byte[] whole = new byte[bytes.length - (waitTo - waitFrom) + digits.length];
     System.arraycopy(bytes, 0, whole, 0, waitFrom);
--- a/gateway/src/main/java/shelffront/request/ClientRequest.java
+++ b/gateway/src/main/java/shelffront/request/ClientRequest.java
@@ -16,25 +16,25 @@
   public interface ResponseListener {
 
     /** The database host's messages as it sent them, up to CommandComplete. */
-    void served(byte[] messages);
+    void onServed(byte[] messages);
 
     /** Refused untouched; 0 means no advice when to come again. */
-    void refused(long retryAfter);
+    void onRejected(long retryAfter);
 
     /** Refused untouched, since what was asked is being taken out of service. */
-    void unavailable();
+    void onUnavailable();
 
-    void failed();
+    void onFailed();
   }
 
   public final String id;
   public final Statement statement;
 
   /** By this time the client has its answer; Unix microseconds, as are all times. */
-  public final long deadline;
+  public final long deadlineMicros;
 
   public final int classIndex;
-  public final ResponseListener asker;
+  public final ResponseListener responseListener;
   public final List<BackendAttempt> attempts = new ArrayList<>(2);
 
   /** Its final answer was given, or nobody waits for it any more. */
@@ -45,7 +45,7 @@
     this.id = id;
     this.statement = statement;
     this.classIndex = classIndex;
-    this.deadline = deadline;
-    this.asker = asker;
+    this.deadlineMicros = deadline;
+    this.responseListener = asker;
   }
 }
--- a/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
@@ -209,7 +209,9 @@
       }
       Instance instance =
           new Instance(
-              new RoutingEngine(new Sink(proxy)), RoutingSettingsCodec.zero(facts), classes);
+              new RoutingEngine(new Sink(proxy)),
+              RoutingSettingsCodec.positionZeroMicros(facts),
+              classes);
       instances.put(proxy, instance);
       guarded(proxy, () -> instance.router.onStart(now, seed, settings));
       return;
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -46,7 +46,7 @@
  */
 public final class Tenant
     implements RouterActions,
-        FrontendConnections.Taker,
+        FrontendConnections.RequestHandler,
         BackendConnections.Listener,
         DiscoveryClient.Listener {
 
@@ -89,7 +89,7 @@
   private boolean predecessor; // another module served this tenant's sessions, and still does
   private long marksFrom; // writes before this time may have gone through another module
   private final Map<String, ClientRequest> exchanges = new HashMap<>();
-  private final Set<FrontendConnections.Client> clients = new LinkedHashSet<>();
+  private final Set<FrontendConnections.ClientHandle> clients = new LinkedHashSet<>();
 
   /** The sockets are those for hosts; shares is null for one that has the gateway to itself. */
   public Tenant(
@@ -101,7 +101,8 @@
     this.sockets = sockets;
     this.shares = shares;
     share = shares == null ? null : shares.register(spec.weight(), spec.shares());
-    rate = new TokenBucket(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.now());
+    rate =
+        new TokenBucket(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.nowMicros());
   }
 
   public TenantSpec spec() {
@@ -118,7 +119,7 @@
 
   void predecessorGone() {
     predecessor = false;
-    marksFrom = loop.now();
+    marksFrom = loop.nowMicros();
     if (left) {
       whenGone.run();
     }
@@ -149,8 +150,8 @@
         discovery = new DiscoveryClient(network, spec.discovery(), spec.boxes().revision(), this);
       }
       heard = spec.boxes();
-      servers.listed(heard);
-      router.onStart(loop.now(), seed, spec.settings());
+      servers.updateEndpoints(heard);
+      router.onStart(loop.nowMicros(), seed, spec.settings());
       listen();
       // In a turn of its own: the first connections to hosts would else be late before the loop
       // looks at them.
@@ -158,7 +159,7 @@
       return;
     }
     if (discovery != null) {
-      discovery.watchAnew();
+      discovery.watchFromStart();
     } else {
       told(EndpointUpdateKind.SNAPSHOT, heard);
     }
@@ -172,12 +173,14 @@
     sleep = null;
     if (!exchanges.isEmpty()) {
       sleep =
-          loop.at(loop.now() + SLEEP_AFTER, this::fallAsleep); // what is still out ends before long
+          loop.scheduleAt(
+              loop.nowMicros() + SLEEP_AFTER,
+              this::fallAsleep); // what is still out ends before long
       return;
     }
     // What was known of boxes will be old by then; an empty list leaves the module its sessions'
     // marks.
-    router.onEndpoints(loop.now(), EndpointUpdateKind.SNAPSHOT, heard.revision(), List.of());
+    router.onEndpoints(loop.nowMicros(), EndpointUpdateKind.SNAPSHOT, heard.revision(), List.of());
     state = State.ASLEEP;
     if (discovery != null) {
       discovery.watch(false);
@@ -201,23 +204,23 @@
     boolean listed = next.discovery() == null && !next.boxes().equals(spec.boxes());
     boolean drained = !next.drained().equals(spec.drained());
     spec = next;
-    rate.reconfigure(next.bounds().requestsPerSecond(), next.bounds().burst(), loop.now());
-    network.budget().bound(next.bounds().bufferBytes());
+    rate.reconfigure(next.bounds().requestsPerSecond(), next.bounds().burst(), loop.nowMicros());
+    network.budget().updateLimit(next.bounds().bufferBytes());
     if (servers != null) {
-      servers.bound(next.weight(), next.bounds().hostConnections());
+      servers.updateQuota(next.weight(), next.bounds().hostConnections());
     }
-    network.flow().setWeight(next.weight());
+    network.taskFlow().setWeight(next.weight());
     if (share != null) {
       shares.updateWeights(share, next.weight(), next.shares());
     }
     if (moved) {
-      discovery.move(next.discovery());
+      discovery.changeAddress(next.discovery());
     }
     if (listed) {
       heard = next.boxes();
     }
     if (router != null && state != State.ASLEEP && (listed || drained)) {
-      servers.listed(heard);
+      servers.updateEndpoints(heard);
       told(EndpointUpdateKind.SNAPSHOT, heard);
     }
     return true;
@@ -242,14 +245,14 @@
       sleep.cancel();
     }
     List.copyOf(clients).forEach(this::dismissIdle);
-    long until = loop.now() + grace;
-    loop.at(loop.now(), () -> removal(until));
+    long until = loop.nowMicros() + grace;
+    loop.scheduleAt(loop.nowMicros(), () -> removal(until));
   }
 
   private void removal(long until) {
     boolean over = exchanges.values().stream().allMatch(e -> e.answered);
-    if (!over && loop.now() < until) {
-      loop.at(Math.min(until, loop.now() + DRAIN_CHECK), () -> removal(until));
+    if (!over && loop.nowMicros() < until) {
+      loop.scheduleAt(Math.min(until, loop.nowMicros() + DRAIN_CHECK), () -> removal(until));
       return;
     }
     state = State.GONE;
@@ -258,18 +261,18 @@
         // The module is told that nobody waits, so that it calls off what is out and counts nothing
         // more.
         exchange.answered = true;
-        router.onClientDisconnected(loop.now(), exchange.id);
+        router.onClientDisconnected(loop.nowMicros(), exchange.id);
         boolean harmless =
             exchange.attempts.isEmpty()
                 || spec.settings().requestClasses().get(exchange.classIndex).isIdempotent();
         finished(
             harmless
-                ? ClientRequest.ResponseListener::unavailable
-                : ClientRequest.ResponseListener::failed,
+                ? ClientRequest.ResponseListener::onUnavailable
+                : ClientRequest.ResponseListener::onFailed,
             exchange);
       }
     }
-    List.copyOf(clients).forEach(c -> c.dismiss(removed(), CloseReason.TENANT_GONE));
+    List.copyOf(clients).forEach(c -> c.endWithError(removed(), CloseReason.TENANT_GONE));
     close(CloseReason.TENANT_GONE);
     exchanges.clear();
     gone();
@@ -289,9 +292,9 @@
     return new ProtocolException("57P03", "the database is being removed");
   }
 
-  private void dismissIdle(FrontendConnections.Client client) {
+  private void dismissIdle(FrontendConnections.ClientHandle client) {
     if (client.isIdle()) {
-      client.dismiss(removed(), CloseReason.TENANT_GONE);
+      client.endWithError(removed(), CloseReason.TENANT_GONE);
     }
   }
 
@@ -328,7 +331,7 @@
 
   /** Discovery answers elsewhere from now on. */
   public void move(InetSocketAddress to) {
-    discovery.move(to);
+    discovery.changeAddress(to);
   }
 
   /** What it uses now and what it has done since the start. */
@@ -336,7 +339,7 @@
     return new Usage(
         clients.size(),
         exchanges.size(),
-        servers == null ? 0 : servers.held(),
+        servers == null ? 0 : servers.openConnectionCount(),
         network.budget().held(),
         network.counters().values());
   }
@@ -358,17 +361,17 @@
   }
 
   @Override
-  public List<RequestClass> classes() {
+  public List<RequestClass> requestClasses() {
     return spec.settings().requestClasses();
   }
 
   @Override
-  public int clients() {
+  public int clientCount() {
     return clients.size();
   }
 
   @Override
-  public void joined(FrontendConnections.Client client) {
+  public void onClientConnected(FrontendConnections.ClientHandle client) {
     clients.add(client);
     if (sleep != null) {
       sleep.cancel();
@@ -378,10 +381,10 @@
   }
 
   @Override
-  public void parted(FrontendConnections.Client client) {
+  public void onClientClosed(FrontendConnections.ClientHandle client) {
     clients.remove(client);
     if (clients.isEmpty() && shares != null && state == State.ACTIVE) {
-      sleep = loop.at(loop.now() + SLEEP_AFTER, this::fallAsleep);
+      sleep = loop.scheduleAt(loop.nowMicros() + SLEEP_AFTER, this::fallAsleep);
     }
   }
 
@@ -397,40 +400,41 @@
 
   /** Guards an open request against another one under its id. */
   @Override
-  public void check(ClientRequest exchange) throws ProtocolException {
+  public void validate(ClientRequest exchange) throws ProtocolException {
     if (exchanges.containsKey(exchange.id)) {
       throw new ProtocolException("42710", "a request with this id is open");
     }
   }
 
   @Override
-  public void take(ClientRequest exchange, String session, int group, long after, boolean repeat) {
+  public void handle(
+      ClientRequest exchange, String session, int group, long after, boolean repeat) {
     if (state == State.DRAINING || state == State.GONE) {
-      exchange.asker.unavailable();
+      exchange.responseListener.onUnavailable();
       return;
     }
-    long wait = rate.waitMicros(loop.now());
+    long wait = rate.waitMicros(loop.nowMicros());
     if (wait > 0 || exchanges.size() >= spec.bounds().openRequests()) {
       network.counters().add(Counters.Name.REFUSED_BY_LIMIT);
-      exchange.asker.refused(told(Math.max(wait, BUSY_WAIT)));
+      exchange.responseListener.onRejected(told(Math.max(wait, BUSY_WAIT)));
       return;
     }
-    long later = share == null ? 0 : shares.admit(share, exchange.classIndex, loop.now());
+    long later = share == null ? 0 : shares.admit(share, exchange.classIndex, loop.nowMicros());
     if (later > 0) {
       network.counters().add(Counters.Name.REFUSED_BY_SHARE);
-      exchange.asker.refused(told(later));
+      exchange.responseListener.onRejected(told(later));
       return;
     }
     rate.consume();
     exchanges.put(exchange.id, exchange);
     router.onRequest(
-        loop.now(),
+        loop.nowMicros(),
         new Request(
             exchange.id,
             exchange.classIndex,
             session,
             group,
-            exchange.deadline - loop.now(),
+            exchange.deadlineMicros - loop.nowMicros(),
             Math.max(after, writtenBefore()),
             repeat));
   }
@@ -440,7 +444,7 @@
    * was none.
    */
   private long writtenBefore() {
-    return predecessor ? loop.now() : marksFrom > 0 ? marksFrom : Router.UNKNOWN;
+    return predecessor ? loop.nowMicros() : marksFrom > 0 ? marksFrom : Router.UNKNOWN;
   }
 
   private long told(long wait) {
@@ -448,10 +452,10 @@
   }
 
   @Override
-  public void left(ClientRequest exchange) {
+  public void onRequestAbandoned(ClientRequest exchange) {
     if (exchanges.get(exchange.id) == exchange && !exchange.answered) {
       exchange.answered = true;
-      router.onClientDisconnected(loop.now(), exchange.id);
+      router.onClientDisconnected(loop.nowMicros(), exchange.id);
       finished(asker -> {}, exchange);
     }
   }
@@ -461,7 +465,7 @@
     if (share != null) {
       shares.release(share);
     }
-    answer.accept(exchange.asker);
+    answer.accept(exchange.responseListener);
     forget(exchange);
   }
 
@@ -484,49 +488,49 @@
   }
 
   @Override
-  public void ended(BackendAttempt attempt, BackendResponse reply) {
-    ClientRequest exchange = attempt.exchange;
-    attempt.out = false;
+  public void onAttemptEnded(BackendAttempt attempt, BackendResponse reply) {
+    ClientRequest exchange = attempt.request;
+    attempt.outstanding = false;
     network.counters().add(attemptCounter(reply.status()));
     if (reply.status() == AttemptStatus.OK && !exchange.answered) {
       exchange.answered = true;
-      finished(asker -> asker.served(reply.messages()), exchange);
+      finished(asker -> asker.onServed(reply.messages()), exchange);
     }
     // From when the request went out: guards against taking the wait for a connection, which may be
     // this program's
     // own in its first seconds, for slowness of the host.
-    long took = loop.now() - attempt.sentAt;
+    long took = loop.nowMicros() - attempt.sentAtMicros;
     router.onAttemptOutcome(
-        loop.now(),
+        loop.nowMicros(),
         new AttemptOutcome(
             exchange.id,
             attempt.number,
-            attempt.member,
+            attempt.endpointId,
             reply.status(),
             exchange.answered,
             took,
             reply.role(),
-            reply.position(),
-            reply.load()));
+            reply.positionMicros(),
+            reply.loadReport()));
     forget(exchange);
   }
 
   @Override
-  public boolean mayStart(BackendAttempt attempt) {
-    return router.mayStartAttempt(loop.now(), attempt.exchange.id, attempt.number);
+  public boolean mayStartAttempt(BackendAttempt attempt) {
+    return router.mayStartAttempt(loop.nowMicros(), attempt.request.id, attempt.number);
   }
 
   @Override
-  public void probed(String member, BackendResponse reply, long took) {
+  public void onHealthCheckEnded(String member, BackendResponse reply, long took) {
     if (reply.status() != AttemptStatus.OK) {
       network.counters().add(Counters.Name.PROBES_FAILED);
     }
-    router.onHealthCheckResult(loop.now(), member, reply.status(), took, reply.load());
+    router.onHealthCheckResult(loop.nowMicros(), member, reply.status(), took, reply.loadReport());
   }
 
   /** A request is kept until its last attempt has ended: the module is owed every outcome. */
   private void forget(ClientRequest exchange) {
-    if (exchange.answered && exchange.attempts.stream().noneMatch(a -> a.out)) {
+    if (exchange.answered && exchange.attempts.stream().noneMatch(a -> a.outstanding)) {
       exchanges.remove(exchange.id, exchange);
     }
   }
@@ -535,9 +539,9 @@
   // --------------------------------------------------------------------------------
 
   @Override
-  public void heard(EndpointList list) {
-    heard = heard.with(list);
-    servers.listed(list);
+  public void onEndpoints(EndpointList list) {
+    heard = heard.apply(list);
+    servers.updateEndpoints(list);
     told(list.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
   }
 
@@ -549,26 +553,26 @@
     Set<String> drained = new HashSet<>(spec.drained());
     List<Endpoint> members =
         drained.isEmpty()
-            ? list.members()
-            : list.members().stream()
+            ? list.endpoints()
+            : list.endpoints().stream()
                 .map(
                     m ->
                         drained.contains(m.id()) && m.availability() == Availability.READY
                             ? m.withAvailability(Availability.DRAINING)
                             : m)
                 .toList();
-    router.onEndpoints(loop.now(), kind, list.revision(), members);
+    router.onEndpoints(loop.nowMicros(), kind, list.revision(), members);
   }
 
   @Override
-  public void failed() {
+  public void onDiscoveryFailed() {
     if (!runs()) {
       return;
     }
     if (spec.settings().endpointList().polled()) {
-      router.onEndpoints(loop.now(), EndpointUpdateKind.FAILED, 0, List.of());
+      router.onEndpoints(loop.nowMicros(), EndpointUpdateKind.FAILED, 0, List.of());
     } else {
-      loop.at(loop.now() + AGENT_PAUSE, this::listen);
+      loop.scheduleAt(loop.nowMicros() + AGENT_PAUSE, this::listen);
     }
   }
 
@@ -590,32 +594,32 @@
   @Override
   public void startAttempt(String requestId, String member, long timeout) {
     ClientRequest exchange = exchanges.get(requestId);
-    BackendAttempt attempt = new BackendAttempt(exchange, member, loop.now());
+    BackendAttempt attempt = new BackendAttempt(exchange, member, loop.nowMicros());
     exchange.attempts.add(attempt);
-    if (exchange.answered || loop.now() >= exchange.deadline) {
-      network.post(() -> ended(attempt, BackendResponse.of(AttemptStatus.NOT_SENT)));
+    if (exchange.answered || loop.nowMicros() >= exchange.deadlineMicros) {
+      network.post(() -> onAttemptEnded(attempt, BackendResponse.of(AttemptStatus.NOT_SENT)));
       return;
     }
     network.counters().add(Counters.Name.ATTEMPTS_SENT);
-    servers.start(attempt);
+    servers.startAttempt(attempt);
   }
 
   @Override
   public void cancelAttempt(String requestId, int attempt) {
     ClientRequest exchange = exchanges.get(requestId);
     if (exchange != null && attempt < exchange.attempts.size()) {
-      servers.cancel(exchange.attempts.get(attempt));
+      servers.cancelAttempt(exchange.attempts.get(attempt));
     }
   }
 
   @Override
   public void reject(String requestId, long retryAfter) {
-    end(requestId, asker -> asker.refused(retryAfter));
+    end(requestId, asker -> asker.onRejected(retryAfter));
   }
 
   @Override
   public void fail(String requestId) {
-    end(requestId, ClientRequest.ResponseListener::failed);
+    end(requestId, ClientRequest.ResponseListener::onFailed);
   }
 
   private void end(String requestId, Consumer<ClientRequest.ResponseListener> answer) {
@@ -633,7 +637,7 @@
   @Override
   public void checkHealth(String member) {
     if (runs()) {
-      servers.probe(member);
+      servers.checkHealth(member);
     }
   }
 
@@ -645,12 +649,12 @@
         wake.cancel();
       }
       wake =
-          loop.at(
+          loop.scheduleAt(
               at,
               () -> {
                 wake = null;
                 parked = 0;
-                router.onTimer(loop.now(), name);
+                router.onTimer(loop.nowMicros(), name);
               });
     }
   }
@@ -666,7 +670,7 @@
 
   @Override
   public void fetchEndpoints() {
-    discovery.fetch();
+    discovery.fetchEndpoints();
   }
 
   /**
@@ -679,13 +683,13 @@
 
   @Override
   public void closeIdleConnections(String member) {
-    servers.closeIdle(member);
+    servers.closeIdleConnections(member);
   }
 
   @Override
   public void log(String text) {
     network
         .log()
-        .println("module " + (network.tenant().isEmpty() ? "" : network.tenant() + " ") + text);
+        .println("module " + (network.tenantId().isEmpty() ? "" : network.tenantId() + " ") + text);
   }
 }
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -51,20 +51,20 @@
   public void apply(TenantSpec spec, LongConsumer inForce) {
     Tenant running = tenants.get(spec.id());
     if (running != null && running.change(spec)) {
-      inForce.accept(network.loop().now());
+      inForce.accept(network.loop().nowMicros());
       return;
     }
     Flow<Runnable> flow = new Flow<>(spec.weight());
     Tenant next =
         new Tenant(
-            network.of(spec.id(), flow, spec.bounds().bufferBytes()),
+            network.forTenant(spec.id(), flow, spec.bounds().bufferBytes()),
             spec,
             seed++,
             hostSockets,
             shares);
     tenants.put(spec.id(), next);
     if (running == null) {
-      inForce.accept(network.loop().now());
+      inForce.accept(network.loop().nowMicros());
     } else {
       // What it asks for only a new module can do: this one serves from now on, that one ends what
       // it has.
@@ -111,7 +111,7 @@
   public void remove(String id, LongConsumer gone) {
     Tenant tenant = tenants.remove(id);
     if (tenant == null) {
-      gone.accept(network.loop().now());
+      gone.accept(network.loop().nowMicros());
     } else {
       leave(tenant, tenant.spec().grace(), gone);
     }
@@ -123,7 +123,7 @@
         grace,
         () -> {
           leaving.remove(tenant).forEach(Runnable::run);
-          gone.accept(network.loop().now());
+          gone.accept(network.loop().nowMicros());
         });
   }
 
@@ -162,13 +162,13 @@
 
   /** Only of those who admit everybody can anything be learnt without a key. */
   @Override
-  public boolean asksPassword(Map<String, String> startup) {
+  public boolean requiresPassword(Map<String, String> startup) {
     Tenant tenant = named(startup);
     return tenant == null || !tenant.spec().credentials().isEmpty();
   }
 
   @Override
-  public Tenant admit(Map<String, String> startup) throws ProtocolException {
+  public Tenant authenticate(Map<String, String> startup) throws ProtocolException {
     Tenant tenant = named(startup);
     if (tenant == null) {
       throw nobody();
@@ -178,7 +178,8 @@
   }
 
   @Override
-  public Tenant admit(Map<String, String> startup, byte[] password) throws ProtocolException {
+  public Tenant authenticate(Map<String, String> startup, byte[] password)
+      throws ProtocolException {
     Tenant tenant = named(startup);
     String user = startup.getOrDefault("user", "");
     boolean known = false;
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -290,7 +290,7 @@
 
   private static InetSocketAddress address(String text, String pointer) throws SpecException {
     try {
-      return GatewayConfig.address(text);
+      return GatewayConfig.parseAddress(text);
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException(pointer, "not an address");
     }
--- a/gateway/src/main/java/shelffront/training/TrainingRun.java
+++ b/gateway/src/main/java/shelffront/training/TrainingRun.java
@@ -48,10 +48,10 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             (InetSocketAddress) rehearsal.discovery.getLocalSocketAddress(),
             given.seed(),
-            given.sockets(),
-            given.openCap(),
+            given.maxSockets(),
+            given.maxOpenRequests(),
             given.settings(),
-            given.known());
+            given.knownEndpoints());
     Gateway gateway = new Gateway(network, config);
     serve(rehearsal.host, TrainingRun::answer);
     serve(rehearsal.discovery, rehearsal::list);
--- a/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
@@ -226,11 +226,11 @@
         GatewayConfig.fromEnvironment(
             Map.of("BALANCER_CONFIG", copy("gateway-full.json").toString()));
     assertEquals("n3", config.name());
-    assertEquals(new InetSocketAddress("127.0.0.1", 15_433), config.listen());
-    assertEquals(new InetSocketAddress("127.0.0.1", 18_500), config.discovery());
+    assertEquals(new InetSocketAddress("127.0.0.1", 15_433), config.listenAddress());
+    assertEquals(new InetSocketAddress("127.0.0.1", 18_500), config.discoveryAddress());
     assertEquals(0xfedcba9876543210L, config.seed());
-    assertEquals(2048, config.sockets());
-    assertEquals(321, config.openCap());
+    assertEquals(2048, config.maxSockets());
+    assertEquals(321, config.maxOpenRequests());
     assertEquals(
         new RoutingSettings(
             new GatewayIdentity(3, 4, "b"),
@@ -323,7 +323,7 @@
                 new InetSocketAddress("10.0.0.1", 5432),
                 "b2",
                 new InetSocketAddress("10.0.0.2", 5432))),
-        config.known());
+        config.knownEndpoints());
   }
 
   @Test
@@ -336,12 +336,12 @@
                 "BALANCER_LISTEN", "127.0.0.2:1",
                 "BALANCER_DISCOVERY", "127.0.0.3:2"));
     assertEquals("other", config.name());
-    assertEquals(new InetSocketAddress("127.0.0.2", 1), config.listen());
-    assertEquals(new InetSocketAddress("127.0.0.3", 2), config.discovery());
+    assertEquals(new InetSocketAddress("127.0.0.2", 1), config.listenAddress());
+    assertEquals(new InetSocketAddress("127.0.0.3", 2), config.discoveryAddress());
   }
 
   private static RoutingSettings settings(String json) throws Exception {
-    return RoutingSettingsCodec.read(JsonReader.object(json));
+    return RoutingSettingsCodec.read(JsonReader.parseObject(json));
   }
 
   @Test
@@ -380,7 +380,9 @@
       assertEquals(word.getValue(), settings(json).consistency().clientsCarryPosition(), json);
     }
     assertEquals(
-        99, RoutingSettingsCodec.zero(JsonReader.object("{\"familyInfo\":{\"zero\":99}}")));
+        99,
+        RoutingSettingsCodec.positionZeroMicros(
+            JsonReader.parseObject("{\"familyInfo\":{\"zero\":99}}")));
   }
 
   // ---- A hosted gateway -------------------------------------------------------------------------
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
@@ -214,12 +214,12 @@
         new GatewayConfig(
             "n0",
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            GatewayConfig.address(named("$d")),
+            GatewayConfig.parseAddress(named("$d")),
             7,
             Integer.parseInt(given.getOrDefault("@sockets", "1024")),
             100,
-            RoutingSettingsCodec.read((Map<?, ?>) JsonReader.object(example).get("settings")),
-            EndpointList.read(JsonReader.object(known)));
+            RoutingSettingsCodec.read((Map<?, ?>) JsonReader.parseObject(example).get("settings")),
+            EndpointList.read(JsonReader.parseObject(known)));
     EventLog lines = line -> log.add(line.toString());
     Network network = Network.open(loop, channels, new ResourceBudget(1 << 20), counters, lines);
     gateway = new Gateway(network, config);
@@ -260,7 +260,7 @@
       loop.post(block);
       untilHeld();
     } else {
-      loop.post(() -> loop.at(loop.now() + Long.parseLong(delay) * 1000, block));
+      loop.post(() -> loop.scheduleAt(loop.nowMicros() + Long.parseLong(delay) * 1000, block));
       if (held == null) {
         untilTurned();
       }
@@ -317,7 +317,8 @@
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
     // Twice, since what the first look found done may have been in work still.
     for (int quiet = 0; quiet < 2; ) {
-      boolean busy = untilTurned() < written || channels.writesOut.get() > 0 || loop.waiting() > 0;
+      boolean busy =
+          untilTurned() < written || channels.writesOut.get() > 0 || loop.queuedTaskCount() > 0;
       quiet = busy ? 0 : quiet + 1;
       if (System.nanoTime() > end) {
         throw new AssertionError("the program did not read all that was written");
--- a/gateway/src/test/java/shelffront/net/EventLoopTest.java
+++ b/gateway/src/test/java/shelffront/net/EventLoopTest.java
@@ -19,11 +19,11 @@
     EventLoop loop = new EventLoop(clock::get, new Counters());
     List<String> ran = new ArrayList<>();
     clock.addAndGet(300_000);
-    loop.after(250_000, () -> ran.add("limit"));
-    loop.at(
+    loop.scheduleAfter(250_000, () -> ran.add("limit"));
+    loop.scheduleAt(
         1_000_000,
         () -> {
-          ran.add("turn at " + loop.now());
+          ran.add("turn at " + loop.nowMicros());
           loop.stop();
         });
     loop.run();
--- a/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
+++ b/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
@@ -38,15 +38,15 @@
   private Tenant tenant;
   private Thread turns;
 
-  private final FrontendConnections.Client client =
-      new FrontendConnections.Client() {
+  private final FrontendConnections.ClientHandle client =
+      new FrontendConnections.ClientHandle() {
         @Override
         public boolean isIdle() {
           return true;
         }
 
         @Override
-        public void dismiss(ProtocolException why, CloseReason reason) {
+        public void endWithError(ProtocolException why, CloseReason reason) {
           answers.add("dismissed");
         }
       };
@@ -54,22 +54,22 @@
   private final ClientRequest.ResponseListener asker =
       new ClientRequest.ResponseListener() {
         @Override
-        public void served(byte[] messages) {
+        public void onServed(byte[] messages) {
           answers.add("served");
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void onRejected(long retryAfter) {
           answers.add("refused");
         }
 
         @Override
-        public void unavailable() {
+        public void onUnavailable() {
           answers.add("unavailable");
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
           answers.add("failed");
         }
       };
@@ -87,11 +87,11 @@
                     .getBytes(StandardCharsets.UTF_8)));
     tenant =
         new Tenant(
-            network.of("airport", new Flow<>(1), 1 << 20),
+            network.forTenant("airport", new Flow<>(1), 1 << 20),
             spec,
             7,
             new ConnectionQuotas(10),
-            new TenantQuotas(0, 10, loop.now()));
+            new TenantQuotas(0, 10, loop.nowMicros()));
     turns =
         new Thread(
             () -> {
@@ -119,7 +119,10 @@
           task.run();
           // Two turns on: what the task and the deadlines due with it have posted is done by then.
           loop.post(
-              () -> loop.at(loop.now(), () -> loop.post(() -> done.complete(loop.deadlines()))));
+              () ->
+                  loop.scheduleAt(
+                      loop.nowMicros(),
+                      () -> loop.post(() -> done.complete(loop.deadlineCount()))));
         });
     return done.get(10, TimeUnit.SECONDS);
   }
@@ -133,11 +136,11 @@
   private void ask(String id, long seconds) {
     try {
       Statement statement =
-          Statement.read(
+          Statement.parse(
               ("/* id=" + id + ",c=read,d=1,cluster=1 */ SELECT 1")
                   .getBytes(StandardCharsets.UTF_8));
-      tenant.take(
-          new ClientRequest(id, statement, 0, loop.now() + seconds * SECOND, asker),
+      tenant.handle(
+          new ClientRequest(id, statement, 0, loop.nowMicros() + seconds * SECOND, asker),
           "k",
           1,
           Router.UNKNOWN,
@@ -150,12 +153,12 @@
   @Test
   void itWakesWithItsFirstClientAndSleepsWithoutAny() throws Exception {
     assertEquals(0, turn(() -> {}), "nothing before its first client");
-    assertTrue(turn(() -> tenant.joined(client)) > 0);
+    assertTrue(turn(() -> tenant.onClientConnected(client)) > 0);
     assertTrue(later(100) > 0, "awake as long as it has a client");
-    turn(() -> tenant.parted(client));
+    turn(() -> tenant.onClientClosed(client));
     assertTrue(later(29) > 0);
     assertEquals(0, later(2), "no timer is left");
-    assertTrue(turn(() -> tenant.joined(client)) > 0, "it wakes again");
+    assertTrue(turn(() -> tenant.onClientConnected(client)) > 0, "it wakes again");
     turn(() -> ask("r1", 1));
     later(2);
     assertEquals(List.of("refused"), answers, "and answers");
@@ -166,9 +169,9 @@
    */
   @Test
   void itDoesNotSleepOverAnOpenRequestNorForgetToSleepAfterIt() throws Exception {
-    turn(() -> tenant.joined(client));
+    turn(() -> tenant.onClientConnected(client));
     turn(() -> ask("r1", 90));
-    turn(() -> tenant.parted(client));
+    turn(() -> tenant.onClientClosed(client));
     assertTrue(later(31) > 0, "a request is open");
     later(60);
     assertEquals(List.of("refused"), answers);
@@ -177,8 +180,8 @@
 
   @Test
   void oneThatSleepsIsRemovedWithoutATrace() throws Exception {
-    turn(() -> tenant.joined(client));
-    turn(() -> tenant.parted(client));
+    turn(() -> tenant.onClientConnected(client));
+    turn(() -> tenant.onClientClosed(client));
     assertEquals(0, later(31));
     turn(() -> tenant.remove(2 * SECOND, () -> answers.add("gone")));
     assertEquals(0, later(3));
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
@@ -69,7 +69,7 @@
       row(report(), "SHOW");
       return;
     }
-    Query q = hosting.query(Statement.read(text.getBytes(ISO_8859_1)), text);
+    Query q = hosting.query(Statement.parse(text.getBytes(ISO_8859_1)), text);
     Consumer<Answer> watch = hosting.arrived(box, end, q);
     box.submit(q, answer -> answer(q, watch, answer));
   }
--- a/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
@@ -179,7 +179,7 @@
       MultiTenantGateway made =
           new MultiTenantGateway(
               new MultiTenantConfig(
-                  config.listen(),
+                  config.listenAddress(),
                   null,
                   null,
                   means.loops(),
@@ -204,7 +204,7 @@
           new TenantSpec.Bounds(0, 0, 2000, 1000, 1000, BUFFERS),
           config.settings(),
           new Login("api", "ledger"),
-          config.discovery(),
+          config.discoveryAddress(),
           listNow(),
           drained,
           List.of(),
@@ -214,7 +214,7 @@
     /** What an administrator copies from the list when setting a tenant. */
     private EndpointList listNow() {
       try {
-        return EndpointList.read(JsonReader.object(catalogue.whole().toString()));
+        return EndpointList.read(JsonReader.parseObject(catalogue.whole().toString()));
       } catch (MalformedInputException e) {
         throw new IllegalStateException("the catalogue gives what the gateway can't read", e);
       }
@@ -249,7 +249,7 @@
 
     /** When a loop has something to do, on the scheduler's clock. */
     private long due(EventLoop loop) {
-      long deadline = loop.nextDeadline();
+      long deadline = loop.nextDeadlineMicros();
       return loop.isStopped()
           ? Long.MAX_VALUE
           : loop.isReady() ? 0 : deadline == Long.MAX_VALUE ? deadline : deadline - skew;
@@ -261,7 +261,7 @@
     private void turn() {
       for (Network n : networks) {
         if (due(n.loop()) <= scheduler.now()) {
-          n.loop().turn();
+          n.loop().runTurn();
         }
       }
       long work = scenario.means().work();
@@ -278,17 +278,19 @@
     /** SIGHUP with a file that names discovery's other address. */
     private void reload() {
       InetSocketAddress other =
-          config.discovery().equals(catalogue.address()) ? otherDiscovery : catalogue.address();
+          config.discoveryAddress().equals(catalogue.address())
+              ? otherDiscovery
+              : catalogue.address();
       config =
           new GatewayConfig(
               config.name(),
-              config.listen(),
+              config.listenAddress(),
               other,
               config.seed(),
-              config.sockets(),
-              config.openCap(),
+              config.maxSockets(),
+              config.maxOpenRequests(),
               config.settings(),
-              config.known());
+              config.knownEndpoints());
       networks.get(0).loop().post(() -> gateway.reload(config));
     }
   }
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
@@ -59,11 +59,11 @@
     return start.with(
         new GatewayConfig(
             c.name(),
-            c.listen(),
-            c.discovery(),
+            c.listenAddress(),
+            c.discoveryAddress(),
             c.seed(),
-            c.sockets(),
-            c.openCap(),
+            c.maxSockets(),
+            c.maxOpenRequests(),
             new RoutingSettings(
                 new GatewayIdentity(0, 1, s.gateway().zone()),
                 s.tickMicros(),
@@ -79,7 +79,7 @@
                 s.limits(),
                 s.crossZoneCost(),
                 s.healthCheckCost()),
-            c.known()));
+            c.knownEndpoints()));
   }
 
   /** Two sets of six hosts, ten requests a second at each gateway. */
--- a/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -113,13 +113,13 @@
     return start.with(
         new GatewayConfig(
             c.name(),
-            c.listen(),
-            c.discovery(),
+            c.listenAddress(),
+            c.discoveryAddress(),
             c.seed(),
-            c.sockets(),
-            c.openCap(),
+            c.maxSockets(),
+            c.maxOpenRequests(),
             change.apply(c.settings()),
-            c.known()));
+            c.knownEndpoints()));
   }
 
   private static RoutingSettings with(
@@ -261,13 +261,13 @@
           return s.with(
               new GatewayConfig(
                   c.name(),
-                  c.listen(),
+                  c.listenAddress(),
                   new InetSocketAddress("10.255.0.1", 9),
                   c.seed(),
-                  c.sockets(),
-                  c.openCap(),
+                  c.maxSockets(),
+                  c.maxOpenRequests(),
                   c.settings(),
-                  c.known()));
+                  c.knownEndpoints()));
         });
   }
 
@@ -474,7 +474,7 @@
         Rule.NOTHING_LEFT,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> {
-          s.network().budget().take(100);
+          s.network().budget().tryAcquire(100);
           return s.asItIs();
         });
   }
