--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -20,240 +20,301 @@
 
   private static final int SESSIONS = 200;
   private static final int MOST_RETRIES = 2;
-  private static final long PATIENCE =
-      100_000; // Beyond its time a client looks whether an answer comes late.
+  private static final String DATABASE = "ledger";
+  private static final String CAPACITY_EXCEEDED = "53300";
 
-  private final FleetSimulation fleet;
+  /** Beyond the deadline a client still looks whether an answer comes late. */
+  private static final long GRACE_MICROS = 100_000;
+
+  private static final long SHORTEST_RETRY_MICROS = 50_000;
+  private static final double READ_BACK_PROBABILITY = 0.6;
+  private static final long SHORTEST_READ_BACK_MICROS = 5_000;
+  private static final int READ_BACK_SPREAD_MICROS = 100_000;
+  private static final int IDLE_SPREAD_MICROS = 10_000;
+  private static final int AFFECTED_ONE_IN = 3;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final long MICROS_PER_MILLI = 1_000;
+
+  /** Sessions' numbers are drawn with this exponent: some sessions are busy, most are not. */
+  private static final int SESSION_SKEW = 3;
+
+  /** Up to which draw from 0 to 1 a request is of which class; the last class has the rest. */
+  private record ClassPart(double upTo, int requestClass) {}
+
+  private static final List<ClassPart> CLASS_MIX =
+      List.of(
+          new ClassPart(0.25, 3),
+          new ClassPart(0.55, 0),
+          new ClassPart(0.8, 1),
+          new ClassPart(0.95, 2));
+
+  private final SimulationContext context;
+  private final GatewayFleet gateways;
+  private final RequestRecorder recorder;
+  private final List<ClientPopulation> populations;
   private final int gateway;
   private final SimulatedMachine machine;
   private final UniformRandomProvider random;
   private final ZigguratSampler.Exponential gaps;
   private final double perSecond;
-  private final long until;
+  private final long untilMicros;
   private final Set<ClientConnectionHandler<Asked>> connections = new LinkedHashSet<>();
-  private double factor = 1;
-  private long asked;
+  private double rateFactor = 1;
+  private long sentCount;
 
+  /**
+   * The clients of one gateway, which begin at once.
+   *
+   * @param populations those of all gateways; a session that carries its position may go on there
+   * @param untilMicros from then on nothing new is sent
+   */
   ClientPopulation(
-      FleetSimulation fleet,
+      SimulationContext context,
+      GatewayFleet gateways,
+      RequestRecorder recorder,
+      List<ClientPopulation> populations,
       int gateway,
-      SimulatedMachine machine,
-      UniformRandomProvider random,
       double perSecond,
-      long until) {
-    this.fleet = fleet;
+      long untilMicros) {
+    this.context = context;
+    this.gateways = gateways;
+    this.recorder = recorder;
+    this.populations = populations;
     this.gateway = gateway;
-    this.machine = machine;
-    this.random = random;
     this.perSecond = perSecond;
-    this.until = until;
+    this.untilMicros = untilMicros;
+    machine = context.network().machine("c" + gateway);
+    random = context.fork();
     gaps = ZigguratSampler.Exponential.of(random);
-    arrive();
+    scheduleNext();
   }
 
   /** So many times as many requests as usual. */
   void factor(double times) {
-    factor = times;
+    rateFactor = times;
   }
 
-  private void arrive() {
-    long gap = Math.max(1, (long) (gaps.sample() * 1e6 / (perSecond * factor)));
-    fleet
-        .clock()
+  private void scheduleNext() {
+    double gapMicros = gaps.sample() * MICROS_PER_SECOND / (perSecond * rateFactor);
+    context
+        .scheduler()
         .after(
-            gap,
+            Math.max(1, (long) gapMicros),
             () -> {
-              if (fleet.clock().now() < until) {
-                request();
-                arrive();
+              if (context.now() < untilMicros) {
+                sendDrawn();
+                scheduleNext();
               }
             });
   }
 
-  private void request() {
-    List<RequestClass> types = fleet.types();
-    double lot = random.nextDouble();
-    RequestClass type =
-        lot < 0.25
-            ? types.get(3)
-            : lot < 0.55
-                ? types.get(0)
-                : lot < 0.8
-                    ? types.get(1)
-                    : lot < 0.95 ? types.get(2) : types.get(types.size() - 1);
-    // Some sessions are busy, most are not.
-    int session = (int) (SESSIONS * Math.pow(random.nextDouble(), 3));
-    ask(type, 1 + random.nextInt(fleet.scenario().sets()), "g" + gateway + "s" + session, 0);
+  private void sendDrawn() {
+    RequestClass requestClass = drawClass();
+    int session = (int) (SESSIONS * Math.pow(random.nextDouble(), SESSION_SKEW));
+    int replicaSet = 1 + random.nextInt(context.scenario().sets());
+    send(requestClass, replicaSet, "g" + gateway + "s" + session, 0);
+  }
+
+  private RequestClass drawClass() {
+    List<RequestClass> classes = context.requestClasses();
+    double draw = random.nextDouble();
+    return CLASS_MIX.stream()
+        .filter(part -> draw < part.upTo())
+        .findFirst()
+        .map(part -> classes.get(part.requestClass()))
+        .orElse(classes.get(classes.size() - 1));
   }
 
-  private void ask(RequestClass type, int set, String session, int retries) {
-    if (fleet.clock().now() >= until) {
+  private void send(RequestClass requestClass, int replicaSet, String session, int earlierTries) {
+    long now = context.now();
+    if (now >= untilMicros) {
       return;
     }
     String database = database(session.hashCode());
-    ClientConnectionHandler<Asked> connection =
-        connections.stream()
-            .filter(c -> c.isFree() && c.database().equals(database))
-            .findFirst()
-            .orElse(null);
-    if (connection == null && !fleet.takesConnections(gateway)) {
+    ClientConnectionHandler<Asked> connection = freeConnection(database);
+    if (connection == null && !gateways.acceptsConnections(gateway)) {
       return; // the front sends nobody there any more
     }
-    if (connection == null && connections.size() >= fleet.scenario().means().connections()) {
-      fleet.notAsked(type);
+    if (connection == null && connections.size() >= context.scenario().means().connections()) {
+      recorder.notSent(requestClass);
       return;
     }
     if (connection == null) {
       connection = connect(database);
       connections.add(connection);
     }
-    long now = fleet.clock().now();
-    String id = "g" + gateway + "r" + asked++;
-    String key = type.isWrite() ? "k" + id : null;
-    Asked a =
-        fleet
-            .auditor()
-            .asks(id, type, key, set + "/" + session, gateway, now, now + type.deadlineMicros());
-    fleet.asked(a, retries);
-    connection.ask(
-        a,
+    String id = "g" + gateway + "r" + sentCount++;
+    String key = requestClass.isWrite() ? "k" + id : null;
+    String qualifiedSession = replicaSet + "/" + session;
+    long deadlineMicros = now + requestClass.deadlineMicros();
+    Asked request =
+        context
+            .checker()
+            .asks(id, requestClass, key, qualifiedSession, gateway, now, deadlineMicros);
+    recorder.sent(request, earlierTries);
+    byte[] statement =
         ClientConnectionHandler.statement(
             id,
-            type.name(),
-            type.deadlineMicros() / 1000,
+            requestClass.name(),
+            requestClass.deadlineMicros() / MICROS_PER_MILLI,
             key,
-            set,
-            set + "/" + session,
-            type.isWrite(),
-            carried(a)),
-        now + type.deadlineMicros() + PATIENCE);
+            replicaSet,
+            qualifiedSession,
+            requestClass.isWrite(),
+            carriedPosition(request));
+    connection.ask(request, statement, deadlineMicros + GRACE_MICROS);
+  }
+
+  private ClientConnectionHandler<Asked> freeConnection(String database) {
+    return connections.stream()
+        .filter(connection -> connection.isFree() && connection.database().equals(database))
+        .findFirst()
+        .orElse(null);
   }
 
-  private long carried(Asked a) {
-    return fleet.scenario().deployment().carried() && a.type.consistency() == Consistency.SESSION
-        ? a.mark
+  private long carriedPosition(Asked request) {
+    return context.scenario().deployment().carried()
+            && request.type.consistency() == Consistency.SESSION
+        ? request.mark
         : 0;
   }
 
   private ClientConnectionHandler<Asked> connect(String database) {
     return new ClientConnectionHandler<>(
-        fleet.net().on(machine), fleet.gatewayAddress(gateway), "api", database, null, this);
+        context.network().on(machine), gateways.address(gateway), "api", database, null, this);
   }
 
   /** A session is one tenant's, as is a connection. */
   private String database(int number) {
-    int tenants = fleet.scenario().means().tenants();
-    return tenants == 0 ? "ledger" : FleetSimulation.tenantName(Math.floorMod(number, tenants));
+    int tenants = context.scenario().means().tenants();
+    return tenants == 0 ? DATABASE : SimulatedGateway.tenantName(Math.floorMod(number, tenants));
   }
 
-  private static int set(Asked a) {
-    return Integer.parseInt(a.session.substring(0, a.session.indexOf('/')));
+  private static int replicaSetOf(Asked request) {
+    return Integer.parseInt(request.session.substring(0, request.session.indexOf('/')));
   }
 
-  private static String session(Asked a) {
-    return a.session.substring(a.session.indexOf('/') + 1);
+  private static String sessionOf(Asked request) {
+    return request.session.substring(request.session.indexOf('/') + 1);
   }
 
-  /**
-   * A read of one's own write comes soon behind it; what was refused is asked again when it was
-   * told to.
-   */
+  /** Some sessions read their own write soon; a rejected request is sent again when permitted. */
   @Override
   public void answered(
-      ClientConnectionHandler<Asked> by, Asked a, String value, String error, long retryAfter) {
-    fleet.answered(a, value, error);
-    if (error == null && a.type.isWrite() && random.nextDouble() < 0.6) {
-      RequestClass own =
-          fleet.types().stream()
-              .filter(t -> t.consistency() == Consistency.SESSION)
-              .findFirst()
-              .orElseThrow();
-      ClientPopulation next =
-          fleet.scenario().deployment().carried() ? fleet.anyCrowd(random) : this;
-      fleet
-          .clock()
-          .after(
-              5_000 + random.nextInt(100_000),
-              () -> next.ask(own, set(a), session(a), MOST_RETRIES));
-    } else if ("53300".equals(error)) {
-      int tried = fleet.retries(a);
-      if (tried < MOST_RETRIES) {
-        fleet
-            .clock()
-            .after(Math.max(50_000, retryAfter), () -> ask(a.type, set(a), session(a), tried + 1));
-      }
+      ClientConnectionHandler<Asked> by,
+      Asked request,
+      String value,
+      String error,
+      long retryAfterMicros) {
+    recorder.answered(request, value, error);
+    if (error == null && request.type.isWrite() && random.nextDouble() < READ_BACK_PROBABILITY) {
+      scheduleReadBack(request);
+    } else if (CAPACITY_EXCEEDED.equals(error)) {
+      scheduleRetry(request, retryAfterMicros);
+    }
+  }
+
+  private void scheduleReadBack(Asked write) {
+    RequestClass sessionRead =
+        context.requestClasses().stream()
+            .filter(requestClass -> requestClass.consistency() == Consistency.SESSION)
+            .findFirst()
+            .orElseThrow();
+    ClientPopulation reader =
+        context.scenario().deployment().carried()
+            ? populations.get(random.nextInt(populations.size()))
+            : this;
+    context
+        .scheduler()
+        .after(
+            SHORTEST_READ_BACK_MICROS + random.nextInt(READ_BACK_SPREAD_MICROS),
+            () -> reader.send(sessionRead, replicaSetOf(write), sessionOf(write), MOST_RETRIES));
+  }
+
+  private void scheduleRetry(Asked rejected, long retryAfterMicros) {
+    int earlierTries = recorder.earlierTries(rejected);
+    if (earlierTries >= MOST_RETRIES) {
+      return;
     }
+    context
+        .scheduler()
+        .after(
+            Math.max(SHORTEST_RETRY_MICROS, retryAfterMicros),
+            () ->
+                send(rejected.type, replicaSetOf(rejected), sessionOf(rejected), earlierTries + 1));
   }
 
   @Override
-  public void late(ClientConnectionHandler<Asked> by, Asked a) {
-    fleet.unanswered(a, "had no answer in time");
+  public void late(ClientConnectionHandler<Asked> by, Asked request) {
+    recorder.unanswered(request, "had no answer in time");
     connections.remove(by);
   }
 
   @Override
-  public void left(ClientConnectionHandler<Asked> by, Asked a, boolean reset) {
+  public void left(ClientConnectionHandler<Asked> by, Asked request, boolean reset) {
     connections.remove(by);
-    if (a != null) {
-      fleet.lost(a, reset);
+    if (request != null) {
+      recorder.connectionLost(request, reset);
     }
   }
 
   @Override
   public void malformed(String why) {
-    fleet.auditor().violated(fleet.clock().now(), Rule.RIGHT_VALUE, why);
+    context.checker().violated(context.now(), Rule.RIGHT_VALUE, why);
   }
 
   /** A part of those who wait hang up. */
   void hangUp() {
-    for (ClientConnectionHandler<Asked> c : List.copyOf(connections)) {
-      if (!c.isFree() && random.nextInt(3) == 0) {
-        excuse(c);
-        c.hangUp();
-        connections.remove(c);
+    for (ClientConnectionHandler<Asked> connection : List.copyOf(connections)) {
+      if (!connection.isFree() && random.nextInt(AFFECTED_ONE_IN) == 0) {
+        excuse(connection);
+        connection.hangUp();
+        connections.remove(connection);
       }
     }
   }
 
   /** A part of them read nothing for a while. */
-  void stall(long time) {
-    for (ClientConnectionHandler<Asked> c : List.copyOf(connections)) {
-      if (random.nextInt(3) == 0) {
-        c.stall(true);
-        excuse(c);
-        fleet
-            .clock()
+  void stall(long durationMicros) {
+    for (ClientConnectionHandler<Asked> connection : List.copyOf(connections)) {
+      if (random.nextInt(AFFECTED_ONE_IN) == 0) {
+        connection.stall(true);
+        excuse(connection);
+        context
+            .scheduler()
             .after(
-                time,
+                durationMicros,
                 () -> {
-                  excuse(c);
-                  c.stall(false);
+                  excuse(connection);
+                  connection.stall(false);
                 });
       }
     }
   }
 
-  /** So many more connect at once and ask nothing for a while; then all leave. */
-  void idle(int count, long time) {
-    for (int i = 0; i < count && fleet.takesConnections(gateway); i++) {
-      ClientConnectionHandler<Asked> c = connect(database(i));
-      c.asksNothing();
-      fleet.clock().after(time + random.nextInt(10_000), c::close);
+  /** So many more connect at once and send nothing for a while; then all leave. */
+  void idle(int count, long durationMicros) {
+    for (int i = 0; i < count && gateways.acceptsConnections(gateway); i++) {
+      ClientConnectionHandler<Asked> connection = connect(database(i));
+      connection.asksNothing();
+      context
+          .scheduler()
+          .after(durationMicros + random.nextInt(IDLE_SPREAD_MICROS), connection::close);
     }
   }
 
   /** What it waits for may be late by its own fault. */
-  private void excuse(ClientConnectionHandler<Asked> c) {
-    if (c.current() != null) {
-      fleet.auditor().excuse(c.current());
+  private void excuse(ClientConnectionHandler<Asked> connection) {
+    if (connection.current() != null) {
+      context.checker().excuse(connection.current());
     }
   }
 
-  /** Ends what is open once nothing more is asked. */
+  /** Ends what is open once nothing more is sent. */
   void end() {
-    for (ClientConnectionHandler<Asked> c : List.copyOf(connections)) {
-      c.asksNothing();
-      c.close();
+    for (ClientConnectionHandler<Asked> connection : List.copyOf(connections)) {
+      connection.asksNothing();
+      connection.close();
     }
     connections.clear();
   }
--- /dev/null
+++ b/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
@@ -0,0 +1,246 @@
+package shelffront.lab.simulation;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Function;
+import shelffront.gateway.Gateway;
+import shelffront.lab.invariants.InvariantChecker.Asked;
+import shelffront.lab.virtual.SimulatedMachine;
+
+/**
+ * The gateway processes of a simulation and their lives: which runs at which address, what replaces
+ * one that was killed or has stopped, and which are disturbed, so that late answers are excused.
+ */
+final class GatewayFleet {
+
+  private static final long CLIENTS_CONNECT_AFTER_STOP_MICROS = 400_000;
+  private static final long DRAIN_MICROS = 8_000_000;
+  private static final long STOP_POLL_MICROS = 10_000;
+  private static final long LONGEST_RESTART_MICROS = 1_000_000;
+  private static final long SHORTEST_PAUSE_MICROS = 5_000;
+  private static final long PAUSE_SPREAD_MICROS = 55_000;
+  private static final double TWICE_MEAN_MICROS = 2e6; // of an even draw from a second
+
+  private final SimulationContext context;
+  private final SimulatedDiscovery discovery;
+  private final Function<FleetSimulation.Start, Gateway> variant;
+  private final List<InetSocketAddress> addresses = new ArrayList<>();
+  private final List<SimulatedGateway> gateways = new ArrayList<>();
+  private final Map<SimulatedMachine, Integer> indexes = new HashMap<>();
+  private final Set<Integer> disturbed = new HashSet<>();
+  private boolean ending;
+
+  GatewayFleet(
+      SimulationContext context,
+      SimulatedDiscovery discovery,
+      Function<FleetSimulation.Start, Gateway> variant) {
+    this.context = context;
+    this.discovery = discovery;
+    this.variant = variant;
+  }
+
+  void assignAddresses() {
+    for (int index = 0; index < context.scenario().gateways(); index++) {
+      addresses.add(context.network().newAddress());
+    }
+  }
+
+  /** Has gateways pause at random, as for garbage collections, where the scenario says so. */
+  void schedulePauses() {
+    if (context.scenario().means().pauses() > 0) {
+      context.scheduler().after(pauseGapMicros(), this::pauseOne);
+    }
+  }
+
+  private long pauseGapMicros() {
+    Scenario scenario = context.scenario();
+    return 1
+        + (long)
+            (TWICE_MEAN_MICROS
+                * context.random().nextDouble()
+                / scenario.means().pauses()
+                / scenario.gateways());
+  }
+
+  private void pauseOne() {
+    if (!gateways.isEmpty() && !ending) {
+      SimulatedGateway gateway = gateways.get(context.random().nextInt(gateways.size()));
+      long durationMicros = SHORTEST_PAUSE_MICROS + context.random().nextLong(PAUSE_SPREAD_MICROS);
+      disturb(gateway.index(), gateway.extendPause(durationMicros));
+    }
+    context.scheduler().after(pauseGapMicros(), this::pauseOne);
+  }
+
+  void startAll() {
+    for (int index = 0; index < context.scenario().gateways(); index++) {
+      gateways.add(start(index));
+    }
+  }
+
+  private SimulatedGateway start(int index) {
+    SimulatedMachine machine = context.network().machine("g" + index);
+    indexes.put(machine, index);
+    return new SimulatedGateway(context, discovery, index, machine, addresses.get(index), variant);
+  }
+
+  private void replace(int index) {
+    if (ending) {
+      return;
+    }
+    context.checker().restarted(index);
+    gateways.set(index, start(index));
+  }
+
+  int size() {
+    return gateways.size();
+  }
+
+  SimulatedGateway get(int index) {
+    return gateways.get(index);
+  }
+
+  InetSocketAddress address(int index) {
+    return addresses.get(index);
+  }
+
+  /** The gateway that a fault's target stands for. */
+  SimulatedGateway target(int target) {
+    return gateways.get(target % gateways.size());
+  }
+
+  /** The index of the gateway that runs or ran on a machine; null where it is no gateway's. */
+  Integer indexOf(SimulatedMachine machine) {
+    return indexes.get(machine);
+  }
+
+  /** The same, and null where that process is not the one that runs now. */
+  Integer currentIndexOf(SimulatedMachine machine) {
+    Integer index = indexes.get(machine);
+    return index != null && index < gateways.size() && gateways.get(index).runsOn(machine)
+        ? index
+        : null;
+  }
+
+  void forEachAlive(Consumer<SimulatedGateway> action) {
+    gateways.stream().filter(gateway -> !gateway.isKilled()).forEach(action);
+  }
+
+  /** Whether clients still open connections: they go on for a moment after its SIGTERM. */
+  boolean acceptsConnections(int index) {
+    return gateways.get(index).acceptsConnections();
+  }
+
+  boolean isDisturbed(int index) {
+    return disturbed.contains(index);
+  }
+
+  /** What clients have open at a gateway is late by no fault of its own, for a while. */
+  void disturb(int index, long durationMicros) {
+    disturbed.add(index);
+    excuseOpenRequests(index);
+    context
+        .scheduler()
+        .after(
+            durationMicros,
+            () -> {
+              excuseOpenRequests(index);
+              disturbed.remove(index);
+            });
+  }
+
+  private void excuseOpenRequests(int index) {
+    for (Asked request : context.checker().asked()) {
+      if (request.gateway == index && !request.isAnswered()) {
+        context.checker().excuse(request);
+      }
+    }
+  }
+
+  /** Its process ends at once; a new one starts at its address after a while. */
+  void kill(SimulatedGateway gateway, long downMicros) {
+    if (!gateway.isRunning()) {
+      return;
+    }
+    context.trace().record("kill", gateway.name());
+    gateway.kill();
+    excuseOpenRequests(gateway.index());
+    context.network().unlisten(addresses.get(gateway.index()));
+    gateway.resetConnections();
+    context
+        .scheduler()
+        .after(Math.min(downMicros, LONGEST_RESTART_MICROS), () -> replace(gateway.index()));
+  }
+
+  /** SIGTERM: what it has is still owed; a new one starts at its address once it has stopped. */
+  void stop(SimulatedGateway gateway) {
+    if (!gateway.isRunning()) {
+      return;
+    }
+    context.trace().record("stop", gateway.name());
+    gateway.stop(context.now() + CLIENTS_CONNECT_AFTER_STOP_MICROS);
+    awaitStop(gateway, context.now() + DRAIN_MICROS);
+  }
+
+  private void awaitStop(SimulatedGateway gateway, long deadlineMicros) {
+    context
+        .scheduler()
+        .after(
+            STOP_POLL_MICROS,
+            () -> {
+              if (gateway.isStopped()) {
+                gateway.checkReleased();
+                replace(gateway.index());
+              } else if (context.now() < deadlineMicros) {
+                awaitStop(gateway, deadlineMicros);
+              } else {
+                gateway.checkReleased();
+              }
+            });
+  }
+
+  /** SIGTERM to all at the end of a run; none is replaced any more. */
+  void stopAll() {
+    ending = true;
+    for (SimulatedGateway gateway : List.copyOf(gateways)) {
+      if (gateway.isRunning()) {
+        gateway.stop(0);
+      }
+    }
+  }
+
+  /** How long a gateway may take to stop. */
+  long drainMicros() {
+    return DRAIN_MICROS;
+  }
+
+  void checkAllReleased() {
+    gateways.forEach(SimulatedGateway::checkReleased);
+  }
+
+  /** A turn of each gateway that has something to do now; whether there was one. */
+  boolean runDueTurns() {
+    boolean ran = false;
+    for (SimulatedGateway gateway : gateways) {
+      if (gateway.nextTurnMicros() <= context.now()) {
+        gateway.runTurn();
+        ran = true;
+      }
+    }
+    return ran;
+  }
+
+  /** When the first of them has something to do. */
+  long nextTurnMicros() {
+    long nextMicros = Long.MAX_VALUE;
+    for (SimulatedGateway gateway : gateways) {
+      nextMicros = Math.min(nextMicros, gateway.nextTurnMicros());
+    }
+    return nextMicros;
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/shelffront/lab/simulation/HostFleet.java
@@ -0,0 +1,219 @@
+package shelffront.lab.simulation;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import shelffront.lab.emulator.DiscoveryEmulator;
+import shelffront.lab.emulator.EmulatedHostConnection;
+import shelffront.lab.model.ReplicaSetModel;
+import shelffront.lab.model.ReplicaSetModel.Box;
+import shelffront.lab.virtual.SimulatedMachine;
+
+/**
+ * The database hosts of a simulation: their replica sets, machines and addresses, how they end, are
+ * replaced and start again, and what discovery is told of that.
+ */
+final class HostFleet {
+
+  static final String READY = "Ready";
+  private static final String DRAINING = "Terminating";
+  private static final String REMOVED = "Gone";
+  private static final long SHORTEST_DRAIN_MICROS = 3_000_000;
+  private static final long MICROS_PER_MILLI = 1_000;
+
+  /** A host, where it runs, and the number of its replica set, from 1. */
+  private record Placement(
+      Box host, SimulatedMachine machine, InetSocketAddress address, int replicaSet) {}
+
+  private final SimulationContext context;
+  private final SimulatedDiscovery discovery;
+  private final GatewayFleet gateways;
+  private final SimulatedHostEnvironment environment;
+  private final List<ReplicaSetModel> replicaSets = new ArrayList<>();
+  private final Map<String, Box> hosts = new TreeMap<>();
+
+  /** Of the hosts that there are and of those that were removed. */
+  private final Map<String, Placement> placements = new HashMap<>();
+
+  private final Set<String> firstPrimaries = new HashSet<>();
+  private int replacements;
+
+  /** Places all replica sets of the scenario and publishes their hosts. */
+  HostFleet(SimulationContext context, SimulatedDiscovery discovery, GatewayFleet gateways) {
+    this.context = context;
+    this.discovery = discovery;
+    this.gateways = gateways;
+    RoleAnnouncements announcements = new RoleAnnouncements();
+    environment = new SimulatedHostEnvironment(context, gateways, announcements);
+    ReplicaSetModel.Witness observer =
+        new ReplicaSetObserver(context, this, environment, announcements);
+    Scenario scenario = context.scenario();
+    for (int number = 1; number <= scenario.sets(); number++) {
+      ReplicaSetModel replicaSet =
+          new ReplicaSetModel(
+              "s" + number,
+              scenario.boxes(),
+              context.scheduler(),
+              context.fork(),
+              scenario.figures(),
+              observer);
+      replicaSets.add(replicaSet);
+      for (Box host : replicaSet.boxes()) {
+        place(host, number);
+        if (host.isPrimary()) {
+          firstPrimaries.add(host.id());
+        }
+        discovery.publish(line(host, READY), 0);
+      }
+    }
+  }
+
+  SimulatedHostEnvironment environment() {
+    return environment;
+  }
+
+  /** The host that a fault's target stands for. */
+  Box target(int target) {
+    List<Box> all = List.copyOf(hosts.values());
+    return all.get(target % all.size());
+  }
+
+  /** The primary of the replica set that a fault's target stands for; null while it has none. */
+  Box targetPrimary(int target) {
+    return replicaSets.get(target % replicaSets.size()).primary();
+  }
+
+  SimulatedMachine machine(Box host) {
+    return placements.get(host.id()).machine();
+  }
+
+  Set<String> ids() {
+    return hosts.keySet();
+  }
+
+  private ReplicaSetModel replicaSet(Box host) {
+    return replicaSets.get(placements.get(host.id()).replicaSet() - 1);
+  }
+
+  private void place(Box host, int replicaSet) {
+    SimulatedMachine machine = context.network().machine(host.id());
+    hosts.put(host.id(), host);
+    InetSocketAddress address = context.network().newAddress();
+    placements.put(host.id(), new Placement(host, machine, address, replicaSet));
+    int connectionLimit = context.scenario().figures().connections();
+    context
+        .network()
+        .listen(
+            machine,
+            address,
+            connection ->
+                !host.isUp() || machine.connections() >= connectionLimit
+                    ? null
+                    : new EmulatedHostConnection(environment, host, connection));
+  }
+
+  private DiscoveryEmulator.Line line(Box host, String phase) {
+    Placement placement = placements.get(host.id());
+    return new DiscoveryEmulator.Line(
+        host.id(),
+        placement.address().getHostString() + ":" + placement.address().getPort(),
+        placement.replicaSet(),
+        phase,
+        host.startedAt() / MICROS_PER_MILLI,
+        switch (context.scenario().deployment().listRole()) {
+          case NONE -> false;
+          case AT_START -> firstPrimaries.contains(host.id());
+          case LATE -> host.isPrimary();
+        });
+  }
+
+  /** Publishes all hosts of a replica set anew, after its primary changed. */
+  void publishRoles(Box newPrimary) {
+    if (!hosts.containsKey(newPrimary.id())) {
+      return;
+    }
+    for (Box host : replicaSet(newPrimary).boxes()) {
+      if (host.isUp() && hosts.containsKey(host.id())) {
+        discovery.publish(
+            line(host, host.isDraining() ? DRAINING : READY), context.scenario().listDelay() + 2);
+      }
+    }
+  }
+
+  /**
+   * Publishes that a host takes no new work. Where the list is pushed, all gateways count as told
+   * after a while, whether they watch or not.
+   */
+  private void publishUnavailable(Box host, String phase, long delayMicros) {
+    discovery.publish(line(host, phase), delayMicros);
+    Scenario scenario = context.scenario();
+    if (scenario.deployment().pushed() && scenario.means().tenants() == 0) {
+      context
+          .scheduler()
+          .after(
+              delayMicros + SimulatedDiscovery.PUSH_DELAY_MICROS, () -> markDrainAnnounced(host));
+    }
+  }
+
+  private void markDrainAnnounced(Box host) {
+    boolean availableAgain = host.isUp() && !host.isDraining(); // the list may say so already
+    if (!availableAgain && !discovery.mayBeDelayed() && hosts.get(host.id()) == host) {
+      gateways.forEachAlive(
+          gateway -> context.checker().drainTold(gateway.index(), host.id(), context.now()));
+    }
+  }
+
+  /** Its process ends, and starts again after a while unless the host was replaced. */
+  void kill(Box host, long downMicros) {
+    if (!host.isUp()) {
+      return;
+    }
+    context.trace().record("kill", host.id());
+    end(host);
+    context
+        .scheduler()
+        .after(
+            downMicros,
+            () -> {
+              if (hosts.containsKey(host.id())) {
+                replicaSet(host).restart(host);
+                discovery.publish(line(host, READY), context.scenario().listDelay() + 1);
+              }
+            });
+  }
+
+  private void end(Box host) {
+    replicaSet(host).kill(host);
+    machine(host).resetAll();
+    publishUnavailable(host, REMOVED, context.scenario().listDelay());
+  }
+
+  /** A planned replacement: it drains, ends, and a new host with another id takes its place. */
+  void drain(Box host, long extraMicros) {
+    if (!host.isUp() || host.isDraining()) {
+      return;
+    }
+    context.trace().record("drain", host.id());
+    ReplicaSetModel replicaSet = replicaSet(host);
+    replicaSet.drain(host);
+    publishUnavailable(host, DRAINING, 1);
+    Box replacement = replicaSet.join("n" + replacements++);
+    place(replacement, placements.get(host.id()).replicaSet());
+    discovery.publish(line(replacement, READY), context.scenario().listDelay());
+    context
+        .scheduler()
+        .after(
+            SHORTEST_DRAIN_MICROS + extraMicros,
+            () -> {
+              if (host.isUp()) {
+                end(host);
+              }
+              hosts.remove(host.id());
+            });
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
@@ -0,0 +1,174 @@
+package shelffront.lab.simulation;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import org.HdrHistogram.Histogram;
+import shelffront.lab.invariants.InvariantChecker.Asked;
+import shelffront.routing.RequestClass;
+
+/**
+ * Records what became of the clients' requests, by class and by window of the run, and passes it on
+ * to the checker and the trace.
+ */
+final class RequestRecorder {
+
+  private static final long LONGEST_LATENCY_MICROS = 60_000_000;
+  private static final int LATENCY_DIGITS = 3;
+  private static final String CAPACITY_EXCEEDED = "53300";
+  private static final String SHUTTING_DOWN = "57P03";
+
+  /** How a request ended. */
+  private enum Ending {
+    ON_TIME,
+    LATE,
+    REJECTED,
+    FAILED
+  }
+
+  /** Counts of one class. */
+  private static final class ClassCounts {
+
+    private long asked;
+    private long unanswered;
+    private final long[] byEnding = new long[Ending.values().length];
+
+    private long get(Ending ending) {
+      return byEnding[ending.ordinal()];
+    }
+
+    private FleetSimulation.Worth toWorth() {
+      return new FleetSimulation.Worth(
+          asked,
+          get(Ending.ON_TIME),
+          get(Ending.LATE),
+          get(Ending.REJECTED),
+          get(Ending.FAILED),
+          unanswered);
+    }
+  }
+
+  private final SimulationContext context;
+  private final GatewayFleet gateways;
+  private final Map<String, Integer> retries = new HashMap<>();
+  private final Map<String, ClassCounts> counts = new TreeMap<>();
+  private final double[] requestedValue;
+  private final double[] servedValue;
+  private final Histogram latencyMicros = new Histogram(LONGEST_LATENCY_MICROS, LATENCY_DIGITS);
+  private long startedAtMicros;
+  private long requests;
+
+  RequestRecorder(SimulationContext context, GatewayFleet gateways) {
+    this.context = context;
+    this.gateways = gateways;
+    requestedValue = new double[(int) (context.scenario().length() / FleetSimulation.WINDOW) + 1];
+    servedValue = new double[requestedValue.length];
+  }
+
+  /** Load begins now; windows count from here. */
+  void start() {
+    startedAtMicros = context.now();
+  }
+
+  private ClassCounts countsOf(RequestClass requestClass) {
+    return counts.computeIfAbsent(requestClass.name(), name -> new ClassCounts());
+  }
+
+  /** A client has sent a request, after so many earlier tries of its own. */
+  void sent(Asked request, int earlierTries) {
+    requests++;
+    requestedValue[window(request)] += request.type.priorityWeight();
+    countsOf(request.type).asked++;
+    if (earlierTries > 0) {
+      retries.put(request.id, earlierTries);
+    }
+    if (gateways.isDisturbed(request.gateway)) {
+      context.checker().excuse(request);
+    }
+    context.trace().record("ask", request.id, request.type.name());
+  }
+
+  /** A request was due and its client had no connection: it counts as sent and unanswered. */
+  void notSent(RequestClass requestClass) {
+    countsOf(requestClass).asked++;
+    countsOf(requestClass).unanswered++;
+  }
+
+  /** How often a client had tried before it sent this request. */
+  int earlierTries(Asked request) {
+    return retries.getOrDefault(request.id, 0);
+  }
+
+  /** An answer has come: a value, or the code of an error. */
+  void answered(Asked request, String value, String code) {
+    long now = context.now();
+    context.trace().record("answered", request.id, String.valueOf(value), String.valueOf(code));
+    context.checker().answered(request, now, value, code);
+    Ending ending = endingOf(request, code);
+    countsOf(request.type).byEnding[ending.ordinal()]++;
+    if (code == null) {
+      latencyMicros.recordValue(Math.max(0, now - request.sentAt));
+      double valueFraction = ending == Ending.ON_TIME ? 1 : request.type.lateValueFraction();
+      servedValue[window(request)] += request.type.priorityWeight() * valueFraction;
+    }
+  }
+
+  private Ending endingOf(Asked request, String code) {
+    if (code == null) {
+      long objectiveMicros = request.sentAt + request.type.latencyObjectiveMicros();
+      return context.now() <= objectiveMicros ? Ending.ON_TIME : Ending.LATE;
+    }
+    return code.equals(CAPACITY_EXCEEDED) || code.equals(SHUTTING_DOWN)
+        ? Ending.REJECTED
+        : Ending.FAILED;
+  }
+
+  private int window(Asked request) {
+    long elapsedMicros = Math.max(0, request.sentAt - startedAtMicros);
+    return (int) Math.min(servedValue.length - 1, elapsedMicros / FleetSimulation.WINDOW);
+  }
+
+  /** The client has waited its time out. */
+  void unanswered(Asked request, String how) {
+    context.trace().record("unanswered", request.id, how);
+    countsOf(request.type).unanswered++;
+    context.checker().unanswered(request, context.now(), how);
+  }
+
+  /** A connection has ended with a request open. */
+  void connectionLost(Asked request, boolean reset) {
+    context.trace().record("lost", request.id, String.valueOf(reset));
+    countsOf(request.type).unanswered++;
+    if (gateways.get(request.gateway).isKilled() || request.isUntouched()) {
+      // A connection that the gateway ended between requests may cross the next one, which then
+      // was sent nowhere.
+      context.checker().excuse(request);
+    }
+    context.checker().unanswered(request, context.now(), "lost its connection");
+  }
+
+  /** What the run came to, as of now. */
+  FleetSimulation.Result result() {
+    Map<String, FleetSimulation.Worth> byClass = new TreeMap<>();
+    double served = 0;
+    double due = 0;
+    for (RequestClass requestClass : context.requestClasses()) {
+      FleetSimulation.Worth worth = countsOf(requestClass).toWorth();
+      byClass.put(requestClass.name(), worth);
+      double weight = requestClass.priorityWeight();
+      served += weight * (worth.onTime() + requestClass.lateValueFraction() * worth.late());
+      due += weight * worth.asked();
+    }
+    return new FleetSimulation.Result(
+        context.checker().violations(),
+        context.checker().count(),
+        byClass,
+        due == 0 ? 1 : served / due,
+        requestedValue,
+        servedValue,
+        latencyMicros,
+        context.scheduler().count(),
+        requests,
+        context.trace().hash());
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
@@ -0,0 +1,327 @@
+package shelffront.lab.simulation;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.EnumSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.function.Function;
+import shelffront.backend.BackendConnections.Login;
+import shelffront.config.GatewayConfig;
+import shelffront.gateway.Gateway;
+import shelffront.lab.invariants.InvariantChecker.Rule;
+import shelffront.lab.simulation.Scenario.Means;
+import shelffront.lab.virtual.SimulatedMachine;
+import shelffront.lab.virtual.VirtualChannels;
+import shelffront.multitenant.GatewayEnvironment;
+import shelffront.multitenant.MultiTenantConfig;
+import shelffront.multitenant.MultiTenantGateway;
+import shelffront.net.Counters;
+import shelffront.net.EventLog;
+import shelffront.net.EventLoop;
+import shelffront.net.Network;
+import shelffront.net.ResourceBudget;
+import shelffront.tenant.TenantSpec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
+
+/**
+ * One gateway process: the program's own classes on channels in memory, with one core, a clock that
+ * may be off, and pauses. A process that was killed or has stopped is never started again; {@link
+ * GatewayFleet} puts another in its place.
+ */
+final class SimulatedGateway {
+
+  private static final long BUFFER_BYTES = 32L << 20;
+  private static final int OPEN_REQUESTS = 20_000;
+  private static final int CLIENT_CONNECTIONS = 4_000;
+  private static final int TENANT_OPEN_REQUESTS = 2_000;
+  private static final int TENANT_CONNECTIONS = 1_000;
+  private static final long TENANT_REVISION = 1_000_000;
+
+  /** What costs a gateway CPU time, the same amount each. */
+  private static final Set<Counters.Name> COSTLY_EVENTS =
+      EnumSet.of(
+          Counters.Name.REQUESTS_TAKEN,
+          Counters.Name.ATTEMPTS_SENT,
+          Counters.Name.PROBES_SENT,
+          Counters.Name.CLIENTS_ACCEPTED,
+          Counters.Name.HOST_CONNECTIONS_OPENED,
+          Counters.Name.LISTS_HEARD);
+
+  private final SimulationContext context;
+  private final SimulatedDiscovery discovery;
+  private final int index;
+  private final SimulatedMachine machine;
+  private final VirtualChannels channels;
+  private final List<Network> networks;
+  private final Gateway gateway; // null where it is multi-tenant
+  private final MultiTenantGateway multiTenantGateway; // or null
+  private GatewayConfig config;
+  private long chargedEvents;
+  private long clockSkewMicros;
+  private long pausedUntilMicros;
+  private boolean killed;
+  private boolean stopping;
+  private long acceptsUntilMicros;
+
+  SimulatedGateway(
+      SimulationContext context,
+      SimulatedDiscovery discovery,
+      int index,
+      SimulatedMachine machine,
+      InetSocketAddress listenAddress,
+      Function<FleetSimulation.Start, Gateway> variant) {
+    this.context = context;
+    this.discovery = discovery;
+    this.index = index;
+    this.machine = machine;
+    Means means = context.scenario().means();
+    channels = new VirtualChannels(context.network(), machine, means.sockets());
+    EventLog log = line -> context.trace().record("log", name(), String.valueOf(line));
+    try {
+      config = initialConfig(listenAddress);
+      if (means.tenants() > 0) {
+        multiTenantGateway = createMultiTenant(log);
+        gateway = null;
+        networks = multiTenantGateway.networks();
+        networks.get(0).loop().post(multiTenantGateway::begin);
+      } else {
+        Counters counters = new Counters();
+        EventLoop loop = new EventLoop(this::clockMicros, counters);
+        Network network =
+            Network.open(loop, channels, new ResourceBudget(BUFFER_BYTES), counters, log);
+        multiTenantGateway = null;
+        gateway = variant.apply(new FleetSimulation.Start(network, config, channels));
+        networks = List.of(network);
+        loop.post(gateway::start);
+      }
+    } catch (IOException | SpecException e) {
+      throw new IllegalStateException("the virtual network takes every listener", e);
+    }
+  }
+
+  private long clockMicros() {
+    return context.now() + clockSkewMicros;
+  }
+
+  private GatewayConfig initialConfig(InetSocketAddress listenAddress) {
+    Scenario scenario = context.scenario();
+    int modules = scenario.gateways() * Math.max(1, scenario.means().tenants());
+    return new GatewayConfig(
+        "n" + index,
+        listenAddress,
+        discovery.address(),
+        context.random().nextLong(),
+        scenario.means().sockets(),
+        OPEN_REQUESTS,
+        scenario.deployment().settings(index, modules, scenario.figures()),
+        discovery.currentList());
+  }
+
+  private MultiTenantGateway createMultiTenant(EventLog log) throws IOException, SpecException {
+    Means means = context.scenario().means();
+    MultiTenantConfig multiTenantConfig =
+        new MultiTenantConfig(
+            config.listenAddress(),
+            null,
+            null,
+            means.loops(),
+            means.sockets(),
+            BUFFER_BYTES,
+            0,
+            CLIENT_CONNECTIONS,
+            List.of());
+    MultiTenantGateway created =
+        new MultiTenantGateway(
+            multiTenantConfig,
+            log,
+            new GatewayEnvironment(this::clockMicros, loop -> channels, config.seed()));
+    for (int tenant = 0; tenant < means.tenants(); tenant++) {
+      created.apply(tenantSpec(tenant, 1, Set.of()), appliedAt -> {});
+    }
+    return created;
+  }
+
+  private TenantSpec tenantSpec(int tenant, double weight, Set<String> drainedHosts) {
+    return new TenantSpec(
+        tenantName(tenant),
+        weight,
+        new double[0],
+        new TenantSpec.Bounds(
+            0, 0, TENANT_OPEN_REQUESTS, TENANT_CONNECTIONS, TENANT_CONNECTIONS, BUFFER_BYTES),
+        config.settings(),
+        new Login("api", "ledger"),
+        config.discoveryAddress(),
+        discovery.currentList(),
+        drainedHosts,
+        List.of(),
+        TENANT_REVISION);
+  }
+
+  static String tenantName(int tenant) {
+    return "t" + tenant;
+  }
+
+  int index() {
+    return index;
+  }
+
+  String name() {
+    return "g" + index;
+  }
+
+  boolean runsOn(SimulatedMachine other) {
+    return machine == other;
+  }
+
+  boolean isKilled() {
+    return killed;
+  }
+
+  /** Whether it was neither killed nor told to stop. */
+  boolean isRunning() {
+    return !killed && !stopping;
+  }
+
+  boolean isMultiTenant() {
+    return multiTenantGateway != null;
+  }
+
+  boolean isStopped() {
+    return networks.stream().allMatch(network -> network.loop().isStopped());
+  }
+
+  /** Whether clients still open connections to it. */
+  boolean acceptsConnections() {
+    return !stopping || context.now() < acceptsUntilMicros;
+  }
+
+  /** Its process ends at once; its connections are reset. */
+  void kill() {
+    killed = true;
+  }
+
+  void resetConnections() {
+    machine.resetAll();
+  }
+
+  /** SIGTERM; clients go on opening connections until a time. */
+  void stop(long clientsConnectUntilMicros) {
+    stopping = true;
+    acceptsUntilMicros = clientsConnectUntilMicros;
+    if (multiTenantGateway != null) {
+      multiTenantGateway.drain();
+    } else {
+      networks.get(0).loop().post(gateway::drain);
+    }
+  }
+
+  /** Does nothing for so long from now on, whatever pause it was in. */
+  void pauseFor(long durationMicros) {
+    pausedUntilMicros = context.now() + durationMicros;
+  }
+
+  /** Does nothing for so much longer; returns how long it is paused from now on. */
+  long extendPause(long durationMicros) {
+    pausedUntilMicros = Math.max(pausedUntilMicros, context.now()) + durationMicros;
+    return pausedUntilMicros - context.now();
+  }
+
+  void stepClock(long stepMicros) {
+    clockSkewMicros += stepMicros;
+  }
+
+  /** SIGHUP with a file that names discovery's other address; only for a single tenant. */
+  void reload() {
+    config =
+        new GatewayConfig(
+            config.name(),
+            config.listenAddress(),
+            discovery.alternative(config.discoveryAddress()),
+            config.seed(),
+            config.maxSockets(),
+            config.maxOpenRequests(),
+            config.settings(),
+            config.knownEndpoints());
+    networks.get(0).loop().post(() -> gateway.reload(config));
+  }
+
+  void applyTenant(int tenant, double weight, Set<String> drainedHosts) {
+    multiTenantGateway.apply(tenantSpec(tenant, weight, drainedHosts), appliedAt -> {});
+  }
+
+  void removeTenant(int tenant, Runnable onRemoved) {
+    multiTenantGateway.remove(tenantName(tenant), removedAt -> onRemoved.run());
+  }
+
+  /** When it has something to do next, in virtual time. */
+  long nextTurnMicros() {
+    if (killed) {
+      return Long.MAX_VALUE;
+    }
+    long dueMicros = Long.MAX_VALUE;
+    for (Network network : networks) {
+      dueMicros = Math.min(dueMicros, dueMicros(network.loop()));
+    }
+    return Math.max(dueMicros, pausedUntilMicros);
+  }
+
+  private long dueMicros(EventLoop loop) {
+    long deadline = loop.nextDeadlineMicros();
+    if (loop.isStopped()) {
+      return Long.MAX_VALUE;
+    }
+    if (loop.isReady()) {
+      return 0;
+    }
+    return deadline == Long.MAX_VALUE ? deadline : deadline - clockSkewMicros;
+  }
+
+  /** A turn of each loop that has something to do, and the time that it takes the one core. */
+  void runTurn() {
+    for (Network network : networks) {
+      if (dueMicros(network.loop()) <= context.now()) {
+        network.loop().runTurn();
+      }
+    }
+    long costMicros = context.scenario().means().work();
+    if (costMicros > 0) {
+      long events = COSTLY_EVENTS.stream().mapToLong(this::count).sum();
+      pausedUntilMicros =
+          Math.max(pausedUntilMicros, context.now() + (events - chargedEvents) * costMicros);
+      chargedEvents = events;
+    }
+  }
+
+  private long count(Counters.Name name) {
+    return networks.stream().mapToLong(network -> network.counters().get(name)).sum();
+  }
+
+  /** Checks that it had no fault and, unless it was killed, has stopped and released everything. */
+  void checkReleased() {
+    if (count(Counters.Name.FAULTS) > 0) {
+      violated(Rule.NO_FAULT, "gateway " + index + " had a fault");
+    }
+    if (killed) {
+      return;
+    }
+    long heldBytes = networks.get(0).budget().held();
+    if (!isStopped() || channels.openNow() > 0 || heldBytes != 0) {
+      String stopped = isStopped() ? "" : " did not stop";
+      violated(
+          Rule.NOTHING_LEFT,
+          String.format(
+              Locale.ROOT,
+              "gateway %d%s: %d channels, %d bytes held",
+              index,
+              stopped,
+              channels.openNow(),
+              heldBytes));
+    }
+  }
+
+  private void violated(Rule rule, String description) {
+    context.checker().violated(context.now(), rule, description);
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulationContext.java
@@ -0,0 +1,66 @@
+package shelffront.lab.simulation;
+
+import java.util.List;
+import java.util.function.Consumer;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+import shelffront.lab.invariants.InvariantChecker;
+import shelffront.lab.virtual.VirtualNetwork;
+import shelffront.lab.virtual.VirtualTimeScheduler;
+import shelffront.routing.RequestClass;
+
+/**
+ * What all parts of one simulation share: its scenario, its source of random numbers, virtual time
+ * and network, the checker and the trace. One thread. The order in which the parts draw random
+ * numbers is part of the run: a draw that moves changes every draw after it.
+ */
+record SimulationContext(
+    Scenario scenario,
+    UniformRandomProvider random,
+    VirtualTimeScheduler scheduler,
+    VirtualNetwork network,
+    List<RequestClass> requestClasses,
+    InvariantChecker checker,
+    EventTrace trace) {
+
+  /** Unix microseconds at the start: any time, but the same in each run. */
+  static final long START_MICROS = 1_800_000_000_000_000L;
+
+  private static final int SEED_FACTOR = 31;
+  private static final int SEED_OFFSET = 7;
+
+  static SimulationContext create(Scenario scenario, Consumer<String> traceListener) {
+    VirtualTimeScheduler scheduler = new VirtualTimeScheduler(START_MICROS);
+    UniformRandomProvider random =
+        RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed() * SEED_FACTOR + SEED_OFFSET);
+    RandomDeployment deployment = scenario.deployment();
+    return new SimulationContext(
+        scenario,
+        random,
+        scheduler,
+        new VirtualNetwork(scheduler, fork(random), scenario.weather()),
+        deployment.types(),
+        new InvariantChecker(deployment.carried(), deployment.copies()),
+        new EventTrace(scheduler, START_MICROS, traceListener));
+  }
+
+  /** A source of its own for one part, so that its draws do not change those of others. */
+  UniformRandomProvider fork() {
+    return fork(random);
+  }
+
+  private static UniformRandomProvider fork(UniformRandomProvider random) {
+    return RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
+  }
+
+  long now() {
+    return scheduler.now();
+  }
+
+  RequestClass requestClass(String name) {
+    return requestClasses.stream()
+        .filter(requestClass -> requestClass.name().equals(name))
+        .findFirst()
+        .orElseThrow();
+  }
+}
