--- a/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
+++ b/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
@@ -4,8 +4,12 @@
 
 /**
  * Deficit round robin (Shreedhar and Varghese, 1996) over flows whose items' costs are known only
- * once they are done: a flow whose credit is used up waits until it has had its rounds. Items of
- * one flow keep their order. A flow alone is never held back.
+ * once they are done: a flow whose credit is used up waits until it has had its rounds.
+ *
+ * <p>Invariants: items of one flow keep their order, and a flow that is alone is never held back.
+ * Threads: belongs to one.
+ *
+ * @param <T> the items
  */
 public final class DeficitRoundRobin<T> {
 
@@ -13,9 +17,13 @@
    * The most that a flow may owe, in rounds of its own: bounds how long it waits for what its items
    * cost.
    */
-  private static final long MOST_QUANTA = 64;
+  private static final long MAX_DEBT_ROUNDS = 64;
 
-  /** One that has its turn: items that wait, and its credit. */
+  /**
+   * One that takes its turn: items that wait, and its credit.
+   *
+   * @param <T> the items
+   */
   public static final class Flow<T> {
 
     private final ArrayDeque<T> waiting = new ArrayDeque<>();
@@ -28,32 +36,33 @@
     }
 
     /** Above 0. */
-    public void setWeight(double given) {
-      weight = given;
+    public void setWeight(double newWeight) {
+      weight = newWeight;
     }
   }
 
   private final long quantum;
   private final ArrayDeque<Flow<T>> ring = new ArrayDeque<>();
   private Flow<T> current;
-  private int waiting; // items of all flows
+  private int waitingItems; // of all flows
 
   /** The quantum is the cost that a flow of weight 1 may run up in a round. */
   public DeficitRoundRobin(long quantum) {
     this.quantum = quantum;
   }
 
+  /** Puts an item behind those of its flow. A flow saves up no credit while it is idle. */
   public void add(Flow<T> flow, T item) {
     flow.waiting.add(item);
-    waiting++;
+    waitingItems++;
     if (!flow.inRing) {
       flow.inRing = true;
-      flow.credit = Math.min(flow.credit, 0) + quantum * flow.weight; // no saving up while idle
+      flow.credit = Math.min(flow.credit, 0) + quantum * flow.weight;
       ring.add(flow);
     }
   }
 
-  /** The next item, whose cost is to be told by {@link #charge}; null where none waits. */
+  /** The next item, whose cost is to be given to {@link #charge}; null where none waits. */
   public T next() {
     while (!ring.isEmpty()) {
       Flow<T> flow = ring.peek();
@@ -65,7 +74,7 @@
         ring.add(ring.poll());
       } else {
         current = flow;
-        waiting--;
+        waitingItems--;
         return flow.waiting.poll();
       }
     }
@@ -74,11 +83,11 @@
 
   /** What the item given last has cost, in the unit of the quantum. */
   public void charge(long cost) {
-    double least = -quantum * MOST_QUANTA * current.weight;
-    current.credit = Math.max(least, current.credit - Math.max(1, cost));
+    double leastCredit = -quantum * MAX_DEBT_ROUNDS * current.weight;
+    current.credit = Math.max(leastCredit, current.credit - Math.max(1, cost));
   }
 
   public boolean isEmpty() {
-    return waiting == 0;
+    return waitingItems == 0;
   }
 }
--- a/core/src/main/java/shelffront/quota/EventLoopPlacement.java
+++ b/core/src/main/java/shelffront/quota/EventLoopPlacement.java
@@ -1,61 +1,67 @@
 package shelffront.quota;
 
 /**
- * On which of several event loops a tenant lives. It is chosen when the tenant wakes and has
- * nothing open: then a move costs only what its module had learnt. A loop's load is the part of its
- * time that it has worked of late, and what is expected of tenants that woke on it since and are
- * not seen in that yet. Times are microseconds and never step back.
+ * Decides on which of several event loops a tenant lives. It is chosen when the tenant resumes and
+ * has nothing open: then a migration costs only what its decision module had learnt.
+ *
+ * <p>A loop's load is the part of its time that it has been busy of late, plus what is expected of
+ * tenants that resumed on it since and do not show in that yet. Times are microseconds and never
+ * step back. Threads: the caller's; it has to be one at a time.
  */
 public final class EventLoopPlacement {
 
   /** Over how long a loop's load is judged. */
   public static final long LOAD_MEMORY_MICROS = 1_000_000;
 
-  /** A tenant stays where it was unless its loop works this much more than the least loaded one. */
-  private static final double WORTH_A_MOVE = 0.2;
+  /** A tenant stays where it was unless its loop is busier by this than the least loaded one. */
+  private static final double MIGRATION_THRESHOLD = 0.2;
 
-  /** Load expected of a tenant of weight 1 that has just woken. */
-  private static final double EXPECTED = 0.02;
+  /** Load expected of a tenant of weight 1 that has just resumed. */
+  private static final double EXPECTED_LOAD_PER_WEIGHT = 0.02;
 
-  private final double[] load;
-  private final double[] expected;
-  private final long[] worked;
+  private final double[] busyFraction;
+  private final double[] expectedLoad;
+  private final long[] busyMicros; // since each loop's start, as last recorded
   private final double[] weights;
-  private long seenAt;
+  private long recordedAtMicros;
 
   /** The load is 0 at first. */
-  public EventLoopPlacement(int loops, long now) {
-    load = new double[loops];
-    expected = new double[loops];
-    worked = new long[loops];
+  public EventLoopPlacement(int loops, long nowMicros) {
+    busyFraction = new double[loops];
+    expectedLoad = new double[loops];
+    busyMicros = new long[loops];
     weights = new double[loops];
-    seenAt = now;
+    recordedAtMicros = nowMicros;
   }
 
-  /** Takes in how long each loop has worked since its start. */
-  public void recordBusyTime(long[] workedSoFar, long now) {
-    long passed = now - seenAt;
-    if (passed <= 0) {
+  /** Takes in how long each loop has been busy since its start. */
+  public void recordBusyTime(long[] busyMicrosSoFar, long nowMicros) {
+    long passedMicros = nowMicros - recordedAtMicros;
+    if (passedMicros <= 0) {
       return;
     }
-    double fades = Math.exp(-(double) passed / LOAD_MEMORY_MICROS);
-    for (int i = 0; i < load.length; i++) {
-      double part = Math.min(1, Math.max(0, workedSoFar[i] - worked[i]) / (double) passed);
-      load[i] = load[i] * fades + part * (1 - fades);
-      expected[i] *= fades;
-      worked[i] = workedSoFar[i];
+    double decay = Math.exp(-(double) passedMicros / LOAD_MEMORY_MICROS);
+    for (int i = 0; i < busyFraction.length; i++) {
+      double recentFraction =
+          Math.min(1, Math.max(0, busyMicrosSoFar[i] - busyMicros[i]) / (double) passedMicros);
+      busyFraction[i] = busyFraction[i] * decay + recentFraction * (1 - decay);
+      expectedLoad[i] *= decay;
+      busyMicros[i] = busyMicrosSoFar[i];
     }
-    seenAt = now;
+    recordedAtMicros = nowMicros;
   }
 
-  /** Where a tenant that is new is to live: with the least weight, for it may never wake. */
+  /**
+   * Where a new tenant is to live: on the loop with the least weight, for it may never become
+   * active.
+   */
   public int placeNew(double weight) {
-    int least = 0;
+    int chosen = 0;
     for (int i = 1; i < weights.length; i++) {
-      least = weights[i] < weights[least] ? i : least;
+      chosen = weights[i] < weights[chosen] ? i : chosen;
     }
-    weights[least] += weight;
-    return least;
+    weights[chosen] += weight;
+    return chosen;
   }
 
   /** A tenant of a weight no longer lives there. */
@@ -63,19 +69,30 @@
     weights[loop] -= weight;
   }
 
-  /** Where a tenant that wakes is to live, which has lived on a loop and has nothing open. */
-  public int placeResumed(int present, double weight) {
-    int least = present;
-    for (int i = 0; i < load.length; i++) {
-      least = load[i] + expected[i] < load[least] + expected[least] ? i : least;
-    }
-    int chosen =
-        load[present] + expected[present] - load[least] - expected[least] > WORTH_A_MOVE
-            ? least
-            : present;
-    weights[present] -= weight;
+  /** Where a tenant that resumes is to live, which has lived on a loop and has nothing open. */
+  public int placeResumed(int currentLoop, double weight) {
+    int leastLoaded = leastLoadedPreferring(currentLoop);
+    int chosen = isWorthMigrating(currentLoop, leastLoaded) ? leastLoaded : currentLoop;
+    weights[currentLoop] -= weight;
     weights[chosen] += weight;
-    expected[chosen] += EXPECTED * weight;
+    expectedLoad[chosen] += EXPECTED_LOAD_PER_WEIGHT * weight;
     return chosen;
   }
+
+  private int leastLoadedPreferring(int currentLoop) {
+    int least = currentLoop;
+    for (int i = 0; i < busyFraction.length; i++) {
+      least = load(i) < load(least) ? i : least;
+    }
+    return least;
+  }
+
+  private boolean isWorthMigrating(int from, int to) {
+    return busyFraction[from] + expectedLoad[from] - busyFraction[to] - expectedLoad[to]
+        > MIGRATION_THRESHOLD;
+  }
+
+  private double load(int loop) {
+    return busyFraction[loop] + expectedLoad[loop];
+  }
 }
--- a/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
@@ -8,8 +8,6 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import shelffront.quota.ConnectionQuotas.Acquisition;
-import shelffront.quota.ConnectionQuotas.ConnectionQuota;
 
 /** Forty sockets for tenants who open, keep and close them. */
 class ConnectionQuotasTest {
--- a/core/src/test/java/shelffront/quota/TenantQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/TenantQuotasTest.java
@@ -16,7 +16,7 @@
   private final TenantQuotas shares = new TenantQuotas(1000, 100, now);
 
   /** Each asks evenly at its rate for the given time; gives what each was admitted a second. */
-  private double[] run(TenantQuotas.Quota[] who, double[] rates, long time) {
+  private double[] run(Quota[] who, double[] rates, long time) {
     double[] admitted = new double[who.length];
     double[] due = new double[who.length];
     ArrayDeque<long[]> out = new ArrayDeque<>();
@@ -42,17 +42,15 @@
 
   @Test
   void oneAloneHasAll() {
-    TenantQuotas.Quota a = shares.register(1, null);
+    Quota a = shares.register(1, null);
     shares.register(9, null);
-    run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND);
-    assertEquals(1000, run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND)[0], 30);
+    run(new Quota[] {a}, new double[] {5000}, SECOND);
+    assertEquals(1000, run(new Quota[] {a}, new double[] {5000}, SECOND)[0], 30);
   }
 
   @Test
   void threeThatFloodHaveTheirWeights() {
-    TenantQuotas.Quota[] three = {
-      shares.register(1, null), shares.register(2, null), shares.register(4, null)
-    };
+    Quota[] three = {shares.register(1, null), shares.register(2, null), shares.register(4, null)};
     run(three, new double[] {4000, 4000, 4000}, SECOND);
     double[] got = run(three, new double[] {4000, 4000, 4000}, 2 * SECOND);
     assertEquals(1000.0 / 7, got[0], 0.05 * 1000 / 7);
@@ -62,7 +60,7 @@
 
   @Test
   void oneWithinItsShareIsNotRefusedThoughAnotherFloods() {
-    TenantQuotas.Quota[] two = {shares.register(1, null), shares.register(1, null)};
+    Quota[] two = {shares.register(1, null), shares.register(1, null)};
     run(two, new double[] {400, 5000}, SECOND);
     double[] got = run(two, new double[] {400, 5000}, SECOND);
     assertEquals(400, got[0], 4);
@@ -72,14 +70,14 @@
   /** The stated time: one window, in which it has its own part already. */
   @Test
   void oneThatReturnsHasItsPartAtOnce() {
-    TenantQuotas.Quota[] two = {shares.register(1, null), shares.register(1, null)};
+    Quota[] two = {shares.register(1, null), shares.register(1, null)};
     run(two, new double[] {0, 5000}, 5 * SECOND);
     assertEquals(400, run(two, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW_MICROS)[0], 20);
   }
 
   @Test
   void aWeightCutWhileItFloodsGivesTheOthersTheirPartWithinAWindow() {
-    TenantQuotas.Quota[] two = {shares.register(9, null), shares.register(1, null)};
+    Quota[] two = {shares.register(9, null), shares.register(1, null)};
     run(two, new double[] {5000, 5000}, SECOND);
     assertEquals(100, run(two, new double[] {5000, 5000}, SECOND)[1], 10);
     shares.updateWeights(two[0], 1, null);
@@ -89,7 +87,7 @@
 
   @Test
   void classesOfATenantShareWhatItHas() {
-    TenantQuotas.Quota a = shares.register(1, new double[] {1, 3});
+    Quota a = shares.register(1, new double[] {1, 3});
     double[] admitted = new double[2];
     for (int turn = 0; turn < 20_000; turn++, now += 100) {
       for (int c = 0; c < 2; c++) {
@@ -106,8 +104,8 @@
   @Test
   void placesHeldBeyondItsOwnLeaveRoomForTheOthers() {
     TenantQuotas places = new TenantQuotas(0, 100, now);
-    TenantQuotas.Quota a = places.register(1, null);
-    TenantQuotas.Quota b = places.register(1, null);
+    Quota a = places.register(1, null);
+    Quota b = places.register(1, null);
     int held = 0;
     while (places.admit(a, 0, now) == 0) {
       held++;
@@ -131,14 +129,14 @@
   @Test
   void thoseWhoAskForNothingAreForgotten() {
     for (int i = 0; i < 2000; i++) {
-      TenantQuotas.Quota s = shares.register(1, null);
+      Quota s = shares.register(1, null);
       assertEquals(0, shares.admit(s, 0, now));
       shares.release(s);
       now += 2000;
     }
-    TenantQuotas.Quota a = shares.register(1, null);
-    run(new TenantQuotas.Quota[] {a}, new double[] {5000}, 3 * SECOND);
-    assertEquals(1000, run(new TenantQuotas.Quota[] {a}, new double[] {5000}, SECOND)[0], 30);
+    Quota a = shares.register(1, null);
+    run(new Quota[] {a}, new double[] {5000}, 3 * SECOND);
+    assertEquals(1000, run(new Quota[] {a}, new double[] {5000}, SECOND)[0], 30);
   }
 
   /**
@@ -146,9 +144,9 @@
    */
   @Test
   void tenantsOfSeveralLoopsHaveTheirWeightsOfTheWhole() {
-    TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
+    SharedCapacity common = new SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    TenantQuotas.Quota[] who = {
+    Quota[] who = {
       loops[0].register(1, null), loops[1].register(1, null), loops[1].register(2, null)
     };
     int[] on = {0, 1, 1};
@@ -163,9 +161,9 @@
   /** What one loop's tenants leave idle the other's use, and give back within two windows. */
   @Test
   void whatOneLoopLeavesIdleTheOtherUses() {
-    TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
+    SharedCapacity common = new SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    TenantQuotas.Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
+    Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] on = {0, 1};
     acrossLoops(loops, who, on, new double[] {100, 4000}, SECOND);
     double[] got = acrossLoops(loops, who, on, new double[] {100, 4000}, SECOND);
@@ -180,9 +178,9 @@
   /** A loop whose tenants are no longer asked keeps nothing of the rate for them. */
   @Test
   void aLoopThatFallsSilentHoldsNothingBack() {
-    TenantQuotas.SharedCapacity common = new TenantQuotas.SharedCapacity(1000, 100, 2);
+    SharedCapacity common = new SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    TenantQuotas.Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
+    Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] on = {0, 1};
     acrossLoops(loops, who, on, new double[] {4000, 4000}, SECOND);
     acrossLoops(loops, who, on, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW_MICROS);
@@ -190,7 +188,7 @@
   }
 
   private double[] acrossLoops(
-      TenantQuotas[] loops, TenantQuotas.Quota[] who, int[] on, double[] rates, long time) {
+      TenantQuotas[] loops, Quota[] who, int[] on, double[] rates, long time) {
     double[] admitted = new double[who.length];
     double[] due = new double[who.length];
     ArrayDeque<long[]> out = new ArrayDeque<>();
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -20,6 +20,7 @@
 import shelffront.pg.ProtocolException;
 import shelffront.quota.ConnectionQuotas;
 import shelffront.quota.EventLoopPlacement;
+import shelffront.quota.SharedCapacity;
 import shelffront.quota.TenantQuotas;
 import shelffront.tenant.Tenant;
 import shelffront.tenant.TenantRegistry;
@@ -72,9 +73,8 @@
 
   EventLoopGroup(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
       throws IOException {
-    TenantQuotas.SharedCapacity shares =
-        new TenantQuotas.SharedCapacity(
-            config.requestsPerSecond(), config.openRequests(), config.cores());
+    SharedCapacity shares =
+        new SharedCapacity(config.requestsPerSecond(), config.openRequests(), config.cores());
     ResourceBudget buffers = new ResourceBudget(config.bufferBytes());
     ConnectionQuotas hostSockets = new ConnectionQuotas(Gateway.hostSockets(config.sockets()));
     drained = new boolean[config.cores()];
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -21,6 +21,7 @@
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
 import shelffront.quota.ConnectionQuotas;
+import shelffront.quota.Quota;
 import shelffront.quota.TenantQuotas;
 import shelffront.quota.TokenBucket;
 import shelffront.request.BackendAttempt;
@@ -72,7 +73,7 @@
   private final EventLoop loop;
   private final long seed;
   private final TenantQuotas shares; // null where it has the gateway to itself
-  private final TenantQuotas.Quota share;
+  private final Quota share;
   private final ConnectionQuotas sockets;
   private final TokenBucket rate;
   private TenantSpec spec;
