--- a/core/src/main/java/shelffront/rollout/FencingGuard.java
+++ b/core/src/main/java/shelffront/rollout/FencingGuard.java
@@ -1,21 +1,23 @@
 package shelffront.rollout;
 
 /**
- * Where acts are taken: refuses one under an epoch older than the newest taken. The last guard, for
- * a gateway that was stopped between looking at its lease and acting, which no lease can prevent.
+ * Fences operations by their epoch, where they take effect. The last guard, for a gateway that was
+ * stopped between looking at its lease and acting, which no lease can prevent.
+ *
+ * <p>Invariant: the epoch of what it admits never falls. Threads: belongs to one.
  */
 public final class FencingGuard {
 
-  private long newest;
+  private long newestEpoch;
 
-  /** Whether the act is taken. */
+  /** Whether an operation under this epoch is admitted: none newer was admitted before it. */
   public boolean admits(long epoch) {
-    newest = Math.max(newest, epoch);
-    return epoch == newest;
+    newestEpoch = Math.max(newestEpoch, epoch);
+    return epoch == newestEpoch;
   }
 
-  /** The newest epoch under which an act was taken; 0 before the first. */
+  /** The newest epoch that was admitted; 0 before the first. */
   public long newestEpoch() {
-    return newest;
+    return newestEpoch;
   }
 }
--- a/core/src/main/java/shelffront/rollout/RolloutLeader.java
+++ b/core/src/main/java/shelffront/rollout/RolloutLeader.java
@@ -8,9 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * Decides when a subject moves on. Any gateway may be owner, several at once by mistake too: each
- * write names the index that it replaces, so of two only one is taken. A value; a look at the
- * engine gives the next one.
+ * Decides when a subject advances to its next stage, and which members are revoked and removed.
+ *
+ * <p>Invariants: it advances only where each member has acknowledged the state that was read, or
+ * was seen revoked by this leader itself for longer than any lease can last. Any gateway may lead,
+ * several at once by mistake too: each write names the index that it replaces, so of two only one
+ * is taken.
+ *
+ * <p>A value: a read of the coordination store gives the next one, so any thread may read it. Times
+ * are microseconds of the leader's own monotonic clock.
  */
 public final class RolloutLeader {
 
@@ -18,58 +24,67 @@
   public record VersionedMember(Member member, long index) {}
 
   /**
-   * What it wants done at the engine, in this order; each only where the key still has the index.
+   * What it wants done at the coordination store, in this order; each only where the key still has
+   * the index.
    */
   public sealed interface Action {}
 
-  /** Move the subject on. */
+  /** Advance the subject to its next stage. */
   public record Advance(long expectedIndex, RolloutState newState) implements Action {}
 
-  /** Put an end to a membership that holds up a move. */
+  /** End a membership that holds up an advance. */
   public record Revoke(String memberKey, long expectedIndex, Member revoked) implements Action {}
 
-  /** Take away the mark of one whose lease has lapsed for sure. */
+  /** Remove the key of a revoked member whose lease has expired for certain. */
   public record RemoveMember(String memberKey, long expectedIndex) implements Action {}
 
-  /** Since when a member's key has had the same index, by the owner's clock. */
-  private record Since(long index, long at) {}
+  /** Since when a member's key has had the same index, by the leader's clock. */
+  private record Sighting(long index, long sinceMicros) {}
 
-  /** Where no move waits, members that are gone are only taken away in the end. */
-  private static final int IDLE_PATIENCE = 10;
+  /**
+   * Of the time after which a member is suspected: where no advance is wanted, members that are
+   * gone are removed only in the end.
+   */
+  private static final int IDLE_SUSPICION_FACTOR = 10;
+
+  /** Before its first read; halved, so that a difference to it does not overflow. */
+  private static final long LONG_AGO = Long.MIN_VALUE / 2;
 
-  private final LeaseTimings bounds;
-  private final Set<SafetyRule> off;
-  private final Map<String, Since> since;
+  private static final long NEVER = Long.MAX_VALUE;
+
+  private final LeaseTimings timings;
+  private final Set<SafetyRule> disabledRules;
+  private final Map<String, Sighting> sightings;
   private final List<Action> actions;
-  private final List<String> waitsFor;
-  private final long lookedAt;
-  private final long wakeAt;
+  private final List<String> blockingMembers;
+  private final long lastReadAtMicros;
+  private final long wakeAtMicros;
 
   private RolloutLeader(
-      LeaseTimings bounds,
-      Set<SafetyRule> off,
-      Map<String, Since> since,
+      LeaseTimings timings,
+      Set<SafetyRule> disabledRules,
+      Map<String, Sighting> sightings,
       List<Action> actions,
-      List<String> waitsFor,
-      long lookedAt,
-      long wakeAt) {
-    this.bounds = bounds;
-    this.off = off;
-    this.since = since;
+      List<String> blockingMembers,
+      long lastReadAtMicros,
+      long wakeAtMicros) {
+    this.timings = timings;
+    this.disabledRules = disabledRules;
+    this.sightings = sightings;
     this.actions = actions;
-    this.waitsFor = waitsFor;
-    this.lookedAt = lookedAt;
-    this.wakeAt = wakeAt;
+    this.blockingMembers = blockingMembers;
+    this.lastReadAtMicros = lastReadAtMicros;
+    this.wakeAtMicros = wakeAtMicros;
   }
 
-  /** One that has seen nothing yet. */
-  public static RolloutLeader fresh(LeaseTimings bounds) {
-    return fresh(bounds, EnumSet.noneOf(SafetyRule.class));
+  /** One that has read nothing yet. */
+  public static RolloutLeader fresh(LeaseTimings timings) {
+    return fresh(timings, EnumSet.noneOf(SafetyRule.class));
   }
 
-  static RolloutLeader fresh(LeaseTimings bounds, Set<SafetyRule> off) {
+  static RolloutLeader fresh(LeaseTimings timings, Set<SafetyRule> disabledRules) {
     return new RolloutLeader(
-        bounds, off, Map.of(), List.of(), List.of(), Long.MIN_VALUE / 2, Long.MAX_VALUE);
+        timings, disabledRules, Map.of(), List.of(), List.of(), LONG_AGO, NEVER);
   }
 
   public List<Action> actions() {
@@ -77,101 +92,155 @@
   }
 
   /**
-   * Keys of the members that a move waits for; empty where none is wanted or nothing holds it up.
+   * Keys of the members that an advance waits for; empty where none is wanted or nothing blocks it.
    */
   public List<String> blockingMembers() {
-    return waitsFor;
+    return blockingMembers;
   }
 
-  /** When to look again even if nothing changes; the greatest number: not before something does. */
+  /** When to read again even if nothing changes; the greatest number: not before something does. */
   public long wakeAt() {
-    return wakeAt;
+    return wakeAtMicros;
   }
 
   /** The same, its actions done or given up. */
   public RolloutLeader withoutActions() {
-    return new RolloutLeader(bounds, off, since, List.of(), waitsFor, lookedAt, wakeAt);
+    return new RolloutLeader(
+        timings,
+        disabledRules,
+        sightings,
+        List.of(),
+        blockingMembers,
+        lastReadAtMicros,
+        wakeAtMicros);
   }
 
   /**
-   * Looked at the engine: at the standing first, then at the members. The order is what keeps it
-   * safe: whoever joined after the members were read has read the standing later still.
+   * Takes in a read of the coordination store: of the state first, then of the members. The order
+   * is what keeps it safe: whoever joined after the members were read has read the state later
+   * still.
    *
-   * @param now when the answer came
+   * @param nowMicros when the answer came
    */
   public RolloutLeader onRead(
-      long now, RolloutState standing, long index, Map<String, VersionedMember> members) {
-    Map<String, Since> known = new TreeMap<>();
-    List<Action> next = new ArrayList<>();
-    List<String> waits = new ArrayList<>();
-    boolean wanted = standing.stage() != standing.target();
-    // Guards against blaming members for a time in which nobody reached the engine: they renew as
-    // it comes back.
-    boolean blind = now - lookedAt > bounds.suspectAfterMicros() / 2;
-    long patience = bounds.suspectAfterMicros() * (wanted ? 1 : IDLE_PATIENCE);
-    long wake = Long.MAX_VALUE;
-    for (Map.Entry<String, VersionedMember> each : members.entrySet()) {
-      VersionedMember seen = each.getValue();
-      Since before = since.get(each.getKey());
-      boolean revoked = seen.member().revoked();
-      boolean same = before != null && before.index() == seen.index() && (revoked || !blind);
-      Since here =
-          same
-              ? before
-              : new Since(
-                  seen.index(),
-                  revoked && off.contains(SafetyRule.OWN_LAPSE) ? now - lapse() : now);
-      known.put(each.getKey(), here);
-      if (revoked) {
-        long until = here.at() + lapse();
-        if (now >= until) {
-          next.add(new RemoveMember(each.getKey(), seen.index()));
-        } else {
-          waits.add(each.getKey());
-          wake = Math.min(wake, until);
-        }
-        continue;
+      long nowMicros, RolloutState state, long stateIndex, Map<String, VersionedMember> members) {
+    Review review = new Review(nowMicros, state);
+    members.forEach(review::add);
+    return review.conclude(stateIndex);
+  }
+
+  /** One pass over the members that were read, and what follows from it. */
+  private final class Review {
+
+    private final long nowMicros;
+    private final RolloutState state;
+    private final boolean advanceWanted;
+    private final boolean wasBlind;
+    private final long suspectAfterMicros;
+    private final Map<String, Sighting> seen = new TreeMap<>();
+    private final List<Action> wantedActions = new ArrayList<>();
+    private final List<String> blocking = new ArrayList<>();
+    private long nextReadAtMicros = NEVER;
+
+    private Review(long nowMicros, RolloutState state) {
+      this.nowMicros = nowMicros;
+      this.state = state;
+      advanceWanted = state.stage() != state.target();
+      // Members are not blamed for a time in which nobody reached the store: they renew as it comes
+      // back.
+      wasBlind = nowMicros - lastReadAtMicros > timings.suspectAfterMicros() / 2;
+      suspectAfterMicros =
+          timings.suspectAfterMicros() * (advanceWanted ? 1 : IDLE_SUSPICION_FACTOR);
+    }
+
+    private void add(String memberKey, VersionedMember read) {
+      Sighting sighting = sighting(memberKey, read);
+      seen.put(memberKey, sighting);
+      if (read.member().revoked()) {
+        addRevoked(memberKey, sighting);
+      } else {
+        addActive(memberKey, read, sighting);
+      }
+    }
+
+    /** The sighting before, where the key has not changed since; else one from now on. */
+    private Sighting sighting(String memberKey, VersionedMember read) {
+      Sighting before = sightings.get(memberKey);
+      boolean revoked = read.member().revoked();
+      if (before != null && before.index() == read.index() && (revoked || !wasBlind)) {
+        return before;
+      }
+      boolean countsFromBefore = revoked && disabledRules.contains(SafetyRule.OWN_LAPSE);
+      return new Sighting(
+          read.index(), countsFromBefore ? nowMicros - leaseExpiryMicros() : nowMicros);
+    }
+
+    /** Blocks an advance until its lease has expired for certain, then is removed. */
+    private void addRevoked(String memberKey, Sighting sighting) {
+      long expiresAtMicros = sighting.sinceMicros() + leaseExpiryMicros();
+      if (nowMicros >= expiresAtMicros) {
+        wantedActions.add(new RemoveMember(memberKey, sighting.index()));
+      } else {
+        blocking.add(memberKey);
+        nextReadAtMicros = Math.min(nextReadAtMicros, expiresAtMicros);
       }
-      if (wanted
-          && seen.member().epoch() != standing.epoch()
-          && !off.contains(SafetyRule.ACKNOWLEDGED)) {
-        waits.add(each.getKey());
+    }
+
+    /** Blocks an advance until it acknowledges; revoked once it has not renewed for too long. */
+    private void addActive(String memberKey, VersionedMember read, Sighting sighting) {
+      boolean blocks =
+          advanceWanted
+              && read.member().epoch() != state.epoch()
+              && !disabledRules.contains(SafetyRule.ACKNOWLEDGED);
+      if (blocks) {
+        blocking.add(memberKey);
       }
-      if (now - here.at() < patience) {
-        wake = Math.min(wake, here.at() + patience);
-      } else if (!wanted || waits.contains(each.getKey())) {
-        next.add(new Revoke(each.getKey(), seen.index(), seen.member().asRevoked()));
+      if (nowMicros - sighting.sinceMicros() < suspectAfterMicros) {
+        nextReadAtMicros = Math.min(nextReadAtMicros, sighting.sinceMicros() + suspectAfterMicros);
+      } else if (!advanceWanted || blocks) {
+        wantedActions.add(new Revoke(memberKey, read.index(), read.member().asRevoked()));
       }
     }
-    if (wanted && waits.isEmpty()) {
-      next.add(0, new Advance(index, standing.next()));
+
+    private RolloutLeader conclude(long stateIndex) {
+      if (advanceWanted && blocking.isEmpty()) {
+        wantedActions.add(0, new Advance(stateIndex, state.next()));
+      }
+      return new RolloutLeader(
+          timings,
+          disabledRules,
+          seen,
+          wantedActions,
+          advanceWanted ? blocking : List.of(),
+          nowMicros,
+          nextReadAtMicros);
     }
-    return new RolloutLeader(bounds, off, known, next, wanted ? waits : List.of(), now, wake);
   }
 
-  private long lapse() {
-    return off.contains(SafetyRule.LAPSE)
-        ? 0
-        : off.contains(SafetyRule.DRIFT)
-            ? bounds.leaseMicros() + bounds.operationMicros()
-            : bounds.leaseExpiryBoundMicros();
+  /** From when a member was seen revoked until nothing of it can still be in force. */
+  private long leaseExpiryMicros() {
+    if (disabledRules.contains(SafetyRule.LAPSE)) {
+      return 0;
+    }
+    return disabledRules.contains(SafetyRule.DRIFT)
+        ? timings.leaseMicros() + timings.operationMicros()
+        : timings.leaseExpiryBoundMicros();
   }
 
   /** Everything that its behaviour depends on, with times relative to now. */
-  String shape(long now) {
+  String fingerprint(long nowMicros) {
+    long greatestAgeMicros =
+        Math.max(timings.suspectAfterMicros(), timings.leaseExpiryBoundMicros());
     StringBuilder text = new StringBuilder();
-    since.forEach(
-        (key, s) ->
-            text.append(key)
-                .append(s.index())
+    sightings.forEach(
+        (memberKey, sighting) ->
+            text.append(memberKey)
+                .append(sighting.index())
                 .append('@')
-                .append(
-                    Math.min(
-                        now - s.at(),
-                        Math.max(bounds.suspectAfterMicros(), bounds.leaseExpiryBoundMicros())))
+                .append(Math.min(nowMicros - sighting.sinceMicros(), greatestAgeMicros))
                 .append(' '));
     return text.append(actions)
-        .append(Math.min(now - lookedAt, bounds.suspectAfterMicros()))
+        .append(Math.min(nowMicros - lastReadAtMicros, timings.suspectAfterMicros()))
         .toString();
   }
 }
--- a/core/src/test/java/shelffront/rollout/RolloutModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -610,7 +610,7 @@
     for (Gateway g : s.gateways()) {
       text.append('|')
           .append(g.life())
-          .append(g.holder().shape(g.clock()))
+          .append(g.holder().fingerprint(g.clock()))
           .append(g.open())
           .append(g.open() == null ? 0 : g.openUntil() - g.clock())
           .append(g.out())
@@ -622,7 +622,7 @@
     }
     for (Mover m : s.movers()) {
       text.append('|')
-          .append(m.owner().shape(m.clock()))
+          .append(m.owner().fingerprint(m.clock()))
           .append(m.standing())
           .append(m.index())
           .append(m.members());
