--- a/core/src/main/java/shelffront/distribution/ChangeLog.java
+++ b/core/src/main/java/shelffront/distribution/ChangeLog.java
@@ -2,28 +2,32 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Iterator;
 import java.util.List;
 
-/** The last changes of one incarnation, without a gap; bounded in number and in characters. */
+/**
+ * The last changes of one incarnation. Invariants: no gap between them; bounded in number and in
+ * characters. Threads: guarded by its owner.
+ */
 final class ChangeLog {
 
-  private final int mostChanges;
-  private final long mostCharacters;
+  private final int maxChanges;
+  private final long maxCharacters;
   private final ArrayDeque<RecordChange> changes = new ArrayDeque<>();
   private long characters;
   private Version start; // changes after this one are here
 
-  ChangeLog(int mostChanges, long mostCharacters, Version start) {
-    this.mostChanges = mostChanges;
-    this.mostCharacters = mostCharacters;
+  ChangeLog(int maxChanges, long maxCharacters, Version start) {
+    this.maxChanges = maxChanges;
+    this.maxCharacters = maxCharacters;
     this.start = start;
   }
 
-  /** Takes the change that follows the last one. */
+  /** Adds the change that follows the last one; the oldest ones go where a bound is passed. */
   void append(RecordChange change) {
     changes.addLast(change);
     characters += change.size();
-    while (changes.size() > mostChanges || characters > mostCharacters) {
+    while (changes.size() > maxChanges || characters > maxCharacters) {
       RecordChange oldest = changes.removeFirst();
       characters -= oldest.size();
       start = oldest.version();
@@ -42,16 +46,17 @@
     return after.incarnation() == start.incarnation() && !after.isBefore(start);
   }
 
-  /** The changes after a version that it {@link #reaches}, of what is followed. */
-  List<RecordChange> after(Version version, SubscriptionFilter interest) {
+  /** The changes after a version that it {@link #reaches}, of the names that match. */
+  List<RecordChange> after(Version version, SubscriptionFilter filter) {
     List<RecordChange> found = new ArrayList<>();
     // From the newest: a subscriber lacks few of many.
-    for (var each = changes.descendingIterator(); each.hasNext(); ) {
-      RecordChange change = each.next();
+    Iterator<RecordChange> newestFirst = changes.descendingIterator();
+    while (newestFirst.hasNext()) {
+      RecordChange change = newestFirst.next();
       if (!version.isBefore(change.version())) {
         break;
       }
-      if (interest.matches(change.name())) {
+      if (filter.matches(change.name())) {
         found.add(0, change);
       }
     }
--- a/core/src/main/java/shelffront/distribution/DistributorEndpoint.java
+++ b/core/src/main/java/shelffront/distribution/DistributorEndpoint.java
@@ -1,4 +1,10 @@
 package shelffront.distribution;
 
-/** A distributor that may be asked: its address, and where it stands. */
+/**
+ * A distributor that may be asked.
+ *
+ * @param address host and port
+ * @param region where it stands
+ * @param zone of the region; empty for a distributor of the whole region
+ */
 public record DistributorEndpoint(String address, String region, String zone) {}
--- a/core/src/main/java/shelffront/distribution/NegativeCache.java
+++ b/core/src/main/java/shelffront/distribution/NegativeCache.java
@@ -5,42 +5,45 @@
 
 /**
  * Names that had no record when they were last asked for, remembered for a while, so that a flood
- * of clients that name nobody stops here. Bounded: the one remembered for longest goes first. Times
- * are microseconds.
+ * of clients that name unknown databases stops here. Bounded: the one remembered for longest goes
+ * first. Times are microseconds. Threads: guarded by its owner.
  */
 public final class NegativeCache {
 
-  private final long rememberedFor;
-  private final LinkedHashMap<String, Long> until;
+  private final long timeToLiveMicros;
+  private final LinkedHashMap<String, Long> expiryByName;
 
-  public NegativeCache(int most, long rememberedFor) {
-    this.rememberedFor = rememberedFor;
-    until =
+  /** Remembers at most so many names, each for so long. */
+  public NegativeCache(int maxNames, long timeToLiveMicros) {
+    this.timeToLiveMicros = timeToLiveMicros;
+    expiryByName =
         new LinkedHashMap<>() {
           private static final long serialVersionUID = 1L;
 
           @Override
           protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > most;
+            return size() > maxNames;
           }
         };
   }
 
-  public void add(String name, long now) {
-    until.remove(name);
-    until.put(name, now + rememberedFor);
+  /** Remembers that a name has no record; it is the youngest from here on. */
+  public void add(String name, long nowMicros) {
+    expiryByName.remove(name);
+    expiryByName.put(name, nowMicros + timeToLiveMicros);
   }
 
   /** It has a record now, whatever was remembered. */
   public void remove(String name) {
-    until.remove(name);
+    expiryByName.remove(name);
   }
 
-  public boolean contains(String name, long now) {
-    Long end = until.get(name);
-    if (end != null && now >= end) {
-      until.remove(name);
+  /** Whether the name is remembered to have no record. */
+  public boolean contains(String name, long nowMicros) {
+    Long expiresAtMicros = expiryByName.get(name);
+    if (expiresAtMicros != null && nowMicros >= expiresAtMicros) {
+      expiryByName.remove(name);
     }
-    return end != null && now < end;
+    return expiresAtMicros != null && nowMicros < expiresAtMicros;
   }
 }
--- a/core/src/main/java/shelffront/distribution/RecordChange.java
+++ b/core/src/main/java/shelffront/distribution/RecordChange.java
@@ -1,8 +1,11 @@
 package shelffront.distribution;
 
 /**
- * One change of one record: its whole document after the change, null where it was removed. The
- * latest change of a name stands for the record.
+ * One change of one record. The latest change of a name stands for the record.
+ *
+ * @param version of the history that the change led to
+ * @param name of the record
+ * @param document the whole record after the change; null where it was removed
  */
 public record RecordChange(Version version, String name, String document) {
 
--- a/core/src/main/java/shelffront/distribution/RecordTable.java
+++ b/core/src/main/java/shelffront/distribution/RecordTable.java
@@ -4,10 +4,13 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 
 /**
- * All records at one version, and the last changes that led there. Holds no record's older state.
- * Not safe for several threads: its owner has a lock.
+ * All records at one version, and the last changes that led there. Invariants: the version never
+ * steps back, and no record's older state is kept.
+ *
+ * <p>Threads: not safe for several; its owner has a lock.
  */
 public final class RecordTable {
 
@@ -26,8 +29,8 @@
   private Version version = Version.NONE;
 
   /** Keeps so many changes of so many characters for subscribers that lag. */
-  public RecordTable(int mostChanges, long mostCharacters) {
-    log = new ChangeLog(mostChanges, mostCharacters, Version.NONE);
+  public RecordTable(int maxLogChanges, long maxLogCharacters) {
+    log = new ChangeLog(maxLogChanges, maxLogCharacters, Version.NONE);
   }
 
   public Version version() {
@@ -85,22 +88,22 @@
    * What a subscriber at a version lacks; null where it is ahead of this table, which then has
    * nothing to say.
    */
-  public Update updateFor(Version subscriber, SubscriptionFilter interest) {
-    if (version.isBefore(subscriber)) {
+  public Update updateFor(Version subscriberVersion, SubscriptionFilter filter) {
+    if (version.isBefore(subscriberVersion)) {
       return null;
     }
-    return log.reaches(subscriber)
-        ? new Update.Changes(subscriber, version, log.after(subscriber, interest))
-        : snapshot(interest);
+    return log.reaches(subscriberVersion)
+        ? new Update.Changes(subscriberVersion, version, log.after(subscriberVersion, filter))
+        : snapshot(filter);
   }
 
-  /** All that there is of what is followed. */
-  public Update.Snapshot snapshot(SubscriptionFilter interest) {
+  /** All records that a subscriber follows. */
+  public Update.Snapshot snapshot(SubscriptionFilter filter) {
     List<RecordChange> found = new ArrayList<>();
-    if (interest.matchesAll()) {
+    if (filter.matchesAll()) {
       found.addAll(records.values());
     } else {
-      interest.names().stream().map(records::get).filter(r -> r != null).forEach(found::add);
+      filter.names().stream().map(records::get).filter(Objects::nonNull).forEach(found::add);
     }
     return new Update.Snapshot(version, found);
   }
--- a/core/src/main/java/shelffront/distribution/ReplicatedView.java
+++ b/core/src/main/java/shelffront/distribution/ReplicatedView.java
@@ -10,17 +10,21 @@
 import java.util.Set;
 
 /**
- * The records of the names that a subscriber follows, as of a version that never steps back. What
- * is in force changes by what {@link #apply} and {@link #follow} give, in that order. Not safe for
- * several threads: its owner has a lock.
+ * The records of the names that a subscriber follows, as of one version.
  *
- * <p>The set of names has an edition. A distributor answers for the edition that it was told; an
+ * <p>Invariants, each a {@link Guard}: the version never steps back, and no record does; changes
+ * are taken only on top of the version that they follow. What is in force changes by what {@link
+ * #apply} and {@link #follow} give, in that order.
+ *
+ * <p>The set of names has an edition. A distributor answers for the edition that it was given; an
  * answer for another one is of no use, since changes of a name that it does not know of would be
  * missing between two versions.
+ *
+ * <p>Threads: not safe for several; its owner has a lock.
  */
 public final class ReplicatedView {
 
-  /** What keeps the view right; tests switch single ones off to see that each is missed. */
+  /** The rules that keep the view right; tests disable single ones to see that each is missed. */
   enum Guard {
     /** Nothing older than the view is taken. */
     VIEW_NEVER_STEPS_BACK,
@@ -42,6 +46,7 @@
   private Version version = Version.NONE;
   private long edition;
 
+  /** A view of nothing, with all guards. */
   public ReplicatedView() {
     this(EnumSet.allOf(Guard.class));
   }
@@ -50,10 +55,10 @@
     this.guards = guards;
   }
 
-  /** Begins with what was kept from an earlier run. */
-  public void restore(Version keptVersion, Collection<RecordChange> keptRecords) {
-    version = keptVersion;
-    for (RecordChange record : keptRecords) {
+  /** Begins with what an earlier run had in force. */
+  public void restore(Version cachedVersion, Collection<RecordChange> cachedRecords) {
+    version = cachedVersion;
+    for (RecordChange record : cachedRecords) {
       names.add(record.name());
       records.put(record.name(), record);
     }
@@ -63,7 +68,7 @@
     return version;
   }
 
-  /** Counts how often names were added to those that distributors are told. */
+  /** Counts how often names were added to those that distributors are asked to follow. */
   public long edition() {
     return edition;
   }
@@ -86,8 +91,8 @@
   }
 
   /**
-   * Begins to ask for names, from this edition on; each is followed once {@link #follow} has been
-   * told its record.
+   * Begins to ask for names, from this edition on; each is followed once {@link #follow} was given
+   * its record.
    */
   public long beginEdition() {
     return ++edition;
@@ -139,8 +144,8 @@
     if (forEdition != edition && guards.contains(Guard.EDITION)) {
       return false;
     }
-    if (update instanceof Update.Changes c
-        && !c.after().equals(version)
+    if (update instanceof Update.Changes changes
+        && !changes.after().equals(version)
         && guards.contains(Guard.CHANGES_FOLLOW)) {
       return false;
     }
@@ -149,13 +154,13 @@
 
   private void removeAbsent(Update.Snapshot snapshot, List<RecordChange> inForce) {
     Set<String> present = new HashSet<>();
-    snapshot.records().forEach(r -> present.add(r.name()));
-    for (RecordChange held : List.copyOf(records.values())) {
-      boolean ahead =
-          snapshot.version().isBefore(held.version()); // fetched from a distributor that is further
-      if (!present.contains(held.name()) && !ahead && guards.contains(Guard.ABSENT_IS_REMOVED)) {
-        records.remove(held.name());
-        inForce.add(new RecordChange(snapshot.version(), held.name(), null));
+    snapshot.records().forEach(record -> present.add(record.name()));
+    for (RecordChange known : List.copyOf(records.values())) {
+      // It may have been fetched from a distributor that is ahead of this snapshot.
+      boolean isAhead = snapshot.version().isBefore(known.version());
+      if (!present.contains(known.name()) && !isAhead && guards.contains(Guard.ABSENT_IS_REMOVED)) {
+        records.remove(known.name());
+        inForce.add(new RecordChange(snapshot.version(), known.name(), null));
       }
     }
   }
@@ -169,9 +174,9 @@
   }
 
   private boolean put(RecordChange change) {
-    RecordChange present = records.get(change.name());
-    if (present != null
-        && !present.version().isBefore(change.version())
+    RecordChange known = records.get(change.name());
+    if (known != null
+        && !known.version().isBefore(change.version())
         && guards.contains(Guard.RECORD_NEVER_STEPS_BACK)) {
       return false;
     }
--- a/core/src/main/java/shelffront/distribution/SubscriptionFilter.java
+++ b/core/src/main/java/shelffront/distribution/SubscriptionFilter.java
@@ -2,11 +2,18 @@
 
 import java.util.Set;
 
-/** The records that a subscriber follows: all, or those of these names. */
+/**
+ * Which records a subscriber follows.
+ *
+ * @param matchesAll whether it follows every record, whatever the names
+ * @param names those that it follows otherwise
+ */
 public record SubscriptionFilter(boolean matchesAll, Set<String> names) {
 
+  /** Follows every record. */
   public static final SubscriptionFilter ALL = new SubscriptionFilter(true, Set.of());
 
+  /** Follows the records of these names, as they are now. */
   public static SubscriptionFilter ofNames(Set<String> names) {
     return new SubscriptionFilter(false, Set.copyOf(names));
   }
