--- a/gateway/src/main/java/shelffront/net/Connection.java
+++ b/gateway/src/main/java/shelffront/net/Connection.java
@@ -5,78 +5,73 @@
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.AsynchronousSocketChannel;
-import java.nio.channels.CompletionHandler;
-import java.util.ArrayDeque;
 import java.util.function.BiConsumer;
 
 /**
- * One socket with its buffers, whatever is spoken on it. All methods run on the loop thread. A
- * connection ends exactly once, by {@link #close}, which leaves its line in the log.
+ * One socket with its input and output, whatever protocol is spoken on it.
+ *
+ * <p>Invariants: every method runs on the loop thread, {@link #hasUnprocessedInput} apart; at most
+ * one read and one write are outstanding; a connection ends exactly once, by {@link #close}, which
+ * writes its line to the log and then calls {@link #onClosed}.
  */
 public abstract class Connection {
 
-  private static final int FIRST_BUFFER = 4096;
-  private static final long LINGER = 500_000;
-  private static final int GREATEST_DROPPED = 1 << 20;
-  private static final long STALL =
-      10_000_000; // A peer that takes nothing for so long is given up.
-  private static final int GREATEST_AHEAD =
-      192 * 1024; // Read only to see the peer's end behind it.
+  /** How long a connection in its lingering close waits for the peer's end. */
+  private static final long LINGER_MICROS = 500_000;
+
+  /** A peer that takes none of a write for so long is given up. */
+  private static final long WRITE_STALL_MICROS = 10_000_000;
+
+  /** A move to another loop: the loop's network, and the first task of the connection there. */
+  private record LoopMove(Network target, Runnable firstTask) {}
 
   protected Network network;
   private final String kind;
-  private final int greatestBuffer;
   private final AsynchronousSocketChannel channel;
-  private final ArrayDeque<byte[]> output = new ArrayDeque<>();
-  private ByteBuffer input = ByteBuffer.allocate(FIRST_BUFFER);
-  private final ArrivalTimes arrivals = new ArrivalTimes();
-  private long consumed; // bytes that were taken out of the input before those that it holds
-  private ByteBuffer writing;
-  private EventLoop.Deadline stall;
+  private final ConnectionReader reader;
+  private final OutputBuffer output = new OutputBuffer();
+  private EventLoop.Deadline stallDeadline;
   private boolean connected;
-  private boolean reading;
-  private boolean readingAhead; // the read that is out is not into the input
-  private boolean offering;
-  private ByteBuffer ahead; // only while a read ahead is out
 
-  /** What a read brought waits for its turn on the loop. Set by the thread that completes it. */
+  /** What a read brought waits for its turn on the loop. Set by the completion thread. */
   private volatile boolean unprocessedInput;
 
-  private boolean paused; // what was read is not all consumed, since no more input was wanted
-  private CloseReason peerEnded;
-  private CloseReason closeWhenWritten;
-  private Runnable
-      moving; // what begins on the loop that it moves to, once nothing of it is out here
-  private Network movingTo;
-  private int toDrop; // bytes still read for nothing while a connection ends
-  private long dropped; // bytes read for nothing behind what can't be understood
+  private CloseReason peerEndReason;
+  private CloseReason closeWhenWrittenReason;
+  private LoopMove pendingMove;
   private boolean closed;
 
   protected Connection(
-      Network network, String kind, AsynchronousSocketChannel channel, int greatestBuffer) {
+      Network network, String kind, AsynchronousSocketChannel channel, int maxInputBytes) {
     this.network = network;
     this.kind = kind;
     this.channel = channel;
-    this.greatestBuffer = greatestBuffer;
+    reader = new ConnectionReader(this, channel, maxInputBytes);
   }
 
-  /**
-   * What has arrived and was not consumed; whatever is left in it is offered again with what
-   * follows.
-   */
+  /** Takes bytes that were read; what is left unconsumed is offered again with what follows. */
   protected abstract void onBytesReceived(ByteBuffer bytes);
 
-  /**
-   * When the last byte taken from what {@link #onBytesReceived} was given had been read from the
-   * socket. Bytes may have stood in the buffer for long by then, behind commands that come first.
-   */
-  protected final long arrivalMicrosOfConsumed(ByteBuffer bytes) {
-    return arrivals.readTime(consumed + bytes.position());
-  }
-
   /** All output was handed to the socket. */
   protected void onOutputWritten() {}
 
+  /** Nothing of it is outstanding on the present loop, which it leaves now. */
+  protected void onLeavingLoop() {}
+
+  /** Nothing more is sent on it; it ends with its peer's end, or after a bounded time. */
+  protected void onLingering() {}
+
+  /** Called once, after the socket was closed. */
+  protected abstract void onClosed(CloseReason reason);
+
+  /** Input that exceeds a bound; a protocol may send an error to its peer before it closes. */
+  protected void onInputOverflow(CloseReason reason) {
+    close(reason);
+  }
+
+  /** What the log line says of this connection beside the reason. */
+  protected abstract String describe();
+
   /**
    * Whether to take what was read; a connection that says no calls {@link #readMore} later. Reading
    * goes on ahead of that, as far as there is room, so that the peer's end is seen behind what
@@ -86,112 +81,122 @@
     return true;
   }
 
-  /** Whether what is read is of no use any more and is dropped; the peer's end is still seen. */
+  /** Whether what is read is of no use any more; the peer's end is still seen. */
   protected boolean discardsInput() {
     return false;
   }
 
-  /** Bytes, or the peer's end, were read from the system and have not been looked at yet. */
+  /**
+   * When the last byte taken from what {@link #onBytesReceived} was given had been read from the
+   * socket. Bytes may have stood in the buffer for long by then, behind commands that come first.
+   */
+  protected final long arrivalMicrosOfConsumed(ByteBuffer bytes) {
+    return reader.input().arrivalMicros(bytes);
+  }
+
+  /** Whether bytes, or the peer's end, were read and wait for their turn on the loop. */
   public final boolean hasUnprocessedInput() {
     return unprocessedInput;
   }
 
+  final void setUnprocessedInput(boolean unprocessed) {
+    unprocessedInput = unprocessed;
+  }
+
   /**
    * Whether it is ending: its peer has ended, or its last output is out or being written. Nothing
    * is begun for it.
    */
   protected final boolean isEnding() {
-    return closed || closeWhenWritten != null || peerEnded != null;
+    return closed || closeWhenWrittenReason != null || peerEndReason != null;
   }
 
-  /** Called once, after the socket was closed. */
-  protected abstract void onClosed(CloseReason reason);
+  public final boolean isClosed() {
+    return closed;
+  }
+
+  /** Whether it is closed or will be once its output is written. */
+  final boolean isClosing() {
+    return closed || closeWhenWrittenReason != null;
+  }
+
+  final boolean isConnected() {
+    return connected;
+  }
+
+  final boolean isMoving() {
+    return pendingMove != null;
+  }
+
+  /** Nothing waits to be written. */
+  protected final boolean isOutputEmpty() {
+    return output.isEmpty();
+  }
+
+  protected final long nowMicros() {
+    return network.loop().nowMicros();
+  }
 
   /**
-   * Belongs to another view of the same loop from now on, a tenant's; false if that has no room for
-   * its buffer.
+   * Makes it part of another view of the same loop, a tenant's.
+   *
+   * @return false, with nothing changed, where that view's budget has no room for its buffer
    */
-  protected final boolean tryJoinTenant(Network next) {
-    long counted = input.capacity() - FIRST_BUFFER;
-    if (!next.budget().tryAcquire(counted)) {
+  protected final boolean tryJoinTenant(Network tenantNetwork) {
+    long budgetedBytes = reader.input().budgetedBytes();
+    if (!tenantNetwork.budget().tryAcquire(budgetedBytes)) {
       return false;
     }
-    network.budget().release(counted);
-    network = next;
+    network.budget().release(budgetedBytes);
+    network = tenantNetwork;
     return true;
   }
 
   /**
    * Moves to another loop, once what is being read is parsed and what was written has gone out:
-   * from then on nothing of it is on this one, and {@code there} runs on that one, as its first
+   * from then on nothing of it is on this one, and {@code firstTask} runs on that one, as its first
    * turn. Neither loop has it in between.
    */
-  protected final void moveToLoop(Network next, Runnable there) {
-    movingTo = next;
-    moving = there;
+  protected final void moveToLoop(Network target, Runnable firstTask) {
+    pendingMove = new LoopMove(target, firstTask);
   }
 
-  private void completeMove() {
-    if (moving == null || reading || !isOutputEmpty()) {
+  final void completeMove() {
+    if (pendingMove == null || reader.isReading() || !isOutputEmpty()) {
       return;
     }
     network.loop().cancelFlush(this);
-    if (stall != null) {
-      stall.cancel();
+    if (stallDeadline != null) {
+      stallDeadline.cancel();
     }
-    Runnable there = moving;
-    moving = null;
+    LoopMove move = pendingMove;
+    pendingMove = null;
     onLeavingLoop();
-    network = movingTo;
-    network.loop().post(there);
+    network = move.target();
+    network.loop().post(move.firstTask());
   }
 
-  /** Nothing of it is out on the present loop, which it leaves now. */
-  protected void onLeavingLoop() {}
-
-  /**
-   * Goes on after a move, on the new loop: with what had been read before, then with what comes.
-   */
+  /** Goes on after a move, on the new loop: with what had been read before, then what comes. */
   protected final void resumeAfterMove() {
-    offerInput();
-    readMore();
+    reader.offerInput();
+    reader.readMore();
   }
 
-  /**
-   * Offers what was read, whether or not anything was left when input was last wanted; then reads
-   * on.
-   */
+  /** Offers what was read whether or not anything was left when input was last wanted; reads on. */
   protected final void reofferInput() {
-    paused = true;
-    readMore();
+    reader.reofferInput();
   }
 
-  protected final long nowMicros() {
-    return network.loop().nowMicros();
-  }
-
-  public final boolean isClosed() {
-    return closed;
-  }
-
-  /** Nothing waits to be written. */
-  protected final boolean isOutputEmpty() {
-    return writing == null && output.isEmpty();
+  protected final void connect(SocketAddress address) {
+    channel.connect(address, null, onCompletion(this::onConnected));
   }
 
-  protected final void connect(SocketAddress address) {
-    channel.connect(
-        address,
-        null,
-        handler(
-            (none, failure) -> {
-              if (failure != null) {
-                close(CloseReason.CONNECT_FAILED);
-              } else {
-                startReading();
-              }
-            },
-            false));
+  private void onConnected(Void none, Throwable failure) {
+    if (failure != null) {
+      close(CloseReason.CONNECT_FAILED);
+    } else {
+      startReading();
+    }
   }
 
   /** Begins reading on a channel that is connected. */
@@ -207,182 +212,91 @@
     readMore();
   }
 
+  /** Offers input that waits and is wanted now, then starts a read where none is outstanding. */
   protected final void readMore() {
-    if (offering
-        || closed
-        || !connected
-        || peerEnded != null
-        || closeWhenWritten != null
-        || moving != null) {
-      return;
-    }
-    if (paused && wantsInput() && (!reading || readingAhead)) {
-      // Nothing more may ever come that would have the rest looked at.
-      offerInput();
-      if (moving != null) {
-        completeMove();
-        return;
-      }
-      if (closed || closeWhenWritten != null) {
-        return;
-      }
-    }
-    if (reading) {
-      return;
-    }
-    if (wantsInput()) {
-      if (!input.hasRemaining() && !grow()) {
-        return;
-      }
-      reading = true;
-      channel.read(input, null, handler(this::onRead, true));
-    } else if (hasRoomAhead()) {
-      // What waits in the input may be taken while this read is out, so it has a buffer of its own.
-      ahead = ahead == null ? ByteBuffer.allocate(FIRST_BUFFER) : ahead.clear();
-      reading = true;
-      readingAhead = true;
-      channel.read(ahead, null, handler(this::onRead, true));
-    }
+    reader.readMore();
   }
 
   /**
-   * Whether what a read ahead may bring fits behind what waits; where not, the peer's end is seen
-   * later.
+   * Whether a request was written whole is known only when the outstanding write has ended. A
+   * peer's end may be seen before that, and taken alone would pass for "not executed"; until then
+   * nothing is begun.
    */
-  private boolean hasRoomAhead() {
-    if (discardsInput()) {
-      dropped += input.position();
-      consumed += input.position();
-      input.clear();
-      paused = false;
-      return dropped <= GREATEST_DROPPED;
+  final void onPeerEnd(CloseReason reason) {
+    peerEndReason = reason;
+    if (!output.isWriting()) {
+      close(closeWhenWrittenReason != null ? closeWhenWrittenReason : peerEndReason);
     }
-    return input.remaining() >= FIRST_BUFFER
-        || input.capacity() < Math.min(greatestBuffer, GREATEST_AHEAD) && enlarge();
-  }
-
-  private void onRead(Integer count, Throwable failure) {
-    boolean wasAhead = readingAhead;
-    readingAhead = false;
-    if (failure != null || count < 0) {
-      reading = false;
-      // Whether a request was written whole is known only when the write that is out has ended: a
-      // peer's
-      // end may be seen before it, and taken alone would pass for "never ran". Until then nothing
-      // is begun.
-      peerEnded = failure != null ? CloseReason.PEER_RESET : CloseReason.PEER_CLOSED;
-      if (writing == null) {
-        close(closeWhenWritten != null ? closeWhenWritten : peerEnded);
-      }
-      return;
+  }
+
+  /** Queues bytes; they are written when the loop's turn ends. */
+  protected final void write(byte[] bytes) {
+    if (!closed && closeWhenWrittenReason == null) {
+      output.add(bytes);
+      network.loop().flushLater(this);
     }
-    network.counters().add(Counters.Name.BYTES_IN, count);
-    if (toDrop > 0) {
-      discardInput(count);
+  }
+
+  final void flush() {
+    if (closed || !connected || output.isWriting() || !output.hasQueued()) {
       return;
     }
-    arrivals.read(count, nowMicros());
-    if (wasAhead) {
-      input.put(ahead.flip());
-      ahead = null;
-    }
-    reading = false;
-    if (wantsInput()) {
-      offerInput();
-    } else {
-      paused = true;
-    }
-    if (moving != null) {
-      completeMove();
-    } else {
-      readMore();
-    }
+    ByteBuffer bytes = output.beginWrite();
+    network.counters().add(Counters.Name.BYTES_OUT, bytes.remaining());
+    stallDeadline =
+        network
+            .loop()
+            .scheduleAt(nowMicros() + WRITE_STALL_MICROS, () -> close(CloseReason.WRITE_STALLED));
+    channel.write(bytes, null, onCompletion(this::onWritten));
   }
 
-  /** No read is begun from within: it would fill the buffer while it is being parsed. */
-  private void offerInput() {
-    offering = true;
-    input.flip();
-    int before;
-    do {
-      before = input.remaining();
-      onBytesReceived(input);
-    } while (input.remaining() < before
-        && input.hasRemaining()
-        && !closed
-        && moving == null
-        && wantsInput());
-    paused = input.hasRemaining() && !wantsInput();
-    consumed += input.position();
-    input.compact();
-    if (input.position() == 0) {
-      arrivals.allTaken();
+  private void onWritten(Integer byteCount, Throwable failure) {
+    if (failure != null) {
+      close(CloseReason.PEER_RESET);
+      return;
     }
-    if (input.position() == 0 && input.capacity() > FIRST_BUFFER) {
-      network.budget().release(input.capacity() - FIRST_BUFFER);
-      input = ByteBuffer.allocate(FIRST_BUFFER);
+    if (output.inFlight().hasRemaining()) {
+      channel.write(output.inFlight(), null, onCompletion(this::onWritten));
+      return;
     }
-    offering = false;
-  }
-
-  /**
-   * A message larger than the buffer: more room within this connection's bound and that of all
-   * together.
-   */
-  private boolean grow() {
-    if (input.capacity() == greatestBuffer) {
-      onInputOverflow(CloseReason.TOO_LARGE);
-      return false;
+    stallDeadline.cancel();
+    output.endWrite();
+    if (!output.hasQueued()) {
+      onOutputWritten();
     }
-    if (!enlarge()) {
-      onInputOverflow(CloseReason.NO_MEMORY);
-      return false;
+    if (closed) {
+      return;
     }
-    return true;
-  }
-
-  private boolean enlarge() {
-    int wanted = Math.min(greatestBuffer, input.capacity() * 4);
-    if (!network.budget().tryAcquire(wanted - input.capacity())) {
-      return false;
+    if (pendingMove != null && !output.hasQueued()) {
+      completeMove();
+      return;
     }
-    ByteBuffer larger = ByteBuffer.allocate(wanted);
-    larger.put(input.flip());
-    input = larger;
-    return true;
-  }
-
-  /** Input that can't be taken; a protocol may tell its peer before it closes. */
-  protected void onInputOverflow(CloseReason reason) {
-    close(reason);
-  }
-
-  protected final void write(byte[] bytes) {
-    if (!closed && closeWhenWritten == null) {
-      output.add(bytes);
-      network.loop().flushLater(this);
+    network.loop().flushLater(this);
+    if (peerEndReason != null) {
+      close(peerEndReason);
+    } else if (closeWhenWrittenReason != null && !output.hasQueued()) {
+      startLingering();
     }
   }
 
   /**
    * Ends, in order, a connection of which nothing is owed: stops sending, then reads to the peer's
-   * end, within a bound, and closes. What the peer sent until it saw that end is dropped. Not done,
-   * and false, where something was read already and only waits for its turn: that may be a request,
-   * which was taken.
+   * end, within a bound, and closes. What the peer sent until it saw that end is discarded.
+   *
+   * @return false, with nothing done, where something was read already and only waits for its turn:
+   *     that may be a request, which was taken
    */
   protected final boolean tryCloseInOrder(CloseReason reason) {
-    if (unprocessedInput || moving != null || isEnding()) {
+    if (unprocessedInput || pendingMove != null || isEnding()) {
       return false;
     }
     closeWhenWritten(reason);
     return true;
   }
 
-  /**
-   * Writes what is waiting, then closes; nothing more is written, and what still comes is dropped.
-   */
+  /** Writes what waits, then closes; nothing more is written, and what comes is discarded. */
   protected final void closeWhenWritten(CloseReason reason) {
-    closeWhenWritten = closeWhenWritten == null ? reason : closeWhenWritten;
+    closeWhenWrittenReason = closeWhenWrittenReason == null ? reason : closeWhenWrittenReason;
     if (isOutputEmpty()) {
       startLingering();
     }
@@ -396,139 +310,44 @@
     try {
       channel.shutdownOutput();
     } catch (IOException e) {
-      close(closeWhenWritten);
+      close(closeWhenWrittenReason);
       return;
     }
     onLingering();
-    stall = network.loop().scheduleAt(nowMicros() + LINGER, () -> close(closeWhenWritten));
-    toDrop = GREATEST_DROPPED;
-    if (!reading) {
-      discardInput(0);
-    }
-  }
-
-  /** Nothing more is sent on it; it ends with its peer's end, or after a moment. */
-  protected void onLingering() {}
-
-  private void discardInput(int count) {
-    toDrop -= count;
-    if (toDrop <= 0) {
-      close(closeWhenWritten);
-      return;
-    }
-    reading = true;
-    input.clear();
-    channel.read(input, null, handler(this::onRead, true));
-  }
-
-  final void flush() {
-    if (closed || !connected || writing != null || output.isEmpty()) {
-      return;
-    }
-    int size = output.stream().mapToInt(b -> b.length).sum();
-    writing = ByteBuffer.allocate(size);
-    output.forEach(writing::put);
-    output.clear();
-    writing.flip();
-    network.counters().add(Counters.Name.BYTES_OUT, size);
-    stall = network.loop().scheduleAt(nowMicros() + STALL, () -> close(CloseReason.WRITE_STALLED));
-    channel.write(writing, null, handler(this::onWritten, false));
+    stallDeadline =
+        network.loop().scheduleAt(nowMicros() + LINGER_MICROS, this::closeAfterLingering);
+    reader.startDiscarding();
   }
 
-  private void onWritten(Integer count, Throwable failure) {
-    if (failure != null) {
-      close(CloseReason.PEER_RESET);
-      return;
-    }
-    if (writing.hasRemaining()) {
-      channel.write(writing, null, handler(this::onWritten, false));
-      return;
-    }
-    stall.cancel();
-    writing = null;
-    if (output.isEmpty()) {
-      onOutputWritten();
-    }
-    if (closed) {
-      return;
-    }
-    if (moving != null && output.isEmpty()) {
-      completeMove();
-      return;
-    }
-    network.loop().flushLater(this);
-    if (peerEnded != null) {
-      close(peerEnded);
-    } else if (closeWhenWritten != null && output.isEmpty()) {
-      startLingering();
-    }
+  final void closeAfterLingering() {
+    close(closeWhenWrittenReason);
   }
 
+  /** Closes the socket at once; without effect on a connection that is closed already. */
   public final void close(CloseReason reason) {
     if (closed) {
       return;
     }
     closed = true;
-    if (stall != null) {
-      stall.cancel();
+    if (stallDeadline != null) {
+      stallDeadline.cancel();
     }
-    network.budget().release(input.capacity() - FIRST_BUFFER);
+    network.budget().release(reader.input().budgetedBytes());
     try {
       channel.close();
     } catch (IOException e) {
       network.log().println("close " + kind + " failed: " + e.getMessage());
     }
-    network
-        .log()
-        .println(
-            "end "
-                + kind
-                + " "
-                + describe()
-                + (network.tenantId().isEmpty() ? "" : " tenant=" + network.tenantId())
-                + " reason="
-                + reason.code());
+    network.log().println(closeLine(reason));
     onClosed(reason);
   }
 
-  /** What the log line says of this connection beside the reason. */
-  protected abstract String describe();
+  private String closeLine(CloseReason reason) {
+    String tenant = network.tenantId().isEmpty() ? "" : " tenant=" + network.tenantId();
+    return "end " + kind + " " + describe() + tenant + " reason=" + reason.code();
+  }
 
-  /** Passes a result to the loop thread; one that comes after the end is dropped there. */
-  private <T> CompletionHandler<T, Void> handler(BiConsumer<T, Throwable> then, boolean ofRead) {
-    return new CompletionHandler<>() {
-      @Override
-      public void completed(T result, Void none) {
-        pass(result, null);
-      }
-
-      @Override
-      public void failed(Throwable failure, Void none) {
-        pass(null, failure);
-      }
-
-      private void pass(T result, Throwable failure) {
-        if (ofRead) {
-          unprocessedInput = true;
-        }
-        network.post(
-            () -> {
-              try {
-                if (ofRead) {
-                  unprocessedInput = false;
-                }
-                if (!closed) {
-                  then.accept(result, failure);
-                }
-              } catch (RuntimeException e) {
-                network.counters().add(Counters.Name.FAULTS);
-                e.printStackTrace();
-                close(
-                    CloseReason
-                        .FAULT); // or it would stay open, marked as reading, and never read again
-              }
-            });
-      }
-    };
+  private <T> PostingCompletionHandler<T> onCompletion(BiConsumer<T, Throwable> consumer) {
+    return new PostingCompletionHandler<>(this, false, consumer);
   }
 }
