--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -9,6 +9,7 @@
 import shelffront.net.Network;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
+import shelffront.pg.SqlState;
 import shelffront.routing.AttemptStatus;
 
 /**
@@ -41,7 +42,7 @@
       BackendHost host,
       BackendConnections servers,
       long openWithin) {
-    super(network, "host", channel, Message.GREATEST_ROW);
+    super(network, "host", channel, Message.MAX_ROW_BYTES);
     this.host = host;
     address = host.address;
     this.servers = servers;
@@ -156,7 +157,8 @@
       return false;
     }
     if (!requestWritten) {
-      throw new ProtocolException("08P01", "it came before the request was written");
+      throw new ProtocolException(
+          SqlState.PROTOCOL_VIOLATION, "it came before the request was written");
     }
     Message m = answer.next(bytes);
     if (m == null) {
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -7,6 +7,7 @@
 import java.util.Set;
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
+import shelffront.pg.SqlState;
 import shelffront.routing.AttemptStatus;
 import shelffront.routing.LoadReport;
 
@@ -26,6 +27,14 @@
   }
 
   private static final int GREATEST_OTHER = 8192; // Any message but a row.
+
+  private static final Map<String, AttemptStatus> STATUS_BY_SQLSTATE =
+      Map.of(
+          SqlState.READ_ONLY_SQL_TRANSACTION.code(), AttemptStatus.REPLICA_UNSUITABLE,
+          SqlState.SNAPSHOT_TOO_OLD.code(), AttemptStatus.REPLICA_UNSUITABLE,
+          SqlState.TOO_MANY_CONNECTIONS.code(), AttemptStatus.CAPACITY_EXCEEDED,
+          SqlState.CANNOT_CONNECT_NOW.code(), AttemptStatus.CAPACITY_EXCEEDED);
+
   private static final Set<String> TOLD = Set.of("server_role", "commit_clock", "usage");
 
   private final ByteArrayOutputStream messages = new ByteArrayOutputStream();
@@ -51,7 +60,7 @@
     return Message.next(
         in,
         types,
-        in.hasRemaining() && in.get(in.position()) == 'D' ? Message.GREATEST_ROW : GREATEST_OTHER);
+        in.hasRemaining() && in.get(in.position()) == 'D' ? Message.MAX_ROW_BYTES : GREATEST_OTHER);
   }
 
   void take(Message m) throws ProtocolException {
@@ -73,7 +82,8 @@
       }
       case 'C' -> {
         if (!m.texts(1)[0].matches("SHOW|[A-Z]+( [0-9]+)? 1")) {
-          throw new ProtocolException("08P01", "not the tag of a command with one row");
+          throw new ProtocolException(
+              SqlState.PROTOCOL_VIOLATION, "not the tag of a command with one row");
         }
         keep(m, Part.READY);
       }
@@ -82,13 +92,14 @@
         errorCode = fields.getOrDefault('C', "");
         fatal = "FATAL".equals(fields.get('S'));
         if (!errorCode.matches("[0-9A-Z]{5}")) {
-          throw new ProtocolException("08P01", "not an SQLSTATE");
+          throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "not an SQLSTATE");
         }
         part = Part.READY;
       }
       default -> {
         if (m.body().length != 1 || m.body()[0] != 'I') {
-          throw new ProtocolException("08P01", "not the state of a session outside a transaction");
+          throw new ProtocolException(
+              SqlState.PROTOCOL_VIOLATION, "not the state of a session outside a transaction");
         }
         part = Part.OVER;
       }
@@ -130,11 +141,7 @@
     AttemptStatus status =
         errorCode == null
             ? AttemptStatus.OK
-            : switch (errorCode) {
-              case "25006", "72000" -> AttemptStatus.REPLICA_UNSUITABLE;
-              case "53300", "57P03" -> AttemptStatus.CAPACITY_EXCEEDED;
-              default -> AttemptStatus.ERROR;
-            };
+            : STATUS_BY_SQLSTATE.getOrDefault(errorCode, AttemptStatus.ERROR);
     LoadReport report = LoadReportParser.read(probe ? value : told.get("usage"));
     return new BackendResponse(
         status,
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -16,6 +16,7 @@
 import shelffront.net.Counters;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
+import shelffront.pg.SqlState;
 import shelffront.request.ClientRequest;
 import shelffront.routing.RequestClass;
 
@@ -183,7 +184,8 @@
     connection.begin();
     if (connections.size() + awayCount() > mostConnections && !evict()) {
       connection.endWithError(
-          new ProtocolException("53300", "too many connections"), CloseReason.NO_PLACE);
+          new ProtocolException(SqlState.TOO_MANY_CONNECTIONS, "too many connections"),
+          CloseReason.NO_PLACE);
     }
     makeRoom();
     if (!accepting && listener.isOpen()) {
@@ -214,17 +216,20 @@
    */
   private boolean evict() {
     ClientConnection victim = null;
-    for (ClientConnection c : connections) {
-      if (c.mayRetire() && c.isSilent()) {
-        victim = c;
-        break;
+    for (ClientConnection candidate : connections) {
+      if (!candidate.mayRetire()) {
+        continue;
+      }
+      if (candidate.isSilent()) {
+        return candidate.retire(CloseReason.EVICTED);
+      }
+      if (victim == null || candidate.siblingCount() > victim.siblingCount()) {
+        victim = candidate;
       }
-      victim = c.mayRetire() && (victim == null || c.siblings() > victim.siblings()) ? c : victim;
     }
-    for (var each = connections.iterator(); victim == null && each.hasNext(); ) {
-      ClientConnection c = each.next();
-      victim =
-          c.mayMakeRoom() ? c : null; // so many came together that none could be silent for long
+    if (victim == null) {
+      // So many came together that none could be silent for long.
+      victim = connections.stream().filter(ClientConnection::mayMakeRoom).findFirst().orElse(null);
     }
     return victim != null && victim.retire(CloseReason.EVICTED);
   }
@@ -240,45 +245,43 @@
   /**
    * A connection leaves for another loop's clients; its place here stays taken until it ends there.
    */
-  void leaves(ClientConnection connection, FrontendConnections to) {
+  void onMovedAway(ClientConnection connection, FrontendConnections to) {
     connections.remove(connection);
     away.merge(to, 1, Integer::sum);
   }
 
   /** A connection that came in elsewhere lives here from now on. */
-  void arrives(ClientConnection connection) {
+  void onArrived(ClientConnection connection) {
     connections.add(connection);
   }
 
   /** One that came in here has ended with another loop's clients. */
-  void endedAway(Map<String, String> startup, FrontendConnections there) {
+  void onClosedElsewhere(Map<String, String> startup, FrontendConnections there) {
     tenantLookup.onConnectionClosed(startup, there);
     away.merge(there, -1, (a, b) -> a + b == 0 ? null : a + b);
     makeRoom();
   }
 
   /** Keeps the connections in the order of their last use. */
-  void used(ClientConnection connection) {
+  void onUsed(ClientConnection connection) {
     if (connections.remove(connection)) {
       connections.add(connection);
     }
   }
 
   /** The connection may have nothing more to do. */
-  void finished(ClientConnection connection) {
-    if (draining) {
-      if (connection.mayRetire()) {
-        connection.retire(CloseReason.DRAINED);
-      }
+  void onMaybeIdle(ClientConnection connection) {
+    if (draining && connection.mayRetire()) {
+      connection.retire(CloseReason.DRAINED);
     }
-    makeRoom(); // one that fell idle gives its place to one that waits in the backlog
+    makeRoom(); // One that fell idle gives its place to one that waits in the backlog.
   }
 
   /**
    * Nothing more is sent on the connection. It has no place any more, but a descriptor, of which
    * there are few.
    */
-  void lingers(ClientConnection connection) {
+  void onLingering(ClientConnection connection) {
     connections.remove(connection);
     lingering.add(connection);
     if (lingering.size() > mostLingering) {
@@ -287,7 +290,7 @@
     makeRoom();
   }
 
-  void ended(ClientConnection connection) {
+  void onClosed(ClientConnection connection) {
     connections.remove(connection);
     lingering.remove(connection);
     makeRoom();
@@ -315,7 +318,7 @@
       network
           .loop()
           .scheduleAt(
-              network.loop().nowMicros() + ClientConnection.BRIEF + 1,
+              network.loop().nowMicros() + ClientActivity.BRIEF_SILENCE_MICROS + 1,
               () -> {
                 lookingAgain = false;
                 turnsAway = true;
@@ -330,7 +333,7 @@
    */
   public void drain() {
     draining = true;
-    List.copyOf(connections).forEach(this::finished);
+    List.copyOf(connections).forEach(this::onMaybeIdle);
   }
 
   /** Whether no connection is left. */
--- /dev/null
+++ b/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
@@ -0,0 +1,147 @@
+package shelffront.frontend;
+
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+import java.util.Map;
+import shelffront.net.CloseReason;
+import shelffront.pg.Message;
+import shelffront.pg.ProtocolException;
+import shelffront.pg.SqlState;
+
+/**
+ * The startup of a client's connection, step by step: its startup message, the lookup of its
+ * tenant, the move to that tenant's event loop, its password, its admission.
+ *
+ * <p>Runs on the loop thread of the connection. Every refusal is a {@link ProtocolException}, with
+ * what the client is told.
+ */
+final class StartupHandshake {
+
+  private static final int MAX_PASSWORD_LENGTH = 1024;
+  private static final byte[] ENCRYPTION_DECLINED = {'N'};
+
+  private enum Step {
+    STARTUP_MESSAGE,
+    TENANT_LOOKUP,
+    TENANT_KNOWN,
+    ADMISSION,
+    PASSWORD,
+    COMPLETE
+  }
+
+  private final ClientConnection connection;
+  private Step step = Step.STARTUP_MESSAGE;
+  private Map<String, String> parameters = Map.of();
+
+  StartupHandshake(ClientConnection connection) {
+    this.connection = connection;
+  }
+
+  boolean isComplete() {
+    return step == Step.COMPLETE;
+  }
+
+  boolean isLookingUpTenant() {
+    return step == Step.TENANT_LOOKUP;
+  }
+
+  /** The parameters of the startup message; empty before it has come. */
+  Map<String, String> parameters() {
+    return parameters;
+  }
+
+  /** Takes one step; false where it is complete, or waits for more bytes or for the lookup. */
+  boolean advance(ByteBuffer bytes) throws ProtocolException {
+    return switch (step) {
+      case STARTUP_MESSAGE, TENANT_LOOKUP -> takeStartupMessage(bytes);
+      case TENANT_KNOWN -> enterLoopOfTenant();
+      case ADMISSION -> authenticate();
+      case PASSWORD -> takePassword(bytes);
+      case COMPLETE -> false;
+    };
+  }
+
+  private boolean takeStartupMessage(ByteBuffer bytes) throws ProtocolException {
+    Message message = Message.nextStartup(bytes);
+    if (message == null || connection.isClosed()) {
+      return false;
+    }
+    switch (message.code()) {
+      case Message.SSL_REQUEST, Message.GSS_REQUEST -> {
+        connection.send(ENCRYPTION_DECLINED);
+        return true;
+      }
+      case Message.CANCEL_REQUEST -> {
+        // No key was given out, so there is nothing to cancel.
+        connection.close(CloseReason.TERMINATED);
+        return false;
+      }
+      default -> {
+        return lookUpTenant(message);
+      }
+    }
+  }
+
+  private boolean lookUpTenant(Message startup) throws ProtocolException {
+    if (startup.majorVersion() != Message.PROTOCOL_3) {
+      throw new ProtocolException(
+          SqlState.FEATURE_NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
+    }
+    parameters = startup.startupParameters();
+    FrontendConnections frontend = connection.frontend();
+    if (frontend.tenantLookup.lookUp(parameters, frontend, this::onTenantLookedUp)) {
+      step = Step.TENANT_LOOKUP;
+      return false;
+    }
+    return enterLoopOfTenant();
+  }
+
+  private void onTenantLookedUp(ProtocolException failure) {
+    step = failure == null ? Step.TENANT_KNOWN : Step.STARTUP_MESSAGE;
+    connection.onTenantLookedUp(failure);
+  }
+
+  private boolean enterLoopOfTenant() throws ProtocolException {
+    FrontendConnections frontend = connection.frontend();
+    FrontendConnections home = frontend.tenantLookup.connectionsFor(parameters, frontend);
+    step = Step.ADMISSION;
+    if (home == frontend) {
+      return authenticate();
+    }
+    connection.moveTo(home);
+    return false;
+  }
+
+  private boolean authenticate() throws ProtocolException {
+    FrontendConnections.TenantLookup tenants = connection.frontend().tenantLookup;
+    if (tenants.requiresPassword(parameters)) {
+      step = Step.PASSWORD;
+      connection.send(Message.authenticationCleartextPassword());
+      return true;
+    }
+    complete(tenants.authenticate(parameters));
+    return false;
+  }
+
+  private boolean takePassword(ByteBuffer bytes) throws ProtocolException {
+    Message message = Message.next(bytes, "p", MAX_PASSWORD_LENGTH);
+    if (message == null || connection.isClosed()) {
+      return false;
+    }
+    step = Step.ADMISSION;
+    byte[] body = message.body();
+    byte[] password = Arrays.copyOf(body, Math.max(0, body.length - 1));
+    complete(connection.frontend().tenantLookup.authenticate(parameters, password));
+    return false;
+  }
+
+  private void complete(FrontendConnections.RequestHandler handler) throws ProtocolException {
+    connection.joinTenant(handler);
+    step = Step.COMPLETE;
+    connection.send(Message.authenticationOk());
+    connection.send(Message.parameterStatus("server_version", "15.0"));
+    connection.send(Message.parameterStatus("client_encoding", "UTF8"));
+    connection.send(Message.parameterStatus("standard_conforming_strings", "on"));
+    connection.send(Message.readyForQuery());
+  }
+}
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -18,6 +18,7 @@
 import shelffront.net.Network;
 import shelffront.net.ResourceBudget;
 import shelffront.pg.ProtocolException;
+import shelffront.pg.SqlState;
 import shelffront.quota.ConnectionQuotas;
 import shelffront.quota.EventLoopPlacement;
 import shelffront.quota.SharedCapacity;
@@ -277,7 +278,7 @@
                                 failure == null
                                     ? null
                                     : new ProtocolException(
-                                        "57P03",
+                                        SqlState.CANNOT_CONNECT_NOW,
                                         "whether there is such a database can't be told now"))));
     return true;
   }
--- a/gateway/src/main/java/shelffront/pg/Message.java
+++ b/gateway/src/main/java/shelffront/pg/Message.java
@@ -12,41 +12,61 @@
 public record Message(char type, byte[] body) {
 
   /** Holds the text form of a value of 64 KiB and the statement round it. */
-  public static final int GREATEST = 192 * 1024;
+  public static final int MAX_BYTES = 192 * 1024;
 
   /** A row that a host answers with; what waits is bounded by the memory of all together. */
-  public static final int GREATEST_ROW = 512 * 1024;
-
-  /** The SQLSTATE for what is over a limit of this program. */
-  public static final String TOO_LARGE = "54000";
+  public static final int MAX_ROW_BYTES = 512 * 1024;
 
   public static final int PROTOCOL_3 = 3;
   public static final int CANCEL_REQUEST = 80877102;
   public static final int SSL_REQUEST = 80877103;
   public static final int GSS_REQUEST = 80877104;
 
-  private static final int GREATEST_STARTUP = 10_000;
+  private static final int MAX_STARTUP_BYTES = 10_000;
+
+  /** The length field, which counts itself. */
+  private static final int LENGTH_BYTES = 4;
+
+  /** The type and the length before a body. */
+  private static final int HEADER_BYTES = 1 + LENGTH_BYTES;
+
+  /** The length and the code of a startup message. */
+  private static final int MIN_STARTUP_BYTES = LENGTH_BYTES + Integer.BYTES;
+
+  /** The column count before the columns of a RowDescription or a DataRow. */
+  private static final int COLUMN_COUNT_BYTES = Short.BYTES;
+
+  /** What a RowDescription says of a column behind its name. */
+  private static final int COLUMN_DESCRIPTION_BYTES = 18;
+
+  private static final int COLUMN_VALUE_OFFSET = COLUMN_COUNT_BYTES + LENGTH_BYTES;
+  private static final int BYTE_MASK = 0xff;
+  private static final int MAJOR_VERSION_SHIFT = 16;
+  private static final byte[] CLEARTEXT_PASSWORD = {0, 0, 0, 3};
 
   /**
    * Takes the next whole message, or null where more bytes are needed. Guards against waiting for
    * the body of what is no message: type and length are judged as soon as they are there.
    */
-  public static Message next(ByteBuffer in, String types, int greatest) throws ProtocolException {
-    if (in.hasRemaining() && types.indexOf(in.get(in.position()) & 0xff) < 0) {
+  public static Message next(ByteBuffer in, String types, int maxLength) throws ProtocolException {
+    if (in.hasRemaining() && types.indexOf(in.get(in.position()) & BYTE_MASK) < 0) {
       throw new ProtocolException(
-          "08P01", "unknown message type " + (in.get(in.position()) & 0xff));
+          SqlState.PROTOCOL_VIOLATION,
+          "unknown message type " + (in.get(in.position()) & BYTE_MASK));
     }
-    if (in.remaining() < 5) {
+    if (in.remaining() < HEADER_BYTES) {
       return null;
     }
     int length = in.getInt(in.position() + 1);
-    if (length < 4 || length >= greatest) {
-      throw new ProtocolException(length < 4 ? "08P01" : TOO_LARGE, "message length " + length);
+    if (length < LENGTH_BYTES || length >= maxLength) {
+      throw new ProtocolException(
+          length < LENGTH_BYTES ? SqlState.PROTOCOL_VIOLATION : SqlState.PROGRAM_LIMIT_EXCEEDED,
+          "message length " + length);
     }
     if (in.remaining() < 1 + length) {
       return null;
     }
-    char type = (char) (in.get() & 0xff);
+    char type = (char) (in.get() & BYTE_MASK);
     return new Message(type, take(in, length));
   }
 
@@ -55,35 +75,40 @@
    * body.
    */
   public static Message nextStartup(ByteBuffer in) throws ProtocolException {
-    if (in.remaining() < 4) {
+    if (in.remaining() < LENGTH_BYTES) {
       return null;
     }
     int length = in.getInt(in.position());
-    if (length < 8 || length > GREATEST_STARTUP) {
-      throw new ProtocolException("08P01", "startup length " + length);
+    if (length < MIN_STARTUP_BYTES || length > MAX_STARTUP_BYTES) {
+      throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "startup length " + length);
     }
     return in.remaining() < length ? null : new Message('\0', take(in, length));
   }
 
   private static byte[] take(ByteBuffer in, int length) {
     in.getInt();
-    byte[] body = new byte[length - 4];
+    byte[] body = new byte[length - LENGTH_BYTES];
     in.get(body);
     return body;
   }
 
   /** The message as it stands on the wire. */
   public byte[] bytes() {
-    return ByteBuffer.allocate(5 + body.length)
+    return ByteBuffer.allocate(HEADER_BYTES + body.length)
         .put((byte) type)
-        .putInt(4 + body.length)
+        .putInt(LENGTH_BYTES + body.length)
         .put(body)
         .array();
   }
 
+  /** The major version that a startup message asks for. */
+  public int majorVersion() {
+    return code() >> MAJOR_VERSION_SHIFT;
+  }
+
   /** The body's leading 32 bits: a startup's code, an authentication's kind. */
   public int code() {
-    return body.length < 4 ? -1 : ByteBuffer.wrap(body).getInt();
+    return body.length < LENGTH_BYTES ? -1 : ByteBuffer.wrap(body).getInt();
   }
 
   /** The zero-terminated text at a place of the body; what is not terminated ends with the body. */
@@ -98,7 +123,7 @@
   /** The parameters of a startup message, as far as they can be read. */
   public Map<String, String> startupParameters() {
     Map<String, String> parameters = new HashMap<>();
-    for (int at = 4; at < body.length && body[at] != 0; ) {
+    for (int at = Integer.BYTES; at < body.length && body[at] != 0; ) {
       String name = text(at);
       String value = text(at + name.length() + 1);
       parameters.putIfAbsent(name, value);
@@ -125,7 +150,7 @@
     int at = 0;
     while (at < body.length && body[at] != 0) {
       String value = text(at + 1);
-      fields.put((char) (body[at] & 0xff), value);
+      fields.put((char) (body[at] & BYTE_MASK), value);
       at += 2 + value.length();
     }
     require(at == body.length - 1);
@@ -135,39 +160,42 @@
   /** A RowDescription of one column: its name, then 18 bytes on its table and type. */
   public void requireOneColumnDescribed() throws ProtocolException {
     require(
-        body.length > 2
+        body.length > COLUMN_COUNT_BYTES
             && ByteBuffer.wrap(body).getShort() == 1
-            && 2 + text(2).length() + 1 + 18 == body.length);
+            && COLUMN_COUNT_BYTES + text(COLUMN_COUNT_BYTES).length() + 1 + COLUMN_DESCRIPTION_BYTES
+                == body.length);
   }
 
   /** The only column of a DataRow as text; null where that is its value. */
   public String onlyColumn() throws ProtocolException {
-    require(body.length >= 6 && ByteBuffer.wrap(body).getShort() == 1);
-    int length = ByteBuffer.wrap(body).getInt(2);
-    require(Math.max(length, 0) == body.length - 6 && length >= -1);
-    return length < 0 ? null : new String(body, 6, length, ISO_8859_1);
+    require(body.length >= COLUMN_VALUE_OFFSET && ByteBuffer.wrap(body).getShort() == 1);
+    int length = ByteBuffer.wrap(body).getInt(COLUMN_COUNT_BYTES);
+    require(Math.max(length, 0) == body.length - COLUMN_VALUE_OFFSET && length >= -1);
+    return length < 0 ? null : new String(body, COLUMN_VALUE_OFFSET, length, ISO_8859_1);
   }
 
   private void require(boolean holds) throws ProtocolException {
     if (!holds) {
       throw new ProtocolException(
-          "08P01", "the body of message type " + (int) type + " does not fit");
+          SqlState.PROTOCOL_VIOLATION, "the body of message type " + (int) type + " does not fit");
     }
   }
 
+  /** A StartupMessage of version 3. */
   public static byte[] startup(String user, String database) {
     byte[] words = ("user\0" + user + "\0database\0" + database + "\0\0").getBytes(UTF_8);
-    return ByteBuffer.allocate(8 + words.length)
-        .putInt(8 + words.length)
-        .putInt(PROTOCOL_3 << 16)
+    return ByteBuffer.allocate(MIN_STARTUP_BYTES + words.length)
+        .putInt(MIN_STARTUP_BYTES + words.length)
+        .putInt(PROTOCOL_3 << MAJOR_VERSION_SHIFT)
         .put(words)
         .array();
   }
 
+  /** A Query, of the simple query protocol. */
   public static byte[] query(byte[] statement) {
-    return ByteBuffer.allocate(6 + statement.length)
+    return ByteBuffer.allocate(HEADER_BYTES + statement.length + 1)
         .put((byte) 'Q')
-        .putInt(5 + statement.length)
+        .putInt(LENGTH_BYTES + statement.length + 1)
         .put(statement)
         .put((byte) 0)
         .array();
@@ -175,11 +203,11 @@
 
   /** AuthenticationCleartextPassword. */
   public static byte[] authenticationCleartextPassword() {
-    return new Message('R', new byte[] {0, 0, 0, 3}).bytes();
+    return new Message('R', CLEARTEXT_PASSWORD).bytes();
   }
 
   public static byte[] authenticationOk() {
-    return new Message('R', new byte[4]).bytes();
+    return new Message('R', new byte[Integer.BYTES]).bytes();
   }
 
   public static byte[] parameterStatus(String name, String value) {
@@ -195,6 +223,11 @@
   }
 
   /** An ErrorResponse; the detail may be null. */
+  public static byte[] error(boolean fatal, SqlState sqlState, String text, String detail) {
+    return error(fatal, sqlState.code(), text, detail);
+  }
+
+  /** An ErrorResponse with any code; the detail may be null. */
   public static byte[] error(boolean fatal, String code, String text, String detail) {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     String severity = fatal ? "FATAL" : "ERROR";
--- a/gateway/src/main/java/shelffront/pg/ProtocolException.java
+++ b/gateway/src/main/java/shelffront/pg/ProtocolException.java
@@ -1,18 +1,19 @@
 package shelffront.pg;
 
-/** Bytes that are not what the protocol says; the message is for the peer, the code an SQLSTATE. */
+/** Bytes that violate the protocol, or a refusal, with what the peer is told of it. */
 public final class ProtocolException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
-  private final String code;
+  private final SqlState sqlState;
 
-  public ProtocolException(String code, String message) {
+  /** The message is sent to the peer. */
+  public ProtocolException(SqlState sqlState, String message) {
     super(message);
-    this.code = code;
+    this.sqlState = sqlState;
   }
 
-  public String code() {
-    return code;
+  public SqlState sqlState() {
+    return sqlState;
   }
 }
--- a/gateway/src/main/java/shelffront/pg/Statement.java
+++ b/gateway/src/main/java/shelffront/pg/Statement.java
@@ -31,7 +31,8 @@
     String head = new String(bytes, 0, Math.min(bytes.length, GREATEST_COMMENT), ISO_8859_1);
     int end = head.indexOf("*/");
     if (!head.startsWith("/*") || end < 2) {
-      throw new ProtocolException("42601", "the statement does not begin with a request comment");
+      throw new ProtocolException(
+          SqlState.SYNTAX_ERROR, "the statement does not begin with a request comment");
     }
     statement.commentEnd = end + 2;
     for (int from = 2; from < end; ) {
@@ -41,10 +42,10 @@
       from = to + 1;
     }
     if (statement.waitFrom < 0 || statement.value("id") == null || statement.value("c") == null) {
-      throw new ProtocolException("42601", "the request comment lacks id, c or d");
+      throw new ProtocolException(SqlState.SYNTAX_ERROR, "the request comment lacks id, c or d");
     }
     if (!statement.value("id").matches("[0-9A-Za-z_.:-]{1,64}")) {
-      throw new ProtocolException("42601", "id is not an id");
+      throw new ProtocolException(SqlState.SYNTAX_ERROR, "id is not an id");
     }
     return statement;
   }
@@ -58,11 +59,13 @@
     }
     int equals = head.indexOf('=', from);
     if (equals < 0 || equals >= to) {
-      throw new ProtocolException("42601", "the request comment is not a list of name=value");
+      throw new ProtocolException(
+          SqlState.SYNTAX_ERROR, "the request comment is not a list of name=value");
     }
     String name = head.substring(from, equals);
     if (values.put(name, head.substring(equals + 1, to)) != null) {
-      throw new ProtocolException("42601", "the request comment names " + name + " twice");
+      throw new ProtocolException(
+          SqlState.SYNTAX_ERROR, "the request comment names " + name + " twice");
     }
     if (name.equals("d")) {
       waitFrom = equals + 1;
@@ -84,7 +87,7 @@
       return absent;
     }
     if (!value.matches("[0-9]{1,9}")) {
-      throw new ProtocolException("42601", name + " is not a number");
+      throw new ProtocolException(SqlState.SYNTAX_ERROR, name + " is not a number");
     }
     return Integer.parseInt(value);
   }
@@ -98,7 +101,8 @@
       return absent;
     }
     return positionMicros(value)
-        .orElseThrow(() -> new ProtocolException("42601", name + " is not a position"));
+        .orElseThrow(
+            () -> new ProtocolException(SqlState.SYNTAX_ERROR, name + " is not a position"));
   }
 
   /**
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -20,6 +20,7 @@
 import shelffront.net.EventLoop.Deadline;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
+import shelffront.pg.SqlState;
 import shelffront.quota.ConnectionQuotas;
 import shelffront.quota.Quota;
 import shelffront.quota.TenantQuotas;
@@ -290,7 +291,7 @@
   }
 
   private static ProtocolException removed() {
-    return new ProtocolException("57P03", "the database is being removed");
+    return new ProtocolException(SqlState.CANNOT_CONNECT_NOW, "the database is being removed");
   }
 
   private void dismissIdle(FrontendConnections.ClientHandle client) {
@@ -395,7 +396,8 @@
       throw removed();
     }
     if (clients.size() >= spec.bounds().clientConnections()) {
-      throw new ProtocolException("53300", "the database has too many connections");
+      throw new ProtocolException(
+          SqlState.TOO_MANY_CONNECTIONS, "the database has too many connections");
     }
   }
 
@@ -403,7 +405,7 @@
   @Override
   public void validate(ClientRequest exchange) throws ProtocolException {
     if (exchanges.containsKey(exchange.id)) {
-      throw new ProtocolException("42710", "a request with this id is open");
+      throw new ProtocolException(SqlState.DUPLICATE_OBJECT, "a request with this id is open");
     }
   }
 
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -10,6 +10,7 @@
 import shelffront.net.CloseReason;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
+import shelffront.pg.SqlState;
 import shelffront.quota.ConnectionQuotas;
 import shelffront.quota.DeficitRoundRobin.Flow;
 import shelffront.quota.TenantQuotas;
@@ -196,6 +197,7 @@
   }
 
   private static ProtocolException nobody() {
-    return new ProtocolException("3D000", "there is no such database for this user");
+    return new ProtocolException(
+        SqlState.INVALID_CATALOG_NAME, "there is no such database for this user");
   }
 }
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
@@ -34,7 +34,7 @@
     try {
       while (true) {
         Message m =
-            started ? Message.next(bytes, "QX", Message.GREATEST) : Message.nextStartup(bytes);
+            started ? Message.next(bytes, "QX", Message.MAX_BYTES) : Message.nextStartup(bytes);
         if (m == null) {
           return;
         }
--- a/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
@@ -126,7 +126,7 @@
   }
 
   private static Message next(ByteBuffer bytes) throws ProtocolException {
-    return Message.next(bytes, "RSKZTDCEIN", Message.GREATEST);
+    return Message.next(bytes, "RSKZTDCEIN", Message.MAX_BYTES);
   }
 
   private void take(Message m) throws ProtocolException {
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -61,7 +61,7 @@
         started = startup != null;
         send(started ? Message.readyForQuery() : new byte[0]);
       }
-      return started ? Message.next(bytes, "QX", Message.GREATEST) : null;
+      return started ? Message.next(bytes, "QX", Message.MAX_BYTES) : null;
     }
 
     private void answer(String id) {
