--- a/gateway/src/main/java/shelffront/Main.java
+++ b/gateway/src/main/java/shelffront/Main.java
@@ -99,7 +99,7 @@
                 },
                 "stop"));
     ConfigReload reload = new ConfigReload(network, gateway, System.getenv());
-    reloadSignal.handleWith(reload::ask, network.log());
+    reloadSignal.handleWith(reload::request, network.log());
     gateway.start();
     network
         .log()
--- a/gateway/src/main/java/shelffront/admin/AdminServer.java
+++ b/gateway/src/main/java/shelffront/admin/AdminServer.java
@@ -25,7 +25,7 @@
 import shelffront.net.EventLog;
 import shelffront.rolloutcontrol.RolloutException;
 import shelffront.store.DocumentStore;
-import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.AuditEntry;
 import shelffront.store.DocumentStore.ConflictException;
 import shelffront.store.DocumentStore.Entry;
 import shelffront.store.DocumentStore.Kind;
@@ -204,7 +204,9 @@
   private Caller caller(HttpExchange exchange) throws ProblemException {
     String given = exchange.getRequestHeaders().getFirst("Authorization");
     Caller caller =
-        given == null || !given.startsWith("Bearer ") ? null : tokens.caller(given.substring(7));
+        given == null || !given.startsWith("Bearer ")
+            ? null
+            : tokens.authenticate(given.substring(7));
     if (caller == null) {
       throw new ProblemException(401, "Not authorized", "a valid token is needed");
     }
@@ -220,7 +222,7 @@
           if (parts.length == 3) {
             return tenants(caller, method, body);
           }
-          if (!caller.sees(parts[3])) {
+          if (!caller.maySee(parts[3])) {
             throw ProblemException.notFound();
           }
           return tenant(exchange, caller, method, parts, body);
@@ -288,7 +290,7 @@
     }
     only(method, "GET");
     ArrayNode list = TenantSpecCodec.JSON.createArrayNode();
-    tenancy.all().stream().filter(e -> caller.sees(e.name())).forEach(e -> list.add(shown(e)));
+    tenancy.all().stream().filter(e -> caller.maySee(e.name())).forEach(e -> list.add(shown(e)));
     ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", tenancy.revision());
     answer.set("tenants", list);
     return AdminResponse.of(200, answer);
@@ -362,7 +364,7 @@
       throws ProblemException, SpecException, ConflictException, OperatorException {
     if (parts.length == 6) {
       only(method, "DELETE");
-      long revision = tenancy.endKey(entry.name(), parts[5], caller.token());
+      long revision = tenancy.revokeKey(entry.name(), parts[5], caller.token());
       if (revision == 0) {
         throw ProblemException.notFound();
       }
@@ -376,8 +378,8 @@
         throw new ProblemException(
             422, "Not a valid document", "a user of 1 to 63 characters is needed", "/user", null);
       }
-      TenantAdministration.NewKey made =
-          tenancy.newKey(entry.name(), user.asText(), caller.token());
+      TenantAdministration.CreatedKey made =
+          tenancy.createKey(entry.name(), user.asText(), caller.token());
       if (made == null) {
         throw ProblemException.notFound();
       }
@@ -499,20 +501,20 @@
   private AdminResponse audit(Caller caller, Map<String, String> query) throws ProblemException {
     ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", store.revision());
     ArrayNode list = answer.putArray("entries");
-    store.audits(number(query, "after", 0), 1000).stream()
-        .filter(a -> caller.isOperator() || a.kind() == Kind.TENANT && caller.sees(a.name()))
+    store.auditEntries(number(query, "after", 0), 1000).stream()
+        .filter(a -> caller.isOperator() || a.kind() == Kind.TENANT && caller.maySee(a.name()))
         .forEach(a -> list.add(shown(a)));
     return AdminResponse.of(200, answer);
   }
 
-  private static ObjectNode shown(Audit a) {
+  private static ObjectNode shown(AuditEntry a) {
     return TenantSpecCodec.JSON
         .createObjectNode()
         .put("revision", a.revision())
-        .put("before", a.before())
-        .put("at", a.at())
-        .put("who", a.who())
-        .put("what", a.what())
+        .put("before", a.previousRevision())
+        .put("at", a.atMillis())
+        .put("who", a.actor())
+        .put("what", a.action())
         .put("kind", a.kind().name().toLowerCase(Locale.ROOT))
         .put("name", a.name());
   }
@@ -544,13 +546,14 @@
     try {
       ObjectNode answer = TenantSpecCodec.JSON.createObjectNode();
       ArrayNode list = answer.putArray("changes");
-      for (Audit a : tenancy.changes(after, Math.min(LONGEST_POLL_MS, millis), caller.tenant())) {
+      for (AuditEntry a :
+          tenancy.changes(after, Math.min(LONGEST_POLL_MS, millis), caller.tenant())) {
         ObjectNode change =
             list.addObject()
                 .put("revision", a.revision())
                 .put("id", a.name())
-                .put("what", a.what());
-        long at = tenancy.inForceAt(a.revision());
+                .put("what", a.action());
+        long at = tenancy.inForceAtMillis(a.revision());
         if (at > 0) {
           change.put("inForce", at);
         }
--- a/gateway/src/main/java/shelffront/admin/AdminTokens.java
+++ b/gateway/src/main/java/shelffront/admin/AdminTokens.java
@@ -21,9 +21,9 @@
 public final class AdminTokens {
 
   /** Longer ones are no tokens and are not looked at. */
-  private static final int GREATEST = 128;
+  private static final int MAX_TOKEN_LENGTH = 128;
 
-  private static final byte[] NOBODY = new byte[32];
+  private static final byte[] HASH_OF_NO_SECRET = new byte[32];
 
   /** Who asks: an operator, or the administrator of one tenant. */
   public record Caller(String token, String tenant) {
@@ -33,7 +33,7 @@
     }
 
     /** Whether it may know of a tenant at all. */
-    boolean sees(String id) {
+    boolean maySee(String id) {
       return tenant == null || tenant.equals(id);
     }
   }
@@ -51,13 +51,13 @@
    * Makes a token of an operator (no tenant) or a tenant's administrator; the answer is the only
    * place it is in.
    */
-  public String create(String tenant, String who) throws ConflictException {
+  public String create(String tenant, String actor) throws ConflictException {
     byte[] random = ApiKeys.hash(ApiKeys.generate());
     String name = HexFormat.of().formatHex(random, 0, 8);
     String secret = ApiKeys.generate();
     ObjectNode document = TenantSpecCodec.JSON.createObjectNode().put("tenant", tenant);
     addHash(document.putArray("hashes"), secret);
-    store.put(Kind.TOKEN, name, 0, document, who, "create token", clock.getAsLong());
+    store.put(Kind.TOKEN, name, 0, document, actor, "create token", clock.getAsLong());
     return name + "." + secret;
   }
 
@@ -65,7 +65,7 @@
    * Gives a new secret; those before it hold for the overlap, in milliseconds. Null where there is
    * no such token.
    */
-  public String rotate(String name, long overlap, String who) throws ConflictException {
+  public String rotate(String name, long overlapMillis, String actor) throws ConflictException {
     Entry entry = store.get(Kind.TOKEN, name);
     if (entry == null) {
       return null;
@@ -75,22 +75,22 @@
     ObjectNode document = entry.document().deepCopy();
     ArrayNode hashes = TenantSpecCodec.JSON.createArrayNode();
     addHash(hashes, secret);
-    for (JsonNode h : entry.document().path("hashes")) {
-      long until = Math.min(h.path("until").asLong(Long.MAX_VALUE), now + overlap);
+    for (JsonNode hash : entry.document().path("hashes")) {
+      long until = Math.min(hash.path("until").asLong(Long.MAX_VALUE), now + overlapMillis);
       if (until > now) {
-        hashes.add(((ObjectNode) h.deepCopy()).put("until", until));
+        hashes.add(((ObjectNode) hash.deepCopy()).put("until", until));
       }
     }
     document.set("hashes", hashes);
-    store.put(Kind.TOKEN, name, entry.revision(), document, who, "rotate token", now);
+    store.put(Kind.TOKEN, name, entry.revision(), document, actor, "rotate token", now);
     return name + "." + secret;
   }
 
   /** Whether there was such a token; it holds no longer. */
-  public boolean revoke(String name, String who) throws ConflictException {
+  public boolean revoke(String name, String actor) throws ConflictException {
     Entry entry = store.get(Kind.TOKEN, name);
     if (entry != null) {
-      store.put(Kind.TOKEN, name, entry.revision(), null, who, "revoke token", clock.getAsLong());
+      store.put(Kind.TOKEN, name, entry.revision(), null, actor, "revoke token", clock.getAsLong());
     }
     return entry != null;
   }
@@ -100,19 +100,21 @@
   }
 
   /** Who shows a token, or null. */
-  public Caller caller(String token) {
-    int dot = token.length() > GREATEST ? -1 : token.indexOf('.');
+  public Caller authenticate(String token) {
+    int dot = token.length() > MAX_TOKEN_LENGTH ? -1 : token.indexOf('.');
     Entry entry = dot < 1 ? null : store.get(Kind.TOKEN, token.substring(0, dot));
     byte[] secret =
-        token.substring(dot + 1, Math.min(token.length(), dot + 1 + GREATEST)).getBytes(UTF_8);
+        token
+            .substring(dot + 1, Math.min(token.length(), dot + 1 + MAX_TOKEN_LENGTH))
+            .getBytes(UTF_8);
     boolean matches = false;
     if (entry == null) {
-      ApiKeys.matches(NOBODY, secret); // a name that nobody has takes as long
+      ApiKeys.matches(HASH_OF_NO_SECRET, secret); // a name that nobody has takes as long
     } else {
-      for (JsonNode h : entry.document().path("hashes")) {
+      for (JsonNode hash : entry.document().path("hashes")) {
         matches |=
-            ApiKeys.matches(HexFormat.of().parseHex(h.path("sha256").asText()), secret)
-                && h.path("until").asLong(Long.MAX_VALUE) > clock.getAsLong();
+            ApiKeys.matches(HexFormat.of().parseHex(hash.path("sha256").asText()), secret)
+                && hash.path("until").asLong(Long.MAX_VALUE) > clock.getAsLong();
       }
     }
     return matches ? new Caller(entry.name(), entry.document().path("tenant").asText(null)) : null;
--- a/gateway/src/main/java/shelffront/admin/TenantAdministration.java
+++ b/gateway/src/main/java/shelffront/admin/TenantAdministration.java
@@ -14,7 +14,7 @@
 import java.util.function.LongSupplier;
 import shelffront.coordination.OperatorException;
 import shelffront.store.DocumentStore;
-import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.AuditEntry;
 import shelffront.store.DocumentStore.ConflictException;
 import shelffront.store.DocumentStore.Entry;
 import shelffront.store.DocumentStore.Kind;
@@ -31,7 +31,7 @@
 public final class TenantAdministration {
 
   /** The running gateway; each call is carried out later, in the order of the calls. */
-  public interface Control {
+  public interface TenantControl {
 
     void apply(TenantSpec spec, LongConsumer inForce);
 
@@ -41,73 +41,73 @@
     CompletableFuture<Tenant.Usage> usage(String id);
   }
 
-  private static final int REMEMBERED = 10_000; // Changes whose time in force is known.
+  private static final int MAX_REMEMBERED_CHANGES = 10_000; // Changes whose time in force is known.
 
-  private final TenantDocuments records;
-  private final Control control;
+  private final TenantDocuments documents;
+  private final TenantControl control;
   private final LongSupplier clock;
-  private final Map<Long, Long> inForce = new LinkedHashMap<>();
-  private volatile long startedAt; // the revision that the gateway began with
-  private volatile long startTime;
+  private final Map<Long, Long> inForceAtMillis = new LinkedHashMap<>();
+  private volatile long startRevision; // the revision that the gateway began with
+  private volatile long startedAtMillis;
 
   /** The clock gives Unix milliseconds. */
-  public TenantAdministration(DocumentStore store, Control control, LongSupplier clock) {
+  public TenantAdministration(DocumentStore store, TenantControl control, LongSupplier clock) {
     this(TenantDocuments.in(store), control, clock);
   }
 
   /** Of a gateway whose tenants may be those of a whole fleet. */
-  public TenantAdministration(TenantDocuments records, Control control, LongSupplier clock) {
-    this.records = records;
+  public TenantAdministration(TenantDocuments records, TenantControl control, LongSupplier clock) {
+    this.documents = records;
     this.control = control;
     this.clock = clock;
   }
 
   /** Puts all tenants of the gateway's own records into it, at its start. */
   public void start() throws SpecException, OperatorException {
-    startedAt = records.revision();
-    startTime = clock.getAsLong();
-    if (records.isPutInForceByCaller()) {
-      for (Entry entry : records.all()) {
-        control.apply(TenantSpecCodec.read(entry.document()), at -> {});
+    startRevision = documents.revision();
+    startedAtMillis = clock.getAsLong();
+    if (documents.isPutInForceByCaller()) {
+      for (Entry entry : documents.all()) {
+        control.apply(TenantSpecCodec.read(entry.document()), atMicros -> {});
       }
     }
   }
 
   /** The newest revision that this gateway knows of. */
   public long revision() {
-    return records.revision();
+    return documents.revision();
   }
 
   public Entry get(String id) throws OperatorException {
-    return records.get(id);
+    return documents.get(id);
   }
 
   public List<Entry> all() throws OperatorException {
-    return records.all();
+    return documents.all();
   }
 
   /** Puts a tenant in place of the one at a revision, 0 for none; gives the new revision. */
-  public long put(String id, long expected, JsonNode document, String who, String what)
+  public long put(String id, long expected, JsonNode document, String actor, String action)
       throws SpecException, ConflictException, OperatorException {
     TenantSpec spec = TenantSpecCodec.read(document);
     if (!spec.id().equals(id)) {
       throw new SpecException("/id", "is not the name in the path");
     }
     synchronized (this) { // the gateway is told in the order of revisions
-      long revision = records.put(id, expected, document, who, what, clock.getAsLong());
-      if (records.isPutInForceByCaller()) {
-        control.apply(spec, at -> nowInForce(revision, at));
+      long revision = documents.put(id, expected, document, actor, action, clock.getAsLong());
+      if (documents.isPutInForceByCaller()) {
+        control.apply(spec, atMicros -> recordInForce(revision, atMicros));
       }
       return revision;
     }
   }
 
-  public long remove(String id, long expected, String who)
+  public long remove(String id, long expected, String actor)
       throws ConflictException, OperatorException {
     synchronized (this) {
-      long revision = records.put(id, expected, null, who, "remove", clock.getAsLong());
-      if (records.isPutInForceByCaller()) {
-        control.remove(id, at -> nowInForce(revision, at));
+      long revision = documents.put(id, expected, null, actor, "remove", clock.getAsLong());
+      if (documents.isPutInForceByCaller()) {
+        control.remove(id, atMicros -> recordInForce(revision, atMicros));
       }
       return revision;
     }
@@ -117,7 +117,7 @@
    * Drains a box of a tenant or ends its drain; gives the tenant's revision, 0 where there is no
    * such tenant.
    */
-  public long drain(String id, String box, boolean on, String who)
+  public long drain(String id, String endpointId, boolean on, String actor)
       throws SpecException, ConflictException, OperatorException {
     synchronized (this) {
       Entry entry = get(id);
@@ -125,25 +125,25 @@
         return 0;
       }
       TreeSet<String> drained = new TreeSet<>();
-      entry.document().path("drained").forEach(d -> drained.add(d.asText()));
-      if (on ? !drained.add(box) : !drained.remove(box)) {
+      entry.document().path("drained").forEach(endpoint -> drained.add(endpoint.asText()));
+      if (on ? !drained.add(endpointId) : !drained.remove(endpointId)) {
         return entry.revision();
       }
       ObjectNode next = entry.document().deepCopy();
       ArrayNode list = next.putArray("drained");
       drained.forEach(list::add);
-      return put(id, entry.revision(), next, who, (on ? "drain " : "undrain ") + box);
+      return put(id, entry.revision(), next, actor, (on ? "drain " : "undrain ") + endpointId);
     }
   }
 
   /** A key that has been made: the answer is the only place it is in. */
-  public record NewKey(String id, String key, long revision) {}
+  public record CreatedKey(String id, String key, long revision) {}
 
   /**
    * Makes a key for a user of a tenant; those that the user has stay. Null where there is no such
    * tenant.
    */
-  public NewKey newKey(String tenant, String user, String who)
+  public CreatedKey createKey(String tenant, String user, String actor)
       throws SpecException, ConflictException, OperatorException {
     synchronized (this) {
       Entry entry = get(tenant);
@@ -155,21 +155,21 @@
       ObjectNode next = entry.document().deepCopy();
       next.withArray("/credentials").addObject().put("user", user).put("sha256", hash);
       String id = keyId(hash);
-      return new NewKey(id, key, put(tenant, entry.revision(), next, who, "new key " + id));
+      return new CreatedKey(id, key, put(tenant, entry.revision(), next, actor, "new key " + id));
     }
   }
 
   /** Ends a key; gives the tenant's revision, 0 where there is no such tenant or key. */
-  public long endKey(String tenant, String key, String who)
+  public long revokeKey(String tenant, String key, String actor)
       throws SpecException, ConflictException, OperatorException {
     synchronized (this) {
       Entry entry = get(tenant);
       ObjectNode next = entry == null ? null : entry.document().deepCopy();
       ArrayNode kept = TenantSpecCodec.JSON.createArrayNode();
       JsonNode before = next == null ? kept : next.path("credentials");
-      for (JsonNode c : before) {
-        if (!keyId(c.path("sha256").asText()).equals(key)) {
-          kept.add(c);
+      for (JsonNode credential : before) {
+        if (!keyId(credential.path("sha256").asText()).equals(key)) {
+          kept.add(credential);
         }
       }
       if (kept.size() == before.size()) {
@@ -181,7 +181,7 @@
             "/credentials", "the last key can't be ended: without one everybody is let in");
       }
       next.set("credentials", kept);
-      return put(tenant, entry.revision(), next, who, "end key " + key);
+      return put(tenant, entry.revision(), next, actor, "end key " + key);
     }
   }
 
@@ -195,22 +195,22 @@
   }
 
   /** Every change up to a revision is in force here, where changes come back distributed. */
-  public void reached(long revision) {
-    long at = clock.getAsLong() * 1000;
-    for (Audit made : records.audits(0, REMEMBERED)) {
-      if (made.revision() <= revision && inForceAt(made.revision()) == 0) {
-        nowInForce(made.revision(), at);
+  public void recordInForceUpTo(long revision) {
+    long atMicros = clock.getAsLong() * 1000;
+    for (AuditEntry made : documents.auditEntries(0, MAX_REMEMBERED_CHANGES)) {
+      if (made.revision() <= revision && inForceAtMillis(made.revision()) == 0) {
+        recordInForce(made.revision(), atMicros);
       }
     }
   }
 
-  private void nowInForce(long revision, long atMicros) {
-    synchronized (inForce) {
-      inForce.put(revision, atMicros / 1000);
-      if (inForce.size() > REMEMBERED) {
-        inForce.remove(inForce.keySet().iterator().next());
+  private void recordInForce(long revision, long atMicros) {
+    synchronized (inForceAtMillis) {
+      inForceAtMillis.put(revision, atMicros / 1000);
+      if (inForceAtMillis.size() > MAX_REMEMBERED_CHANGES) {
+        inForceAtMillis.remove(inForceAtMillis.keySet().iterator().next());
       }
-      inForce.notifyAll();
+      inForceAtMillis.notifyAll();
     }
   }
 
@@ -218,23 +218,24 @@
    * Changes of tenants after a revision, oldest first, whether or not they are in force yet; waits
    * as long as given until one of them is.
    */
-  public List<Audit> changes(long after, long waitMillis, String onlyTenant)
+  public List<AuditEntry> changes(long after, long waitMillis, String onlyTenant)
       throws InterruptedException {
     long until = System.nanoTime() + waitMillis * 1_000_000;
-    synchronized (inForce) {
+    synchronized (inForceAtMillis) {
       while (true) {
-        List<Audit> found =
-            records.audits(after, 1000).stream()
+        List<AuditEntry> found =
+            documents.auditEntries(after, 1000).stream()
                 .filter(
-                    a ->
-                        a.kind() == Kind.TENANT
-                            && (onlyTenant == null || a.name().equals(onlyTenant)))
+                    change ->
+                        change.kind() == Kind.TENANT
+                            && (onlyTenant == null || change.name().equals(onlyTenant)))
                 .toList();
         long left = (until - System.nanoTime()) / 1_000_000;
-        if (left <= 0 || found.stream().anyMatch(a -> inForceAt(a.revision()) > 0)) {
+        if (left <= 0
+            || found.stream().anyMatch(change -> inForceAtMillis(change.revision()) > 0)) {
           return found;
         }
-        inForce.wait(left);
+        inForceAtMillis.wait(left);
       }
     }
   }
@@ -243,9 +244,10 @@
    * When a change came into force, or the gateway started with it, in Unix milliseconds; 0 if it is
    * not yet.
    */
-  public long inForceAt(long revision) {
-    synchronized (inForce) {
-      return inForce.getOrDefault(revision, revision <= startedAt ? startTime : 0);
+  public long inForceAtMillis(long revision) {
+    synchronized (inForceAtMillis) {
+      return inForceAtMillis.getOrDefault(
+          revision, revision <= startRevision ? startedAtMillis : 0);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/admin/TenantDocuments.java
+++ b/gateway/src/main/java/shelffront/admin/TenantDocuments.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import shelffront.coordination.OperatorException;
 import shelffront.store.DocumentStore;
-import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.AuditEntry;
 import shelffront.store.DocumentStore.ConflictException;
 import shelffront.store.DocumentStore.Entry;
 import shelffront.store.DocumentStore.Kind;
@@ -24,14 +24,14 @@
    * Puts a document in place of the one at a revision, 0 for none; null removes it. Gives the new
    * revision.
    */
-  long put(String id, long expected, JsonNode document, String who, String what, long at)
+  long put(String id, long expected, JsonNode document, String actor, String action, long atMillis)
       throws ConflictException, OperatorException;
 
   /** The newest revision that this gateway knows of. */
   long revision();
 
   /** Changes after a revision that were made here, oldest first, at most so many. */
-  List<Audit> audits(long after, int most);
+  List<AuditEntry> auditEntries(long after, int limit);
 
   /**
    * Whether whoever makes a change has to put it in force too; else it comes back, as from any
@@ -53,9 +53,10 @@
       }
 
       @Override
-      public long put(String id, long expected, JsonNode document, String who, String what, long at)
+      public long put(
+          String id, long expected, JsonNode document, String actor, String action, long atMillis)
           throws ConflictException {
-        return store.put(Kind.TENANT, id, expected, document, who, what, at);
+        return store.put(Kind.TENANT, id, expected, document, actor, action, atMillis);
       }
 
       @Override
@@ -64,8 +65,8 @@
       }
 
       @Override
-      public List<Audit> audits(long after, int most) {
-        return store.audits(after, most);
+      public List<AuditEntry> auditEntries(long after, int limit) {
+        return store.auditEntries(after, limit);
       }
 
       @Override
--- a/gateway/src/main/java/shelffront/cli/Cli.java
+++ b/gateway/src/main/java/shelffront/cli/Cli.java
@@ -178,7 +178,12 @@
 
     private void reload(MultiTenantGateway hosted, EventLog log) {
       try {
-        log.println("read " + file + " anew, " + hosted.seed(config(file)) + " tenants put in");
+        log.println(
+            "read "
+                + file
+                + " anew, "
+                + hosted.addMissingTenants(config(file))
+                + " tenants put in");
       } catch (Failure
           | SpecException
           | ConflictException
--- a/gateway/src/main/java/shelffront/gateway/ConfigReload.java
+++ b/gateway/src/main/java/shelffront/gateway/ConfigReload.java
@@ -14,7 +14,7 @@
   private final Network network;
   private final Gateway gateway;
   private final Map<String, String> environment;
-  private final AtomicBoolean asked = new AtomicBoolean();
+  private final AtomicBoolean requested = new AtomicBoolean();
 
   public ConfigReload(Network network, Gateway gateway, Map<String, String> environment) {
     this.network = network;
@@ -28,14 +28,14 @@
    * May be called by any thread. Several orders before the file is read are one: it is read after
    * the last.
    */
-  public void ask() {
-    if (asked.compareAndSet(false, true)) {
+  public void request() {
+    if (requested.compareAndSet(false, true)) {
       network.loop().post(this::read);
     }
   }
 
   private void read() {
-    asked.set(false);
+    requested.set(false);
     try {
       gateway.reload(GatewayConfig.fromEnvironment(environment));
     } catch (IOException | MalformedInputException | RuntimeException e) {
--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -23,9 +23,9 @@
   /**
    * Connections arrive for 0.4 s after the order to stop; those that stay idle longer are closed.
    */
-  private static final long LAST_ARRIVALS = 500_000;
+  private static final long LAST_ARRIVALS_MICROS = 500_000;
 
-  private static final long DRAIN_CHECK = 20_000;
+  private static final long DRAIN_CHECK_INTERVAL_MICROS = 20_000;
 
   /**
    * Of the descriptors: half for clients, three eighths for hosts, the rest for files, discovery
@@ -38,31 +38,31 @@
   private final Network network;
   private final EventLoop loop;
   private final FrontendConnections clients;
-  private final BooleanSupplier idle;
-  private final Runnable closing;
-  private final Tenant single; // null where there are many
-  private boolean refusing; // takes no connections any more
+  private final BooleanSupplier backendsDrained;
+  private final Runnable closeBackends;
+  private final Tenant singleTenant; // null where there are many
+  private boolean listenerStopped; // takes no connections any more
 
   /** The single tenant of a platform's file, whatever user and database clients name. */
   public Gateway(Network network, GatewayConfig config) throws IOException {
     this.network = network;
     loop = network.loop();
-    single =
+    singleTenant =
         new Tenant(
             network,
-            only(config),
+            singleTenantSpec(config),
             config.seed(),
-            new ConnectionQuotas(hostSockets(config.maxSockets())),
+            new ConnectionQuotas(hostConnectionLimit(config.maxSockets())),
             null);
     clients =
         new FrontendConnections(
             network,
             config.listenAddress(),
-            clientSockets(config.maxSockets()),
+            clientConnectionLimit(config.maxSockets()),
             new FrontendConnections.TenantLookup() {
               @Override
               public FrontendConnections.RequestHandler authenticate(Map<String, String> startup) {
-                return single;
+                return singleTenant;
               }
 
               @Override
@@ -73,11 +73,11 @@
               @Override
               public FrontendConnections.RequestHandler authenticate(
                   Map<String, String> startup, byte[] password) {
-                return single;
+                return singleTenant;
               }
             });
-    idle = single::isEmpty;
-    closing = () -> single.close(CloseReason.DRAINED);
+    backendsDrained = singleTenant::hasNoOpenRequests;
+    closeBackends = () -> singleTenant.close(CloseReason.DRAINED);
   }
 
   /**
@@ -95,23 +95,23 @@
       Runnable closing)
       throws IOException {
     this.network = network;
-    this.closing = closing;
+    this.closeBackends = closing;
     loop = network.loop();
-    single = null;
-    clients = new FrontendConnections(network, listen, clientSockets(sockets), door);
-    idle = drained;
+    singleTenant = null;
+    clients = new FrontendConnections(network, listen, clientConnectionLimit(sockets), door);
+    backendsDrained = drained;
   }
 
   /** Of so many descriptors, those for connections to hosts. */
-  public static int hostSockets(int sockets) {
+  public static int hostConnectionLimit(int sockets) {
     return (int) (sockets * HOST_SHARE);
   }
 
-  private static int clientSockets(int sockets) {
+  private static int clientConnectionLimit(int sockets) {
     return (int) (sockets * CLIENT_SHARE);
   }
 
-  private static TenantSpec only(GatewayConfig config) {
+  private static TenantSpec singleTenantSpec(GatewayConfig config) {
     TenantSpec.Bounds bounds =
         new TenantSpec.Bounds(
             0, 0, config.maxOpenRequests(), Integer.MAX_VALUE, Integer.MAX_VALUE, Long.MAX_VALUE);
@@ -141,8 +141,8 @@
   /** Starts the module with the list as this gateway last had it, then takes clients in. */
   public void start() {
     loop.updateClock(); // Loading took a while: time limits set here would else be over at once.
-    if (single != null) {
-      single.start();
+    if (singleTenant != null) {
+      singleTenant.start();
     }
     clients.accept();
   }
@@ -153,13 +153,13 @@
    * than the file's.
    */
   public void reload(GatewayConfig next) {
-    single.move(next.discoveryAddress());
+    singleTenant.moveDiscovery(next.discoveryAddress());
     network
         .log()
         .println(
             "reloaded, discovery is "
                 + next.discoveryAddress()
-                + (next.settings().equals(single.spec().settings())
+                + (next.settings().equals(singleTenant.spec().settings())
                     ? ""
                     : "; other settings hold from the next start"));
   }
@@ -167,7 +167,7 @@
   /** Finishes what was taken and what still comes in, then stops the loop. */
   public void drain() {
     network.log().println("stopping");
-    loop.scheduleAt(loop.nowMicros() + LAST_ARRIVALS, this::stopWhenDone);
+    loop.scheduleAt(loop.nowMicros() + LAST_ARRIVALS_MICROS, this::stopWhenDone);
   }
 
   /**
@@ -178,14 +178,14 @@
     clients.drain();
     // Asked each time: what lives on other loops drains by being asked, and until then is not empty
     // here.
-    boolean drained = idle.getAsBoolean();
+    boolean drained = backendsDrained.getAsBoolean();
     if (!clients.isEmpty() || !drained) {
-      loop.scheduleAt(loop.nowMicros() + DRAIN_CHECK, this::stopWhenDone);
+      loop.scheduleAt(loop.nowMicros() + DRAIN_CHECK_INTERVAL_MICROS, this::stopWhenDone);
       return;
     }
-    if (!refusing) {
+    if (!listenerStopped) {
       // A connection may have been accepted since the last turn: it is served before the end.
-      refusing = true;
+      listenerStopped = true;
       clients.stopAccepting(this::stopWhenDone);
       return;
     }
@@ -197,6 +197,6 @@
   /** Gives back every socket; on the loop thread, or after it has ended. */
   public void close() {
     clients.close();
-    closing.run();
+    closeBackends.run();
   }
 }
--- a/gateway/src/main/java/shelffront/gateway/ReloadSignal.java
+++ b/gateway/src/main/java/shelffront/gateway/ReloadSignal.java
@@ -16,13 +16,13 @@
  */
 public final class ReloadSignal {
 
-  private final ConfigFileWatcher watch; // null where the signal arrives
+  private final ConfigFileWatcher fileWatcher; // null where the signal arrives
   private Runnable reload;
-  private boolean ordered;
+  private boolean requested;
 
   private ReloadSignal(Path file) {
-    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> order());
-    watch = before == SignalHandler.SIG_IGN ? new ConfigFileWatcher(file) : null;
+    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> requestReload());
+    fileWatcher = before == SignalHandler.SIG_IGN ? new ConfigFileWatcher(file) : null;
   }
 
   /** For this configuration file. */
@@ -30,9 +30,9 @@
     return new ReloadSignal(file);
   }
 
-  private synchronized void order() {
+  private synchronized void requestReload() {
     if (reload == null) {
-      ordered = true;
+      requested = true;
     } else {
       reload.run();
     }
@@ -41,15 +41,15 @@
   /** From now on orders are carried out by this, one at a time, on a thread of the signal's. */
   public synchronized void handleWith(Runnable action, EventLog log) {
     reload = action;
-    if (ordered) {
+    if (requested) {
       reload.run();
     }
-    if (watch != null) {
+    if (fileWatcher != null) {
       log.println(
           "SIGHUP is ignored, as this process was started (nohup, trap): the signal will not reload"
               + " the configuration. The file is looked at once a second instead; start with SIGHUP"
               + " at its default, such as by setsid, to have the signal back");
-      watch.start(this::order);
+      fileWatcher.start(this::requestReload);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/logging/GatewayLogging.java
+++ b/gateway/src/main/java/shelffront/logging/GatewayLogging.java
@@ -20,12 +20,12 @@
 public final class GatewayLogging {
 
   /** Turns events to bytes where they happen, and leaves the writing to the queue's own thread. */
-  private static final class Queue extends AppenderBase<ILoggingEvent> {
+  private static final class QueueAppender extends AppenderBase<ILoggingEvent> {
 
     private final Encoder<ILoggingEvent> encoder;
     private final AsyncEventLog lines;
 
-    private Queue(Encoder<ILoggingEvent> encoder, AsyncEventLog lines) {
+    private QueueAppender(Encoder<ILoggingEvent> encoder, AsyncEventLog lines) {
       this.encoder = encoder;
       this.lines = lines;
     }
@@ -58,7 +58,7 @@
       own.start();
       encoder = own;
     }
-    Queue queue = new Queue(encoder, lines);
+    QueueAppender queue = new QueueAppender(encoder, lines);
     queue.setContext(context);
     queue.start();
     context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(Level.WARN);
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -44,9 +44,9 @@
   /**
    * Microseconds after which a tenant of a fleet that no client asked for is served here no longer.
    */
-  private static final long FORGET_AFTER = 600_000_000;
+  private static final long FORGET_AFTER_MICROS = 600_000_000;
 
-  private record Member(Network network, TenantRegistry tenants) {}
+  private record LoopMember(Network network, TenantRegistry tenants) {}
 
   /** Where a tenant lives. */
   private static final class Home {
@@ -54,7 +54,7 @@
     private TenantSpec spec;
     private int loopIndex;
     private int clients; // connections handed over and not ended there
-    private long usedAt; // when a client last named it
+    private long usedAtMicros; // when a client last named it
 
     private Home(TenantSpec spec, int loopIndex) {
       this.spec = spec;
@@ -62,22 +62,24 @@
     }
   }
 
-  private final List<Member> members = new ArrayList<>();
+  private final List<LoopMember> members = new ArrayList<>();
   private final List<FrontendConnections> clients = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private final Map<String, Home> homes = new HashMap<>();
   private final EventLoopPlacement placement;
-  private final Network front;
+  private final Network firstNetwork;
   private final boolean[] drained;
-  private Function<String, CompletableFuture<Boolean>> finder; // null where all tenants are known
-  private Consumer<String> forget;
+  private Function<String, CompletableFuture<Boolean>>
+      tenantFinder; // null where all tenants are known
+  private Consumer<String> tenantForgetter;
 
   EventLoopGroup(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
       throws IOException {
     SharedCapacity shares =
         new SharedCapacity(config.requestsPerSecond(), config.openRequests(), config.cores());
     ResourceBudget buffers = new ResourceBudget(config.bufferBytes());
-    ConnectionQuotas hostSockets = new ConnectionQuotas(Gateway.hostSockets(config.sockets()));
+    ConnectionQuotas hostSockets =
+        new ConnectionQuotas(Gateway.hostConnectionLimit(config.sockets()));
     drained = new boolean[config.cores()];
     for (int i = 0; i < config.cores(); i++) {
       Counters counters = new Counters();
@@ -89,28 +91,28 @@
               new TenantQuotas(shares, i, loop.nowMicros()),
               hostSockets,
               environment.seed() + ((long) i << 20));
-      members.add(new Member(network, tenants));
+      members.add(new LoopMember(network, tenants));
     }
     Network first = members.get(0).network();
     placement = new EventLoopPlacement(members.size(), first.loop().nowMicros());
-    front =
+    firstNetwork =
         members.size() == 1 ? first : first.withChannels(environment.channels().on(members.size()));
   }
 
   /** The first loop, as the listener sees it. */
-  Network front() {
-    return front;
+  Network firstNetwork() {
+    return firstNetwork;
   }
 
   /** Each loop's own view, the listener's first. */
   List<Network> networks() {
-    return members.stream().map(Member::network).toList();
+    return members.stream().map(LoopMember::network).toList();
   }
 
   /** The listener's clients are those of the first loop. */
-  void behind(FrontendConnections listening) {
+  void serveBehind(FrontendConnections listening) {
     clients.add(listening);
-    for (Member member : members.subList(1, members.size())) {
+    for (LoopMember member : members.subList(1, members.size())) {
       clients.add(new FrontendConnections(member.network(), member.tenants()));
     }
   }
@@ -142,8 +144,8 @@
     for (Thread thread : threads) {
       thread.join();
     }
-    members.forEach(l -> l.network().channels().shutdown());
-    front.channels().shutdown();
+    members.forEach(member -> member.network().channels().shutdown());
+    firstNetwork.channels().shutdown();
   }
 
   private EventLoop loop(int loopIndex) {
@@ -161,18 +163,18 @@
     }
     home.spec = spec;
     TenantRegistry there = members.get(home.loopIndex).tenants();
-    on(home.loopIndex, () -> there.apply(spec, inForce));
+    runOn(home.loopIndex, () -> there.apply(spec, inForce));
   }
 
   void remove(String id, LongConsumer gone) {
     Home home = homes.remove(id);
     if (home == null) {
-      gone.accept(front.loop().nowMicros());
+      gone.accept(firstNetwork.loop().nowMicros());
       return;
     }
     placement.remove(home.loopIndex, home.spec.weight());
     TenantRegistry there = members.get(home.loopIndex).tenants();
-    on(home.loopIndex, () -> there.remove(id, gone));
+    runOn(home.loopIndex, () -> there.remove(id, gone));
   }
 
   /** Null is told where there is none of that name. */
@@ -183,7 +185,7 @@
       return;
     }
     TenantRegistry there = members.get(home.loopIndex).tenants();
-    on(home.loopIndex, () -> told.accept(there.usage(id)));
+    runOn(home.loopIndex, () -> told.accept(there.usage(id)));
   }
 
   int loopOf(String id) {
@@ -192,7 +194,7 @@
   }
 
   /** At once on this loop, or as a turn of another. */
-  private void on(int loopIndex, Runnable task) {
+  private void runOn(int loopIndex, Runnable task) {
     if (loopIndex == 0) {
       task.run();
     } else {
@@ -201,11 +203,12 @@
   }
 
   /** What all loops hold together. Any thread may ask. */
-  CompletableFuture<MultiTenantGateway.Held> held() {
-    CompletableFuture<MultiTenantGateway.Held> sum =
-        CompletableFuture.completedFuture(new MultiTenantGateway.Held(0, 0, new Counters()));
-    for (Member member : members) {
-      CompletableFuture<MultiTenantGateway.Held> one = new CompletableFuture<>();
+  CompletableFuture<MultiTenantGateway.HeldResources> heldResources() {
+    CompletableFuture<MultiTenantGateway.HeldResources> sum =
+        CompletableFuture.completedFuture(
+            new MultiTenantGateway.HeldResources(0, 0, new Counters()));
+    for (LoopMember member : members) {
+      CompletableFuture<MultiTenantGateway.HeldResources> one = new CompletableFuture<>();
       Network network = member.network();
       network
           .loop()
@@ -214,16 +217,18 @@
                 Counters copy = new Counters();
                 copy.addAll(network.counters());
                 one.complete(
-                    new MultiTenantGateway.Held(
+                    new MultiTenantGateway.HeldResources(
                         network.loop().deadlineCount(), network.budget().held(), copy));
               });
       sum =
           sum.thenCombine(
               one,
-              (a, b) -> {
-                a.counters().addAll(b.counters());
-                return new MultiTenantGateway.Held(
-                    a.deadlines() + b.deadlines(), b.bufferBytes(), a.counters());
+              (total, ofOneLoop) -> {
+                total.counters().addAll(ofOneLoop.counters());
+                return new MultiTenantGateway.HeldResources(
+                    total.deadlines() + ofOneLoop.deadlines(),
+                    ofOneLoop.bufferBytes(),
+                    total.counters());
               });
     }
     return sum;
@@ -235,25 +240,25 @@
    */
   void lookUpWith(
       Function<String, CompletableFuture<Boolean>> tenantFinder, Consumer<String> forgetter) {
-    finder = tenantFinder;
-    forget = forgetter;
-    front.loop().post(this::forgetUnused);
+    tenantFinder = tenantFinder;
+    tenantForgetter = forgetter;
+    firstNetwork.loop().post(this::forgetUnused);
   }
 
   private void forgetUnused() {
-    long now = front.loop().nowMicros();
+    long now = firstNetwork.loop().nowMicros();
     List<String> unused = new ArrayList<>();
     homes.forEach(
         (id, home) -> {
           boolean alone =
-              home.loopIndex == 0 ? members.get(0).tenants().isAlone(id) : home.clients == 0;
-          home.usedAt = alone && home.usedAt > 0 ? home.usedAt : now;
-          if (now - home.usedAt > FORGET_AFTER) {
+              home.loopIndex == 0 ? members.get(0).tenants().hasNoClients(id) : home.clients == 0;
+          home.usedAtMicros = alone && home.usedAtMicros > 0 ? home.usedAtMicros : now;
+          if (now - home.usedAtMicros > FORGET_AFTER_MICROS) {
             unused.add(id);
           }
         });
-    unused.forEach(forget);
-    front.loop().scheduleAt(now + FORGET_AFTER / 10, this::forgetUnused);
+    unused.forEach(tenantForgetter);
+    firstNetwork.loop().scheduleAt(now + FORGET_AFTER_MICROS / 10, this::forgetUnused);
   }
 
   // ---- The door
@@ -262,15 +267,15 @@
   @Override
   public boolean lookUp(
       Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
-    String name = TenantRegistry.name(startup);
-    if (finder == null || homes.containsKey(name)) {
+    String name = TenantRegistry.nameIn(startup);
+    if (tenantFinder == null || homes.containsKey(name)) {
       return false;
     }
-    finder
+    tenantFinder
         .apply(name)
         .whenComplete(
             (found, failure) ->
-                front
+                firstNetwork
                     .loop()
                     .post(
                         () ->
@@ -285,15 +290,15 @@
 
   @Override
   public FrontendConnections connectionsFor(Map<String, String> startup, FrontendConnections here) {
-    Home home = homes.get(TenantRegistry.name(startup));
+    Home home = homes.get(TenantRegistry.nameIn(startup));
     if (home == null || members.size() == 1) {
       return here; // who names nobody is told so here
     }
     boolean alone =
         home.clients == 0
-            && (home.loopIndex > 0 || members.get(0).tenants().isAlone(home.spec.id()));
+            && (home.loopIndex > 0 || members.get(0).tenants().hasNoClients(home.spec.id()));
     if (alone) {
-      wake(home);
+      placeActivated(home);
     }
     if (home.loopIndex == 0) {
       return here;
@@ -304,7 +309,7 @@
 
   @Override
   public void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {
-    Home home = homes.get(TenantRegistry.name(startup));
+    Home home = homes.get(TenantRegistry.nameIn(startup));
     // One that was removed meanwhile, and came again, has other clients; none of them is counted
     // twice.
     if (home != null && clients.get(home.loopIndex) == there && home.clients > 0) {
@@ -313,25 +318,32 @@
   }
 
   /** Chooses a home for a tenant whose first client has come. */
-  private void wake(Home home) {
+  private void placeActivated(Home home) {
     long[] worked = new long[members.size()];
     for (int i = 0; i < worked.length; i++) {
       worked[i] = loop(i).busyMicros();
     }
-    placement.recordBusyTime(worked, front.loop().nowMicros());
-    int before = home.loopIndex;
-    home.loopIndex = placement.placeResumed(before, home.spec.weight());
-    if (home.loopIndex == before) {
+    placement.recordBusyTime(worked, firstNetwork.loop().nowMicros());
+    int oldLoopIndex = home.loopIndex;
+    home.loopIndex = placement.placeResumed(oldLoopIndex, home.spec.weight());
+    if (home.loopIndex == oldLoopIndex) {
       return;
     }
     TenantSpec spec = home.spec;
-    TenantRegistry left = members.get(before).tenants();
+    TenantRegistry left = members.get(oldLoopIndex).tenants();
     TenantRegistry next = members.get(home.loopIndex).tenants();
-    int to = home.loopIndex;
-    front.log().println("tenant " + spec.id() + " moves from loop " + before + " to " + to);
+    int newLoopIndex = home.loopIndex;
+    firstNetwork
+        .log()
+        .println(
+            "tenant " + spec.id() + " moves from loop " + oldLoopIndex + " to " + newLoopIndex);
     CompletableFuture<Runnable> arrived = new CompletableFuture<>();
-    on(to, () -> arrived.complete(next.arrive(spec)));
-    on(before, () -> left.remove(spec.id(), at -> arrived.thenAccept(over -> loop(to).post(over))));
+    runOn(newLoopIndex, () -> arrived.complete(next.migrateIn(spec)));
+    runOn(
+        oldLoopIndex,
+        () ->
+            left.remove(
+                spec.id(), atMicros -> arrived.thenAccept(over -> loop(newLoopIndex).post(over))));
   }
 
   @Override
@@ -356,7 +368,7 @@
 
   /** Has the other loops drain, and says whether, when last asked, nothing was open on any. */
   boolean isDrained() {
-    boolean all = members.get(0).tenants().isEmpty();
+    boolean all = members.get(0).tenants().hasNoOpenRequests();
     for (int i = 1; i < members.size(); i++) {
       int loopIndex = i;
       loop(i)
@@ -364,8 +376,9 @@
               () -> {
                 clients.get(loopIndex).drain();
                 boolean empty =
-                    clients.get(loopIndex).isEmpty() && members.get(loopIndex).tenants().isEmpty();
-                front.loop().post(() -> drained[loopIndex] = empty);
+                    clients.get(loopIndex).isEmpty()
+                        && members.get(loopIndex).tenants().hasNoOpenRequests();
+                firstNetwork.loop().post(() -> drained[loopIndex] = empty);
               });
       all &= drained[i];
     }
@@ -376,12 +389,12 @@
   void close() {
     members.get(0).tenants().close(CloseReason.DRAINED);
     for (int i = 1; i < members.size(); i++) {
-      Member member = members.get(i);
+      LoopMember member = members.get(i);
       loop(i)
           .post(
               () -> {
                 member.tenants().close(CloseReason.DRAINED);
-                front.log().println(member.network().counters());
+                firstNetwork.log().println(member.network().counters());
                 member.network().loop().stop();
               });
     }
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
@@ -14,7 +14,7 @@
 import shelffront.coordination.OperatorException;
 import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
-import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.AuditEntry;
 import shelffront.store.DocumentStore.ConflictException;
 import shelffront.store.DocumentStore.Entry;
 import shelffront.store.DocumentStore.Kind;
@@ -30,11 +30,11 @@
   /** Before the id of a tenant, in the names of records. */
   static final String PREFIX = "tenant/";
 
-  private static final int MOST_AUDITS = 10_000;
+  private static final int MAX_AUDIT_ENTRIES = 10_000;
 
   private final ChangeStore engine; // null where this gateway has no way to it
   private final SubscribedRecords records;
-  private final ArrayDeque<Audit> audits = new ArrayDeque<>();
+  private final ArrayDeque<AuditEntry> auditEntries = new ArrayDeque<>();
 
   FleetTenantDocuments(ChangeStore engine, SubscribedRecords records) {
     this.engine = engine;
@@ -68,13 +68,14 @@
   @Override
   public List<Entry> all() throws OperatorException {
     return engine().readAll().snapshot().records().stream()
-        .filter(r -> r.name().startsWith(PREFIX))
+        .filter(record -> record.name().startsWith(PREFIX))
         .map(FleetTenantDocuments::entry)
         .toList();
   }
 
   @Override
-  public long put(String id, long expected, JsonNode document, String who, String what, long at)
+  public long put(
+      String id, long expected, JsonNode document, String actor, String action, long atMillis)
       throws ConflictException, OperatorException {
     try {
       Version version =
@@ -84,10 +85,11 @@
                   expected,
                   document == null ? null : document.toString(),
                   records.version());
-      synchronized (audits) {
-        audits.addLast(new Audit(version.sequence(), expected, at, who, what, Kind.TENANT, id));
-        if (audits.size() > MOST_AUDITS) {
-          audits.removeFirst();
+      synchronized (auditEntries) {
+        auditEntries.addLast(
+            new AuditEntry(version.sequence(), expected, atMillis, actor, action, Kind.TENANT, id));
+        if (auditEntries.size() > MAX_AUDIT_ENTRIES) {
+          auditEntries.removeFirst();
         }
       }
       return version.sequence();
@@ -102,10 +104,10 @@
   }
 
   @Override
-  public List<Audit> audits(long after, int most) {
-    synchronized (audits) {
+  public List<AuditEntry> auditEntries(long after, int limit) {
+    synchronized (auditEntries) {
       return new ArrayList<>(
-          audits.stream().filter(a -> a.revision() > after).limit(most).toList());
+          auditEntries.stream().filter(change -> change.revision() > after).limit(limit).toList());
     }
   }
 
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -27,13 +27,14 @@
  */
 final class FleetTenants implements SubscribedRecords.RecordApplier, AutoCloseable {
 
-  private final TenantAdministration.Control control;
+  private final TenantAdministration.TenantControl control;
   private final ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(1, "fleet-records");
   private final SubscribedRecords records;
   private final ChangeStore engine; // null where this gateway changes nothing
   private volatile LongConsumer reached = sequence -> {};
 
-  FleetTenants(SubscribedRecordsConfig config, TenantAdministration.Control control, EventLog log) {
+  FleetTenants(
+      SubscribedRecordsConfig config, TenantAdministration.TenantControl control, EventLog log) {
     this.control = control;
     records =
         new SubscribedRecords(
@@ -48,7 +49,7 @@
   }
 
   /** Told of each sequence up to which every change is in force here. */
-  void whenReached(LongConsumer told) {
+  void onInForceUpTo(LongConsumer told) {
     reached = told;
   }
 
@@ -60,7 +61,7 @@
    * Where administrators change tenants; each call is refused where this gateway has no way to the
    * engine.
    */
-  TenantDocuments administration() {
+  TenantDocuments documents() {
     return new FleetTenantDocuments(engine, records);
   }
 
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
@@ -39,7 +39,7 @@
  * starts it.
  */
 public final class MultiTenantGateway
-    implements TenantAdministration.Control, FleetResource.Distribution {
+    implements TenantAdministration.TenantControl, FleetResource.Distribution {
 
   private final Network network;
   private final EventLoop loop;
@@ -47,10 +47,10 @@
   private final Gateway gateway;
   private final DocumentStore store;
   private final AdminTokens tokens;
-  private final TenantAdministration tenancy;
-  private final AdminServer admin;
+  private final TenantAdministration administration;
+  private final AdminServer adminServer;
   private final FleetTenants fleetTenants; // null where its tenants are its own
-  private final RolloutCoordinator stages; // null where this gateway is on its own
+  private final RolloutCoordinator rollouts; // null where this gateway is on its own
 
   public MultiTenantGateway(MultiTenantConfig config, EventLog log)
       throws IOException, SpecException {
@@ -60,34 +60,34 @@
   public MultiTenantGateway(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
       throws IOException, SpecException {
     loops = new EventLoopGroup(config, log, environment);
-    network = loops.front();
+    network = loops.firstNetwork();
     loop = network.loop();
     store = config.store() == null ? DocumentStore.inMemory() : DocumentStore.open(config.store());
     try {
       tokens = new AdminTokens(store, System::currentTimeMillis);
       fleetTenants =
           config.distribution() == null ? null : new FleetTenants(config.distribution(), this, log);
-      tenancy = tenancy();
+      administration = administration();
       gateway =
           new Gateway(
               network, config.listen(), config.sockets(), loops, loops::isDrained, loops::close);
-      loops.behind(gateway.clients());
-      tenancy.start();
-      seed(config);
+      loops.serveBehind(gateway.clients());
+      administration.start();
+      addMissingTenants(config);
       if (fleetTenants != null) {
-        fleetTenants.whenReached(tenancy::reached);
+        fleetTenants.onInForceUpTo(administration::recordInForceUpTo);
         loops.lookUpWith(fleetTenants::lookUp, fleetTenants::forget);
       }
-      stages = config.fleet() == null ? null : stages(config.fleet(), log);
-      admin =
+      rollouts = config.fleet() == null ? null : rolloutCoordinator(config.fleet(), log);
+      adminServer =
           config.admin() == null
               ? null
               : new AdminServer(
                   config.admin(),
                   store,
-                  tenancy,
+                  administration,
                   tokens,
-                  new FleetResource(stages, fleetTenants == null ? null : this),
+                  new FleetResource(rollouts, fleetTenants == null ? null : this),
                   log);
     } catch (ConflictException | OperatorException e) {
       store.close();
@@ -98,14 +98,15 @@
     }
   }
 
-  private TenantAdministration tenancy() {
+  private TenantAdministration administration() {
     TenantDocuments records =
-        fleetTenants == null ? TenantDocuments.in(store) : fleetTenants.administration();
+        fleetTenants == null ? TenantDocuments.in(store) : fleetTenants.documents();
     return new TenantAdministration(records, this, System::currentTimeMillis);
   }
 
   /** A call of the engine has a quarter of a lease: a renewal that fails leaves time for others. */
-  private static RolloutCoordinator stages(RolloutConfig fleet, EventLog log) throws IOException {
+  private static RolloutCoordinator rolloutCoordinator(RolloutConfig fleet, EventLog log)
+      throws IOException {
     CoordinationStore engine =
         new ConsulCoordinationStore(
             fleet.engineHost(),
@@ -123,13 +124,13 @@
    * Puts in the tenants of a file that the store has none of; those it has stand as administrators
    * left them.
    */
-  public int seed(MultiTenantConfig config)
+  public int addMissingTenants(MultiTenantConfig config)
       throws SpecException, ConflictException, OperatorException {
     int count = 0;
     for (JsonNode tenant : config.tenants()) {
       String id = tenant.path("id").asText();
       if (store.get(Kind.TENANT, id) == null) {
-        tenancy.put(id, 0, tenant, "file", "create");
+        administration.put(id, 0, tenant, "file", "create");
         count++;
       }
     }
@@ -141,11 +142,11 @@
    * loop thread.
    */
   public void run() throws InterruptedException {
-    if (admin != null) {
-      admin.start();
+    if (adminServer != null) {
+      adminServer.start();
     }
-    if (stages != null) {
-      stages.start();
+    if (rollouts != null) {
+      rollouts.start();
     }
     if (fleetTenants != null) {
       fleetTenants.start();
@@ -157,17 +158,17 @@
     if (fleetTenants != null) {
       fleetTenants.close();
     }
-    if (stages != null) {
-      stages.close();
+    if (rollouts != null) {
+      rollouts.close();
     }
-    if (admin != null) {
-      admin.close();
+    if (adminServer != null) {
+      adminServer.close();
     }
     store.close();
   }
 
   /** Takes clients in without running anything: for whoever takes the loops' turns himself. */
-  public void begin() {
+  public void startWithoutThreads() {
     gateway.start();
   }
 
@@ -178,7 +179,7 @@
 
   /** Runs on a thread of its own, which ends with {@link #drain}. */
   public Thread start() {
-    Thread turns =
+    Thread thread =
         new Thread(
             () -> {
               try {
@@ -188,8 +189,8 @@
               }
             },
             "turns");
-    turns.start();
-    return turns;
+    thread.start();
+    return thread;
   }
 
   /** Ends {@link #run} once what was taken is answered. Any thread may call. */
@@ -203,7 +204,7 @@
 
   /** Where administrators connect; null where there is no administration. */
   public InetSocketAddress adminAddress() {
-    return admin == null ? null : admin.address();
+    return adminServer == null ? null : adminServer.address();
   }
 
   public AdminTokens tokens() {
@@ -215,10 +216,10 @@
   }
 
   /** What the whole of it holds: for tests that count what is left. */
-  public record Held(int deadlines, long bufferBytes, Counters counters) {}
+  public record HeldResources(int deadlines, long bufferBytes, Counters counters) {}
 
-  public CompletableFuture<Held> held() {
-    return loops.held();
+  public CompletableFuture<HeldResources> heldResources() {
+    return loops.heldResources();
   }
 
   /**
--- a/gateway/src/main/java/shelffront/store/DocumentStore.java
+++ b/gateway/src/main/java/shelffront/store/DocumentStore.java
@@ -33,8 +33,14 @@
   public record Entry(String name, long revision, JsonNode document) {}
 
   /** Who changed what, when (Unix milliseconds), from which revision to which; 0 is none. */
-  public record Audit(
-      long revision, long before, long at, String who, String what, Kind kind, String name) {}
+  public record AuditEntry(
+      long revision,
+      long previousRevision,
+      long atMillis,
+      String actor,
+      String action,
+      Kind kind,
+      String name) {}
 
   /** The document is not at the revision that the change was made for. */
   public static final class ConflictException extends Exception {
@@ -58,18 +64,18 @@
   private static final String FORMAT = "shelffront-1";
 
   /** Audit entries kept; the oldest go first. */
-  private static final int MOST_AUDITS = 100_000;
+  private static final int MAX_AUDIT_ENTRIES = 100_000;
 
   private final MVStore store;
   private final MVMap<String, String> documents;
-  private final MVMap<Long, String> audits;
-  private final MVMap<String, String> about;
+  private final MVMap<Long, String> auditEntries;
+  private final MVMap<String, String> metadata;
 
   private DocumentStore(MVStore store) {
     this.store = store;
     documents = store.openMap("documents");
-    audits = store.openMap("audits");
-    about = store.openMap("about");
+    auditEntries = store.openMap("audits");
+    metadata = store.openMap("about");
   }
 
   public static DocumentStore inMemory() {
@@ -81,25 +87,27 @@
    * answered; one that is damaged beyond that, or is something else, is refused and left as it is.
    */
   public static DocumentStore open(Path file) throws IOException {
-    boolean there = Files.exists(file) && Files.size(file) > 0;
+    boolean exists = Files.exists(file) && Files.size(file) > 0;
     try {
-      if (there) {
+      if (exists) {
         // Looked at first without the right to write: what can't be read must not be written to
         // either.
-        try (MVStore look = new MVStore.Builder().fileName(file.toString()).readOnly().open()) {
-          if (!look.hasMap("about") || !FORMAT.equals(look.openMap("about").get("format"))) {
+        try (MVStore readOnlyStore =
+            new MVStore.Builder().fileName(file.toString()).readOnly().open()) {
+          if (!readOnlyStore.hasMap("about")
+              || !FORMAT.equals(readOnlyStore.openMap("about").get("format"))) {
             throw new IOException(file + " is not a store of shelffront, or of a later form");
           }
           for (String map : List.of("documents", "audits")) {
-            look.openMap(map).forEach((name, text) -> {});
+            readOnlyStore.openMap(map).forEach((name, text) -> {});
           }
         }
       }
       DocumentStore store =
           new DocumentStore(
               new MVStore.Builder().fileName(file.toString()).autoCommitDisabled().open());
-      if (!there) {
-        store.about.put("format", FORMAT);
+      if (!exists) {
+        store.metadata.put("format", FORMAT);
         store.commit();
       }
       return store;
@@ -110,7 +118,7 @@
 
   /** The revision of the last change; 0 before the first. */
   public synchronized long revision() {
-    Long last = audits.lastKey();
+    Long last = auditEntries.lastKey();
     return last == null ? 0 : last;
   }
 
@@ -138,10 +146,16 @@
    * Puts a document in place of the one at a revision, 0 for none; null takes it away. Gives the
    * new revision.
    *
-   * @param who for the audit entry, as is {@code what}
+   * @param actor for the audit entry, as is {@code what}
    */
   public synchronized long put(
-      Kind kind, String name, long expected, JsonNode document, String who, String what, long at)
+      Kind kind,
+      String name,
+      long expected,
+      JsonNode document,
+      String actor,
+      String action,
+      long atMillis)
       throws ConflictException {
     Entry present = get(kind, name);
     if ((present == null ? 0 : present.revision()) != expected) {
@@ -156,34 +170,34 @@
     ObjectNode audit =
         JSON.createObjectNode()
             .put("before", expected)
-            .put("at", at)
-            .put("who", who)
-            .put("what", what)
+            .put("at", atMillis)
+            .put("who", actor)
+            .put("what", action)
             .put("kind", kind.name())
             .put("name", name);
-    audits.put(revision, audit.toString());
-    if (audits.sizeAsLong() > MOST_AUDITS) {
-      audits.remove(audits.firstKey());
+    auditEntries.put(revision, audit.toString());
+    if (auditEntries.sizeAsLong() > MAX_AUDIT_ENTRIES) {
+      auditEntries.remove(auditEntries.firstKey());
     }
     commit();
     return revision;
   }
 
   /** Changes after a revision, oldest first, at most so many. */
-  public synchronized List<Audit> audits(long after, int most) {
-    List<Audit> found = new ArrayList<>();
-    for (var keys = audits.keyIterator(after + 1); keys.hasNext() && found.size() < most; ) {
+  public synchronized List<AuditEntry> auditEntries(long after, int limit) {
+    List<AuditEntry> found = new ArrayList<>();
+    for (var keys = auditEntries.keyIterator(after + 1); keys.hasNext() && found.size() < limit; ) {
       long revision = keys.next();
-      JsonNode a = json(audits.get(revision));
+      JsonNode stored = json(auditEntries.get(revision));
       found.add(
-          new Audit(
+          new AuditEntry(
               revision,
-              a.path("before").asLong(),
-              a.path("at").asLong(),
-              a.path("who").asText(),
-              a.path("what").asText(),
-              Kind.valueOf(a.path("kind").asText()),
-              a.path("name").asText()));
+              stored.path("before").asLong(),
+              stored.path("at").asLong(),
+              stored.path("who").asText(),
+              stored.path("what").asText(),
+              Kind.valueOf(stored.path("kind").asText()),
+              stored.path("name").asText()));
     }
     return found;
   }
@@ -192,8 +206,8 @@
   public synchronized ObjectNode export() {
     ObjectNode all = JSON.createObjectNode().put("format", FORMAT).put("revision", revision());
     for (Kind kind : Kind.values()) {
-      ObjectNode of = all.putObject(kind.name().toLowerCase(Locale.ROOT));
-      all(kind).forEach(e -> of.set(e.name(), e.document()));
+      ObjectNode documentsByName = all.putObject(kind.name().toLowerCase(Locale.ROOT));
+      all(kind).forEach(entry -> documentsByName.set(entry.name(), entry.document()));
     }
     return all;
   }
@@ -202,18 +216,19 @@
    * Puts in all that an export holds, in place of what has the same name; each is a change of its
    * own.
    */
-  public synchronized int importAll(JsonNode exported, String who, long at) throws IOException {
+  public synchronized int importAll(JsonNode exported, String actor, long atMillis)
+      throws IOException {
     if (!FORMAT.equals(exported.path("format").asText())) {
       throw new IOException("not an export of shelffront");
     }
     int count = 0;
     for (Kind kind : Kind.values()) {
-      TreeMap<String, JsonNode> of = new TreeMap<>();
+      TreeMap<String, JsonNode> documentsByName = new TreeMap<>();
       exported
           .path(kind.name().toLowerCase(Locale.ROOT))
           .fields()
-          .forEachRemaining(f -> of.put(f.getKey(), f.getValue()));
-      for (var each : of.entrySet()) {
+          .forEachRemaining(field -> documentsByName.put(field.getKey(), field.getValue()));
+      for (var each : documentsByName.entrySet()) {
         Entry present = get(kind, each.getKey());
         try {
           put(
@@ -221,9 +236,9 @@
               each.getKey(),
               present == null ? 0 : present.revision(),
               each.getValue(),
-              who,
+              actor,
               "import",
-              at);
+              atMillis);
         } catch (ConflictException e) {
           throw new IllegalStateException("nobody else has the store meanwhile", e);
         }
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -64,32 +64,34 @@
   private static final long SLEEP_AFTER = 30_000_000;
 
   private enum State {
-    ASLEEP,
+    SUSPENDED,
     ACTIVE,
     DRAINING,
-    GONE
+    REMOVED
   }
 
   private final Network network;
   private final EventLoop loop;
   private final long seed;
-  private final TenantQuotas shares; // null where it has the gateway to itself
-  private final Quota share;
-  private final ConnectionQuotas sockets;
-  private final TokenBucket rate;
+  private final TenantQuotas quotas; // null where it has the gateway to itself
+  private final Quota quota;
+  private final ConnectionQuotas hostConnectionQuotas;
+  private final TokenBucket rateLimit;
   private TenantSpec spec;
-  private State state = State.ASLEEP;
+  private State state = State.SUSPENDED;
   private Router router;
   private BackendConnections servers;
   private DiscoveryClient discovery;
-  private EndpointList heard; // the list last heard, before what administrators drained
-  private long parked; // the time of the module's timer that came while it slept; 0: none
+  private EndpointList endpoints; // the list last heard, before what administrators drained
+  private long
+      suspendedTimerAtMicros; // the time of the module's timer that came while it slept; 0: none
   private Deadline wake;
   private Deadline sleep;
   private Runnable whenGone;
   private boolean left; // nothing of it remains
   private boolean predecessor; // another module served this tenant's sessions, and still does
-  private long marksFrom; // writes before this time may have gone through another module
+  private long
+      predecessorEndedAtMicros; // writes before this time may have gone through another module
   private final Map<String, ClientRequest> exchanges = new HashMap<>();
   private final Set<FrontendConnections.ClientHandle> clients = new LinkedHashSet<>();
 
@@ -100,10 +102,10 @@
     this.loop = network.loop();
     this.spec = spec;
     this.seed = seed;
-    this.sockets = sockets;
-    this.shares = shares;
-    share = shares == null ? null : shares.register(spec.weight(), spec.shares());
-    rate =
+    this.hostConnectionQuotas = sockets;
+    this.quotas = shares;
+    quota = shares == null ? null : shares.register(spec.weight(), spec.classWeights());
+    rateLimit =
         new TokenBucket(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.nowMicros());
   }
 
@@ -115,13 +117,13 @@
    * Another module has served this tenant: until its work is done, and for what it wrote, reads
    * must be covered.
    */
-  void succeeds() {
+  void awaitPredecessor() {
     predecessor = true;
   }
 
-  void predecessorGone() {
+  void predecessorEnded() {
     predecessor = false;
-    marksFrom = loop.nowMicros();
+    predecessorEndedAtMicros = loop.nowMicros();
     if (left) {
       whenGone.run();
     }
@@ -132,7 +134,7 @@
 
   /** Starts the module with the list as last known, or wakes it. */
   public void start() {
-    if (state != State.ASLEEP) {
+    if (state != State.SUSPENDED) {
       return;
     }
     state = State.ACTIVE;
@@ -143,47 +145,49 @@
           new BackendConnections(
               network,
               spec.settings().limits(),
-              sockets,
+              hostConnectionQuotas,
               spec.weight(),
               spec.bounds().hostConnections(),
               spec.login(),
               this);
-      if (spec.discovery() != null) {
-        discovery = new DiscoveryClient(network, spec.discovery(), spec.boxes().revision(), this);
+      if (spec.discoveryAddress() != null) {
+        discovery =
+            new DiscoveryClient(
+                network, spec.discoveryAddress(), spec.endpoints().revision(), this);
       }
-      heard = spec.boxes();
-      servers.updateEndpoints(heard);
+      endpoints = spec.endpoints();
+      servers.updateEndpoints(endpoints);
       router.onStart(loop.nowMicros(), seed, spec.settings());
       listen();
       // In a turn of its own: the first connections to hosts would else be late before the loop
       // looks at them.
-      network.post(() -> told(EndpointUpdateKind.CACHED, heard));
+      network.post(() -> told(EndpointUpdateKind.CACHED, endpoints));
       return;
     }
     if (discovery != null) {
       discovery.watchFromStart();
     } else {
-      told(EndpointUpdateKind.SNAPSHOT, heard);
+      told(EndpointUpdateKind.SNAPSHOT, endpoints);
     }
-    if (parked != 0) {
-      setTimer("wake", parked);
+    if (suspendedTimerAtMicros != 0) {
+      setTimer("wake", suspendedTimerAtMicros);
     }
   }
 
   /** Gives back what a tenant without clients needs not. */
-  private void fallAsleep() {
+  private void suspend() {
     sleep = null;
     if (!exchanges.isEmpty()) {
       sleep =
           loop.scheduleAt(
-              loop.nowMicros() + SLEEP_AFTER,
-              this::fallAsleep); // what is still out ends before long
+              loop.nowMicros() + SLEEP_AFTER, this::suspend); // what is still out ends before long
       return;
     }
     // What was known of boxes will be old by then; an empty list leaves the module its sessions'
     // marks.
-    router.onEndpoints(loop.nowMicros(), EndpointUpdateKind.SNAPSHOT, heard.revision(), List.of());
-    state = State.ASLEEP;
+    router.onEndpoints(
+        loop.nowMicros(), EndpointUpdateKind.SNAPSHOT, endpoints.revision(), List.of());
+    state = State.SUSPENDED;
     if (discovery != null) {
       discovery.watch(false);
     }
@@ -198,32 +202,33 @@
    * Takes up a changed spec. What only a new module can take up is taken up by one, once this one's
    * work is done.
    */
-  public boolean change(TenantSpec next) {
-    if (router != null && !spec.runsLike(next)) {
+  public boolean update(TenantSpec next) {
+    if (router != null && !spec.canUpdateInPlaceTo(next)) {
       return false;
     }
-    boolean moved = discovery != null && !next.discovery().equals(spec.discovery());
-    boolean listed = next.discovery() == null && !next.boxes().equals(spec.boxes());
-    boolean drained = !next.drained().equals(spec.drained());
+    boolean moved = discovery != null && !next.discoveryAddress().equals(spec.discoveryAddress());
+    boolean listed = next.discoveryAddress() == null && !next.endpoints().equals(spec.endpoints());
+    boolean drained = !next.drainedEndpoints().equals(spec.drainedEndpoints());
     spec = next;
-    rate.reconfigure(next.bounds().requestsPerSecond(), next.bounds().burst(), loop.nowMicros());
+    rateLimit.reconfigure(
+        next.bounds().requestsPerSecond(), next.bounds().burst(), loop.nowMicros());
     network.budget().updateLimit(next.bounds().bufferBytes());
     if (servers != null) {
       servers.updateQuota(next.weight(), next.bounds().hostConnections());
     }
     network.taskFlow().setWeight(next.weight());
-    if (share != null) {
-      shares.updateWeights(share, next.weight(), next.shares());
+    if (quota != null) {
+      quotas.updateWeights(quota, next.weight(), next.classWeights());
     }
     if (moved) {
-      discovery.changeAddress(next.discovery());
+      discovery.changeAddress(next.discoveryAddress());
     }
     if (listed) {
-      heard = next.boxes();
+      endpoints = next.endpoints();
     }
-    if (router != null && state != State.ASLEEP && (listed || drained)) {
-      servers.updateEndpoints(heard);
-      told(EndpointUpdateKind.SNAPSHOT, heard);
+    if (router != null && state != State.SUSPENDED && (listed || drained)) {
+      servers.updateEndpoints(endpoints);
+      told(EndpointUpdateKind.SNAPSHOT, endpoints);
     }
     return true;
   }
@@ -233,12 +238,12 @@
    * the grace, then the rest is answered too and nothing of it remains.
    */
   public void remove(long grace, Runnable then) {
-    if (state == State.DRAINING || state == State.GONE) {
+    if (state == State.DRAINING || state == State.REMOVED) {
       return;
     }
     whenGone = then;
     if (router == null) {
-      state = State.GONE;
+      state = State.REMOVED;
       gone();
       return;
     }
@@ -257,7 +262,7 @@
       loop.scheduleAt(Math.min(until, loop.nowMicros() + DRAIN_CHECK), () -> removal(until));
       return;
     }
-    state = State.GONE;
+    state = State.REMOVED;
     for (ClientRequest exchange : List.copyOf(exchanges.values())) {
       if (!exchange.answered) {
         // The module is told that nobody waits, so that it calls off what is out and counts nothing
@@ -281,8 +286,8 @@
   }
 
   private void gone() {
-    if (share != null) {
-      shares.unregister(share);
+    if (quota != null) {
+      quotas.unregister(quota);
     }
     left = true;
     if (!predecessor) { // else whoever comes after this one would not wait for the one before it
@@ -317,22 +322,22 @@
   }
 
   /** Whether its module runs: it has clients, or finishes what they asked. */
-  private boolean runs() {
+  private boolean isRunning() {
     return state == State.ACTIVE || state == State.DRAINING;
   }
 
   /** Whether it has no client. */
-  boolean isAlone() {
+  boolean hasNoClients() {
     return clients.isEmpty();
   }
 
   /** Whether nothing that was taken is open, answers and attempts alike. */
-  public boolean isEmpty() {
+  public boolean hasNoOpenRequests() {
     return exchanges.isEmpty();
   }
 
   /** Discovery answers elsewhere from now on. */
-  public void move(InetSocketAddress to) {
+  public void moveDiscovery(InetSocketAddress to) {
     discovery.changeAddress(to);
   }
 
@@ -385,14 +390,14 @@
   @Override
   public void onClientClosed(FrontendConnections.ClientHandle client) {
     clients.remove(client);
-    if (clients.isEmpty() && shares != null && state == State.ACTIVE) {
-      sleep = loop.scheduleAt(loop.nowMicros() + SLEEP_AFTER, this::fallAsleep);
+    if (clients.isEmpty() && quotas != null && state == State.ACTIVE) {
+      sleep = loop.scheduleAt(loop.nowMicros() + SLEEP_AFTER, this::suspend);
     }
   }
 
   /** Whether it takes clients; throws what one that comes now is told. */
-  void checkRoom() throws ProtocolException {
-    if (state == State.DRAINING || state == State.GONE) {
+  void checkAdmission() throws ProtocolException {
+    if (state == State.DRAINING || state == State.REMOVED) {
       throw removed();
     }
     if (clients.size() >= spec.bounds().clientConnections()) {
@@ -412,23 +417,23 @@
   @Override
   public void handle(
       ClientRequest exchange, String session, int group, long after, boolean repeat) {
-    if (state == State.DRAINING || state == State.GONE) {
+    if (state == State.DRAINING || state == State.REMOVED) {
       exchange.responseListener.onUnavailable();
       return;
     }
-    long wait = rate.waitMicros(loop.nowMicros());
+    long wait = rateLimit.waitMicros(loop.nowMicros());
     if (wait > 0 || exchanges.size() >= spec.bounds().openRequests()) {
       network.counters().add(Counters.Name.REFUSED_BY_LIMIT);
       exchange.responseListener.onRejected(told(Math.max(wait, BUSY_WAIT)));
       return;
     }
-    long later = share == null ? 0 : shares.admit(share, exchange.classIndex, loop.nowMicros());
+    long later = quota == null ? 0 : quotas.admit(quota, exchange.classIndex, loop.nowMicros());
     if (later > 0) {
       network.counters().add(Counters.Name.REFUSED_BY_SHARE);
       exchange.responseListener.onRejected(told(later));
       return;
     }
-    rate.consume();
+    rateLimit.consume();
     exchanges.put(exchange.id, exchange);
     router.onRequest(
         loop.nowMicros(),
@@ -447,7 +452,9 @@
    * was none.
    */
   private long writtenBefore() {
-    return predecessor ? loop.nowMicros() : marksFrom > 0 ? marksFrom : Router.UNKNOWN;
+    return predecessor
+        ? loop.nowMicros()
+        : predecessorEndedAtMicros > 0 ? predecessorEndedAtMicros : Router.UNKNOWN;
   }
 
   private long told(long wait) {
@@ -465,8 +472,8 @@
 
   /** The one place where an answer leaves; the request's place is free from here. */
   private void finished(Consumer<ClientRequest.ResponseListener> answer, ClientRequest exchange) {
-    if (share != null) {
-      shares.release(share);
+    if (quota != null) {
+      quotas.release(quota);
     }
     answer.accept(exchange.responseListener);
     forget(exchange);
@@ -543,7 +550,7 @@
 
   @Override
   public void onEndpoints(EndpointList list) {
-    heard = heard.apply(list);
+    endpoints = endpoints.apply(list);
     servers.updateEndpoints(list);
     told(list.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
   }
@@ -553,7 +560,7 @@
    * says.
    */
   private void told(EndpointUpdateKind kind, EndpointList list) {
-    Set<String> drained = new HashSet<>(spec.drained());
+    Set<String> drained = new HashSet<>(spec.drainedEndpoints());
     List<Endpoint> members =
         drained.isEmpty()
             ? list.endpoints()
@@ -569,7 +576,7 @@
 
   @Override
   public void onDiscoveryFailed() {
-    if (!runs()) {
+    if (!isRunning()) {
       return;
     }
     if (spec.settings().endpointList().polled()) {
@@ -583,7 +590,7 @@
    * Where lists are pushed the module asks for none: on sockets they come by a watch all the same.
    */
   private void listen() {
-    if (runs()
+    if (isRunning()
         && discovery != null
         && !spec.settings().endpointList().polled()
         && !discovery.isOpen()) {
@@ -639,15 +646,15 @@
    */
   @Override
   public void checkHealth(String member) {
-    if (runs()) {
+    if (isRunning()) {
       servers.checkHealth(member);
     }
   }
 
   @Override
   public void setTimer(String name, long at) {
-    parked = at;
-    if (runs()) {
+    suspendedTimerAtMicros = at;
+    if (isRunning()) {
       if (wake != null) {
         wake.cancel();
       }
@@ -656,7 +663,7 @@
               at,
               () -> {
                 wake = null;
-                parked = 0;
+                suspendedTimerAtMicros = 0;
                 router.onTimer(loop.nowMicros(), name);
               });
     }
@@ -666,7 +673,7 @@
   public void watchEndpoints(boolean on) {
     // One that stands is not begun anew: a move to another address may have come between its
     // failure and now.
-    if (discovery != null && runs() && !(on && discovery.isOpen())) {
+    if (discovery != null && isRunning() && !(on && discovery.isOpen())) {
       discovery.watch(on);
     }
   }
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -22,26 +22,26 @@
  */
 public final class TenantRegistry implements FrontendConnections.TenantLookup {
 
-  private static final byte[] NOBODY = new byte[32];
+  private static final byte[] HASH_OF_NO_KEY = new byte[32];
 
   private final Network network;
-  private final TenantQuotas shares;
-  private final ConnectionQuotas hostSockets;
+  private final TenantQuotas quotas;
+  private final ConnectionQuotas hostConnectionQuotas;
   private final Map<String, Tenant> tenants = new HashMap<>();
 
   /**
    * Removed or replaced, with work that is not over, the first told first; and who waits for its
    * end.
    */
-  private final Map<Tenant, List<Runnable>> leaving = new LinkedHashMap<>();
+  private final Map<Tenant, List<Runnable>> draining = new LinkedHashMap<>();
 
   private long seed;
 
   public TenantRegistry(
       Network network, TenantQuotas shares, ConnectionQuotas hostSockets, long seed) {
     this.network = network;
-    this.shares = shares;
-    this.hostSockets = hostSockets;
+    this.quotas = shares;
+    this.hostConnectionQuotas = hostSockets;
     this.seed = seed;
   }
 
@@ -51,7 +51,7 @@
    */
   public void apply(TenantSpec spec, LongConsumer inForce) {
     Tenant running = tenants.get(spec.id());
-    if (running != null && running.change(spec)) {
+    if (running != null && running.update(spec)) {
       inForce.accept(network.loop().nowMicros());
       return;
     }
@@ -61,33 +61,33 @@
             network.forTenant(spec.id(), flow, spec.bounds().bufferBytes()),
             spec,
             seed++,
-            hostSockets,
-            shares);
+            hostConnectionQuotas,
+            quotas);
     tenants.put(spec.id(), next);
     if (running == null) {
       inForce.accept(network.loop().nowMicros());
     } else {
       // What it asks for only a new module can do: this one serves from now on, that one ends what
       // it has.
-      leave(running, spec.grace(), inForce);
+      startRemoval(running, spec.graceMicros(), inForce);
     }
-    succeed(next);
+    awaitPredecessor(next);
   }
 
   /**
    * Sessions may have written under its name before: through one that still ends its work here, or
    * is gone.
    */
-  private void succeed(Tenant next) {
-    next.succeeds();
+  private void awaitPredecessor(Tenant next) {
+    next.awaitPredecessor();
     Tenant before = null;
-    for (Tenant each : leaving.keySet()) {
+    for (Tenant each : draining.keySet()) {
       before = each.spec().id().equals(next.spec().id()) ? each : before;
     }
     if (before == null) {
-      next.predecessorGone();
+      next.predecessorEnded();
     } else {
-      leaving.get(before).add(next::predecessorGone);
+      draining.get(before).add(next::predecessorEnded);
     }
   }
 
@@ -95,17 +95,17 @@
    * Takes up a tenant that another loop has served: until the task given back has run here, once
    * all is over there, and for what was written before that, reads must be covered.
    */
-  public Runnable arrive(TenantSpec spec) {
-    apply(spec, at -> {});
+  public Runnable migrateIn(TenantSpec spec) {
+    apply(spec, atMicros -> {});
     Tenant arrived = tenants.get(spec.id());
-    arrived.succeeds();
-    return arrived::predecessorGone;
+    arrived.awaitPredecessor();
+    return arrived::predecessorEnded;
   }
 
   /** Whether a tenant has no client here. */
-  public boolean isAlone(String id) {
+  public boolean hasNoClients(String id) {
     Tenant tenant = tenants.get(id);
-    return tenant == null || tenant.isAlone();
+    return tenant == null || tenant.hasNoClients();
   }
 
   /** Takes a tenant out of service; {@code gone} is told the time once nothing of it is left. */
@@ -114,16 +114,16 @@
     if (tenant == null) {
       gone.accept(network.loop().nowMicros());
     } else {
-      leave(tenant, tenant.spec().grace(), gone);
+      startRemoval(tenant, tenant.spec().graceMicros(), gone);
     }
   }
 
-  private void leave(Tenant tenant, long grace, LongConsumer gone) {
-    leaving.put(tenant, new ArrayList<>());
+  private void startRemoval(Tenant tenant, long graceMicros, LongConsumer gone) {
+    draining.put(tenant, new ArrayList<>());
     tenant.remove(
-        grace,
+        graceMicros,
         () -> {
-          leaving.remove(tenant).forEach(Runnable::run);
+          draining.remove(tenant).forEach(Runnable::run);
           gone.accept(network.loop().nowMicros());
         });
   }
@@ -135,14 +135,14 @@
   }
 
   /** Whether no request of any tenant is open. */
-  public boolean isEmpty() {
-    return tenants.values().stream().allMatch(Tenant::isEmpty)
-        && leaving.keySet().stream().allMatch(Tenant::isEmpty);
+  public boolean hasNoOpenRequests() {
+    return tenants.values().stream().allMatch(Tenant::hasNoOpenRequests)
+        && draining.keySet().stream().allMatch(Tenant::hasNoOpenRequests);
   }
 
   public void close(CloseReason reason) {
-    tenants.values().forEach(t -> t.close(reason));
-    List.copyOf(leaving.keySet()).forEach(t -> t.close(reason));
+    tenants.values().forEach(tenant -> tenant.close(reason));
+    List.copyOf(draining.keySet()).forEach(tenant -> tenant.close(reason));
   }
 
   // ---- The door
@@ -152,51 +152,51 @@
    * The tenant that a startup message names: its database, or, as PostgreSQL has it, the user where
    * it has none.
    */
-  public static String name(Map<String, String> startup) {
+  public static String nameIn(Map<String, String> startup) {
     String user = startup.getOrDefault("user", "");
     return startup.getOrDefault("database", user);
   }
 
-  private Tenant named(Map<String, String> startup) {
-    return tenants.get(name(startup));
+  private Tenant tenantOf(Map<String, String> startup) {
+    return tenants.get(nameIn(startup));
   }
 
   /** Only of those who admit everybody can anything be learnt without a key. */
   @Override
   public boolean requiresPassword(Map<String, String> startup) {
-    Tenant tenant = named(startup);
+    Tenant tenant = tenantOf(startup);
     return tenant == null || !tenant.spec().credentials().isEmpty();
   }
 
   @Override
   public Tenant authenticate(Map<String, String> startup) throws ProtocolException {
-    Tenant tenant = named(startup);
+    Tenant tenant = tenantOf(startup);
     if (tenant == null) {
-      throw nobody();
+      throw unknownDatabase();
     }
-    tenant.checkRoom();
+    tenant.checkAdmission();
     return tenant;
   }
 
   @Override
   public Tenant authenticate(Map<String, String> startup, byte[] password)
       throws ProtocolException {
-    Tenant tenant = named(startup);
+    Tenant tenant = tenantOf(startup);
     String user = startup.getOrDefault("user", "");
     boolean known = false;
-    for (TenantSpec.Credential c :
+    for (TenantSpec.Credential credential :
         tenant == null ? List.<TenantSpec.Credential>of() : tenant.spec().credentials()) {
-      known |= c.user().equals(user) && ApiKeys.matches(c.hash(), password);
+      known |= credential.user().equals(user) && ApiKeys.matches(credential.keyHash(), password);
     }
     // A name that nobody has costs a comparison too, and is answered in the same words.
-    if (tenant == null && ApiKeys.matches(NOBODY, password) || !known) {
-      throw nobody();
+    if (tenant == null && ApiKeys.matches(HASH_OF_NO_KEY, password) || !known) {
+      throw unknownDatabase();
     }
-    tenant.checkRoom();
+    tenant.checkAdmission();
     return tenant;
   }
 
-  private static ProtocolException nobody() {
+  private static ProtocolException unknownDatabase() {
     return new ProtocolException(
         SqlState.INVALID_CATALOG_NAME, "there is no such database for this user");
   }
--- a/gateway/src/main/java/shelffront/tenant/TenantSpec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpec.java
@@ -13,28 +13,28 @@
  *
  * @param id the name by which clients ask for it, as the database of their startup message
  * @param weight its part of what tenants share, above 0
- * @param shares a weight for each class, in their order; empty where its classes have no shares of
- *     their own
+ * @param classWeights a weight for each class, in their order; empty where its classes have no
+ *     shares of their own
  * @param settings its classes, rules and the limits of its boxes
  * @param login who its boxes are told the gateway is
- * @param discovery where its list of boxes is had; null where it is given here
- * @param boxes the list as last known, or the boxes given directly
- * @param drained ids of boxes that an administrator has drained, whatever the list says
+ * @param discoveryAddress where its list of boxes is had; null where it is given here
+ * @param endpoints the list as last known, or the boxes given directly
+ * @param drainedEndpoints ids of boxes that an administrator has drained, whatever the list says
  * @param credentials who may connect; empty: everybody
- * @param grace how long what was taken may go on once the tenant is removed
+ * @param graceMicros how long what was taken may go on once the tenant is removed
  */
 public record TenantSpec(
     String id,
     double weight,
-    double[] shares,
+    double[] classWeights,
     Bounds bounds,
     RoutingSettings settings,
     Login login,
-    InetSocketAddress discovery,
-    EndpointList boxes,
-    Set<String> drained,
+    InetSocketAddress discoveryAddress,
+    EndpointList endpoints,
+    Set<String> drainedEndpoints,
     List<Credential> credentials,
-    long grace) {
+    long graceMicros) {
 
   /** What a tenant may use at most; a rate of 0 is no bound. */
   public record Bounds(
@@ -46,12 +46,12 @@
       long bufferBytes) {}
 
   /** A user and the hash of its generated key; the key itself is kept nowhere. */
-  public record Credential(String user, byte[] hash) {}
+  public record Credential(String user, byte[] keyHash) {}
 
   /** Whether everything that a running tenant can't change under way is as in another. */
-  boolean runsLike(TenantSpec other) {
+  boolean canUpdateInPlaceTo(TenantSpec other) {
     return settings.equals(other.settings)
         && login.equals(other.login)
-        && (discovery == null) == (other.discovery == null);
+        && (discoveryAddress == null) == (other.discoveryAddress == null);
   }
 }
--- a/gateway/src/main/java/shelffront/training/TrainingRun.java
+++ b/gateway/src/main/java/shelffront/training/TrainingRun.java
@@ -25,10 +25,10 @@
 public final class TrainingRun {
 
   private static final int REQUESTS = 200;
-  private static final int PATIENCE_MS = 10_000;
+  private static final int READ_TIMEOUT_MILLIS = 10_000;
 
   /** What a rehearsed party does on a connection. */
-  private interface Part {
+  private interface ConnectionScript {
     void play(DataInputStream in, OutputStream out) throws IOException;
   }
 
@@ -40,27 +40,28 @@
   /** Runs to its end with the classes of the configuration that the environment names. */
   public static void run(Map<String, String> environment, Network network)
       throws IOException, MalformedInputException, InterruptedException {
-    TrainingRun rehearsal = new TrainingRun();
+    TrainingRun training = new TrainingRun();
     GatewayConfig given = GatewayConfig.fromEnvironment(environment);
     GatewayConfig config =
         new GatewayConfig(
             given.name(),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            (InetSocketAddress) rehearsal.discovery.getLocalSocketAddress(),
+            (InetSocketAddress) training.discovery.getLocalSocketAddress(),
             given.seed(),
             given.maxSockets(),
             given.maxOpenRequests(),
             given.settings(),
             given.knownEndpoints());
     Gateway gateway = new Gateway(network, config);
-    serve(rehearsal.host, TrainingRun::answer);
-    serve(rehearsal.discovery, rehearsal::list);
+    serve(training.host, TrainingRun::answerQueries);
+    serve(training.discovery, training::sendEndpointList);
     InetSocketAddress address = (InetSocketAddress) gateway.address();
     inBackground(
         () -> {
           try (Socket client = new Socket(address.getAddress(), address.getPort())) {
-            client.setSoTimeout(PATIENCE_MS);
-            ask(given, new DataInputStream(client.getInputStream()), client.getOutputStream());
+            client.setSoTimeout(READ_TIMEOUT_MILLIS);
+            sendRequests(
+                given, new DataInputStream(client.getInputStream()), client.getOutputStream());
           } catch (IOException e) {
             network.log().println("rehearsal: " + e);
           }
@@ -76,7 +77,7 @@
     thread.start();
   }
 
-  private static void serve(ServerSocket listener, Part part) {
+  private static void serve(ServerSocket listener, ConnectionScript script) {
     inBackground(
         () -> {
           try {
@@ -85,7 +86,7 @@
               inBackground(
                   () -> {
                     try (socket) {
-                      part.play(
+                      script.play(
                           new DataInputStream(socket.getInputStream()), socket.getOutputStream());
                     } catch (IOException e) {
                       // The gateway has closed, which ends this connection's part.
@@ -98,10 +99,10 @@
         });
   }
 
-  private static void ask(GatewayConfig config, DataInputStream in, OutputStream out)
+  private static void sendRequests(GatewayConfig config, DataInputStream in, OutputStream out)
       throws IOException {
     out.write(Message.startup("api", "ledger"));
-    untilReady(in);
+    readUntilReady(in);
     for (int i = 0; i < REQUESTS; i++) {
       String name =
           config
@@ -121,25 +122,25 @@
                       + i % 20
                       + "'")
                   .getBytes(ISO_8859_1)));
-      untilReady(in);
+      readUntilReady(in);
     }
     out.write(Message.query("no request".getBytes(ISO_8859_1)));
-    untilReady(in);
+    readUntilReady(in);
   }
 
-  private static void untilReady(DataInputStream in) throws IOException {
-    while (message(in) != 'Z') {
+  private static void readUntilReady(DataInputStream in) throws IOException {
+    while (skipMessage(in) != 'Z') {
       continue;
     }
   }
 
-  private static int message(DataInputStream in) throws IOException {
+  private static int skipMessage(DataInputStream in) throws IOException {
     int type = in.readUnsignedByte();
     in.skipNBytes(in.readInt() - 4L);
     return type;
   }
 
-  private static void answer(DataInputStream in, OutputStream out) throws IOException {
+  private static void answerQueries(DataInputStream in, OutputStream out) throws IOException {
     in.skipNBytes(in.readInt() - 4L);
     out.write(Message.authenticationOk());
     out.write(Message.readyForQuery());
@@ -167,7 +168,7 @@
     return all.toByteArray();
   }
 
-  private void list(DataInputStream in, OutputStream out) throws IOException {
+  private void sendEndpointList(DataInputStream in, OutputStream out) throws IOException {
     String list =
         "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"s-1\",\"host_port\":\"127.0.0.1:"
             + host.getLocalPort()
--- a/gateway/src/test/java/shelffront/admin/AdminTest.java
+++ b/gateway/src/test/java/shelffront/admin/AdminTest.java
@@ -42,7 +42,7 @@
 import shelffront.multitenant.MultiTenantConfig;
 import shelffront.multitenant.MultiTenantGateway;
 import shelffront.pg.Message;
-import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.AuditEntry;
 import shelffront.store.DocumentStore.Kind;
 
 /**
@@ -237,14 +237,14 @@
     }
     JsonNode last = json(call("GET", "/v1/tenants/both", operator, null));
     assertEquals(2000, last.path("tenant").path("graceMs").asInt());
-    List<Audit> story =
-        hosted.store().audits(created, 10_000).stream()
+    List<AuditEntry> story =
+        hosted.store().auditEntries(created, 10_000).stream()
             .filter(x -> x.name().equals("both"))
             .toList();
     assertEquals(2000, story.size());
     long before = created;
-    for (Audit each : story) {
-      assertEquals(before, each.before(), "each follows the one before");
+    for (AuditEntry each : story) {
+      assertEquals(before, each.previousRevision(), "each follows the one before");
       before = each.revision();
     }
     assertTrue(lost.get() > 0, "the two never met");
--- a/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
@@ -140,11 +140,11 @@
     assertEquals(new TenantSpec.Bounds(0, 1, 200, 100, 64, 8 * MEBIBYTE), spec.bounds());
     assertEquals(plainSettings(MAP_CLASSES), spec.settings());
     assertEquals(new Login("shelffront", spec.id()), spec.login());
-    assertEquals(EndpointList.empty(), spec.boxes());
-    assertEquals(Set.of(), spec.drained());
+    assertEquals(EndpointList.empty(), spec.endpoints());
+    assertEquals(Set.of(), spec.drainedEndpoints());
     assertEquals(List.of(), spec.credentials());
-    assertEquals(0, spec.shares().length);
-    assertEquals(5_000_000, spec.grace());
+    assertEquals(0, spec.classWeights().length);
+    assertEquals(5_000_000, spec.graceMicros());
   }
 
   private static List<TenantSpec> tenants(MultiTenantConfig config) throws Exception {
@@ -406,7 +406,7 @@
     assertEquals(1, tenants.size());
     assertEquals("airport", tenants.get(0).id());
     assertEquals(2, tenants.get(0).weight());
-    assertEquals(DISCOVERY, tenants.get(0).discovery());
+    assertEquals(DISCOVERY, tenants.get(0).discoveryAddress());
     assertLibraryTenant(tenants.get(0));
   }
 
@@ -439,7 +439,7 @@
     assertEquals(1, tenants.size());
     assertEquals("airport", tenants.get(0).id());
     assertEquals(1, tenants.get(0).weight());
-    assertEquals(DISCOVERY, tenants.get(0).discovery());
+    assertEquals(DISCOVERY, tenants.get(0).discoveryAddress());
     assertLibraryTenant(tenants.get(0));
   }
 
@@ -505,7 +505,7 @@
     assertEquals(List.of(2.0, 0.5), tenants.stream().map(TenantSpec::weight).toList());
     assertEquals(
         List.of(DISCOVERY, new InetSocketAddress("127.0.0.1", 8501)),
-        tenants.stream().map(TenantSpec::discovery).toList());
+        tenants.stream().map(TenantSpec::discoveryAddress).toList());
     tenants.forEach(ConfigurationCompatibilityTest::assertLibraryTenant);
   }
 
@@ -561,7 +561,7 @@
     TenantSpec spec = TenantSpecCodec.read(evaluated("tenant-list.jsonnet"));
     assertEquals("airport", spec.id());
     assertEquals(2.5, spec.weight());
-    assertArrayEquals(new double[] {4, 3, 1, 0.5, 2, 1.5}, spec.shares());
+    assertArrayEquals(new double[] {4, 3, 1, 0.5, 2, 1.5}, spec.classWeights());
     assertEquals(new TenantSpec.Bounds(300, 45, 150, 90, 48, 4 * MEBIBYTE), spec.bounds());
     assertEquals(
         new RoutingSettings(
@@ -643,7 +643,7 @@
             0),
         spec.settings());
     assertEquals(new Login("maps", "airport_db"), spec.login());
-    assertNull(spec.discovery());
+    assertNull(spec.discoveryAddress());
     assertEquals(
         new EndpointList(
             0,
@@ -659,14 +659,14 @@
                 new InetSocketAddress("fe80::2", 5433),
                 "box.3",
                 new InetSocketAddress("10.0.0.3", 5434))),
-        spec.boxes());
-    assertEquals(Set.of("box.3"), spec.drained());
+        spec.endpoints());
+    assertEquals(Set.of("box.3"), spec.drainedEndpoints());
     assertEquals(1, spec.credentials().size());
     assertEquals("reader", spec.credentials().get(0).user());
     assertArrayEquals(
         HexFormat.of().parseHex("00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"),
-        spec.credentials().get(0).hash());
-    assertEquals(7_000_000, spec.grace());
+        spec.credentials().get(0).keyHash());
+    assertEquals(7_000_000, spec.graceMicros());
   }
 
   @Test
@@ -674,7 +674,7 @@
     TenantSpec spec = TenantSpecCodec.read(evaluated("tenant-discovery.jsonnet"));
     assertEquals("harbour", spec.id());
     assertEquals(1, spec.weight());
-    assertEquals(DISCOVERY, spec.discovery());
+    assertEquals(DISCOVERY, spec.discoveryAddress());
     assertEquals(new TenantSpec.Bounds(0, 1, 200, 100, 64, 8 * MEBIBYTE), spec.bounds());
     assertEquals(
         plainSettings(
@@ -703,10 +703,10 @@
                     0))),
         spec.settings());
     assertEquals(new Login("shelffront", "harbour"), spec.login());
-    assertEquals(EndpointList.empty(), spec.boxes());
-    assertEquals(Set.of(), spec.drained());
+    assertEquals(EndpointList.empty(), spec.endpoints());
+    assertEquals(Set.of(), spec.drainedEndpoints());
     assertEquals(List.of(), spec.credentials());
-    assertEquals(0, spec.shares().length);
-    assertEquals(5_000_000, spec.grace());
+    assertEquals(0, spec.classWeights().length);
+    assertEquals(5_000_000, spec.graceMicros());
   }
 }
--- a/gateway/src/test/java/shelffront/compatibility/TenantStoreCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/TenantStoreCompatibilityTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import shelffront.admin.AdminTokens;
 import shelffront.store.DocumentStore;
-import shelffront.store.DocumentStore.Audit;
+import shelffront.store.DocumentStore.AuditEntry;
 import shelffront.store.DocumentStore.Entry;
 import shelffront.store.DocumentStore.Kind;
 
@@ -33,19 +33,21 @@
   private static final String STATION_SECRET = "gWNzCalYT7q-k3_RcYgf-GaWOg4i18-v8kP3Uqif6Mg";
   private static final long FIRST_SECRET_ENDS = 1_700_003_607_000L;
 
-  private static final List<Audit> AUDITS =
+  private static final List<AuditEntry> AUDITS =
       List.of(
-          new Audit(1, 0, 1_700_000_000_000L, "first start", "create token", Kind.TOKEN, OPERATOR),
-          new Audit(2, 0, 1_700_000_001_000L, "operator", "create", Kind.TENANT, "airport"),
-          new Audit(3, 0, 1_700_000_002_000L, "operator", "create", Kind.TENANT, "harbour"),
-          new Audit(4, 0, 1_700_000_003_000L, "operator", "create", Kind.TENANT, "station"),
-          new Audit(5, 0, 1_700_000_004_000L, "operator", "create token", Kind.TOKEN, AIRPORT),
-          new Audit(6, 2, 1_700_000_005_000L, "operator", "change", Kind.TENANT, "airport"),
-          new Audit(7, 3, 1_700_000_006_000L, "operator", "remove", Kind.TENANT, "harbour"),
-          new Audit(8, 5, 1_700_000_007_000L, "operator", "rotate token", Kind.TOKEN, AIRPORT),
-          new Audit(9, 0, 1_700_000_008_000L, "operator", "create token", Kind.TOKEN, STATION),
-          new Audit(10, 9, 1_700_000_009_000L, "operator", "revoke token", Kind.TOKEN, STATION),
-          new Audit(11, 4, 1_700_000_010_000L, "operator", "change", Kind.TENANT, "station"));
+          new AuditEntry(
+              1, 0, 1_700_000_000_000L, "first start", "create token", Kind.TOKEN, OPERATOR),
+          new AuditEntry(2, 0, 1_700_000_001_000L, "operator", "create", Kind.TENANT, "airport"),
+          new AuditEntry(3, 0, 1_700_000_002_000L, "operator", "create", Kind.TENANT, "harbour"),
+          new AuditEntry(4, 0, 1_700_000_003_000L, "operator", "create", Kind.TENANT, "station"),
+          new AuditEntry(5, 0, 1_700_000_004_000L, "operator", "create token", Kind.TOKEN, AIRPORT),
+          new AuditEntry(6, 2, 1_700_000_005_000L, "operator", "change", Kind.TENANT, "airport"),
+          new AuditEntry(7, 3, 1_700_000_006_000L, "operator", "remove", Kind.TENANT, "harbour"),
+          new AuditEntry(8, 5, 1_700_000_007_000L, "operator", "rotate token", Kind.TOKEN, AIRPORT),
+          new AuditEntry(9, 0, 1_700_000_008_000L, "operator", "create token", Kind.TOKEN, STATION),
+          new AuditEntry(
+              10, 9, 1_700_000_009_000L, "operator", "revoke token", Kind.TOKEN, STATION),
+          new AuditEntry(11, 4, 1_700_000_010_000L, "operator", "change", Kind.TENANT, "station"));
 
   @TempDir private Path directory;
 
@@ -83,7 +85,7 @@
             new Entry("station", 4, tenant("station", 1))),
         store.all(Kind.TENANT));
     assertEquals(tokens(), store.all(Kind.TOKEN));
-    assertEquals(AUDITS.subList(0, 10), store.audits(0, 100));
+    assertEquals(AUDITS.subList(0, 10), store.auditEntries(0, 100));
   }
 
   @Test
@@ -116,15 +118,17 @@
       long[] clock = {FIRST_SECRET_ENDS - 1};
       AdminTokens tokens = new AdminTokens(store, () -> clock[0]);
       assertEquals(
-          new AdminTokens.Caller(OPERATOR, null), tokens.caller(OPERATOR + "." + OPERATOR_SECRET));
+          new AdminTokens.Caller(OPERATOR, null),
+          tokens.authenticate(OPERATOR + "." + OPERATOR_SECRET));
       AdminTokens.Caller airport = new AdminTokens.Caller(AIRPORT, "airport");
-      assertEquals(airport, tokens.caller(AIRPORT + "." + AIRPORT_SECRET));
-      assertEquals(airport, tokens.caller(AIRPORT + "." + AIRPORT_FIRST_SECRET));
+      assertEquals(airport, tokens.authenticate(AIRPORT + "." + AIRPORT_SECRET));
+      assertEquals(airport, tokens.authenticate(AIRPORT + "." + AIRPORT_FIRST_SECRET));
       clock[0] = FIRST_SECRET_ENDS;
-      assertEquals(airport, tokens.caller(AIRPORT + "." + AIRPORT_SECRET));
-      assertNull(tokens.caller(AIRPORT + "." + AIRPORT_FIRST_SECRET), "its overlap has ended");
-      assertNull(tokens.caller(OPERATOR + "." + AIRPORT_SECRET), "the secret of another");
-      assertNull(tokens.caller(STATION + "." + STATION_SECRET), "it was revoked");
+      assertEquals(airport, tokens.authenticate(AIRPORT + "." + AIRPORT_SECRET));
+      assertNull(
+          tokens.authenticate(AIRPORT + "." + AIRPORT_FIRST_SECRET), "its overlap has ended");
+      assertNull(tokens.authenticate(OPERATOR + "." + AIRPORT_SECRET), "the secret of another");
+      assertNull(tokens.authenticate(STATION + "." + STATION_SECRET), "it was revoked");
     }
   }
 
@@ -132,8 +136,8 @@
   void readsAuditLog() throws Exception {
     try (DocumentStore store =
         DocumentStore.open(StoredResource.copy("tenants.store", directory))) {
-      assertEquals(AUDITS, store.audits(0, 100));
-      assertEquals(AUDITS.subList(6, 9), store.audits(6, 3));
+      assertEquals(AUDITS, store.auditEntries(0, 100));
+      assertEquals(AUDITS.subList(6, 9), store.auditEntries(6, 3));
     }
   }
 
@@ -151,10 +155,10 @@
               new Entry("airport", 12, tenant("airport", 9)),
               new Entry("station", 11, tenant("station", 5))),
           store.all(Kind.TENANT));
-      assertEquals(AUDITS, store.audits(0, 11));
+      assertEquals(AUDITS, store.auditEntries(0, 11));
       assertEquals(
-          List.of(new Audit(12, 6, 5, "tester", "change", Kind.TENANT, "airport")),
-          store.audits(11, 100));
+          List.of(new AuditEntry(12, 6, 5, "tester", "change", Kind.TENANT, "airport")),
+          store.auditEntries(11, 100));
     }
   }
 
@@ -187,10 +191,10 @@
     try (DocumentStore store = DocumentStore.open(file)) {
       assertEquals(
           new Entry("station", 11, tenant("station", 8)), store.get(Kind.TENANT, "station"));
-      assertEquals(AUDITS.subList(0, 10), store.audits(0, 10));
+      assertEquals(AUDITS.subList(0, 10), store.auditEntries(0, 10));
       assertEquals(
-          List.of(new Audit(11, 4, 5, "tester", "change", Kind.TENANT, "station")),
-          store.audits(10, 100));
+          List.of(new AuditEntry(11, 4, 5, "tester", "change", Kind.TENANT, "station")),
+          store.auditEntries(10, 100));
     }
   }
 
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
@@ -305,7 +305,7 @@
   private void reload(String text) throws IOException {
     Files.writeString(
         file, text.matches("[0-9.:]+ *") ? example.replace("127.0.0.1:8500", text.strip()) : text);
-    reload.ask();
+    reload.request();
   }
 
   /**
--- a/gateway/src/test/java/shelffront/store/DocumentStoreTest.java
+++ b/gateway/src/test/java/shelffront/store/DocumentStoreTest.java
@@ -98,7 +98,7 @@
           assertEquals(last - back, entry.revision());
           assertEquals(document((int) (last - back)), entry.document(), "no half change");
         }
-        assertEquals(last, store.audits(0, 100_000).size(), "an entry for each change");
+        assertEquals(last, store.auditEntries(0, 100_000).size(), "an entry for each change");
       }
     }
   }
@@ -120,8 +120,8 @@
           () -> store.put(Kind.TENANT, "a", 1, document(3), "y", "change", 8));
       assertEquals(
           List.of("create", "remove"),
-          store.audits(0, 10).stream().map(DocumentStore.Audit::what).toList());
-      assertEquals(1, store.audits(1, 10).get(0).before());
+          store.auditEntries(0, 10).stream().map(DocumentStore.AuditEntry::action).toList());
+      assertEquals(1, store.auditEntries(1, 10).get(0).previousRevision());
     }
   }
 
--- a/lab/src/main/java/shelffront/lab/Scale.java
+++ b/lab/src/main/java/shelffront/lab/Scale.java
@@ -66,7 +66,7 @@
       long from = System.nanoTime();
       MultiTenantGateway hosted = new MultiTenantGateway(bare, line -> {});
       Thread turns = hosted.start();
-      hosted.held().get(60, TimeUnit.SECONDS);
+      hosted.heldResources().get(60, TimeUnit.SECONDS);
       double start = (System.nanoTime() - from) / 1e9;
       double each = (heap() - before) / 1024.0 / tenants;
       double[] took = changes(hosted, tenants);
@@ -95,7 +95,7 @@
       TenantAdministration tenancy =
           new TenantAdministration(
               hosted.store(),
-              new TenantAdministration.Control() {
+              new TenantAdministration.TenantControl() {
                 @Override
                 public void apply(TenantSpec spec, LongConsumer then) {
                   hosted.apply(spec, at -> inForce.complete(at));
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
@@ -85,7 +85,7 @@
         multiTenantGateway = createMultiTenant(log);
         gateway = null;
         networks = multiTenantGateway.networks();
-        networks.get(0).loop().post(multiTenantGateway::begin);
+        networks.get(0).loop().post(multiTenantGateway::startWithoutThreads);
       } else {
         Counters counters = new Counters();
         EventLoop loop = new EventLoop(this::clockMicros, counters);
--- a/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
@@ -257,7 +257,8 @@
           answers.toString());
       clients.get(i).close();
     }
-    MultiTenantGateway.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
+    MultiTenantGateway.HeldResources held =
+        hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     assertEquals(
         held.counters().get(Counters.Name.REQUESTS_TAKEN),
         held.counters().get(Counters.Name.ANSWERS_SERVED)
--- a/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
@@ -173,7 +173,7 @@
   }
 
   long counted(Counters.Name name) throws Exception {
-    return hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS).counters().get(name);
+    return hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).counters().get(name);
   }
 
   /**
@@ -202,7 +202,7 @@
     EmulatedReplicaSet set = boxes("s", 1, 1);
     set.boxes().forEach(b -> b.silence(true));
     start(tenant("airport", set));
-    int idle = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
+    int idle = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
     Client read = new Client("airport", null);
     Client write = new Client("airport", null);
     Client half = new Client("airport", null);
@@ -235,12 +235,13 @@
       client.close(); // the gateway lingers until its clients have closed too
     }
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
-    MultiTenantGateway.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
+    MultiTenantGateway.HeldResources held =
+        hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     while (set.connections() > 0 || held.deadlines() > idle || held.bufferBytes() > 0) {
       assertTrue(
           System.nanoTime() < end,
           set.connections() + " connections to boxes and " + held + " stay");
-      held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
+      held = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     }
     Client late = new Client("airport", "x");
     assertEquals(List.of("3D000"), late.answers());
@@ -487,7 +488,8 @@
       tenants[i] = tenant("t" + i, set);
     }
     start(tenants);
-    MultiTenantGateway.Held held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
+    MultiTenantGateway.HeldResources held =
+        hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     assertEquals(0, held.deadlines());
     assertEquals(0, set.connections());
     for (int i = 0; i < 20; i++) {
@@ -496,7 +498,7 @@
       client.send("r" + i, "read");
       assertEquals(List.of("r" + i), client.answers());
     }
-    held = hosted.held().get(MISSING_MS, TimeUnit.MILLISECONDS);
+    held = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     assertTrue(held.deadlines() < 400, "only the busy ones' timers: " + held.deadlines());
   }
 }
