--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -122,8 +122,7 @@
         bounds,
         config.settings(),
         new Login("api", "ledger"),
-        config.discoveryAddress(),
-        config.knownEndpoints(),
+        new TenantSpec.EndpointSource(config.discoveryAddress(), config.knownEndpoints()),
         Set.of(),
         List.of(),
         0);
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -76,7 +76,10 @@
   EventLoopGroup(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
       throws IOException {
     SharedCapacity shares =
-        new SharedCapacity(config.requestsPerSecond(), config.openRequests(), config.cores());
+        new SharedCapacity(
+            config.capacity().requestsPerSecond(),
+            config.capacity().openRequests(),
+            config.cores());
     ResourceBudget buffers = new ResourceBudget(config.bufferBytes());
     ConnectionQuotas hostSockets =
         new ConnectionQuotas(Gateway.hostConnectionLimit(config.sockets()));
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
@@ -21,8 +21,7 @@
  * @param cores event loops, each with a thread; every tenant lives on one of them
  * @param sockets descriptors that it may use
  * @param bufferBytes for all connections and requests together
- * @param requestsPerSecond what it can take, divided among the tenants by weight; 0 is no bound
- * @param openRequests places for open requests, divided likewise
+ * @param capacity what is divided among the tenants by weight
  * @param tenants put into the store at the start where it has none of that name
  * @param fleet what the gateways of a fleet change together; null where this one is on its own
  * @param distribution by which its tenants come to it; null where it has tenants of its own
@@ -34,8 +33,7 @@
     int cores,
     int sockets,
     long bufferBytes,
-    double requestsPerSecond,
-    int openRequests,
+    Capacity capacity,
     List<JsonNode> tenants,
     RolloutConfig fleet,
     SubscribedRecordsConfig distribution) {
@@ -54,6 +52,14 @@
           "distribution");
   private static final Set<String> CAPACITY_NAMES = Set.of("requestsPerSecond", "openRequests");
 
+  /**
+   * What all tenants may use together, divided among them by weight.
+   *
+   * @param requestsPerSecond 0 is no bound
+   * @param openRequests requests that may be open at a time
+   */
+  public record Capacity(double requestsPerSecond, int openRequests) {}
+
   /** Of a gateway on its own. */
   public MultiTenantConfig(
       InetSocketAddress listen,
@@ -62,21 +68,9 @@
       int cores,
       int sockets,
       long bufferBytes,
-      double requestsPerSecond,
-      int openRequests,
+      Capacity capacity,
       List<JsonNode> tenants) {
-    this(
-        listen,
-        admin,
-        store,
-        cores,
-        sockets,
-        bufferBytes,
-        requestsPerSecond,
-        openRequests,
-        tenants,
-        null,
-        null);
+    this(listen, admin, store, cores, sockets, bufferBytes, capacity, tenants, null, null);
   }
 
   /** Throws with the pointer to the first field at fault. */
@@ -116,8 +110,9 @@
         (int) number(top, "", "cores", 1, 64, 1),
         (int) number(top, "", "sockets", 64, 1_000_000, 1024),
         (long) number(top, "", "bufferBytes", 1 << 20, 1L << 40, 64L << 20),
-        number(capacity, "/capacity", "requestsPerSecond", 0, 1e7, 0),
-        (int) number(capacity, "/capacity", "openRequests", 1, 1e7, 2000),
+        new Capacity(
+            number(capacity, "/capacity", "requestsPerSecond", 0, 1e7, 0),
+            (int) number(capacity, "/capacity", "openRequests", 1, 1e7, 2000)),
         List.copyOf(tenants),
         top.has("fleet") ? RolloutConfig.read(top.path("fleet"), "/fleet") : null,
         top.has("distribution")
--- a/gateway/src/main/java/shelffront/tenant/TenantSpec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpec.java
@@ -8,18 +8,18 @@
 import shelffront.routing.RoutingSettings;
 
 /**
- * All that makes a tenant: what an administrator sets and a gateway takes up while it runs. Times
- * are microseconds.
+ * The specification of a tenant: what an administrator sets and a gateway applies while it runs.
  *
  * @param id the name by which clients ask for it, as the database of their startup message
  * @param weight its part of what tenants share, above 0
  * @param classWeights a weight for each class, in their order; empty where its classes have no
  *     shares of their own
- * @param settings its classes, rules and the limits of its boxes
- * @param login who its boxes are told the gateway is
- * @param discoveryAddress where its list of boxes is had; null where it is given here
- * @param endpoints the list as last known, or the boxes given directly
- * @param drainedEndpoints ids of boxes that an administrator has drained, whatever the list says
+ * @param settings its classes, rules and the limits of its endpoints
+ * @param login who its endpoints are told the gateway is
+ * @param bounds what it may use at most
+ * @param endpointSource where its endpoint list comes from
+ * @param drainedEndpoints ids of endpoints that an administrator has drained, whatever the list
+ *     says
  * @param credentials who may connect; empty: everybody
  * @param graceMicros how long what was taken may go on once the tenant is removed
  */
@@ -30,8 +30,7 @@
     Bounds bounds,
     RoutingSettings settings,
     Login login,
-    InetSocketAddress discoveryAddress,
-    EndpointList endpoints,
+    EndpointSource endpointSource,
     Set<String> drainedEndpoints,
     List<Credential> credentials,
     long graceMicros) {
@@ -45,13 +44,29 @@
       int hostConnections,
       long bufferBytes) {}
 
+  /**
+   * Where the endpoint list of a tenant comes from.
+   *
+   * @param discoveryAddress the discovery service that gives the list; null where it is given here
+   * @param endpoints the list as last known, or the endpoints given directly
+   */
+  public record EndpointSource(InetSocketAddress discoveryAddress, EndpointList endpoints) {}
+
   /** A user and the hash of its generated key; the key itself is kept nowhere. */
   public record Credential(String user, byte[] keyHash) {}
 
+  public InetSocketAddress discoveryAddress() {
+    return endpointSource.discoveryAddress();
+  }
+
+  public EndpointList endpoints() {
+    return endpointSource.endpoints();
+  }
+
   /** Whether everything that a running tenant can't change under way is as in another. */
   boolean canUpdateInPlaceTo(TenantSpec other) {
     return settings.equals(other.settings)
         && login.equals(other.login)
-        && (discoveryAddress == null) == (other.discoveryAddress == null);
+        && (discoveryAddress() == null) == (other.discoveryAddress() == null);
   }
 }
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -177,10 +177,11 @@
         bounds,
         settings(classes, hosts, boxes.has("discovery")),
         new Login(hosts.path("user").asText("shelffront"), hosts.path("database").asText(id)),
-        boxes.has("discovery")
-            ? address(boxes.path("discovery").asText(), "/boxes/discovery")
-            : null,
-        boxes.has("list") ? list(boxes.path("list")) : EndpointList.empty(),
+        new TenantSpec.EndpointSource(
+            boxes.has("discovery")
+                ? address(boxes.path("discovery").asText(), "/boxes/discovery")
+                : null,
+            boxes.has("list") ? list(boxes.path("list")) : EndpointList.empty()),
         Set.copyOf(drained),
         List.copyOf(credentials),
         document.path("graceMs").asLong(5000) * MS);
--- a/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
@@ -398,8 +398,7 @@
             1,
             1024,
             64 * MEBIBYTE,
-            2000,
-            1000,
+            new MultiTenantConfig.Capacity(2000, 1000),
             config.tenants()),
         config);
     List<TenantSpec> tenants = tenants(config);
@@ -421,8 +420,7 @@
             1,
             1024,
             64 * MEBIBYTE,
-            0,
-            2000,
+            new MultiTenantConfig.Capacity(0, 2000),
             config.tenants(),
             new RolloutConfig(
                 "127.0.0.1",
@@ -454,8 +452,7 @@
             1,
             1024,
             64 * MEBIBYTE,
-            0,
-            2000,
+            new MultiTenantConfig.Capacity(0, 2000),
             List.of(),
             null,
             new SubscribedRecordsConfig(
@@ -485,8 +482,7 @@
             3,
             4096,
             96 * MEBIBYTE,
-            2500.5,
-            1234,
+            new MultiTenantConfig.Capacity(2500.5, 1234),
             config.tenants(),
             new RolloutConfig(
                 "engine.example",
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
@@ -34,10 +34,10 @@
 
   private static final long BUFFER_BYTES = 32L << 20;
   private static final int OPEN_REQUESTS = 20_000;
-  private static final int CLIENT_CONNECTIONS = 4_000;
+  private static final int SHARED_OPEN_REQUESTS = 4_000;
   private static final int TENANT_OPEN_REQUESTS = 2_000;
   private static final int TENANT_CONNECTIONS = 1_000;
-  private static final long TENANT_REVISION = 1_000_000;
+  private static final long TENANT_GRACE_MICROS = 1_000_000;
 
   /** What costs a gateway CPU time, the same amount each. */
   private static final Set<Counters.Name> COSTLY_EVENTS =
@@ -129,8 +129,7 @@
             means.loops(),
             means.sockets(),
             BUFFER_BYTES,
-            0,
-            CLIENT_CONNECTIONS,
+            new MultiTenantConfig.Capacity(0, SHARED_OPEN_REQUESTS),
             List.of());
     MultiTenantGateway created =
         new MultiTenantGateway(
@@ -152,11 +151,10 @@
             0, 0, TENANT_OPEN_REQUESTS, TENANT_CONNECTIONS, TENANT_CONNECTIONS, BUFFER_BYTES),
         config.settings(),
         new Login("api", "ledger"),
-        config.discoveryAddress(),
-        discovery.currentList(),
+        new TenantSpec.EndpointSource(config.discoveryAddress(), discovery.currentList()),
         drainedHosts,
         List.of(),
-        TENANT_REVISION);
+        TENANT_GRACE_MICROS);
   }
 
   static String tenantName(int tenant) {
