--- /dev/null
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorActionWriter.java
@@ -0,0 +1,166 @@
+package shelffront.simulator;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.util.MinimalPrettyPrinter;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.UncheckedIOException;
+import java.util.Base64;
+import shelffront.routing.RouterActions;
+
+/** Encodes the instances' actions as rows of the simulator's wire, one JSON array a line. */
+final class SimulatorActionWriter {
+
+  private interface Fields {
+    void write(JsonGenerator out) throws IOException;
+  }
+
+  private final JsonGenerator out;
+
+  SimulatorActionWriter(JsonFactory factory, OutputStream output) throws IOException {
+    out = factory.createGenerator(output);
+    out.setPrettyPrinter(new MinimalPrettyPrinter(""));
+  }
+
+  /** Ends a batch: everything that its events caused has been written. */
+  void endBatch() throws IOException {
+    row("ok", fields -> {});
+    out.flush();
+  }
+
+  /** Reports that an instance threw while it handled an event. */
+  void fault(int proxy, RuntimeException fault) throws IOException {
+    StackTraceElement[] trace = fault.getStackTrace();
+    row(
+        "giveIn",
+        fields -> {
+          fields.writeNumber(proxy);
+          fields.writeString(fault + (trace.length > 0 ? " at " + trace[0] : ""));
+        });
+  }
+
+  /** The actions of one instance. */
+  RouterActions actionsOf(int proxy) {
+    return new InstanceActions(proxy);
+  }
+
+  private void row(String name, Fields fields) throws IOException {
+    out.writeStartArray();
+    out.writeString(name);
+    fields.write(out);
+    out.writeEndArray();
+    out.writeRaw('\n');
+  }
+
+  private final class InstanceActions implements RouterActions {
+
+    private final int proxy;
+
+    InstanceActions(int proxy) {
+      this.proxy = proxy;
+    }
+
+    private void action(String name, Fields fields) {
+      try {
+        row(
+            name,
+            generator -> {
+              generator.writeNumber(proxy);
+              fields.write(generator);
+            });
+      } catch (IOException e) {
+        throw new UncheckedIOException(e);
+      }
+    }
+
+    private void action(String name, String text) {
+      action(name, fields -> fields.writeString(text));
+    }
+
+    @Override
+    public void startAttempt(String requestId, String endpointId, long timeoutMicros) {
+      action(
+          "place",
+          fields -> {
+            fields.writeString(requestId);
+            fields.writeNumber(timeoutMicros);
+            fields.writeString(endpointId);
+          });
+    }
+
+    @Override
+    public void cancelAttempt(String requestId, int attempt) {
+      action(
+          "abortAttempt",
+          fields -> {
+            fields.writeString(requestId);
+            fields.writeNumber(attempt);
+          });
+    }
+
+    @Override
+    public void reject(String requestId, long retryAfterMicros) {
+      action(
+          "reject",
+          fields -> {
+            fields.writeString(requestId);
+            fields.writeNumber(retryAfterMicros);
+          });
+    }
+
+    @Override
+    public void fail(String requestId) {
+      action("fail", requestId);
+    }
+
+    @Override
+    public void checkHealth(String endpointId) {
+      action("soundOut", endpointId);
+    }
+
+    @Override
+    public void setTimer(String name, long atMicros) {
+      action(
+          "wakeMe",
+          fields -> {
+            fields.writeString(name);
+            fields.writeNumber(atMicros);
+          });
+    }
+
+    @Override
+    public void watchEndpoints(boolean on) {
+      action("listen", fields -> fields.writeBoolean(on));
+    }
+
+    @Override
+    public void fetchEndpoints() {
+      action("pull", fields -> {});
+    }
+
+    @Override
+    public void sendToPeers(int peer, byte[] payload) {
+      action(
+          "publish",
+          fields -> {
+            if (peer < 0) {
+              fields.writeString("all");
+            } else {
+              fields.writeNumber(peer);
+            }
+            fields.writeString(Base64.getEncoder().encodeToString(payload));
+          });
+    }
+
+    @Override
+    public void closeIdleConnections(String endpointId) {
+      action("disconnect", endpointId);
+    }
+
+    @Override
+    public void log(String text) {
+      action("journalLine", text);
+    }
+  }
+}
--- /dev/null
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
@@ -0,0 +1,236 @@
+package shelffront.simulator;
+
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.List;
+import java.util.Map;
+import shelffront.config.MalformedInputException;
+import shelffront.routing.AttemptOutcome;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.Endpoint;
+import shelffront.routing.EndpointUpdateKind;
+import shelffront.routing.LoadReport;
+import shelffront.routing.Request;
+import shelffront.routing.Role;
+import shelffront.routing.Router;
+
+/**
+ * Decodes the rows of the simulator's wire into typed events. The only place that knows the words
+ * of its events; a row that does not fit is a {@link MalformedInputException} that names the field.
+ */
+final class SimulatorEventDecoder {
+
+  private static final Map<String, AttemptStatus> STATUSES =
+      Map.of(
+          "ok", AttemptStatus.OK,
+          "error", AttemptStatus.ERROR,
+          "full", AttemptStatus.CAPACITY_EXCEEDED,
+          "timeout", AttemptStatus.TIMEOUT,
+          "connect_failed", AttemptStatus.CONNECT_FAILED,
+          "reset", AttemptStatus.RESET,
+          "cancelled", AttemptStatus.CANCELLED,
+          "moot", AttemptStatus.NOT_SENT,
+          "miss", AttemptStatus.REPLICA_UNSUITABLE);
+
+  private static final Map<String, Availability> AVAILABILITIES =
+      Map.of(
+          "live", Availability.READY,
+          "quiescing", Availability.DRAINING,
+          "dead", Availability.REMOVED);
+
+  private static final Map<String, EndpointUpdateKind> UPDATE_KINDS =
+      Map.of(
+          "changes", EndpointUpdateKind.DELTA,
+          "all", EndpointUpdateKind.SNAPSHOT,
+          "remembered", EndpointUpdateKind.CACHED,
+          "refused", EndpointUpdateKind.FAILED);
+
+  /** The bit of a query's options that marks a request the client has sent before. */
+  private static final int REPEAT_OPTION = 2;
+
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** A reply's stand is a position in milliseconds times this, plus a code for the role. */
+  private static final int STAND_ROLES = 4;
+
+  private static final int STAND_PRIMARY = 1;
+  private static final int STAND_REPLICA = 2;
+
+  /** Figures that say yes or no do so by being above or below this. */
+  private static final double HALF = 0.5;
+
+  private SimulatorEventDecoder() {}
+
+  /** The endpoints of a list that later endpoint updates refer to. */
+  static List<Endpoint> endpoints(List<?> entries) throws MalformedInputException {
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (Object entry : entries) {
+      if (!(entry instanceof List<?> values)) {
+        throw new MalformedInputException("catalog: an entry is not an array");
+      }
+      endpoints.add(endpoint(new SimulatorMessage("catalog entry", values, 0)));
+    }
+    return List.copyOf(endpoints);
+  }
+
+  private static Endpoint endpoint(SimulatorMessage row) throws MalformedInputException {
+    String kind = row.optionalText("familyType");
+    String zone = row.optionalText("dc");
+    String id = row.text("member");
+    double capacityHint = row.number("capacityHint", 1);
+    long startedAtMicros = row.integer("launched", 0);
+    int replicaSet = (int) row.integer("group", 0);
+    boolean primary = row.number("writer", 0) >= HALF;
+    return new Endpoint(
+        id,
+        kind == null ? "" : kind,
+        zone == null ? "" : zone,
+        replicaSet,
+        capacityHint,
+        startedAtMicros,
+        primary,
+        row.word("availability", AVAILABILITIES));
+  }
+
+  /**
+   * Decodes an event for an instance.
+   *
+   * @param row the event's fields, behind its name and the instance's number
+   * @param instance what the event's classes and positions refer to
+   */
+  static SimulatorEvent event(
+      String name, SimulatorMessage row, SimulatorInstance instance, long nowMicros)
+      throws MalformedInputException {
+    return switch (name) {
+      case "discovery" -> endpointUpdate(row);
+      case "query" -> requestArrived(row, instance, nowMicros);
+      case "reply" -> attemptEnded(row, instance.positionZeroMicros());
+      case "sampled" -> healthCheckEnded(row, instance.positionZeroMicros());
+      case "deadlineHit" -> new SimulatorEvent.TimerExpired(row.text("handle"));
+      case "gone" -> new SimulatorEvent.ClientDisconnected(row.text("xid"));
+      case "message" -> peerMessage(row);
+      case "underWay" -> new SimulatorEvent.Ignored();
+      default -> throw new MalformedInputException("no event is called " + name);
+    };
+  }
+
+  private static SimulatorEvent endpointUpdate(SimulatorMessage row)
+      throws MalformedInputException {
+    EndpointUpdateKind kind = row.word("kind", UPDATE_KINDS);
+    long version = row.integer("serial", 0);
+    return new SimulatorEvent.EndpointUpdate(kind, version, row.integer("list", -1));
+  }
+
+  private static SimulatorEvent requestArrived(
+      SimulatorMessage row, SimulatorInstance instance, long nowMicros)
+      throws MalformedInputException {
+    String id = row.text("xid");
+    String className = row.text("class");
+    Integer classIndex = instance.classIndexes().get(className);
+    if (classIndex == null) {
+      throw new MalformedInputException("query: class " + className + " is not in the settings");
+    }
+    row.optionalText("party");
+    String session = row.optionalText("sess");
+    long timeToDeadlineMicros = row.integer("ttl");
+    row.number("estimate", 0);
+    int replicaSet = (int) row.integer("cluster", 0);
+    double tokenMillis = row.number("tokenMs", 0);
+    boolean repeat = (row.integer("opts", 0) & REPEAT_OPTION) != 0;
+    return new SimulatorEvent.RequestArrived(
+        new Request(
+            id,
+            classIndex,
+            session,
+            replicaSet,
+            timeToDeadlineMicros,
+            requiredPositionMicros(tokenMillis, nowMicros),
+            repeat));
+  }
+
+  /** The age is rounded down: a write taken for older than it is would ask too little. */
+  private static long requiredPositionMicros(double ageMillis, long nowMicros) {
+    return ageMillis > 0
+        ? nowMicros - Math.max(1, (long) Math.floor(ageMillis * MICROS_PER_MILLI))
+        : Router.UNKNOWN;
+  }
+
+  private static SimulatorEvent attemptEnded(SimulatorMessage row, long positionZeroMicros)
+      throws MalformedInputException {
+    String id = row.text("xid");
+    AttemptStatus status = row.word("stateCode", STATUSES);
+    boolean finished = row.flag("doneFlag");
+    int attempt = (int) row.integer("seqNo");
+    long elapsedMicros = row.integer("took", 0);
+    long stand = row.integer("stand", 0);
+    String endpointId = row.text("member");
+    LoadReport loadReport = loadReport(row.object("usage"), positionZeroMicros);
+    long positionMicros =
+        stand >= STAND_ROLES
+            ? positionZeroMicros + stand / STAND_ROLES * MICROS_PER_MILLI
+            : Router.UNKNOWN;
+    return new SimulatorEvent.AttemptEnded(
+        new AttemptOutcome(
+            id,
+            attempt,
+            endpointId,
+            status,
+            finished,
+            elapsedMicros,
+            roleOfStand(stand),
+            positionMicros,
+            loadReport));
+  }
+
+  private static Role roleOfStand(long stand) {
+    return switch ((int) (stand % STAND_ROLES)) {
+      case STAND_PRIMARY -> Role.PRIMARY;
+      case STAND_REPLICA -> Role.REPLICA;
+      default -> Role.UNKNOWN;
+    };
+  }
+
+  private static SimulatorEvent healthCheckEnded(SimulatorMessage row, long positionZeroMicros)
+      throws MalformedInputException {
+    String endpointId = row.text("member");
+    AttemptStatus status = row.word("stateCode", STATUSES);
+    long elapsedMicros = row.integer("took", 0);
+    LoadReport loadReport = loadReport(row.object("usage"), positionZeroMicros);
+    return new SimulatorEvent.HealthCheckEnded(endpointId, status, elapsedMicros, loadReport);
+  }
+
+  private static LoadReport loadReport(Map<?, ?> usage, long positionZeroMicros) {
+    if (usage == null || usage.isEmpty()) {
+      return null;
+    }
+    double positionSeconds = figure(usage, "x0");
+    double primary = figure(usage, "x1");
+    long positionMicros =
+        positionSeconds < 0
+            ? Router.UNKNOWN
+            : positionZeroMicros + (long) Math.floor(positionSeconds * MICROS_PER_SECOND);
+    Role role = primary < 0 ? Role.UNKNOWN : primary >= HALF ? Role.PRIMARY : Role.REPLICA;
+    return new LoadReport(
+        positionMicros,
+        role,
+        figure(usage, "outstanding"),
+        figure(usage, "backlog"),
+        figure(usage, "utilization"));
+  }
+
+  private static double figure(Map<?, ?> usage, String name) {
+    return usage.get(name) instanceof Number number ? number.doubleValue() : -1;
+  }
+
+  private static SimulatorEvent peerMessage(SimulatorMessage row) throws MalformedInputException {
+    int fromGateway = (int) row.integer("neighbour");
+    String payload = row.text("payload");
+    try {
+      return new SimulatorEvent.PeerMessage(fromGateway, Base64.getDecoder().decode(payload));
+    } catch (IllegalArgumentException e) {
+      throw new MalformedInputException("message: payload is not base64");
+    }
+  }
+}
