--- a/core/src/main/java/shelffront/decision/Attempt.java
+++ b/core/src/main/java/shelffront/decision/Attempt.java
@@ -2,26 +2,41 @@
 
 import shelffront.routing.AttemptStatus;
 
-/** One try of a request at a member. */
+/**
+ * One forwarding of a request to an endpoint.
+ *
+ * <p>Invariant: {@link #status} is null exactly while the attempt is out, and is set once.
+ */
 final class Attempt {
 
   final PendingRequest request;
-  final EndpointState node;
+  final EndpointState endpoint;
   final int number;
-  final long sentAt;
-  final long need; // position that the answer had to have
-  AttemptStatus status; // null while it is out
+  final long sentAtMicros;
 
-  Attempt(PendingRequest request, EndpointState node, long now) {
+  /** Position that the endpoint had to have applied to answer it. */
+  final long requiredPositionMicros;
+
+  AttemptStatus status;
+
+  Attempt(PendingRequest request, EndpointState endpoint, long nowMicros) {
     this.request = request;
-    sentAt = now;
-    need = request.need(now);
-    this.node = node;
+    this.endpoint = endpoint;
     number = request.attempts.size();
+    sentAtMicros = nowMicros;
+    requiredPositionMicros = request.requiredPositionMicros(nowMicros);
+  }
+
+  AttemptId id() {
+    return new AttemptId(request.request.id(), number);
+  }
+
+  boolean isOut() {
+    return status == null;
   }
 
-  /** Whether its member has answered what was sent to it later. */
-  boolean overtaken() {
-    return sentAt < node.servedTo;
+  /** Whether its endpoint has answered an attempt that was sent later. */
+  boolean isOvertaken() {
+    return sentAtMicros < endpoint.latestAnsweredSendMicros;
   }
 }
--- /dev/null
+++ b/core/src/main/java/shelffront/decision/AttemptSender.java
@@ -0,0 +1,25 @@
+package shelffront.decision;
+
+/**
+ * Starts attempts.
+ *
+ * <p>Invariant: the only way out for attempts; every rule is checked before.
+ */
+record AttemptSender(RoutingState state, AttemptAdmission admission) {
+
+  /** Starts an attempt of the request at the endpoint; null where a rule forbids it. */
+  Attempt send(PendingRequest request, EndpointState endpoint) {
+    if (!admission.admits(request, endpoint)) {
+      return null;
+    }
+    Attempt attempt = new Attempt(request, endpoint, state.nowMicros);
+    request.attempts.add(attempt);
+    request.queue = null;
+    endpoint.attemptsOut.add(attempt);
+    state.attemptsOut.put(attempt.id(), attempt);
+    endpoint.recentSends.record(state.nowMicros, 1);
+    endpoint.lastSentAtMicros = state.nowMicros;
+    state.actions.startAttempt(request.request.id(), endpoint.id, 0);
+    return attempt;
+  }
+}
--- a/core/src/main/java/shelffront/decision/EndpointRegistry.java
+++ b/core/src/main/java/shelffront/decision/EndpointRegistry.java
@@ -1,109 +1,100 @@
 package shelffront.decision;
 
-import static java.util.stream.Collectors.toList;
 import static shelffront.routing.Router.UNKNOWN;
 
-import java.util.Collections;
-import java.util.Comparator;
 import java.util.List;
 import shelffront.fleet.EndpointSubsetting;
+import shelffront.routing.Availability;
 import shelffront.routing.Endpoint;
 
-/** The members that the list names, and the probes sent to them. */
-record EndpointRegistry(RoutingState state) {
+/**
+ * The endpoints that the endpoint list names.
+ *
+ * <p>Invariant: an endpoint is part of the replica set that the list names last, and of no other.
+ */
+record EndpointRegistry(RoutingState state, HealthChecker healthChecker) {
 
-  static final double FIRST_LIMIT = 24; // Of all instances to a member of which nothing is known.
-  static final int PROBES_AT_ONCE = 2; // In a group whose reads wait.
+  /** Attempts at a time of all gateways to an endpoint of which nothing is known. */
+  private static final double INITIAL_FLEET_CONCURRENCY = 24;
 
-  void open(Endpoint m) {
-    EndpointState before = state.nodes.get(m.id());
-    if (before != null && before.entry.replicaSet() != m.replicaSet()) {
-      before.open = false;
-      close(before, true); // what is known of it is of another set's log
-    }
-    EndpointState n = state.nodes.computeIfAbsent(m.id(), EndpointState::new);
-    boolean fresh = n.entry == null || !n.open || n.entry.startedAtMicros() != m.startedAtMicros();
-    n.entry = m;
-    n.open = true;
-    n.limit.initialize(Math.max(1, FIRST_LIMIT / state.settings.gateway().gatewayCount()));
-    n.group = state.group(m.replicaSet());
-    n.group.nodes.put(n.id, n);
-    if (m.listedAsPrimary() && n.group.primary == null && n.group.primaryAt == UNKNOWN) {
-      n.group.primary = n;
-    }
-    n.group.own = null;
-    if (fresh) {
-      n.bannedUntil = UNKNOWN;
-      n.probedAt = UNKNOWN;
-      if (EndpointSubsetting.coversAllEndpoints(state.settings.gateway().gatewayCount())) {
-        probe(n);
+  /** Takes in entries of the list. */
+  void apply(List<Endpoint> entries) {
+    for (Endpoint entry : entries) {
+      if (entry.availability() == Availability.READY) {
+        add(entry);
+      } else if (state.endpoints.containsKey(entry.id())) {
+        withdraw(state.endpoints.get(entry.id()), entry.availability() == Availability.REMOVED);
       }
     }
   }
 
-  /**
-   * The replicas that this instance prefers; those newly listed are probed now that one is wanted.
-   */
-  List<String> own(ReplicaSet g) {
-    if (g.own == null) {
-      List<String> replicas =
-          g.nodes.values().stream()
-              .filter(n -> n.open && n != g.primary)
-              .map(n -> n.id)
-              .collect(toList());
-      g.own =
-          EndpointSubsetting.subsets(
-              state.settings.gateway().gatewayIndex(),
-              state.settings.gateway().gatewayCount(),
-              replicas);
-      g.own.stream().map(g.nodes::get).filter(n -> n.probedAt == UNKNOWN).forEach(this::probe);
-    }
-    return g.own;
+  /** Withdraws the endpoints that a whole list no longer names. */
+  void removeUnlisted(List<Endpoint> entries) {
+    List<String> listedIds = entries.stream().map(Endpoint::id).toList();
+    List.copyOf(state.endpoints.values()).stream()
+        .filter(endpoint -> !listedIds.contains(endpoint.id))
+        .forEach(endpoint -> withdraw(endpoint, true));
   }
 
-  void close(EndpointState n, boolean gone) {
-    if (gone && n.open && state.settings.safetyRules().removalIsAdvisory()) {
-      return; // the list does not prove it down (rule 6): own attempts tell
+  private void add(Endpoint entry) {
+    removeFromOtherReplicaSet(entry);
+    EndpointState endpoint = state.endpoints.computeIfAbsent(entry.id(), EndpointState::new);
+    boolean restarted =
+        endpoint.listed == null
+            || !endpoint.assignable
+            || endpoint.listed.startedAtMicros() != entry.startedAtMicros();
+    endpoint.listed = entry;
+    endpoint.assignable = true;
+    int gatewayCount = state.settings.gateway().gatewayCount();
+    endpoint.concurrencyLimit.initialize(Math.max(1, INITIAL_FLEET_CONCURRENCY / gatewayCount));
+    join(state.replicaSet(entry.replicaSet()), endpoint);
+    if (restarted) {
+      endpoint.ejectedUntilMicros = UNKNOWN;
+      endpoint.healthCheckedAtMicros = UNKNOWN;
+      if (EndpointSubsetting.coversAllEndpoints(gatewayCount)) {
+        healthChecker.check(endpoint);
+      }
     }
-    n.open = false;
-    if (gone) {
-      state.nodes.remove(n.id);
-      n.group.nodes.remove(n.id);
+  }
+
+  /** What is known of an endpoint that moved is of another set's log, and is forgotten. */
+  private void removeFromOtherReplicaSet(Endpoint entry) {
+    EndpointState known = state.endpoints.get(entry.id());
+    if (known != null && known.listed.replicaSet() != entry.replicaSet()) {
+      known.assignable = false;
+      withdraw(known, true);
     }
-    n.group.own = null;
-    n.group.primary = n.group.primary == n ? null : n.group.primary;
   }
 
-  void probe(EndpointState n) {
-    if (state.settings.limits().healthChecksAllowed() && n.open) {
-      n.probedAt = state.now;
-      n.probing = true;
-      state.actions.checkHealth(n.id);
+  /** The list's word on the primary counts only until a message names its role. */
+  private static void join(ReplicaSet replicaSet, EndpointState endpoint) {
+    endpoint.replicaSet = replicaSet;
+    replicaSet.endpoints.put(endpoint.id, endpoint);
+    if (endpoint.listed.listedAsPrimary()
+        && replicaSet.primary == null
+        && replicaSet.primaryKnownAtMicros == UNKNOWN) {
+      replicaSet.primary = endpoint;
     }
+    replicaSet.preferredReplicas = null;
   }
 
   /**
-   * Probes for a held request, within the allowance: a few at a time, any while no primary is
-   * known.
+   * Sends no more attempts to an endpoint, and forgets it where it was removed. Where removal is
+   * advisory the list does not prove an endpoint down, and only its own attempts do.
    */
-  void wantPositions(ReplicaSet g) {
-    boolean lost = g.primary == null || state.now < g.primary.bannedUntil || g.primary.onTrial;
-    long out = g.nodes.values().stream().filter(n -> n.probing).count();
-    List<EndpointState> old =
-        g.nodes.values().stream()
-            .filter(n -> lost || n != g.primary)
-            .filter(n -> n.progress.isHealthCheckDue(state.now, n.probedAt, lost))
-            .collect(toList());
-    Collections.shuffle(old, state.random);
-    // What waits for the primary has no other; then those that are used most.
-    old.sort(
-        Comparator.comparing((EndpointState n) -> n != g.primary)
-            .thenComparing(n -> !own(g).contains(n.id)));
-    for (EndpointState n : old) {
-      if (out < PROBES_AT_ONCE && state.probes.tryAcquire()) {
-        out++;
-        probe(n);
-      }
+  private void withdraw(EndpointState endpoint, boolean removed) {
+    if (removed && endpoint.assignable && state.settings.safetyRules().removalIsAdvisory()) {
+      return;
+    }
+    ReplicaSet replicaSet = endpoint.replicaSet;
+    endpoint.assignable = false;
+    if (removed) {
+      state.endpoints.remove(endpoint.id);
+      replicaSet.endpoints.remove(endpoint.id);
+    }
+    replicaSet.preferredReplicas = null;
+    if (endpoint.isPrimary()) {
+      replicaSet.primary = null;
     }
   }
 }
--- a/core/src/main/java/shelffront/decision/PendingRequest.java
+++ b/core/src/main/java/shelffront/decision/PendingRequest.java
@@ -6,58 +6,88 @@
 import shelffront.routing.Request;
 import shelffront.routing.RequestClass;
 
-/** A request that still owes its final answer. */
+/**
+ * A request that still owes its final answer, and the attempts made for it.
+ *
+ * <p>Invariants: {@link #open} turns false once, when the request gets its final answer or its
+ * client goes away; {@link #queue} is null unless the request waits in that queue.
+ */
 final class PendingRequest {
 
-  static final double LATE_WORTH = 0.5; // A class with less late is dropped at its aim.
+  /** A class that keeps less of its value after the objective is not served late. */
+  static final double MIN_LATE_VALUE_FRACTION = 0.5;
 
   final Request request;
-  final RequestClass type;
-  final ReplicaSet group;
-  final long arrival;
-  final long deadline;
-  final long token; // position that a session read must see
+  final RequestClass requestClass;
+  final ReplicaSet replicaSet;
+  final long arrivedAtMicros;
+  final long deadlineMicros;
+
+  /** Position of its session's last write, which a session read must see. */
+  final long sessionPositionMicros;
+
   final ArrayList<Attempt> attempts = new ArrayList<>(2);
   boolean open = true;
-  LinkedHashSet<PendingRequest> queue; // where it is held, or null
-  boolean missed; // a replica turned it away: the hold is over
+  LinkedHashSet<PendingRequest> queue;
+
+  /** A replica sent the read back as unsuitable: it need not wait for another one. */
+  boolean rejectedByReplica;
 
-  PendingRequest(Request request, RequestClass type, ReplicaSet group, long token, long now) {
+  PendingRequest(
+      Request request,
+      RequestClass requestClass,
+      ReplicaSet replicaSet,
+      long sessionPositionMicros,
+      long nowMicros) {
     this.request = request;
-    this.type = type;
-    this.group = group;
-    arrival = now;
-    this.deadline = arrival + request.timeToDeadlineMicros();
-    this.token = token;
+    this.requestClass = requestClass;
+    this.replicaSet = replicaSet;
+    this.sessionPositionMicros = sessionPositionMicros;
+    arrivedAtMicros = nowMicros;
+    deadlineMicros = arrivedAtMicros + request.timeToDeadlineMicros();
   }
 
-  /** Position that a replica must have to answer this now. */
-  long need(long now) {
-    return type.consistency() == Consistency.BOUNDED_STALENESS
-        ? now - type.maxStalenessMicros()
-        : token;
+  /** Position that a replica must have applied to answer it now. */
+  long requiredPositionMicros(long nowMicros) {
+    return requestClass.consistency() == Consistency.BOUNDED_STALENESS
+        ? nowMicros - requestClass.maxStalenessMicros()
+        : sessionPositionMicros;
   }
 
-  int outstanding() {
-    return (int) attempts.stream().filter(a -> a.status == null).count();
+  boolean isQueued() {
+    return queue != null;
   }
 
-  /** First attempt that ran or may have run; null when it is known that none did. */
-  Attempt mayHaveRun() {
+  boolean hasAttemptOut() {
+    return attempts.stream().anyMatch(Attempt::isOut);
+  }
+
+  boolean isNewestAttempt(Attempt attempt) {
+    return attempts.get(attempts.size() - 1) == attempt;
+  }
+
+  /** First attempt that ran or may have run; null when it is proved that none did. */
+  Attempt firstPossiblyExecuted() {
     return attempts.stream()
-        .filter(a -> a.status == null || !a.status.provesNotExecuted)
+        .filter(attempt -> attempt.isOut() || !attempt.status.provesNotExecuted)
         .findFirst()
         .orElse(null);
   }
 
-  boolean tried(EndpointState node) {
-    return attempts.stream().anyMatch(a -> a.node == node);
+  boolean wasSentTo(EndpointState endpoint) {
+    return attempts.stream().anyMatch(attempt -> attempt.endpoint == endpoint);
+  }
+
+  boolean keepsValueWhenLate() {
+    return requestClass.lateValueFraction() >= MIN_LATE_VALUE_FRACTION;
+  }
+
+  long objectiveAtMicros() {
+    return arrivedAtMicros + requestClass.latencyObjectiveMicros();
   }
 
   /** After this time an answer is worth little or nothing. */
-  long usefulUntil() {
-    return type.lateValueFraction() < LATE_WORTH
-        ? Math.min(deadline, arrival + type.latencyObjectiveMicros())
-        : deadline;
+  long usefulUntilMicros() {
+    return keepsValueWhenLate() ? deadlineMicros : Math.min(deadlineMicros, objectiveAtMicros());
   }
 }
--- a/core/src/main/java/shelffront/decision/ReplicaPositions.java
+++ b/core/src/main/java/shelffront/decision/ReplicaPositions.java
@@ -9,15 +9,19 @@
 import shelffront.routing.Role;
 
 /**
- * What is known of how far each member has applied the log, of who is primary, and of sessions'
- * writes.
+ * What reports and responses prove about positions in the log and about roles, and which position a
+ * session's read has to see. Positions and times are microseconds on one clock.
  */
 record ReplicaPositions(RoutingState state) {
 
-  /** Position that a request of a session must see; UNKNOWN where there is none. */
-  long token(Request request) {
-    if (state.settings.requestClasses().get(request.classIndex()).consistency()
-        != Consistency.SESSION) {
+  /**
+   * Position that a request must see because of its session's writes: the greater of the one that
+   * its client carries and the one remembered here; {@code UNKNOWN} where there is none.
+   */
+  long sessionPosition(Request request) {
+    Consistency consistency =
+        state.settings.requestClasses().get(request.classIndex()).consistency();
+    if (consistency != Consistency.SESSION) {
       return UNKNOWN;
     }
     return Math.max(
@@ -26,58 +30,73 @@
   }
 
   /**
-   * Whether a replica is known to have the position, or may be trusted to where it checks itself.
+   * Whether a replica is known to have applied the position, or may be trusted to have where it
+   * checks for itself. With {@link LagCheck#WAIT} it may lack half of what it waits for.
    */
-  boolean covers(EndpointState n, long need) {
-    if (need == UNKNOWN || state.settings.consistency().lagCheck() == LagCheck.NONE) {
-      return need == UNKNOWN || n.progress.hasApplied(need);
+  boolean covers(EndpointState endpoint, long requiredPositionMicros) {
+    LagCheck lagCheck = state.settings.consistency().lagCheck();
+    if (requiredPositionMicros == UNKNOWN) {
+      return true;
     }
-    long patience =
-        state.settings.consistency().lagCheck() == LagCheck.WAIT
-            ? state.settings.consistency().lagWaitMicros() / 2
-            : 0;
-    return n.progress.mayHaveApplied(state.now, need, patience);
+    if (lagCheck == LagCheck.NONE) {
+      return endpoint.progress.hasApplied(requiredPositionMicros);
+    }
+    long toleratedLagMicros =
+        lagCheck == LagCheck.WAIT ? state.settings.consistency().lagWaitMicros() / 2 : 0;
+    return endpoint.progress.mayHaveApplied(
+        state.nowMicros, requiredPositionMicros, toleratedLagMicros);
   }
 
   /**
-   * Takes a word on a member's role that held at the given time; words older than the newest count
-   * not.
+   * Takes in a message that named an endpoint's role at a time. One that is older than the newest
+   * about the set's primary, or that tells nothing new, is ignored, since roles change while
+   * messages are under way.
    */
-  void told(EndpointState n, Role role, long asOf) {
-    ReplicaSet g = n.group;
-    if (asOf < g.primaryAt || role == Role.UNKNOWN || g.primary == n == (role == Role.PRIMARY)) {
+  void recordRole(EndpointState endpoint, Role role, long asOfMicros) {
+    ReplicaSet replicaSet = endpoint.replicaSet;
+    boolean knownAsPrimary = replicaSet.primary == endpoint;
+    if (asOfMicros < replicaSet.primaryKnownAtMicros
+        || role == Role.UNKNOWN
+        || knownAsPrimary == (role == Role.PRIMARY)) {
       return;
     }
     if (role == Role.PRIMARY) {
-      g.primary = n;
-      g.own = null;
-      g.primaryAt = asOf;
-      g.scouted = "";
-      state.note("primary of group " + n.entry.replicaSet() + " is " + n.id);
-    } else if (g.primary == n) {
-      g.primary = null;
-      g.own = null;
-      g.primaryAt = asOf;
-      g.scouted = n.id;
-      state.note("group " + n.entry.replicaSet() + " has no known primary");
+      changePrimary(replicaSet, endpoint, asOfMicros);
+      replicaSet.lastSearchedId = "";
+      state.note("primary of group " + endpoint.listed.replicaSet() + " is " + endpoint.id);
+    } else {
+      changePrimary(replicaSet, null, asOfMicros);
+      replicaSet.lastSearchedId = endpoint.id;
+      state.note("group " + endpoint.listed.replicaSet() + " has no known primary");
     }
   }
 
-  void hear(EndpointState n, LoadReport load) {
-    if (load != null && load.positionMicros() != UNKNOWN) {
-      n.progress.advance(state.now, load.positionMicros());
-      told(n, load.role(), Math.min(load.positionMicros(), state.now));
+  private static void changePrimary(ReplicaSet replicaSet, EndpointState primary, long asOfMicros) {
+    replicaSet.primary = primary;
+    replicaSet.preferredReplicas = null;
+    replicaSet.primaryKnownAtMicros = asOfMicros;
+  }
+
+  /**
+   * Takes in what an endpoint reports of itself. A report without a position tells no role either,
+   * since a host that has made none yet answers with zeros.
+   */
+  void recordLoadReport(EndpointState endpoint, LoadReport loadReport) {
+    if (loadReport == null || loadReport.positionMicros() == UNKNOWN) {
+      return;
     }
+    endpoint.progress.advance(state.nowMicros, loadReport.positionMicros());
+    recordRole(endpoint, loadReport.role(), Math.min(loadReport.positionMicros(), state.nowMicros));
   }
 
   /**
-   * An OK of a replica that refuses what it lacks proves the position needed; it keeps its pace.
-   * Guards against late reports, by which replicas that keep up look behind until no read goes to
-   * them.
+   * A success from a replica that checks its lag proves the position that the read required.
+   * Without this, late reports make replicas that keep up look behind until no read goes to them.
    */
-  void proved(Attempt a) {
+  void recordAnsweredRead(Attempt attempt) {
     if (state.settings.consistency().lagCheck() != LagCheck.NONE) {
-      a.node.progress.recordProvenPosition(a.sentAt, a.need);
+      attempt.endpoint.progress.recordProvenPosition(
+          attempt.sentAtMicros, attempt.requiredPositionMicros);
     }
   }
 }
--- a/core/src/main/java/shelffront/decision/ReplicaSet.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSet.java
@@ -9,26 +9,57 @@
 import shelffront.fleet.SlowStartBudget;
 import shelffront.statistics.DecayingAverage;
 
-/** The members that hold the same data: one primary and its replicas. */
+/**
+ * The endpoints that hold the same data, one primary and its replicas, and the requests that wait
+ * for one of them.
+ */
 final class ReplicaSet {
 
-  final TreeMap<String, EndpointState> nodes = new TreeMap<>();
+  /** Time in which the weight of a service time in {@link #slowdown} falls to 1/e. */
+  private static final double SLOWDOWN_DECAY_SECONDS = 4;
 
-  /** Held requests by class, in time, then late; those that left are dropped when met. */
-  final List<LinkedHashSet<PendingRequest>> held;
+  final TreeMap<String, EndpointState> endpoints = new TreeMap<>();
+
+  /** Ids of the replicas that this gateway prefers; null when they are to be chosen anew. */
+  List<String> preferredReplicas;
 
-  List<String> own; // replicas preferred here; null: to be chosen anew
   EndpointState primary;
-  long primaryAt = UNKNOWN; // time for which the newest word on the primary holds
-  String scouted = ""; // last member that a write tried in search of the primary
-  PendingRequest scout;
-  long scoutAfter = UNKNOWN;
-  final DecayingAverage slow = new DecayingAverage(4); // of all its members together
-  final SlowStartBudget cold;
-
-  ReplicaSet(int queues, double fallSeconds) {
-    cold = new SlowStartBudget(fallSeconds);
-    held =
-        Stream.<LinkedHashSet<PendingRequest>>generate(LinkedHashSet::new).limit(queues).toList();
+
+  /** Time for which the newest message about the primary's role holds. */
+  long primaryKnownAtMicros = UNKNOWN;
+
+  /** Id of the endpoint that the search for the primary tried last; empty before the first. */
+  String lastSearchedId = "";
+
+  /** The write that searches for the primary. */
+  PendingRequest searchingRequest;
+
+  long searchPausedUntilMicros = UNKNOWN;
+
+  /** Service times of all endpoints together, over the typical one of the class. */
+  final DecayingAverage slowdown = new DecayingAverage(SLOWDOWN_DECAY_SECONDS);
+
+  final SlowStartBudget slowStartBudget;
+
+  private final List<LinkedHashSet<PendingRequest>> queues;
+  private final List<LinkedHashSet<PendingRequest>> lateQueues;
+
+  ReplicaSet(int requestClasses, double overloadSeconds) {
+    slowStartBudget = new SlowStartBudget(overloadSeconds);
+    queues = emptyQueues(requestClasses);
+    lateQueues = emptyQueues(requestClasses);
+  }
+
+  private static List<LinkedHashSet<PendingRequest>> emptyQueues(int count) {
+    return Stream.<LinkedHashSet<PendingRequest>>generate(LinkedHashSet::new).limit(count).toList();
+  }
+
+  /** Queued requests in order of arrival; those that have left are removed when they are met. */
+  LinkedHashSet<PendingRequest> queue(RequestQueueKey key) {
+    return (key.late() ? lateQueues : queues).get(key.classIndex());
+  }
+
+  boolean hasQueuedRequests() {
+    return Stream.concat(queues.stream(), lateQueues.stream()).anyMatch(queue -> !queue.isEmpty());
   }
 }
--- a/core/src/main/java/shelffront/decision/RoutingEngine.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -1,13 +1,11 @@
 package shelffront.decision;
 
 import java.util.List;
-import java.util.Optional;
 import java.util.Random;
 import shelffront.consistency.ReplicationProgress;
 import shelffront.fleet.HealthCheckBudget;
 import shelffront.routing.AttemptOutcome;
 import shelffront.routing.AttemptStatus;
-import shelffront.routing.Availability;
 import shelffront.routing.Endpoint;
 import shelffront.routing.EndpointUpdateKind;
 import shelffront.routing.LoadReport;
@@ -19,198 +17,214 @@
 import shelffront.routing.RoutingSettings;
 
 /**
- * All decisions of shelffront. The interface, with every type, event and action, is Router.java;
- * this class takes the events and hands each to the part of the module whose concern it is.
+ * Makes all routing decisions: takes the events of {@link Router} and hands each to the policies
+ * that it concerns.
  *
- * <p>In one sentence: a session's read goes to a replica known to have applied the session's last
- * write, after a short bounded wait, else to the primary. What cannot be sent yet is held in its
- * group and looked at again when something in the group changes; a timer covers every held request.
- * All times are microseconds.
+ * <p>A session's read goes to a replica known to have applied the session's last write, after a
+ * short bounded wait, else to the primary. What cannot be sent yet is queued in its replica set and
+ * looked at again when something in the set changes; a timer covers every queued request.
+ *
+ * <p>Invariants: each request gets one final answer at most from here; the same events give the
+ * same actions. Used on one thread.
  */
 public final class RoutingEngine implements Router {
 
+  /** Typical service time at the start, as a divisor of the class's latency objective. */
+  private static final double INITIAL_OBJECTIVE_PER_SERVICE_TIME = 4.0;
+
+  private static final long MAINTENANCE_INTERVAL_MICROS = ReplicationProgress.OLD / 2;
+
   final RoutingState state;
-  private final ReplicaPositions positions;
-  private final EndpointRegistry membership;
-  private final OutlierDetector health;
-  private final RequestScheduler queue;
-  private int listFailures;
+  private final RoutingPolicies policies;
 
+  /** Decides for one gateway, or for one tenant of it, and acts by these actions. */
   public RoutingEngine(RouterActions actions) {
     state = new RoutingState(actions);
-    positions = new ReplicaPositions(state);
-    AttemptAdmission guards = new AttemptAdmission(state);
-    membership = new EndpointRegistry(state);
-    health = new OutlierDetector(state, guards, membership, positions);
-    queue =
-        new RequestScheduler(
-            state, new EndpointSelector(state, health, positions), guards, membership, health);
-    state.changed = queue::release;
+    policies = new RoutingPolicies(state);
+    state.replicaSetChanged = policies.scheduler::dispatchQueued;
   }
 
   @Override
-  public void onStart(long time, long seed, RoutingSettings given) {
-    state.now = time;
-    state.settings = given;
+  public void onStart(long nowMicros, long seed, RoutingSettings settings) {
+    state.nowMicros = nowMicros;
+    state.settings = settings;
     state.random = new Random(seed);
-    state.probes = new HealthCheckBudget(given.healthCheckCost(), given.gateway().gatewayCount());
-    state.usual = new double[given.requestClasses().size()];
-    for (int i = 0; i < state.usual.length; i++) {
-      state.usual[i] = given.requestClasses().get(i).latencyObjectiveMicros() / 4.0;
-    }
-    if (given.endpointList().polled()) {
+    state.healthCheckBudget =
+        new HealthCheckBudget(settings.healthCheckCost(), settings.gateway().gatewayCount());
+    state.typicalServiceMicros =
+        settings.requestClasses().stream()
+            .mapToDouble(RoutingEngine::initialServiceMicros)
+            .toArray();
+    if (settings.endpointList().polled()) {
       state.actions.watchEndpoints(true);
     }
-    tend();
+    maintain();
+  }
+
+  private static double initialServiceMicros(RequestClass requestClass) {
+    return requestClass.latencyObjectiveMicros() / INITIAL_OBJECTIVE_PER_SERVICE_TIME;
   }
 
   @Override
   public void onEndpoints(
-      long time, EndpointUpdateKind kind, long version, List<Endpoint> members) {
-    state.now = time;
+      long nowMicros, EndpointUpdateKind kind, long version, List<Endpoint> endpoints) {
+    state.nowMicros = nowMicros;
     if (kind == EndpointUpdateKind.FAILED) {
-      long wait = Math.min(600_000, 100_000L << Math.min(5, listFailures++));
-      state.at(
-          null,
-          state.now + wait / 2 + state.random.nextInt((int) wait),
-          () -> state.actions.watchEndpoints(true));
+      policies.listBackoff.recordFailure();
       return;
     }
-    listFailures = 0;
+    policies.listBackoff.recordSuccess();
     if (kind != EndpointUpdateKind.DELTA) {
-      List<String> named = members.stream().map(Endpoint::id).toList();
-      List.copyOf(state.nodes.values()).stream()
-          .filter(n -> !named.contains(n.id))
-          .forEach(n -> membership.close(n, true));
+      policies.registry.removeUnlisted(endpoints);
     }
-    for (Endpoint m : members) {
-      if (m.availability() == Availability.READY) {
-        membership.open(m);
-      } else if (state.nodes.containsKey(m.id())) {
-        membership.close(state.nodes.get(m.id()), m.availability() == Availability.REMOVED);
-      }
-    }
-    state.groups.values().forEach(queue::release);
+    policies.registry.apply(endpoints);
+    state.replicaSets.values().forEach(policies.scheduler::dispatchQueued);
   }
 
   @Override
-  public void onRequest(long time, Request request) {
-    state.now = time;
-    state.probes.recordRequest();
-    RequestClass type = state.settings.requestClasses().get(request.classIndex());
-    ReplicaSet group = state.group(request.replicaSet());
-    PendingRequest p =
-        new PendingRequest(request, type, group, positions.token(request), state.now);
-    state.pending.put(request.id(), p);
-    group.cold.recordRequest(state.now, type.requiresPrimary());
-    state.at(
-        p, Math.max(state.now, p.deadline - state.settings.tickMicros()), () -> queue.giveUp(p));
-    queue.dispatch(p);
+  public void onRequest(long nowMicros, Request request) {
+    state.nowMicros = nowMicros;
+    state.healthCheckBudget.recordRequest();
+    RequestClass requestClass = state.settings.requestClasses().get(request.classIndex());
+    ReplicaSet replicaSet = state.replicaSet(request.replicaSet());
+    PendingRequest pending =
+        new PendingRequest(
+            request,
+            requestClass,
+            replicaSet,
+            policies.positions.sessionPosition(request),
+            nowMicros);
+    state.pendingRequests.put(request.id(), pending);
+    replicaSet.slowStartBudget.recordRequest(nowMicros, requestClass.requiresPrimary());
+    long lastTickMicros = pending.deadlineMicros - state.settings.tickMicros();
+    state.schedule(
+        pending, Math.max(nowMicros, lastTickMicros), () -> policies.loadShedder.shed(pending));
+    policies.scheduler.dispatch(pending);
   }
 
   @Override
-  public void onAttemptOutcome(long time, AttemptOutcome o) {
-    state.now = time;
-    Attempt a = state.attemptsOut.remove(o.requestId() + o.attemptNumber());
-    EndpointState node = a != null ? a.node : state.nodes.get(o.endpointId());
-    if (node != null) {
-      positions.hear(node, o.loadReport());
-      positions.told(node, o.role(), state.now);
-      if (o.positionMicros() != UNKNOWN && o.role() != Role.UNKNOWN) {
-        node.progress.advance(time, o.positionMicros());
-      }
-      if (o.status() == AttemptStatus.REPLICA_UNSUITABLE) {
-        node.progress.recordRejectedRead(time);
-      }
+  public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
+    state.nowMicros = nowMicros;
+    Attempt attempt =
+        state.attemptsOut.remove(new AttemptId(outcome.requestId(), outcome.attemptNumber()));
+    EndpointState endpoint =
+        attempt != null ? attempt.endpoint : state.endpoints.get(outcome.endpointId());
+    if (endpoint != null) {
+      recordReplication(endpoint, outcome);
     }
-    if (a == null) {
+    if (attempt == null) {
       return;
     }
-    a.status = o.status();
-    a.node.out.remove(a);
-    boolean giveBack = state.now < a.node.scarceUntil && a.node.out.isEmpty();
-    a.node.connectedUntil =
-        giveBack ? UNKNOWN : state.now + state.settings.limits().connectionIdleMicros();
-    if (giveBack) {
-      state.actions.closeIdleConnections(a.node.id);
+    attempt.status = outcome.status();
+    endpoint.attemptsOut.remove(attempt);
+    keepOrCloseConnection(endpoint);
+    policies.attemptOutcomes.record(attempt, outcome);
+    recordSessionWrite(attempt.request, outcome);
+    continueRequest(attempt.request, outcome);
+    policies.scheduler.dispatchQueued(attempt.request.replicaSet);
+  }
+
+  /** Takes in what the response told of its host's position and role. */
+  private void recordReplication(EndpointState endpoint, AttemptOutcome outcome) {
+    policies.positions.recordLoadReport(endpoint, outcome.loadReport());
+    policies.positions.recordRole(endpoint, outcome.role(), state.nowMicros);
+    if (outcome.positionMicros() != UNKNOWN && outcome.role() != Role.UNKNOWN) {
+      endpoint.progress.advance(state.nowMicros, outcome.positionMicros());
+    }
+    if (outcome.status() == AttemptStatus.REPLICA_UNSUITABLE) {
+      endpoint.progress.recordRejectedRead(state.nowMicros);
+    }
+  }
+
+  /** The attempt's connection idles now, unless the endpoint's connections are scarce. */
+  private void keepOrCloseConnection(EndpointState endpoint) {
+    boolean scarce = state.nowMicros < endpoint.connectionsScarceUntilMicros;
+    if (scarce && endpoint.attemptsOut.isEmpty()) {
+      endpoint.idleConnectionUntilMicros = UNKNOWN;
+      state.actions.closeIdleConnections(endpoint.id);
+    } else {
+      endpoint.idleConnectionUntilMicros =
+          state.nowMicros + state.settings.limits().connectionIdleMicros();
     }
-    health.judge(a, o);
-    PendingRequest p = a.request;
-    if (o.status() == AttemptStatus.OK
-        && p.type.isWrite()
-        && p.request.sessionId() != null
+  }
+
+  /** Remembers where a session's write was committed, unless its client carries the position. */
+  private void recordSessionWrite(PendingRequest request, AttemptOutcome outcome) {
+    if (outcome.status() == AttemptStatus.OK
+        && request.requestClass.isWrite()
+        && request.request.sessionId() != null
         && !state.settings.consistency().clientsCarryPosition()) {
-      long commit = o.positionMicros() == UNKNOWN ? state.now : o.positionMicros();
-      state.sessions.recordWrite(p.request.sessionId(), p.request.replicaSet(), commit);
+      long commitMicros =
+          outcome.positionMicros() == UNKNOWN ? state.nowMicros : outcome.positionMicros();
+      state.sessions.recordWrite(
+          request.request.sessionId(), request.request.replicaSet(), commitMicros);
     }
-    if (o.requestCompleted() || o.status() == AttemptStatus.OK) {
-      queue.close(p);
+  }
+
+  /** Completes the request where it is answered, else dispatches it anew if nothing is out. */
+  private void continueRequest(PendingRequest request, AttemptOutcome outcome) {
+    if (outcome.requestCompleted() || outcome.status() == AttemptStatus.OK) {
+      policies.completion.complete(request);
     }
-    if (p.open && p.outstanding() == 0) {
-      p.missed |= o.status() == AttemptStatus.REPLICA_UNSUITABLE && !p.type.isWrite();
-      queue.dispatch(p);
+    if (request.open && !request.hasAttemptOut()) {
+      request.rejectedByReplica |=
+          outcome.status() == AttemptStatus.REPLICA_UNSUITABLE && !request.requestClass.isWrite();
+      policies.scheduler.dispatch(request);
     }
-    queue.release(p.group);
   }
 
   @Override
-  public boolean mayStartAttempt(long time, String requestId, int attempt) {
-    state.now = time;
-    Attempt a = state.attemptsOut.get(requestId + attempt);
-    return a != null
-        && a.request.open
-        && a.node.open
-        && queue.guards().freshEnough(a.request, a.node)
-        && (a.request.mayHaveRun() == a || queue.guards().mayTryAgain(a.request));
+  public boolean mayStartAttempt(long nowMicros, String requestId, int attemptNumber) {
+    state.nowMicros = nowMicros;
+    Attempt attempt = state.attemptsOut.get(new AttemptId(requestId, attemptNumber));
+    return attempt != null && policies.admission.stillAdmits(attempt);
   }
 
   @Override
   public void onHealthCheckResult(
-      long time, String member, AttemptStatus status, long took, LoadReport load) {
-    state.now = time;
-    EndpointState node = state.nodes.get(member);
-    if (node != null) {
-      node.probing = false;
-      positions.hear(node, status == AttemptStatus.OK ? load : null);
-      if (status == AttemptStatus.OK && node.unreachable) {
-        health.alive(node);
-      } else if (status == AttemptStatus.OK && state.now >= node.bannedUntil) {
-        node.onTrial = false; // else a lone instance could never try it with a once-only write
-      } else if (status == AttemptStatus.TIMEOUT
-          || status == AttemptStatus.CONNECT_FAILED && ++node.breaks > OutlierDetector.BREAKS) {
-        health.pause(node, "does not answer probes");
-        node.unreachable = true;
-      }
-      queue.release(node.group);
+      long nowMicros,
+      String endpointId,
+      AttemptStatus status,
+      long elapsedMicros,
+      LoadReport loadReport) {
+    state.nowMicros = nowMicros;
+    EndpointState endpoint = state.endpoints.get(endpointId);
+    if (endpoint != null) {
+      policies.healthCheckOutcomes.record(endpoint, status, loadReport);
+      policies.scheduler.dispatchQueued(endpoint.replicaSet);
     }
   }
 
   @Override
-  public void onPeerMessage(long time, int from, byte[] payload) {
-    state.now = time;
+  public void onPeerMessage(long nowMicros, int gatewayIndex, byte[] payload) {
+    state.nowMicros = nowMicros;
   }
 
   @Override
-  public void onTimer(long time, String name) {
-    state.now = time;
-    state.timers.runDue(time);
+  public void onTimer(long nowMicros, String timerName) {
+    state.nowMicros = nowMicros;
+    state.timers.runDue(nowMicros);
   }
 
   @Override
-  public void onClientDisconnected(long time, String requestId) {
-    state.now = time;
-    Optional.ofNullable(state.pending.get(requestId)).ifPresent(queue::close);
-  }
-
-  private void tend() {
-    queue.sort();
-    queue.guards().recount();
-    for (ReplicaSet g : state.groups.values()) {
-      if (g.held.stream().anyMatch(q -> !q.isEmpty())) {
-        membership.wantPositions(g);
-        queue.release(g);
+  public void onClientDisconnected(long nowMicros, String requestId) {
+    state.nowMicros = nowMicros;
+    PendingRequest request = state.pendingRequests.get(requestId);
+    if (request != null) {
+      policies.completion.complete(request);
+    }
+  }
+
+  /** Brings averages up to date and looks at everything that is queued; schedules itself. */
+  private void maintain() {
+    policies.queueOrder.update();
+    policies.slowStartAdmission.updateWarmEndpointSends();
+    for (ReplicaSet replicaSet : state.replicaSets.values()) {
+      if (replicaSet.hasQueuedRequests()) {
+        policies.healthChecks.checkForQueuedRequests(replicaSet);
+        policies.scheduler.dispatchQueued(replicaSet);
       }
     }
-    state.at(null, state.now + ReplicationProgress.OLD / 2, this::tend);
+    state.schedule(state.nowMicros + MAINTENANCE_INTERVAL_MICROS, this::maintain);
   }
 }
--- a/core/src/main/java/shelffront/decision/RoutingState.java
+++ b/core/src/main/java/shelffront/decision/RoutingState.java
@@ -13,54 +13,86 @@
 import shelffront.routing.RoutingSettings;
 import shelffront.time.TimerQueue;
 
-/** All that changes in the module; the parts that decide hold nothing of their own. */
+/**
+ * All that changes in the module; the policies hold nothing of their own.
+ *
+ * <p>Invariants: {@link #nowMicros} is the time of the event in work; every random choice draws
+ * from {@link #random}, and every timer stands in {@link #timers}. Used on one thread.
+ */
 final class RoutingState {
 
+  private static final int MAX_REMEMBERED_SESSIONS = 20_000;
+
+  /** More log lines than one in this time are dropped. */
+  private static final long LOG_INTERVAL_MICROS = 200_000;
+
+  private static final double MIN_OVERLOAD_WINDOW_SECONDS = 0.001;
+
   final RouterActions actions;
 
-  /** Looks again at what is held in a group, since something in it changed. */
-  Consumer<ReplicaSet> changed;
+  /** Looks again at the queued requests of a replica set, since something in it changed. */
+  Consumer<ReplicaSet> replicaSetChanged;
 
   final TimerQueue timers;
   RoutingSettings settings;
   Random random;
-  long now;
-  final TreeMap<String, EndpointState> nodes = new TreeMap<>();
-  final TreeMap<Integer, ReplicaSet> groups = new TreeMap<>();
-  final HashMap<String, PendingRequest> pending = new HashMap<>();
-  final HashMap<String, Attempt> attemptsOut = new HashMap<>(); // by request id and number
-  final SessionPositions sessions = new SessionPositions(20_000);
-  final ArrayList<Integer> order = new ArrayList<>(); // of the queues of held requests
-  int ended; // requests, since the timers were swept
-  double[] usual; // answer time by class, smoothed
-  HealthCheckBudget probes;
-  double usualSends; // sends of late to a warm member of size 1
-  long dearUntil = UNKNOWN; // connections take too long to set up
-  private long loggedAt = UNKNOWN;
+  long nowMicros;
+  final TreeMap<String, EndpointState> endpoints = new TreeMap<>();
+  final TreeMap<Integer, ReplicaSet> replicaSets = new TreeMap<>();
+  final HashMap<String, PendingRequest> pendingRequests = new HashMap<>();
+  final HashMap<AttemptId, Attempt> attemptsOut = new HashMap<>();
+  final SessionPositions sessions = new SessionPositions(MAX_REMEMBERED_SESSIONS);
+
+  /** Order in which the queues of a replica set are looked at. */
+  final ArrayList<RequestQueueKey> queueOrder = new ArrayList<>();
+
+  int completedSinceTimerSweep;
+
+  /** Smoothed service time by class. */
+  double[] typicalServiceMicros;
+
+  HealthCheckBudget healthCheckBudget;
+
+  /** Attempts of late to a warm endpoint of capacity 1, on the mean. */
+  double warmEndpointSends;
+
+  /** Until then setting up a connection is taken to last too long. */
+  long connectionsExpensiveUntilMicros = UNKNOWN;
+
+  private long loggedAtMicros = UNKNOWN;
 
   RoutingState(RouterActions actions) {
     this.actions = actions;
-    timers = new TimerQueue(at -> actions.setTimer("wake", at));
+    timers = new TimerQueue(atMicros -> actions.setTimer("wake", atMicros));
+  }
+
+  /** Runs a task at a time; it may be dropped once the request that it is about has ended. */
+  void schedule(PendingRequest request, long atMicros, Runnable task) {
+    timers.schedule(atMicros, () -> request.open, task);
   }
 
-  /** Runs the task at a time, unless it is about a request that has ended by then. */
-  void at(PendingRequest owner, long when, Runnable task) {
-    timers.schedule(when, () -> owner == null || owner.open, task);
+  /** Runs a task at a time in any case. */
+  void schedule(long atMicros, Runnable task) {
+    timers.schedule(atMicros, () -> true, task);
   }
 
-  /** Usual answer time of a request's class. */
-  double usual(PendingRequest p) {
-    return usual[p.request.classIndex()];
+  /** Typical service time of a request's class. */
+  double typicalServiceMicros(PendingRequest request) {
+    return typicalServiceMicros[request.request.classIndex()];
   }
 
-  ReplicaSet group(int number) {
-    double fallSeconds = Math.max(0.001, settings.safetyRules().overloadWindowMicros() / 1e6);
-    return groups.computeIfAbsent(number, k -> new ReplicaSet(2 * usual.length, fallSeconds));
+  /** The replica set of this number, which is added when it is first asked for. */
+  ReplicaSet replicaSet(int number) {
+    double overloadSeconds =
+        Math.max(MIN_OVERLOAD_WINDOW_SECONDS, settings.safetyRules().overloadWindowMicros() / 1e6);
+    return replicaSets.computeIfAbsent(
+        number, absent -> new ReplicaSet(typicalServiceMicros.length, overloadSeconds));
   }
 
+  /** Writes a line to the log unless one was written a moment ago. */
   void note(String text) {
-    if (now - loggedAt > 200_000) {
-      loggedAt = now;
+    if (nowMicros - loggedAtMicros > LOG_INTERVAL_MICROS) {
+      loggedAtMicros = nowMicros;
       actions.log(text);
     }
   }
