--- a/core/src/main/java/shelffront/consistency/SessionPositions.java
+++ b/core/src/main/java/shelffront/consistency/SessionPositions.java
@@ -7,40 +7,53 @@
 import java.util.Map;
 
 /**
- * The positions of the last writes that this instance saw of sessions: a bounded number of them,
- * the oldest folded into one floor for their group. What was folded is asked too much, never too
- * little.
+ * The positions of the last writes that this gateway saw of sessions.
+ *
+ * <p>Invariants: a bounded number of sessions is remembered one by one; the oldest beyond it are
+ * folded into one floor for their replica set, so that a read may be asked for too much, but never
+ * for too little. Not safe for use by several threads.
  */
 public final class SessionPositions {
 
-  private record Mark(int group, long position) {}
+  private record LastWrite(int replicaSet, long positionMicros) {
 
-  private final int most;
-  private final LinkedHashMap<String, Mark> sessions = new LinkedHashMap<>();
+    static LastWrite later(LastWrite known, LastWrite added) {
+      return added.positionMicros > known.positionMicros ? added : known;
+    }
+  }
+
+  private final int maxSessions;
+  private final LinkedHashMap<String, LastWrite> lastWrites = new LinkedHashMap<>();
   private final Map<Integer, Long> floors = new HashMap<>();
 
   /** Remembers so many sessions one by one. */
-  public SessionPositions(int most) {
-    this.most = most;
+  public SessionPositions(int maxSessions) {
+    this.maxSessions = maxSessions;
   }
 
   /** A write of the session was committed at the position; an earlier one changes nothing. */
-  public void recordWrite(String session, int group, long position) {
-    sessions.merge(session, new Mark(group, position), (a, b) -> b.position > a.position ? b : a);
-    if (sessions.size() > most) {
-      var eldest = sessions.entrySet().iterator();
-      Mark forgotten = eldest.next().getValue();
-      eldest.remove();
-      floors.merge(forgotten.group, forgotten.position, Math::max);
+  public void recordWrite(String sessionId, int replicaSet, long positionMicros) {
+    lastWrites.merge(sessionId, new LastWrite(replicaSet, positionMicros), LastWrite::later);
+    if (lastWrites.size() > maxSessions) {
+      foldOldest();
     }
   }
 
+  private void foldOldest() {
+    var eldest = lastWrites.entrySet().iterator();
+    LastWrite folded = eldest.next().getValue();
+    eldest.remove();
+    floors.merge(folded.replicaSet, folded.positionMicros, Math::max);
+  }
+
   /**
-   * Position that a read of the session must see; UNKNOWN where no write of its group was forgotten
-   * or of it seen.
+   * Position that a read of the session must see; {@code UNKNOWN} where none of its writes was seen
+   * and none of its replica set was folded.
    */
-  public long requiredPosition(String session, int group) {
-    Mark mark = sessions.get(session);
-    return Math.max(mark == null ? UNKNOWN : mark.position, floors.getOrDefault(group, UNKNOWN));
+  public long requiredPosition(String sessionId, int replicaSet) {
+    LastWrite lastWrite = lastWrites.get(sessionId);
+    return Math.max(
+        lastWrite == null ? UNKNOWN : lastWrite.positionMicros,
+        floors.getOrDefault(replicaSet, UNKNOWN));
   }
 }
--- a/core/src/main/java/shelffront/decision/EndpointState.java
+++ b/core/src/main/java/shelffront/decision/EndpointState.java
@@ -48,7 +48,7 @@
           LATENCY_DECAY_MICROS, INITIAL_LATENCY_MICROS, INITIAL_LATENCY_OVER_OBJECTIVE);
   final ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
   final LinkedHashSet<Attempt> attemptsOut = new LinkedHashSet<>();
-  final DecayingAverage recentSends = new DecayingAverage(SlowStartBudget.WINDOW);
+  final DecayingAverage recentSends = new DecayingAverage(SlowStartBudget.WINDOW_SECONDS);
   long lastSentAtMicros = UNKNOWN;
 
   /** When the newest attempt that it answered was sent: earlier ones are overtaken. */
--- a/core/src/main/java/shelffront/decision/RoutingEngine.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -32,7 +32,8 @@
   /** Typical service time at the start, as a divisor of the class's latency objective. */
   private static final double INITIAL_OBJECTIVE_PER_SERVICE_TIME = 4.0;
 
-  private static final long MAINTENANCE_INTERVAL_MICROS = ReplicationProgress.OLD / 2;
+  private static final long MAINTENANCE_INTERVAL_MICROS =
+      ReplicationProgress.STALE_AFTER_MICROS / 2;
 
   final RoutingState state;
   private final RoutingPolicies policies;
--- a/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
+++ b/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
@@ -1,46 +1,54 @@
 package shelffront.fleet;
 
 /**
- * What one gateway may spend on probes that no event calls for: it grows with the requests it
- * takes, so the fleet's probes grow with its traffic and not with its number of gateways, and
- * neither a start of all gateways at once nor the end of a quiet hour sets free more than {@link
- * #FLEET_BURST} of them.
+ * How many health checks one gateway may send that no event calls for.
+ *
+ * <p>Invariants: the budget grows with the requests that the gateway takes, so the fleet's checks
+ * grow with its traffic and not with its number of gateways; neither a start of all gateways at
+ * once nor the end of a quiet hour sets free more than {@link #FLEET_BURST} of them. Not safe for
+ * use by several threads.
  */
 public final class HealthCheckBudget {
 
-  /** Probes that all gateways together may have saved up. */
+  /** Health checks that all gateways together may have saved up. */
   static final double FLEET_BURST = 400;
 
-  /** Of those, by each gateway of a small fleet, and of one of any size. */
-  static final double MOST = 20;
+  /** The part of one gateway in a small fleet. */
+  static final double MAX_BURST = 20;
 
-  static final double LEAST = 2;
+  /** The part of one gateway in a fleet of any size. */
+  static final double MIN_BURST = 2;
 
-  /** Most points of service that a request may cost in probes. */
-  static final double COST = 0.01;
+  /** Most points of service that a request may cost in health checks. */
+  static final double MAX_COST_PER_REQUEST = 0.01;
 
-  private final double each;
-  private final double most;
-  private double left;
+  private final double checksPerRequest;
+  private final double burst;
+  private double available;
 
   /**
-   * The price is that of a probe for each request, in points of service; 0 where probes are free.
+   * Starts with a whole burst.
+   *
+   * @param healthCheckCost points of service that a health check for each request costs; 0 where
+   *     they are free
    */
-  public HealthCheckBudget(double price, int gateways) {
-    each = Math.min(1, COST / price);
-    most = Math.max(LEAST, Math.min(MOST, FLEET_BURST / Math.max(1, gateways)));
-    left = most;
+  public HealthCheckBudget(double healthCheckCost, int gatewayCount) {
+    checksPerRequest = Math.min(1, MAX_COST_PER_REQUEST / healthCheckCost);
+    burst = Math.max(MIN_BURST, Math.min(MAX_BURST, FLEET_BURST / Math.max(1, gatewayCount)));
+    available = burst;
   }
 
   /** A request came. */
   public void recordRequest() {
-    left = Math.min(most, left + each);
+    available = Math.min(burst, available + checksPerRequest);
   }
 
-  /** Takes a probe from the allowance; false where none is left. */
+  /** Takes a health check from the budget; false where none is left. */
   public boolean tryAcquire() {
-    boolean may = left >= 1;
-    left -= may ? 1 : 0;
-    return may;
+    if (available < 1) {
+      return false;
+    }
+    available -= 1;
+    return true;
   }
 }
--- a/core/src/main/java/shelffront/statistics/DecayingAverage.java
+++ b/core/src/main/java/shelffront/statistics/DecayingAverage.java
@@ -1,36 +1,50 @@
 package shelffront.statistics;
 
 /**
- * Events of late, each worth less the longer ago it was: their count and the mean of their values.
- * An event's weight falls to 1/e in {@link #seconds}; times are microseconds and must not step
- * back.
+ * Recent events, each worth less the longer ago it was: their count and the mean of their values.
+ *
+ * <p>An event's weight falls to 1/e in {@link #decaySeconds}. Times are microseconds and must not
+ * step back. Not safe for use by several threads.
  */
 public final class DecayingAverage {
 
-  public final double seconds;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  public final double decaySeconds;
   private double count;
   private double sum;
-  private long since;
+  private long updatedAtMicros;
+
+  /** Starts without events. */
+  public DecayingAverage(double decaySeconds) {
+    this.decaySeconds = decaySeconds;
+  }
 
-  public DecayingAverage(double seconds) {
-    this.seconds = seconds;
+  /** Number of recent events, the older ones in part. */
+  public double count(long nowMicros) {
+    return count * remainingWeight(nowMicros);
   }
 
-  /** How many there were of late, the older ones in part. */
-  public double count(long time) {
-    return count * Math.exp((since - time) / (seconds * 1e6));
+  /**
+   * The mean of the values.
+   *
+   * @param prior value that is assumed where events are few
+   * @param priorWeight number of events that the prior counts for
+   */
+  public double mean(long nowMicros, double prior, double priorWeight) {
+    double remaining = remainingWeight(nowMicros);
+    return (sum * remaining + prior * priorWeight) / (count * remaining + priorWeight);
   }
 
-  /** The mean, drawn to what is known from elsewhere where events are few. */
-  public double mean(long time, double prior, double weight) {
-    double faded = Math.exp((since - time) / (seconds * 1e6));
-    return (sum * faded + prior * weight) / (count * faded + weight);
+  /** Takes in one event. */
+  public void record(long nowMicros, double value) {
+    double remaining = remainingWeight(nowMicros);
+    sum = sum * remaining + value;
+    count = count * remaining + 1;
+    updatedAtMicros = nowMicros;
   }
 
-  public void record(long time, double value) {
-    double faded = Math.exp((since - time) / (seconds * 1e6));
-    sum = sum * faded + value;
-    count = count * faded + 1;
-    since = time;
+  private double remainingWeight(long nowMicros) {
+    return Math.exp((updatedAtMicros - nowMicros) / (decaySeconds * MICROS_PER_SECOND));
   }
 }
--- a/core/src/main/java/shelffront/statistics/LatencyStatistics.java
+++ b/core/src/main/java/shelffront/statistics/LatencyStatistics.java
@@ -1,40 +1,47 @@
 package shelffront.statistics;
 
 /**
- * What the answer times of a member come to: their smoothed length, and their load, which is the
- * length as a share of the aim that each answer had. A new one counts for 15 % at least, and for
- * more the longer the last one is past.
+ * The smoothed latency of an endpoint, and the same over the latency objective that each answer
+ * had.
+ *
+ * <p>A new answer counts for 15 % at least, and for more the longer ago the last one was. Times are
+ * microseconds. Not safe for use by several threads.
  */
 public final class LatencyStatistics {
 
-  private static final double LEAST_WEIGHT = 0.15;
+  private static final double MIN_WEIGHT = 0.15;
 
-  private final double smoothing;
-  private double took;
-  private double load;
-  private double at = Double.NEGATIVE_INFINITY;
+  private final double decayMicros;
+  private double latencyMicros;
+  private double latencyOverObjective;
+  private double recordedAtMicros = Double.NEGATIVE_INFINITY;
 
-  /** The smoothing is in microseconds: the time after which what is past counts for a third. */
-  public LatencyStatistics(double smoothing, double took, double load) {
-    this.smoothing = smoothing;
-    this.took = took;
-    this.load = load;
+  /**
+   * Starts with what is assumed before the first answer.
+   *
+   * @param decayMicros time in which the weight of what was known falls to 1/e
+   */
+  public LatencyStatistics(
+      double decayMicros, double initialLatencyMicros, double initialLatencyOverObjective) {
+    this.decayMicros = decayMicros;
+    this.latencyMicros = initialLatencyMicros;
+    this.latencyOverObjective = initialLatencyOverObjective;
   }
 
-  /** Takes in an answer, or how long one was waited for; all in microseconds. */
-  public void record(long now, double answer, long aim) {
-    double weight = Math.max(LEAST_WEIGHT, 1 - Math.exp((at - now) / smoothing));
-    at = now;
-    took += weight * (answer - took);
-    load += weight * (answer / aim - load);
+  /** Takes in the latency of an answer, or how long one was waited for. */
+  public void record(long nowMicros, double observedMicros, long objectiveMicros) {
+    double weight =
+        Math.max(MIN_WEIGHT, 1 - Math.exp((recordedAtMicros - nowMicros) / decayMicros));
+    recordedAtMicros = nowMicros;
+    latencyMicros += weight * (observedMicros - latencyMicros);
+    latencyOverObjective += weight * (observedMicros / objectiveMicros - latencyOverObjective);
   }
 
-  /** Microseconds. */
   public double latencyMicros() {
-    return took;
+    return latencyMicros;
   }
 
   public double latencyOverObjective() {
-    return load;
+    return latencyOverObjective;
   }
 }
--- /dev/null
+++ b/core/src/main/java/shelffront/statistics/package-info.java
@@ -0,0 +1,2 @@
+/** Estimates of rates, latencies and limits from single observations, in constant memory. */
+package shelffront.statistics;
--- /dev/null
+++ b/core/src/main/java/shelffront/time/package-info.java
@@ -0,0 +1,2 @@
+/** Timers for code that keeps no clock of its own. */
+package shelffront.time;
--- a/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
+++ b/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
@@ -163,7 +163,7 @@
     for (String host : names("s-", 0, hosts)) {
       double off = Math.abs(load.getOrDefault(host, 0L) - mean);
       assertTrue(
-          off <= Math.max(1, mean * EndpointSubsetting.SLACK),
+          off <= Math.max(1, mean * EndpointSubsetting.MAX_IMBALANCE),
           host + " has " + load.get(host) + ", mean " + mean);
     }
   }
--- a/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
@@ -137,7 +137,9 @@
       @ForAll @DoubleRange(min = 0.2, max = 1) double warmth) {
     SplittableRandom random = new SplittableRandom(gateways * 31L + (long) (rate * 1000));
     double each =
-        rate * SlowStartBudget.WINDOW / 4; // what a warm host of four gets from each gateway
+        rate
+            * SlowStartBudget.WINDOW_SECONDS
+            / 4; // what a warm host of four gets from each gateway
     double sent = 0;
     double mayHave = 0;
     int rounds = Math.max(1, 400 / gateways);
@@ -150,7 +152,7 @@
       for (int i = 0; i < 50; i++) {
         admitted += a.budget.admits(a.now, g + "-" + i, false, false, true, 0, budget) ? 1 : 0;
       }
-      sent += admitted / 50.0 * rate * SlowStartBudget.WINDOW;
+      sent += admitted / 50.0 * rate * SlowStartBudget.WINDOW_SECONDS;
       mayHave += budget;
     }
     assertTrue(sent <= mayHave * 1.1, sent + " sent where " + mayHave + " may be");
@@ -219,13 +221,13 @@
     private void sends(int gateway, double perSecond, SplittableRandom random, List<Double> sends) {
       SlowStartBudget budget = new SlowStartBudget(FALL_SECONDS);
       DecayingAverage warm =
-          new DecayingAverage(SlowStartBudget.WINDOW); // sends to a warm host of the set
+          new DecayingAverage(SlowStartBudget.WINDOW_SECONDS); // sends to a warm host of the set
       double at = 0;
       double gap;
       while ((at += gap = -Math.log(1 - random.nextDouble()) / perSecond) < 220) {
         if (random.nextDouble() < 1 - Math.exp(-gap / 40)) {
           budget = new SlowStartBudget(FALL_SECONDS);
-          warm = new DecayingAverage(SlowStartBudget.WINDOW);
+          warm = new DecayingAverage(SlowStartBudget.WINDOW_SECONDS);
         }
         long now = (long) (at * SECOND);
         budget.recordRequest(now, false);
