--- a/lab/src/main/java/shelffront/lab/Demo.java
+++ b/lab/src/main/java/shelffront/lab/Demo.java
@@ -73,14 +73,16 @@
               clients,
               "sample",
               null,
-              List.of(new OpenLoopLoad.Kind("read", false, 200, 1000)),
-              OpenLoopLoad.Habits.PLAIN,
+              List.of(new OpenLoopLoad.RequestKind("read", false, 200, 1000)),
+              OpenLoopLoad.ClientBehavior.PLAIN,
               20,
               4,
               Math.min(5, seconds));
       System.out.printf(
           "a load of 20 reads a second: %d served on time of %d, median %.1f ms%n",
-          result.all.onTime, result.all.due, result.served.getValueAtPercentile(50) / 1e3);
+          result.total.onTime,
+          result.total.due,
+          result.latencyMicros.getValueAtPercentile(50) / 1e3);
       Thread.sleep((long) (1000 * Math.max(0, seconds - 5)));
       hosted.drain();
       turns.join();
@@ -106,7 +108,7 @@
         .put("effect", "keyed")
         .put("windowMs", 2000);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
-    for (EmulatedReplicaSet.Box box : set.boxes()) {
+    for (EmulatedReplicaSet.Host box : set.hosts()) {
       list.addObject()
           .put("id", box.id())
           .put("address", box.address())
--- a/lab/src/main/java/shelffront/lab/Explore.java
+++ b/lab/src/main/java/shelffront/lab/Explore.java
@@ -71,7 +71,7 @@
                   return null;
                 }
                 Scenario scenario = Scenario.draw(seed);
-                FleetSimulation.Result result = FleetSimulation.play(scenario);
+                FleetSimulation.Result result = FleetSimulation.run(scenario);
                 requests.addAndGet(result.requests());
                 events.addAndGet(result.events());
                 simulated.addAndGet(scenario.length());
@@ -110,9 +110,8 @@
       Cut cut =
           noShrink
               ? ScenarioShrinker.whole(f.seed())
-              : ScenarioShrinker.shrink(
-                  f.seed(), s -> FleetSimulation.play(s).violationCount() > 0);
-      FleetSimulation.Result least = FleetSimulation.play(cut.of(f.seed()));
+              : ScenarioShrinker.shrink(f.seed(), s -> FleetSimulation.run(s).violationCount() > 0);
+      FleetSimulation.Result least = FleetSimulation.run(cut.of(f.seed()));
       System.out.println("seed " + f.seed() + ": " + least.violations().get(0));
       System.out.println("    " + cut.command(f.seed()));
     }
@@ -162,24 +161,24 @@
       Scenario scenario =
           new Cut(faults == null ? whole.faults() : kept, rate, (long) (seconds * 1e6)).of(seed);
       FleetSimulation.Result result =
-          FleetSimulation.play(
+          FleetSimulation.run(
               scenario,
-              FleetSimulation.Start::asItIs,
+              FleetSimulation.GatewayParts::unmodified,
               line -> {
                 if (trace) {
                   System.out.println(line);
                 }
               });
       System.out.println(scenario);
-      result.worth().forEach((name, w) -> System.out.println(name + " " + w));
+      result.byClass().forEach((name, w) -> System.out.println(name + " " + w));
       System.out.printf(
           Locale.ROOT,
           "worth kept %.3f, %d requests, %d events, hash %s%n",
-          result.worthKept(),
+          result.servedValueFraction(),
           result.requests(),
           result.events(),
           result.hash());
-      result.violations().forEach(v -> System.out.println("BROKEN " + v.at() + " " + v));
+      result.violations().forEach(v -> System.out.println("BROKEN " + v.atMicros() + " " + v));
       System.out.println(result.violationCount() + " broken rules");
       return result.violationCount() == 0 ? 0 : 1;
     }
--- a/lab/src/main/java/shelffront/lab/LabMain.java
+++ b/lab/src/main/java/shelffront/lab/LabMain.java
@@ -106,7 +106,7 @@
       Experiment.Report report = VirtualExperiment.report(directory);
       report.table().forEach(System.out::println);
       report.claims().forEach(c -> System.out.println("- " + c));
-      return report.kept() ? 0 : 1;
+      return report.claimsHold() ? 0 : 1;
     }
   }
 
@@ -154,7 +154,7 @@
         lines.add(0, "# " + file.getFileName() + "\n");
         Files.write(keep, lines);
       }
-      return report.isVoid() ? 2 : report.kept() ? 0 : 1;
+      return report.isVoid() ? 2 : report.claimsHold() ? 0 : 1;
     }
   }
 }
--- a/lab/src/main/java/shelffront/lab/ServeFleet.java
+++ b/lab/src/main/java/shelffront/lab/ServeFleet.java
@@ -101,7 +101,7 @@
       catalogue = new DiscoveryEmulator(carrier, at, (to, some, complete) -> {});
       carrier.post(() -> sets.forEach(this::tell));
       System.out.println("list of boxes: http://127.0.0.1:" + port);
-      sets.forEach(s -> s.boxes().forEach(this::print));
+      sets.forEach(s -> s.hosts().forEach(this::print));
       Thread timer = new Thread(this::stopInTime, "timer");
       timer.setDaemon(true);
       timer.start();
@@ -126,35 +126,40 @@
     System.exit(0);
   }
 
-  private void print(EmulatedReplicaSet.Box box) {
+  private void print(EmulatedReplicaSet.Host box) {
     System.out.printf(
         "%s %s %s, %d begun%n",
-        box.id(), box.address(), box.isPrimary() ? "primary" : "replica", box.begun());
+        box.id(), box.address(), box.isPrimary() ? "primary" : "replica", box.startedCount());
   }
 
   /** What the list says of a set, after its delay. */
   private void tell(EmulatedReplicaSet set) {
     int group = sets.indexOf(set) + 1;
     long delay = listDelayMs * 1000;
-    set.boxes()
+    set.hosts()
         .forEach(
             b ->
-                catalogue.change(
-                    new DiscoveryEmulator.Line(
-                        b.id(), b.address(), group, b.phase(), b.startedAt() / 1000, b.isPrimary()),
+                catalogue.publish(
+                    new DiscoveryEmulator.EndpointLine(
+                        b.id(),
+                        b.address(),
+                        group,
+                        b.phase(),
+                        b.startedAtMicros() / 1000,
+                        b.isPrimary()),
                     delay));
   }
 
   /** Takes a command; false where it is none. */
   boolean command(String[] words) {
     switch (words[0]) {
-      case "list" -> sets.forEach(s -> s.boxes().forEach(this::print));
+      case "list" -> sets.forEach(s -> s.hosts().forEach(this::print));
       case "break-watches" -> carrier.post(catalogue::breakWatches);
       case "discovery" -> {
         if (words.length != 2 || !words[1].matches("up|down")) {
           return false;
         }
-        carrier.post(() -> catalogue.down(words[1].equals("down")));
+        carrier.post(() -> catalogue.setDown(words[1].equals("down")));
       }
       default -> {
         return onBox(words);
@@ -165,7 +170,7 @@
 
   private boolean onBox(String[] words) {
     for (EmulatedReplicaSet set : sets) {
-      for (EmulatedReplicaSet.Box box : set.boxes()) {
+      for (EmulatedReplicaSet.Host box : set.hosts()) {
         if (words.length > 1 && box.id().equals(words[1])) {
           boolean known = onBox(box, words);
           carrier.post(() -> tell(set));
@@ -176,22 +181,22 @@
     return false;
   }
 
-  private static boolean onBox(EmulatedReplicaSet.Box box, String[] words) {
+  private static boolean onBox(EmulatedReplicaSet.Host box, String[] words) {
     switch (words[0]) {
       case "kill" -> box.kill();
       case "restart" -> box.restart();
       case "drain" -> box.drain();
-      case "silence" -> box.silence(true);
-      case "spoil" -> box.spoil(true);
+      case "silence" -> box.setSilent(true);
+      case "spoil" -> box.setCorruptsAnswers(true);
       case "well" -> {
-        box.silence(false);
-        box.spoil(false);
+        box.setSilent(false);
+        box.setCorruptsAnswers(false);
       }
       case "slow" -> {
         if (words.length != 4 || !(words[2] + words[3]).matches("[0-9.]+")) {
           return false;
         }
-        box.slow(Double.parseDouble(words[2]), Double.parseDouble(words[3]));
+        box.slowDown(Double.parseDouble(words[2]), Double.parseDouble(words[3]));
       }
       default -> {
         return false;
--- a/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
+++ b/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
@@ -22,40 +22,45 @@
  */
 public final class DiscoveryEmulator {
 
-  private static final long PING = 2_000_000;
+  private static final long PING_MICROS = 2_000_000;
 
   /** A line of the list as it is told. */
-  public record Line(
-      String id, String address, int cell, String phase, long startedMs, boolean writer) {}
+  public record EndpointLine(
+      String id,
+      String address,
+      int replicaSet,
+      String phase,
+      long startedAtMillis,
+      boolean primary) {}
 
   /** Told of what the list says to whom, as it is written. */
-  public interface Told {
+  public interface UpdateListener {
 
-    void told(TransportConnection to, List<Line> some, boolean complete);
+    void updateSent(TransportConnection to, List<EndpointLine> some, boolean complete);
   }
 
-  private final Transport carrier;
+  private final Transport transport;
   private final InetSocketAddress address;
-  private final Told told;
-  private final Map<String, Line> lines = new LinkedHashMap<>();
-  private final TreeMap<Long, Line> changes = new TreeMap<>();
-  private final List<Call> watches = new ArrayList<>();
+  private final UpdateListener listener;
+  private final Map<String, EndpointLine> lines = new LinkedHashMap<>();
+  private final TreeMap<Long, EndpointLine> changes = new TreeMap<>();
+  private final List<WatchConnection> watches = new ArrayList<>();
   private long revision = 1;
   private boolean down;
 
   /** Where it listens; throws where that address can't be had. */
-  public DiscoveryEmulator(Transport carrier, InetSocketAddress address, Told told)
+  public DiscoveryEmulator(Transport carrier, InetSocketAddress address, UpdateListener told)
       throws IOException {
-    this.carrier = carrier;
+    this.transport = carrier;
     this.address = address;
-    this.told = told;
+    this.listener = told;
     listen(address);
-    carrier.clock().after(PING, this::ping);
+    carrier.clock().after(PING_MICROS, this::ping);
   }
 
   /** Listens at another address too; throws where that can't be had. */
   public void listen(InetSocketAddress at) throws IOException {
-    carrier.listen(at, wire -> down ? null : new Call(wire));
+    transport.listen(at, wire -> down ? null : new WatchConnection(wire));
   }
 
   public InetSocketAddress address() {
@@ -63,8 +68,8 @@
   }
 
   /** A line as it is from now on; told after the list's delay. */
-  public void change(Line line, long delay) {
-    carrier
+  public void publish(EndpointLine line, long delay) {
+    transport
         .clock()
         .after(
             delay,
@@ -76,8 +81,8 @@
                 lines.put(line.id(), line);
               }
               changes.put(revision, line);
-              for (Call watch : List.copyOf(watches)) {
-                watch.tell(List.of(line), false);
+              for (WatchConnection watch : List.copyOf(watches)) {
+                watch.sendUpdate(List.of(line), false);
               }
             });
   }
@@ -88,7 +93,7 @@
     watches.clear();
   }
 
-  public void down(boolean on) {
+  public void setDown(boolean on) {
     down = on;
     if (on) {
       breakWatches();
@@ -96,38 +101,38 @@
   }
 
   private void ping() {
-    List.copyOf(watches).forEach(w -> w.chunk("\n"));
-    carrier.clock().after(PING, this::ping);
+    List.copyOf(watches).forEach(w -> w.sendChunk("\n"));
+    transport.clock().after(PING_MICROS, this::ping);
   }
 
-  ObjectNode json(List<Line> some, boolean complete) {
+  ObjectNode json(List<EndpointLine> some, boolean complete) {
     ObjectNode list =
         TenantSpecCodec.JSON.createObjectNode().put("revision", revision).put("complete", complete);
     ArrayNode members = list.putArray("members");
-    for (Line l : some) {
+    for (EndpointLine l : some) {
       members
           .addObject()
           .put("id", l.id())
           .put("host_port", l.address())
           .put("locality", "a")
           .put("flavor", "x")
-          .put("cell", l.cell())
+          .put("cell", l.replicaSet())
           .put("phase", l.phase())
           .put("size", 1.0)
-          .put("up_since_ms", l.startedMs())
-          .put("access", l.writer() ? "writer" : "reader");
+          .put("up_since_ms", l.startedAtMillis())
+          .put("access", l.primary() ? "writer" : "reader");
     }
     return list;
   }
 
-  public ObjectNode whole() {
+  public ObjectNode currentList() {
     return json(List.copyOf(lines.values()), true);
   }
 
-  private final class Call extends ConnectionHandler {
+  private final class WatchConnection extends ConnectionHandler {
 
-    Call(TransportConnection accepted) {
-      on(accepted);
+    WatchConnection(TransportConnection accepted) {
+      accept(accepted);
     }
 
     @Override
@@ -141,10 +146,10 @@
       bytes.position(bytes.limit());
       int from = text.indexOf("from=");
       if (from < 0) {
-        byte[] body = whole().toString().getBytes(US_ASCII);
+        byte[] body = currentList().toString().getBytes(US_ASCII);
         send(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(US_ASCII));
         send(body);
-        tells(List.copyOf(lines.values()), true);
+        notifyListener(List.copyOf(lines.values()), true);
         close();
         return;
       }
@@ -152,24 +157,24 @@
       long known = Long.parseLong(text.substring(from + 5, text.indexOf(' ', from)));
       watches.add(this);
       if (known == 0 || known > revision) {
-        tell(List.copyOf(lines.values()), true);
+        sendUpdate(List.copyOf(lines.values()), true);
       } else {
-        tell(List.copyOf(changes.tailMap(known, false).values()), false);
+        sendUpdate(List.copyOf(changes.tailMap(known, false).values()), false);
       }
     }
 
-    void tell(List<Line> some, boolean complete) {
-      chunk(json(some, complete) + "\n");
-      tells(some, complete);
+    void sendUpdate(List<EndpointLine> some, boolean complete) {
+      sendChunk(json(some, complete) + "\n");
+      notifyListener(some, complete);
     }
 
-    private void tells(List<Line> some, boolean complete) {
-      if (!isOver()) {
-        told.told(end, some, complete);
+    private void notifyListener(List<EndpointLine> some, boolean complete) {
+      if (!isClosed()) {
+        listener.updateSent(connection, some, complete);
       }
     }
 
-    void chunk(String text) {
+    void sendChunk(String text) {
       send((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(US_ASCII));
     }
 
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import shelffront.lab.model.ReplicaSetModel;
 import shelffront.lab.model.ReplicaSetModel.Answer;
-import shelffront.lab.model.ReplicaSetModel.Kind;
+import shelffront.lab.model.ReplicaSetModel.AnswerKind;
 import shelffront.lab.model.ReplicaSetModel.Query;
 import shelffront.lab.transport.ConnectionHandler;
 import shelffront.lab.transport.TransportConnection;
@@ -18,15 +18,15 @@
 /** A box's side of a connection, on PostgreSQL's wire as far as the gateway speaks it. */
 public final class EmulatedHostConnection extends ConnectionHandler {
 
-  private final HostEnvironment hosting;
-  private final ReplicaSetModel.Box box;
+  private final HostEnvironment environment;
+  private final ReplicaSetModel.Host host;
   private boolean started;
 
   public EmulatedHostConnection(
-      HostEnvironment hosting, ReplicaSetModel.Box box, TransportConnection accepted) {
-    this.hosting = hosting;
-    this.box = box;
-    on(accepted);
+      HostEnvironment hosting, ReplicaSetModel.Host box, TransportConnection accepted) {
+    this.environment = hosting;
+    this.host = box;
+    accept(accepted);
   }
 
   @Override
@@ -40,8 +40,8 @@
         }
         if (!started) {
           started = true;
-          box.handshake();
-          hosting.clock().after(hosting.handshake(), this::welcome);
+          host.handshake();
+          environment.clock().after(environment.handshakeMicros(), this::completeStartup);
         } else if (m.type() == 'Q') {
           query(m.text(0));
         } else {
@@ -51,57 +51,57 @@
       }
     } catch (ProtocolException e) {
       reset();
-      hosting.malformed(box, e);
+      environment.malformedRequest(host, e);
     }
   }
 
-  private void welcome() {
+  private void completeStartup() {
     send(Message.authenticationOk());
     send(Message.readyForQuery());
   }
 
   private void query(String text) throws ProtocolException {
-    if (hosting.silent(box)) {
+    if (environment.isSilent(host)) {
       return;
     }
     if (text.startsWith("SHOW")) {
-      tellsRole(box.isPrimary());
-      row(report(), "SHOW");
+      reportRole(host.isPrimary());
+      sendRow(loadReport(), "SHOW");
       return;
     }
-    Query q = hosting.query(Statement.parse(text.getBytes(ISO_8859_1)), text);
-    Consumer<Answer> watch = hosting.arrived(box, end, q);
-    box.submit(q, answer -> answer(q, watch, answer));
+    Query q = environment.parse(Statement.parse(text.getBytes(ISO_8859_1)), text);
+    Consumer<Answer> watch = environment.attemptArrived(host, connection, q);
+    host.submit(q, answer -> answer(q, watch, answer));
   }
 
-  private String report() {
-    long position = box.position();
+  private String loadReport() {
+    long position = host.positionMicros();
     return String.format(
         Locale.ROOT,
         "x0=%d.%03d,x1=%d,queue=%d",
         position / 1_000_000,
         position / 1000 % 1000,
-        box.isPrimary() ? 1 : 0,
-        box.queued());
+        host.isPrimary() ? 1 : 0,
+        host.queued());
   }
 
   private void answer(Query q, Consumer<Answer> watch, Answer answer) {
     watch.accept(answer);
-    if (isOver()) {
+    if (isClosed()) {
       return;
     }
-    if (hosting.spoils(box)) {
+    if (environment.corruptsAnswer(host)) {
       send(new byte[] {'D', 0x7f, 1, 2, 3, 4, 5, 6});
       return;
     }
-    tellsRole(answer.primary());
-    if (answer.kind() != Kind.OK) {
+    reportRole(answer.primary());
+    if (answer.kind() != AnswerKind.OK) {
       send(
           Message.error(
               false,
-              answer.kind() == Kind.FULL
+              answer.kind() == AnswerKind.FULL
                   ? "53300"
-                  : answer.kind() == Kind.ERROR ? "XX000" : q.write() ? "25006" : "72000",
+                  : answer.kind() == AnswerKind.ERROR ? "XX000" : q.write() ? "25006" : "72000",
               "no",
               null));
       send(Message.parameterStatus("server_role", answer.primary() ? "writer" : "reader"));
@@ -110,25 +110,25 @@
     }
     // A commit is told rounded up, a copy's position rounded down: neither may look better than it
     // is.
-    long told = q.write() ? (answer.position() + 999) / 1000 : answer.position() / 1000;
-    if (q.write() || hosting.stamps()) {
+    long told = q.write() ? (answer.positionMicros() + 999) / 1000 : answer.positionMicros() / 1000;
+    if (q.write() || environment.sendsPositions()) {
       send(Message.parameterStatus("commit_clock", Long.toString(told)));
     }
-    if (hosting.reports()) {
-      send(Message.parameterStatus("usage", report()));
+    if (environment.sendsLoadReports()) {
+      send(Message.parameterStatus("usage", loadReport()));
     }
     send(Message.parameterStatus("server_role", answer.primary() ? "writer" : "reader"));
-    row(q.id(), q.write() ? "INSERT 0 1" : "SELECT 1");
+    sendRow(q.id(), q.write() ? "INSERT 0 1" : "SELECT 1");
   }
 
   /** What it says of its role counts once it is written. */
-  private void tellsRole(boolean primary) {
-    if (!primary && !isOver()) {
-      hosting.tellsReplica(box, end);
+  private void reportRole(boolean primary) {
+    if (!primary && !isClosed()) {
+      environment.replicaRoleSent(host, connection);
     }
   }
 
-  private void row(String value, String tag) {
+  private void sendRow(String value, String tag) {
     byte[] text = value.getBytes(ISO_8859_1);
     byte[] body = new byte[6 + text.length];
     body[1] = 1;
@@ -143,6 +143,6 @@
 
   @Override
   protected void ended(boolean reset) {
-    hosting.left(box);
+    environment.connectionEnded(host);
   }
 }
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
@@ -31,33 +31,33 @@
  */
 public final class EmulatedReplicaSet implements AutoCloseable {
 
-  private static final int LONG = 60_000;
-  private static final int MANY = 1 << 20;
+  private static final int DEFAULT_WAIT_MILLIS = 60_000;
+  private static final int UNBOUNDED = 1 << 20;
 
   /** One box. */
-  public final class Box {
+  public final class Host {
 
-    private final ReplicaSetModel.Box model;
+    private final ReplicaSetModel.Host model;
     private final InetSocketAddress address;
     private final Set<EmulatedHostConnection> connections = new HashSet<>();
-    private final AtomicLong begun = new AtomicLong();
-    private volatile long lastBegun;
+    private final AtomicLong startedCount = new AtomicLong();
+    private volatile long lastStartNanos;
     private volatile boolean silent;
-    private volatile boolean spoils;
+    private volatile boolean corruptsAnswers;
     private volatile boolean primary;
 
-    private Box(ReplicaSetModel.Box model) throws IOException {
+    private Host(ReplicaSetModel.Host model) throws IOException {
       this.model = model;
-      address = carrier.listen(this::accept);
+      address = transport.listen(this::accept);
       primary = model.isPrimary();
     }
 
-    private TransportConnection.Owner accept(TransportConnection wire) {
-      connections.removeIf(EmulatedHostConnection::isOver);
-      if (!model.isUp() || connections.size() >= figures.connections()) {
+    private TransportConnection.Listener accept(TransportConnection wire) {
+      connections.removeIf(EmulatedHostConnection::isClosed);
+      if (!model.isUp() || connections.size() >= parameters.connections()) {
         return null;
       }
-      EmulatedHostConnection talker = new EmulatedHostConnection(hosting, model, wire);
+      EmulatedHostConnection talker = new EmulatedHostConnection(environment, model, wire);
       connections.add(talker);
       return talker;
     }
@@ -82,23 +82,23 @@
     /**
      * When its process started, in Unix microseconds, or 0 if long ago. On the carrier's thread.
      */
-    public long startedAt() {
-      return model.startedAt();
+    public long startedAtMicros() {
+      return model.startedAtMicros();
     }
 
     /** Takes connections and says nothing more, to queries and probes alike. */
-    public void silence(boolean on) {
+    public void setSilent(boolean on) {
       silent = on;
     }
 
     /** Answers with garbage. */
-    public void spoil(boolean on) {
-      spoils = on;
+    public void setCorruptsAnswers(boolean on) {
+      corruptsAnswers = on;
     }
 
     /** Its process ends; where it was primary, another is elected. */
     public void kill() {
-      onTurn(
+      runOnTransport(
           () -> {
             EmulatedReplicaSet.this.model.kill(model);
             connections.forEach(EmulatedHostConnection::reset);
@@ -108,38 +108,38 @@
 
     /** Its process starts anew, cold, from the copy that it had. */
     public void restart() {
-      onTurn(() -> EmulatedReplicaSet.this.model.restart(model));
+      runOnTransport(() -> EmulatedReplicaSet.this.model.restart(model));
     }
 
     /** It finishes what it has and takes nothing new; a primary hands over. */
     public void drain() {
-      onTurn(() -> EmulatedReplicaSet.this.model.drain(model));
+      runOnTransport(() -> EmulatedReplicaSet.this.model.drain(model));
     }
 
     /** Takes so many times as long for everything, for a while. */
-    public void slow(double factor, double seconds) {
-      onTurn(() -> model.slow(factor, (long) (seconds * 1e6)));
+    public void slowDown(double factor, double seconds) {
+      runOnTransport(() -> model.slowDown(factor, (long) (seconds * 1e6)));
     }
 
     /** Queries that it has begun to work on. */
-    public long begun() {
-      return begun.get();
+    public long startedCount() {
+      return startedCount.get();
     }
 
     /** When it last began one, by {@link System#nanoTime}. */
-    public long lastBegun() {
-      return lastBegun;
+    public long lastStartNanos() {
+      return lastStartNanos;
     }
   }
 
-  private final SocketTransport carrier;
-  private final boolean ownCarrier;
-  private final ReplicaSetParameters figures;
+  private final SocketTransport transport;
+  private final boolean ownsTransport;
+  private final ReplicaSetParameters parameters;
   private final ReplicaSetModel model;
-  private final HostEnvironment hosting = new Loopback();
-  private final Map<String, Box> boxes = new LinkedHashMap<>();
+  private final HostEnvironment environment = new LoopbackEnvironment();
+  private final Map<String, Host> hosts = new LinkedHashMap<>();
   private final Map<String, AtomicLong> effects = new ConcurrentHashMap<>();
-  private final Consumer<EmulatedReplicaSet> elected;
+  private final Consumer<EmulatedReplicaSet> primaryListener;
 
   /**
    * A primary and so many replicas, each with so many cores, which take {@code workMs} for a
@@ -152,7 +152,7 @@
         true,
         name,
         replicas + 1,
-        plain(cores, workMs, lagMs),
+        uniformParameters(cores, workMs, lagMs),
         s -> {});
   }
 
@@ -178,10 +178,10 @@
       ReplicaSetParameters figures,
       Consumer<EmulatedReplicaSet> elected)
       throws IOException {
-    this.carrier = carrier;
-    ownCarrier = own;
-    this.figures = figures;
-    this.elected = elected;
+    this.transport = carrier;
+    ownsTransport = own;
+    this.parameters = figures;
+    this.primaryListener = elected;
     model =
         new ReplicaSetModel(
             name,
@@ -189,19 +189,19 @@
             carrier,
             RandomSource.XO_RO_SHI_RO_128_PP.create(name.hashCode()),
             figures,
-            new Counting());
-    for (ReplicaSetModel.Box box : model.boxes()) {
-      boxes.put(box.id(), new Box(box));
+            new EffectCounter());
+    for (ReplicaSetModel.Host box : model.hosts()) {
+      hosts.put(box.id(), new Host(box));
     }
   }
 
   /** Boxes that take the same time for everything, check nothing and bear whatever comes. */
-  public static ReplicaSetParameters plain(int cores, double workMs, long lagMs) {
+  public static ReplicaSetParameters uniformParameters(int cores, double workMs, long lagMs) {
     long work = (long) (workMs * 1000);
     return new ReplicaSetParameters(
         cores,
-        MANY,
-        MANY,
+        UNBOUNDED,
+        UNBOUNDED,
         work,
         work,
         0,
@@ -215,13 +215,13 @@
         0,
         ReplicaSetParameters.Check.SILENT,
         0,
-        MANY,
+        UNBOUNDED,
         1,
         false);
   }
 
-  public List<Box> boxes() {
-    return List.copyOf(boxes.values());
+  public List<Host> hosts() {
+    return List.copyOf(hosts.values());
   }
 
   /** How often each key's write took effect. */
@@ -230,34 +230,34 @@
   }
 
   /** Connections that are open to it. */
-  public int connections() {
+  public int connectionCount() {
     AtomicInteger sum = new AtomicInteger();
-    onTurn(
+    runOnTransport(
         () ->
-            boxes
+            hosts
                 .values()
                 .forEach(
                     b -> {
-                      b.connections.removeIf(EmulatedHostConnection::isOver);
+                      b.connections.removeIf(EmulatedHostConnection::isClosed);
                       sum.addAndGet(b.connections.size());
                     }));
     return sum.get();
   }
 
   /** How late its work was done because this machine was slow, in microseconds, 99 of 100 times. */
-  public long lateness() {
-    return carrier.lateness().getValueAtPercentile(99);
+  public long latenessMicros() {
+    return transport.latenessMicros().getValueAtPercentile(99);
   }
 
-  private void onTurn(Runnable task) {
+  private void runOnTransport(Runnable task) {
     CountDownLatch done = new CountDownLatch(1);
-    carrier.post(
+    transport.post(
         () -> {
           task.run();
           done.countDown();
         });
     try {
-      carrier.await(done);
+      transport.await(done);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -265,25 +265,25 @@
 
   @Override
   public void close() {
-    if (ownCarrier) {
-      carrier.close();
+    if (ownsTransport) {
+      transport.close();
     }
   }
 
-  private final class Loopback implements HostEnvironment {
+  private final class LoopbackEnvironment implements HostEnvironment {
 
     @Override
     public Clock clock() {
-      return carrier;
+      return transport;
     }
 
     @Override
-    public long handshake() {
-      return figures.handshake();
+    public long handshakeMicros() {
+      return parameters.handshake();
     }
 
     @Override
-    public Query query(Statement s, String text) throws ProtocolException {
+    public Query parse(Statement s, String text) throws ProtocolException {
       return new Query(
           s.value("id"),
           s.value("k") == null ? s.value("id") : s.value("k"),
@@ -291,61 +291,62 @@
           text.contains("INSERT"),
           false,
           0,
-          carrier.now() + s.number("d", LONG) * 1000L);
+          transport.nowMicros() + s.number("d", DEFAULT_WAIT_MILLIS) * 1000L);
     }
 
     @Override
-    public Consumer<Answer> arrived(
-        ReplicaSetModel.Box box, TransportConnection from, Query query) {
+    public Consumer<Answer> attemptArrived(
+        ReplicaSetModel.Host box, TransportConnection from, Query query) {
       return answer -> {};
     }
 
     @Override
-    public void tellsReplica(ReplicaSetModel.Box box, TransportConnection to) {}
+    public void replicaRoleSent(ReplicaSetModel.Host box, TransportConnection to) {}
 
     @Override
-    public boolean spoils(ReplicaSetModel.Box box) {
-      return boxes.get(box.id()).spoils;
+    public boolean corruptsAnswer(ReplicaSetModel.Host box) {
+      return hosts.get(box.id()).corruptsAnswers;
     }
 
     @Override
-    public boolean silent(ReplicaSetModel.Box box) {
-      return boxes.get(box.id()).silent;
+    public boolean isSilent(ReplicaSetModel.Host box) {
+      return hosts.get(box.id()).silent;
     }
 
     @Override
-    public void malformed(ReplicaSetModel.Box box, ProtocolException why) {}
+    public void malformedRequest(ReplicaSetModel.Host box, ProtocolException why) {}
 
     @Override
-    public void left(ReplicaSetModel.Box box) {}
+    public void connectionEnded(ReplicaSetModel.Host box) {}
   }
 
-  private final class Counting implements ReplicaSetModel.Witness {
+  private final class EffectCounter implements ReplicaSetModel.Observer {
 
     @Override
-    public void begun(ReplicaSetModel.Box box, Query query) {
-      Box at = boxes.get(box.id());
-      at.lastBegun = System.nanoTime();
-      at.begun.incrementAndGet();
+    public void executionStarted(ReplicaSetModel.Host box, Query query) {
+      Host at = hosts.get(box.id());
+      at.lastStartNanos = System.nanoTime();
+      at.startedCount.incrementAndGet();
     }
 
     @Override
-    public void applied(ReplicaSetModel.Box box, Effect effect, Query by, boolean repeated) {
+    public void applied(ReplicaSetModel.Host box, Effect effect, Query by, boolean repeated) {
       if (!repeated) {
         effects.computeIfAbsent(effect.key(), k -> new AtomicLong()).incrementAndGet();
       }
     }
 
     @Override
-    public void read(ReplicaSetModel.Box box, Query query, long position) {}
+    public void readServed(ReplicaSetModel.Host box, Query query, long position) {}
 
     @Override
-    public void pushedOver(ReplicaSetModel.Box box) {}
+    public void overloaded(ReplicaSetModel.Host box) {}
 
     @Override
-    public void primary(ReplicaSetModel.Box box, ReplicaSetModel.Box before, List<Effect> lost) {
-      boxes.values().forEach(b -> b.primary = b.model == box);
-      elected.accept(EmulatedReplicaSet.this);
+    public void primaryChanged(
+        ReplicaSetModel.Host box, ReplicaSetModel.Host before, List<Effect> lost) {
+      hosts.values().forEach(b -> b.primary = b.model == box);
+      primaryListener.accept(EmulatedReplicaSet.this);
     }
   }
 }
--- a/lab/src/main/java/shelffront/lab/emulator/HostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/emulator/HostEnvironment.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import shelffront.lab.model.Clock;
 import shelffront.lab.model.ReplicaSetModel.Answer;
-import shelffront.lab.model.ReplicaSetModel.Box;
+import shelffront.lab.model.ReplicaSetModel.Host;
 import shelffront.lab.model.ReplicaSetModel.Query;
 import shelffront.lab.transport.TransportConnection;
 import shelffront.pg.ProtocolException;
@@ -17,39 +17,39 @@
   Clock clock();
 
   /** What a connection costs, in microseconds. */
-  long handshake();
+  long handshakeMicros();
 
   /** What a statement asks. */
-  Query query(Statement statement, String text) throws ProtocolException;
+  Query parse(Statement statement, String text) throws ProtocolException;
 
   /**
    * A request has come over a connection; the answer is told to what is returned, before it is
    * sent.
    */
-  Consumer<Answer> arrived(Box box, TransportConnection from, Query query);
+  Consumer<Answer> attemptArrived(Host box, TransportConnection from, Query query);
 
   /** A box is about to say over a connection that it is a replica. */
-  void tellsReplica(Box box, TransportConnection to);
+  void replicaRoleSent(Host box, TransportConnection to);
 
   /** Whether every answer tells the position; that of a write always does. */
-  default boolean stamps() {
+  default boolean sendsPositions() {
     return true;
   }
 
   /** Whether answers bring a report. */
-  default boolean reports() {
+  default boolean sendsLoadReports() {
     return false;
   }
 
   /** Whether it answers with garbage now. */
-  boolean spoils(Box box);
+  boolean corruptsAnswer(Host box);
 
   /** Whether it takes what comes and says nothing. */
-  boolean silent(Box box);
+  boolean isSilent(Host box);
 
   /** It was sent what no gateway may send. */
-  void malformed(Box box, ProtocolException why);
+  void malformedRequest(Host box, ProtocolException why);
 
   /** The other side has ended a connection. */
-  void left(Box box);
+  void connectionEnded(Host box);
 }
--- a/lab/src/main/java/shelffront/lab/experiment/Experiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Experiment.java
@@ -35,7 +35,8 @@
 public final class Experiment {
 
   /** How an experiment ended: its table, and whether each claim was kept. */
-  public record Report(List<String> table, List<String> claims, boolean kept, boolean isVoid) {
+  public record Report(
+      List<String> table, List<String> claims, boolean claimsHold, boolean isVoid) {
 
     /** Table and claims, as Markdown. */
     public List<String> lines() {
@@ -53,16 +54,16 @@
    * Where even one request in a hundred was sent this late, the machine was too slow to tell
    * anything.
    */
-  private static final long MOST_LAG_MICROS = 50_000;
+  private static final long MAX_LAG_MICROS = 50_000;
 
   private final JsonNode file;
   private final List<String> table = new ArrayList<>();
   private final List<String> claims = new ArrayList<>();
   private final Map<String, Map<String, OpenLoopLoad.Result>> results = new LinkedHashMap<>();
-  private final Map<String, Double> costs = new LinkedHashMap<>();
-  private final List<String> wrong = new ArrayList<>();
-  private boolean kept = true;
-  private boolean tooSlow;
+  private final Map<String, Double> cpuMicrosPerRequest = new LinkedHashMap<>();
+  private final List<String> malformedResponses = new ArrayList<>();
+  private boolean claimsHold = true;
+  private boolean machineTooSlow;
 
   private Experiment(JsonNode file) {
     this.file = file;
@@ -80,10 +81,10 @@
         new Report(
             List.copyOf(experiment.table),
             List.copyOf(experiment.claims),
-            experiment.kept,
-            experiment.tooSlow);
+            experiment.claimsHold,
+            experiment.machineTooSlow);
     if (directory != null) {
-      experiment.keep(directory, report);
+      experiment.save(directory, report);
     }
     return report;
   }
@@ -95,17 +96,17 @@
             + " us/request |");
     table.add("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
     for (JsonNode phase : file.path("phases")) {
-      phase(phase);
+      runPhase(phase);
     }
     for (JsonNode claim : file.path("claims")) {
-      claim(claim);
+      check(claim);
     }
-    if (!wrong.isEmpty()) {
-      say(false, "wrong answers, the first of them: " + wrong.get(0));
+    if (!malformedResponses.isEmpty()) {
+      recordClaim(false, "wrong answers, the first of them: " + malformedResponses.get(0));
     }
   }
 
-  private void keep(Path directory, Report report) throws IOException {
+  private void save(Path directory, Report report) throws IOException {
     Files.createDirectories(directory);
     Files.writeString(directory.resolve(RunJournal.EXPERIMENT), file.toPrettyString() + "\n");
     Charts charts = new Charts();
@@ -120,32 +121,37 @@
                 (tenant, r) -> {
                   double[] wanted = r.windows.stream().mapToDouble(w -> w[0]).toArray();
                   double[] served = r.windows.stream().mapToDouble(w -> w[1]).toArray();
-                  charts.add(phase + ", " + tenant, OpenLoopLoad.WINDOW, wanted, served, r.served);
-                  double p50 = r.served.getValueAtPercentile(50) / 1e3;
-                  double p99 = r.served.getValueAtPercentile(99) / 1e3;
+                  charts.add(
+                      phase + ", " + tenant,
+                      OpenLoopLoad.WINDOW_MICROS,
+                      wanted,
+                      served,
+                      r.latencyMicros);
+                  double p50 = r.latencyMicros.getValueAtPercentile(50) / 1e3;
+                  double p99 = r.latencyMicros.getValueAtPercentile(99) / 1e3;
                   csv.append(
                       String.format(
                           Locale.ROOT,
                           "%s,%s,%d,%d,%d,%d,%d,%d,%.5f,%.3f,%.3f,%.1f%n",
                           phase.replace(",", ""),
                           tenant,
-                          r.all.due,
-                          r.all.onTime,
-                          r.all.late,
-                          r.all.refused,
-                          r.all.failed,
-                          r.all.unanswered,
-                          r.worthKept(),
+                          r.total.due,
+                          r.total.onTime,
+                          r.total.late,
+                          r.total.rejected,
+                          r.total.failed,
+                          r.total.unanswered,
+                          r.servedValueFraction(),
                           p50,
                           p99,
-                          costs.get(phase)));
+                          cpuMicrosPerRequest.get(phase)));
                   ObjectNode line =
                       TenantSpecCodec.JSON
                           .createObjectNode()
                           .put("phase", phase)
                           .put("tenant", tenant)
-                          .put("due", r.all.due)
-                          .put("worthKept", r.worthKept())
+                          .put("due", r.total.due)
+                          .put("worthKept", r.servedValueFraction())
                           .put("p50Ms", p50)
                           .put("p99Ms", p99);
                   line.set("wanted", TenantSpecCodec.JSON.valueToTree(wanted));
@@ -157,7 +163,7 @@
     charts.save(directory, report);
   }
 
-  private void phase(JsonNode phase) throws IOException, SpecException, InterruptedException {
+  private void runPhase(JsonNode phase) throws IOException, SpecException, InterruptedException {
     Map<String, EmulatedReplicaSet> sets = new LinkedHashMap<>();
     try {
       ObjectNode config =
@@ -191,7 +197,7 @@
           new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
       Thread turns = hosted.start();
       try (TransparentProxy relay = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
-        load(phase, hosted, turns, tenants, relay, sets.values());
+        measure(phase, hosted, turns, tenants, relay, sets.values());
       }
       hosted.drain();
       turns.join();
@@ -202,7 +208,7 @@
 
   /** To the first replica of the first set, or its primary where it has no replica. */
   private static TransparentProxy relay(Map<String, EmulatedReplicaSet> sets) throws IOException {
-    List<EmulatedReplicaSet.Box> boxes = sets.values().iterator().next().boxes();
+    List<EmulatedReplicaSet.Host> boxes = sets.values().iterator().next().hosts();
     String[] at = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
     return new TransparentProxy(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
   }
@@ -211,7 +217,7 @@
     ObjectNode tenant = given.deepCopy();
     tenant.put("id", id);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
-    for (EmulatedReplicaSet.Box box : set.boxes()) {
+    for (EmulatedReplicaSet.Host box : set.hosts()) {
       list.addObject()
           .put("id", box.id())
           .put("address", box.address())
@@ -225,7 +231,7 @@
    * Nanoseconds of CPU that the gateway's own threads have used: the loop thread and the
    * completions'.
    */
-  private static long cpu(Thread turns) {
+  private static long cpuNanos(Thread turns) {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     long sum = threads.getThreadCpuTime(turns.getId());
     for (Thread each : Thread.getAllStackTraces().keySet()) {
@@ -235,7 +241,7 @@
     return sum;
   }
 
-  private void load(
+  private void measure(
       JsonNode phase,
       MultiTenantGateway hosted,
       Thread turns,
@@ -263,18 +269,20 @@
         }
       }
     }
-    long before = cpu(turns);
+    long before = cpuNanos(turns);
     Map<String, OpenLoopLoad.Result> measured = run(phase, gateway, seconds);
     double cost =
-        (cpu(turns) - before) / 1e3 / measured.values().stream().mapToLong(r -> r.all.due).sum();
+        (cpuNanos(turns) - before)
+            / 1e3
+            / measured.values().stream().mapToLong(r -> r.total.due).sum();
     results.put(name, measured);
-    costs.put(name, cost);
+    cpuMicrosPerRequest.put(name, cost);
     measured.forEach(
         (tenant, r) -> {
-          long lag = r.lag.getValueAtPercentile(99);
-          tooSlow |= lag > MOST_LAG_MICROS;
-          wrong.addAll(r.wrong);
-          OpenLoopLoad.Tally all = r.all;
+          long lag = r.lagMicros.getValueAtPercentile(99);
+          machineTooSlow |= lag > MAX_LAG_MICROS;
+          malformedResponses.addAll(r.malformedResponses);
+          OpenLoopLoad.Outcomes all = r.total;
           table.add(
               String.format(
                   Locale.ROOT,
@@ -285,20 +293,20 @@
                   file.path("tenants").path(tenant).path("weight").asText("1"),
                   all.due / seconds,
                   all.onTime / seconds,
-                  r.worthKept(),
+                  r.servedValueFraction(),
                   r.worstWindow(),
-                  all.refused,
+                  all.rejected,
                   all.late,
                   all.failed,
                   all.unanswered,
-                  r.served.getValueAtPercentile(50) / 1e3,
-                  r.served.getValueAtPercentile(99) / 1e3,
-                  r.served.getValueAtPercentile(99.9) / 1e3,
+                  r.latencyMicros.getValueAtPercentile(50) / 1e3,
+                  r.latencyMicros.getValueAtPercentile(99) / 1e3,
+                  r.latencyMicros.getValueAtPercentile(99.9) / 1e3,
                   lag / 1e3,
                   cost));
         });
     for (EmulatedReplicaSet set : sets) {
-      tooSlow |= set.lateness() > MOST_LAG_MICROS;
+      machineTooSlow |= set.latenessMicros() > MAX_LAG_MICROS;
     }
   }
 
@@ -337,7 +345,7 @@
     return all;
   }
 
-  private void claim(JsonNode claim) {
+  private void check(JsonNode claim) {
     double within = claim.path("within").asDouble();
     Map<String, OpenLoopLoad.Result> phase = results.get(claim.path("phase").asText());
     if (claim.has("medianAgainst")) {
@@ -346,10 +354,10 @@
           results
               .get(claim.path("medianAgainst").asText())
               .get(tenant)
-              .served
+              .latencyMicros
               .getValueAtPercentile(50);
-      double now = phase.get(tenant).served.getValueAtPercentile(50);
-      say(
+      double now = phase.get(tenant).latencyMicros.getValueAtPercentile(50);
+      recordClaim(
           now - bare <= claim.path("micros").asDouble(),
           String.format(
               Locale.ROOT,
@@ -362,9 +370,9 @@
       return;
     }
     if (claim.has("costAgainst")) {
-      double alone = costs.get(claim.path("costAgainst").asText());
-      double now = costs.get(claim.path("phase").asText());
-      say(
+      double alone = cpuMicrosPerRequest.get(claim.path("costAgainst").asText());
+      double now = cpuMicrosPerRequest.get(claim.path("phase").asText());
+      recordClaim(
           now <= alone * (1 + within),
           String.format(
               Locale.ROOT,
@@ -379,9 +387,9 @@
     }
     if (claim.has("against")) {
       String tenant = claim.path("tenant").asText();
-      double alone = results.get(claim.path("against").asText()).get(tenant).worthKept();
-      double now = phase.get(tenant).worthKept();
-      say(
+      double alone = results.get(claim.path("against").asText()).get(tenant).servedValueFraction();
+      double now = phase.get(tenant).servedValueFraction();
+      recordClaim(
           now >= alone * (1 - within),
           String.format(
               Locale.ROOT,
@@ -397,12 +405,12 @@
     double served = 0;
     for (var each : phase.entrySet()) {
       weights += weight(claim, each.getKey());
-      served += each.getValue().all.onTime + each.getValue().all.late;
+      served += each.getValue().total.onTime + each.getValue().total.late;
     }
     for (var each : phase.entrySet()) {
-      double share = (each.getValue().all.onTime + each.getValue().all.late) / served;
+      double share = (each.getValue().total.onTime + each.getValue().total.late) / served;
       double due = weight(claim, each.getKey()) / weights;
-      say(
+      recordClaim(
           Math.abs(share - due) <= within * due,
           String.format(
               Locale.ROOT,
@@ -425,8 +433,8 @@
     return file.path("tenants").path(tenant).path("weight").asDouble(1);
   }
 
-  private void say(boolean isKept, String text) {
-    kept &= isKept;
+  private void recordClaim(boolean isKept, String text) {
+    claimsHold &= isKept;
     claims.add((isKept ? "kept: " : "NOT kept: ") + text);
   }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
+++ b/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
@@ -16,8 +16,8 @@
    * One class by its number ({@code class}), or all by their parts ({@code mix}, in the order of
    * the tenant's classes).
    */
-  static List<OpenLoopLoad.Kind> kinds(JsonNode load, JsonNode classes) {
-    List<OpenLoopLoad.Kind> kinds = new ArrayList<>();
+  static List<OpenLoopLoad.RequestKind> kinds(JsonNode load, JsonNode classes) {
+    List<OpenLoopLoad.RequestKind> kinds = new ArrayList<>();
     for (int i = 0; i < classes.size(); i++) {
       double share =
           load.has("mix")
@@ -26,7 +26,7 @@
       JsonNode c = classes.path(i);
       if (share > 0) {
         kinds.add(
-            new OpenLoopLoad.Kind(
+            new OpenLoopLoad.RequestKind(
                 c.path("name").asText(),
                 c.path("read").asText().equals("write"),
                 c.path("aimMs").asInt(c.path("giveUpMs").asInt()),
@@ -38,15 +38,15 @@
     return kinds;
   }
 
-  static OpenLoopLoad.Habits habits(JsonNode load, String at) throws SpecException {
-    OpenLoopLoad.Habits plain = OpenLoopLoad.Habits.PLAIN;
+  static OpenLoopLoad.ClientBehavior habits(JsonNode load, String at) throws SpecException {
+    OpenLoopLoad.ClientBehavior plain = OpenLoopLoad.ClientBehavior.PLAIN;
     ArrivalSchedule.Pattern pattern;
     try {
       pattern = ArrivalSchedule.Pattern.of(load.path("arrivals").asText(plain.arrivals().name()));
     } catch (IllegalArgumentException e) {
       throw new SpecException(at + "/arrivals", "is none of even, poisson, waves, bursts");
     }
-    return new OpenLoopLoad.Habits(
+    return new OpenLoopLoad.ClientBehavior(
         pattern,
         load.path("sessions").asInt(plain.sessions()),
         load.path("skew").asDouble(1),
--- a/lab/src/main/java/shelffront/lab/experiment/RecordedRun.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RecordedRun.java
@@ -15,26 +15,26 @@
     String level,
     int seed,
     long requests,
-    double worthKept,
-    int broken,
+    double servedValueFraction,
+    int violationCount,
     String hash,
     JsonNode classes,
-    double[] wanted,
-    double[] kept,
-    Histogram latency) {
+    double[] requestedValue,
+    double[] servedValue,
+    Histogram latencyMicros) {
 
   static RecordedRun of(String level, int seed, FleetSimulation.Result r) {
     return new RecordedRun(
         level,
         seed,
         r.requests(),
-        r.worthKept(),
+        r.servedValueFraction(),
         r.violationCount(),
         r.hash(),
-        TenantSpecCodec.JSON.valueToTree(r.worth()),
-        r.wanted(),
-        r.kept(),
-        r.latency());
+        TenantSpecCodec.JSON.valueToTree(r.byClass()),
+        r.requestedValue(),
+        r.servedValue(),
+        r.latencyMicros());
   }
 
   String line() {
@@ -44,14 +44,14 @@
             .put("level", level)
             .put("seed", seed)
             .put("requests", requests)
-            .put("worthKept", worthKept)
-            .put("broken", broken)
+            .put("worthKept", servedValueFraction)
+            .put("broken", violationCount)
             .put("hash", hash);
     line.set("classes", classes);
-    line.set("wanted", TenantSpecCodec.JSON.valueToTree(wanted));
-    line.set("kept", TenantSpecCodec.JSON.valueToTree(kept));
-    ByteBuffer bytes = ByteBuffer.allocate(latency.getNeededByteBufferCapacity());
-    int count = latency.encodeIntoCompressedByteBuffer(bytes);
+    line.set("wanted", TenantSpecCodec.JSON.valueToTree(requestedValue));
+    line.set("kept", TenantSpecCodec.JSON.valueToTree(servedValue));
+    ByteBuffer bytes = ByteBuffer.allocate(latencyMicros.getNeededByteBufferCapacity());
+    int count = latencyMicros.encodeIntoCompressedByteBuffer(bytes);
     byte[] encoded = new byte[count];
     bytes.flip().get(encoded);
     return line.put("latency", Base64.getEncoder().encodeToString(encoded)).toString();
--- a/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
@@ -84,12 +84,12 @@
     }
     Files.writeString(file, text);
     Files.writeString(directory.resolve(PROGRAM), program());
-    log.inOrder(log.known.values());
+    log.rewrite(log.known.values());
     return log;
   }
 
   /** Writes all runs anew in this order, whichever ended first. */
-  synchronized void inOrder(Collection<RecordedRun> all) throws IOException {
+  synchronized void rewrite(Collection<RecordedRun> all) throws IOException {
     if (runs != null) {
       StringBuilder whole = new StringBuilder();
       all.forEach(r -> whole.append(r.line()).append('\n'));
--- a/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
@@ -40,17 +40,17 @@
   /** A level's runs, in the order of the seeds. */
   private record Level(String name, Scenario scenario, List<RecordedRun> runs) {
 
-    double[] worth() {
-      return runs.stream().mapToDouble(RecordedRun::worthKept).toArray();
+    double[] servedValueFractions() {
+      return runs.stream().mapToDouble(RecordedRun::servedValueFraction).toArray();
     }
 
-    int broken() {
-      return runs.stream().mapToInt(RecordedRun::broken).sum();
+    int violationCount() {
+      return runs.stream().mapToInt(RecordedRun::violationCount).sum();
     }
 
-    Histogram latency() {
+    Histogram latencyMicros() {
       Histogram all = new Histogram(60_000_000L, 3);
-      runs.forEach(r -> all.add(r.latency()));
+      runs.forEach(r -> all.add(r.latencyMicros()));
       return all;
     }
   }
@@ -59,7 +59,7 @@
   private final List<Level> levels = new ArrayList<>();
   private final List<String> table = new ArrayList<>();
   private final List<String> claims = new ArrayList<>();
-  private boolean kept = true;
+  private boolean claimsHold = true;
 
   private VirtualExperiment(JsonNode file) {
     this.file = file;
@@ -74,8 +74,8 @@
     VirtualExperiment experiment = new VirtualExperiment(file);
     RunJournal log = RunJournal.open(directory, file);
     experiment.play(log);
-    log.inOrder(experiment.levels.stream().flatMap(l -> l.runs().stream()).toList());
-    return experiment.told(directory);
+    log.rewrite(experiment.levels.stream().flatMap(l -> l.runs().stream()).toList());
+    return experiment.finish(directory);
   }
 
   /** What a directory's runs come to, with the summary and the charts made anew. */
@@ -84,8 +84,8 @@
         TenantSpecCodec.JSON.readTree(directory.resolve(RunJournal.EXPERIMENT).toFile());
     VirtualExperiment experiment = new VirtualExperiment(file);
     RunJournal log = RunJournal.read(directory, file);
-    for (Level level : experiment.planned()) {
-      for (int seed = 1; seed <= experiment.seeds(); seed++) {
+    for (Level level : experiment.plannedLevels()) {
+      for (int seed = 1; seed <= experiment.seedCount(); seed++) {
         RecordedRun run = log.get(level.name(), seed);
         if (run != null) {
           level.runs().add(run);
@@ -95,24 +95,24 @@
         experiment.levels.add(level);
       }
     }
-    return experiment.told(directory);
+    return experiment.finish(directory);
   }
 
-  private Experiment.Report told(Path directory) throws IOException {
-    tell();
+  private Experiment.Report finish(Path directory) throws IOException {
+    summarize();
     Experiment.Report report =
-        new Experiment.Report(List.copyOf(table), List.copyOf(claims), kept, false);
+        new Experiment.Report(List.copyOf(table), List.copyOf(claims), claimsHold, false);
     if (directory != null) {
-      keep(directory, report);
+      save(directory, report);
     }
     return report;
   }
 
-  private int seeds() {
+  private int seedCount() {
     return file.path("seeds").asInt(5);
   }
 
-  private List<Level> planned() throws SpecException {
+  private List<Level> plannedLevels() throws SpecException {
     List<Level> planned = new ArrayList<>();
     for (JsonNode level : file.path("levels")) {
       ObjectNode merged = file.path("base").deepCopy();
@@ -130,19 +130,19 @@
     ExecutorService pool = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
     try {
       Map<Level, List<Future<RecordedRun>>> out = new LinkedHashMap<>();
-      List<Level> planned = planned();
-      ProgressBar progress = new ProgressBar(planned.size() * seeds());
+      List<Level> planned = plannedLevels();
+      ProgressBar progress = new ProgressBar(planned.size() * seedCount());
       for (Level level : planned) {
         List<Future<RecordedRun>> runs = new ArrayList<>();
-        for (int seed = 1; seed <= seeds(); seed++) {
+        for (int seed = 1; seed <= seedCount(); seed++) {
           int number = seed;
-          Scenario one = level.scenario().of(seed);
+          Scenario one = level.scenario().withSeed(seed);
           runs.add(
               pool.submit(
                   () -> {
                     RecordedRun run = log.get(level.name(), number);
                     if (run == null) {
-                      run = RecordedRun.of(level.name(), number, FleetSimulation.play(one));
+                      run = RecordedRun.of(level.name(), number, FleetSimulation.run(one));
                       log.add(run);
                     }
                     progress.one();
@@ -255,14 +255,14 @@
                     "a claim names the level " + name + ", which is none"));
   }
 
-  private void tell() {
+  private void summarize() {
     table.add(
         "| level | runs | requests | worth kept (95 %) | worst run | p50 ms | p99 ms | p99.9 ms "
             + "| broken rules |");
     table.add("|---|---|---|---|---|---|---|---|---|");
     for (Level l : levels) {
-      BootstrapInterval.Interval worth = BootstrapInterval.mean(l.worth());
-      Histogram latency = l.latency();
+      BootstrapInterval.Interval worth = BootstrapInterval.mean(l.servedValueFractions());
+      Histogram latency = l.latencyMicros();
       table.add(
           String.format(
               Locale.ROOT,
@@ -273,23 +273,23 @@
               worth.mean(),
               worth.low(),
               worth.high(),
-              l.runs().stream().mapToDouble(RecordedRun::worthKept).min().orElse(0),
+              l.runs().stream().mapToDouble(RecordedRun::servedValueFraction).min().orElse(0),
               latency.getValueAtPercentile(50) / 1e3,
               latency.getValueAtPercentile(99) / 1e3,
               latency.getValueAtPercentile(99.9) / 1e3,
-              l.broken()));
+              l.violationCount()));
     }
     for (JsonNode claim : file.path("claims")) {
       if (claim.has("rules")) {
-        int broken = levels.stream().mapToInt(Level::broken).sum();
-        say(broken == 0, broken + " rules broken in all runs");
+        int broken = levels.stream().mapToInt(Level::violationCount).sum();
+        recordClaim(broken == 0, broken + " rules broken in all runs");
         continue;
       }
       Level l = level(claim.path("level").asText());
-      double low = BootstrapInterval.mean(l.worth()).low();
+      double low = BootstrapInterval.mean(l.servedValueFractions()).low();
       if (claim.has("worthAtLeast")) {
         double least = claim.path("worthAtLeast").asDouble();
-        say(
+        recordClaim(
             low >= least,
             String.format(
                 Locale.ROOT,
@@ -299,9 +299,10 @@
                 least));
       } else {
         Level other = level(claim.path("against").asText());
-        BootstrapInterval.Interval less = BootstrapInterval.difference(other.worth(), l.worth());
+        BootstrapInterval.Interval less =
+            BootstrapInterval.difference(other.servedValueFractions(), l.servedValueFractions());
         double within = claim.path("within").asDouble();
-        say(
+        recordClaim(
             less.high() <= within,
             String.format(
                 Locale.ROOT,
@@ -316,15 +317,15 @@
     }
   }
 
-  private void say(boolean isKept, String text) {
-    kept &= isKept;
+  private void recordClaim(boolean isKept, String text) {
+    claimsHold &= isKept;
     claims.add((isKept ? "kept: " : "NOT kept: ") + text);
   }
 
   // ---- What is kept
   // --------------------------------------------------------------------------------
 
-  private void keep(Path directory, Experiment.Report report) throws IOException {
+  private void save(Path directory, Experiment.Report report) throws IOException {
     StringBuilder csv =
         new StringBuilder("level,seed,requests,worth_kept,p50_ms,p99_ms,broken,hash\n");
     for (Level l : levels) {
@@ -336,25 +337,25 @@
                 l.name(),
                 r.seed(),
                 r.requests(),
-                r.worthKept(),
-                r.latency().getValueAtPercentile(50) / 1e3,
-                r.latency().getValueAtPercentile(99) / 1e3,
-                r.broken(),
+                r.servedValueFraction(),
+                r.latencyMicros().getValueAtPercentile(50) / 1e3,
+                r.latencyMicros().getValueAtPercentile(99) / 1e3,
+                r.violationCount(),
                 r.hash().substring(0, 16)));
       }
     }
     Files.writeString(directory.resolve("runs.csv"), csv);
     Charts charts = new Charts();
     for (Level l : levels) {
-      double[] wanted = new double[l.runs().get(0).wanted().length];
+      double[] wanted = new double[l.runs().get(0).requestedValue().length];
       double[] served = new double[wanted.length];
       for (RecordedRun r : l.runs()) {
         for (int w = 0; w < wanted.length; w++) {
-          wanted[w] += r.wanted()[w];
-          served[w] += r.kept()[w];
+          wanted[w] += r.requestedValue()[w];
+          served[w] += r.servedValue()[w];
         }
       }
-      charts.add(l.name(), FleetSimulation.WINDOW, wanted, served, l.latency());
+      charts.add(l.name(), FleetSimulation.WINDOW_MICROS, wanted, served, l.latencyMicros());
     }
     Set<String> drawn = new HashSet<>();
     for (Level l : levels) {
--- a/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
@@ -57,8 +57,8 @@
   private long index = 1;
   private Writer out;
   private boolean leaderless;
-  private long lateMs;
-  private boolean garbles;
+  private long delayMillis;
+  private boolean corruptsAnswers;
   private final AtomicLong callCount = new AtomicLong();
   private final AtomicLong byteCount = new AtomicLong();
 
@@ -94,7 +94,7 @@
     }
   }
 
-  private Path kept() {
+  private Path snapshotFile() {
     return file.resolveSibling(file.getFileName() + ".kept");
   }
 
@@ -124,15 +124,15 @@
     Map<String, String> query = query(exchange);
     synchronized (this) {
       leaderless = query.getOrDefault("leader", "yes").equals("no");
-      lateMs = Long.parseLong(query.getOrDefault("late", "0"));
-      garbles = query.containsKey("garble");
+      delayMillis = Long.parseLong(query.getOrDefault("late", "0"));
+      corruptsAnswers = query.containsKey("garble");
       if (query.containsKey("keep")) {
-        Files.copy(file, kept(), StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(file, snapshotFile(), StandardCopyOption.REPLACE_EXISTING);
       }
       if (query.containsKey("restore")) {
         entries.clear();
         removed.clear();
-        Files.copy(kept(), file, StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(snapshotFile(), file, StandardCopyOption.REPLACE_EXISTING);
         load();
       }
       if (query.containsKey("forget")) {
@@ -152,7 +152,7 @@
       count(body.length);
       long late;
       synchronized (this) {
-        late = lateMs;
+        late = delayMillis;
         if (leaderless) {
           answer(exchange, 500, "No cluster leader", 0);
           return;
@@ -238,7 +238,7 @@
       if (errors.isEmpty()) {
         index++;
         for (JsonNode operation : operations) {
-          carryOut(operation(operation), results);
+          execute(operation(operation), results);
         }
         out.flush();
         notifyAll();
@@ -257,17 +257,17 @@
     return checked ? operation.path("Index").asText() : null;
   }
 
-  private void carryOut(JsonNode operation, ArrayNode results) throws IOException {
+  private void execute(JsonNode operation, ArrayNode results) throws IOException {
     String key = operation.path("Key").asText();
     switch (operation.path("Verb").asText()) {
-      case "get" -> results.addObject().set("KV", shown(key, entries.get(key)));
+      case "get" -> results.addObject().set("KV", toJson(key, entries.get(key)));
       case "set", "cas" -> put(key, Base64.getDecoder().decode(operation.path("Value").asText()));
       case "delete", "delete-cas" -> put(key, null);
       default -> throw new IllegalArgumentException("no such verb here: " + operation);
     }
   }
 
-  private static ObjectNode shown(String key, Entry e) {
+  private static ObjectNode toJson(String key, Entry e) {
     return JSON.createObjectNode()
         .put("LockIndex", 0)
         .put("Key", key)
@@ -287,7 +287,7 @@
     }
   }
 
-  private long last(String key, boolean recurse) {
+  private long lastIndex(String key, boolean recurse) {
     long last = 1;
     for (Map.Entry<String, Entry> each : entries.tailMap(key).entrySet()) {
       if (!(recurse ? each.getKey().startsWith(key) : each.getKey().equals(key))) {
@@ -311,19 +311,19 @@
     long last;
     synchronized (this) {
       long until = System.nanoTime() + 1_000_000 * (after == 0 ? 0 : wait(query.get("wait")));
-      while (last(key, recurse) == after && !leaderless) {
+      while (lastIndex(key, recurse) == after && !leaderless) {
         long left = (until - System.nanoTime()) / 1_000_000;
         if (left <= 0) {
           break;
         }
         wait(left);
       }
-      last = last(key, recurse);
+      last = lastIndex(key, recurse);
       for (Map.Entry<String, Entry> each : entries.tailMap(key).entrySet()) {
         if (!(recurse ? each.getKey().startsWith(key) : each.getKey().equals(key))) {
           break;
         }
-        list.add(shown(each.getKey(), each.getValue()));
+        list.add(toJson(each.getKey(), each.getValue()));
       }
     }
     answer(exchange, list.isEmpty() ? 404 : 200, list.isEmpty() ? "" : list.toString(), last);
@@ -343,7 +343,7 @@
 
   private void answer(HttpExchange exchange, int status, String text, long at) throws IOException {
     byte[] body =
-        (garbles && status == 200 ? text.substring(0, text.length() / 2) + "\0{" : text)
+        (corruptsAnswers && status == 200 ? text.substring(0, text.length() / 2) + "\0{" : text)
             .getBytes(UTF_8);
     exchange.getResponseHeaders().set("Content-Type", "application/json");
     exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(at));
--- a/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
@@ -31,29 +31,29 @@
 public final class FaultInjectionHarness implements AutoCloseable {
 
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final Duration MOST = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
   private static final int HEAP_MB = 96;
   static final String SUBJECT = "drill";
   private static final Pattern ADMIN = Pattern.compile("administration on /([0-9.]+:[0-9]+)");
   private static final Pattern TOKEN = Pattern.compile("shown once: (\\S+)");
 
   /** One gateway's process, which may be ended and started again under the same name. */
-  public final class Node {
+  public final class GatewayProcess {
 
     private final int number;
-    private final FaultProxy relay;
+    private final FaultProxy proxy;
     private final long leaseMs;
     private JavaProcess process;
     private int starts;
 
-    private Node(int number, long leaseMs) throws IOException {
+    private GatewayProcess(int number, long leaseMs) throws IOException {
       this.number = number;
       this.leaseMs = leaseMs;
-      relay = new FaultProxy(engine);
+      proxy = new FaultProxy(storeAddress);
     }
 
-    public FaultProxy relay() {
-      return relay;
+    public FaultProxy proxy() {
+      return proxy;
     }
 
     public boolean isUp() {
@@ -66,7 +66,7 @@
           JSON.createObjectNode().put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
       ObjectNode fleet = config.putObject("fleet");
       fleet
-          .put("engine", relay.address())
+          .put("engine", proxy.address())
           .put("fleet", "rig")
           .put("name", "g" + number)
           .put("leaseMs", leaseMs)
@@ -101,7 +101,7 @@
 
     /** Asks it to end, and waits until it has. */
     public void terminate() throws InterruptedException {
-      if (!process.terminate(MOST.toSeconds())) {
+      if (!process.terminate(TIMEOUT.toSeconds())) {
         throw new IllegalStateException("g" + number + " does not end; see " + directory);
       }
     }
@@ -115,7 +115,7 @@
     }
 
     /** Whether its log says this. */
-    public boolean says(String text) {
+    public boolean hasLogged(String text) {
       return process.printed().contains(text);
     }
 
@@ -139,7 +139,7 @@
     }
 
     /** What it says of the subject; null where it does not answer. */
-    public JsonNode shown() {
+    public JsonNode subjectStatus() {
       HttpResponse<String> answer =
           isUp() && isReady() ? call("GET", "/v1/subjects/" + SUBJECT, null) : null;
       try {
@@ -152,7 +152,7 @@
     }
 
     /** Asks for a stage; gives the status. */
-    public int target(String stage) {
+    public int requestStage(String stage) {
       HttpResponse<String> answer =
           call(
               "PUT",
@@ -164,18 +164,18 @@
 
   private final Path directory;
   private final HttpClient http = HttpClient.newHttpClient();
-  private final List<Node> nodes = new ArrayList<>();
+  private final List<GatewayProcess> gateways = new ArrayList<>();
   private JavaProcess agent;
-  private InetSocketAddress engine;
+  private InetSocketAddress storeAddress;
 
   /** Starts the engine; gateways come with {@link #add}. Files go to the directory. */
   public FaultInjectionHarness(Path directory) throws IOException {
     this.directory = directory;
     Files.createDirectories(directory);
-    startEngine(0);
+    startStore(0);
   }
 
-  private void startEngine(int port) throws IOException {
+  private void startStore(int port) throws IOException {
     Path log = directory.resolve("engine.log");
     agent =
         JavaProcess.start(
@@ -189,32 +189,32 @@
             directory.resolve("engine.state").toString());
     Pattern listens = Pattern.compile("listens on 127.0.0.1:([0-9]+)");
     await("the engine is up", () -> agent.found(listens) != null);
-    engine = new InetSocketAddress("127.0.0.1", Integer.parseInt(agent.found(listens)));
+    storeAddress = new InetSocketAddress("127.0.0.1", Integer.parseInt(agent.found(listens)));
   }
 
   /** A gateway with this lease; started at once. */
-  public Node add(long leaseMs) throws IOException {
-    Node node = new Node(nodes.size(), leaseMs);
-    nodes.add(node);
+  public GatewayProcess add(long leaseMs) throws IOException {
+    GatewayProcess node = new GatewayProcess(gateways.size(), leaseMs);
+    gateways.add(node);
     node.start();
     return node;
   }
 
-  public List<Node> nodes() {
-    return nodes;
+  public List<GatewayProcess> gateways() {
+    return gateways;
   }
 
   /** Kills the engine's agent and starts it again at the same address, with what it had written. */
-  public void restartEngine() throws IOException, InterruptedException {
+  public void restartStore() throws IOException, InterruptedException {
     agent.kill();
-    startEngine(engine.getPort());
+    startStore(storeAddress.getPort());
   }
 
   /** Tells the engine to fail, as its stand-in's page says; an empty text ends all faults. */
-  public void engineFault(String query) throws IOException, InterruptedException {
+  public void injectStoreFault(String query) throws IOException, InterruptedException {
     http.send(
         HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + engine.getPort() + "/fault?" + query))
+                URI.create("http://127.0.0.1:" + storeAddress.getPort() + "/fault?" + query))
             .PUT(BodyPublishers.noBody())
             .build(),
         BodyHandlers.ofString());
@@ -223,7 +223,7 @@
   /** Waits for a condition, up to a minute. */
   public void await(String what, BooleanSupplier condition) {
     Awaitility.await(what + ", files in " + directory)
-        .atMost(MOST)
+        .atMost(TIMEOUT)
         .pollInterval(Duration.ofMillis(50))
         .until(condition::getAsBoolean);
   }
@@ -233,19 +233,19 @@
     await(
         "all have stage " + stage + " in force",
         () ->
-            nodes.stream()
-                .filter(Node::isUp)
+            gateways.stream()
+                .filter(GatewayProcess::isUp)
                 .allMatch(
                     n -> {
-                      JsonNode shown = n.shown();
+                      JsonNode shown = n.subjectStatus();
                       return shown != null && shown.path("inForceHere").asText().equals(stage);
                     }));
   }
 
   /** The gateway that is owner, as the first that says so; null where none does. */
-  public Node owner() {
-    for (Node n : nodes) {
-      JsonNode shown = n.shown();
+  public GatewayProcess leader() {
+    for (GatewayProcess n : gateways) {
+      JsonNode shown = n.subjectStatus();
       if (shown != null && shown.path("owner").asBoolean()) {
         return n;
       }
@@ -264,16 +264,16 @@
 
   /** All that was in force so far, held against each other. */
   public RolloutHistoryChecker histories() throws IOException {
-    return RolloutHistoryChecker.read(nodes.stream().map(Node::history).toList());
+    return RolloutHistoryChecker.read(gateways.stream().map(GatewayProcess::history).toList());
   }
 
   @Override
   public void close() throws IOException {
-    for (Node n : nodes) {
+    for (GatewayProcess n : gateways) {
       if (n.process != null) {
         n.process.abandon();
       }
-      n.relay.close();
+      n.proxy.close();
     }
     agent.abandon();
   }
--- a/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
@@ -18,15 +18,15 @@
   private static final int BUFFER = 16 * 1024;
 
   private final ServerSocket listener;
-  private final InetSocketAddress to;
+  private final InetSocketAddress target;
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-  private boolean cutThere;
+  private boolean cutForward;
   private boolean cutBack;
   private long delayMs;
-  private int trickle; // bytes at a time; 0: all there are
+  private int pieceBytes; // bytes at a time; 0: all there are
 
   public FaultProxy(InetSocketAddress to) throws IOException {
-    this.to = to;
+    this.target = to;
     listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
     thread(this::accept);
   }
@@ -37,7 +37,7 @@
 
   /** Carries nothing there, or back, or either. */
   public synchronized void cut(boolean there, boolean back) {
-    cutThere = there;
+    cutForward = there;
     cutBack = back;
     notifyAll();
   }
@@ -45,7 +45,7 @@
   /** Each piece comes so much later, in pieces of so many bytes; 0 for at once and for whole. */
   public synchronized void slow(long ms, int bytes) {
     delayMs = ms;
-    trickle = bytes;
+    pieceBytes = bytes;
     notifyAll();
   }
 
@@ -84,7 +84,7 @@
     Socket there = new Socket();
     open.add(there);
     try {
-      there.connect(to);
+      there.connect(target);
       here.setTcpNoDelay(true);
       there.setTcpNoDelay(true);
       thread(() -> carry(here, there, true));
@@ -126,14 +126,14 @@
 
   /** Waits until something may pass; gives how many bytes at a time. */
   private synchronized int pass(boolean there) throws InterruptedException {
-    while (there ? cutThere : cutBack) {
+    while (there ? cutForward : cutBack) {
       wait();
     }
     long until = System.nanoTime() + delayMs * 1_000_000;
     for (long left = delayMs; left > 0; left = (until - System.nanoTime()) / 1_000_000) {
       wait(left);
     }
-    return trickle > 0 ? trickle : BUFFER;
+    return pieceBytes > 0 ? pieceBytes : BUFFER;
   }
 
   private void end(Socket socket, boolean abruptly) {
--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
@@ -39,7 +39,7 @@
   private int seeds;
 
   @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
-  private long from;
+  private long firstSeed;
 
   @Option(names = "--gateways", defaultValue = "4", description = "processes (${DEFAULT-VALUE})")
   private int gateways;
@@ -59,7 +59,7 @@
   public Integer call() throws IOException, InterruptedException {
     int failed = 0;
     int moves = 0;
-    for (long seed = from; seed < from + seeds; seed++) {
+    for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
       Path directory = Files.createTempDirectory("stages-" + seed + "-");
       List<String> steps = new ArrayList<>();
       List<String> broken;
@@ -71,7 +71,7 @@
           steps.add("never arrived: " + e.getMessage());
         }
         RolloutHistoryChecker all = rig.histories();
-        broken = new ArrayList<>(all.broken());
+        broken = new ArrayList<>(all.violations());
         count = all.moves();
       }
       steps.stream().filter(s -> s.startsWith("never")).forEach(broken::add);
@@ -106,7 +106,7 @@
     boolean[] stopped = new boolean[gateways];
     for (int step = 0; step < STEPS; step++) {
       int number = random.nextInt(gateways);
-      FaultInjectionHarness.Node node = rig.nodes().get(number);
+      FaultInjectionHarness.GatewayProcess node = rig.gateways().get(number);
       int what = random.nextInt(11);
       // The draws of a step are made whatever becomes of it: the same seed gives the same schedule.
       boolean there = random.nextBoolean();
@@ -114,16 +114,16 @@
       int asked = random.nextInt(gateways);
       long hold = random.nextLong(leaseMs);
       steps.add(step(rig, node, number, what, there, stopped));
-      if (!stopped[asked] && rig.nodes().get(asked).isReady()) {
-        steps.add("g" + asked + " " + rig.nodes().get(asked).target(stage) + " " + stage);
+      if (!stopped[asked] && rig.gateways().get(asked).isReady()) {
+        steps.add("g" + asked + " " + rig.gateways().get(asked).requestStage(stage) + " " + stage);
       }
       long until = System.nanoTime() + hold * 1_000_000;
       rig.await("the schedule's next step is due", () -> System.nanoTime() >= until);
     }
-    rig.engineFault("");
+    rig.injectStoreFault("");
     for (int i = 0; i < gateways; i++) {
-      FaultInjectionHarness.Node node = rig.nodes().get(i);
-      node.relay().heal();
+      FaultInjectionHarness.GatewayProcess node = rig.gateways().get(i);
+      node.proxy().heal();
       if (stopped[i]) {
         node.signal("CONT");
       }
@@ -131,14 +131,14 @@
         node.start();
       }
     }
-    FaultInjectionHarness.Node any = rig.nodes().get(0);
-    rig.await("the target is taken", () -> any.isReady() && any.target("three") == 200);
+    FaultInjectionHarness.GatewayProcess any = rig.gateways().get(0);
+    rig.await("the target is taken", () -> any.isReady() && any.requestStage("three") == 200);
     rig.awaitStage("three");
   }
 
   private static String step(
       FaultInjectionHarness rig,
-      FaultInjectionHarness.Node node,
+      FaultInjectionHarness.GatewayProcess node,
       int number,
       int what,
       boolean there,
@@ -146,11 +146,11 @@
       throws IOException, InterruptedException {
     String name = " g" + number;
     switch (what) {
-      case 0 -> node.relay().cut(true, true);
-      case 1 -> node.relay().cut(there, !there);
-      case 2 -> node.relay().heal();
-      case 3 -> node.relay().slow(20, 100);
-      case 4 -> node.relay().reset();
+      case 0 -> node.proxy().cut(true, true);
+      case 1 -> node.proxy().cut(there, !there);
+      case 2 -> node.proxy().heal();
+      case 3 -> node.proxy().slow(20, 100);
+      case 4 -> node.proxy().reset();
       case 5 -> {
         node.signal(stopped[number] ? "CONT" : "STOP");
         stopped[number] = !stopped[number];
@@ -166,9 +166,9 @@
           node.start();
         }
       }
-      case 8 -> rig.restartEngine();
-      case 9 -> rig.engineFault(there ? "leader=no" : "garble");
-      default -> rig.engineFault(there ? "late=100" : "");
+      case 8 -> rig.restartStore();
+      case 9 -> rig.injectStoreFault(there ? "leader=no" : "garble");
+      default -> rig.injectStoreFault(there ? "late=100" : "");
     }
     return List.of(
                 "cut",
--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
@@ -27,9 +27,9 @@
   private record Edge(long at, boolean begins, Span span) {}
 
   private final Map<String, List<Span>> spans = new TreeMap<>();
-  private final Map<String, TreeMap<Long, String>> movers = new TreeMap<>();
-  private final Map<String, TreeMap<Long, Integer>> stages = new TreeMap<>();
-  private final List<String> broken = new ArrayList<>();
+  private final Map<String, TreeMap<Long, String>> leaderByEpoch = new TreeMap<>();
+  private final Map<String, TreeMap<Long, Integer>> stageByEpoch = new TreeMap<>();
+  private final List<String> violations = new ArrayList<>();
 
   public static RolloutHistoryChecker read(List<Path> files) throws IOException {
     RolloutHistoryChecker all = new RolloutHistoryChecker();
@@ -63,14 +63,14 @@
       String subject = o.path("subject").asText();
       if (o.path("what").asText().equals("move")) {
         String before =
-            movers
+            leaderByEpoch
                 .computeIfAbsent(subject, s -> new TreeMap<>())
                 .putIfAbsent(o.path("epoch").asLong(), o.path("who").asText());
-        stages
+        stageByEpoch
             .computeIfAbsent(subject, s -> new TreeMap<>())
             .put(o.path("epoch").asLong(), o.path("stage").asInt());
         if (before != null) {
-          broken.add(
+          violations.add(
               "one owner: epoch "
                   + o.path("epoch")
                   + " of "
@@ -122,23 +122,23 @@
             }
             for (Span other : now) {
               if (Math.abs(other.stage() - edge.span().stage()) > 1) {
-                broken.add("adjacent: " + edge.span() + " beside " + other);
+                violations.add("adjacent: " + edge.span() + " beside " + other);
               }
               if (other.epoch() == edge.span().epoch() && other.stage() != edge.span().stage()) {
-                broken.add("one stage an epoch: " + edge.span() + " beside " + other);
+                violations.add("one stage an epoch: " + edge.span() + " beside " + other);
               }
             }
             now.add(edge.span());
           }
         });
-    stages.forEach(
+    stageByEpoch.forEach(
         (subject, byEpoch) -> {
           Integer before = null;
           long epoch = 0;
           for (Map.Entry<Long, Integer> each : byEpoch.entrySet()) {
             boolean next = each.getKey() == epoch + 1;
             if (before != null && next && Math.abs(each.getValue() - before) != 1) {
-              broken.add(
+              violations.add(
                   "one step: " + subject + " from stage " + before + " to " + each.getValue());
             }
             before = each.getValue();
@@ -148,22 +148,22 @@
   }
 
   /** What does not hold, in words; empty where all does. */
-  public List<String> broken() {
-    return broken;
+  public List<String> violations() {
+    return violations;
   }
 
   /** How many moves owners noted. */
   public int moves() {
-    return movers.values().stream().mapToInt(Map::size).sum();
+    return leaderByEpoch.values().stream().mapToInt(Map::size).sum();
   }
 
   /** How many processes had something in force. */
-  public long actors() {
+  public long gatewayCount() {
     return spans.values().stream().flatMap(List::stream).map(Span::who).distinct().count();
   }
 
   /** How many different owners moved a subject on. */
-  public long owners() {
-    return movers.values().stream().flatMap(m -> m.values().stream()).distinct().count();
+  public long leaderCount() {
+    return leaderByEpoch.values().stream().flatMap(m -> m.values().stream()).distinct().count();
   }
 }
--- a/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
+++ b/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
@@ -39,63 +39,63 @@
   }
 
   /** A broken rule. */
-  public record Violation(long at, Rule rule, String what) {
+  public record Violation(long atMicros, Rule rule, String description) {
 
     @Override
     public String toString() {
-      return rule + ": " + what;
+      return rule + ": " + description;
     }
   }
 
   /** How far a time limit may be passed: what the network takes, and the clocks' grain. */
-  private static final long SLACK = 60_000;
+  private static final long SLACK_MICROS = 60_000;
 
-  private static final int MOST_KEPT = 5; // of each rule, in full
+  private static final int MAX_RECORDED_PER_RULE = 5; // of each rule, in full
 
   /** One try of a request at a box. */
-  public static final class Try {
+  public static final class Attempt {
 
-    final String box;
-    final long sentAt;
+    final String host;
+    final long sentAtMicros;
 
     /** Since when the gateway waits for it no longer; asked when it matters. */
-    final LongSupplier overAt;
+    final LongSupplier abandonedAtMicros;
 
-    long answeredAt = Long.MAX_VALUE;
-    boolean begun;
-    boolean neverRan;
+    long answeredAtMicros = Long.MAX_VALUE;
+    boolean started;
+    boolean provedNotExecuted;
 
-    private Try(String box, long sentAt, LongSupplier overAt) {
-      this.box = box;
-      this.sentAt = sentAt;
-      this.overAt = overAt;
+    private Attempt(String box, long sentAt, LongSupplier overAt) {
+      this.host = box;
+      this.sentAtMicros = sentAt;
+      this.abandonedAtMicros = overAt;
     }
 
     /** The box has written its answer; one that proves that nothing ran. */
     public void answered(long at, boolean provesNothingRan) {
-      answeredAt = at;
-      neverRan = provesNothingRan;
+      answeredAtMicros = at;
+      provedNotExecuted = provesNothingRan;
     }
   }
 
   /** A request as its client sees it. */
-  public static final class Asked {
+  public static final class CheckedRequest {
 
     public final String id;
-    public final RequestClass type;
+    public final RequestClass requestClass;
     public final String key;
     public final String session;
     public final int gateway;
-    public final long sentAt;
-    public final long deadline;
-    public final long mark; // the commit that its session must see
-    final List<Try> tries = new ArrayList<>();
+    public final long sentAtMicros;
+    public final long deadlineMicros;
+    public final long requiredPositionMicros; // the commit that its session must see
+    final List<Attempt> attempts = new ArrayList<>();
     boolean answered;
     boolean excused;
     boolean applied;
     String code;
 
-    private Asked(
+    private CheckedRequest(
         String id,
         RequestClass type,
         String key,
@@ -105,18 +105,18 @@
         long deadline,
         long mark) {
       this.id = id;
-      this.type = type;
+      this.requestClass = type;
       this.key = key;
       this.session = session;
       this.gateway = gateway;
-      this.sentAt = sentAt;
-      this.deadline = deadline;
-      this.mark = mark;
+      this.sentAtMicros = sentAt;
+      this.deadlineMicros = deadline;
+      this.requiredPositionMicros = mark;
     }
 
     /** Whether no box has been sent it. */
-    public boolean isUntouched() {
-      return tries.isEmpty();
+    public boolean hasNoAttempt() {
+      return attempts.isEmpty();
     }
 
     public boolean isAnswered() {
@@ -124,34 +124,34 @@
     }
   }
 
-  private final Map<String, Asked> asked = new LinkedHashMap<>();
-  private final Map<String, Long> marks = new HashMap<>();
-  private final Map<String, Long> drains = new HashMap<>();
-  private final Map<String, Integer> effects = new HashMap<>();
-  private final Map<String, Long> commits = new HashMap<>();
+  private final Map<String, CheckedRequest> requests = new LinkedHashMap<>();
+  private final Map<String, Long> lastCommits = new HashMap<>();
+  private final Map<String, Long> drainAnnouncedMicros = new HashMap<>();
+  private final Map<String, Integer> effectCounts = new HashMap<>();
+  private final Map<String, Long> commitByKey = new HashMap<>();
   private final Set<String> lostKeys = new HashSet<>();
   private final List<Violation> violations = new ArrayList<>();
-  private final Map<Rule, Integer> byRule = new EnumMap<>(Rule.class);
-  private final boolean carried;
-  private final boolean copies;
-  private int count;
+  private final Map<Rule, Integer> countByRule = new EnumMap<>(Rule.class);
+  private final boolean positionsCarried;
+  private final boolean hedgingAllowed;
+  private int violationCount;
 
   /**
    * Marks are the session's where clients carry them, else its gateway's; reads may have a copy out
    * or not.
    */
   public InvariantChecker(boolean carried, boolean copies) {
-    this.carried = carried;
-    this.copies = copies;
+    this.positionsCarried = carried;
+    this.hedgingAllowed = copies;
   }
 
-  private String markOf(int gateway, String session) {
-    return (carried ? "" : gateway) + "/" + session;
+  private String sessionKey(int gateway, String session) {
+    return (positionsCarried ? "" : gateway) + "/" + session;
   }
 
   public void violated(long at, Rule rule, String what) {
-    count++;
-    if (byRule.merge(rule, 1, Integer::sum) <= MOST_KEPT) {
+    violationCount++;
+    if (countByRule.merge(rule, 1, Integer::sum) <= MAX_RECORDED_PER_RULE) {
       violations.add(new Violation(at, rule, what));
     }
   }
@@ -160,15 +160,15 @@
     return violations;
   }
 
-  public int count() {
-    return count;
+  public int violationCount() {
+    return violationCount;
   }
 
   // ---- From clients
   // --------------------------------------------------------------------------------
 
   /** The last byte of a request has been written by its client. */
-  public Asked asks(
+  public CheckedRequest requestSent(
       String id,
       RequestClass type,
       String key,
@@ -176,8 +176,8 @@
       int gateway,
       long now,
       long deadline) {
-    Asked a =
-        new Asked(
+    CheckedRequest a =
+        new CheckedRequest(
             id,
             type,
             key,
@@ -185,20 +185,20 @@
             gateway,
             now,
             deadline,
-            marks.getOrDefault(markOf(gateway, session), 0L));
-    asked.put(id, a);
+            lastCommits.getOrDefault(sessionKey(gateway, session), 0L));
+    requests.put(id, a);
     return a;
   }
 
   /** Its answer has come; a code where it is an error, the value else. */
-  public void answered(Asked a, long now, String value, String code) {
+  public void answered(CheckedRequest a, long now, String value, String code) {
     if (a.answered) {
       violated(now, Rule.ONE_ANSWER, a.id + " was answered twice");
       return;
     }
     a.answered = true;
     a.code = code;
-    if (now > a.deadline + SLACK && !a.excused) {
+    if (now > a.deadlineMicros + SLACK_MICROS && !a.excused) {
       violated(
           now,
           Rule.IN_TIME,
@@ -206,34 +206,36 @@
               Locale.ROOT,
               "%s was answered %.1f ms after its time",
               a.id,
-              (now - a.deadline) / 1e3));
+              (now - a.deadlineMicros) / 1e3));
     }
     if (code == null) {
       if (!a.id.equals(value)) {
         violated(now, Rule.RIGHT_VALUE, a.id + " was answered with " + value);
       }
-      if (a.type.isWrite() && !a.applied && !lostKeys.contains(a.key)) {
+      if (a.requestClass.isWrite() && !a.applied && !lostKeys.contains(a.key)) {
         violated(now, Rule.NOTHING_LOST, a.id + " was told served and has no effect");
       }
-      if (a.type.isWrite() && !lostKeys.contains(a.key)) {
-        marks.merge(markOf(a.gateway, a.session), commits.getOrDefault(a.key, 0L), Math::max);
+      if (a.requestClass.isWrite() && !lostKeys.contains(a.key)) {
+        lastCommits.merge(
+            sessionKey(a.gateway, a.session), commitByKey.getOrDefault(a.key, 0L), Math::max);
       }
     } else if (code.equals("53300") || code.equals("57P03")) {
-      for (Try t : a.tries) {
-        if (!a.type.isIdempotent() && t.begun && !t.neverRan) {
-          violated(now, Rule.TRUE_REFUSAL, a.id + " was told untouched, and had begun at " + t.box);
+      for (Attempt t : a.attempts) {
+        if (!a.requestClass.isIdempotent() && t.started && !t.provedNotExecuted) {
+          violated(
+              now, Rule.TRUE_REFUSAL, a.id + " was told untouched, and had begun at " + t.host);
         }
       }
     }
   }
 
   /** No answer came and none is owed: its client left, or its gateway was killed. */
-  public void excuse(Asked a) {
+  public void excuse(CheckedRequest a) {
     a.excused = true;
   }
 
   /** The client has waited its time out, or the connection has ended, and there is no answer. */
-  public void unanswered(Asked a, long now, String how) {
+  public void unanswered(CheckedRequest a, long now, String how) {
     if (!a.excused && !a.answered) {
       a.answered = true;
       violated(
@@ -241,11 +243,11 @@
           Rule.ONE_ANSWER,
           a.id
               + " ("
-              + a.type.name()
+              + a.requestClass.name()
               + ") "
               + how
               + ", tries "
-              + a.tries.stream().map(t -> t.box).toList());
+              + a.attempts.stream().map(t -> t.host).toList());
     }
   }
 
@@ -256,36 +258,37 @@
    * An attempt has arrived whole; the gateway wrote its last byte at a time, and its end says how
    * long it waits.
    */
-  public Try arrives(String id, String box, long now, long writtenAt, LongSupplier overAt) {
-    Asked a = asked.get(id);
+  public Attempt attemptArrived(
+      String id, String box, long now, long writtenAt, LongSupplier overAt) {
+    CheckedRequest a = requests.get(id);
     if (a == null) {
       violated(now, Rule.RIGHT_VALUE, box + " was sent " + id + ", which nobody asked");
-      return new Try(box, writtenAt, overAt);
+      return new Attempt(box, writtenAt, overAt);
     }
-    Try next = new Try(box, writtenAt, overAt);
+    Attempt next = new Attempt(box, writtenAt, overAt);
     long first = Long.MAX_VALUE;
     int out = 0;
-    for (Try t : a.tries) {
+    for (Attempt t : a.attempts) {
       // Of two that take different ways the later may arrive first.
-      Try earlier = t.sentAt <= writtenAt ? t : next;
-      if (Math.min(earlier.answeredAt, earlier.overAt.getAsLong())
-          > Math.max(t.sentAt, writtenAt)) {
+      Attempt earlier = t.sentAtMicros <= writtenAt ? t : next;
+      if (Math.min(earlier.answeredAtMicros, earlier.abandonedAtMicros.getAsLong())
+          > Math.max(t.sentAtMicros, writtenAt)) {
         out++;
-        if (out > (copies && a.type.isIdempotent() ? 1 : 0)) {
+        if (out > (hedgingAllowed && a.requestClass.isIdempotent() ? 1 : 0)) {
           violated(
-              now, Rule.ONE_ATTEMPT_OUT, id + " was sent to " + box + " while out at " + t.box);
+              now, Rule.ONE_ATTEMPT_OUT, id + " was sent to " + box + " while out at " + t.host);
         }
       }
-      if (t.begun && !t.neverRan) {
-        first = Math.min(first, t.sentAt);
+      if (t.started && !t.provedNotExecuted) {
+        first = Math.min(first, t.sentAtMicros);
       }
     }
     if (first < Long.MAX_VALUE) {
-      switch (a.type.idempotency()) {
+      switch (a.requestClass.idempotency()) {
         case NON_IDEMPOTENT ->
             violated(now, Rule.CLASS_PERMITS, id + " may run once and was sent again to " + box);
         case IDEMPOTENCY_KEY -> {
-          if (writtenAt > first + a.type.deduplicationWindowMicros() + SLACK) {
+          if (writtenAt > first + a.requestClass.deduplicationWindowMicros() + SLACK_MICROS) {
             violated(
                 now,
                 Rule.CLASS_PERMITS,
@@ -300,8 +303,8 @@
         default -> {}
       }
     }
-    Long told = drains.get(a.gateway + "/" + box);
-    if (told != null && writtenAt > told + 2_000_000 + SLACK) {
+    Long told = drainAnnouncedMicros.get(a.gateway + "/" + box);
+    if (told != null && writtenAt > told + 2_000_000 + SLACK_MICROS) {
       violated(
           now,
           Rule.DRAIN,
@@ -312,34 +315,34 @@
               box,
               (writtenAt - told) / 1e3));
     }
-    a.tries.add(next);
+    a.attempts.add(next);
     return next;
   }
 
   /** A box has begun to work on it: from here on it may have run. */
-  public void begins(Try t) {
-    t.begun = true;
+  public void executionStarted(Attempt t) {
+    t.started = true;
   }
 
-  public void applied(Effect effect, String byId, boolean repeated, long now) {
-    Asked a = asked.get(byId);
+  public void effectApplied(Effect effect, String byId, boolean repeated, long now) {
+    CheckedRequest a = requests.get(byId);
     if (a != null) {
       a.applied = true;
     }
     // By the key that its client gave: what the box was told may be another.
     String key = a == null ? effect.key() : a.key;
-    commits.put(key, effect.commit());
-    if (!repeated && effects.merge(key, 1, Integer::sum) > 1) {
+    commitByKey.put(key, effect.commitMicros());
+    if (!repeated && effectCounts.merge(key, 1, Integer::sum) > 1) {
       violated(now, Rule.NO_DOUBLE_EFFECT, "the write of key " + key + " took effect twice");
     }
   }
 
   /** The set itself has lost effects: they may come again, and nobody else is to blame. */
-  public void lost(List<Effect> gone) {
+  public void effectsLost(List<Effect> gone) {
     for (Effect e : gone) {
-      effects.merge(e.key(), -1, Integer::sum);
+      effectCounts.merge(e.key(), -1, Integer::sum);
       lostKeys.add(e.key());
-      marks.replaceAll((session, mark) -> mark == e.commit() ? 0 : mark);
+      lastCommits.replaceAll((session, mark) -> mark == e.commitMicros() ? 0 : mark);
     }
   }
 
@@ -347,17 +350,18 @@
    * A copy at a position has answered a read; what was sent before {@code known} took it for the
    * primary it was.
    */
-  public void read(String id, String box, boolean primary, long position, long now, long known) {
-    Asked a = asked.get(id);
-    if (a == null || a.tries.isEmpty() || primary) {
+  public void readServed(
+      String id, String box, boolean primary, long position, long now, long known) {
+    CheckedRequest a = requests.get(id);
+    if (a == null || a.attempts.isEmpty() || primary) {
       return;
     }
-    long sent = a.tries.get(a.tries.size() - 1).sentAt;
+    long sent = a.attempts.get(a.attempts.size() - 1).sentAtMicros;
     if (sent < known) {
       return;
     }
-    if (a.type.consistency() == Consistency.BOUNDED_STALENESS
-        && position < sent - a.type.maxStalenessMicros() - SLACK) {
+    if (a.requestClass.consistency() == Consistency.BOUNDED_STALENESS
+        && position < sent - a.requestClass.maxStalenessMicros() - SLACK_MICROS) {
       violated(
           now,
           Rule.FRESH,
@@ -367,7 +371,8 @@
               id,
               box,
               (sent - position) / 1e3));
-    } else if (a.type.consistency() == Consistency.SESSION && position < a.mark) {
+    } else if (a.requestClass.consistency() == Consistency.SESSION
+        && position < a.requiredPositionMicros) {
       violated(
           now,
           Rule.OWN_WRITES,
@@ -376,8 +381,8 @@
               "%s at %s misses its session's write by %.1f ms",
               id,
               box,
-              (a.mark - position) / 1e3));
-    } else if (a.type.consistency() == Consistency.STRONG) {
+              (a.requiredPositionMicros - position) / 1e3));
+    } else if (a.requestClass.consistency() == Consistency.STRONG) {
       violated(now, Rule.FRESH, id + " had to be current and was read from " + box);
     }
   }
@@ -386,29 +391,29 @@
   // --------------------------------------------------------------------------------
 
   /** A gateway has been told that a box drains or is gone. */
-  public void drainTold(int gateway, String box, long now) {
-    drains.putIfAbsent(gateway + "/" + box, now);
+  public void drainAnnounced(int gateway, String box, long now) {
+    drainAnnouncedMicros.putIfAbsent(gateway + "/" + box, now);
   }
 
   /** A gateway has been told that a box takes work again. */
-  public void drainOver(int gateway, String box) {
-    drains.remove(gateway + "/" + box);
+  public void drainEnded(int gateway, String box) {
+    drainAnnouncedMicros.remove(gateway + "/" + box);
   }
 
   /** A gateway began anew: what was told the one before it is not told to this one. */
-  public void restarted(int gateway) {
-    drains.keySet().removeIf(k -> k.startsWith(gateway + "/"));
-    marks.keySet().removeIf(k -> k.startsWith(gateway + "/"));
+  public void gatewayRestarted(int gateway) {
+    drainAnnouncedMicros.keySet().removeIf(k -> k.startsWith(gateway + "/"));
+    lastCommits.keySet().removeIf(k -> k.startsWith(gateway + "/"));
   }
 
   /** By which gateway a request goes; -1 if nobody asked it. */
   public int gatewayOf(String id) {
-    Asked a = asked.get(id);
+    CheckedRequest a = requests.get(id);
     return a == null ? -1 : a.gateway;
   }
 
   /** All that were asked. */
-  public Iterable<Asked> asked() {
-    return asked.values();
+  public Iterable<CheckedRequest> requests() {
+    return requests.values();
   }
 }
--- a/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
+++ b/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
@@ -27,16 +27,16 @@
     }
   }
 
-  private static final double WAVE = 10e6;
+  private static final double WAVE_MICROS = 10e6;
   private static final double SWING = 0.8;
-  private static final double BURST_EVERY = 2e6;
-  private static final double BURST_LENGTH = 0.1e6;
-  private static final double BURST_PART = 0.5; // of all requests come in bursts
+  private static final double BURST_PERIOD_MICROS = 2e6;
+  private static final double BURST_MICROS = 0.1e6;
+  private static final double BURST_FRACTION = 0.5; // of all requests come in bursts
 
   private final Pattern pattern;
   private final double perSecond;
   private final ZigguratSampler.Exponential gaps;
-  private double at;
+  private double atMicros;
 
   public ArrivalSchedule(Pattern pattern, double perSecond, UniformRandomProvider random) {
     this.pattern = pattern;
@@ -45,48 +45,48 @@
   }
 
   /** When the next one is due; never before the one before it. */
-  public long next() {
+  public long nextMicros() {
     double rate = perSecond / 1e6;
     switch (pattern) {
-      case EVEN -> at += 1 / rate;
-      case POISSON -> at += gaps.sample() / rate;
+      case EVEN -> atMicros += 1 / rate;
+      case POISSON -> atMicros += gaps.sample() / rate;
       default -> {
         // A Poisson process whose rate changes: one draw of unit mean, used up as the rate's
         // integral grows.
         double left = gaps.sample();
         while (left > 0) {
-          double now = factor(at) * rate;
-          double until = boundary(at);
-          if (now * (until - at) >= left) {
-            at += left / now;
+          double now = rateFactor(atMicros) * rate;
+          double until = stretchEndMicros(atMicros);
+          if (now * (until - atMicros) >= left) {
+            atMicros += left / now;
             left = 0;
           } else {
-            left -= now * (until - at);
-            at = until;
+            left -= now * (until - atMicros);
+            atMicros = until;
           }
         }
       }
     }
-    return (long) at;
+    return (long) atMicros;
   }
 
   /** How many times the mean rate it is at a time. */
-  double factor(double time) {
+  double rateFactor(double time) {
     if (pattern == Pattern.WAVES) {
-      return 1 + SWING * Math.sin(2 * Math.PI * time / WAVE);
+      return 1 + SWING * Math.sin(2 * Math.PI * time / WAVE_MICROS);
     }
-    boolean bursting = time % BURST_EVERY < BURST_LENGTH;
+    boolean bursting = time % BURST_PERIOD_MICROS < BURST_MICROS;
     return bursting
-        ? BURST_PART * BURST_EVERY / BURST_LENGTH
-        : (1 - BURST_PART) * BURST_EVERY / (BURST_EVERY - BURST_LENGTH);
+        ? BURST_FRACTION * BURST_PERIOD_MICROS / BURST_MICROS
+        : (1 - BURST_FRACTION) * BURST_PERIOD_MICROS / (BURST_PERIOD_MICROS - BURST_MICROS);
   }
 
   /** The end of the stretch of time, from one on, in which the rate is taken as the same. */
-  private double boundary(double time) {
+  private double stretchEndMicros(double time) {
     if (pattern == Pattern.WAVES) {
       return (Math.floor(time / 1e4) + 1) * 1e4;
     }
-    double in = time % BURST_EVERY;
-    return time - in + (in < BURST_LENGTH ? BURST_LENGTH : BURST_EVERY);
+    double in = time % BURST_PERIOD_MICROS;
+    return time - in + (in < BURST_MICROS ? BURST_MICROS : BURST_PERIOD_MICROS);
   }
 }
--- a/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
@@ -17,10 +17,10 @@
 public final class ClientConnectionHandler<R> extends ConnectionHandler {
 
   /** Whose connection it is. */
-  public interface Caller<R> {
+  public interface Listener<R> {
 
     /** It has been let in. */
-    default void welcomed(ClientConnectionHandler<R> by) {}
+    default void ready(ClientConnectionHandler<R> by) {}
 
     /**
      * An answer: a code where it is an error, the value else; when it was told to come back, in
@@ -30,27 +30,27 @@
         ClientConnectionHandler<R> by, R request, String value, String code, long retryAfter);
 
     /** Its time is up and nothing has come; the connection was given up. */
-    void late(ClientConnectionHandler<R> by, R request);
+    void timedOut(ClientConnectionHandler<R> by, R request);
 
     /** The connection has ended, with a request open or null. */
-    void left(ClientConnectionHandler<R> by, R request, boolean reset);
+    void disconnected(ClientConnectionHandler<R> by, R request, boolean reset);
 
     /** What no gateway may send. */
-    void malformed(String why);
+    void malformedResponse(String why);
   }
 
-  private static final int CLEAR_TEXT = 3;
+  private static final int CLEARTEXT_PASSWORD = 3;
 
-  private final Transport carrier;
-  private final Caller<R> caller;
+  private final Transport transport;
+  private final Listener<R> listener;
   private final String database;
   private final String password;
-  private R current;
+  private R currentRequest;
   private String value;
   private String code;
-  private long retryAfter;
-  private boolean welcomed;
-  private boolean asksNothing;
+  private long retryAfterMicros;
+  private boolean ready;
+  private boolean expectsNoAnswer;
 
   /** Connects as a user to a database; the password is null where none is to be asked for. */
   public ClientConnectionHandler(
@@ -59,17 +59,17 @@
       String user,
       String database,
       String password,
-      Caller<R> caller) {
-    this.carrier = carrier;
-    this.caller = caller;
+      Listener<R> caller) {
+    this.transport = carrier;
+    this.listener = caller;
     this.database = database;
     this.password = password;
-    end = carrier.connect(gateway, this);
+    connection = carrier.connect(gateway, this);
     send(Message.startup(user, database));
   }
 
   public boolean isFree() {
-    return !isOver() && !isStalled() && current == null;
+    return !isClosed() && !isStalled() && currentRequest == null;
   }
 
   public String database() {
@@ -77,49 +77,49 @@
   }
 
   /** Whether it has been let in. */
-  public boolean isWelcomed() {
-    return welcomed;
+  public boolean isReady() {
+    return ready;
   }
 
   /** What it waits for, or null. */
-  public R current() {
-    return current;
+  public R currentRequest() {
+    return currentRequest;
   }
 
   /** Sends a request; it may go right behind the startup. */
-  public void ask(R request, byte[] statement, long giveUpAt) {
-    current = request;
+  public void send(R request, byte[] statement, long giveUpAt) {
+    currentRequest = request;
     value = null;
     code = null;
-    retryAfter = 0;
+    retryAfterMicros = 0;
     send(Message.query(statement));
-    carrier
+    transport
         .clock()
         .at(
             giveUpAt,
             () -> {
-              if (current == request) {
-                current = null;
+              if (currentRequest == request) {
+                currentRequest = null;
                 reset();
-                caller.late(this, request);
+                listener.timedOut(this, request);
               }
             });
   }
 
   /** Hangs up, whatever it waits for: nobody waits for that any more. */
   public void hangUp() {
-    current = null;
+    currentRequest = null;
     close();
   }
 
   @Override
   protected void received(ByteBuffer bytes) {
     try {
-      for (Message m = next(bytes); m != null && !isOver(); m = next(bytes)) {
-        take(m);
+      for (Message m = next(bytes); m != null && !isClosed(); m = next(bytes)) {
+        handle(m);
       }
     } catch (ProtocolException e) {
-      caller.malformed("a client was sent what it can't read: " + e.getMessage());
+      listener.malformedResponse("a client was sent what it can't read: " + e.getMessage());
       reset();
       ended(true);
     }
@@ -129,10 +129,10 @@
     return Message.next(bytes, "RSKZTDCEIN", Message.MAX_BYTES);
   }
 
-  private void take(Message m) throws ProtocolException {
+  private void handle(Message m) throws ProtocolException {
     switch (m.type()) {
       case 'R' -> {
-        if (m.code() == CLEAR_TEXT && password != null) {
+        if (m.code() == CLEARTEXT_PASSWORD && password != null) {
           send(new Message('p', (password + "\0").getBytes(ISO_8859_1)).bytes());
         }
       }
@@ -140,35 +140,35 @@
       case 'E' -> {
         var fields = m.errorFields();
         code = fields.get('C');
-        retryAfter = fields.containsKey('D') ? Long.parseLong(fields.get('D')) * 1000 : 0;
+        retryAfterMicros = fields.containsKey('D') ? Long.parseLong(fields.get('D')) * 1000 : 0;
         if ("FATAL".equals(fields.get('S'))) {
-          if (current == null) {
+          if (currentRequest == null) {
             code = null; // a word before the end, to nobody's question
           }
-          over();
+          finishAnswer();
         }
       }
       case 'Z' -> {
-        if (welcomed) {
-          over();
+        if (ready) {
+          finishAnswer();
         } else {
-          welcomed = true;
-          caller.welcomed(this);
+          ready = true;
+          listener.ready(this);
         }
       }
       default -> {}
     }
   }
 
-  private void over() {
+  private void finishAnswer() {
     if (value == null && code == null) {
       return;
     }
-    R done = current;
-    current = null;
+    R done = currentRequest;
+    currentRequest = null;
     if (done == null) {
-      if (!asksNothing) {
-        caller.malformed("an answer to nothing: " + value + code);
+      if (!expectsNoAnswer) {
+        listener.malformedResponse("an answer to nothing: " + value + code);
       }
       return;
     }
@@ -176,19 +176,19 @@
     String error = code;
     value = null;
     code = null;
-    caller.answered(this, done, got, error, retryAfter);
+    listener.answered(this, done, got, error, retryAfterMicros);
   }
 
   /** What it is told from now on is no answer to anything. */
-  public void asksNothing() {
-    asksNothing = true;
+  public void expectNoAnswer() {
+    expectsNoAnswer = true;
   }
 
   @Override
   protected void ended(boolean reset) {
-    R lost = current;
-    current = null;
-    caller.left(this, lost, reset);
+    R lost = currentRequest;
+    currentRequest = null;
+    listener.disconnected(this, lost, reset);
   }
 
   /** The statement of a request, as clients write it. */
--- a/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
+++ b/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
@@ -23,20 +23,25 @@
  * (Tene, "How not to measure latency"). So many connections carry it; where all are busy a request
  * waits, and that counts too.
  */
-public final class OpenLoopLoad implements ClientConnectionHandler.Caller<OpenLoopLoad.Request> {
+public final class OpenLoopLoad implements ClientConnectionHandler.Listener<OpenLoopLoad.Request> {
 
   /**
    * A class of requests.
    *
-   * @param aimMs after which an answer is late
-   * @param giveUpMs after which it is worth nothing and its client has gone
+   * @param latencyObjectiveMillis after which an answer is late
+   * @param deadlineMillis after which it is worth nothing and its client has gone
    * @param share of the requests, beside the other kinds' shares
-   * @param worth of an answer on time
+   * @param priorityWeight of an answer on time
    */
-  public record Kind(
-      String name, boolean write, int aimMs, int giveUpMs, double share, double worth) {
-
-    public Kind(String name, boolean write, int aimMs, int giveUpMs) {
+  public record RequestKind(
+      String name,
+      boolean write,
+      int latencyObjectiveMillis,
+      int deadlineMillis,
+      double share,
+      double priorityWeight) {
+
+    public RequestKind(String name, boolean write, int aimMs, int giveUpMs) {
       this(name, write, aimMs, giveUpMs, 1, 1);
     }
   }
@@ -46,40 +51,41 @@
    *
    * @param arrivals how requests come
    * @param sessions among which requests are spread
-   * @param skew 1 for evenly, more for some that are much busier than others
-   * @param readBack part of the served writes that are read soon after, by the first kind that
-   *     reads
+   * @param sessionSkew 1 for evenly, more for some that are much busier than others
+   * @param readBackFraction part of the served writes that are read soon after, by the first kind
+   *     that reads
    * @param retries how often one that was refused comes back, when it was told to
-   * @param roam part of the answers after which a client leaves and connects anew
-   * @param hangUp part of the requests whose client leaves before the answer
+   * @param reconnectFraction part of the answers after which a client leaves and connects anew
+   * @param hangUpFraction part of the requests whose client leaves before the answer
    */
-  public record Habits(
+  public record ClientBehavior(
       ArrivalSchedule.Pattern arrivals,
       int sessions,
-      double skew,
-      double readBack,
+      double sessionSkew,
+      double readBackFraction,
       int retries,
-      double roam,
-      double hangUp) {
+      double reconnectFraction,
+      double hangUpFraction) {
 
     /** Even arrivals of clients that ask once and wait. */
-    public static final Habits PLAIN = new Habits(ArrivalSchedule.Pattern.EVEN, 997, 1, 0, 0, 0, 0);
+    public static final ClientBehavior PLAIN =
+        new ClientBehavior(ArrivalSchedule.Pattern.EVEN, 997, 1, 0, 0, 0, 0);
   }
 
   /** One request under way. */
   public static final class Request {
 
-    private final Kind kind;
+    private final RequestKind kind;
     private final String id;
     private final String session;
-    private final long due;
-    private int tries;
+    private final long dueMicros;
+    private int attempts;
 
-    private Request(Kind kind, String id, String session, long due) {
+    private Request(RequestKind kind, String id, String session, long due) {
       this.kind = kind;
       this.id = id;
       this.session = session;
-      this.due = due;
+      this.dueMicros = due;
     }
   }
 
@@ -87,12 +93,12 @@
    * What became of the requests of a class, or of all. Each due one ends as exactly one of the
    * others.
    */
-  public static final class Tally {
+  public static final class Outcomes {
 
     public long due;
     public long onTime;
     public long late;
-    public long refused;
+    public long rejected;
     public long failed;
 
     /** No answer, or a connection that ended without one. */
@@ -101,41 +107,41 @@
     /** Its client left by itself; not part of what was due. */
     public long hungUp;
 
-    private double worthDue;
-    private double worthOnTime;
+    private double valueDue;
+    private double valueServed;
 
     /** Worth answered on time over worth asked for. */
-    public double worthKept() {
-      return worthDue == 0 ? 1 : worthOnTime / worthDue;
+    public double servedValueFraction() {
+      return valueDue == 0 ? 1 : valueServed / valueDue;
     }
   }
 
   /** What became of a load. */
   public static final class Result {
 
-    public final Tally all = new Tally();
-    public final Map<String, Tally> kinds = new LinkedHashMap<>();
+    public final Outcomes total = new Outcomes();
+    public final Map<String, Outcomes> byKind = new LinkedHashMap<>();
 
-    /** Worth due and worth served on time in each {@link #WINDOW}. */
+    /** Worth due and worth served on time in each {@link #WINDOW_MICROS}. */
     public final List<double[]> windows = new ArrayList<>();
 
     /** Microseconds from due to the end of an answer that served. */
-    public final Histogram served = new Histogram(60_000_000L, 3);
+    public final Histogram latencyMicros = new Histogram(60_000_000L, 3);
 
     /**
      * Microseconds from due until the load itself came to the request: how far the tool lagged
      * behind.
      */
-    public final Histogram lag = new Histogram(60_000_000L, 3);
+    public final Histogram lagMicros = new Histogram(60_000_000L, 3);
 
     /** Requests that waited because every connection was busy. */
-    public long waited;
+    public long waitedCount;
 
     /** Answers with another's value, to nothing, or unreadable. */
-    public final List<String> wrong = new ArrayList<>();
+    public final List<String> malformedResponses = new ArrayList<>();
 
-    public double worthKept() {
-      return all.worthKept();
+    public double servedValueFraction() {
+      return total.servedValueFraction();
     }
 
     public double worstWindow() {
@@ -143,41 +149,41 @@
     }
 
     public double worstKind() {
-      return kinds.values().stream().mapToDouble(Tally::worthKept).min().orElse(1);
+      return byKind.values().stream().mapToDouble(Outcomes::servedValueFraction).min().orElse(1);
     }
   }
 
   /** Microseconds of a window in which worth is counted. */
-  public static final long WINDOW = 250_000;
+  public static final long WINDOW_MICROS = 250_000;
 
-  private static final int MOST_WAITING = 100_000;
-  private static final int MOST_WRONG = 20;
-  private static final long CONNECT_TIME = 5_000_000;
-  private static final long RECONNECT = 50_000;
-  private static final long HEAD_START = 50_000;
-  private static final long SOON = 20_000;
+  private static final int MAX_WAITING = 100_000;
+  private static final int MAX_RECORDED_MALFORMED = 20;
+  private static final long CONNECT_MICROS = 5_000_000;
+  private static final long RECONNECT_MICROS = 50_000;
+  private static final long HEAD_START_MICROS = 50_000;
+  private static final long READ_BACK_MICROS = 20_000;
 
-  private final Transport carrier;
+  private final Transport transport;
   private final InetSocketAddress gateway;
   private final String tenant;
   private final String password;
-  private final List<Kind> kinds;
-  private final Habits habits;
+  private final List<RequestKind> kinds;
+  private final ClientBehavior behavior;
   private final double perSecond;
-  private final int most;
+  private final int maxConnections;
   private final UniformRandomProvider random;
   private final Set<ClientConnectionHandler<Request>> connections = new LinkedHashSet<>();
-  private final ArrayDeque<ClientConnectionHandler<Request>> free = new ArrayDeque<>();
-  private final ArrayDeque<Request> waiting = new ArrayDeque<>();
+  private final ArrayDeque<ClientConnectionHandler<Request>> freeConnections = new ArrayDeque<>();
+  private final ArrayDeque<Request> waitingRequests = new ArrayDeque<>();
   private final Result result = new Result();
   private ArrivalSchedule arrivals;
-  private Runnable whenOver;
-  private boolean begun;
-  private boolean over;
-  private long start;
-  private long end;
-  private long count;
-  private long open;
+  private Runnable onEnd;
+  private boolean started;
+  private boolean ended;
+  private long startMicros;
+  private long endMicros;
+  private long requestCount;
+  private long openRequests;
 
   /**
    * Kinds at least one; the password is null where none is asked for. Everything drawn follows from
@@ -188,21 +194,21 @@
       InetSocketAddress gateway,
       String tenant,
       String password,
-      List<Kind> kinds,
-      Habits habits,
+      List<RequestKind> kinds,
+      ClientBehavior habits,
       double perSecond,
       int connections,
       long seed) {
-    this.carrier = carrier;
+    this.transport = carrier;
     this.gateway = gateway;
     this.tenant = tenant;
     this.password = password;
     this.kinds = List.copyOf(kinds);
-    this.habits = habits;
+    this.behavior = habits;
     this.perSecond = perSecond;
-    most = connections;
+    maxConnections = connections;
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    kinds.forEach(k -> result.kinds.put(k.name(), new Tally()));
+    kinds.forEach(k -> result.byKind.put(k.name(), new Outcomes()));
   }
 
   /**
@@ -213,8 +219,8 @@
       InetSocketAddress gateway,
       String tenant,
       String password,
-      List<Kind> kinds,
-      Habits habits,
+      List<RequestKind> kinds,
+      ClientBehavior habits,
       double perSecond,
       int connections,
       double seconds)
@@ -242,63 +248,64 @@
    * Connects, then plays for so many microseconds; told once every request that was due has ended.
    */
   public void start(long length, Runnable whenOver) {
-    this.whenOver = whenOver;
-    arrivals = new ArrivalSchedule(habits.arrivals(), perSecond, random);
-    for (int i = 0; i < most; i++) {
+    this.onEnd = whenOver;
+    arrivals = new ArrivalSchedule(behavior.arrivals(), perSecond, random);
+    for (int i = 0; i < maxConnections; i++) {
       connect();
     }
     // What connecting costs is not what is measured here: the clock starts once all had their try.
-    long latest = carrier.clock().now() + CONNECT_TIME;
-    carrier.clock().at(latest, () -> begin(length));
-    awaitWelcome(length);
+    long latest = transport.clock().nowMicros() + CONNECT_MICROS;
+    transport.clock().at(latest, () -> begin(length));
+    awaitConnections(length);
   }
 
   public Result result() {
     return result;
   }
 
-  private void awaitWelcome(long length) {
-    if (free.size() >= connections.size()) {
+  private void awaitConnections(long length) {
+    if (freeConnections.size() >= connections.size()) {
       begin(length);
-    } else if (!begun) {
-      carrier.clock().after(1_000, () -> awaitWelcome(length));
+    } else if (!started) {
+      transport.clock().after(1_000, () -> awaitConnections(length));
     }
   }
 
   private void begin(long length) {
-    if (begun) {
+    if (started) {
       return;
     }
-    begun = true;
-    start = carrier.clock().now() + HEAD_START;
-    end = start + length;
-    arrive();
-    long last = kinds.stream().mapToLong(Kind::giveUpMs).max().orElse(0) * 1000;
-    carrier.clock().at(end + last + CONNECT_TIME, this::end);
+    started = true;
+    startMicros = transport.clock().nowMicros() + HEAD_START_MICROS;
+    endMicros = startMicros + length;
+    scheduleNext();
+    long last = kinds.stream().mapToLong(RequestKind::deadlineMillis).max().orElse(0) * 1000;
+    transport.clock().at(endMicros + last + CONNECT_MICROS, this::end);
   }
 
-  private void arrive() {
-    long due = start + arrivals.next();
-    if (due >= end) {
-      carrier.clock().at(end, this::endIfDone);
+  private void scheduleNext() {
+    long due = startMicros + arrivals.nextMicros();
+    if (due >= endMicros) {
+      transport.clock().at(endMicros, this::endIfDone);
       return;
     }
-    carrier
+    transport
         .clock()
         .at(
             due,
             () -> {
-              arrive();
-              result.lag.recordValue(Math.max(0, carrier.clock().now() - due));
+              scheduleNext();
+              result.lagMicros.recordValue(Math.max(0, transport.clock().nowMicros() - due));
               int session =
-                  (int) (habits.sessions() * Math.pow(random.nextDouble(), habits.skew()));
-              ask(new Request(kind(), tenant + "-" + count++, "h" + session, due));
+                  (int)
+                      (behavior.sessions() * Math.pow(random.nextDouble(), behavior.sessionSkew()));
+              submit(new Request(drawKind(), tenant + "-" + requestCount++, "h" + session, due));
             });
   }
 
-  private Kind kind() {
-    double lot = random.nextDouble() * kinds.stream().mapToDouble(Kind::share).sum();
-    for (Kind k : kinds) {
+  private RequestKind drawKind() {
+    double lot = random.nextDouble() * kinds.stream().mapToDouble(RequestKind::share).sum();
+    for (RequestKind k : kinds) {
       lot -= k.share();
       if (lot < 0) {
         return k;
@@ -308,233 +315,235 @@
   }
 
   private void connect() {
-    if (connections.size() < most && !over) {
+    if (connections.size() < maxConnections && !ended) {
       connections.add(
-          new ClientConnectionHandler<>(carrier, gateway, tenant, tenant, password, this));
+          new ClientConnectionHandler<>(transport, gateway, tenant, tenant, password, this));
     }
   }
 
   // ---- A request
   // --------------------------------------------------------------------------------
 
-  private void ask(Request r) {
-    open++;
-    due(r, 1);
+  private void submit(Request r) {
+    openRequests++;
+    countDue(r, 1);
     send(r);
   }
 
   /** Counts a request as due, or, with -1, as not due after all. */
-  private void due(Request r, int sign) {
-    for (Tally t : tallies(r)) {
+  private void countDue(Request r, int sign) {
+    for (Outcomes t : outcomesOf(r)) {
       t.due += sign;
-      t.worthDue += sign * r.kind.worth();
+      t.valueDue += sign * r.kind.priorityWeight();
     }
-    window(r)[0] += sign * r.kind.worth();
+    window(r)[0] += sign * r.kind.priorityWeight();
   }
 
-  private Tally[] tallies(Request r) {
-    return new Tally[] {result.all, result.kinds.get(r.kind.name())};
+  private Outcomes[] outcomesOf(Request r) {
+    return new Outcomes[] {result.total, result.byKind.get(r.kind.name())};
   }
 
   private double[] window(Request r) {
-    int index = (int) ((r.due - start) / WINDOW);
+    int index = (int) ((r.dueMicros - startMicros) / WINDOW_MICROS);
     while (result.windows.size() <= index) {
       result.windows.add(new double[2]);
     }
     return result.windows.get(index);
   }
 
-  private long giveUpAt(Request r) {
-    return r.due + r.kind.giveUpMs() * 1000L;
+  private long deadlineMicros(Request r) {
+    return r.dueMicros + r.kind.deadlineMillis() * 1000L;
   }
 
   private void send(Request r) {
-    ClientConnectionHandler<Request> connection = free.poll();
+    ClientConnectionHandler<Request> connection = freeConnections.poll();
     while (connection != null && !connection.isFree()) {
-      connection = free.poll();
+      connection = freeConnections.poll();
     }
     if (connection == null) {
-      result.waited++;
-      if (waiting.size() >= MOST_WAITING) {
-        ended(r, t -> t.unanswered++);
+      result.waitedCount++;
+      if (waitingRequests.size() >= MAX_WAITING) {
+        finish(r, t -> t.unanswered++);
       } else {
-        waiting.add(r);
+        waitingRequests.add(r);
       }
       return;
     }
-    long left = (giveUpAt(r) - carrier.clock().now()) / 1000;
+    long left = (deadlineMicros(r) - transport.clock().nowMicros()) / 1000;
     if (left <= 0) {
-      free.push(connection);
-      ended(r, t -> t.unanswered++);
+      freeConnections.push(connection);
+      finish(r, t -> t.unanswered++);
       return;
     }
-    r.tries++;
-    connection.ask(
+    r.attempts++;
+    connection.send(
         r,
         ClientConnectionHandler.statement(
-            r.id + (r.tries > 1 ? "." + r.tries : ""),
+            r.id + (r.attempts > 1 ? "." + r.attempts : ""),
             r.kind.name(),
             left,
             r.id,
             1,
             r.session,
             r.kind.write()),
-        giveUpAt(r));
-    if (habits.hangUp() > 0 && random.nextDouble() < habits.hangUp()) {
+        deadlineMicros(r));
+    if (behavior.hangUpFraction() > 0 && random.nextDouble() < behavior.hangUpFraction()) {
       ClientConnectionHandler<Request> hanging = connection;
-      carrier
+      transport
           .clock()
           .after(
-              1 + random.nextInt(r.kind.aimMs() * 1000),
+              1 + random.nextInt(r.kind.latencyObjectiveMillis() * 1000),
               () -> {
-                if (hanging.current() == r) {
+                if (hanging.currentRequest() == r) {
                   hanging.hangUp();
-                  due(r, -1);
-                  ended(r, t -> t.hungUp++);
-                  gone(hanging);
+                  countDue(r, -1);
+                  finish(r, t -> t.hungUp++);
+                  replaceConnection(hanging);
                 }
               });
     }
   }
 
-  private void ended(Request r, Consumer<Tally> how) {
-    for (Tally t : tallies(r)) {
+  private void finish(Request r, Consumer<Outcomes> how) {
+    for (Outcomes t : outcomesOf(r)) {
       how.accept(t);
     }
-    open--;
+    openRequests--;
     endIfDone();
   }
 
-  private void next(ClientConnectionHandler<Request> connection) {
+  private void useConnection(ClientConnectionHandler<Request> connection) {
     if (connection.isFree()) {
-      free.add(connection);
+      freeConnections.add(connection);
     }
-    Request r = waiting.poll();
+    Request r = waitingRequests.poll();
     if (r != null) {
       send(r);
     }
   }
 
-  private void gone(ClientConnectionHandler<Request> connection) {
+  private void replaceConnection(ClientConnectionHandler<Request> connection) {
     connections.remove(connection);
-    free.remove(connection);
-    carrier.clock().after(RECONNECT, this::connect);
+    freeConnections.remove(connection);
+    transport.clock().after(RECONNECT_MICROS, this::connect);
   }
 
   // ---- What connections tell
   // --------------------------------------------------------------------------------
 
   @Override
-  public void welcomed(ClientConnectionHandler<Request> by) {
-    next(by);
+  public void ready(ClientConnectionHandler<Request> by) {
+    useConnection(by);
   }
 
   @Override
   public void answered(
       ClientConnectionHandler<Request> by, Request r, String value, String code, long retryAfter) {
-    long now = carrier.clock().now();
-    long took = now - r.due;
+    long now = transport.clock().nowMicros();
+    long took = now - r.dueMicros;
     if (code != null) {
       boolean refused = code.equals("53300") || code.equals("57P03");
-      long again = now + Math.max(RECONNECT, retryAfter);
-      if (refused && r.tries <= habits.retries() && again < giveUpAt(r)) {
-        carrier.clock().at(again, () -> send(r));
+      long again = now + Math.max(RECONNECT_MICROS, retryAfter);
+      if (refused && r.attempts <= behavior.retries() && again < deadlineMicros(r)) {
+        transport.clock().at(again, () -> send(r));
       } else {
-        ended(
+        finish(
             r,
             t -> {
-              t.refused += refused ? 1 : 0;
+              t.rejected += refused ? 1 : 0;
               t.failed += refused ? 0 : 1;
             });
       }
     } else if (value == null || !value.startsWith(r.id)) {
-      malformed(r.id + " was answered with " + value);
-      ended(r, t -> t.failed++);
+      malformedResponse(r.id + " was answered with " + value);
+      finish(r, t -> t.failed++);
     } else {
-      boolean onTime = took <= r.kind.aimMs() * 1000L;
-      result.served.recordValue(
-          Math.max(0, Math.min(took, result.served.getHighestTrackableValue())));
+      boolean onTime = took <= r.kind.latencyObjectiveMillis() * 1000L;
+      result.latencyMicros.recordValue(
+          Math.max(0, Math.min(took, result.latencyMicros.getHighestTrackableValue())));
       if (onTime) {
-        window(r)[1] += r.kind.worth();
+        window(r)[1] += r.kind.priorityWeight();
       }
-      if (r.kind.write() && random.nextDouble() < habits.readBack()) {
+      if (r.kind.write() && random.nextDouble() < behavior.readBackFraction()) {
         readBack(r);
       }
-      ended(
+      finish(
           r,
           t -> {
             t.onTime += onTime ? 1 : 0;
             t.late += onTime ? 0 : 1;
-            t.worthOnTime += onTime ? r.kind.worth() : 0;
+            t.valueServed += onTime ? r.kind.priorityWeight() : 0;
           });
     }
-    if (random.nextDouble() < habits.roam()) {
-      by.asksNothing();
+    if (random.nextDouble() < behavior.reconnectFraction()) {
+      by.expectNoAnswer();
       by.close();
-      gone(by);
+      replaceConnection(by);
     } else {
-      next(by);
+      useConnection(by);
     }
   }
 
   private void readBack(Request write) {
-    long due = carrier.clock().now() + random.nextLong(SOON);
+    long due = transport.clock().nowMicros() + random.nextLong(READ_BACK_MICROS);
     kinds.stream()
         .filter(k -> !k.write())
         .findFirst()
         .ifPresent(
             kind ->
-                carrier
+                transport
                     .clock()
                     .at(
                         due,
                         () -> {
-                          if (due < end) {
-                            ask(new Request(kind, tenant + "-" + count++, write.session, due));
+                          if (due < endMicros) {
+                            submit(
+                                new Request(
+                                    kind, tenant + "-" + requestCount++, write.session, due));
                           }
                         }));
   }
 
   @Override
-  public void late(ClientConnectionHandler<Request> by, Request r) {
-    ended(r, t -> t.unanswered++);
-    gone(by);
+  public void timedOut(ClientConnectionHandler<Request> by, Request r) {
+    finish(r, t -> t.unanswered++);
+    replaceConnection(by);
   }
 
   @Override
-  public void left(ClientConnectionHandler<Request> by, Request r, boolean reset) {
+  public void disconnected(ClientConnectionHandler<Request> by, Request r, boolean reset) {
     if (r != null) {
-      ended(r, t -> t.unanswered++);
+      finish(r, t -> t.unanswered++);
     }
-    gone(by);
+    replaceConnection(by);
   }
 
   @Override
-  public void malformed(String why) {
-    if (result.wrong.size() < MOST_WRONG) {
-      result.wrong.add(why);
+  public void malformedResponse(String why) {
+    if (result.malformedResponses.size() < MAX_RECORDED_MALFORMED) {
+      result.malformedResponses.add(why);
     }
   }
 
   private void endIfDone() {
-    if (begun && open == 0 && carrier.clock().now() >= end) {
+    if (started && openRequests == 0 && transport.clock().nowMicros() >= endMicros) {
       end();
     }
   }
 
   private void end() {
-    if (over) {
+    if (ended) {
       return;
     }
-    over = true;
+    ended = true;
     // What no connection came to in its time has had no answer.
-    for (Request r = waiting.poll(); r != null; r = waiting.poll()) {
-      ended(r, t -> t.unanswered++);
+    for (Request r = waitingRequests.poll(); r != null; r = waitingRequests.poll()) {
+      finish(r, t -> t.unanswered++);
     }
     for (ClientConnectionHandler<Request> c : List.copyOf(connections)) {
-      c.asksNothing();
+      c.expectNoAnswer();
       c.close();
     }
-    whenOver.run();
+    onEnd.run();
   }
 }
--- a/lab/src/main/java/shelffront/lab/model/Clock.java
+++ b/lab/src/main/java/shelffront/lab/model/Clock.java
@@ -3,7 +3,7 @@
 /** The time that a model lives in, real or virtual: Unix microseconds. */
 public interface Clock {
 
-  long now();
+  long nowMicros();
 
   /**
    * Runs a task at a time, or as soon as it can where that has passed; in the order of times, then
@@ -12,6 +12,6 @@
   void at(long time, Runnable task);
 
   default void after(long delay, Runnable task) {
-    at(now() + delay, task);
+    at(nowMicros() + delay, task);
   }
 }
--- a/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
+++ b/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
@@ -22,7 +22,7 @@
 public final class ReplicaSetModel {
 
   /** How a box answers. */
-  public enum Kind {
+  public enum AnswerKind {
     OK,
     MISS,
     FULL,
@@ -38,61 +38,66 @@
       String key,
       String session,
       boolean write,
-      boolean fresh,
-      long bound,
-      long until) {}
+      boolean strong,
+      long maxStalenessMicros,
+      long deadlineMicros) {}
 
   /** What comes of it: the position is the commit of a write, or that of a read's copy. */
-  public record Answer(Kind kind, boolean primary, long position) {}
+  public record Answer(AnswerKind kind, boolean primary, long positionMicros) {}
 
   /** A write that took effect. */
-  public record Effect(String key, String id, long commit, String box) {}
+  public record Effect(String key, String requestId, long commitMicros, String host) {}
 
   /** Told of what happens in the set, as it truly happens. */
-  public interface Witness {
+  public interface Observer {
 
     /** A box has begun with a request, which from now on may have an effect. */
-    void begun(Box box, Query query);
+    void executionStarted(Host box, Query query);
 
-    void applied(Box box, Effect effect, Query by, boolean repeated);
+    void applied(Host box, Effect effect, Query by, boolean repeated);
 
     /** A read was answered from a copy at this position, which needed that one. */
-    void read(Box box, Query query, long position);
+    void readServed(Host box, Query query, long position);
 
     /** A cold box got more than it can bear. */
-    void pushedOver(Box box);
+    void overloaded(Host box);
 
     /**
      * Who is primary and who was; null where there is none. What of the log was lost with the one
      * before.
      */
-    void primary(Box box, Box before, List<Effect> lost);
+    void primaryChanged(Host box, Host before, List<Effect> lost);
   }
 
-  private record Entry(long commit, String session, Effect effect) {}
+  private record LogEntry(long commitMicros, String session, Effect effect) {}
 
-  private record Waiting(Query query, Consumer<Answer> answer, long work, int life, long arrived) {}
+  private record QueuedRequest(
+      Query query,
+      Consumer<Answer> answer,
+      long workMicros,
+      int incarnation,
+      long arrivedAtMicros) {}
 
-  private record Arrival(long at, double work) {}
+  private record WorkArrival(long atMicros, double workMicros) {}
 
   /** One box of the set. */
-  public final class Box {
+  public final class Host {
 
     private final String id;
     private boolean up;
     private boolean draining;
-    private long startedAt; // 0 if long ago
-    private int busy;
-    private int life; // work of an earlier process is gone
-    private final ArrayDeque<Waiting> room = new ArrayDeque<>();
-    private int next; // of the log, the entry to apply
-    private long freeAt; // when its thread has applied the one before
-    private long slowUntil;
-    private double slowness = 1;
-    private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
-    private boolean fallen;
-
-    private Box(String id) {
+    private long startedAtMicros; // 0 if long ago
+    private int busyCores;
+    private int incarnation; // work of an earlier process is gone
+    private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
+    private int nextEntry; // of the log, the entry to apply
+    private long applierFreeAtMicros; // when its thread has applied the one before
+    private long slowUntilMicros;
+    private double slowdown = 1;
+    private final ArrayDeque<WorkArrival> recentWork = new ArrayDeque<>();
+    private boolean overloaded;
+
+    private Host(String id) {
       this.id = id;
       up = true;
     }
@@ -114,168 +119,173 @@
     }
 
     /** When its process started, or 0 if long ago. */
-    public long startedAt() {
-      return startedAt;
+    public long startedAtMicros() {
+      return startedAtMicros;
     }
 
     /** Requests that wait. */
     public int queued() {
-      return room.size();
+      return queue.size();
     }
 
     /** Part of its cores that it has now. */
-    public double warmth() {
-      long age = clock.now() - startedAt;
-      return startedAt == 0 || age >= figures.coldTime()
+    public double capacityFraction() {
+      long age = clock.nowMicros() - startedAtMicros;
+      return startedAtMicros == 0 || age >= parameters.coldTime()
           ? 1
-          : figures.coldFrom() + (1 - figures.coldFrom()) * age / figures.coldTime();
+          : parameters.coldFrom() + (1 - parameters.coldFrom()) * age / parameters.coldTime();
     }
 
     /** The time up to which it has applied every commit. */
-    public long position() {
-      return isPrimary() ? clock.now() : applied(clock.now());
+    public long positionMicros() {
+      return isPrimary() ? clock.nowMicros() : appliedPosition(clock.nowMicros());
     }
 
-    private long applied(long now) {
-      while (next < log.size()) {
-        long arrived = log.get(next).commit() + figures.shipDelay();
+    private long appliedPosition(long now) {
+      while (nextEntry < log.size()) {
+        long arrived = log.get(nextEntry).commitMicros() + parameters.shipDelay();
         long done =
-            Math.max(arrived, freeAt)
-                + (long) (figures.applyCost() * (now < slowUntil ? slowness : 1));
+            Math.max(arrived, applierFreeAtMicros)
+                + (long) (parameters.applyCost() * (now < slowUntilMicros ? slowdown : 1));
         if (done > now) {
           break;
         }
-        freeAt = done;
-        next++;
+        applierFreeAtMicros = done;
+        nextEntry++;
       }
-      long shipped = now - figures.shipDelay();
-      return next < log.size() ? Math.min(shipped, log.get(next).commit() - 1) : shipped;
+      long shipped = now - parameters.shipDelay();
+      return nextEntry < log.size()
+          ? Math.min(shipped, log.get(nextEntry).commitMicros() - 1)
+          : shipped;
     }
 
     /** Work and the log's application take so many times as long, for a while. */
-    public void slow(double factor, long time) {
-      slowness = factor;
-      slowUntil = clock.now() + time;
+    public void slowDown(double factor, long time) {
+      slowdown = factor;
+      slowUntilMicros = clock.nowMicros() + time;
     }
 
     /** Begins with nothing for a while; what it works on goes on. */
     public void pause(long time) {
-      occupy(figures.cores(), time);
+      occupy(parameters.cores(), time);
     }
 
     /** Takes a request; the answer comes later, unless the process ends first. */
     public void submit(Query query, Consumer<Answer> answer) {
-      long work = work(query.write());
-      weigh(work);
+      long work = drawWorkMicros(query.write());
+      recordWork(work);
       if (!up) {
         return;
       }
-      if (draining || query.until() <= clock.now()) {
-        reply(answer, Kind.FULL);
+      if (draining || query.deadlineMicros() <= clock.nowMicros()) {
+        reply(answer, AnswerKind.FULL);
       } else if (!isPrimary()
           && (query.write()
-              || query.fresh() && figures.check() != ReplicaSetParameters.Check.SILENT)) {
-        reply(answer, Kind.MISS);
-      } else if (busy >= figures.cores() && room.size() >= figures.room()) {
-        reply(answer, Kind.FULL);
+              || query.strong() && parameters.check() != ReplicaSetParameters.Check.SILENT)) {
+        reply(answer, AnswerKind.MISS);
+      } else if (busyCores >= parameters.cores() && queue.size() >= parameters.room()) {
+        reply(answer, AnswerKind.FULL);
       } else {
-        room.add(new Waiting(query, answer, work, life, clock.now()));
-        look();
+        queue.add(new QueuedRequest(query, answer, work, incarnation, clock.nowMicros()));
+        startQueued();
       }
     }
 
     /** A connection costs a core some time. */
     public void handshake() {
-      weigh(figures.handshake());
-      occupy(1, figures.handshake());
+      recordWork(parameters.handshake());
+      occupy(1, parameters.handshake());
     }
 
     private void occupy(int cores, long time) {
-      busy += cores;
-      int mine = life;
+      busyCores += cores;
+      int mine = incarnation;
       clock.after(
           time,
           () -> {
-            if (mine == life) {
-              busy -= cores;
-              look();
+            if (mine == incarnation) {
+              busyCores -= cores;
+              startQueued();
             }
           });
     }
 
     /** The rule on cold boxes: a budget of work over any window after the start. */
-    private void weigh(long work) {
-      long now = clock.now();
-      if (startedAt == 0 || now - startedAt >= figures.coldTime() || fallen) {
+    private void recordWork(long work) {
+      long now = clock.nowMicros();
+      if (startedAtMicros == 0 || now - startedAtMicros >= parameters.coldTime() || overloaded) {
         return;
       }
-      arrivals.add(new Arrival(now, work));
-      while (arrivals.peek().at() < now - figures.fallTime()) {
-        arrivals.poll();
+      recentWork.add(new WorkArrival(now, work));
+      while (recentWork.peek().atMicros() < now - parameters.fallTime()) {
+        recentWork.poll();
       }
-      double sum = arrivals.stream().mapToDouble(Arrival::work).sum();
-      double bearable = figures.fall() * warmth() * figures.cores() * figures.fallTime();
+      double sum = recentWork.stream().mapToDouble(WorkArrival::workMicros).sum();
+      double bearable =
+          parameters.fall() * capacityFraction() * parameters.cores() * parameters.fallTime();
       if (sum > bearable) {
-        fallen = true;
-        witness.pushedOver(this);
+        overloaded = true;
+        observer.overloaded(this);
       }
     }
 
-    private void reply(Consumer<Answer> answer, Kind kind) {
-      answer.accept(new Answer(kind, isPrimary(), position()));
+    private void reply(Consumer<Answer> answer, AnswerKind kind) {
+      answer.accept(new Answer(kind, isPrimary(), positionMicros()));
     }
 
-    private void look() {
-      while (!room.isEmpty() && busy < figures.cores()) {
-        Waiting w = room.poll();
-        if (w.query().until() <= clock.now()) {
-          reply(w.answer(), Kind.FULL);
+    private void startQueued() {
+      while (!queue.isEmpty() && busyCores < parameters.cores()) {
+        QueuedRequest w = queue.poll();
+        if (w.query().deadlineMicros() <= clock.nowMicros()) {
+          reply(w.answer(), AnswerKind.FULL);
           continue;
         }
-        busy++;
-        witness.begun(this, w.query());
-        double factor = (clock.now() < slowUntil ? slowness : 1) / warmth();
+        busyCores++;
+        observer.executionStarted(this, w.query());
+        double factor = (clock.nowMicros() < slowUntilMicros ? slowdown : 1) / capacityFraction();
         clock.after(
-            (long) (w.work() * factor),
+            (long) (w.workMicros() * factor),
             () -> {
-              if (w.life() == life) {
-                busy--;
-                done(w);
-                look();
+              if (w.incarnation() == incarnation) {
+                busyCores--;
+                finish(w);
+                startQueued();
               }
             });
       }
     }
 
-    private void done(Waiting w) {
+    private void finish(QueuedRequest w) {
       if (w.query().write()) {
         if (!isPrimary()) {
-          reply(w.answer(), Kind.ERROR); // it was deposed meanwhile; nothing was committed
+          reply(w.answer(), AnswerKind.ERROR); // it was deposed meanwhile; nothing was committed
           return;
         }
-        long commit = apply(this, w.query(), w.arrived());
-        w.answer().accept(new Answer(Kind.OK, true, commit));
+        long commit = apply(this, w.query(), w.arrivedAtMicros());
+        w.answer().accept(new Answer(AnswerKind.OK, true, commit));
         return;
       }
-      read(w, clock.now() + figures.patience());
+      read(w, clock.nowMicros() + parameters.patience());
     }
 
-    private void read(Waiting w, long until) {
-      if (w.life() != life) {
+    private void read(QueuedRequest w, long until) {
+      if (w.incarnation() != incarnation) {
         return;
       }
       Query q = w.query();
-      long now = clock.now();
+      long now = clock.nowMicros();
       long need =
-          q.fresh()
+          q.strong()
               ? now
-              : q.bound() > 0 ? now - q.bound() : sessions.getOrDefault(q.session(), 0L);
-      boolean covered = isPrimary() || !q.fresh() && position() >= need;
-      if (covered || figures.check() == ReplicaSetParameters.Check.SILENT) {
-        witness.read(this, q, position());
-        w.answer().accept(new Answer(Kind.OK, isPrimary(), position()));
-      } else if (figures.check() == ReplicaSetParameters.Check.REFUSE || now >= until) {
-        reply(w.answer(), Kind.MISS);
+              : q.maxStalenessMicros() > 0
+                  ? now - q.maxStalenessMicros()
+                  : lastCommitBySession.getOrDefault(q.session(), 0L);
+      boolean covered = isPrimary() || !q.strong() && positionMicros() >= need;
+      if (covered || parameters.check() == ReplicaSetParameters.Check.SILENT) {
+        observer.readServed(this, q, positionMicros());
+        w.answer().accept(new Answer(AnswerKind.OK, isPrimary(), positionMicros()));
+      } else if (parameters.check() == ReplicaSetParameters.Check.REFUSE || now >= until) {
+        reply(w.answer(), AnswerKind.MISS);
       } else {
         clock.at(Math.min(until, now + 5_000), () -> read(w, until));
       }
@@ -284,16 +294,16 @@
 
   private final Clock clock;
   private final UniformRandomProvider random;
-  private final ReplicaSetParameters figures;
-  private final Witness witness;
-  private final List<Box> boxes = new ArrayList<>();
-  private final List<Entry> log = new ArrayList<>();
-  private final Map<String, Long> sessions = new LinkedHashMap<>();
+  private final ReplicaSetParameters parameters;
+  private final Observer observer;
+  private final List<Host> hosts = new ArrayList<>();
+  private final List<LogEntry> log = new ArrayList<>();
+  private final Map<String, Long> lastCommitBySession = new LinkedHashMap<>();
   private final Map<String, Effect> lastByKey = new LinkedHashMap<>();
-  private final Map<String, Integer> counts = new LinkedHashMap<>();
-  private final ContinuousSampler spread;
-  private Box primary;
-  private int elections;
+  private final Map<String, Integer> effectCounts = new LinkedHashMap<>();
+  private final ContinuousSampler workSpread;
+  private Host primary;
+  private int pendingElections;
 
   /** A set of so many boxes, the first of which is primary. */
   public ReplicaSetModel(
@@ -302,133 +312,133 @@
       Clock clock,
       UniformRandomProvider random,
       ReplicaSetParameters figures,
-      Witness witness) {
+      Observer witness) {
     this.clock = clock;
     this.random = random;
-    this.figures = figures;
-    this.witness = witness;
-    spread =
+    this.parameters = figures;
+    this.observer = witness;
+    workSpread =
         figures.sigma() == 0
             ? () -> 1
             : LogNormalSampler.of(
                 ZigguratSampler.NormalizedGaussian.of(random), 0, figures.sigma());
     for (int i = 0; i < boxCount; i++) {
-      boxes.add(new Box(name + "-" + i));
+      hosts.add(new Host(name + "-" + i));
     }
-    primary = boxes.get(0);
+    primary = hosts.get(0);
   }
 
-  public List<Box> boxes() {
-    return boxes;
+  public List<Host> hosts() {
+    return hosts;
   }
 
   /** Null while there is none. */
-  public Box primary() {
+  public Host primary() {
     return primary;
   }
 
   /** How often a key's write took effect, and still has it. */
-  public int effects(String key) {
-    return counts.getOrDefault(key, 0);
+  public int effectCount(String key) {
+    return effectCounts.getOrDefault(key, 0);
   }
 
-  private long work(boolean write) {
+  private long drawWorkMicros(boolean write) {
     return Math.max(
-        1, (long) ((write ? figures.writeWork() : figures.readWork()) * spread.sample()));
+        1, (long) ((write ? parameters.writeWork() : parameters.readWork()) * workSpread.sample()));
   }
 
   /**
    * A repeat counts by when it arrived, as the sender's window does: that it waited for a core is
    * not its doing.
    */
-  private long apply(Box box, Query query, long arrived) {
+  private long apply(Host box, Query query, long arrived) {
     Effect before = lastByKey.get(query.key());
-    long now = clock.now();
-    if (before != null && arrived - before.commit() < figures.window()) {
-      witness.applied(box, before, query, true);
-      return before.commit();
+    long now = clock.nowMicros();
+    if (before != null && arrived - before.commitMicros() < parameters.window()) {
+      observer.applied(box, before, query, true);
+      return before.commitMicros();
     }
     Effect effect = new Effect(query.key(), query.id(), now, box.id());
     lastByKey.put(query.key(), effect);
-    counts.merge(query.key(), 1, Integer::sum);
-    log.add(new Entry(now, query.session(), effect));
-    sessions.put(query.session(), now);
-    witness.applied(box, effect, query, false);
+    effectCounts.merge(query.key(), 1, Integer::sum);
+    log.add(new LogEntry(now, query.session(), effect));
+    lastCommitBySession.put(query.session(), now);
+    observer.applied(box, effect, query, false);
     return now;
   }
 
   /** A new box joins as a replica, with a copy as of now, cold. */
-  public Box join(String id) {
-    Box box = new Box(id);
-    box.startedAt = clock.now();
-    box.next = log.size();
-    box.freeAt = clock.now();
-    boxes.add(box);
+  public Host join(String id) {
+    Host box = new Host(id);
+    box.startedAtMicros = clock.nowMicros();
+    box.nextEntry = log.size();
+    box.applierFreeAtMicros = clock.nowMicros();
+    hosts.add(box);
     return box;
   }
 
   /** Its process ends; where it was primary, another is elected after a while. */
-  public void kill(Box box) {
+  public void kill(Host box) {
     if (!box.up) {
       return;
     }
     box.up = false;
-    box.life++;
-    box.busy = 0;
-    box.room.clear();
+    box.incarnation++;
+    box.busyCores = 0;
+    box.queue.clear();
     if (primary == box) {
-      box.next = log.size();
-      box.freeAt = clock.now();
+      box.nextEntry = log.size();
+      box.applierFreeAtMicros = clock.nowMicros();
       primary = null;
-      witness.primary(null, box, List.of());
-      elect(box, figures.election() + random.nextLong(figures.election() + 1));
+      observer.primaryChanged(null, box, List.of());
+      elect(box, parameters.election() + random.nextLong(parameters.election() + 1));
     }
   }
 
   /** Its process starts anew from the copy that it had. */
-  public void restart(Box box) {
+  public void restart(Host box) {
     if (box.up) {
       return;
     }
     box.up = true;
     box.draining = false;
-    box.fallen = false;
-    box.arrivals.clear();
-    box.startedAt = clock.now();
-    box.next = Math.min(box.next, log.size());
-    box.freeAt = clock.now();
-    if (primary == null && elections == 0) {
-      elect(null, figures.election());
+    box.overloaded = false;
+    box.recentWork.clear();
+    box.startedAtMicros = clock.nowMicros();
+    box.nextEntry = Math.min(box.nextEntry, log.size());
+    box.applierFreeAtMicros = clock.nowMicros();
+    if (primary == null && pendingElections == 0) {
+      elect(null, parameters.election());
     }
   }
 
   /** It finishes what it has and takes nothing new; a primary hands over. */
-  public void drain(Box box) {
+  public void drain(Host box) {
     box.draining = true;
     if (primary == box) {
-      elect(box, figures.handOver());
+      elect(box, parameters.handOver());
     }
   }
 
-  private void elect(Box before, long delay) {
-    elections++;
+  private void elect(Host before, long delay) {
+    pendingElections++;
     clock.after(
         delay,
         () -> {
-          elections--;
+          pendingElections--;
           if (primary != null && primary != before) {
             return;
           }
-          Box best = null;
-          Set<Box> able = new LinkedHashSet<>(boxes);
+          Host best = null;
+          Set<Host> able = new LinkedHashSet<>(hosts);
           able.removeIf(b -> !b.up || b.draining);
-          for (Box b : able) {
-            b.applied(clock.now());
-            best = best == null || b.next > best.next ? b : best;
+          for (Host b : able) {
+            b.appliedPosition(clock.nowMicros());
+            best = best == null || b.nextEntry > best.nextEntry ? b : best;
           }
           if (best == null) {
             if (primary == null) {
-              elect(before, figures.election());
+              elect(before, parameters.election());
             }
             return;
           }
@@ -436,26 +446,26 @@
         });
   }
 
-  private void promote(Box best) {
+  private void promote(Host best) {
     List<Effect> lost = new ArrayList<>();
-    if (figures.losesTail() && (primary == null || !primary.up)) {
-      while (log.size() > best.next) {
+    if (parameters.losesTail() && (primary == null || !primary.up)) {
+      while (log.size() > best.nextEntry) {
         Effect gone = log.remove(log.size() - 1).effect();
         lost.add(gone);
-        counts.merge(gone.key(), -1, Integer::sum);
+        effectCounts.merge(gone.key(), -1, Integer::sum);
         lastByKey.remove(gone.key());
       }
-      for (Box b : boxes) {
-        b.next = Math.min(b.next, log.size());
+      for (Host b : hosts) {
+        b.nextEntry = Math.min(b.nextEntry, log.size());
       }
     }
     if (primary != null) {
-      primary.next = log.size();
-      primary.freeAt = clock.now();
+      primary.nextEntry = log.size();
+      primary.applierFreeAtMicros = clock.nowMicros();
     }
-    best.next = log.size();
-    Box before = primary;
+    best.nextEntry = log.size();
+    Host before = primary;
     primary = best;
-    witness.primary(best, before, lost);
+    observer.primaryChanged(best, before, lost);
   }
 }
--- a/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
+++ b/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
@@ -18,7 +18,7 @@
 
   private static final int PROTOCOL_3 = 196_608;
   private static final byte[] EMPTY_QUERY = {'Q', 0, 0, 0, 6, ';', 0};
-  private static final int MOST_MILLIS = 5_000;
+  private static final int TIMEOUT_MILLIS = 5_000;
   private static final long PAUSE_MILLIS = 200;
   private static final long FIRST_MILLIS =
       20_000; // within which the tenant has to be found at first
@@ -26,7 +26,7 @@
   private final String address;
   private final String tenant;
   private final Thread thread;
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> failures = new ArrayList<>();
   private volatile boolean stopped;
   private volatile long served;
 
@@ -46,11 +46,11 @@
   List<String> stop() {
     stopped = true;
     try {
-      thread.join(2 * MOST_MILLIS);
+      thread.join(2 * TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return broken;
+    return failures;
   }
 
   private void run() {
@@ -59,12 +59,12 @@
       while (!isServed(address, tenant) && System.nanoTime() < until) {
         TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
       }
-      while (!stopped && broken.isEmpty()) {
+      while (!stopped && failures.isEmpty()) {
         if (!isServed(address, tenant)) {
-          broken.add("a client of " + tenant + " was not served by " + address);
+          failures.add("a client of " + tenant + " was not served by " + address);
         }
         if (isServed(address, "nobody")) {
-          broken.add("a client of nobody was served by " + address);
+          failures.add("a client of nobody was served by " + address);
         }
         served++;
         TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
@@ -80,7 +80,7 @@
   static Socket open(String address, String database) throws IOException {
     String[] at = address.split(":");
     Socket socket = new Socket(at[0], Integer.parseInt(at[1]));
-    socket.setSoTimeout(MOST_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     byte[] parameters = ("user\0api\0database\0" + database + "\0\0").getBytes(UTF_8);
     socket
         .getOutputStream()
--- a/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
@@ -88,8 +88,8 @@
     int failed = 0;
     for (long seed = from; seed < from + seeds; seed++) {
       Path directory = Files.createTempDirectory("distribution-" + seed + "-");
-      try (Play play = new Play(directory, seed)) {
-        List<String> broken = play.play(steps, boundMs * 1000);
+      try (SeedRun play = new SeedRun(directory, seed)) {
+        List<String> broken = play.run(steps, boundMs * 1000);
         System.out.println("seed " + seed + ": " + play.summary());
         if (!broken.isEmpty()) {
           failed++;
@@ -107,48 +107,48 @@
   }
 
   /** One seed's fleet, schedule and judgement. */
-  private static final class Play implements AutoCloseable {
+  private static final class SeedRun implements AutoCloseable {
 
     private final UniformRandomProvider
         random; // of the schedule: the same for a seed, whatever else takes long
     private final UniformRandomProvider changeRandom;
-    private final Map<String, FaultProxy> ways = new TreeMap<>(); // "from to"
+    private final Map<String, FaultProxy> proxies = new TreeMap<>(); // "from to"
     private final ScaledFleet fleet;
     private final List<ClientProbe> clients = new ArrayList<>();
     private final Map<String, List<Acknowledged>> acknowledged = new HashMap<>();
     private final List<Cut> cuts = new ArrayList<>();
-    private final List<String> said = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> performedSteps = new ArrayList<>();
+    private final List<String> failures = new ArrayList<>();
     private Version newest = Version.NONE;
     private int refused;
     private DistributionHistoryChecker histories = new DistributionHistoryChecker();
 
-    Play(Path directory, long seed) throws Exception {
+    SeedRun(Path directory, long seed) throws Exception {
       random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
       changeRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1);
-      fleet = new ScaledFleet(directory, SIZE, this::way, true);
+      fleet = new ScaledFleet(directory, SIZE, this::proxyAddress, true);
       fleet.start();
       for (int i = 0; i < SIZE.real(); i++) {
         clients.add(new ClientProbe(fleet.clientAddress(i), TrialTenants.COMMON));
       }
     }
 
-    private String way(String from, String to, String address) throws IOException {
-      FaultProxy relay = ways.get(from + " " + to);
+    private String proxyAddress(String from, String to, String address) throws IOException {
+      FaultProxy relay = proxies.get(from + " " + to);
       if (relay == null) {
         String[] at = address.split(":");
         relay = new FaultProxy(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
-        ways.put(from + " " + to, relay);
+        proxies.put(from + " " + to, relay);
       }
       return relay.address();
     }
 
-    List<String> play(int count, long bound) throws Exception {
+    List<String> run(int count, long bound) throws Exception {
       for (int i = 0; i < count; i++) {
         Step step = Step.values()[random.nextInt(Step.values().length)];
         int which = random.nextInt(4);
-        said.add(step + " " + which);
-        long began = TrialTenants.clock();
+        performedSteps.add(step + " " + which);
+        long began = TrialTenants.nowMicros();
         begin(step, which);
         changeFor(1000 + random.nextLong(LONGEST_HOLD_MILLIS), step == Step.BURST ? 20 : 300);
         end(step, which);
@@ -160,12 +160,12 @@
               default -> null;
             };
         if (concerned != null) {
-          cuts.add(new Cut(concerned, began, TrialTenants.clock()));
+          cuts.add(new Cut(concerned, began, TrialTenants.nowMicros()));
         }
         changeFor(1500, 300);
       }
-      judge(bound);
-      return broken;
+      checkHistories(bound);
+      return failures;
     }
 
     private void begin(Step step, int which) throws Exception {
@@ -174,9 +174,9 @@
         case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("STOP");
         case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().kill();
         case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("STOP");
-        case SLOW_ZONE -> waysOutOf("z" + which).forEach(w -> w.slow(20, 4096));
-        case CUT_ZONE -> waysOutOf("z" + which).forEach(w -> w.cut(true, true));
-        case CUT_REGIONS -> betweenRegions().forEach(w -> w.cut(true, true));
+        case SLOW_ZONE -> proxiesOutOf("z" + which).forEach(w -> w.slow(20, 4096));
+        case CUT_ZONE -> proxiesOutOf("z" + which).forEach(w -> w.cut(true, true));
+        case CUT_REGIONS -> proxiesBetweenRegions().forEach(w -> w.cut(true, true));
         case ENGINE_LEADERLESS -> fleet.engineFault("leader=no");
         case ENGINE_RESTARTS -> {
           fleet.engine().process().kill();
@@ -201,7 +201,7 @@
         case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("CONT");
         case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).start();
         case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("CONT");
-        case SLOW_ZONE, CUT_ZONE, CUT_REGIONS -> ways.values().forEach(FaultProxy::heal);
+        case SLOW_ZONE, CUT_ZONE, CUT_REGIONS -> proxies.values().forEach(FaultProxy::heal);
         case ENGINE_LEADERLESS -> fleet.engineFault("");
         case ENGINE_RESTORED -> beginIncarnation();
         case RESTART_ZONE -> fleet.awaitCurrent();
@@ -219,17 +219,17 @@
     }
 
     /** All ways out of a part of the fleet. */
-    private List<FaultProxy> waysOutOf(String from) {
-      return ways.entrySet().stream()
+    private List<FaultProxy> proxiesOutOf(String from) {
+      return proxies.entrySet().stream()
           .filter(e -> e.getKey().startsWith(from + " "))
           .map(Map.Entry::getValue)
           .toList();
     }
 
     /** Zones 0 and 1 are of the first region; the engine stands in the first. */
-    private List<FaultProxy> betweenRegions() {
+    private List<FaultProxy> proxiesBetweenRegions() {
       List<FaultProxy> between = new ArrayList<>();
-      ways.forEach(
+      proxies.forEach(
           (way, relay) -> {
             String[] ends = way.split(" ");
             if (region(ends[0]) != region(ends[1])) {
@@ -250,8 +250,8 @@
     // --------------------------------------------------------------------------------
 
     private void changeFor(long millis, long pauseMillis) throws InterruptedException {
-      long until = TrialTenants.clock() + millis * 1000;
-      while (TrialTenants.clock() < until) {
+      long until = TrialTenants.nowMicros() + millis * 1000;
+      while (TrialTenants.nowMicros() < until) {
         changeOne();
         Thread.sleep(pauseMillis);
       }
@@ -260,20 +260,20 @@
     private void changeOne() {
       int draw = changeRandom.nextInt(SIZE.tenants() + 1);
       boolean remove = changeRandom.nextInt(6) == 0 && draw > 0;
-      String id = draw == 0 ? TrialTenants.COMMON : TrialTenants.tenant(draw - 1);
+      String id = draw == 0 ? TrialTenants.COMMON : TrialTenants.tenantId(draw - 1);
       String name = "tenant/" + id;
       try {
         RecordChange present = fleet.store().record(name);
         remove &= present != null;
         String document =
-            remove ? null : TrialTenants.document(id, TrialTenants.clock()).toString();
+            remove ? null : TrialTenants.document(id, TrialTenants.nowMicros()).toString();
         newest =
             fleet
                 .store()
                 .write(name, present == null ? 0 : present.version().sequence(), document, newest);
         acknowledged
             .computeIfAbsent(name, n -> new ArrayList<>())
-            .add(new Acknowledged(name, newest, remove, TrialTenants.clock()));
+            .add(new Acknowledged(name, newest, remove, TrialTenants.nowMicros()));
       } catch (OperatorException | RecordChanged e) {
         refused++;
       }
@@ -282,9 +282,9 @@
     // ---- Judgement
     // --------------------------------------------------------------------------------
 
-    private void judge(long bound) throws Exception {
+    private void checkHistories(long bound) throws Exception {
       Thread.sleep(BOUND / 1000 + 1000); // what is not in force then is late
-      clients.forEach(c -> broken.addAll(c.stop()));
+      clients.forEach(c -> failures.addAll(c.stop()));
       fleet.endHollow();
       for (int z = 0; z < SIZE.zones(); z++) {
         histories.add("z" + z, Files.readAllLines(fleet.history(z)));
@@ -292,7 +292,7 @@
       for (Map.Entry<String, List<Acknowledged>> each : acknowledged.entrySet()) {
         List<String> serving = new ArrayList<>();
         for (int g = 0; g < SIZE.gateways(); g++) {
-          if (TrialTenants.served(g, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed())
+          if (TrialTenants.servedNames(g, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed())
                   .contains(each.getKey())
               && neverRemoved(each.getValue())) {
             serving.add("g" + g);
@@ -300,7 +300,7 @@
         }
         histories.check(each.getKey(), serving, each.getValue(), cuts, bound);
       }
-      broken.addAll(histories.broken());
+      failures.addAll(histories.broken());
     }
 
     /**
@@ -317,7 +317,7 @@
     }
 
     String summary() {
-      List<Long> delays = new ArrayList<>(histories.delays());
+      List<Long> delays = new ArrayList<>(histories.delaysMicros());
       Collections.sort(delays);
       long served = clients.stream().mapToLong(ClientProbe::served).sum();
       return String.format(
@@ -330,14 +330,14 @@
           delays.isEmpty() ? 0 : delays.get(delays.size() / 2) / 1e6,
           delays.isEmpty() ? 0 : delays.get(delays.size() - 1) / 1e6,
           served,
-          String.join(", ", said));
+          String.join(", ", performedSteps));
     }
 
     @Override
     public void close() throws IOException {
       clients.forEach(ClientProbe::stop);
       fleet.close();
-      for (FaultProxy relay : ways.values()) {
+      for (FaultProxy relay : proxies.values()) {
         relay.close();
       }
     }
--- a/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
@@ -33,12 +33,12 @@
   /** What was in force from a time on; null: no record. */
   private record State(long at, Version version) {}
 
-  private final Map<String, TreeMap<Long, List<State>>> lives =
+  private final Map<String, TreeMap<Long, List<State>>> statesByIncarnation =
       new HashMap<>(); // by gateway and name, by life
   private final Map<String, String> zones = new HashMap<>();
   private final List<String> broken = new ArrayList<>();
-  private final List<Long> delays = new ArrayList<>();
-  private long life;
+  private final List<Long> delaysMicros = new ArrayList<>();
+  private long incarnation;
 
   /** Reads the history of the hollow gateways of a zone. */
   void add(String zone, List<String> lines) {
@@ -48,16 +48,16 @@
         continue; // a process was killed in the middle of its last line
       }
       if (parts[1].equals("life")) {
-        life = Long.parseLong(parts[0]);
+        incarnation = Long.parseLong(parts[0]);
         continue;
       }
       Version version =
           parts.length < 5 ? null : new Version(Long.parseLong(parts[3]), Long.parseLong(parts[4]));
       zones.put(parts[1], zone);
       List<State> states =
-          lives
+          statesByIncarnation
               .computeIfAbsent(parts[1] + " " + parts[2], k -> new TreeMap<>())
-              .computeIfAbsent(life, l -> new ArrayList<>());
+              .computeIfAbsent(incarnation, l -> new ArrayList<>());
       State last = states.isEmpty() ? null : states.get(states.size() - 1);
       if (last != null
           && last.version() != null
@@ -93,7 +93,7 @@
         } else if (at > from + bound) {
           broken.add("late by " + (at - from - bound) / 1000 + " ms: " + change + " at " + gateway);
         } else {
-          delays.add(Math.max(0, at - from));
+          delaysMicros.add(Math.max(0, at - from));
         }
       }
     }
@@ -112,7 +112,7 @@
   /** When this change, or one that replaced it, came into force. */
   private Long inForceAt(String key, List<Acknowledged> thisAndLater, Acknowledged change) {
     Long first = null;
-    for (List<State> states : lives.getOrDefault(key, new TreeMap<>()).values()) {
+    for (List<State> states : statesByIncarnation.getOrDefault(key, new TreeMap<>()).values()) {
       for (State state : states) {
         boolean covers =
             state.version() != null
@@ -132,7 +132,7 @@
   }
 
   /** Microseconds from when each change could reach a gateway until it was in force there. */
-  List<Long> delays() {
-    return delays;
+  List<Long> delaysMicros() {
+    return delaysMicros;
   }
 }
--- a/lab/src/main/java/shelffront/lab/scale/FleetScale.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScale.java
@@ -111,31 +111,31 @@
   private Path out;
 
   private final List<String> lines = new ArrayList<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> brokenClaims = new ArrayList<>();
   private final ObjectNode figures = TenantSpecCodec.JSON.createObjectNode();
 
   /** What a group of processes has used until a moment. */
-  private record Use(double cpu, long io, long resident, long at, boolean intact) {
+  private record ResourceUsage(double cpu, long io, long resident, long at, boolean intact) {
 
-    static Use of(List<ScaledFleet.Part> parts) {
+    static ResourceUsage of(List<ScaledFleet.FleetProcess> parts) {
       double cpu = 0;
       long io = 0;
       long resident = 0;
-      for (ScaledFleet.Part part : parts) {
+      for (ScaledFleet.FleetProcess part : parts) {
         JavaProcess process = part.process();
         cpu += process.cpuSeconds();
         io += process.ioBytes();
         resident += process.residentBytes();
       }
-      boolean intact = parts.stream().allMatch(ScaledFleet.Part::isFirstAndUp);
-      return new Use(cpu, io, resident, TrialTenants.clock(), intact);
+      boolean intact = parts.stream().allMatch(ScaledFleet.FleetProcess::isFirstAndUp);
+      return new ResourceUsage(cpu, io, resident, TrialTenants.nowMicros(), intact);
     }
 
-    double cpuSince(Use before) {
+    double cpuSince(ResourceUsage before) {
       return (cpu - before.cpu) / ((at - before.at) / 1e6);
     }
 
-    double kbSince(Use before) {
+    double kbSince(ResourceUsage before) {
       return (io - before.io) / 1e3 / ((at - before.at) / 1e6);
     }
   }
@@ -150,50 +150,51 @@
     Path work = Files.createTempDirectory("fleet-scale-work-");
     boolean tooSlow;
     try (ScaledFleet fleet = new ScaledFleet(work, size)) {
-      long from = TrialTenants.clock();
+      long from = TrialTenants.nowMicros();
       fleet.start();
-      note("start_s", (TrialTenants.clock() - from) / 1e6);
-      note("slowest_zone_current_s", fleet.slowestStartMillis() / 1e3);
-      Map<String, Use> before = use(fleet);
+      recordFigure("start_s", (TrialTenants.nowMicros() - from) / 1e6);
+      recordFigure("slowest_zone_current_s", fleet.slowestStartMillis() / 1e3);
+      Map<String, ResourceUsage> before = usageByRole(fleet);
       long[] calls = fleet.engineCalls();
       TimeUnit.SECONDS.sleep(idleSeconds);
-      Map<String, Use> idle = use(fleet);
+      Map<String, ResourceUsage> idle = usageByRole(fleet);
       long[] idleCalls = fleet.engineCalls();
       double idlePerSecond = (idleCalls[0] - calls[0]) / (double) idleSeconds;
       report("idle", before, idle);
-      note("idle_engine_calls_per_s", idlePerSecond);
-      note("idle_engine_kb_per_s", (idleCalls[1] - calls[1]) / 1e3 / idleSeconds);
-      long began = TrialTenants.clock();
+      recordFigure("idle_engine_calls_per_s", idlePerSecond);
+      recordFigure("idle_engine_kb_per_s", (idleCalls[1] - calls[1]) / 1e3 / idleSeconds);
+      long began = TrialTenants.nowMicros();
       Map<String, Version> written = change(fleet, tenants);
-      double took = (TrialTenants.clock() - began) / 1e6;
+      double took = (TrialTenants.nowMicros() - began) / 1e6;
       tooSlow = took > TOO_SLOW * seconds;
-      Map<String, Use> after = use(fleet);
+      Map<String, ResourceUsage> after = usageByRole(fleet);
       long[] afterCalls = fleet.engineCalls();
       report("changing", idle, after);
       int count = figures.path("changes").asInt();
-      note(
+      recordFigure(
           "engine_calls_per_change", (afterCalls[0] - idleCalls[0] - idlePerSecond * took) / count);
-      note("engine_kb_per_change", (afterCalls[1] - idleCalls[1]) / 1e3 / count);
-      judge(fleet, written);
+      recordFigure("engine_kb_per_change", (afterCalls[1] - idleCalls[1]) / 1e3 / count);
+      recordDelays(fleet, written);
     }
     claims();
     save(directory);
     lines.forEach(System.out::println);
-    return !broken.isEmpty() ? 1 : tooSlow ? 2 : 0;
+    return !brokenClaims.isEmpty() ? 1 : tooSlow ? 2 : 0;
   }
 
-  private static Map<String, Use> use(ScaledFleet fleet) {
-    Map<String, Use> use = new TreeMap<>();
-    use.put("engine", Use.of(List.of(fleet.engine())));
-    use.put("region", Use.of(fleet.regions()));
-    use.put("zone", Use.of(fleet.zones()));
-    use.put("hollow", Use.of(fleet.hollow()));
-    use.put("real", Use.of(fleet.real()));
+  private static Map<String, ResourceUsage> usageByRole(ScaledFleet fleet) {
+    Map<String, ResourceUsage> use = new TreeMap<>();
+    use.put("engine", ResourceUsage.of(List.of(fleet.engine())));
+    use.put("region", ResourceUsage.of(fleet.regions()));
+    use.put("zone", ResourceUsage.of(fleet.zones()));
+    use.put("hollow", ResourceUsage.of(fleet.hollow()));
+    use.put("real", ResourceUsage.of(fleet.real()));
     return use;
   }
 
   /** What each role used in a span, for one distributor, one gateway. */
-  private void report(String span, Map<String, Use> before, Map<String, Use> after) {
+  private void report(
+      String span, Map<String, ResourceUsage> before, Map<String, ResourceUsage> after) {
     Map<String, Integer> divisors =
         Map.of(
             "engine",
@@ -212,9 +213,9 @@
             return; // what a process that was killed had used is gone with it
           }
           int divisor = divisors.get(role);
-          note(span + "_" + role + "_cpu_cores", use.cpuSince(before.get(role)) / divisor);
-          note(span + "_" + role + "_kb_per_s", use.kbSince(before.get(role)) / divisor);
-          note(span + "_" + role + "_resident_mb", use.resident() / 1e6 / divisor);
+          recordFigure(span + "_" + role + "_cpu_cores", use.cpuSince(before.get(role)) / divisor);
+          recordFigure(span + "_" + role + "_kb_per_s", use.kbSince(before.get(role)) / divisor);
+          recordFigure(span + "_" + role + "_resident_mb", use.resident() / 1e6 / divisor);
         });
   }
 
@@ -226,7 +227,7 @@
     Map<String, Version> written = new HashMap<>();
     long pause = TimeUnit.HOURS.toMicros(1) / changesPerHour;
     int count = (int) (TimeUnit.SECONDS.toMicros(seconds) / pause);
-    long next = TrialTenants.clock();
+    long next = TrialTenants.nowMicros();
     long slowest = 0;
     for (int i = 0; i < count; i++) {
       if (i == count / 2) {
@@ -235,10 +236,10 @@
       String id =
           i % COMMON_EVERY == 0
               ? TrialTenants.COMMON
-              : TrialTenants.tenant(random.nextInt(tenants));
+              : TrialTenants.tenantId(random.nextInt(tenants));
       String name = "tenant/" + id;
       RecordChange present = fleet.store().record(name);
-      long at = TrialTenants.clock();
+      long at = TrialTenants.nowMicros();
       written.put(
           name,
           fleet
@@ -248,22 +249,22 @@
                   present.version().sequence(),
                   TrialTenants.document(id, at).toString(),
                   Version.NONE));
-      slowest = Math.max(slowest, TrialTenants.clock() - at);
+      slowest = Math.max(slowest, TrialTenants.nowMicros() - at);
       next += pause;
-      long left = next - TrialTenants.clock();
+      long left = next - TrialTenants.nowMicros();
       if (left > 0) {
         TimeUnit.MICROSECONDS.sleep(left);
       }
     }
-    note("changes", count);
-    note("slowest_write_ms", slowest / 1e3);
+    recordFigure("changes", count);
+    recordFigure("slowest_write_ms", slowest / 1e3);
     return written;
   }
 
   private void breakSomething(ScaledFleet fleet) throws Exception {
     switch (fault) {
       case ZONE_RESTART -> {
-        ScaledFleet.Part zone = fleet.hollow().get(0);
+        ScaledFleet.FleetProcess zone = fleet.hollow().get(0);
         zone.process().kill();
         zone.start();
       }
@@ -275,7 +276,7 @@
   }
 
   /** Every gateway has to have what was written last, within the bound; then all delays count. */
-  private void judge(ScaledFleet fleet, Map<String, Version> written)
+  private void recordDelays(ScaledFleet fleet, Map<String, Version> written)
       throws IOException, InterruptedException {
     fleet.awaitCurrent();
     TimeUnit.SECONDS.sleep((long) BOUND_SECONDS); // what is not in force then is late
@@ -292,19 +293,19 @@
       for (var each : report.path("inForce").properties()) {
         int number = Integer.parseInt(each.getKey().substring(1));
         for (String name :
-            TrialTenants.served(number, hosts / TrialTenants.HOSTS_OF_TENANT, names, seed)) {
+            TrialTenants.servedNames(number, hosts / TrialTenants.HOSTS_OF_TENANT, names, seed)) {
           Version wanted = written.get(name);
           missing +=
               wanted != null && each.getValue().path(name).asLong() != wanted.sequence() ? 1 : 0;
         }
       }
     }
-    note("in_force_count", delays.getTotalCount());
-    note("in_force_median_s", delays.getValueAtPercentile(50) / 1e6);
-    note("in_force_p99_s", delays.getValueAtPercentile(99) / 1e6);
-    note("in_force_slowest_s", delays.getMaxValue() / 1e6);
-    note("not_in_force", missing);
-    note("stepped_back", steppedBack);
+    recordFigure("in_force_count", delays.getTotalCount());
+    recordFigure("in_force_median_s", delays.getValueAtPercentile(50) / 1e6);
+    recordFigure("in_force_p99_s", delays.getValueAtPercentile(99) / 1e6);
+    recordFigure("in_force_slowest_s", delays.getMaxValue() / 1e6);
+    recordFigure("not_in_force", missing);
+    recordFigure("stepped_back", steppedBack);
   }
 
   private void claims() {
@@ -326,11 +327,11 @@
   private void claim(String what, boolean kept) {
     lines.add((kept ? "kept: " : "BROKEN: ") + what);
     if (!kept) {
-      broken.add(what);
+      brokenClaims.add(what);
     }
   }
 
-  private void note(String name, double value) {
+  private void recordFigure(String name, double value) {
     figures.put(name, value);
     lines.add(String.format(Locale.ROOT, "%-34s %.4f", name, value));
   }
@@ -350,7 +351,7 @@
             .put("fault", fault.name().toLowerCase(Locale.ROOT))
             .put("seed", seed);
     result.set("figures", figures);
-    result.putPOJO("broken", broken);
+    result.putPOJO("broken", brokenClaims);
     Files.writeString(
         directory.resolve("result.json"),
         TenantSpecCodec.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(result) + "\n");
--- a/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
@@ -117,7 +117,7 @@
     for (JsonNode tenant : config.path("tenants")) {
       int h = 0;
       for (JsonNode box : tenant.path("boxes").path("list")) {
-        ((ObjectNode) box).put("address", set.boxes().get(h++).address());
+        ((ObjectNode) box).put("address", set.hosts().get(h++).address());
       }
     }
     return config;
@@ -128,7 +128,7 @@
         TenantSpecCodec.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("sockets", 40_000);
     ArrayNode list = config.putArray("tenants");
     for (int t = 0; t < tenants; t++) {
-      ObjectNode tenant = TrialTenants.document(TrialTenants.tenant(t), 0);
+      ObjectNode tenant = TrialTenants.document(TrialTenants.tenantId(t), 0);
       ((ObjectNode) tenant.withObject("/limits")).put("clientConnections", 40_000);
       ArrayNode boxes = (ArrayNode) tenant.path("boxes").path("list");
       for (int h = boxes.size(); h < hostsOfEach; h++) {
@@ -165,7 +165,7 @@
       double start = process.cpuSeconds();
       for (int t = 0; t < tenants; t++) {
         for (int c = 0; c < clientsOfEach; c++) {
-          clients.add(ClientProbe.open(process.found(LISTENS), TrialTenants.tenant(t)));
+          clients.add(ClientProbe.open(process.found(LISTENS), TrialTenants.tenantId(t)));
         }
       }
       TimeUnit.SECONDS.sleep(2); // connections and probes of the first moment
--- a/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
@@ -63,7 +63,7 @@
   private Writer history; // null where none is kept
   private final Histogram delays = new Histogram(LONGEST_MICROS, 3);
   private long steppedBack;
-  private final long startedAt = TrialTenants.clock();
+  private final long startedAt = TrialTenants.nowMicros();
 
   /** A name that a gateway asks for. */
   private record Lookup(SubscribedRecords records, String name) {
@@ -99,15 +99,15 @@
         return e.pointer() + " " + e.getMessage();
       }
       Long before = inForce.put(record.name(), record.version().sequence());
-      tookUp(record, before);
-      note(gateway, record.name(), record.version());
+      recordDelay(record, before);
+      appendHistory(gateway, record.name(), record.version());
       return null;
     }
 
     @Override
     public synchronized void remove(String name) {
       inForce.remove(name);
-      note(gateway, name, null);
+      appendHistory(gateway, name, null);
     }
 
     @Override
@@ -119,13 +119,13 @@
   }
 
   /** A line of the history; without a version where the record is in force no longer. */
-  private synchronized void note(String gateway, String name, Version version) {
+  private synchronized void appendHistory(String gateway, String name, Version version) {
     if (history == null) {
       return;
     }
     try {
       history.write(
-          TrialTenants.clock()
+          TrialTenants.nowMicros()
               + " "
               + gateway
               + " "
@@ -138,12 +138,12 @@
     }
   }
 
-  private synchronized void tookUp(RecordChange record, Long before) {
+  private synchronized void recordDelay(RecordChange record, Long before) {
     if (before == null) {
       return; // it comes as the gateway starts, not as a change
     }
     steppedBack += before > record.version().sequence() ? 1 : 0;
-    long took = TrialTenants.clock() - TrialTenants.writtenAt(record.document());
+    long took = TrialTenants.nowMicros() - TrialTenants.writtenAtMicros(record.document());
     delays.recordValue(Math.max(0, Math.min(LONGEST_MICROS, took)));
   }
 
@@ -155,7 +155,7 @@
             ? null
             : Files.newBufferedWriter(
                 historyFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-    note("life", "begins", null);
+    appendHistory("life", "begins", null);
     Map<String, Table> tables = new HashMap<>();
     ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(TIMER_THREADS, "hollow-timer");
     HttpClient http = SubscribedRecords.httpClient(DistributionTimings.STANDARD);
@@ -170,7 +170,7 @@
               table,
               http,
               timer,
-              TrialTenants::clock,
+              TrialTenants::nowMicros,
               new Random(settings.name().hashCode()),
               System.out::println);
       tables.put(settings.name(), table);
@@ -183,7 +183,8 @@
     for (Lookup lookup : lookups) {
       lookup.awaitAnswer();
     }
-    System.out.println("all current after " + (TrialTenants.clock() - startedAt) / 1000 + " ms");
+    System.out.println(
+        "all current after " + (TrialTenants.nowMicros() - startedAt) / 1000 + " ms");
     Thread.currentThread().join();
     return 0;
   }
@@ -212,7 +213,7 @@
         List<RecordChange> changes = store.changesBetween(known, head);
         known = head;
         for (RecordChange change : changes == null ? List.<RecordChange>of() : changes) {
-          tookUp(change, 0L);
+          recordDelay(change, 0L);
         }
       }
     } catch (OperatorException e) {
