--- a/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
+++ b/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
@@ -38,7 +38,7 @@
   static final String FLEET = "scale";
   private static final int HEAP_MB = 256;
   private static final int REAL_HEAP_MB = 72; // as the platform's line has it
-  private static final Duration MOST = Duration.ofSeconds(120);
+  private static final Duration TIMEOUT = Duration.ofSeconds(120);
   private static final Duration ENGINE_CALL = Duration.ofMillis(1500);
   private static final Pattern CURRENT = Pattern.compile("all current after ([0-9]+) ms");
   private static final Pattern LISTENS = Pattern.compile("listens on 127.0.0.1:([0-9]+)");
@@ -65,13 +65,13 @@
   }
 
   /** The way from one part of the fleet to another: the address that it is given. */
-  interface Ways {
+  interface AddressTranslator {
 
-    String way(String from, String to, String address) throws IOException;
+    String translate(String from, String to, String address) throws IOException;
   }
 
   /** A process with its part in the fleet. */
-  final class Part {
+  final class FleetProcess {
 
     final String name;
     private final int heapMb;
@@ -80,7 +80,8 @@
     private JavaProcess process;
     private int starts;
 
-    private Part(String name, int heapMb, Class<?> main, String... arguments) throws IOException {
+    private FleetProcess(String name, int heapMb, Class<?> main, String... arguments)
+        throws IOException {
       this.name = name;
       this.heapMb = heapMb;
       this.main = main;
@@ -107,16 +108,16 @@
 
   private final Path directory;
   private final Size size;
-  private final Ways ways;
-  private final boolean keeps;
+  private final AddressTranslator addressTranslator;
+  private final boolean persistent;
   private final HttpClient http = HttpClient.newHttpClient();
   private final ChangeStore store;
   private final String engineAddress;
-  private final Part engine;
-  private final List<Part> regions = new ArrayList<>();
-  private final List<Part> zones = new ArrayList<>();
-  private final List<Part> hollow = new ArrayList<>(); // by zone
-  private final List<Part> real = new ArrayList<>();
+  private final FleetProcess engine;
+  private final List<FleetProcess> regions = new ArrayList<>();
+  private final List<FleetProcess> zones = new ArrayList<>();
+  private final List<FleetProcess> hollow = new ArrayList<>(); // by zone
+  private final List<FleetProcess> real = new ArrayList<>();
   private final ArrayNode regionEndpoints = TenantSpecCodec.JSON.createArrayNode();
   private final ArrayNode zoneEndpoints = TenantSpecCodec.JSON.createArrayNode();
 
@@ -127,16 +128,16 @@
   /**
    * @param keeps whether gateways keep their last known good, and hollow ones a history
    */
-  ScaledFleet(Path directory, Size size, Ways ways, boolean keeps) throws Exception {
+  ScaledFleet(Path directory, Size size, AddressTranslator ways, boolean keeps) throws Exception {
     this.directory = directory;
     this.size = size;
-    this.ways = ways;
-    this.keeps = keeps;
+    this.addressTranslator = ways;
+    this.persistent = keeps;
     Files.createDirectories(directory);
     Path state = directory.resolve("engine.state");
     fill(state);
     engine =
-        new Part(
+        new FleetProcess(
             "engine",
             HEAP_MB,
             LabMain.class,
@@ -170,7 +171,7 @@
         TrialTenants.document(TrialTenants.COMMON, 0).toString(),
         Version.NONE);
     for (int i = 0; i < size.tenants(); i++) {
-      String id = TrialTenants.tenant(i);
+      String id = TrialTenants.tenantId(i);
       writer.write("tenant/" + id, 0, TrialTenants.document(id, 0).toString(), Version.NONE);
     }
     filled.save(state);
@@ -184,7 +185,7 @@
     for (int r = 0; r < size.regions(); r++) {
       ObjectNode config =
           distributor("r" + r, "r" + r, "")
-              .put("engine", ways.way("r" + r, "engine", engineAddress));
+              .put("engine", addressTranslator.translate("r" + r, "engine", engineAddress));
       regions.add(distribute("region-r" + r, config));
     }
     endpoints(regions, regionEndpoints, false);
@@ -224,20 +225,20 @@
     return zone.isEmpty() ? config : config.put("zone", zone);
   }
 
-  private Part distribute(String name, ObjectNode config) throws IOException {
+  private FleetProcess distribute(String name, ObjectNode config) throws IOException {
     Path file = directory.resolve(name + ".json");
     Files.writeString(file, config.toString());
-    return new Part(name, HEAP_MB, Main.class, "distribute", "--config", file.toString());
+    return new FleetProcess(name, HEAP_MB, Main.class, "distribute", "--config", file.toString());
   }
 
   /**
    * Addresses are given by the system, and kept: a distributor that starts again listens where it
    * did.
    */
-  private void endpoints(List<Part> distributors, ArrayNode into, boolean zonal)
+  private void endpoints(List<FleetProcess> distributors, ArrayNode into, boolean zonal)
       throws IOException {
     for (int i = 0; i < distributors.size(); i++) {
-      Part part = distributors.get(i);
+      FleetProcess part = distributors.get(i);
       await(part.name + " is up", () -> part.process().found(DISTRIBUTES) != null);
       String address = part.process().found(DISTRIBUTES);
       ObjectNode endpoint =
@@ -256,7 +257,8 @@
     ArrayNode seen = endpoints.deepCopy();
     for (JsonNode endpoint : seen) {
       String to = endpoint.path("zone").asText(endpoint.path("region").asText());
-      ((ObjectNode) endpoint).put("address", ways.way(zone, to, endpoint.path("address").asText()));
+      ((ObjectNode) endpoint)
+          .put("address", addressTranslator.translate(zone, to, endpoint.path("address").asText()));
     }
     return seen;
   }
@@ -270,19 +272,19 @@
             .put("region", region(zone))
             .put("zone", zone(zone));
     config.set("distributors", seenFrom(zone(zone), zoneEndpoints));
-    return keeps
+    return persistent
         ? config.put("lastKnownGood", directory.resolve(name + ".kept").toString())
         : config;
   }
 
-  private Part hollow(int zone) throws IOException {
+  private FleetProcess hollow(int zone) throws IOException {
     ObjectNode config = TenantSpecCodec.JSON.createObjectNode();
     ArrayNode gateways = config.putArray("gateways");
     for (int g = zone; g < size.gateways(); g += size.zones()) {
       ObjectNode each = gateways.addObject();
       each.set("distribution", gateway("g" + g, zone));
       ArrayNode names = each.putArray("names");
-      TrialTenants.served(g, size.tenants(), size.namesOfGateway(), size.seed())
+      TrialTenants.servedNames(g, size.tenants(), size.namesOfGateway(), size.seed())
           .forEach(names::add);
     }
     if (size.direct() > 0) {
@@ -303,10 +305,10 @@
                 file.toString(),
                 "--report",
                 report(zone).toString()));
-    if (keeps) {
+    if (persistent) {
       arguments.addAll(List.of("--history", history(zone).toString()));
     }
-    return new Part(name, HEAP_MB, LabMain.class, arguments.toArray(String[]::new));
+    return new FleetProcess(name, HEAP_MB, LabMain.class, arguments.toArray(String[]::new));
   }
 
   /** What came into force at the hollow gateways of a zone, in its order; kept over restarts. */
@@ -347,7 +349,7 @@
     return directory.resolve("hollow-" + zone(zone) + ".report");
   }
 
-  private Part real(int number) throws IOException {
+  private FleetProcess real(int number) throws IOException {
     ObjectNode config =
         TenantSpecCodec.JSON
             .createObjectNode()
@@ -358,7 +360,7 @@
         gateway("real" + number, number % size.zones()).put("engine", engineAddress));
     Path file = directory.resolve("real" + number + ".json");
     Files.writeString(file, config.toString());
-    return new Part(
+    return new FleetProcess(
         "real" + number, REAL_HEAP_MB, Main.class, "serve", "--config", file.toString());
   }
 
@@ -382,7 +384,7 @@
 
   static void await(String what, BooleanSupplier condition) {
     Awaitility.await(what)
-        .atMost(MOST)
+        .atMost(TIMEOUT)
         .pollInterval(Duration.ofMillis(20))
         .until(condition::getAsBoolean);
   }
@@ -392,23 +394,23 @@
     return store;
   }
 
-  Part engine() {
+  FleetProcess engine() {
     return engine;
   }
 
-  List<Part> regions() {
+  List<FleetProcess> regions() {
     return regions;
   }
 
-  List<Part> zones() {
+  List<FleetProcess> zones() {
     return zones;
   }
 
-  List<Part> hollow() {
+  List<FleetProcess> hollow() {
     return hollow;
   }
 
-  List<Part> real() {
+  List<FleetProcess> real() {
     return real;
   }
 
@@ -428,7 +430,7 @@
   TreeMap<Integer, JsonNode> endHollow() throws IOException, InterruptedException {
     TreeMap<Integer, JsonNode> reports = new TreeMap<>();
     for (int z = 0; z < hollow.size(); z++) {
-      if (!hollow.get(z).process().terminate(MOST.toSeconds())) {
+      if (!hollow.get(z).process().terminate(TIMEOUT.toSeconds())) {
         throw new IllegalStateException(hollow.get(z).name + " does not end");
       }
       reports.put(z, TenantSpecCodec.JSON.readTree(report(z).toFile()));
@@ -438,7 +440,7 @@
 
   @Override
   public void close() {
-    List<Part> all = new ArrayList<>(real);
+    List<FleetProcess> all = new ArrayList<>(real);
     all.addAll(hollow);
     all.addAll(zones);
     all.addAll(regions);
--- a/lab/src/main/java/shelffront/lab/scale/TrialTenants.java
+++ b/lab/src/main/java/shelffront/lab/scale/TrialTenants.java
@@ -25,16 +25,16 @@
 
   private TrialTenants() {}
 
-  static String tenant(int number) {
+  static String tenantId(int number) {
     return "t" + number;
   }
 
   /** What a gateway serves: the common one, and so many of the others, drawn by its number. */
-  static List<String> served(int gateway, int tenants, int count, long seed) {
+  static List<String> servedNames(int gateway, int tenants, int count, long seed) {
     SplittableRandom random = new SplittableRandom(seed * 1_000_003 + gateway);
     List<String> names = new ArrayList<>(List.of("tenant/" + COMMON));
     while (names.size() <= Math.min(count, tenants)) {
-      String name = "tenant/" + tenant(random.nextInt(tenants));
+      String name = "tenant/" + tenantId(random.nextInt(tenants));
       if (!names.contains(name)) {
         names.add(name);
       }
@@ -71,13 +71,13 @@
   }
 
   /** When a document was written. */
-  static long writtenAt(String document) {
+  static long writtenAtMicros(String document) {
     Matcher m = WRITTEN_AT.matcher(document);
     return m.find() ? Long.parseLong(m.group(1)) : 0;
   }
 
   /** Microseconds on the clock that all processes of a machine share. */
-  static long clock() {
+  static long nowMicros() {
     return System.nanoTime() / 1000;
   }
 }
--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import shelffront.lab.invariants.InvariantChecker.Asked;
+import shelffront.lab.invariants.InvariantChecker.CheckedRequest;
 import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.load.ClientConnectionHandler;
 import shelffront.lab.virtual.SimulatedMachine;
@@ -16,7 +16,7 @@
  * The clients of one gateway: requests that come when they are due, whatever became of those
  * before.
  */
-final class ClientPopulation implements ClientConnectionHandler.Caller<Asked> {
+final class ClientPopulation implements ClientConnectionHandler.Listener<CheckedRequest> {
 
   private static final int SESSIONS = 200;
   private static final int MOST_RETRIES = 2;
@@ -58,7 +58,7 @@
   private final ZigguratSampler.Exponential gaps;
   private final double perSecond;
   private final long untilMicros;
-  private final Set<ClientConnectionHandler<Asked>> connections = new LinkedHashSet<>();
+  private final Set<ClientConnectionHandler<CheckedRequest>> connections = new LinkedHashSet<>();
   private double rateFactor = 1;
   private long sentCount;
 
@@ -90,7 +90,7 @@
   }
 
   /** So many times as many requests as usual. */
-  void factor(double times) {
+  void setRateFactor(double times) {
     rateFactor = times;
   }
 
@@ -101,7 +101,7 @@
         .after(
             Math.max(1, (long) gapMicros),
             () -> {
-              if (context.now() < untilMicros) {
+              if (context.nowMicros() < untilMicros) {
                 sendDrawn();
                 scheduleNext();
               }
@@ -126,12 +126,12 @@
   }
 
   private void send(RequestClass requestClass, int replicaSet, String session, int earlierTries) {
-    long now = context.now();
+    long now = context.nowMicros();
     if (now >= untilMicros) {
       return;
     }
     String database = database(session.hashCode());
-    ClientConnectionHandler<Asked> connection = freeConnection(database);
+    ClientConnectionHandler<CheckedRequest> connection = freeConnection(database);
     if (connection == null && !gateways.acceptsConnections(gateway)) {
       return; // the front sends nobody there any more
     }
@@ -147,10 +147,10 @@
     String key = requestClass.isWrite() ? "k" + id : null;
     String qualifiedSession = replicaSet + "/" + session;
     long deadlineMicros = now + requestClass.deadlineMicros();
-    Asked request =
+    CheckedRequest request =
         context
             .checker()
-            .asks(id, requestClass, key, qualifiedSession, gateway, now, deadlineMicros);
+            .requestSent(id, requestClass, key, qualifiedSession, gateway, now, deadlineMicros);
     recorder.sent(request, earlierTries);
     byte[] statement =
         ClientConnectionHandler.statement(
@@ -162,26 +162,31 @@
             qualifiedSession,
             requestClass.isWrite(),
             carriedPosition(request));
-    connection.ask(request, statement, deadlineMicros + GRACE_MICROS);
+    connection.send(request, statement, deadlineMicros + GRACE_MICROS);
   }
 
-  private ClientConnectionHandler<Asked> freeConnection(String database) {
+  private ClientConnectionHandler<CheckedRequest> freeConnection(String database) {
     return connections.stream()
         .filter(connection -> connection.isFree() && connection.database().equals(database))
         .findFirst()
         .orElse(null);
   }
 
-  private long carriedPosition(Asked request) {
+  private long carriedPosition(CheckedRequest request) {
     return context.scenario().deployment().carried()
-            && request.type.consistency() == Consistency.SESSION
-        ? request.mark
+            && request.requestClass.consistency() == Consistency.SESSION
+        ? request.requiredPositionMicros
         : 0;
   }
 
-  private ClientConnectionHandler<Asked> connect(String database) {
+  private ClientConnectionHandler<CheckedRequest> connect(String database) {
     return new ClientConnectionHandler<>(
-        context.network().on(machine), gateways.address(gateway), "api", database, null, this);
+        context.network().transportOn(machine),
+        gateways.address(gateway),
+        "api",
+        database,
+        null,
+        this);
   }
 
   /** A session is one tenant's, as is a connection. */
@@ -190,31 +195,33 @@
     return tenants == 0 ? DATABASE : SimulatedGateway.tenantName(Math.floorMod(number, tenants));
   }
 
-  private static int replicaSetOf(Asked request) {
+  private static int replicaSetOf(CheckedRequest request) {
     return Integer.parseInt(request.session.substring(0, request.session.indexOf('/')));
   }
 
-  private static String sessionOf(Asked request) {
+  private static String sessionOf(CheckedRequest request) {
     return request.session.substring(request.session.indexOf('/') + 1);
   }
 
   /** Some sessions read their own write soon; a rejected request is sent again when permitted. */
   @Override
   public void answered(
-      ClientConnectionHandler<Asked> by,
-      Asked request,
+      ClientConnectionHandler<CheckedRequest> by,
+      CheckedRequest request,
       String value,
       String error,
       long retryAfterMicros) {
     recorder.answered(request, value, error);
-    if (error == null && request.type.isWrite() && random.nextDouble() < READ_BACK_PROBABILITY) {
+    if (error == null
+        && request.requestClass.isWrite()
+        && random.nextDouble() < READ_BACK_PROBABILITY) {
       scheduleReadBack(request);
     } else if (CAPACITY_EXCEEDED.equals(error)) {
       scheduleRetry(request, retryAfterMicros);
     }
   }
 
-  private void scheduleReadBack(Asked write) {
+  private void scheduleReadBack(CheckedRequest write) {
     RequestClass sessionRead =
         context.requestClasses().stream()
             .filter(requestClass -> requestClass.consistency() == Consistency.SESSION)
@@ -231,7 +238,7 @@
             () -> reader.send(sessionRead, replicaSetOf(write), sessionOf(write), MOST_RETRIES));
   }
 
-  private void scheduleRetry(Asked rejected, long retryAfterMicros) {
+  private void scheduleRetry(CheckedRequest rejected, long retryAfterMicros) {
     int earlierTries = recorder.earlierTries(rejected);
     if (earlierTries >= MOST_RETRIES) {
       return;
@@ -241,17 +248,22 @@
         .after(
             Math.max(SHORTEST_RETRY_MICROS, retryAfterMicros),
             () ->
-                send(rejected.type, replicaSetOf(rejected), sessionOf(rejected), earlierTries + 1));
+                send(
+                    rejected.requestClass,
+                    replicaSetOf(rejected),
+                    sessionOf(rejected),
+                    earlierTries + 1));
   }
 
   @Override
-  public void late(ClientConnectionHandler<Asked> by, Asked request) {
+  public void timedOut(ClientConnectionHandler<CheckedRequest> by, CheckedRequest request) {
     recorder.unanswered(request, "had no answer in time");
     connections.remove(by);
   }
 
   @Override
-  public void left(ClientConnectionHandler<Asked> by, Asked request, boolean reset) {
+  public void disconnected(
+      ClientConnectionHandler<CheckedRequest> by, CheckedRequest request, boolean reset) {
     connections.remove(by);
     if (request != null) {
       recorder.connectionLost(request, reset);
@@ -259,13 +271,13 @@
   }
 
   @Override
-  public void malformed(String why) {
-    context.checker().violated(context.now(), Rule.RIGHT_VALUE, why);
+  public void malformedResponse(String why) {
+    context.checker().violated(context.nowMicros(), Rule.RIGHT_VALUE, why);
   }
 
   /** A part of those who wait hang up. */
   void hangUp() {
-    for (ClientConnectionHandler<Asked> connection : List.copyOf(connections)) {
+    for (ClientConnectionHandler<CheckedRequest> connection : List.copyOf(connections)) {
       if (!connection.isFree() && random.nextInt(AFFECTED_ONE_IN) == 0) {
         excuse(connection);
         connection.hangUp();
@@ -275,10 +287,10 @@
   }
 
   /** A part of them read nothing for a while. */
-  void stall(long durationMicros) {
-    for (ClientConnectionHandler<Asked> connection : List.copyOf(connections)) {
+  void stallReaders(long durationMicros) {
+    for (ClientConnectionHandler<CheckedRequest> connection : List.copyOf(connections)) {
       if (random.nextInt(AFFECTED_ONE_IN) == 0) {
-        connection.stall(true);
+        connection.setStalled(true);
         excuse(connection);
         context
             .scheduler()
@@ -286,17 +298,17 @@
                 durationMicros,
                 () -> {
                   excuse(connection);
-                  connection.stall(false);
+                  connection.setStalled(false);
                 });
       }
     }
   }
 
   /** So many more connect at once and send nothing for a while; then all leave. */
-  void idle(int count, long durationMicros) {
+  void connectIdle(int count, long durationMicros) {
     for (int i = 0; i < count && gateways.acceptsConnections(gateway); i++) {
-      ClientConnectionHandler<Asked> connection = connect(database(i));
-      connection.asksNothing();
+      ClientConnectionHandler<CheckedRequest> connection = connect(database(i));
+      connection.expectNoAnswer();
       context
           .scheduler()
           .after(durationMicros + random.nextInt(IDLE_SPREAD_MICROS), connection::close);
@@ -304,16 +316,16 @@
   }
 
   /** What it waits for may be late by its own fault. */
-  private void excuse(ClientConnectionHandler<Asked> connection) {
-    if (connection.current() != null) {
-      context.checker().excuse(connection.current());
+  private void excuse(ClientConnectionHandler<CheckedRequest> connection) {
+    if (connection.currentRequest() != null) {
+      context.checker().excuse(connection.currentRequest());
     }
   }
 
   /** Ends what is open once nothing more is sent. */
-  void end() {
-    for (ClientConnectionHandler<Asked> connection : List.copyOf(connections)) {
-      connection.asksNothing();
+  void closeAll() {
+    for (ClientConnectionHandler<CheckedRequest> connection : List.copyOf(connections)) {
+      connection.expectNoAnswer();
       connection.close();
     }
     connections.clear();
--- a/lab/src/main/java/shelffront/lab/simulation/EventTrace.java
+++ b/lab/src/main/java/shelffront/lab/simulation/EventTrace.java
@@ -39,7 +39,7 @@
   }
 
   void record(String event, String subject, String detail, String moreDetail) {
-    long elapsedMicros = clock.now() - startMicros;
+    long elapsedMicros = clock.nowMicros() - startMicros;
     String line = elapsedMicros + " " + event + " " + subject + " " + detail + " " + moreDetail;
     digest.update(line.getBytes(UTF_8));
     listener.accept(line);
--- a/lab/src/main/java/shelffront/lab/simulation/FaultInjector.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FaultInjector.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Set;
-import shelffront.lab.model.ReplicaSetModel.Box;
+import shelffront.lab.model.ReplicaSetModel.Host;
 import shelffront.lab.simulation.Scenario.Fault;
 import shelffront.lab.simulation.Scenario.FaultKind;
 import shelffront.lab.virtual.SimulatedMachine;
@@ -74,7 +74,9 @@
       case DRAIN_BOX, DRAIN_PRIMARY -> drainHost(fault);
       case VANISH_BOX -> vanish(hosts.target(target), durationMicros);
       case SLOW_BOX ->
-          hosts.target(target).slow(SHORTEST_SLOWDOWN + target % SLOWDOWN_SPREAD, durationMicros);
+          hosts
+              .target(target)
+              .slowDown(SHORTEST_SLOWDOWN + target % SLOWDOWN_SPREAD, durationMicros);
       case SPOIL_BOX -> hosts.environment().corruptAnswers(hosts.target(target), durationMicros);
       case RESET_BOX -> hosts.machine(hosts.target(target)).resetAll();
       case HICCUP_BOX -> hiccup(hosts.target(target), durationMicros);
@@ -89,10 +91,10 @@
       case BURST -> burst(population(target), durationMicros);
       case HANG_UPS -> population(target).hangUp();
       case STALL_READERS ->
-          population(target).stall(Math.min(LONGEST_STALL_MICROS, durationMicros));
+          population(target).stallReaders(Math.min(LONGEST_STALL_MICROS, durationMicros));
       case IDLE_CROWD ->
           population(target)
-              .idle(
+              .connectIdle(
                   context.scenario().means().sockets(),
                   Math.min(LONGEST_IDLE_MICROS, durationMicros));
       case GARBAGE -> connectMisbehavingClients(fault);
@@ -106,7 +108,7 @@
   }
 
   private void killHost(Fault fault) {
-    Box host =
+    Host host =
         fault.kind() == FaultKind.KILL_PRIMARY
             ? hosts.targetPrimary(fault.target())
             : hosts.target(fault.target());
@@ -116,7 +118,7 @@
   }
 
   private void drainHost(Fault fault) {
-    Box host =
+    Host host =
         fault.kind() == FaultKind.DRAIN_PRIMARY
             ? hosts.targetPrimary(fault.target())
             : hosts.target(fault.target());
@@ -125,13 +127,13 @@
     }
   }
 
-  private void vanish(Box host, long durationMicros) {
+  private void vanish(Host host, long durationMicros) {
     SimulatedMachine machine = hosts.machine(host);
-    machine.vanish();
-    context.scheduler().after(durationMicros, machine::comeBack);
+    machine.isolate();
+    context.scheduler().after(durationMicros, machine::rejoin);
   }
 
-  private void hiccup(Box host, long durationMicros) {
+  private void hiccup(Host host, long durationMicros) {
     for (int i = 0; i < HICCUPS; i++) {
       context
           .scheduler()
@@ -172,10 +174,10 @@
   }
 
   private void burst(ClientPopulation population, long durationMicros) {
-    population.factor(BURST_FACTOR);
+    population.setRateFactor(BURST_FACTOR);
     context
         .scheduler()
-        .after(Math.min(LONGEST_BURST_MICROS, durationMicros), () -> population.factor(1));
+        .after(Math.min(LONGEST_BURST_MICROS, durationMicros), () -> population.setRateFactor(1));
   }
 
   private void connectMisbehavingClients(Fault fault) {
@@ -187,7 +189,7 @@
               context.random().nextLong(fault.time() + 1),
               () ->
                   new MisbehavingClientHandler(
-                      context.network().on(misbehavingMachine),
+                      context.network().transportOn(misbehavingMachine),
                       gateways.address(fault.target() % gateways.size()),
                       context.random()));
     }
--- a/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
@@ -13,7 +13,7 @@
 import shelffront.gateway.Gateway;
 import shelffront.lab.emulator.DiscoveryEmulator;
 import shelffront.lab.invariants.InvariantChecker;
-import shelffront.lab.invariants.InvariantChecker.Asked;
+import shelffront.lab.invariants.InvariantChecker.CheckedRequest;
 import shelffront.lab.transport.TransportConnection;
 import shelffront.lab.virtual.SimulatedMachine;
 import shelffront.lab.virtual.SimulatedSocket;
@@ -47,38 +47,38 @@
       long asked, long onTime, long late, long refused, long failed, long unanswered) {}
 
   /** Windows of a run in which worth is counted, in microseconds. */
-  public static final long WINDOW = 250_000;
+  public static final long WINDOW_MICROS = 250_000;
 
   /**
    * How a run ended: broken rules, what classes came to, its size, and a hash over all that
    * happened.
    *
-   * @param wanted worth asked for in each window
-   * @param kept of that, the worth that was answered within the classes' aims
-   * @param latency microseconds from asking to a served answer
+   * @param requestedValue worth asked for in each window
+   * @param servedValue of that, the worth that was answered within the classes' aims
+   * @param latencyMicros microseconds from asking to a served answer
    */
   public record Result(
       List<InvariantChecker.Violation> violations,
       int violationCount,
-      Map<String, Worth> worth,
-      double worthKept,
-      double[] wanted,
-      double[] kept,
-      Histogram latency,
+      Map<String, Worth> byClass,
+      double servedValueFraction,
+      double[] requestedValue,
+      double[] servedValue,
+      Histogram latencyMicros,
       long events,
       long requests,
       String hash) {}
 
   /** What a gateway is made of, for those who put a changed one in its place. */
-  public record Start(Network network, GatewayConfig config, VirtualChannels channels) {
+  public record GatewayParts(Network network, GatewayConfig config, VirtualChannels channels) {
 
     /** The gateway as it is. */
-    public Gateway asItIs() {
-      return with(config);
+    public Gateway unmodified() {
+      return withConfig(config);
     }
 
     /** The gateway with another configuration. */
-    public Gateway with(GatewayConfig config) {
+    public Gateway withConfig(GatewayConfig config) {
       try {
         return new Gateway(network, config);
       } catch (IOException e) {
@@ -96,7 +96,7 @@
 
   /** The parts draw random numbers and addresses as they are made: their order is part of a run. */
   private FleetSimulation(
-      Scenario scenario, Function<Start, Gateway> variant, Consumer<String> traceListener) {
+      Scenario scenario, Function<GatewayParts, Gateway> variant, Consumer<String> traceListener) {
     context = SimulationContext.create(scenario, traceListener);
     SimulatedDiscovery discovery = new SimulatedDiscovery(context, this::endpointsSent);
     gateways = new GatewayFleet(context, discovery, variant);
@@ -108,13 +108,13 @@
   }
 
   /** Runs a scenario on the gateway as it is. */
-  public static Result play(Scenario scenario) {
-    return play(scenario, Start::asItIs, line -> {});
+  public static Result run(Scenario scenario) {
+    return run(scenario, GatewayParts::unmodified, line -> {});
   }
 
   /** Runs a scenario on a gateway that may be a changed one; the trace gets each event's line. */
-  public static Result play(
-      Scenario scenario, Function<Start, Gateway> variant, Consumer<String> trace) {
+  public static Result run(
+      Scenario scenario, Function<GatewayParts, Gateway> variant, Consumer<String> trace) {
     return new FleetSimulation(scenario, variant, trace).run();
   }
 
@@ -124,11 +124,11 @@
     gateways.startAll();
     runUntil(discoveryReadyMicros + SETTLING_MICROS);
     startLoad();
-    runUntil(context.now() + context.scenario().length() + LAST_DEADLINE_MICROS);
-    populations.forEach(ClientPopulation::end);
-    runUntil(context.now() + CLIENTS_END_MICROS);
+    runUntil(context.nowMicros() + context.scenario().length() + LAST_DEADLINE_MICROS);
+    populations.forEach(ClientPopulation::closeAll);
+    runUntil(context.nowMicros() + CLIENTS_END_MICROS);
     gateways.stopAll();
-    runUntil(context.now() + gateways.drainMicros());
+    runUntil(context.nowMicros() + gateways.drainMicros());
     gateways.checkAllReleased();
     checkAllAnswered();
     return requests.result();
@@ -137,7 +137,7 @@
   private void startLoad() {
     Scenario scenario = context.scenario();
     requests.start();
-    long startMicros = context.now();
+    long startMicros = context.nowMicros();
     for (int gateway = 0; gateway < scenario.gateways(); gateway++) {
       populations.add(
           new ClientPopulation(
@@ -153,9 +153,9 @@
   }
 
   private void checkAllAnswered() {
-    for (Asked request : context.checker().asked()) {
+    for (CheckedRequest request : context.checker().requests()) {
       if (!request.isAnswered()) {
-        context.checker().unanswered(request, context.now(), "was never answered");
+        context.checker().unanswered(request, context.nowMicros(), "was never answered");
       }
     }
   }
@@ -163,40 +163,42 @@
   /** Lets time pass: events in their order, and turns of gateways when one has something to do. */
   private void runUntil(long endMicros) {
     while (true) {
-      if (gateways.runDueTurns() || context.scheduler().step()) {
+      if (gateways.runDueTurns() || context.scheduler().runNext()) {
         continue;
       }
-      long nextMicros = Math.min(context.scheduler().next(), gateways.nextTurnMicros());
+      long nextMicros = Math.min(context.scheduler().nextMicros(), gateways.nextTurnMicros());
       if (nextMicros > endMicros) {
-        context.scheduler().advance(endMicros);
+        context.scheduler().advanceTo(endMicros);
         return;
       }
-      context.scheduler().advance(nextMicros);
+      context.scheduler().advanceTo(nextMicros);
     }
   }
 
   /** Discovery has sent an update to whoever watches: what gateways now know binds them. */
   private void endpointsSent(
-      TransportConnection connection, List<DiscoveryEmulator.Line> lines, boolean complete) {
-    SimulatedMachine machine = ((SimulatedSocket) connection).other().machine();
+      TransportConnection connection,
+      List<DiscoveryEmulator.EndpointLine> lines,
+      boolean complete) {
+    SimulatedMachine machine = ((SimulatedSocket) connection).peer().machine();
     Integer gateway = gateways.currentIndexOf(machine);
     if (gateway == null) {
       return;
     }
     InvariantChecker checker = context.checker();
     Set<String> named = new LinkedHashSet<>();
-    for (DiscoveryEmulator.Line line : lines) {
+    for (DiscoveryEmulator.EndpointLine line : lines) {
       named.add(line.id());
       if (line.phase().equals(HostFleet.READY)) {
-        checker.drainOver(gateway, line.id());
+        checker.drainEnded(gateway, line.id());
       } else {
-        checker.drainTold(gateway, line.id(), context.now());
+        checker.drainAnnounced(gateway, line.id(), context.nowMicros());
       }
     }
     if (complete) {
       hosts.ids().stream()
           .filter(id -> !named.contains(id))
-          .forEach(id -> checker.drainTold(gateway, id, context.now()));
+          .forEach(id -> checker.drainAnnounced(gateway, id, context.nowMicros()));
     }
   }
 }
--- a/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
+++ b/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import shelffront.gateway.Gateway;
-import shelffront.lab.invariants.InvariantChecker.Asked;
+import shelffront.lab.invariants.InvariantChecker.CheckedRequest;
 import shelffront.lab.virtual.SimulatedMachine;
 
 /**
@@ -29,7 +29,7 @@
 
   private final SimulationContext context;
   private final SimulatedDiscovery discovery;
-  private final Function<FleetSimulation.Start, Gateway> variant;
+  private final Function<FleetSimulation.GatewayParts, Gateway> variant;
   private final List<InetSocketAddress> addresses = new ArrayList<>();
   private final List<SimulatedGateway> gateways = new ArrayList<>();
   private final Map<SimulatedMachine, Integer> indexes = new HashMap<>();
@@ -39,7 +39,7 @@
   GatewayFleet(
       SimulationContext context,
       SimulatedDiscovery discovery,
-      Function<FleetSimulation.Start, Gateway> variant) {
+      Function<FleetSimulation.GatewayParts, Gateway> variant) {
     this.context = context;
     this.discovery = discovery;
     this.variant = variant;
@@ -93,7 +93,7 @@
     if (ending) {
       return;
     }
-    context.checker().restarted(index);
+    context.checker().gatewayRestarted(index);
     gateways.set(index, start(index));
   }
 
@@ -155,7 +155,7 @@
   }
 
   private void excuseOpenRequests(int index) {
-    for (Asked request : context.checker().asked()) {
+    for (CheckedRequest request : context.checker().requests()) {
       if (request.gateway == index && !request.isAnswered()) {
         context.checker().excuse(request);
       }
@@ -183,8 +183,8 @@
       return;
     }
     context.trace().record("stop", gateway.name());
-    gateway.stop(context.now() + CLIENTS_CONNECT_AFTER_STOP_MICROS);
-    awaitStop(gateway, context.now() + DRAIN_MICROS);
+    gateway.stop(context.nowMicros() + CLIENTS_CONNECT_AFTER_STOP_MICROS);
+    awaitStop(gateway, context.nowMicros() + DRAIN_MICROS);
   }
 
   private void awaitStop(SimulatedGateway gateway, long deadlineMicros) {
@@ -196,7 +196,7 @@
               if (gateway.isStopped()) {
                 gateway.checkReleased();
                 replace(gateway.index());
-              } else if (context.now() < deadlineMicros) {
+              } else if (context.nowMicros() < deadlineMicros) {
                 awaitStop(gateway, deadlineMicros);
               } else {
                 gateway.checkReleased();
@@ -227,7 +227,7 @@
   boolean runDueTurns() {
     boolean ran = false;
     for (SimulatedGateway gateway : gateways) {
-      if (gateway.nextTurnMicros() <= context.now()) {
+      if (gateway.nextTurnMicros() <= context.nowMicros()) {
         gateway.runTurn();
         ran = true;
       }
--- a/lab/src/main/java/shelffront/lab/simulation/HostFleet.java
+++ b/lab/src/main/java/shelffront/lab/simulation/HostFleet.java
@@ -11,7 +11,7 @@
 import shelffront.lab.emulator.DiscoveryEmulator;
 import shelffront.lab.emulator.EmulatedHostConnection;
 import shelffront.lab.model.ReplicaSetModel;
-import shelffront.lab.model.ReplicaSetModel.Box;
+import shelffront.lab.model.ReplicaSetModel.Host;
 import shelffront.lab.virtual.SimulatedMachine;
 
 /**
@@ -28,14 +28,14 @@
 
   /** A host, where it runs, and the number of its replica set, from 1. */
   private record Placement(
-      Box host, SimulatedMachine machine, InetSocketAddress address, int replicaSet) {}
+      Host host, SimulatedMachine machine, InetSocketAddress address, int replicaSet) {}
 
   private final SimulationContext context;
   private final SimulatedDiscovery discovery;
   private final GatewayFleet gateways;
   private final SimulatedHostEnvironment environment;
   private final List<ReplicaSetModel> replicaSets = new ArrayList<>();
-  private final Map<String, Box> hosts = new TreeMap<>();
+  private final Map<String, Host> hosts = new TreeMap<>();
 
   /** Of the hosts that there are and of those that were removed. */
   private final Map<String, Placement> placements = new HashMap<>();
@@ -50,7 +50,7 @@
     this.gateways = gateways;
     RoleAnnouncements announcements = new RoleAnnouncements();
     environment = new SimulatedHostEnvironment(context, gateways, announcements);
-    ReplicaSetModel.Witness observer =
+    ReplicaSetModel.Observer observer =
         new ReplicaSetObserver(context, this, environment, announcements);
     Scenario scenario = context.scenario();
     for (int number = 1; number <= scenario.sets(); number++) {
@@ -63,7 +63,7 @@
               scenario.figures(),
               observer);
       replicaSets.add(replicaSet);
-      for (Box host : replicaSet.boxes()) {
+      for (Host host : replicaSet.hosts()) {
         place(host, number);
         if (host.isPrimary()) {
           firstPrimaries.add(host.id());
@@ -78,17 +78,17 @@
   }
 
   /** The host that a fault's target stands for. */
-  Box target(int target) {
-    List<Box> all = List.copyOf(hosts.values());
+  Host target(int target) {
+    List<Host> all = List.copyOf(hosts.values());
     return all.get(target % all.size());
   }
 
   /** The primary of the replica set that a fault's target stands for; null while it has none. */
-  Box targetPrimary(int target) {
+  Host targetPrimary(int target) {
     return replicaSets.get(target % replicaSets.size()).primary();
   }
 
-  SimulatedMachine machine(Box host) {
+  SimulatedMachine machine(Host host) {
     return placements.get(host.id()).machine();
   }
 
@@ -96,11 +96,11 @@
     return hosts.keySet();
   }
 
-  private ReplicaSetModel replicaSet(Box host) {
+  private ReplicaSetModel replicaSet(Host host) {
     return replicaSets.get(placements.get(host.id()).replicaSet() - 1);
   }
 
-  private void place(Box host, int replicaSet) {
+  private void place(Host host, int replicaSet) {
     SimulatedMachine machine = context.network().machine(host.id());
     hosts.put(host.id(), host);
     InetSocketAddress address = context.network().newAddress();
@@ -112,19 +112,19 @@
             machine,
             address,
             connection ->
-                !host.isUp() || machine.connections() >= connectionLimit
+                !host.isUp() || machine.connectionCount() >= connectionLimit
                     ? null
                     : new EmulatedHostConnection(environment, host, connection));
   }
 
-  private DiscoveryEmulator.Line line(Box host, String phase) {
+  private DiscoveryEmulator.EndpointLine line(Host host, String phase) {
     Placement placement = placements.get(host.id());
-    return new DiscoveryEmulator.Line(
+    return new DiscoveryEmulator.EndpointLine(
         host.id(),
         placement.address().getHostString() + ":" + placement.address().getPort(),
         placement.replicaSet(),
         phase,
-        host.startedAt() / MICROS_PER_MILLI,
+        host.startedAtMicros() / MICROS_PER_MILLI,
         switch (context.scenario().deployment().listRole()) {
           case NONE -> false;
           case AT_START -> firstPrimaries.contains(host.id());
@@ -133,11 +133,11 @@
   }
 
   /** Publishes all hosts of a replica set anew, after its primary changed. */
-  void publishRoles(Box newPrimary) {
+  void publishRoles(Host newPrimary) {
     if (!hosts.containsKey(newPrimary.id())) {
       return;
     }
-    for (Box host : replicaSet(newPrimary).boxes()) {
+    for (Host host : replicaSet(newPrimary).hosts()) {
       if (host.isUp() && hosts.containsKey(host.id())) {
         discovery.publish(
             line(host, host.isDraining() ? DRAINING : READY), context.scenario().listDelay() + 2);
@@ -149,7 +149,7 @@
    * Publishes that a host takes no new work. Where the list is pushed, all gateways count as told
    * after a while, whether they watch or not.
    */
-  private void publishUnavailable(Box host, String phase, long delayMicros) {
+  private void publishUnavailable(Host host, String phase, long delayMicros) {
     discovery.publish(line(host, phase), delayMicros);
     Scenario scenario = context.scenario();
     if (scenario.deployment().pushed() && scenario.means().tenants() == 0) {
@@ -160,16 +160,17 @@
     }
   }
 
-  private void markDrainAnnounced(Box host) {
+  private void markDrainAnnounced(Host host) {
     boolean availableAgain = host.isUp() && !host.isDraining(); // the list may say so already
     if (!availableAgain && !discovery.mayBeDelayed() && hosts.get(host.id()) == host) {
       gateways.forEachAlive(
-          gateway -> context.checker().drainTold(gateway.index(), host.id(), context.now()));
+          gateway ->
+              context.checker().drainAnnounced(gateway.index(), host.id(), context.nowMicros()));
     }
   }
 
   /** Its process ends, and starts again after a while unless the host was replaced. */
-  void kill(Box host, long downMicros) {
+  void kill(Host host, long downMicros) {
     if (!host.isUp()) {
       return;
     }
@@ -187,14 +188,14 @@
             });
   }
 
-  private void end(Box host) {
+  private void end(Host host) {
     replicaSet(host).kill(host);
     machine(host).resetAll();
     publishUnavailable(host, REMOVED, context.scenario().listDelay());
   }
 
   /** A planned replacement: it drains, ends, and a new host with another id takes its place. */
-  void drain(Box host, long extraMicros) {
+  void drain(Host host, long extraMicros) {
     if (!host.isUp() || host.isDraining()) {
       return;
     }
@@ -202,7 +203,7 @@
     ReplicaSetModel replicaSet = replicaSet(host);
     replicaSet.drain(host);
     publishUnavailable(host, DRAINING, 1);
-    Box replacement = replicaSet.join("n" + replacements++);
+    Host replacement = replicaSet.join("n" + replacements++);
     place(replacement, placements.get(host.id()).replicaSet());
     discovery.publish(line(replacement, READY), context.scenario().listDelay());
     context
--- a/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
+++ b/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
@@ -15,11 +15,11 @@
  */
 final class MisbehavingClientHandler extends ConnectionHandler {
 
-  private static final long STAYS = 1_500_000;
+  private static final long LONGEST_STAY_MICROS = 1_500_000;
 
   MisbehavingClientHandler(
       Transport carrier, InetSocketAddress gateway, UniformRandomProvider random) {
-    end = carrier.connect(gateway, this);
+    connection = carrier.connect(gateway, this);
     byte[] startup = Message.startup("api", "ledger");
     byte[] query =
         Message.query("/* id=rude,c=map-read,d=1000,cluster=1 */ SELECT 1".getBytes(ISO_8859_1));
@@ -48,7 +48,7 @@
       }
       default -> send(new byte[0]);
     }
-    long stays = random.nextLong(STAYS);
+    long stays = random.nextLong(LONGEST_STAY_MICROS);
     carrier.clock().after(stays, random.nextBoolean() ? this::reset : this::close);
   }
 
--- a/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -44,7 +44,7 @@
     boolean retryAfter,
     double probePrice) {
 
-  private static final long MS = 1000;
+  private static final long MICROS_PER_MILLI = 1000;
 
   /**
    * Marks remembered by the gateway, a list that is asked for and names roles late, reports in
@@ -99,30 +99,48 @@
         r.nextBoolean() ? 0.01 : 0.07);
   }
 
-  List<RequestClass> types() {
+  List<RequestClass> requestClasses() {
     List<RequestClass> types =
         new ArrayList<>(
             List.of(
-                type("map-read", 500 * MS, 1200 * MS, 2, Consistency.BOUNDED_STALENESS, 500 * MS),
-                type("own-edit-read", 700 * MS, 2000 * MS, 3, Consistency.SESSION, 0),
-                type("live-read", 500 * MS, 1500 * MS, 1, Consistency.STRONG, 0),
+                type(
+                    "map-read",
+                    500 * MICROS_PER_MILLI,
+                    1200 * MICROS_PER_MILLI,
+                    2,
+                    Consistency.BOUNDED_STALENESS,
+                    500 * MICROS_PER_MILLI),
+                type(
+                    "own-edit-read",
+                    700 * MICROS_PER_MILLI,
+                    2000 * MICROS_PER_MILLI,
+                    3,
+                    Consistency.SESSION,
+                    0),
+                type(
+                    "live-read",
+                    500 * MICROS_PER_MILLI,
+                    1500 * MICROS_PER_MILLI,
+                    1,
+                    Consistency.STRONG,
+                    0),
                 new RequestClass(
                     "map-write",
-                    1200 * MS,
-                    3000 * MS,
+                    1200 * MICROS_PER_MILLI,
+                    3000 * MICROS_PER_MILLI,
                     6,
                     0.7,
                     Idempotency.IDEMPOTENCY_KEY,
                     DeduplicationScope.REPLICA_SET,
-                    2000 * MS,
+                    2000 * MICROS_PER_MILLI,
                     Consistency.WRITE,
                     0)));
     if (onceWrites) {
       types.add(
           new RequestClass(
               "once-write",
-              1200 * MS,
-              3000 * MS,
+              1200 * MICROS_PER_MILLI,
+              3000 * MICROS_PER_MILLI,
               6,
               0.7,
               Idempotency.NON_IDEMPOTENT,
@@ -160,7 +178,7 @@
     return new RoutingSettings(
         new GatewayIdentity(self, modules, "a"),
         1000,
-        types(),
+        requestClasses(),
         new ConsistencySettings(check, f.patience(), stamped, carried),
         new EndpointListSettings(listRole, !pushed),
         reports,
--- a/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
@@ -4,12 +4,12 @@
 import shelffront.lab.invariants.InvariantChecker;
 import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.model.ReplicaSetModel;
-import shelffront.lab.model.ReplicaSetModel.Box;
 import shelffront.lab.model.ReplicaSetModel.Effect;
+import shelffront.lab.model.ReplicaSetModel.Host;
 import shelffront.lab.model.ReplicaSetModel.Query;
 
 /** Tells the checker, the trace and discovery what truly happened in the replica sets. */
-final class ReplicaSetObserver implements ReplicaSetModel.Witness {
+final class ReplicaSetObserver implements ReplicaSetModel.Observer {
 
   private final SimulationContext context;
   private final HostFleet hosts;
@@ -28,48 +28,48 @@
   }
 
   @Override
-  public void begun(Box host, Query query) {
-    InvariantChecker.Try attempt = environment.lastAttempt(query.id());
+  public void executionStarted(Host host, Query query) {
+    InvariantChecker.Attempt attempt = environment.lastAttempt(query.id());
     if (attempt != null) {
-      context.checker().begins(attempt);
+      context.checker().executionStarted(attempt);
     }
   }
 
   @Override
-  public void applied(Box host, Effect effect, Query by, boolean repeated) {
+  public void applied(Host host, Effect effect, Query by, boolean repeated) {
     context.trace().record("applied", host.id(), by.id(), effect.key());
-    context.checker().applied(effect, by.id(), repeated, context.now());
+    context.checker().effectApplied(effect, by.id(), repeated, context.nowMicros());
   }
 
   @Override
-  public void read(Box host, Query query, long position) {
+  public void readServed(Host host, Query query, long position) {
     int gateway = context.checker().gatewayOf(query.id());
     context
         .checker()
-        .read(
+        .readServed(
             query.id(),
             host.id(),
             host.isPrimary(),
             position,
-            context.now(),
+            context.nowMicros(),
             announcements.knownAtMicros(gateway, host.id()));
   }
 
   @Override
-  public void pushedOver(Box host) {
+  public void overloaded(Host host) {
     context
         .checker()
-        .violated(context.now(), Rule.COLD, host.id() + " got more than a cold box can bear");
+        .violated(context.nowMicros(), Rule.COLD, host.id() + " got more than a cold box can bear");
   }
 
   @Override
-  public void primary(Box host, Box before, List<Effect> lost) {
+  public void primaryChanged(Host host, Host before, List<Effect> lost) {
     if (before != null) {
       announcements.demoted(before.id(), context.scenario().gateways());
     }
     String id = host == null ? "none" : host.id();
     context.trace().record("primary", id, String.valueOf(lost.size()));
-    context.checker().lost(lost);
+    context.checker().effectsLost(lost);
     if (host != null) {
       hosts.publishRoles(host);
     }
--- a/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import shelffront.lab.invariants.InvariantChecker.Asked;
+import shelffront.lab.invariants.InvariantChecker.CheckedRequest;
 import shelffront.routing.RequestClass;
 
 /**
@@ -61,13 +61,14 @@
   RequestRecorder(SimulationContext context, GatewayFleet gateways) {
     this.context = context;
     this.gateways = gateways;
-    requestedValue = new double[(int) (context.scenario().length() / FleetSimulation.WINDOW) + 1];
+    requestedValue =
+        new double[(int) (context.scenario().length() / FleetSimulation.WINDOW_MICROS) + 1];
     servedValue = new double[requestedValue.length];
   }
 
   /** Load begins now; windows count from here. */
   void start() {
-    startedAtMicros = context.now();
+    startedAtMicros = context.nowMicros();
   }
 
   private ClassCounts countsOf(RequestClass requestClass) {
@@ -75,17 +76,17 @@
   }
 
   /** A client has sent a request, after so many earlier tries of its own. */
-  void sent(Asked request, int earlierTries) {
+  void sent(CheckedRequest request, int earlierTries) {
     requests++;
-    requestedValue[window(request)] += request.type.priorityWeight();
-    countsOf(request.type).asked++;
+    requestedValue[window(request)] += request.requestClass.priorityWeight();
+    countsOf(request.requestClass).asked++;
     if (earlierTries > 0) {
       retries.put(request.id, earlierTries);
     }
     if (gateways.isDisturbed(request.gateway)) {
       context.checker().excuse(request);
     }
-    context.trace().record("ask", request.id, request.type.name());
+    context.trace().record("ask", request.id, request.requestClass.name());
   }
 
   /** A request was due and its client had no connection: it counts as sent and unanswered. */
@@ -95,56 +96,57 @@
   }
 
   /** How often a client had tried before it sent this request. */
-  int earlierTries(Asked request) {
+  int earlierTries(CheckedRequest request) {
     return retries.getOrDefault(request.id, 0);
   }
 
   /** An answer has come: a value, or the code of an error. */
-  void answered(Asked request, String value, String code) {
-    long now = context.now();
+  void answered(CheckedRequest request, String value, String code) {
+    long now = context.nowMicros();
     context.trace().record("answered", request.id, String.valueOf(value), String.valueOf(code));
     context.checker().answered(request, now, value, code);
     Ending ending = endingOf(request, code);
-    countsOf(request.type).byEnding[ending.ordinal()]++;
+    countsOf(request.requestClass).byEnding[ending.ordinal()]++;
     if (code == null) {
-      latencyMicros.recordValue(Math.max(0, now - request.sentAt));
-      double valueFraction = ending == Ending.ON_TIME ? 1 : request.type.lateValueFraction();
-      servedValue[window(request)] += request.type.priorityWeight() * valueFraction;
+      latencyMicros.recordValue(Math.max(0, now - request.sentAtMicros));
+      double valueFraction =
+          ending == Ending.ON_TIME ? 1 : request.requestClass.lateValueFraction();
+      servedValue[window(request)] += request.requestClass.priorityWeight() * valueFraction;
     }
   }
 
-  private Ending endingOf(Asked request, String code) {
+  private Ending endingOf(CheckedRequest request, String code) {
     if (code == null) {
-      long objectiveMicros = request.sentAt + request.type.latencyObjectiveMicros();
-      return context.now() <= objectiveMicros ? Ending.ON_TIME : Ending.LATE;
+      long objectiveMicros = request.sentAtMicros + request.requestClass.latencyObjectiveMicros();
+      return context.nowMicros() <= objectiveMicros ? Ending.ON_TIME : Ending.LATE;
     }
     return code.equals(CAPACITY_EXCEEDED) || code.equals(SHUTTING_DOWN)
         ? Ending.REJECTED
         : Ending.FAILED;
   }
 
-  private int window(Asked request) {
-    long elapsedMicros = Math.max(0, request.sentAt - startedAtMicros);
-    return (int) Math.min(servedValue.length - 1, elapsedMicros / FleetSimulation.WINDOW);
+  private int window(CheckedRequest request) {
+    long elapsedMicros = Math.max(0, request.sentAtMicros - startedAtMicros);
+    return (int) Math.min(servedValue.length - 1, elapsedMicros / FleetSimulation.WINDOW_MICROS);
   }
 
   /** The client has waited its time out. */
-  void unanswered(Asked request, String how) {
+  void unanswered(CheckedRequest request, String how) {
     context.trace().record("unanswered", request.id, how);
-    countsOf(request.type).unanswered++;
-    context.checker().unanswered(request, context.now(), how);
+    countsOf(request.requestClass).unanswered++;
+    context.checker().unanswered(request, context.nowMicros(), how);
   }
 
   /** A connection has ended with a request open. */
-  void connectionLost(Asked request, boolean reset) {
+  void connectionLost(CheckedRequest request, boolean reset) {
     context.trace().record("lost", request.id, String.valueOf(reset));
-    countsOf(request.type).unanswered++;
-    if (gateways.get(request.gateway).isKilled() || request.isUntouched()) {
+    countsOf(request.requestClass).unanswered++;
+    if (gateways.get(request.gateway).isKilled() || request.hasNoAttempt()) {
       // A connection that the gateway ended between requests may cross the next one, which then
       // was sent nowhere.
       context.checker().excuse(request);
     }
-    context.checker().unanswered(request, context.now(), "lost its connection");
+    context.checker().unanswered(request, context.nowMicros(), "lost its connection");
   }
 
   /** What the run came to, as of now. */
@@ -161,13 +163,13 @@
     }
     return new FleetSimulation.Result(
         context.checker().violations(),
-        context.checker().count(),
+        context.checker().violationCount(),
         byClass,
         due == 0 ? 1 : served / due,
         requestedValue,
         servedValue,
         latencyMicros,
-        context.scheduler().count(),
+        context.scheduler().scheduledCount(),
         requests,
         context.trace().hash());
   }
--- a/lab/src/main/java/shelffront/lab/simulation/Scenario.java
+++ b/lab/src/main/java/shelffront/lab/simulation/Scenario.java
@@ -89,7 +89,7 @@
     }
   }
 
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   /** By a seed alone; the rate is that of all gateways together. */
   public static Scenario draw(long seed) {
@@ -97,7 +97,7 @@
     int gateways = 1 + r.nextInt(4);
     int sets = 1 + r.nextInt(2);
     int boxes = 2 + r.nextInt(3);
-    long length = (6 + r.nextInt(10)) * SECOND;
+    long length = (6 + r.nextInt(10)) * MICROS_PER_SECOND;
     ReplicaSetParameters.Check check = ReplicaSetParameters.Check.values()[r.nextInt(3)];
     int cores = 2 + r.nextInt(7);
     long work = 1_000 + r.nextInt(12_000);
@@ -114,14 +114,14 @@
             500 + r.nextInt(40_000),
             100 + r.nextInt(1500),
             0.21,
-            18 * SECOND,
-            SECOND + r.nextInt((int) (3 * SECOND)),
-            200_000 + r.nextInt((int) SECOND),
-            2 * SECOND,
+            18 * MICROS_PER_SECOND,
+            MICROS_PER_SECOND + r.nextInt((int) (3 * MICROS_PER_SECOND)),
+            200_000 + r.nextInt((int) MICROS_PER_SECOND),
+            2 * MICROS_PER_SECOND,
             check,
             50_000,
             4,
-            2 * SECOND,
+            2 * MICROS_PER_SECOND,
             r.nextInt(4) == 0);
     Weather weather =
         new Weather(
@@ -135,12 +135,12 @@
       FaultKind kind = FaultKind.values()[r.nextInt(FaultKind.values().length)];
       faults.add(
           new Fault(
-              SECOND / 2 + r.nextLong(length - SECOND),
+              MICROS_PER_SECOND / 2 + r.nextLong(length - MICROS_PER_SECOND),
               kind,
               r.nextInt(100),
-              50_000 + r.nextLong(4 * SECOND)));
+              50_000 + r.nextLong(4 * MICROS_PER_SECOND)));
     }
-    long listDelay = 200_000 + r.nextInt((int) (2 * SECOND));
+    long listDelay = 200_000 + r.nextInt((int) (2 * MICROS_PER_SECOND));
     boolean onceWrites = r.nextInt(3) == 0;
     Means means =
         new Means(
@@ -182,14 +182,14 @@
   }
 
   /** The same day on another deployment. */
-  public Scenario as(RandomDeployment other) {
+  public Scenario withDeployment(RandomDeployment other) {
     return new Scenario(
         seed, gateways, sets, boxes, perSecond, length, figures, weather, listDelay, other, means,
         faults);
   }
 
   /** The same day by another seed. */
-  public Scenario of(long other) {
+  public Scenario withSeed(long other) {
     return new Scenario(
         other,
         gateways,
@@ -205,7 +205,7 @@
         faults);
   }
 
-  Scenario at(double rate, long shorter) {
+  Scenario shortened(double rate, long shorter) {
     return new Scenario(
         seed,
         gateways,
--- a/lab/src/main/java/shelffront/lab/simulation/ScenarioShrinker.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ScenarioShrinker.java
@@ -17,7 +17,7 @@
       Scenario whole = Scenario.draw(seed);
       List<Fault> kept = new ArrayList<>();
       faults.forEach(i -> kept.add(whole.faults().get(i)));
-      return whole.withFaults(kept).at(rate, length);
+      return whole.withFaults(kept).shortened(rate, length);
     }
 
     /** The command that plays it. */
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedDiscovery.java
@@ -19,14 +19,16 @@
   private long delayedUntilMicros;
 
   /** Listens at two new addresses; each update sent to a gateway is told to the listener. */
-  SimulatedDiscovery(SimulationContext context, DiscoveryEmulator.Told listener) {
+  SimulatedDiscovery(SimulationContext context, DiscoveryEmulator.UpdateListener listener) {
     this.context = context;
     InetSocketAddress firstAddress = context.network().newAddress();
     secondAddress = context.network().newAddress();
     try {
       emulator =
           new DiscoveryEmulator(
-              context.network().on(context.network().machine("catalogue")), firstAddress, listener);
+              context.network().transportOn(context.network().machine("catalogue")),
+              firstAddress,
+              listener);
       emulator.listen(secondAddress);
     } catch (IOException e) {
       throw new IllegalStateException("the virtual network takes every listener", e);
@@ -42,8 +44,8 @@
     return current.equals(emulator.address()) ? secondAddress : emulator.address();
   }
 
-  void publish(DiscoveryEmulator.Line line, long delayMicros) {
-    emulator.change(line, delayMicros);
+  void publish(DiscoveryEmulator.EndpointLine line, long delayMicros) {
+    emulator.publish(line, delayMicros);
   }
 
   void breakWatches() {
@@ -52,21 +54,21 @@
 
   /** Discovery is away for a while; the agents that hold a pushed list may lack its updates. */
   void takeDown(long durationMicros) {
-    emulator.down(true);
+    emulator.setDown(true);
     delayedUntilMicros =
-        Math.max(delayedUntilMicros, context.now() + durationMicros + PUSH_DELAY_MICROS);
-    context.scheduler().after(durationMicros, () -> emulator.down(false));
+        Math.max(delayedUntilMicros, context.nowMicros() + durationMicros + PUSH_DELAY_MICROS);
+    context.scheduler().after(durationMicros, () -> emulator.setDown(false));
   }
 
   /** Whether pushed updates may be missing at the agents because discovery was away. */
   boolean mayBeDelayed() {
-    return context.now() <= delayedUntilMicros;
+    return context.nowMicros() <= delayedUntilMicros;
   }
 
   /** The whole list as of now: what an administrator copies from it when setting a tenant. */
   EndpointList currentList() {
     try {
-      return EndpointList.read(JsonReader.parseObject(emulator.whole().toString()));
+      return EndpointList.read(JsonReader.parseObject(emulator.currentList().toString()));
     } catch (MalformedInputException e) {
       throw new IllegalStateException("discovery gives what the gateway can't read", e);
     }
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
@@ -71,7 +71,7 @@
       int index,
       SimulatedMachine machine,
       InetSocketAddress listenAddress,
-      Function<FleetSimulation.Start, Gateway> variant) {
+      Function<FleetSimulation.GatewayParts, Gateway> variant) {
     this.context = context;
     this.discovery = discovery;
     this.index = index;
@@ -92,7 +92,7 @@
         Network network =
             Network.open(loop, channels, new ResourceBudget(BUFFER_BYTES), counters, log);
         multiTenantGateway = null;
-        gateway = variant.apply(new FleetSimulation.Start(network, config, channels));
+        gateway = variant.apply(new FleetSimulation.GatewayParts(network, config, channels));
         networks = List.of(network);
         loop.post(gateway::start);
       }
@@ -102,7 +102,7 @@
   }
 
   private long clockMicros() {
-    return context.now() + clockSkewMicros;
+    return context.nowMicros() + clockSkewMicros;
   }
 
   private GatewayConfig initialConfig(InetSocketAddress listenAddress) {
@@ -192,7 +192,7 @@
 
   /** Whether clients still open connections to it. */
   boolean acceptsConnections() {
-    return !stopping || context.now() < acceptsUntilMicros;
+    return !stopping || context.nowMicros() < acceptsUntilMicros;
   }
 
   /** Its process ends at once; its connections are reset. */
@@ -217,13 +217,13 @@
 
   /** Does nothing for so long from now on, whatever pause it was in. */
   void pauseFor(long durationMicros) {
-    pausedUntilMicros = context.now() + durationMicros;
+    pausedUntilMicros = context.nowMicros() + durationMicros;
   }
 
   /** Does nothing for so much longer; returns how long it is paused from now on. */
   long extendPause(long durationMicros) {
-    pausedUntilMicros = Math.max(pausedUntilMicros, context.now()) + durationMicros;
-    return pausedUntilMicros - context.now();
+    pausedUntilMicros = Math.max(pausedUntilMicros, context.nowMicros()) + durationMicros;
+    return pausedUntilMicros - context.nowMicros();
   }
 
   void stepClock(long stepMicros) {
@@ -279,7 +279,7 @@
   /** A turn of each loop that has something to do, and the time that it takes the one core. */
   void runTurn() {
     for (Network network : networks) {
-      if (dueMicros(network.loop()) <= context.now()) {
+      if (dueMicros(network.loop()) <= context.nowMicros()) {
         network.loop().runTurn();
       }
     }
@@ -287,7 +287,7 @@
     if (costMicros > 0) {
       long events = COSTLY_EVENTS.stream().mapToLong(this::count).sum();
       pausedUntilMicros =
-          Math.max(pausedUntilMicros, context.now() + (events - chargedEvents) * costMicros);
+          Math.max(pausedUntilMicros, context.nowMicros() + (events - chargedEvents) * costMicros);
       chargedEvents = events;
     }
   }
@@ -305,7 +305,7 @@
       return;
     }
     long heldBytes = networks.get(0).budget().held();
-    if (!isStopped() || channels.openNow() > 0 || heldBytes != 0) {
+    if (!isStopped() || channels.openCount() > 0 || heldBytes != 0) {
       String stopped = isStopped() ? "" : " did not stop";
       violated(
           Rule.NOTHING_LEFT,
@@ -314,12 +314,12 @@
               "gateway %d%s: %d channels, %d bytes held",
               index,
               stopped,
-              channels.openNow(),
+              channels.openCount(),
               heldBytes));
     }
   }
 
   private void violated(Rule rule, String description) {
-    context.checker().violated(context.now(), rule, description);
+    context.checker().violated(context.nowMicros(), rule, description);
   }
 }
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
@@ -8,8 +8,8 @@
 import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.model.Clock;
 import shelffront.lab.model.ReplicaSetModel.Answer;
-import shelffront.lab.model.ReplicaSetModel.Box;
-import shelffront.lab.model.ReplicaSetModel.Kind;
+import shelffront.lab.model.ReplicaSetModel.AnswerKind;
+import shelffront.lab.model.ReplicaSetModel.Host;
 import shelffront.lab.model.ReplicaSetModel.Query;
 import shelffront.lab.transport.TransportConnection;
 import shelffront.lab.virtual.SimulatedSocket;
@@ -32,7 +32,7 @@
   private final GatewayFleet gateways;
   private final RoleAnnouncements announcements;
   private final Map<String, Long> corruptUntilMicros = new HashMap<>();
-  private final Map<String, InvariantChecker.Try> lastAttempts = new HashMap<>();
+  private final Map<String, InvariantChecker.Attempt> lastAttempts = new HashMap<>();
   private boolean unknownClients;
 
   SimulatedHostEnvironment(
@@ -43,8 +43,8 @@
   }
 
   /** From now on some answers of a host are malformed, for a while. */
-  void corruptAnswers(Box host, long durationMicros) {
-    corruptUntilMicros.put(host.id(), context.now() + durationMicros);
+  void corruptAnswers(Host host, long durationMicros) {
+    corruptUntilMicros.put(host.id(), context.nowMicros() + durationMicros);
   }
 
   /** From now on requests may come of clients that the checker does not know. */
@@ -53,7 +53,7 @@
   }
 
   /** The attempt of a request that arrived last; null where none is known. */
-  InvariantChecker.Try lastAttempt(String requestId) {
+  InvariantChecker.Attempt lastAttempt(String requestId) {
     return lastAttempts.get(requestId);
   }
 
@@ -63,12 +63,12 @@
   }
 
   @Override
-  public long handshake() {
+  public long handshakeMicros() {
     return context.scenario().figures().handshake();
   }
 
   @Override
-  public Query query(Statement statement, String text) throws ProtocolException {
+  public Query parse(Statement statement, String text) throws ProtocolException {
     RequestClass requestClass = context.requestClass(statement.value("c"));
     return new Query(
         statement.value("id"),
@@ -77,65 +77,73 @@
         requestClass.isWrite(),
         requestClass.consistency() == Consistency.STRONG,
         requestClass.maxStalenessMicros(),
-        context.now() + statement.number("d", 0) * MICROS_PER_MILLI);
+        context.nowMicros() + statement.number("d", 0) * MICROS_PER_MILLI);
   }
 
   @Override
-  public Consumer<Answer> arrived(Box host, TransportConnection from, Query query) {
+  public Consumer<Answer> attemptArrived(Host host, TransportConnection from, Query query) {
     if (unknownClients && context.checker().gatewayOf(query.id()) < 0) {
       return answer -> {}; // of a client that does not keep to the protocol
     }
-    SimulatedSocket gateway = ((SimulatedSocket) from).other();
-    InvariantChecker.Try attempt =
+    SimulatedSocket gateway = ((SimulatedSocket) from).peer();
+    InvariantChecker.Attempt attempt =
         context
             .checker()
-            .arrives(query.id(), host.id(), context.now(), gateway.writtenAt(), gateway::overAt);
+            .attemptArrived(
+                query.id(),
+                host.id(),
+                context.nowMicros(),
+                gateway.lastWriteMicros(),
+                gateway::closedAtMicros);
     lastAttempts.put(query.id(), attempt);
     context.trace().record("attempt", query.id());
     return answer -> {
-      attempt.answered(context.now(), answer.kind() == Kind.FULL || answer.kind() == Kind.MISS);
+      attempt.answered(
+          context.nowMicros(),
+          answer.kind() == AnswerKind.FULL || answer.kind() == AnswerKind.MISS);
       context.trace().record("answer", host.id(), query.id(), answer.kind().name());
     };
   }
 
   @Override
-  public void tellsReplica(Box host, TransportConnection to) {
-    Integer gateway = gateways.indexOf(((SimulatedSocket) to).other().machine());
+  public void replicaRoleSent(Host host, TransportConnection to) {
+    Integer gateway = gateways.indexOf(((SimulatedSocket) to).peer().machine());
     if (gateway != null) {
-      announcements.announced(gateway, host.id(), context.now());
+      announcements.announced(gateway, host.id(), context.nowMicros());
     }
   }
 
   @Override
-  public boolean stamps() {
+  public boolean sendsPositions() {
     return context.scenario().deployment().stamped();
   }
 
   @Override
-  public boolean reports() {
+  public boolean sendsLoadReports() {
     return context.scenario().deployment().reports() == LoadReportSource.RESPONSES;
   }
 
   @Override
-  public boolean spoils(Box host) {
-    return corruptUntilMicros.getOrDefault(host.id(), 0L) > context.now()
+  public boolean corruptsAnswer(Host host) {
+    return corruptUntilMicros.getOrDefault(host.id(), 0L) > context.nowMicros()
         && context.random().nextInt(CORRUPT_ONE_IN) == 0;
   }
 
   @Override
-  public boolean silent(Box host) {
+  public boolean isSilent(Host host) {
     return false;
   }
 
   @Override
-  public void malformed(Box host, ProtocolException why) {
+  public void malformedRequest(Host host, ProtocolException why) {
     context
         .checker()
-        .violated(context.now(), Rule.RIGHT_VALUE, "to " + host.id() + ": " + why.getMessage());
+        .violated(
+            context.nowMicros(), Rule.RIGHT_VALUE, "to " + host.id() + ": " + why.getMessage());
   }
 
   @Override
-  public void left(Box host) {
+  public void connectionEnded(Host host) {
     context.trace().record("left", host.id());
   }
 }
--- a/lab/src/main/java/shelffront/lab/simulation/SimulationContext.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulationContext.java
@@ -39,7 +39,7 @@
         random,
         scheduler,
         new VirtualNetwork(scheduler, fork(random), scenario.weather()),
-        deployment.types(),
+        deployment.requestClasses(),
         new InvariantChecker(deployment.carried(), deployment.copies()),
         new EventTrace(scheduler, START_MICROS, traceListener));
   }
@@ -53,8 +53,8 @@
     return RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
   }
 
-  long now() {
-    return scheduler.now();
+  long nowMicros() {
+    return scheduler.nowMicros();
   }
 
   RequestClass requestClass(String name) {
--- a/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
@@ -6,20 +6,20 @@
  * One of the lab's own parties on a connection: takes what comes, at once, and writes as the window
  * lets it.
  */
-public abstract class ConnectionHandler implements TransportConnection.Owner {
+public abstract class ConnectionHandler implements TransportConnection.Listener {
 
-  private static final int MOST = 1 << 20;
+  private static final int MAX_READ_BYTES = 1 << 20;
 
-  protected TransportConnection end;
+  protected TransportConnection connection;
   private byte[] pending = new byte[0];
   private byte[] unread = new byte[0];
   private boolean closing;
-  private boolean over;
+  private boolean closed;
   private boolean stalled;
 
   /** Of a connection that was accepted. */
-  protected final ConnectionHandler on(TransportConnection accepted) {
-    end = accepted;
+  protected final ConnectionHandler accept(TransportConnection accepted) {
+    connection = accepted;
     return this;
   }
 
@@ -30,7 +30,7 @@
   protected abstract void ended(boolean reset);
 
   /** Reads nothing more for now, or again. */
-  public final void stall(boolean on) {
+  public final void setStalled(boolean on) {
     stalled = on;
     if (!on) {
       readable();
@@ -41,12 +41,12 @@
     return stalled;
   }
 
-  public final boolean isOver() {
-    return over;
+  public final boolean isClosed() {
+    return closed;
   }
 
   protected final void send(byte[] bytes) {
-    if (over || closing) {
+    if (closed || closing) {
       return;
     }
     byte[] all = new byte[pending.length + bytes.length];
@@ -63,29 +63,29 @@
   }
 
   public final void reset() {
-    if (!over) {
-      over = true;
-      end.reset();
+    if (!closed) {
+      closed = true;
+      connection.reset();
     }
   }
 
   @Override
   public final void writable() {
-    if (over || !end.isConnected()) {
+    if (closed || !connection.isConnected()) {
       return;
     }
-    int count = Math.min(end.room(), pending.length);
+    int count = Math.min(connection.writableBytes(), pending.length);
     if (count > 0) {
       byte[] some = new byte[count];
       System.arraycopy(pending, 0, some, 0, count);
       byte[] rest = new byte[pending.length - count];
       System.arraycopy(pending, count, rest, 0, rest.length);
       pending = rest;
-      end.write(some);
+      connection.write(some);
     }
     if (closing && pending.length == 0) {
-      over = true;
-      end.close();
+      closed = true;
+      connection.close();
     }
   }
 
@@ -101,31 +101,32 @@
 
   @Override
   public final void readable() {
-    if (over || stalled) {
+    if (closed || stalled) {
       return;
     }
-    if (end.isReset()) {
+    if (connection.isReset()) {
       finish(true);
       return;
     }
-    if (end.available() > 0) {
-      ByteBuffer all = ByteBuffer.allocate(Math.min(MOST, unread.length + end.available()));
+    if (connection.readableBytes() > 0) {
+      ByteBuffer all =
+          ByteBuffer.allocate(Math.min(MAX_READ_BYTES, unread.length + connection.readableBytes()));
       all.put(unread);
-      end.read(all, Integer.MAX_VALUE);
+      connection.read(all, Integer.MAX_VALUE);
       all.flip();
       received(all);
       unread = new byte[all.remaining()];
       all.get(unread);
     }
-    if (!over && end.atEnd()) {
+    if (!closed && connection.atEnd()) {
       finish(false);
     }
   }
 
   private void finish(boolean reset) {
-    if (!over) {
-      over = true;
-      end.close();
+    if (!closed) {
+      closed = true;
+      connection.close();
       ended(reset);
     }
   }
--- a/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
+++ b/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
@@ -32,18 +32,18 @@
 public final class SocketTransport implements Transport, Clock, AutoCloseable {
 
   private static final int BACKLOG = 4096;
-  private static final int CHUNK = 16 * 1024;
-  private static final long CHECK_MILLIS = 100;
+  private static final int READ_BUFFER_BYTES = 16 * 1024;
+  private static final long FAILURE_CHECK_MILLIS = 100;
 
   /** Closer than this a wait could only end too late: a selector waits whole milliseconds. */
-  private static final long TOO_SHORT = 1_200;
+  private static final long SHORTEST_WAIT_MICROS = 1_200;
 
-  private final TaskScheduler events = new TaskScheduler();
+  private final TaskScheduler tasks = new TaskScheduler();
   private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
   private final Selector selector;
-  private final ByteBuffer into = ByteBuffer.allocateDirect(CHUNK);
+  private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
   private final Thread thread;
-  private final Histogram lateness = new ConcurrentHistogram(60_000_000L, 3);
+  private final Histogram latenessMicros = new ConcurrentHistogram(60_000_000L, 3);
   private volatile boolean closed;
   private volatile RuntimeException failure;
 
@@ -58,7 +58,7 @@
   private void run() {
     try {
       while (!closed) {
-        turn();
+        runTurn();
       }
     } catch (RuntimeException e) {
       failure = e;
@@ -70,32 +70,33 @@
     }
   }
 
-  private void turn() throws IOException {
-    long next = events.next();
-    long wait = next == Long.MAX_VALUE ? next : next - now();
-    if (!posted.isEmpty() || wait < TOO_SHORT) {
+  private void runTurn() throws IOException {
+    long next = tasks.nextMicros();
+    long wait = next == Long.MAX_VALUE ? next : next - nowMicros();
+    if (!posted.isEmpty() || wait < SHORTEST_WAIT_MICROS) {
       selector.selectNow();
     } else {
       selector.select(wait == Long.MAX_VALUE ? 0 : wait / 1000);
     }
     for (SelectionKey key : selector.selectedKeys()) {
-      ((Ready) key.attachment()).ready(key);
+      ((ReadyHandler) key.attachment()).ready(key);
     }
     selector.selectedKeys().clear();
     for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
       task.run();
     }
-    long now = now();
-    while (events.next() <= now) {
-      lateness.recordValue(Math.min(lateness.getHighestTrackableValue(), now - events.next()));
-      events.poll().run();
+    long now = nowMicros();
+    while (tasks.nextMicros() <= now) {
+      latenessMicros.recordValue(
+          Math.min(latenessMicros.getHighestTrackableValue(), now - tasks.nextMicros()));
+      tasks.poll().run();
     }
-    if (wait < TOO_SHORT) {
+    if (wait < SHORTEST_WAIT_MICROS) {
       Thread.onSpinWait();
     }
   }
 
-  private interface Ready {
+  private interface ReadyHandler {
 
     void ready(SelectionKey key);
   }
@@ -111,7 +112,7 @@
    * thread may call.
    */
   public void await(CountDownLatch over) throws InterruptedException {
-    while (!over.await(CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
+    while (!over.await(FAILURE_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
       if (failure != null) {
         throw new IllegalStateException("a task on " + thread.getName() + " has failed", failure);
       }
@@ -127,23 +128,23 @@
   }
 
   @Override
-  public long now() {
+  public long nowMicros() {
     return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
   }
 
   @Override
   public void at(long time, Runnable task) {
-    events.add(time, task);
+    tasks.add(time, task);
   }
 
   /** Microseconds from when tasks were due until they ran. */
-  public Histogram lateness() {
-    return lateness;
+  public Histogram latenessMicros() {
+    return latenessMicros;
   }
 
   @Override
-  public TransportConnection connect(InetSocketAddress to, TransportConnection.Owner owner) {
-    SocketWire wire = new SocketWire(owner);
+  public TransportConnection connect(InetSocketAddress to, TransportConnection.Listener owner) {
+    SocketConnection wire = new SocketConnection(owner);
     try {
       wire.channel = SocketChannel.open();
       wire.channel.configureBlocking(false);
@@ -158,26 +159,27 @@
 
   @Override
   public void listen(
-      InetSocketAddress at, Function<TransportConnection, TransportConnection.Owner> accept)
+      InetSocketAddress at, Function<TransportConnection, TransportConnection.Listener> accept)
       throws IOException {
     open(at, accept);
   }
 
   /** Listens on a port that nobody else has; where. Any thread may call. */
-  public InetSocketAddress listen(Function<TransportConnection, TransportConnection.Owner> accept)
-      throws IOException {
+  public InetSocketAddress listen(
+      Function<TransportConnection, TransportConnection.Listener> accept) throws IOException {
     return open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), accept);
   }
 
   private InetSocketAddress open(
-      InetSocketAddress at, Function<TransportConnection, TransportConnection.Owner> accept)
+      InetSocketAddress at, Function<TransportConnection, TransportConnection.Listener> accept)
       throws IOException {
     ServerSocketChannel listener = ServerSocketChannel.open();
     try {
       listener.configureBlocking(false);
       listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
       listener.bind(at, BACKLOG);
-      listener.register(selector, SelectionKey.OP_ACCEPT, (Ready) key -> accept(listener, accept));
+      listener.register(
+          selector, SelectionKey.OP_ACCEPT, (ReadyHandler) key -> accept(listener, accept));
     } catch (IOException e) {
       listener.close();
       throw e;
@@ -188,18 +190,18 @@
 
   private void accept(
       ServerSocketChannel listener,
-      Function<TransportConnection, TransportConnection.Owner> accept) {
+      Function<TransportConnection, TransportConnection.Listener> accept) {
     try {
       for (SocketChannel channel = listener.accept();
           channel != null;
           channel = listener.accept()) {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        SocketWire wire = new SocketWire(null);
+        SocketConnection wire = new SocketConnection(null);
         wire.channel = channel;
         wire.key = channel.register(selector, 0, wire);
-        wire.owner = accept.apply(wire);
-        if (wire.owner == null) {
+        wire.listener = accept.apply(wire);
+        if (wire.listener == null) {
           wire.reset();
         } else {
           wire.connected();
@@ -232,50 +234,50 @@
     }
   }
 
-  private final class SocketWire implements TransportConnection, Ready {
+  private final class SocketConnection implements TransportConnection, ReadyHandler {
 
     private SocketChannel channel;
     private SelectionKey key;
-    private Owner owner;
-    private final List<byte[]> in = new ArrayList<>();
-    private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-    private int inBytes;
-    private int inFrom; // of the first piece, what has been read
-    private int outBytes;
+    private Listener listener;
+    private final List<byte[]> received = new ArrayList<>();
+    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+    private int receivedBytes;
+    private int firstPieceOffset; // of the first piece, what has been read
+    private int unsentBytes;
     private boolean connected;
     private boolean ended;
     private boolean broken;
     private boolean closing;
-    private boolean over;
+    private boolean closed;
 
-    SocketWire(Owner owner) {
-      this.owner = owner;
+    SocketConnection(Listener owner) {
+      this.listener = owner;
     }
 
     private void connected() {
       connected = true;
-      interest();
-      owner.connected();
+      updateInterest();
+      listener.connected();
     }
 
     private void failedToConnect() {
-      if (!over) {
-        end();
-        owner.refused();
+      if (!closed) {
+        closeChannel();
+        listener.refused();
       }
     }
 
-    private void interest() {
-      if (!over && key.isValid()) {
+    private void updateInterest() {
+      if (!closed && key.isValid()) {
         key.interestOps(
-            (ended || broken || inBytes >= WINDOW ? 0 : SelectionKey.OP_READ)
-                | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE));
+            (ended || broken || receivedBytes >= WINDOW ? 0 : SelectionKey.OP_READ)
+                | (unsent.isEmpty() ? 0 : SelectionKey.OP_WRITE));
       }
     }
 
     @Override
     public void ready(SelectionKey ready) {
-      if (over) {
+      if (closed) {
         return;
       }
       if (!connected) {
@@ -291,39 +293,39 @@
       int ops = ready.readyOps();
       if ((ops & SelectionKey.OP_WRITE) != 0) {
         flush();
-        if (!over && !closing) {
-          owner.writable();
+        if (!closed && !closing) {
+          listener.writable();
         }
       }
-      if (!over && (ops & SelectionKey.OP_READ) != 0) {
-        fill();
+      if (!closed && (ops & SelectionKey.OP_READ) != 0) {
+        receive();
       }
     }
 
-    private void fill() {
+    private void receive() {
       try {
-        into.clear();
-        int count = channel.read(into);
+        readBuffer.clear();
+        int count = channel.read(readBuffer);
         if (count < 0) {
           ended = true;
         } else if (count > 0) {
           byte[] piece = new byte[count];
-          into.flip().get(piece);
-          in.add(piece);
-          inBytes += count;
+          readBuffer.flip().get(piece);
+          received.add(piece);
+          receivedBytes += count;
         }
       } catch (IOException e) {
         broken = true;
       }
-      interest();
+      updateInterest();
       if (closing) {
-        in.clear(); // nobody reads any more
-        inBytes = 0;
+        received.clear(); // nobody reads any more
+        receivedBytes = 0;
         if (broken) {
-          end();
+          closeChannel();
         }
       } else {
-        owner.readable();
+        listener.readable();
       }
     }
 
@@ -333,76 +335,77 @@
     }
 
     @Override
-    public int room() {
-      return connected && !over ? Math.max(0, WINDOW - outBytes) : 0;
+    public int writableBytes() {
+      return connected && !closed ? Math.max(0, WINDOW - unsentBytes) : 0;
     }
 
     @Override
     public void write(byte[] bytes) {
-      if (over || closing) {
+      if (closed || closing) {
         return;
       }
-      outBytes += bytes.length;
-      out.add(ByteBuffer.wrap(bytes));
+      unsentBytes += bytes.length;
+      unsent.add(ByteBuffer.wrap(bytes));
       flush();
     }
 
     private void flush() {
       try {
-        while (!out.isEmpty()) {
-          outBytes -= channel.write(out.peek());
-          if (out.peek().hasRemaining()) {
+        while (!unsent.isEmpty()) {
+          unsentBytes -= channel.write(unsent.peek());
+          if (unsent.peek().hasRemaining()) {
             break;
           }
-          out.poll();
+          unsent.poll();
         }
       } catch (IOException e) {
-        out.clear();
-        outBytes = 0;
+        unsent.clear();
+        unsentBytes = 0;
         broken = true;
         if (!closing) {
           posted.add(
               () -> {
-                if (!over) {
-                  owner.readable();
+                if (!closed) {
+                  listener.readable();
                 }
               });
         }
       }
-      if (closing && out.isEmpty()) {
-        end();
+      if (closing && unsent.isEmpty()) {
+        closeChannel();
       } else {
-        interest();
+        updateInterest();
       }
     }
 
     @Override
-    public int available() {
-      return inBytes;
+    public int readableBytes() {
+      return receivedBytes;
     }
 
     @Override
     public int read(ByteBuffer to, int most) {
       int count = 0;
-      while (!in.isEmpty() && to.hasRemaining() && count < most) {
-        byte[] first = in.get(0);
-        int take = Math.min(Math.min(first.length - inFrom, to.remaining()), most - count);
-        to.put(first, inFrom, take);
+      while (!received.isEmpty() && to.hasRemaining() && count < most) {
+        byte[] first = received.get(0);
+        int take =
+            Math.min(Math.min(first.length - firstPieceOffset, to.remaining()), most - count);
+        to.put(first, firstPieceOffset, take);
         count += take;
-        inFrom += take;
-        if (inFrom == first.length) {
-          in.remove(0);
-          inFrom = 0;
+        firstPieceOffset += take;
+        if (firstPieceOffset == first.length) {
+          received.remove(0);
+          firstPieceOffset = 0;
         }
       }
-      inBytes -= count;
-      interest();
+      receivedBytes -= count;
+      updateInterest();
       return count;
     }
 
     @Override
     public boolean atEnd() {
-      return ended && inBytes == 0;
+      return ended && receivedBytes == 0;
     }
 
     @Override
@@ -413,26 +416,26 @@
     @Override
     public void close() {
       closing = true;
-      if (out.isEmpty() || broken) {
-        end();
+      if (unsent.isEmpty() || broken) {
+        closeChannel();
       }
     }
 
     @Override
     public void reset() {
-      if (!over && channel != null) {
+      if (!closed && channel != null) {
         try {
           channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
           // It is closed already.
         }
       }
-      end();
+      closeChannel();
     }
 
-    private void end() {
-      if (!over) {
-        over = true;
+    private void closeChannel() {
+      if (!closed) {
+        closed = true;
         if (channel != null) {
           closeQuietly(channel);
         }
--- a/lab/src/main/java/shelffront/lab/transport/TaskScheduler.java
+++ b/lab/src/main/java/shelffront/lab/transport/TaskScheduler.java
@@ -8,11 +8,13 @@
  */
 public final class TaskScheduler {
 
-  private record Event(long at, long order, Runnable task) implements Comparable<Event> {
+  private record Event(long atMicros, long order, Runnable task) implements Comparable<Event> {
 
     @Override
     public int compareTo(Event other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return atMicros != other.atMicros
+          ? Long.compare(atMicros, other.atMicros)
+          : Long.compare(order, other.order);
     }
   }
 
@@ -24,8 +26,8 @@
   }
 
   /** When the next event is due; {@link Long#MAX_VALUE} if there is none. */
-  public long next() {
-    return events.isEmpty() ? Long.MAX_VALUE : events.peek().at;
+  public long nextMicros() {
+    return events.isEmpty() ? Long.MAX_VALUE : events.peek().atMicros;
   }
 
   /** Takes out the next event's task; there must be one. */
@@ -34,7 +36,7 @@
   }
 
   /** Events that have been set so far. */
-  public long count() {
+  public long scheduledCount() {
     return order;
   }
 }
--- a/lab/src/main/java/shelffront/lab/transport/Transport.java
+++ b/lab/src/main/java/shelffront/lab/transport/Transport.java
@@ -14,7 +14,7 @@
   Clock clock();
 
   /** Sets up a connection; the owner is told how it went. */
-  TransportConnection connect(InetSocketAddress to, TransportConnection.Owner owner);
+  TransportConnection connect(InetSocketAddress to, TransportConnection.Listener owner);
 
   /**
    * Takes connections at an address; each is given the owner that the function returns, null
@@ -22,6 +22,7 @@
    *
    * @throws IOException where the address can't be had
    */
-  void listen(InetSocketAddress at, Function<TransportConnection, TransportConnection.Owner> accept)
+  void listen(
+      InetSocketAddress at, Function<TransportConnection, TransportConnection.Listener> accept)
       throws IOException;
 }
--- a/lab/src/main/java/shelffront/lab/transport/TransportConnection.java
+++ b/lab/src/main/java/shelffront/lab/transport/TransportConnection.java
@@ -9,7 +9,7 @@
 public interface TransportConnection {
 
   /** What its owner is told; each call only says that there is something to look at. */
-  interface Owner {
+  interface Listener {
 
     void connected();
 
@@ -29,12 +29,12 @@
   boolean isConnected();
 
   /** How many bytes may be written now. */
-  int room();
+  int writableBytes();
 
   /** Sends bytes, for which there must be room. */
   void write(byte[] bytes);
 
-  int available();
+  int readableBytes();
 
   /** Takes as many bytes as fit and are there; how many. */
   int read(ByteBuffer into, int most);
--- a/lab/src/main/java/shelffront/lab/virtual/SimulatedMachine.java
+++ b/lab/src/main/java/shelffront/lab/virtual/SimulatedMachine.java
@@ -9,37 +9,37 @@
 public final class SimulatedMachine {
 
   final String name;
-  final Set<SimulatedSocket> ends = new LinkedHashSet<>();
-  private boolean away;
+  final Set<SimulatedSocket> sockets = new LinkedHashSet<>();
+  private boolean isolated;
 
   SimulatedMachine(String name) {
     this.name = name;
   }
 
   /** Cut off: nothing reaches it or leaves it, and nothing says so. */
-  public void vanish() {
-    away = true;
+  public void isolate() {
+    isolated = true;
   }
 
   /** Back again: what was open before is reset when anything comes on it. */
-  public void comeBack() {
-    away = false;
-    ends.forEach(SimulatedSocket::forget);
+  public void rejoin() {
+    isolated = false;
+    sockets.forEach(SimulatedSocket::forget);
   }
 
-  public boolean isAway() {
-    return away;
+  public boolean isIsolated() {
+    return isolated;
   }
 
   /** Its process ends: all its connections are reset. */
   public void resetAll() {
-    List<SimulatedSocket> all = new ArrayList<>(ends);
+    List<SimulatedSocket> all = new ArrayList<>(sockets);
     all.forEach(SimulatedSocket::reset);
   }
 
   /** Connections that are open on it. */
-  public int connections() {
-    return ends.size();
+  public int connectionCount() {
+    return sockets.size();
   }
 
   @Override
--- a/lab/src/main/java/shelffront/lab/virtual/SimulatedSocket.java
+++ b/lab/src/main/java/shelffront/lab/virtual/SimulatedSocket.java
@@ -11,78 +11,78 @@
  */
 public final class SimulatedSocket implements TransportConnection {
 
-  final VirtualNetwork net;
+  final VirtualNetwork network;
   final SimulatedMachine machine;
-  Owner owner;
-  SimulatedSocket other;
-  long lastArrival; // of what is under way to this end: pieces never overtake each other
-  private final ArrayDeque<byte[]> in = new ArrayDeque<>();
-  private int inBytes;
-  private int onTheWay;
-  private boolean finIn;
-  private boolean finOut;
-  private boolean resetIn;
+  Listener listener;
+  SimulatedSocket peer;
+  long lastArrivalMicros; // of what is under way to this end: pieces never overtake each other
+  private final ArrayDeque<byte[]> received = new ArrayDeque<>();
+  private int receivedBytes;
+  private int inFlightBytes;
+  private boolean endReceived;
+  private boolean endSent;
+  private boolean resetReceived;
   private boolean closed;
   private boolean forgotten;
-  private long overAt = Long.MAX_VALUE;
-  private long writtenAt;
+  private long closedAtMicros = Long.MAX_VALUE;
+  private long lastWriteMicros;
 
-  SimulatedSocket(VirtualNetwork net, SimulatedMachine machine, Owner owner) {
-    this.net = net;
+  SimulatedSocket(VirtualNetwork net, SimulatedMachine machine, Listener owner) {
+    this.network = net;
     this.machine = machine;
-    this.owner = owner;
+    this.listener = owner;
   }
 
   public boolean isOpen() {
-    return !closed && other != null;
+    return !closed && peer != null;
   }
 
   @Override
   public boolean isConnected() {
-    return other != null;
+    return peer != null;
   }
 
   /** The other process has ended, or has answered bytes it did not want by a reset. */
   @Override
   public boolean isReset() {
-    return resetIn;
+    return resetReceived;
   }
 
   /** All bytes were read and no more will come. */
   @Override
   public boolean atEnd() {
-    return finIn && inBytes == 0;
+    return endReceived && receivedBytes == 0;
   }
 
   @Override
-  public int available() {
-    return inBytes;
+  public int readableBytes() {
+    return receivedBytes;
   }
 
   /** Takes as many bytes as fit and are there. */
   @Override
   public int read(ByteBuffer into, int most) {
     int count = 0;
-    while (!in.isEmpty() && into.hasRemaining() && count < most) {
-      byte[] first = in.poll();
+    while (!received.isEmpty() && into.hasRemaining() && count < most) {
+      byte[] first = received.poll();
       int take = Math.min(Math.min(first.length, into.remaining()), most - count);
       into.put(first, 0, take);
       count += take;
       if (take < first.length) {
         byte[] rest = new byte[first.length - take];
         System.arraycopy(first, take, rest, 0, rest.length);
-        in.addFirst(rest);
+        received.addFirst(rest);
       }
     }
-    inBytes -= count;
-    SimulatedSocket sender = other;
+    receivedBytes -= count;
+    SimulatedSocket sender = peer;
     if (count > 0 && sender != null) {
-      net.deliver(
+      network.deliver(
           this,
           sender,
           () -> {
-            if (!sender.closed && sender.owner != null) {
-              sender.owner.writable();
+            if (!sender.closed && sender.listener != null) {
+              sender.listener.writable();
             }
           });
     }
@@ -91,69 +91,69 @@
 
   /** How many bytes may be written now. */
   @Override
-  public int room() {
-    return other == null ? 0 : Math.max(0, WINDOW - other.inBytes - other.onTheWay);
+  public int writableBytes() {
+    return peer == null ? 0 : Math.max(0, WINDOW - peer.receivedBytes - peer.inFlightBytes);
   }
 
   /** Sends bytes, for which there must be room. */
   @Override
   public void write(byte[] bytes) {
-    if (closed || finOut || resetIn || other == null) {
+    if (closed || endSent || resetReceived || peer == null) {
       return;
     }
-    writtenAt = net.clock().now();
-    SimulatedSocket to = other;
-    for (byte[] piece : net.pieces(bytes)) {
-      to.onTheWay += piece.length;
-      net.deliver(this, to, () -> to.arrive(piece));
+    lastWriteMicros = network.clock().nowMicros();
+    SimulatedSocket to = peer;
+    for (byte[] piece : network.pieces(bytes)) {
+      to.inFlightBytes += piece.length;
+      network.deliver(this, to, () -> to.arrive(piece));
     }
   }
 
   private void arrive(byte[] piece) {
-    onTheWay -= piece.length;
+    inFlightBytes -= piece.length;
     if (closed || forgotten) {
       answerWithReset();
       return;
     }
-    if (!resetIn) {
-      in.add(piece);
-      inBytes += piece.length;
-      owner.readable();
+    if (!resetReceived) {
+      received.add(piece);
+      receivedBytes += piece.length;
+      listener.readable();
     }
   }
 
   private void answerWithReset() {
-    SimulatedSocket to = other;
-    net.deliver(this, to, to::arriveReset);
+    SimulatedSocket to = peer;
+    network.deliver(this, to, to::arriveReset);
   }
 
   private void arriveReset() {
-    if (closed || resetIn) {
+    if (closed || resetReceived) {
       return;
     }
-    resetIn = true;
-    overAt = Math.min(overAt, net.clock().now());
-    in.clear();
-    inBytes = 0;
-    owner.readable();
+    resetReceived = true;
+    closedAtMicros = Math.min(closedAtMicros, network.clock().nowMicros());
+    received.clear();
+    receivedBytes = 0;
+    listener.readable();
   }
 
   /** No more bytes from here; those that were written still arrive. */
   public void shutdownOutput() {
-    if (closed || finOut || other == null) {
+    if (closed || endSent || peer == null) {
       return;
     }
-    finOut = true;
-    SimulatedSocket to = other;
-    net.deliver(
+    endSent = true;
+    SimulatedSocket to = peer;
+    network.deliver(
         this,
         to,
         () -> {
           if (to.closed || to.forgotten) {
             return;
           }
-          to.finIn = true;
-          to.owner.readable();
+          to.endReceived = true;
+          to.listener.readable();
         });
   }
 
@@ -163,14 +163,14 @@
     if (closed) {
       return;
     }
-    if (inBytes > 0) {
+    if (receivedBytes > 0) {
       reset();
       return;
     }
     shutdownOutput();
     closed = true;
-    overAt = Math.min(overAt, net.clock().now());
-    machine.ends.remove(this);
+    closedAtMicros = Math.min(closedAtMicros, network.clock().nowMicros());
+    machine.sockets.remove(this);
   }
 
   /** Ends it at once; the other end is told, unless one of them is cut off. */
@@ -180,17 +180,17 @@
       return;
     }
     closed = true;
-    overAt = Math.min(overAt, net.clock().now());
-    machine.ends.remove(this);
-    if (other != null) {
+    closedAtMicros = Math.min(closedAtMicros, network.clock().nowMicros());
+    machine.sockets.remove(this);
+    if (peer != null) {
       answerWithReset();
     }
   }
 
   /** The other end was given up before the connection stood. */
-  void abandoned() {
-    finIn = true;
-    owner.readable();
+  void peerAbandoned() {
+    endReceived = true;
+    listener.readable();
   }
 
   /** Its machine has been away and knows nothing of it any more. */
@@ -199,18 +199,18 @@
   }
 
   /** Since when it has been closed here or reset; {@link Long#MAX_VALUE} while it is open. */
-  public long overAt() {
-    return overAt;
+  public long closedAtMicros() {
+    return closedAtMicros;
   }
 
   /** When its owner last wrote. */
-  public long writtenAt() {
-    return writtenAt;
+  public long lastWriteMicros() {
+    return lastWriteMicros;
   }
 
   /** The other end; null until it is connected. */
-  public SimulatedSocket other() {
-    return other;
+  public SimulatedSocket peer() {
+    return peer;
   }
 
   /** Whose machine it is on. */
@@ -219,7 +219,7 @@
   }
 
   /** Whether it was closed here, or its other end's reset has come. */
-  public boolean isOver() {
-    return closed || resetIn;
+  public boolean isClosed() {
+    return closed || resetReceived;
   }
 }
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualChannels.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualChannels.java
@@ -28,19 +28,19 @@
  */
 public final class VirtualChannels implements Channels {
 
-  private final VirtualNetwork net;
+  private final VirtualNetwork network;
   private final SimulatedMachine machine;
-  private final int mostOpen;
-  private UnaryOperator<byte[]> out = bytes -> bytes;
-  private UnaryOperator<byte[]> in = bytes -> bytes;
-  private boolean keepsOpen;
-  private int open;
+  private final int maxOpen;
+  private UnaryOperator<byte[]> writeTransform = bytes -> bytes;
+  private UnaryOperator<byte[]> readTransform = bytes -> bytes;
+  private boolean keepsPeersOpen;
+  private int openCount;
 
   /** Of a process on a machine that may have so many descriptors. */
   public VirtualChannels(VirtualNetwork net, SimulatedMachine machine, int mostOpen) {
-    this.net = net;
+    this.network = net;
     this.machine = machine;
-    this.mostOpen = mostOpen;
+    this.maxOpen = mostOpen;
   }
 
   /**
@@ -48,64 +48,64 @@
    * use it.
    */
   public void tamper(UnaryOperator<byte[]> written, UnaryOperator<byte[]> read) {
-    out = written;
-    in = read;
+    writeTransform = written;
+    readTransform = read;
   }
 
   /**
    * Has the program's connections stay open to the others though it has closed them. Tests use it.
    */
-  public void keepOpen() {
-    keepsOpen = true;
+  public void keepPeersOpen() {
+    keepsPeersOpen = true;
   }
 
   /** Channels that are open now. */
-  public int openNow() {
-    return open;
+  public int openCount() {
+    return openCount;
   }
 
   @Override
   public AsynchronousSocketChannel open() throws IOException {
-    if (open >= mostOpen) {
+    if (openCount >= maxOpen) {
       throw new IOException("Too many open files");
     }
-    return new Channel();
+    return new ClientChannel();
   }
 
   @Override
   public AsynchronousServerSocketChannel listen(SocketAddress address, int backlog) {
-    return new Listener((InetSocketAddress) address, backlog);
+    return new ServerChannel((InetSocketAddress) address, backlog);
   }
 
   @Override
   public void shutdown() {}
 
-  private static UnsupportedOperationException unused() {
+  private static UnsupportedOperationException unsupported() {
     return new UnsupportedOperationException("not part of the virtual network");
   }
 
-  private final class Channel extends AsynchronousSocketChannel
-      implements TransportConnection.Owner {
+  private final class ClientChannel extends AsynchronousSocketChannel
+      implements TransportConnection.Listener {
 
-    private SimulatedSocket end;
+    private SimulatedSocket socket;
     private boolean closed;
     private InetSocketAddress remote;
     private Runnable connectDone;
     private Runnable connectFailed;
-    private Runnable read; // looks whether the read that is out can end
-    private Runnable write;
+    private Runnable pendingRead; // looks whether the read that is out can end
+    private Runnable pendingWrite;
 
-    Channel() {
+    ClientChannel() {
       super(null);
-      open++;
+      openCount++;
     }
 
     private <T, A> void complete(CompletionHandler<T, ? super A> handler, T result, A attachment) {
-      net.clock().after(0, () -> handler.completed(result, attachment));
+      network.clock().after(0, () -> handler.completed(result, attachment));
     }
 
     private <T, A> void fail(CompletionHandler<T, ? super A> handler, Throwable why, A attachment) {
-      net.clock().after(0, () -> handler.failed(why, attachment));
+      network.clock().after(0, () -> handler.failed(why, attachment));
     }
 
     @Override
@@ -121,7 +121,7 @@
                       ? new AsynchronousCloseException()
                       : new ConnectException("Connection refused"),
                   attachment);
-      end = net.connect(machine, remote, this);
+      socket = network.connect(machine, remote, this);
     }
 
     @Override
@@ -143,18 +143,18 @@
 
     @Override
     public void readable() {
-      if (read != null) {
-        read.run();
+      if (pendingRead != null) {
+        pendingRead.run();
       }
-      if (write != null && end.isReset()) {
-        write.run();
+      if (pendingWrite != null && socket.isReset()) {
+        pendingWrite.run();
       }
     }
 
     @Override
     public void writable() {
-      if (write != null) {
-        write.run();
+      if (pendingWrite != null) {
+        pendingWrite.run();
       }
     }
 
@@ -162,7 +162,7 @@
      * Ends a read or a write if it can: by a failure, by moving bytes where some can be moved, or
      * at the end.
      */
-    private <A> boolean ends(
+    private <A> boolean tryEnd(
         CompletionHandler<Integer, ? super A> handler,
         A attachment,
         boolean movable,
@@ -170,7 +170,7 @@
         IntSupplier move) {
       if (closed) {
         fail(handler, new AsynchronousCloseException(), attachment);
-      } else if (end.isReset()) {
+      } else if (socket.isReset()) {
         fail(handler, new SocketException("Connection reset"), attachment);
       } else if (movable) {
         complete(handler, move.getAsInt(), attachment);
@@ -189,27 +189,28 @@
         TimeUnit unit,
         A attachment,
         CompletionHandler<Integer, ? super A> handler) {
-      if (read != null) {
+      if (pendingRead != null) {
         throw new IllegalStateException("a read is out");
       }
-      read =
+      pendingRead =
           () -> {
-            if (ends(
+            if (tryEnd(
                 handler,
                 attachment,
-                end.available() > 0,
-                end.atEnd(),
+                socket.readableBytes() > 0,
+                socket.atEnd(),
                 () -> {
                   ByteBuffer some =
-                      ByteBuffer.allocate(net.some(Math.min(end.available(), into.remaining())));
-                  end.read(some, some.remaining());
-                  into.put(in.apply(some.array()));
+                      ByteBuffer.allocate(
+                          network.transferSize(Math.min(socket.readableBytes(), into.remaining())));
+                  socket.read(some, some.remaining());
+                  into.put(readTransform.apply(some.array()));
                   return some.position();
                 })) {
-              read = null;
+              pendingRead = null;
             }
           };
-      read.run();
+      pendingRead.run();
     }
 
     @Override
@@ -219,26 +220,29 @@
         TimeUnit unit,
         A attachment,
         CompletionHandler<Integer, ? super A> handler) {
-      if (write != null) {
+      if (pendingWrite != null) {
         throw new IllegalStateException("a write is out");
       }
-      write =
+      pendingWrite =
           () -> {
-            if (ends(
+            if (tryEnd(
                 handler,
                 attachment,
-                end.room() > 0,
+                socket.writableBytes() > 0,
                 false,
                 () -> {
-                  byte[] bytes = new byte[net.some(Math.min(end.room(), from.remaining()))];
+                  byte[] bytes =
+                      new byte
+                          [network.transferSize(
+                              Math.min(socket.writableBytes(), from.remaining()))];
                   from.get(bytes);
-                  end.write(out.apply(bytes));
+                  socket.write(writeTransform.apply(bytes));
                   return bytes.length;
                 })) {
-              write = null;
+              pendingWrite = null;
             }
           };
-      write.run();
+      pendingWrite.run();
     }
 
     @Override
@@ -246,10 +250,10 @@
       if (closed) {
         throw new ClosedChannelException();
       }
-      if (end.isReset()) {
+      if (socket.isReset()) {
         throw new SocketException("Transport endpoint is not connected");
       }
-      end.shutdownOutput();
+      socket.shutdownOutput();
       return this;
     }
 
@@ -259,18 +263,18 @@
         return;
       }
       closed = true;
-      open--;
-      if (end != null && !keepsOpen) {
-        end.close();
+      openCount--;
+      if (socket != null && !keepsPeersOpen) {
+        socket.close();
       }
       if (connectFailed != null) {
         connectFailed.run();
       }
-      if (read != null) {
-        read.run();
+      if (pendingRead != null) {
+        pendingRead.run();
       }
-      if (write != null) {
-        write.run();
+      if (pendingWrite != null) {
+        pendingWrite.run();
       }
     }
 
@@ -282,7 +286,7 @@
     @Override
     public <T> AsynchronousSocketChannel setOption(SocketOption<T> name, T value)
         throws IOException {
-      if (closed || end.isReset()) {
+      if (closed || socket.isReset()) {
         throw new SocketException("Invalid argument");
       }
       return this;
@@ -295,22 +299,22 @@
 
     @Override
     public AsynchronousSocketChannel bind(SocketAddress local) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public AsynchronousSocketChannel shutdownInput() {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public Future<Void> connect(SocketAddress to) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public Future<Integer> read(ByteBuffer into) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
@@ -322,12 +326,12 @@
         TimeUnit unit,
         A attachment,
         CompletionHandler<Long, ? super A> handler) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public Future<Integer> write(ByteBuffer from) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
@@ -339,17 +343,17 @@
         TimeUnit unit,
         A attachment,
         CompletionHandler<Long, ? super A> handler) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public SocketAddress getLocalAddress() {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
@@ -358,18 +362,18 @@
     }
   }
 
-  private final class Listener extends AsynchronousServerSocketChannel {
+  private final class ServerChannel extends AsynchronousServerSocketChannel {
 
     private final InetSocketAddress address;
-    private final ArrayDeque<Channel> backlog = new ArrayDeque<>();
-    private Runnable accept;
+    private final ArrayDeque<ClientChannel> backlog = new ArrayDeque<>();
+    private Runnable pendingAccept;
     private boolean closed;
 
-    Listener(InetSocketAddress address, int most) {
+    ServerChannel(InetSocketAddress address, int most) {
       super(null);
       this.address = address;
-      open++;
-      net.listen(
+      openCount++;
+      network.listen(
           machine,
           address,
           far -> {
@@ -378,43 +382,45 @@
             }
             // The connection stands before the program has accepted it; it takes a descriptor only
             // then.
-            Channel channel = new Channel();
-            open--;
-            channel.end = far;
+            ClientChannel channel = new ClientChannel();
+            openCount--;
+            channel.socket = far;
             backlog.add(channel);
-            net.clock().after(0, this::look);
+            network.clock().after(0, this::tryAccept);
             return channel;
           });
     }
 
-    private void look() {
-      if (accept != null) {
-        accept.run();
+    private void tryAccept() {
+      if (pendingAccept != null) {
+        pendingAccept.run();
       }
     }
 
     @Override
     public <A> void accept(
         A attachment, CompletionHandler<AsynchronousSocketChannel, ? super A> handler) {
-      accept =
+      pendingAccept =
           () -> {
             if (closed) {
-              accept = null;
-              net.clock()
+              pendingAccept = null;
+              network
+                  .clock()
                   .after(0, () -> handler.failed(new AsynchronousCloseException(), attachment));
-            } else if (!backlog.isEmpty() && open >= mostOpen) {
-              accept = null;
-              net.clock()
+            } else if (!backlog.isEmpty() && openCount >= maxOpen) {
+              pendingAccept = null;
+              network
+                  .clock()
                   .after(
                       0, () -> handler.failed(new IOException("Too many open files"), attachment));
             } else if (!backlog.isEmpty()) {
-              accept = null;
-              Channel channel = backlog.poll();
-              open++;
-              net.clock().after(0, () -> handler.completed(channel, attachment));
+              pendingAccept = null;
+              ClientChannel channel = backlog.poll();
+              openCount++;
+              network.clock().after(0, () -> handler.completed(channel, attachment));
             }
           };
-      accept.run();
+      pendingAccept.run();
     }
 
     @Override
@@ -423,15 +429,15 @@
         return;
       }
       closed = true;
-      open--;
-      net.unlisten(address);
-      for (Channel waiting : backlog) {
-        open++; // as if accepted: its close gives back what it did not take
-        waiting.end.reset();
+      openCount--;
+      network.unlisten(address);
+      for (ClientChannel waiting : backlog) {
+        openCount++; // as if accepted: its close gives back what it did not take
+        waiting.socket.reset();
         waiting.close();
       }
       backlog.clear();
-      look();
+      tryAccept();
     }
 
     @Override
@@ -446,22 +452,22 @@
 
     @Override
     public AsynchronousServerSocketChannel bind(SocketAddress local, int most) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public <T> AsynchronousServerSocketChannel setOption(SocketOption<T> name, T value) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public Future<AsynchronousSocketChannel> accept() {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) {
-      throw unused();
+      throw unsupported();
     }
 
     @Override
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
@@ -28,12 +28,12 @@
 
   private final Clock clock;
   private final UniformRandomProvider random;
-  private final Map<InetSocketAddress, Listening> listeners = new HashMap<>();
+  private final Map<InetSocketAddress, Binding> listeners = new HashMap<>();
   private Weather weather;
   private int nextPort = 20_000;
 
-  private record Listening(
-      SimulatedMachine machine, Function<SimulatedSocket, TransportConnection.Owner> accept) {}
+  private record Binding(
+      SimulatedMachine machine, Function<SimulatedSocket, TransportConnection.Listener> accept) {}
 
   public VirtualNetwork(Clock clock, UniformRandomProvider random, Weather weather) {
     this.clock = clock;
@@ -62,8 +62,8 @@
   public void listen(
       SimulatedMachine machine,
       InetSocketAddress at,
-      Function<SimulatedSocket, TransportConnection.Owner> accept) {
-    listeners.put(at, new Listening(machine, accept));
+      Function<SimulatedSocket, TransportConnection.Listener> accept) {
+    listeners.put(at, new Binding(machine, accept));
   }
 
   public void unlisten(InetSocketAddress at) {
@@ -71,7 +71,7 @@
   }
 
   /** What a party on a machine lives on. */
-  public Transport on(SimulatedMachine machine) {
+  public Transport transportOn(SimulatedMachine machine) {
     return new Transport() {
       @Override
       public Clock clock() {
@@ -79,13 +79,14 @@
       }
 
       @Override
-      public TransportConnection connect(InetSocketAddress to, TransportConnection.Owner owner) {
+      public TransportConnection connect(InetSocketAddress to, TransportConnection.Listener owner) {
         return VirtualNetwork.this.connect(machine, to, owner);
       }
 
       @Override
       public void listen(
-          InetSocketAddress at, Function<TransportConnection, TransportConnection.Owner> accept) {
+          InetSocketAddress at,
+          Function<TransportConnection, TransportConnection.Listener> accept) {
         VirtualNetwork.this.listen(machine, at, accept::apply);
       }
     };
@@ -93,51 +94,51 @@
 
   /** Sets up a connection; the owner is told how it went, or nothing where a machine is away. */
   public SimulatedSocket connect(
-      SimulatedMachine from, InetSocketAddress to, TransportConnection.Owner owner) {
+      SimulatedMachine from, InetSocketAddress to, TransportConnection.Listener owner) {
     SimulatedSocket end = new SimulatedSocket(this, from, owner);
-    from.ends.add(end);
+    from.sockets.add(end);
     clock.after(
-        delay(),
+        drawDelayMicros(),
         () -> {
-          Listening there = listeners.get(to);
-          if (from.isAway() || there != null && there.machine().isAway()) {
+          Binding there = listeners.get(to);
+          if (from.isIsolated() || there != null && there.machine().isIsolated()) {
             return;
           }
           SimulatedSocket far =
               there == null ? null : new SimulatedSocket(this, there.machine(), null);
-          TransportConnection.Owner taker = far == null ? null : there.accept().apply(far);
+          TransportConnection.Listener taker = far == null ? null : there.accept().apply(far);
           if (taker == null) {
             clock.after(
-                delay(),
+                drawDelayMicros(),
                 () -> {
-                  if (!end.isOver()) {
+                  if (!end.isClosed()) {
                     end.close();
                     owner.refused();
                   }
                 });
             return;
           }
-          far.owner = taker;
-          far.other = end;
-          there.machine().ends.add(far);
+          far.listener = taker;
+          far.peer = end;
+          there.machine().sockets.add(far);
           clock.after(
-              delay(),
+              drawDelayMicros(),
               () -> {
-                if (from.isAway()) {
+                if (from.isIsolated()) {
                   return;
                 }
-                if (end.isOver()) { // given up meanwhile
-                  far.abandoned();
+                if (end.isClosed()) { // given up meanwhile
+                  far.peerAbandoned();
                   return;
                 }
-                end.other = far;
+                end.peer = far;
                 owner.connected();
               });
         });
     return end;
   }
 
-  private long delay() {
+  private long drawDelayMicros() {
     return weather.latency() + (weather.jitter() > 0 ? random.nextLong(weather.jitter()) : 0);
   }
 
@@ -146,11 +147,11 @@
    * away.
    */
   void deliver(SimulatedSocket from, SimulatedSocket to, Runnable arrival) {
-    to.lastArrival = Math.max(to.lastArrival, clock.now() + delay());
+    to.lastArrivalMicros = Math.max(to.lastArrivalMicros, clock.nowMicros() + drawDelayMicros());
     clock.at(
-        to.lastArrival,
+        to.lastArrivalMicros,
         () -> {
-          if (!from.machine.isAway() && !to.machine.isAway()) {
+          if (!from.machine.isIsolated() && !to.machine.isIsolated()) {
             arrival.run();
           }
         });
@@ -177,7 +178,7 @@
    * How much of what is there a read or a write takes at a time: all of it, or some where things
    * are cut.
    */
-  int some(int all) {
+  int transferSize(int all) {
     return all < 2 || weather.chop() == 0 || random.nextDouble() >= weather.chop()
         ? all
         : 1 + random.nextInt(all);
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualTimeScheduler.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualTimeScheduler.java
@@ -9,44 +9,44 @@
  */
 public final class VirtualTimeScheduler implements Clock {
 
-  private final TaskScheduler events = new TaskScheduler();
-  private long now;
+  private final TaskScheduler tasks = new TaskScheduler();
+  private long nowMicros;
 
   public VirtualTimeScheduler(long start) {
-    now = start;
+    nowMicros = start;
   }
 
   @Override
-  public long now() {
-    return now;
+  public long nowMicros() {
+    return nowMicros;
   }
 
   @Override
   public void at(long time, Runnable task) {
-    events.add(Math.max(now, time), task);
+    tasks.add(Math.max(nowMicros, time), task);
   }
 
   /** When the next event is due; {@link Long#MAX_VALUE} if there is none. */
-  public long next() {
-    return events.next();
+  public long nextMicros() {
+    return tasks.nextMicros();
   }
 
   /** Lets time pass; never back, and not past an event. */
-  public void advance(long to) {
-    now = Math.max(now, Math.min(to, next()));
+  public void advanceTo(long to) {
+    nowMicros = Math.max(nowMicros, Math.min(to, nextMicros()));
   }
 
   /** Runs the next event if it is due. */
-  public boolean step() {
-    if (next() > now) {
+  public boolean runNext() {
+    if (nextMicros() > nowMicros) {
       return false;
     }
-    events.poll().run();
+    tasks.poll().run();
     return true;
   }
 
   /** Events that have been set so far: a measure of a run's size. */
-  public long count() {
-    return events.count();
+  public long scheduledCount() {
+    return tasks.scheduledCount();
   }
 }
--- a/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
@@ -88,7 +88,7 @@
         .put("windowMs", 2000);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
     if (set != null) {
-      for (EmulatedReplicaSet.Box box : set.boxes()) {
+      for (EmulatedReplicaSet.Host box : set.hosts()) {
         list.addObject()
             .put("id", box.id())
             .put("address", box.address())
@@ -200,7 +200,7 @@
   @Test
   void aTenantRemovedWithRequestsInItAnswersEachOnceAndLeavesNothing() throws Exception {
     EmulatedReplicaSet set = boxes("s", 1, 1);
-    set.boxes().forEach(b -> b.silence(true));
+    set.hosts().forEach(b -> b.setSilent(true));
     start(tenant("airport", set));
     int idle = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
     Client read = new Client("airport", null);
@@ -237,10 +237,10 @@
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
     MultiTenantGateway.HeldResources held =
         hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
-    while (set.connections() > 0 || held.deadlines() > idle || held.bufferBytes() > 0) {
+    while (set.connectionCount() > 0 || held.deadlines() > idle || held.bufferBytes() > 0) {
       assertTrue(
           System.nanoTime() < end,
-          set.connections() + " connections to boxes and " + held + " stay");
+          set.connectionCount() + " connections to boxes and " + held + " stay");
       held = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     }
     Client late = new Client("airport", "x");
@@ -296,7 +296,7 @@
   @Test
   void aTenantWhoseBoxesAreSilentIsNotNoticedByAnother() throws Exception {
     EmulatedReplicaSet silent = boxes("s", 1, 1);
-    silent.boxes().forEach(b -> b.silence(true));
+    silent.hosts().forEach(b -> b.setSilent(true));
     EmulatedReplicaSet well = boxes("w", 1, 1);
     ObjectNode stuck = tenant("stuck", silent);
     stuck
@@ -353,12 +353,12 @@
     CompletableFuture<Long> inForce = new CompletableFuture<>();
     hosted.apply(TenantSpecCodec.read(next), inForce::complete);
     inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
-    long before = set.boxes().get(1).begun();
+    long before = set.hosts().get(1).startedCount();
     for (int i = 0; i < 50; i++) {
       client.send("r" + i, "read");
       assertEquals(List.of("r" + i), client.answers());
     }
-    assertEquals(before, set.boxes().get(1).begun());
+    assertEquals(before, set.hosts().get(1).startedCount());
   }
 
   /** The same classes in the opposite order, on boxes of the same names, which are others. */
@@ -491,7 +491,7 @@
     MultiTenantGateway.HeldResources held =
         hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     assertEquals(0, held.deadlines());
-    assertEquals(0, set.connections());
+    assertEquals(0, set.connectionCount());
     for (int i = 0; i < 20; i++) {
       Client client = new Client("t" + i * 100, null);
       assertEquals(List.of(), client.answers());
--- a/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
@@ -171,7 +171,8 @@
             "{\"arrivals\":\"poisson\",\"sessions\":77,\"skew\":1.5,\"readBack\":0.25,"
                 + "\"retries\":2,\"roam\":0.125,\"hangUp\":0.0625,\"mix\":[3,0,1]}");
     assertEquals(
-        new OpenLoopLoad.Habits(ArrivalSchedule.Pattern.POISSON, 77, 1.5, 0.25, 2, 0.125, 0.0625),
+        new OpenLoopLoad.ClientBehavior(
+            ArrivalSchedule.Pattern.POISSON, 77, 1.5, 0.25, 2, 0.125, 0.0625),
         LoadCodec.habits(load, "/load"));
     JsonNode classes =
         JSON.readTree(
@@ -180,11 +181,11 @@
                 + "{\"name\":\"c\",\"read\":\"write\",\"giveUpMs\":700}]");
     assertEquals(
         List.of(
-            new OpenLoopLoad.Kind("a", false, 400, 900, 3, 2),
-            new OpenLoopLoad.Kind("c", true, 700, 700, 1, 1)),
+            new OpenLoopLoad.RequestKind("a", false, 400, 900, 3, 2),
+            new OpenLoopLoad.RequestKind("c", true, 700, 700, 1, 1)),
         LoadCodec.kinds(load, classes));
     assertEquals(
-        List.of(new OpenLoopLoad.Kind("b", false, 800, 800, 1, 1)),
+        List.of(new OpenLoopLoad.RequestKind("b", false, 800, 800, 1, 1)),
         LoadCodec.kinds(JSON.readTree("{\"class\":1}"), classes));
   }
 
--- a/lab/src/test/java/shelffront/lab/experiment/KeptRunCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/KeptRunCompatibilityTest.java
@@ -58,8 +58,8 @@
     assertEquals(level, run.level());
     assertEquals(seed, run.seed());
     assertEquals(requests, run.requests());
-    assertEquals(worthKept, run.worthKept());
-    assertEquals(0, run.broken());
+    assertEquals(worthKept, run.servedValueFraction());
+    assertEquals(0, run.violationCount());
     assertEquals(hash, run.hash());
   }
 
@@ -114,7 +114,7 @@
                 + "\"failed\":0,\"unanswered\":0}}"),
         run.classes());
     assertArrayEquals(
-        new double[] {52, 54, 87, 53, 51, 47, 49, 65, 77, 54, 38, 34, 0}, run.wanted());
+        new double[] {52, 54, 87, 53, 51, 47, 49, 65, 77, 54, 38, 34, 0}, run.requestedValue());
     assertArrayEquals(
         new double[] {
           52,
@@ -131,10 +131,10 @@
           34,
           0
         },
-        run.kept());
-    assertEquals(168, run.latency().getTotalCount(), "57 + 57 + 32 + 11 + 11 were served");
-    assertEquals(10_823, run.latency().getValueAtPercentile(50));
-    assertEquals(2_043_903, run.latency().getValueAtPercentile(99));
+        run.servedValue());
+    assertEquals(168, run.latencyMicros().getTotalCount(), "57 + 57 + 32 + 11 + 11 were served");
+    assertEquals(10_823, run.latencyMicros().getValueAtPercentile(50));
+    assertEquals(2_043_903, run.latencyMicros().getValueAtPercentile(99));
   }
 
   @Test
@@ -185,7 +185,7 @@
   @Test
   void reportsOnKeptRuns() throws Exception {
     Experiment.Report report = VirtualExperiment.report(kept);
-    assertTrue(report.kept());
+    assertTrue(report.claimsHold());
     assertFalse(report.isVoid());
     assertEquals(
         List.of(
--- a/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
@@ -34,7 +34,7 @@
   @Test
   void theSmokeExperimentKeepsItsClaimsAndIsTheSameTwice() throws Exception {
     Experiment.Report report = VirtualExperiment.run(smoke(), directory.resolve("a"));
-    assertTrue(report.kept(), report.claims().toString());
+    assertTrue(report.claimsHold(), report.claims().toString());
     VirtualExperiment.run(smoke(), directory.resolve("b"));
     assertEquals(
         Files.readString(directory.resolve("a/runs.jsonl")),
@@ -81,7 +81,7 @@
     file.putArray("claims").addObject().put("level", "calm").put("worthAtLeast", 1.01);
     Experiment.Report report = VirtualExperiment.run(file, null);
     assertTrue(
-        !report.kept() && report.claims().get(0).startsWith("NOT kept"),
+        !report.claimsHold() && report.claims().get(0).startsWith("NOT kept"),
         report.claims().toString());
   }
 
--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
@@ -26,63 +26,66 @@
         rig.add(LEASE_MS);
       }
       rig.awaitStage("one");
-      rig.await("there is an owner", () -> rig.owner() != null);
-      FaultInjectionHarness.Node owner = rig.owner();
-      List<FaultInjectionHarness.Node> others =
-          rig.nodes().stream().filter(n -> n != owner).toList();
+      rig.await("there is an owner", () -> rig.leader() != null);
+      FaultInjectionHarness.GatewayProcess owner = rig.leader();
+      List<FaultInjectionHarness.GatewayProcess> others =
+          rig.gateways().stream().filter(n -> n != owner).toList();
 
       // One is cut off, one is stopped, and the owner dies while the subject is on its way.
-      others.get(0).relay().cut(true, true);
+      others.get(0).proxy().cut(true, true);
       others.get(1).signal("STOP");
-      assertEquals(200, others.get(2).target("four"));
+      assertEquals(200, others.get(2).requestStage("four"));
       rig.await("the owner has begun", () -> rig.moves() > 0);
       owner.kill();
-      FaultInjectionHarness.Node seeing = others.get(2);
+      FaultInjectionHarness.GatewayProcess seeing = others.get(2);
       rig.await(
           "the rest go on without them",
           () ->
-              seeing.shown() != null && seeing.shown().path("inForceHere").asText().equals("four"));
-      assertEquals("four", others.get(3).shown().path("target").asText());
+              seeing.subjectStatus() != null
+                  && seeing.subjectStatus().path("inForceHere").asText().equals("four"));
+      assertEquals("four", others.get(3).subjectStatus().path("target").asText());
       others.get(1).signal("CONT");
-      others.get(0).relay().heal();
+      others.get(0).proxy().heal();
       owner.start();
       rig.awaitStage("four");
 
       // Back, with the engine gone for a while and a gateway that restarts on the way.
-      assertEquals(200, seeing.target("one"));
-      rig.restartEngine();
+      assertEquals(200, seeing.requestStage("one"));
+      rig.restartStore();
       others.get(3).terminate();
       others.get(3).start();
-      others.get(0).relay().slow(40, 200);
+      others.get(0).proxy().slow(40, 200);
       rig.awaitStage("one");
 
       RolloutHistoryChecker all = rig.histories();
-      assertTrue(all.broken().isEmpty(), () -> String.join("\n", all.broken()));
+      assertTrue(all.violations().isEmpty(), () -> String.join("\n", all.violations()));
       assertTrue(all.moves() >= 6, "noted moves " + all.moves());
-      assertEquals(7, all.actors(), "five processes, and two that started again");
-      assertTrue(all.owners() >= 2, "the first owner died on the way");
+      assertEquals(7, all.gatewayCount(), "five processes, and two that started again");
+      assertTrue(all.leaderCount() >= 2, "the first owner died on the way");
     }
   }
 
   @Test
   void anEngineThatGarblesOrHasNoLeaderLeavesAllInTheSafeStageAndNothingIsLost() throws Exception {
     try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
-      FaultInjectionHarness.Node one = rig.add(LEASE_MS);
-      FaultInjectionHarness.Node two = rig.add(LEASE_MS);
+      FaultInjectionHarness.GatewayProcess one = rig.add(LEASE_MS);
+      FaultInjectionHarness.GatewayProcess two = rig.add(LEASE_MS);
       rig.awaitStage("one");
-      assertEquals(200, one.target("two"));
+      assertEquals(200, one.requestStage("two"));
       rig.awaitStage("two");
-      rig.engineFault("leader=no");
-      rig.await("both fall back", () -> one.says("is the safe one") && two.says("is the safe one"));
-      assertEquals(503, one.target("three"), "the operator is told");
-      rig.engineFault("garble");
-      rig.await("it is said what is wrong", () -> one.says("engine-garbled"));
-      rig.engineFault("");
+      rig.injectStoreFault("leader=no");
+      rig.await(
+          "both fall back",
+          () -> one.hasLogged("is the safe one") && two.hasLogged("is the safe one"));
+      assertEquals(503, one.requestStage("three"), "the operator is told");
+      rig.injectStoreFault("garble");
+      rig.await("it is said what is wrong", () -> one.hasLogged("engine-garbled"));
+      rig.injectStoreFault("");
       rig.awaitStage("two");
-      assertEquals(422, one.target("nine"));
-      assertEquals(200, two.target("three"));
+      assertEquals(422, one.requestStage("nine"));
+      assertEquals(200, two.requestStage("three"));
       rig.awaitStage("three");
-      assertTrue(rig.histories().broken().isEmpty());
+      assertTrue(rig.histories().violations().isEmpty());
     }
   }
 
@@ -93,19 +96,20 @@
   @Test
   void aGatewayThatTrustsItsLeaseForTooLongIsCaught() throws Exception {
     try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
-      FaultInjectionHarness.Node first = rig.add(LEASE_MS);
+      FaultInjectionHarness.GatewayProcess first = rig.add(LEASE_MS);
       rig.add(LEASE_MS);
       rig.awaitStage("one");
-      rig.await("there is an owner", () -> rig.owner() != null);
-      FaultInjectionHarness.Node late = rig.add(LEASE_MS * 100);
+      rig.await("there is an owner", () -> rig.leader() != null);
+      FaultInjectionHarness.GatewayProcess late = rig.add(LEASE_MS * 100);
       rig.awaitStage("one");
-      late.relay().cut(true, true);
-      assertEquals(200, first.target("four"));
+      late.proxy().cut(true, true);
+      assertEquals(200, first.requestStage("four"));
       rig.await(
           "the rest do not wait for it",
-          () -> first.shown().path("inForceHere").asText().equals("four"));
+          () -> first.subjectStatus().path("inForceHere").asText().equals("four"));
       assertFalse(
-          rig.histories().broken().isEmpty(), "it may act in stage one, and the others do in four");
+          rig.histories().violations().isEmpty(),
+          "it may act in stage one, and the others do in four");
     }
   }
 }
--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
@@ -24,7 +24,7 @@
   }
 
   private static List<String> broken(List<String> one, List<String> other) throws IOException {
-    return RolloutHistoryChecker.of(List.of(one, other)).broken();
+    return RolloutHistoryChecker.of(List.of(one, other)).violations();
   }
 
   @Test
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -38,7 +38,7 @@
     private boolean started;
 
     Server(TransportConnection wire) {
-      on(wire);
+      accept(wire);
     }
 
     @Override
@@ -81,40 +81,41 @@
     protected void ended(boolean reset) {}
   }
 
-  private OpenLoopLoad.Result play(OpenLoopLoad.Habits habits, double perSecond, int connections) {
+  private OpenLoopLoad.Result play(
+      OpenLoopLoad.ClientBehavior habits, double perSecond, int connections) {
     net.listen(net.machine("server"), address, Server::new);
     boolean[] over = new boolean[1];
     OpenLoopLoad load =
         new OpenLoopLoad(
-            net.on(net.machine("clients")),
+            net.transportOn(net.machine("clients")),
             address,
             "t",
             null,
             List.of(
-                new OpenLoopLoad.Kind("read", false, 50, 400, 3, 1),
-                new OpenLoopLoad.Kind("write", true, 50, 400, 1, 5)),
+                new OpenLoopLoad.RequestKind("read", false, 50, 400, 3, 1),
+                new OpenLoopLoad.RequestKind("write", true, 50, 400, 1, 5)),
             habits,
             perSecond,
             connections,
             11);
     load.start(4 * SECOND, () -> over[0] = true);
-    while (!over[0] && clock.next() < Long.MAX_VALUE) {
-      clock.advance(clock.next());
-      clock.step();
+    while (!over[0] && clock.nextMicros() < Long.MAX_VALUE) {
+      clock.advanceTo(clock.nextMicros());
+      clock.runNext();
     }
     assertTrue(over[0], "it never ended");
-    OpenLoopLoad.Tally all = load.result().all;
+    OpenLoopLoad.Outcomes all = load.result().total;
     assertEquals(
         all.due,
-        all.onTime + all.late + all.refused + all.failed + all.unanswered,
+        all.onTime + all.late + all.rejected + all.failed + all.unanswered,
         "each has one end");
-    assertEquals(List.of(), load.result().wrong);
+    assertEquals(List.of(), load.result().malformedResponses);
     return load.result();
   }
 
-  private static OpenLoopLoad.Habits habits(
+  private static OpenLoopLoad.ClientBehavior habits(
       ArrivalSchedule.Pattern pattern, int retries, double roam, double hangUp) {
-    return new OpenLoopLoad.Habits(pattern, 100, 2, 0.5, retries, roam, hangUp);
+    return new OpenLoopLoad.ClientBehavior(pattern, 100, 2, 0.5, retries, roam, hangUp);
   }
 
   @ParameterizedTest
@@ -124,7 +125,7 @@
         new ArrivalSchedule(pattern, 500, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
     long last = 0;
     int count = 0;
-    for (long at = arrivals.next(); at < 40 * SECOND; at = arrivals.next()) {
+    for (long at = arrivals.nextMicros(); at < 40 * SECOND; at = arrivals.nextMicros()) {
       assertTrue(at >= last);
       last = at;
       count++;
@@ -139,7 +140,7 @@
             ArrivalSchedule.Pattern.BURSTS, 1000, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
     int in = 0;
     int count = 0;
-    for (long at = arrivals.next(); at < 20 * SECOND; at = arrivals.next()) {
+    for (long at = arrivals.nextMicros(); at < 20 * SECOND; at = arrivals.nextMicros()) {
       in += at % (2 * SECOND) < SECOND / 10 ? 1 : 0;
       count++;
     }
@@ -150,9 +151,10 @@
   void allIsServedWhereThereIsRoomWhateverClientsDo() {
     OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
     assertTrue(
-        r.all.due > 1_000 && r.all.hungUp > 10, r.all.due + " due, " + r.all.hungUp + " hung up");
-    assertTrue(r.worthKept() > 0.98, "worth kept " + r.worthKept());
-    assertEquals(0, r.lag.getMaxValue(), "virtual time is never late");
+        r.total.due > 1_000 && r.total.hungUp > 10,
+        r.total.due + " due, " + r.total.hungUp + " hung up");
+    assertTrue(r.servedValueFraction() > 0.98, "worth kept " + r.servedValueFraction());
+    assertEquals(0, r.lagMicros.getMaxValue(), "virtual time is never late");
   }
 
   /**
@@ -163,24 +165,24 @@
   void whatWaitsForAConnectionIsLateByThat() {
     serverTakes = 20_000;
     OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
-    assertTrue(r.waited > 500, "waited " + r.waited);
-    assertTrue(r.worthKept() < 0.5, "worth kept " + r.worthKept());
-    assertTrue(r.all.unanswered > 100, "unanswered " + r.all.unanswered);
-    assertTrue(r.worstWindow() == 0 && r.worstKind() <= r.worthKept());
+    assertTrue(r.waitedCount > 500, "waited " + r.waitedCount);
+    assertTrue(r.servedValueFraction() < 0.5, "worth kept " + r.servedValueFraction());
+    assertTrue(r.total.unanswered > 100, "unanswered " + r.total.unanswered);
+    assertTrue(r.worstWindow() == 0 && r.worstKind() <= r.servedValueFraction());
   }
 
   @Test
   void whatIsRefusedComesBackWhenItWasToldAndEndsOnce() {
     code = "53300";
     OpenLoopLoad.Result never = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
-    assertEquals(never.all.due, never.all.refused);
-    assertEquals(0, never.served.getTotalCount());
+    assertEquals(never.total.due, never.total.rejected);
+    assertEquals(0, never.latencyMicros.getTotalCount());
   }
 
   @Test
   void anErrorThatIsNoRefusalIsAFailure() {
     code = "40003";
     OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
-    assertEquals(r.all.due, r.all.failed);
+    assertEquals(r.total.due, r.total.failed);
   }
 }
--- a/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
+++ b/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
@@ -111,7 +111,7 @@
   void aSnapshotThatTakesLongerThanASilenceArrives(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 2500, 3, 1, 1, 0, 0, 1);
     List<FaultProxy> relays = new ArrayList<>();
-    ScaledFleet.Ways slow =
+    ScaledFleet.AddressTranslator slow =
         (from, to, address) -> {
           if (!to.startsWith("r")) {
             return address;
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
@@ -28,7 +28,7 @@
   /** Hashes of everything that happened, of a few seeds: printed by {@link #main}, and compared. */
   private static List<String> hashes() {
     return LongStream.of(3, 11, 25, 66)
-        .mapToObj(s -> FleetSimulation.play(Scenario.draw(s).at(0.5, 4 * SECOND)).hash())
+        .mapToObj(s -> FleetSimulation.run(Scenario.draw(s).shortened(0.5, 4 * SECOND)).hash())
         .toList();
   }
 
@@ -51,7 +51,8 @@
     String printed = new String(child.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(child.waitFor(60, TimeUnit.SECONDS));
     assertEquals(String.join("\n", here), printed.strip(), "in another process");
-    assertNotEquals(here.get(0), FleetSimulation.play(Scenario.draw(3).at(0.5, 3 * SECOND)).hash());
+    assertNotEquals(
+        here.get(0), FleetSimulation.run(Scenario.draw(3).shortened(0.5, 3 * SECOND)).hash());
   }
 
   /** Among them each that has shown a fault of the gateway or of the lab, and what it was. */
@@ -62,7 +63,7 @@
         .forEach(
             seed -> {
               FleetSimulation.Result result =
-                  FleetSimulation.play(Scenario.draw(seed).at(0.6, 6 * SECOND));
+                  FleetSimulation.run(Scenario.draw(seed).shortened(0.6, 6 * SECOND));
               assertEquals(List.of(), result.violations(), "seed " + seed);
             });
   }
@@ -141,10 +142,10 @@
   @Test
   void aQuietDayIsServedWhole() {
     FleetSimulation.Result result =
-        FleetSimulation.play(day(3, 1500, ReplicaSetParameters.Check.WAIT, false));
+        FleetSimulation.run(day(3, 1500, ReplicaSetParameters.Check.WAIT, false));
     assertEquals(List.of(), result.violations());
     assertTrue(result.requests() > 10_000, "requests " + result.requests());
-    assertTrue(result.worthKept() > 0.99, "worth kept " + result.worthKept());
+    assertTrue(result.servedValueFraction() > 0.99, "worth kept " + result.servedValueFraction());
   }
 
   /**
@@ -154,7 +155,7 @@
   @Test
   void aPrimaryThatTakesItsLogsEndAlongBreaksNoRule() {
     FleetSimulation.Result result =
-        FleetSimulation.play(
+        FleetSimulation.run(
             day(
                 2,
                 800,
@@ -169,7 +170,7 @@
   @Test
   void clocksThatStepBreakNoRule() {
     FleetSimulation.Result result =
-        FleetSimulation.play(
+        FleetSimulation.run(
             day(
                 2,
                 800,
@@ -179,7 +180,7 @@
                 new Fault(3 * SECOND, FaultKind.STEP_CLOCK, 1, SECOND),
                 new Fault(4 * SECOND, FaultKind.STEP_CLOCK, 2, SECOND)));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.worthKept() > 0.9, "worth kept " + result.worthKept());
+    assertTrue(result.servedValueFraction() > 0.9, "worth kept " + result.servedValueFraction());
   }
 
   /**
@@ -225,9 +226,9 @@
             List.of(
                 new Fault(2 * SECOND, FaultKind.KILL_BOX, 1, SECOND / 4),
                 new Fault(6 * SECOND, FaultKind.KILL_BOX, 2, SECOND / 4)));
-    FleetSimulation.Result result = FleetSimulation.play(day);
+    FleetSimulation.Result result = FleetSimulation.run(day);
     assertEquals(List.of(), result.violations());
-    assertTrue(result.worthKept() > 0.8, "worth kept " + result.worthKept());
+    assertTrue(result.servedValueFraction() > 0.8, "worth kept " + result.servedValueFraction());
   }
 
   /**
@@ -241,7 +242,7 @@
       bursts[i] = new Fault(2 * SECOND, FaultKind.BURST, i, SECOND);
     }
     FleetSimulation.Result result =
-        FleetSimulation.play(day(8, 2500, ReplicaSetParameters.Check.REFUSE, false, bursts));
+        FleetSimulation.run(day(8, 2500, ReplicaSetParameters.Check.REFUSE, false, bursts));
     assertEquals(List.of(), result.violations());
     assertTrue(result.requests() > 20_000, "requests " + result.requests());
   }
@@ -262,9 +263,9 @@
               SECOND / 2);
     }
     FleetSimulation.Result result =
-        FleetSimulation.play(day(2, 1000, ReplicaSetParameters.Check.WAIT, false, resets));
+        FleetSimulation.run(day(2, 1000, ReplicaSetParameters.Check.WAIT, false, resets));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.worth().get("once-write").failed() > 0, "no write's answer was lost");
+    assertTrue(result.byClass().get("once-write").failed() > 0, "no write's answer was lost");
   }
 
   /**
@@ -279,7 +280,7 @@
     }
     assertEquals(
         List.of(),
-        FleetSimulation.play(day(2, 400, ReplicaSetParameters.Check.WAIT, false, rude))
+        FleetSimulation.run(day(2, 400, ReplicaSetParameters.Check.WAIT, false, rude))
             .violations());
   }
 
@@ -294,9 +295,9 @@
       crowds[i] = new Fault(2 * SECOND, FaultKind.IDLE_CROWD, i, SECOND);
     }
     FleetSimulation.Result result =
-        FleetSimulation.play(day(5, 1000, ReplicaSetParameters.Check.REFUSE, false, crowds));
+        FleetSimulation.run(day(5, 1000, ReplicaSetParameters.Check.REFUSE, false, crowds));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.worthKept() > 0.9, "worth kept " + result.worthKept());
+    assertTrue(result.servedValueFraction() > 0.9, "worth kept " + result.servedValueFraction());
   }
 
   /** SIGHUP with another address of discovery, again and again, under load and broken watches. */
@@ -312,9 +313,9 @@
               SECOND);
     }
     FleetSimulation.Result result =
-        FleetSimulation.play(day(2, 600, ReplicaSetParameters.Check.WAIT, false, reloads));
+        FleetSimulation.run(day(2, 600, ReplicaSetParameters.Check.WAIT, false, reloads));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.worthKept() > 0.95, "worth kept " + result.worthKept());
+    assertTrue(result.servedValueFraction() > 0.95, "worth kept " + result.servedValueFraction());
   }
 
   private static Scenario hosted(int loops, Fault... faults) {
@@ -341,13 +342,13 @@
   @Test
   void aHostedGatewayStopsWithIdleClientsOnEveryLoop() {
     FleetSimulation.Result result =
-        FleetSimulation.play(
+        FleetSimulation.run(
             hosted(
                 3,
                 new Fault(2 * SECOND, FaultKind.STOP_GATEWAY, 0, SECOND),
                 new Fault(5 * SECOND, FaultKind.STOP_GATEWAY, 1, SECOND)));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.worthKept() > 0.95, "worth kept " + result.worthKept());
+    assertTrue(result.servedValueFraction() > 0.95, "worth kept " + result.servedValueFraction());
   }
 
   /**
@@ -369,7 +370,7 @@
     }
     for (int loops = 1; loops <= 3; loops++) {
       assertEquals(
-          List.of(), FleetSimulation.play(hosted(loops, faults)).violations(), loops + " loops");
+          List.of(), FleetSimulation.run(hosted(loops, faults)).violations(), loops + " loops");
     }
   }
 }
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
@@ -30,10 +30,11 @@
   /** What all gateways of a run sent and opened. */
   private record Cost(FleetSimulation.Result result, long probes, long connections) {}
 
-  private static Cost cost(Scenario scenario, Function<FleetSimulation.Start, Gateway> made) {
+  private static Cost cost(
+      Scenario scenario, Function<FleetSimulation.GatewayParts, Gateway> made) {
     List<Network> networks = new ArrayList<>();
     FleetSimulation.Result result =
-        FleetSimulation.play(
+        FleetSimulation.run(
             scenario,
             start -> {
               networks.add(start.network());
@@ -53,10 +54,10 @@
   /**
    * A gateway that takes itself for the only one, which switches off what it leaves to the others.
    */
-  private static Gateway alone(FleetSimulation.Start start) {
+  private static Gateway alone(FleetSimulation.GatewayParts start) {
     GatewayConfig c = start.config();
     RoutingSettings s = c.settings();
-    return start.with(
+    return start.withConfig(
         new GatewayConfig(
             c.name(),
             c.listenAddress(),
@@ -122,12 +123,14 @@
 
   @Test
   void gatewaysThatKnowTheirNumberCostTheirHostsLessThanHalfOfWhatTheyWouldAlone() {
-    Cost together = cost(day(), FleetSimulation.Start::asItIs);
+    Cost together = cost(day(), FleetSimulation.GatewayParts::unmodified);
     Cost alone = cost(day(), FleetSizeSimulationTest::alone);
     assertEquals(List.of(), together.result().violations());
     assertTrue(
-        together.result().worthKept() > alone.result().worthKept() - 0.01,
-        together.result().worthKept() + " kept, alone " + alone.result().worthKept());
+        together.result().servedValueFraction() > alone.result().servedValueFraction() - 0.01,
+        together.result().servedValueFraction()
+            + " kept, alone "
+            + alone.result().servedValueFraction());
     String figures =
         together.probes()
             + " probes, "
@@ -150,8 +153,10 @@
     faults[20] = new Fault(2 * SECOND, FaultKind.KILL_BOX, 1, SECOND / 4);
     faults[21] = new Fault(3 * SECOND, FaultKind.KILL_BOX, 8, SECOND / 4);
     faults[22] = new Fault(4 * SECOND, FaultKind.KILL_PRIMARY, 0, SECOND / 4);
-    Cost cost = cost(day(faults), FleetSimulation.Start::asItIs);
+    Cost cost = cost(day(faults), FleetSimulation.GatewayParts::unmodified);
     assertEquals(List.of(), cost.result().violations());
-    assertTrue(cost.result().worthKept() > 0.85, "worth kept " + cost.result().worthKept());
+    assertTrue(
+        cost.result().servedValueFraction() > 0.85,
+        "worth kept " + cost.result().servedValueFraction());
   }
 }
--- a/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -99,18 +99,17 @@
    * rule.
    */
   private static void caught(
-      Rule rule, Scenario scenario, Function<FleetSimulation.Start, Gateway> broken) {
+      Rule rule, Scenario scenario, Function<FleetSimulation.GatewayParts, Gateway> broken) {
     assertEquals(
-        List.of(),
-        FleetSimulation.play(scenario).violations(),
-        "the whole gateway on the same day");
-    List<Violation> found = FleetSimulation.play(scenario, broken, line -> {}).violations();
+        List.of(), FleetSimulation.run(scenario).violations(), "the whole gateway on the same day");
+    List<Violation> found = FleetSimulation.run(scenario, broken, line -> {}).violations();
     assertTrue(found.stream().anyMatch(v -> v.rule() == rule), rule + " was not caught: " + found);
   }
 
-  private static Gateway told(FleetSimulation.Start start, UnaryOperator<RoutingSettings> change) {
+  private static Gateway told(
+      FleetSimulation.GatewayParts start, UnaryOperator<RoutingSettings> change) {
     GatewayConfig c = start.config();
-    return start.with(
+    return start.withConfig(
         new GatewayConfig(
             c.name(),
             c.listenAddress(),
@@ -171,9 +170,9 @@
    * Alters what the gateway writes, or what it reads, wherever a text stands in it; lengths stay.
    */
   private static Gateway tampered(
-      FleetSimulation.Start start, String out, String outAs, String in, String inAs) {
+      FleetSimulation.GatewayParts start, String out, String outAs, String in, String inAs) {
     start.channels().tamper(replacing(out, outAs), replacing(in, inAs));
-    return start.asItIs();
+    return start.unmodified();
   }
 
   private static UnaryOperator<byte[]> replacing(String what, String by) {
@@ -240,7 +239,7 @@
 
   private static Scenario carrying(
       ReplicaSetParameters.Check check, double perSecond, Fault... faults) {
-    return scenario(check, perSecond, faults).as(RandomDeployment.carrying(true));
+    return scenario(check, perSecond, faults).withDeployment(RandomDeployment.carrying(true));
   }
 
   @Test
@@ -258,7 +257,7 @@
         carrying(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
         s -> {
           GatewayConfig c = s.config();
-          return s.with(
+          return s.withConfig(
               new GatewayConfig(
                   c.name(),
                   c.listenAddress(),
@@ -279,7 +278,7 @@
         s -> {
           // It does not read that the box drains.
           s.channels().tamper(b -> b, replacing("Terminating", "Ready      "));
-          return s.asItIs();
+          return s.unmodified();
         });
   }
 
@@ -345,7 +344,7 @@
                         : b;
                   },
                   b -> b);
-          return s.asItIs();
+          return s.unmodified();
         });
   }
 
@@ -357,7 +356,7 @@
     Fault[] faults = {
       fault(2, FaultKind.SLOW_BOX, 18, 1), fault(2.2, FaultKind.KILL_PRIMARY, 0, 1)
     };
-    Function<FleetSimulation.Start, Gateway> broken =
+    Function<FleetSimulation.GatewayParts, Gateway> broken =
         s ->
             told(
                 s,
@@ -375,12 +374,12 @@
                                 : c));
     int found = 0;
     for (int seed = 1; seed <= 12; seed++) {
-      Scenario day = scenario(ReplicaSetParameters.Check.WAIT, 300, faults).of(seed);
+      Scenario day = scenario(ReplicaSetParameters.Check.WAIT, 300, faults).withSeed(seed);
       assertEquals(
-          List.of(), FleetSimulation.play(day).violations(), "the whole gateway on seed " + seed);
+          List.of(), FleetSimulation.run(day).violations(), "the whole gateway on seed " + seed);
       found +=
           (int)
-              FleetSimulation.play(day, broken, line -> {}).violations().stream()
+              FleetSimulation.run(day, broken, line -> {}).violations().stream()
                   .filter(v -> v.rule() == Rule.CLASS_PERMITS)
                   .count();
     }
@@ -395,8 +394,8 @@
         Rule.ONE_ATTEMPT_OUT,
         scenario(ReplicaSetParameters.Check.WAIT, 500, fault(2, FaultKind.SLOW_BOX, 16, 4)),
         s -> {
-          s.channels().keepOpen();
-          return s.asItIs();
+          s.channels().keepPeersOpen();
+          return s.unmodified();
         });
   }
 
@@ -438,7 +437,7 @@
                           ? new byte[0]
                           : b,
                   b -> b);
-          return s.asItIs();
+          return s.unmodified();
         });
   }
 
@@ -455,7 +454,7 @@
                     return (text.contains("SELECT 1") ? text + text : text).getBytes(ISO_8859_1);
                   },
                   b -> b);
-          return s.asItIs();
+          return s.unmodified();
         });
   }
 
@@ -475,7 +474,7 @@
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> {
           s.network().budget().tryAcquire(100);
-          return s.asItIs();
+          return s.unmodified();
         });
   }
 
@@ -486,7 +485,7 @@
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         s -> {
           s.network().counters().add(shelffront.net.Counters.Name.FAULTS);
-          return s.asItIs();
+          return s.unmodified();
         });
   }
 }
