--- a/lab/src/main/java/shelffront/lab/Demo.java
+++ b/lab/src/main/java/shelffront/lab/Demo.java
@@ -43,20 +43,20 @@
 
   @Override
   public Integer call() throws Exception {
-    try (EmulatedReplicaSet set = new EmulatedReplicaSet("sample", 2, 4, 5, 10)) {
+    try (EmulatedReplicaSet replicaSet = new EmulatedReplicaSet("sample", 2, 4, 5, 10)) {
       ObjectNode config =
           TenantSpecCodec.JSON
               .createObjectNode()
               .put("listen", "127.0.0.1:" + port)
               .put("admin", "127.0.0.1:" + adminPort);
-      config.putArray("tenants").add(sample(set));
-      MultiTenantGateway hosted =
+      config.putArray("tenants").add(sample(replicaSet));
+      MultiTenantGateway gateway =
           new MultiTenantGateway(MultiTenantConfig.read(config), System.out::println);
-      Thread turns = hosted.start();
+      Thread eventLoopThread = gateway.start();
       InetSocketAddress clients =
-          new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort());
-      String admin = "127.0.0.1:" + hosted.adminAddress().getPort();
-      String token = hosted.tokens().create(null, "demo");
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), gateway.address().getPort());
+      String admin = "127.0.0.1:" + gateway.adminAddress().getPort();
+      String token = gateway.tokens().create(null, "demo");
       System.out.println(
           "clients: psql -h 127.0.0.1 -p "
               + clients.getPort()
@@ -84,13 +84,13 @@
           result.total.due,
           result.latencyMicros.getValueAtPercentile(50) / 1e3);
       Thread.sleep((long) (1000 * Math.max(0, seconds - 5)));
-      hosted.drain();
-      turns.join();
+      gateway.drain();
+      eventLoopThread.join();
       return 0;
     }
   }
 
-  private static JsonNode sample(EmulatedReplicaSet set) {
+  private static JsonNode sample(EmulatedReplicaSet replicaSet) {
     ObjectNode tenant = TenantSpecCodec.JSON.createObjectNode().put("id", "sample");
     ArrayNode classes = tenant.putArray("classes");
     classes
@@ -108,12 +108,12 @@
         .put("effect", "keyed")
         .put("windowMs", 2000);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
-    for (EmulatedReplicaSet.Host box : set.hosts()) {
+    for (EmulatedReplicaSet.Host host : replicaSet.hosts()) {
       list.addObject()
-          .put("id", box.id())
-          .put("address", box.address())
+          .put("id", host.id())
+          .put("address", host.address())
           .put("group", 1)
-          .put("role", box.isPrimary() ? "primary" : "replica");
+          .put("role", host.isPrimary() ? "primary" : "replica");
     }
     return tenant;
   }
--- a/lab/src/main/java/shelffront/lab/Explore.java
+++ b/lab/src/main/java/shelffront/lab/Explore.java
@@ -86,13 +86,13 @@
         failures.add(failed);
       }
     }
-    double took = (System.nanoTime() - begun) / 1e9;
+    double tookSeconds = (System.nanoTime() - begun) / 1e9;
     Map<String, Integer> rules = new TreeMap<>();
-    for (Failed f : failures) {
-      f.result().violations().stream()
-          .map(v -> v.rule().name())
+    for (Failed failure : failures) {
+      failure.result().violations().stream()
+          .map(violation -> violation.rule().name())
           .distinct()
-          .forEach(r -> rules.merge(r, 1, Integer::sum));
+          .forEach(rule -> rules.merge(rule, 1, Integer::sum));
     }
     System.out.printf(
         Locale.ROOT,
@@ -101,19 +101,20 @@
         played.get(),
         requests.get(),
         simulated.get() / 1e6,
-        took,
+        tookSeconds,
         workers,
-        simulated.get() / 1e6 / took / workers,
-        requests.get() / took / workers);
+        simulated.get() / 1e6 / tookSeconds / workers,
+        requests.get() / tookSeconds / workers);
     System.out.println(failures.size() + " seeds broke a rule: " + rules);
-    for (Failed f : failures.subList(0, Math.min(10, failures.size()))) {
+    for (Failed failure : failures.subList(0, Math.min(10, failures.size()))) {
       Cut cut =
           noShrink
-              ? ScenarioShrinker.whole(f.seed())
-              : ScenarioShrinker.shrink(f.seed(), s -> FleetSimulation.run(s).violationCount() > 0);
-      FleetSimulation.Result least = FleetSimulation.run(cut.of(f.seed()));
-      System.out.println("seed " + f.seed() + ": " + least.violations().get(0));
-      System.out.println("    " + cut.command(f.seed()));
+              ? ScenarioShrinker.whole(failure.seed())
+              : ScenarioShrinker.shrink(
+                  failure.seed(), s -> FleetSimulation.run(s).violationCount() > 0);
+      FleetSimulation.Result least = FleetSimulation.run(cut.of(failure.seed()));
+      System.out.println("seed " + failure.seed() + ": " + least.violations().get(0));
+      System.out.println("    " + cut.command(failure.seed()));
     }
     pool.shutdownNow();
     return failures.isEmpty() ? 0 : 1;
@@ -170,7 +171,7 @@
                 }
               });
       System.out.println(scenario);
-      result.byClass().forEach((name, w) -> System.out.println(name + " " + w));
+      result.byClass().forEach((name, worth) -> System.out.println(name + " " + worth));
       System.out.printf(
           Locale.ROOT,
           "worth kept %.3f, %d requests, %d events, hash %s%n",
@@ -178,7 +179,10 @@
           result.requests(),
           result.events(),
           result.hash());
-      result.violations().forEach(v -> System.out.println("BROKEN " + v.atMicros() + " " + v));
+      result
+          .violations()
+          .forEach(
+              violation -> System.out.println("BROKEN " + violation.atMicros() + " " + violation));
       System.out.println(result.violationCount() + " broken rules");
       return result.violationCount() == 0 ? 0 : 1;
     }
--- a/lab/src/main/java/shelffront/lab/Idle.java
+++ b/lab/src/main/java/shelffront/lab/Idle.java
@@ -111,8 +111,8 @@
     }
     double relayed;
     try (Sink sink = new Sink();
-        TransparentProxy relay = new TransparentProxy(sink.address())) {
-      relayed = each(relay.address(), connections, false, () -> sink.await(connections)) - pair;
+        TransparentProxy proxy = new TransparentProxy(sink.address())) {
+      relayed = each(proxy.address(), connections, false, () -> sink.await(connections)) - pair;
     }
     ObjectNode config =
         TenantSpecCodec.JSON
@@ -122,17 +122,18 @@
     ObjectNode tenant = Scale.tenant("t0", 1);
     tenant.with("limits").put("clientConnections", connections + 10);
     config.putArray("tenants").add(tenant);
-    MultiTenantGateway hosted = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
-    Thread turns = hosted.start();
+    MultiTenantGateway gateway = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
+    Thread eventLoopThread = gateway.start();
     double served =
         each(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort()),
+                new InetSocketAddress(
+                    InetAddress.getLoopbackAddress(), gateway.address().getPort()),
                 connections,
                 true,
                 () -> {})
             - pair / 2;
-    hosted.drain();
-    turns.join();
+    gateway.drain();
+    eventLoopThread.join();
     return String.format(
         Locale.ROOT, "| %d | %.0f bytes | %.0f bytes |", connections, relayed, served);
   }
@@ -147,7 +148,8 @@
    * empty query.
    */
   private static double each(
-      InetSocketAddress to, int connections, boolean welcomed, Arrival arrival) throws Exception {
+      InetSocketAddress address, int connections, boolean welcomed, Arrival arrival)
+      throws Exception {
     List<SocketChannel> clients = new ArrayList<>(connections);
     byte[] startup = Message.startup("api", "t0");
     byte[] empty =
@@ -156,7 +158,7 @@
     long before = Scale.heap();
     try {
       for (int i = 0; i < connections; i++) {
-        SocketChannel client = SocketChannel.open(to);
+        SocketChannel client = SocketChannel.open(address);
         clients.add(client);
         if (welcomed) {
           client.write(buffer.clear().put(startup).put(empty).flip());
--- a/lab/src/main/java/shelffront/lab/LabMain.java
+++ b/lab/src/main/java/shelffront/lab/LabMain.java
@@ -105,7 +105,7 @@
     public Integer call() throws IOException, SpecException {
       Experiment.Report report = VirtualExperiment.report(directory);
       report.table().forEach(System.out::println);
-      report.claims().forEach(c -> System.out.println("- " + c));
+      report.claims().forEach(claim -> System.out.println("- " + claim));
       return report.claimsHold() ? 0 : 1;
     }
   }
--- a/lab/src/main/java/shelffront/lab/Scale.java
+++ b/lab/src/main/java/shelffront/lab/Scale.java
@@ -64,14 +64,14 @@
       MultiTenantConfig bare = MultiTenantConfig.read(config);
       long before = heap();
       long from = System.nanoTime();
-      MultiTenantGateway hosted = new MultiTenantGateway(bare, line -> {});
-      Thread turns = hosted.start();
-      hosted.heldResources().get(60, TimeUnit.SECONDS);
+      MultiTenantGateway gateway = new MultiTenantGateway(bare, line -> {});
+      Thread eventLoopThread = gateway.start();
+      gateway.heldResources().get(60, TimeUnit.SECONDS);
       double start = (System.nanoTime() - from) / 1e9;
       double each = (heap() - before) / 1024.0 / tenants;
-      double[] took = changes(hosted, tenants);
-      hosted.drain();
-      turns.join();
+      double[] took = changes(gateway, tenants);
+      gateway.drain();
+      eventLoopThread.join();
       return String.format(
           Locale.ROOT,
           "| %d | %.2f | %.1f | %.2f | %.2f |",
@@ -86,29 +86,29 @@
   }
 
   /** Milliseconds from the call to the change being on disk and in force, in order. */
-  private static double[] changes(MultiTenantGateway hosted, int tenants) throws Exception {
+  private static double[] changes(MultiTenantGateway gateway, int tenants) throws Exception {
     double[] took = new double[CHANGES];
     for (int i = 0; i < CHANGES; i++) {
       String id = "t" + i % tenants;
-      long revision = hosted.store().get(Kind.TENANT, id).revision();
+      long revision = gateway.store().get(Kind.TENANT, id).revision();
       CompletableFuture<Long> inForce = new CompletableFuture<>();
       TenantAdministration tenancy =
           new TenantAdministration(
-              hosted.store(),
+              gateway.store(),
               new TenantAdministration.TenantControl() {
                 @Override
                 public void apply(TenantSpec spec, LongConsumer then) {
-                  hosted.apply(spec, at -> inForce.complete(at));
+                  gateway.apply(spec, at -> inForce.complete(at));
                 }
 
                 @Override
                 public void remove(String name, LongConsumer gone) {
-                  hosted.remove(name, gone);
+                  gateway.remove(name, gone);
                 }
 
                 @Override
                 public CompletableFuture<Tenant.Usage> usage(String name) {
-                  return hosted.usage(name);
+                  return gateway.usage(name);
                 }
               },
               System::currentTimeMillis);
@@ -143,10 +143,10 @@
     return tenant;
   }
 
-  private static void stop(MultiTenantGateway hosted) throws InterruptedException {
-    Thread turns = hosted.start();
-    hosted.drain();
-    turns.join();
+  private static void stop(MultiTenantGateway gateway) throws InterruptedException {
+    Thread eventLoopThread = gateway.start();
+    gateway.drain();
+    eventLoopThread.join();
   }
 
   static long heap() {
--- a/lab/src/main/java/shelffront/lab/ServeFleet.java
+++ b/lab/src/main/java/shelffront/lab/ServeFleet.java
@@ -71,7 +71,7 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     long work = (long) (workMs * 1000);
-    ReplicaSetParameters figures =
+    ReplicaSetParameters parameters =
         new ReplicaSetParameters(
             cores,
             60,
@@ -95,20 +95,20 @@
     try (SocketTransport own = new SocketTransport("fleet")) {
       carrier = own;
       for (int i = 1; i <= setCount; i++) {
-        sets.add(new EmulatedReplicaSet(carrier, "s" + i, boxCount, figures, this::tell));
+        sets.add(new EmulatedReplicaSet(carrier, "s" + i, boxCount, parameters, this::tell));
       }
-      InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-      catalogue = new DiscoveryEmulator(carrier, at, (to, some, complete) -> {});
+      InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+      catalogue = new DiscoveryEmulator(carrier, address, (connection, some, complete) -> {});
       carrier.post(() -> sets.forEach(this::tell));
       System.out.println("list of boxes: http://127.0.0.1:" + port);
-      sets.forEach(s -> s.hosts().forEach(this::print));
+      sets.forEach(replicaSet -> replicaSet.hosts().forEach(this::print));
       Thread timer = new Thread(this::stopInTime, "timer");
       timer.setDaemon(true);
       timer.start();
-      BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
-      for (String line = in.readLine();
+      BufferedReader input = new BufferedReader(new InputStreamReader(System.in));
+      for (String line = input.readLine();
           line != null && !line.equals("stop");
-          line = in.readLine()) {
+          line = input.readLine()) {
         if (!line.isBlank() && !command(line.trim().split(" +"))) {
           System.out.println("not understood: " + line + " (see --help)");
         }
@@ -126,34 +126,35 @@
     System.exit(0);
   }
 
-  private void print(EmulatedReplicaSet.Host box) {
+  private void print(EmulatedReplicaSet.Host host) {
     System.out.printf(
         "%s %s %s, %d begun%n",
-        box.id(), box.address(), box.isPrimary() ? "primary" : "replica", box.startedCount());
+        host.id(), host.address(), host.isPrimary() ? "primary" : "replica", host.startedCount());
   }
 
   /** What the list says of a set, after its delay. */
-  private void tell(EmulatedReplicaSet set) {
-    int group = sets.indexOf(set) + 1;
+  private void tell(EmulatedReplicaSet replicaSet) {
+    int group = sets.indexOf(replicaSet) + 1;
     long delay = listDelayMs * 1000;
-    set.hosts()
+    replicaSet
+        .hosts()
         .forEach(
-            b ->
+            host ->
                 catalogue.publish(
                     new DiscoveryEmulator.EndpointLine(
-                        b.id(),
-                        b.address(),
+                        host.id(),
+                        host.address(),
                         group,
-                        b.phase(),
-                        b.startedAtMicros() / 1000,
-                        b.isPrimary()),
+                        host.phase(),
+                        host.startedAtMicros() / 1000,
+                        host.isPrimary()),
                     delay));
   }
 
   /** Takes a command; false where it is none. */
   boolean command(String[] words) {
     switch (words[0]) {
-      case "list" -> sets.forEach(s -> s.hosts().forEach(this::print));
+      case "list" -> sets.forEach(replicaSet -> replicaSet.hosts().forEach(this::print));
       case "break-watches" -> carrier.post(catalogue::breakWatches);
       case "discovery" -> {
         if (words.length != 2 || !words[1].matches("up|down")) {
@@ -169,11 +170,11 @@
   }
 
   private boolean onBox(String[] words) {
-    for (EmulatedReplicaSet set : sets) {
-      for (EmulatedReplicaSet.Host box : set.hosts()) {
-        if (words.length > 1 && box.id().equals(words[1])) {
-          boolean known = onBox(box, words);
-          carrier.post(() -> tell(set));
+    for (EmulatedReplicaSet replicaSet : sets) {
+      for (EmulatedReplicaSet.Host host : replicaSet.hosts()) {
+        if (words.length > 1 && host.id().equals(words[1])) {
+          boolean known = onBox(host, words);
+          carrier.post(() -> tell(replicaSet));
           return known;
         }
       }
@@ -181,22 +182,22 @@
     return false;
   }
 
-  private static boolean onBox(EmulatedReplicaSet.Host box, String[] words) {
+  private static boolean onBox(EmulatedReplicaSet.Host host, String[] words) {
     switch (words[0]) {
-      case "kill" -> box.kill();
-      case "restart" -> box.restart();
-      case "drain" -> box.drain();
-      case "silence" -> box.setSilent(true);
-      case "spoil" -> box.setCorruptsAnswers(true);
+      case "kill" -> host.kill();
+      case "restart" -> host.restart();
+      case "drain" -> host.drain();
+      case "silence" -> host.setSilent(true);
+      case "spoil" -> host.setCorruptsAnswers(true);
       case "well" -> {
-        box.setSilent(false);
-        box.setCorruptsAnswers(false);
+        host.setSilent(false);
+        host.setCorruptsAnswers(false);
       }
       case "slow" -> {
         if (words.length != 4 || !(words[2] + words[3]).matches("[0-9.]+")) {
           return false;
         }
-        box.slowDown(Double.parseDouble(words[2]), Double.parseDouble(words[3]));
+        host.slowDown(Double.parseDouble(words[2]), Double.parseDouble(words[3]));
       }
       default -> {
         return false;
--- a/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
+++ b/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
@@ -36,7 +36,7 @@
   /** Told of what the list says to whom, as it is written. */
   public interface UpdateListener {
 
-    void updateSent(TransportConnection to, List<EndpointLine> some, boolean complete);
+    void updateSent(TransportConnection connection, List<EndpointLine> some, boolean complete);
   }
 
   private final Transport transport;
@@ -49,18 +49,18 @@
   private boolean down;
 
   /** Where it listens; throws where that address can't be had. */
-  public DiscoveryEmulator(Transport carrier, InetSocketAddress address, UpdateListener told)
+  public DiscoveryEmulator(Transport transport, InetSocketAddress address, UpdateListener told)
       throws IOException {
-    this.transport = carrier;
+    this.transport = transport;
     this.address = address;
     this.listener = told;
     listen(address);
-    carrier.clock().after(PING_MICROS, this::ping);
+    transport.clock().after(PING_MICROS, this::ping);
   }
 
   /** Listens at another address too; throws where that can't be had. */
-  public void listen(InetSocketAddress at) throws IOException {
-    transport.listen(at, wire -> down ? null : new WatchConnection(wire));
+  public void listen(InetSocketAddress address) throws IOException {
+    transport.listen(address, connection -> down ? null : new WatchConnection(connection));
   }
 
   public InetSocketAddress address() {
@@ -93,15 +93,15 @@
     watches.clear();
   }
 
-  public void setDown(boolean on) {
-    down = on;
-    if (on) {
+  public void setDown(boolean enabled) {
+    down = enabled;
+    if (enabled) {
       breakWatches();
     }
   }
 
   private void ping() {
-    List.copyOf(watches).forEach(w -> w.sendChunk("\n"));
+    List.copyOf(watches).forEach(watch -> watch.sendChunk("\n"));
     transport.clock().after(PING_MICROS, this::ping);
   }
 
@@ -109,18 +109,18 @@
     ObjectNode list =
         TenantSpecCodec.JSON.createObjectNode().put("revision", revision).put("complete", complete);
     ArrayNode members = list.putArray("members");
-    for (EndpointLine l : some) {
+    for (EndpointLine line : some) {
       members
           .addObject()
-          .put("id", l.id())
-          .put("host_port", l.address())
+          .put("id", line.id())
+          .put("host_port", line.address())
           .put("locality", "a")
           .put("flavor", "x")
-          .put("cell", l.replicaSet())
-          .put("phase", l.phase())
+          .put("cell", line.replicaSet())
+          .put("phase", line.phase())
           .put("size", 1.0)
-          .put("up_since_ms", l.startedAtMillis())
-          .put("access", l.primary() ? "writer" : "reader");
+          .put("up_since_ms", line.startedAtMillis())
+          .put("access", line.primary() ? "writer" : "reader");
     }
     return list;
   }
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
@@ -23,9 +23,9 @@
   private boolean started;
 
   public EmulatedHostConnection(
-      HostEnvironment hosting, ReplicaSetModel.Host box, TransportConnection accepted) {
-    this.environment = hosting;
-    this.host = box;
+      HostEnvironment environment, ReplicaSetModel.Host host, TransportConnection accepted) {
+    this.environment = environment;
+    this.host = host;
     accept(accepted);
   }
 
@@ -33,17 +33,17 @@
   protected void received(ByteBuffer bytes) {
     try {
       while (true) {
-        Message m =
+        Message message =
             started ? Message.next(bytes, "QX", Message.MAX_BYTES) : Message.nextStartup(bytes);
-        if (m == null) {
+        if (message == null) {
           return;
         }
         if (!started) {
           started = true;
           host.handshake();
           environment.clock().after(environment.handshakeMicros(), this::completeStartup);
-        } else if (m.type() == 'Q') {
-          query(m.text(0));
+        } else if (message.type() == 'Q') {
+          query(message.text(0));
         } else {
           close();
           return;
@@ -69,9 +69,9 @@
       sendRow(loadReport(), "SHOW");
       return;
     }
-    Query q = environment.parse(Statement.parse(text.getBytes(ISO_8859_1)), text);
-    Consumer<Answer> watch = environment.attemptArrived(host, connection, q);
-    host.submit(q, answer -> answer(q, watch, answer));
+    Query query = environment.parse(Statement.parse(text.getBytes(ISO_8859_1)), text);
+    Consumer<Answer> watch = environment.attemptArrived(host, connection, query);
+    host.submit(query, answer -> answer(query, watch, answer));
   }
 
   private String loadReport() {
@@ -85,7 +85,7 @@
         host.queued());
   }
 
-  private void answer(Query q, Consumer<Answer> watch, Answer answer) {
+  private void answer(Query query, Consumer<Answer> watch, Answer answer) {
     watch.accept(answer);
     if (isClosed()) {
       return;
@@ -101,7 +101,7 @@
               false,
               answer.kind() == AnswerKind.FULL
                   ? "53300"
-                  : answer.kind() == AnswerKind.ERROR ? "XX000" : q.write() ? "25006" : "72000",
+                  : answer.kind() == AnswerKind.ERROR ? "XX000" : query.write() ? "25006" : "72000",
               "no",
               null));
       send(Message.parameterStatus("server_role", answer.primary() ? "writer" : "reader"));
@@ -110,15 +110,16 @@
     }
     // A commit is told rounded up, a copy's position rounded down: neither may look better than it
     // is.
-    long told = q.write() ? (answer.positionMicros() + 999) / 1000 : answer.positionMicros() / 1000;
-    if (q.write() || environment.sendsPositions()) {
+    long told =
+        query.write() ? (answer.positionMicros() + 999) / 1000 : answer.positionMicros() / 1000;
+    if (query.write() || environment.sendsPositions()) {
       send(Message.parameterStatus("commit_clock", Long.toString(told)));
     }
     if (environment.sendsLoadReports()) {
       send(Message.parameterStatus("usage", loadReport()));
     }
     send(Message.parameterStatus("server_role", answer.primary() ? "writer" : "reader"));
-    sendRow(q.id(), q.write() ? "INSERT 0 1" : "SELECT 1");
+    sendRow(query.id(), query.write() ? "INSERT 0 1" : "SELECT 1");
   }
 
   /** What it says of its role counts once it is written. */
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
@@ -52,12 +52,12 @@
       primary = model.isPrimary();
     }
 
-    private TransportConnection.Listener accept(TransportConnection wire) {
+    private TransportConnection.Listener accept(TransportConnection connection) {
       connections.removeIf(EmulatedHostConnection::isClosed);
       if (!model.isUp() || connections.size() >= parameters.connections()) {
         return null;
       }
-      EmulatedHostConnection talker = new EmulatedHostConnection(environment, model, wire);
+      EmulatedHostConnection talker = new EmulatedHostConnection(environment, model, connection);
       connections.add(talker);
       return talker;
     }
@@ -87,13 +87,13 @@
     }
 
     /** Takes connections and says nothing more, to queries and probes alike. */
-    public void setSilent(boolean on) {
-      silent = on;
+    public void setSilent(boolean enabled) {
+      silent = enabled;
     }
 
     /** Answers with garbage. */
-    public void setCorruptsAnswers(boolean on) {
-      corruptsAnswers = on;
+    public void setCorruptsAnswers(boolean enabled) {
+      corruptsAnswers = enabled;
     }
 
     /** Its process ends; where it was primary, another is elected. */
@@ -153,7 +153,7 @@
         name,
         replicas + 1,
         uniformParameters(cores, workMs, lagMs),
-        s -> {});
+        replicaSet -> {});
   }
 
   /**
@@ -161,37 +161,37 @@
    * new primary.
    */
   public EmulatedReplicaSet(
-      SocketTransport carrier,
+      SocketTransport transport,
       String name,
       int boxCount,
-      ReplicaSetParameters figures,
+      ReplicaSetParameters parameters,
       Consumer<EmulatedReplicaSet> elected)
       throws IOException {
-    this(carrier, false, name, boxCount, figures, elected);
+    this(transport, false, name, boxCount, parameters, elected);
   }
 
   private EmulatedReplicaSet(
-      SocketTransport carrier,
+      SocketTransport transport,
       boolean own,
       String name,
       int boxCount,
-      ReplicaSetParameters figures,
+      ReplicaSetParameters parameters,
       Consumer<EmulatedReplicaSet> elected)
       throws IOException {
-    this.transport = carrier;
+    this.transport = transport;
     ownsTransport = own;
-    this.parameters = figures;
+    this.parameters = parameters;
     this.primaryListener = elected;
     model =
         new ReplicaSetModel(
             name,
             boxCount,
-            carrier,
+            transport,
             RandomSource.XO_RO_SHI_RO_128_PP.create(name.hashCode()),
-            figures,
+            parameters,
             new EffectCounter());
-    for (ReplicaSetModel.Host box : model.hosts()) {
-      hosts.put(box.id(), new Host(box));
+    for (ReplicaSetModel.Host host : model.hosts()) {
+      hosts.put(host.id(), new Host(host));
     }
   }
 
@@ -237,9 +237,9 @@
             hosts
                 .values()
                 .forEach(
-                    b -> {
-                      b.connections.removeIf(EmulatedHostConnection::isClosed);
-                      sum.addAndGet(b.connections.size());
+                    host -> {
+                      host.connections.removeIf(EmulatedHostConnection::isClosed);
+                      sum.addAndGet(host.connections.size());
                     }));
     return sum.get();
   }
@@ -283,69 +283,69 @@
     }
 
     @Override
-    public Query parse(Statement s, String text) throws ProtocolException {
+    public Query parse(Statement statement, String text) throws ProtocolException {
       return new Query(
-          s.value("id"),
-          s.value("k") == null ? s.value("id") : s.value("k"),
-          s.key(),
+          statement.value("id"),
+          statement.value("k") == null ? statement.value("id") : statement.value("k"),
+          statement.key(),
           text.contains("INSERT"),
           false,
           0,
-          transport.nowMicros() + s.number("d", DEFAULT_WAIT_MILLIS) * 1000L);
+          transport.nowMicros() + statement.number("d", DEFAULT_WAIT_MILLIS) * 1000L);
     }
 
     @Override
     public Consumer<Answer> attemptArrived(
-        ReplicaSetModel.Host box, TransportConnection from, Query query) {
+        ReplicaSetModel.Host host, TransportConnection from, Query query) {
       return answer -> {};
     }
 
     @Override
-    public void replicaRoleSent(ReplicaSetModel.Host box, TransportConnection to) {}
+    public void replicaRoleSent(ReplicaSetModel.Host host, TransportConnection connection) {}
 
     @Override
-    public boolean corruptsAnswer(ReplicaSetModel.Host box) {
-      return hosts.get(box.id()).corruptsAnswers;
+    public boolean corruptsAnswer(ReplicaSetModel.Host host) {
+      return hosts.get(host.id()).corruptsAnswers;
     }
 
     @Override
-    public boolean isSilent(ReplicaSetModel.Host box) {
-      return hosts.get(box.id()).silent;
+    public boolean isSilent(ReplicaSetModel.Host host) {
+      return hosts.get(host.id()).silent;
     }
 
     @Override
-    public void malformedRequest(ReplicaSetModel.Host box, ProtocolException why) {}
+    public void malformedRequest(ReplicaSetModel.Host host, ProtocolException why) {}
 
     @Override
-    public void connectionEnded(ReplicaSetModel.Host box) {}
+    public void connectionEnded(ReplicaSetModel.Host host) {}
   }
 
   private final class EffectCounter implements ReplicaSetModel.Observer {
 
     @Override
-    public void executionStarted(ReplicaSetModel.Host box, Query query) {
-      Host at = hosts.get(box.id());
-      at.lastStartNanos = System.nanoTime();
-      at.startedCount.incrementAndGet();
+    public void executionStarted(ReplicaSetModel.Host host, Query query) {
+      Host host = hosts.get(host.id());
+      host.lastStartNanos = System.nanoTime();
+      host.startedCount.incrementAndGet();
     }
 
     @Override
-    public void applied(ReplicaSetModel.Host box, Effect effect, Query by, boolean repeated) {
+    public void applied(ReplicaSetModel.Host host, Effect effect, Query query, boolean repeated) {
       if (!repeated) {
         effects.computeIfAbsent(effect.key(), k -> new AtomicLong()).incrementAndGet();
       }
     }
 
     @Override
-    public void readServed(ReplicaSetModel.Host box, Query query, long position) {}
+    public void readServed(ReplicaSetModel.Host host, Query query, long position) {}
 
     @Override
-    public void overloaded(ReplicaSetModel.Host box) {}
+    public void overloaded(ReplicaSetModel.Host host) {}
 
     @Override
     public void primaryChanged(
-        ReplicaSetModel.Host box, ReplicaSetModel.Host before, List<Effect> lost) {
-      hosts.values().forEach(b -> b.primary = b.model == box);
+        ReplicaSetModel.Host host, ReplicaSetModel.Host before, List<Effect> lost) {
+      hosts.values().forEach(host -> host.primary = host.model == host);
       primaryListener.accept(EmulatedReplicaSet.this);
     }
   }
--- a/lab/src/main/java/shelffront/lab/emulator/HostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/emulator/HostEnvironment.java
@@ -26,10 +26,10 @@
    * A request has come over a connection; the answer is told to what is returned, before it is
    * sent.
    */
-  Consumer<Answer> attemptArrived(Host box, TransportConnection from, Query query);
+  Consumer<Answer> attemptArrived(Host host, TransportConnection from, Query query);
 
   /** A box is about to say over a connection that it is a replica. */
-  void replicaRoleSent(Host box, TransportConnection to);
+  void replicaRoleSent(Host host, TransportConnection connection);
 
   /** Whether every answer tells the position; that of a write always does. */
   default boolean sendsPositions() {
@@ -42,14 +42,14 @@
   }
 
   /** Whether it answers with garbage now. */
-  boolean corruptsAnswer(Host box);
+  boolean corruptsAnswer(Host host);
 
   /** Whether it takes what comes and says nothing. */
-  boolean isSilent(Host box);
+  boolean isSilent(Host host);
 
   /** It was sent what no gateway may send. */
-  void malformedRequest(Host box, ProtocolException why);
+  void malformedRequest(Host host, ProtocolException why);
 
   /** The other side has ended a connection. */
-  void connectionEnded(Host box);
+  void connectionEnded(Host host);
 }
--- a/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
+++ b/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
@@ -23,19 +23,19 @@
   }
 
   /** Of the difference of two means. */
-  static Interval difference(double[] a, double[] b) {
-    return interval(a, b);
+  static Interval difference(double[] first, double[] second) {
+    return interval(first, second);
   }
 
-  private static Interval interval(double[] a, double[] b) {
+  private static Interval interval(double[] first, double[] second) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(20L);
     double[] means = new double[SAMPLES];
     for (int i = 0; i < SAMPLES; i++) {
-      means[i] = resampled(a, random) - resampled(b, random);
+      means[i] = resampled(first, random) - resampled(second, random);
     }
     Arrays.sort(means);
     return new Interval(
-        means[SAMPLES / 40], average(a) - average(b), means[SAMPLES - 1 - SAMPLES / 40]);
+        means[SAMPLES / 40], average(first) - average(second), means[SAMPLES - 1 - SAMPLES / 40]);
   }
 
   private static double resampled(double[] figures, UniformRandomProvider random) {
--- a/lab/src/main/java/shelffront/lab/experiment/Charts.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Charts.java
@@ -26,13 +26,13 @@
     latency.getStyler().setYAxisLogarithmic(true);
   }
 
-  private static XYChart chart(String title, String x, String y) {
+  private static XYChart chart(String title, String xLabel, String yLabel) {
     return new XYChartBuilder()
         .width(900)
         .height(420)
         .title(title)
-        .xAxisTitle(x)
-        .yAxisTitle(y)
+        .xAxisTitle(xLabel)
+        .yAxisTitle(yLabel)
         .build();
   }
 
@@ -51,13 +51,13 @@
       worth.addSeries(name, seconds, part).setMarker(SeriesMarkers.NONE);
     }
     double[] nines = new double[31];
-    double[] ms = new double[31];
+    double[] millis = new double[31];
     for (int i = 0; i < nines.length; i++) {
       nines[i] = i / 10.0;
-      ms[i] =
+      millis[i] =
           Math.max(0.01, served.getValueAtPercentile(100 * (1 - Math.pow(10, -nines[i]))) / 1e3);
     }
-    latency.addSeries(name, nines, ms).setMarker(SeriesMarkers.NONE);
+    latency.addSeries(name, nines, millis).setMarker(SeriesMarkers.NONE);
   }
 
   /** A moment, as a line from bottom to top. */
--- a/lab/src/main/java/shelffront/lab/experiment/Experiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Experiment.java
@@ -42,7 +42,7 @@
     public List<String> lines() {
       List<String> lines = new ArrayList<>(table);
       lines.add("");
-      claims.forEach(c -> lines.add("- " + c));
+      claims.forEach(claim -> lines.add("- " + claim));
       if (isVoid) {
         lines.add("- void: the load itself was late, so the machine was too slow to tell");
       }
@@ -118,30 +118,32 @@
     results.forEach(
         (phase, tenants) ->
             tenants.forEach(
-                (tenant, r) -> {
-                  double[] wanted = r.windows.stream().mapToDouble(w -> w[0]).toArray();
-                  double[] served = r.windows.stream().mapToDouble(w -> w[1]).toArray();
+                (tenant, result) -> {
+                  double[] wanted =
+                      result.windows.stream().mapToDouble(window -> window[0]).toArray();
+                  double[] served =
+                      result.windows.stream().mapToDouble(window -> window[1]).toArray();
                   charts.add(
                       phase + ", " + tenant,
                       OpenLoopLoad.WINDOW_MICROS,
                       wanted,
                       served,
-                      r.latencyMicros);
-                  double p50 = r.latencyMicros.getValueAtPercentile(50) / 1e3;
-                  double p99 = r.latencyMicros.getValueAtPercentile(99) / 1e3;
+                      result.latencyMicros);
+                  double p50 = result.latencyMicros.getValueAtPercentile(50) / 1e3;
+                  double p99 = result.latencyMicros.getValueAtPercentile(99) / 1e3;
                   csv.append(
                       String.format(
                           Locale.ROOT,
                           "%s,%s,%d,%d,%d,%d,%d,%d,%.5f,%.3f,%.3f,%.1f%n",
                           phase.replace(",", ""),
                           tenant,
-                          r.total.due,
-                          r.total.onTime,
-                          r.total.late,
-                          r.total.rejected,
-                          r.total.failed,
-                          r.total.unanswered,
-                          r.servedValueFraction(),
+                          result.total.due,
+                          result.total.onTime,
+                          result.total.late,
+                          result.total.rejected,
+                          result.total.failed,
+                          result.total.unanswered,
+                          result.servedValueFraction(),
                           p50,
                           p99,
                           cpuMicrosPerRequest.get(phase)));
@@ -150,8 +152,8 @@
                           .createObjectNode()
                           .put("phase", phase)
                           .put("tenant", tenant)
-                          .put("due", r.total.due)
-                          .put("worthKept", r.servedValueFraction())
+                          .put("due", result.total.due)
+                          .put("worthKept", result.servedValueFraction())
                           .put("p50Ms", p50)
                           .put("p99Ms", p99);
                   line.set("wanted", TenantSpecCodec.JSON.valueToTree(wanted));
@@ -179,28 +181,28 @@
       for (Iterator<String> each = file.path("tenants").fieldNames();
           each.hasNext() && tenants.size() < most; ) {
         String id = each.next();
-        EmulatedReplicaSet boxes = sets.get("all");
-        if (boxes == null) {
+        EmulatedReplicaSet replicaSet = sets.get("all");
+        if (replicaSet == null) {
           JsonNode set = file.path("set");
-          boxes =
+          replicaSet =
               new EmulatedReplicaSet(
                   id,
                   set.path("replicas").asInt(2),
                   set.path("cores").asInt(16),
                   set.path("workMs").asDouble(5),
                   set.path("lagMs").asLong(10));
-          sets.put(oneSet ? "all" : id, boxes);
+          sets.put(oneSet ? "all" : id, replicaSet);
         }
-        tenants.add(tenant(id, file.path("tenants").path(id), boxes));
+        tenants.add(tenant(id, file.path("tenants").path(id), replicaSet));
       }
-      MultiTenantGateway hosted =
+      MultiTenantGateway gateway =
           new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
-      Thread turns = hosted.start();
-      try (TransparentProxy relay = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
-        measure(phase, hosted, turns, tenants, relay, sets.values());
+      Thread eventLoopThread = gateway.start();
+      try (TransparentProxy proxy = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
+        measure(phase, gateway, eventLoopThread, tenants, proxy, sets.values());
       }
-      hosted.drain();
-      turns.join();
+      gateway.drain();
+      eventLoopThread.join();
     } finally {
       sets.values().forEach(EmulatedReplicaSet::close);
     }
@@ -209,20 +211,21 @@
   /** To the first replica of the first set, or its primary where it has no replica. */
   private static TransparentProxy relay(Map<String, EmulatedReplicaSet> sets) throws IOException {
     List<EmulatedReplicaSet.Host> boxes = sets.values().iterator().next().hosts();
-    String[] at = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
-    return new TransparentProxy(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+    String[] hostAndPort = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
+    return new TransparentProxy(
+        new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
   }
 
-  private static ObjectNode tenant(String id, JsonNode given, EmulatedReplicaSet set) {
+  private static ObjectNode tenant(String id, JsonNode given, EmulatedReplicaSet replicaSet) {
     ObjectNode tenant = given.deepCopy();
     tenant.put("id", id);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
-    for (EmulatedReplicaSet.Host box : set.hosts()) {
+    for (EmulatedReplicaSet.Host host : replicaSet.hosts()) {
       list.addObject()
-          .put("id", box.id())
-          .put("address", box.address())
+          .put("id", host.id())
+          .put("address", host.address())
           .put("group", 1)
-          .put("role", box.isPrimary() ? "primary" : "replica");
+          .put("role", host.isPrimary() ? "primary" : "replica");
     }
     return tenant;
   }
@@ -231,9 +234,9 @@
    * Nanoseconds of CPU that the gateway's own threads have used: the loop thread and the
    * completions'.
    */
-  private static long cpuNanos(Thread turns) {
+  private static long cpuNanos(Thread eventLoopThread) {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    long sum = threads.getThreadCpuTime(turns.getId());
+    long sum = threads.getThreadCpuTime(eventLoopThread.getId());
     for (Thread each : Thread.getAllStackTraces().keySet()) {
       boolean own = each.getName().equals("completions") || each.getName().startsWith("turns-");
       sum += own ? Math.max(0, threads.getThreadCpuTime(each.getId())) : 0;
@@ -244,15 +247,15 @@
   private void measure(
       JsonNode phase,
       MultiTenantGateway hosted,
-      Thread turns,
+      Thread eventLoopThread,
       ArrayNode tenants,
-      TransparentProxy relay,
+      TransparentProxy proxy,
       Collection<EmulatedReplicaSet> sets)
       throws IOException, SpecException, InterruptedException {
     String name = phase.path("name").asText();
     InetSocketAddress gateway =
-        relay != null
-            ? relay.address()
+        proxy != null
+            ? proxy.address()
             : new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort());
     double warm = file.path("warmSeconds").asDouble(2);
     double seconds = file.path("seconds").asDouble(5);
@@ -269,20 +272,20 @@
         }
       }
     }
-    long before = cpuNanos(turns);
+    long before = cpuNanos(eventLoopThread);
     Map<String, OpenLoopLoad.Result> measured = run(phase, gateway, seconds);
     double cost =
-        (cpuNanos(turns) - before)
+        (cpuNanos(eventLoopThread) - before)
             / 1e3
-            / measured.values().stream().mapToLong(r -> r.total.due).sum();
+            / measured.values().stream().mapToLong(result -> result.total.due).sum();
     results.put(name, measured);
     cpuMicrosPerRequest.put(name, cost);
     measured.forEach(
-        (tenant, r) -> {
-          long lag = r.lagMicros.getValueAtPercentile(99);
+        (tenant, result) -> {
+          long lag = result.lagMicros.getValueAtPercentile(99);
           machineTooSlow |= lag > MAX_LAG_MICROS;
-          malformedResponses.addAll(r.malformedResponses);
-          OpenLoopLoad.Outcomes all = r.total;
+          malformedResponses.addAll(result.malformedResponses);
+          OpenLoopLoad.Outcomes all = result.total;
           table.add(
               String.format(
                   Locale.ROOT,
@@ -293,20 +296,20 @@
                   file.path("tenants").path(tenant).path("weight").asText("1"),
                   all.due / seconds,
                   all.onTime / seconds,
-                  r.servedValueFraction(),
-                  r.worstWindow(),
+                  result.servedValueFraction(),
+                  result.worstWindow(),
                   all.rejected,
                   all.late,
                   all.failed,
                   all.unanswered,
-                  r.latencyMicros.getValueAtPercentile(50) / 1e3,
-                  r.latencyMicros.getValueAtPercentile(99) / 1e3,
-                  r.latencyMicros.getValueAtPercentile(99.9) / 1e3,
+                  result.latencyMicros.getValueAtPercentile(50) / 1e3,
+                  result.latencyMicros.getValueAtPercentile(99) / 1e3,
+                  result.latencyMicros.getValueAtPercentile(99.9) / 1e3,
                   lag / 1e3,
                   cost));
         });
-    for (EmulatedReplicaSet set : sets) {
-      machineTooSlow |= set.latenessMicros() > MAX_LAG_MICROS;
+    for (EmulatedReplicaSet replicaSet : sets) {
+      machineTooSlow |= replicaSet.latenessMicros() > MAX_LAG_MICROS;
     }
   }
 
@@ -319,25 +322,25 @@
     try {
       for (Iterator<String> each = phase.path("load").fieldNames(); each.hasNext(); ) {
         String tenant = each.next();
-        JsonNode l = phase.path("load").path(tenant);
-        SocketTransport carrier = new SocketTransport("load " + tenant);
-        carriers.add(carrier);
+        JsonNode loadNode = phase.path("load").path(tenant);
+        SocketTransport transport = new SocketTransport("load " + tenant);
+        carriers.add(transport);
         OpenLoopLoad load =
             new OpenLoopLoad(
-                carrier,
+                transport,
                 gateway,
                 tenant,
                 null,
-                LoadCodec.kinds(l, file.path("tenants").path(tenant).path("classes")),
-                LoadCodec.habits(l, "/phases/load/" + tenant),
-                l.path("perSecond").asDouble(),
-                l.path("connections").asInt(64),
+                LoadCodec.kinds(loadNode, file.path("tenants").path(tenant).path("classes")),
+                LoadCodec.habits(loadNode, "/phases/load/" + tenant),
+                loadNode.path("perSecond").asDouble(),
+                loadNode.path("connections").asInt(64),
                 tenant.hashCode());
         all.put(tenant, load.result());
-        carrier.post(() -> load.start((long) (seconds * 1e6), over::countDown));
+        transport.post(() -> load.start((long) (seconds * 1e6), over::countDown));
       }
-      for (SocketTransport carrier : carriers) {
-        carrier.await(over);
+      for (SocketTransport transport : carriers) {
+        transport.await(over);
       }
     } finally {
       carriers.forEach(SocketTransport::close);
--- a/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
+++ b/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
@@ -23,28 +23,28 @@
           load.has("mix")
               ? load.path("mix").path(i).asDouble(0)
               : i == load.path("class").asInt(0) ? 1 : 0;
-      JsonNode c = classes.path(i);
+      JsonNode classNode = classes.path(i);
       if (share > 0) {
         kinds.add(
             new OpenLoopLoad.RequestKind(
-                c.path("name").asText(),
-                c.path("read").asText().equals("write"),
-                c.path("aimMs").asInt(c.path("giveUpMs").asInt()),
-                c.path("giveUpMs").asInt(),
+                classNode.path("name").asText(),
+                classNode.path("read").asText().equals("write"),
+                classNode.path("aimMs").asInt(classNode.path("giveUpMs").asInt()),
+                classNode.path("giveUpMs").asInt(),
                 share,
-                c.path("worth").asDouble(1)));
+                classNode.path("worth").asDouble(1)));
       }
     }
     return kinds;
   }
 
-  static OpenLoopLoad.ClientBehavior habits(JsonNode load, String at) throws SpecException {
+  static OpenLoopLoad.ClientBehavior habits(JsonNode load, String pointer) throws SpecException {
     OpenLoopLoad.ClientBehavior plain = OpenLoopLoad.ClientBehavior.PLAIN;
     ArrivalSchedule.Pattern pattern;
     try {
       pattern = ArrivalSchedule.Pattern.of(load.path("arrivals").asText(plain.arrivals().name()));
     } catch (IllegalArgumentException e) {
-      throw new SpecException(at + "/arrivals", "is none of even, poisson, waves, bursts");
+      throw new SpecException(pointer + "/arrivals", "is none of even, poisson, waves, bursts");
     }
     return new OpenLoopLoad.ClientBehavior(
         pattern,
--- a/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
+++ b/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
@@ -23,7 +23,7 @@
   synchronized void one() {
     done++;
     if (out != null) {
-      double took = (System.nanoTime() - begun) / 1e9;
+      double tookSeconds = (System.nanoTime() - begun) / 1e9;
       int filled = WIDTH * done / all;
       out.printf(
           Locale.ROOT,
@@ -32,7 +32,7 @@
           ".".repeat(WIDTH - filled),
           done,
           all,
-          took / done * (all - done),
+          tookSeconds / done * (all - done),
           done == all ? "\n" : "");
       out.flush();
     }
--- a/lab/src/main/java/shelffront/lab/experiment/RecordedRun.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RecordedRun.java
@@ -23,18 +23,18 @@
     double[] servedValue,
     Histogram latencyMicros) {
 
-  static RecordedRun of(String level, int seed, FleetSimulation.Result r) {
+  static RecordedRun of(String level, int seed, FleetSimulation.Result result) {
     return new RecordedRun(
         level,
         seed,
-        r.requests(),
-        r.servedValueFraction(),
-        r.violationCount(),
-        r.hash(),
-        TenantSpecCodec.JSON.valueToTree(r.byClass()),
-        r.requestedValue(),
-        r.servedValue(),
-        r.latencyMicros());
+        result.requests(),
+        result.servedValueFraction(),
+        result.violationCount(),
+        result.hash(),
+        TenantSpecCodec.JSON.valueToTree(result.byClass()),
+        result.requestedValue(),
+        result.servedValue(),
+        result.latencyMicros());
   }
 
   String line() {
@@ -62,20 +62,21 @@
    */
   static RecordedRun read(String line) {
     try {
-      JsonNode j = TenantSpecCodec.JSON.readTree(line);
+      JsonNode json = TenantSpecCodec.JSON.readTree(line);
       Histogram latency =
           Histogram.decodeFromCompressedByteBuffer(
-              ByteBuffer.wrap(Base64.getDecoder().decode(j.path("latency").asText())), 60_000_000L);
+              ByteBuffer.wrap(Base64.getDecoder().decode(json.path("latency").asText())),
+              60_000_000L);
       return new RecordedRun(
-          j.path("level").asText(),
-          j.path("seed").asInt(),
-          j.path("requests").asLong(),
-          j.path("worthKept").asDouble(),
-          j.path("broken").asInt(),
-          j.path("hash").asText(),
-          j.path("classes"),
-          TenantSpecCodec.JSON.treeToValue(j.path("wanted"), double[].class),
-          TenantSpecCodec.JSON.treeToValue(j.path("kept"), double[].class),
+          json.path("level").asText(),
+          json.path("seed").asInt(),
+          json.path("requests").asLong(),
+          json.path("worthKept").asDouble(),
+          json.path("broken").asInt(),
+          json.path("hash").asText(),
+          json.path("classes"),
+          TenantSpecCodec.JSON.treeToValue(json.path("wanted"), double[].class),
+          TenantSpecCodec.JSON.treeToValue(json.path("kept"), double[].class),
           latency);
     } catch (IOException | DataFormatException | RuntimeException e) {
       return null;
--- a/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
@@ -51,8 +51,8 @@
   private static String program() throws IOException {
     CRC32 sum = new CRC32();
     for (Class<?> each : List.of(FleetSimulation.class, Gateway.class, Router.class)) {
-      URL at = each.getProtectionDomain().getCodeSource().getLocation();
-      Path jar = Path.of(at.getPath());
+      URL location = each.getProtectionDomain().getCodeSource().getLocation();
+      Path jar = Path.of(location.getPath());
       if (Files.isRegularFile(jar)) {
         sum.update(Files.readAllBytes(jar));
       }
@@ -92,7 +92,7 @@
   synchronized void rewrite(Collection<RecordedRun> all) throws IOException {
     if (runs != null) {
       StringBuilder whole = new StringBuilder();
-      all.forEach(r -> whole.append(r.line()).append('\n'));
+      all.forEach(run -> whole.append(run.line()).append('\n'));
       Files.writeString(runs, whole);
     }
   }
--- a/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
@@ -50,7 +50,7 @@
 
     Histogram latencyMicros() {
       Histogram all = new Histogram(60_000_000L, 3);
-      runs.forEach(r -> all.add(r.latencyMicros()));
+      runs.forEach(run -> all.add(run.latencyMicros()));
       return all;
     }
   }
@@ -74,7 +74,7 @@
     VirtualExperiment experiment = new VirtualExperiment(file);
     RunJournal log = RunJournal.open(directory, file);
     experiment.play(log);
-    log.rewrite(experiment.levels.stream().flatMap(l -> l.runs().stream()).toList());
+    log.rewrite(experiment.levels.stream().flatMap(level -> level.runs().stream()).toList());
     return experiment.finish(directory);
   }
 
@@ -165,78 +165,79 @@
   }
 
   /** Figures that a file leaves out are those of a calm fleet of small boxes. */
-  static Scenario scenario(JsonNode s, String at) throws SpecException {
+  static Scenario scenario(JsonNode scenarioNode, String pointer) throws SpecException {
     List<Fault> faults = new ArrayList<>();
-    for (JsonNode f : s.path("faults")) {
+    for (JsonNode faultNode : scenarioNode.path("faults")) {
       try {
         faults.add(
             new Fault(
-                micros(f, "at", 1),
-                FaultKind.valueOf(f.path("kind").asText()),
-                f.path("target").asInt(0),
-                micros(f, "seconds", 1)));
+                micros(faultNode, "at", 1),
+                FaultKind.valueOf(faultNode.path("kind").asText()),
+                faultNode.path("target").asInt(0),
+                micros(faultNode, "seconds", 1)));
       } catch (IllegalArgumentException e) {
         throw new SpecException(
-            at + "/faults/" + faults.size() + "/kind", "is none of " + List.of(FaultKind.values()));
+            pointer + "/faults/" + faults.size() + "/kind",
+            "is none of " + List.of(FaultKind.values()));
       }
     }
     ReplicaSetParameters.Check check;
     try {
       check =
           ReplicaSetParameters.Check.valueOf(
-              s.path("check").asText("wait").toUpperCase(Locale.ROOT));
+              scenarioNode.path("check").asText("wait").toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
-      throw new SpecException(at + "/check", "is none of silent, refuse, wait");
+      throw new SpecException(pointer + "/check", "is none of silent, refuse, wait");
     }
-    long work = s.path("workUs").asLong(6_000);
-    ReplicaSetParameters figures =
+    long work = scenarioNode.path("workUs").asLong(6_000);
+    ReplicaSetParameters parameters =
         new ReplicaSetParameters(
-            s.path("cores").asInt(4),
-            s.path("room").asInt(40),
-            s.path("connections").asInt(200),
+            scenarioNode.path("cores").asInt(4),
+            scenarioNode.path("room").asInt(40),
+            scenarioNode.path("connections").asInt(200),
             work,
             work * 2,
-            s.path("sigma").asDouble(0.5),
+            scenarioNode.path("sigma").asDouble(0.5),
             1_000,
-            s.path("shipUs").asLong(20_000),
-            s.path("applyUs").asLong(400),
+            scenarioNode.path("shipUs").asLong(20_000),
+            scenarioNode.path("applyUs").asLong(400),
             0.21,
             18 * SECOND,
-            micros(s, "electionSeconds", 1),
-            micros(s, "handOverSeconds", 0.5),
+            micros(scenarioNode, "electionSeconds", 1),
+            micros(scenarioNode, "handOverSeconds", 0.5),
             2 * SECOND,
             check,
             50_000,
             4,
             2 * SECOND,
-            s.path("losesTail").asBoolean(false));
+            scenarioNode.path("losesTail").asBoolean(false));
     return new Scenario(
         0,
-        s.path("gateways").asInt(2),
-        s.path("sets").asInt(1),
-        s.path("boxes").asInt(3),
-        s.path("perSecond").asDouble(200),
-        micros(s, "seconds", 8),
-        figures,
+        scenarioNode.path("gateways").asInt(2),
+        scenarioNode.path("sets").asInt(1),
+        scenarioNode.path("boxes").asInt(3),
+        scenarioNode.path("perSecond").asDouble(200),
+        micros(scenarioNode, "seconds", 8),
+        parameters,
         new Weather(
-            s.path("latencyUs").asLong(300),
-            s.path("jitterUs").asLong(700),
-            s.path("chop").asDouble(0.1)),
-        micros(s, "listDelaySeconds", 1),
-        deployment(s),
+            scenarioNode.path("latencyUs").asLong(300),
+            scenarioNode.path("jitterUs").asLong(700),
+            scenarioNode.path("chop").asDouble(0.1)),
+        micros(scenarioNode, "listDelaySeconds", 1),
+        deployment(scenarioNode),
         new Means(
-            s.path("sockets").asInt(1024),
-            s.path("gatewayWorkUs").asLong(0),
-            s.path("gatewayPauses").asDouble(0),
-            s.path("tenants").asInt(0),
-            s.path("loops").asInt(1),
-            s.path("clientConnections").asInt(Means.PLAIN.connections())),
+            scenarioNode.path("sockets").asInt(1024),
+            scenarioNode.path("gatewayWorkUs").asLong(0),
+            scenarioNode.path("gatewayPauses").asDouble(0),
+            scenarioNode.path("tenants").asInt(0),
+            scenarioNode.path("loops").asInt(1),
+            scenarioNode.path("clientConnections").asInt(Means.PLAIN.connections())),
         List.copyOf(faults));
   }
 
-  private static RandomDeployment deployment(JsonNode s) {
-    boolean onceWrites = s.path("onceWrites").asBoolean(false);
-    return s.path("carried").asBoolean(false)
+  private static RandomDeployment deployment(JsonNode scenarioNode) {
+    boolean onceWrites = scenarioNode.path("onceWrites").asBoolean(false);
+    return scenarioNode.path("carried").asBoolean(false)
         ? RandomDeployment.carrying(onceWrites)
         : RandomDeployment.plain(onceWrites);
   }
@@ -247,7 +248,7 @@
 
   private Level level(String name) {
     return levels.stream()
-        .filter(l -> l.name().equals(name))
+        .filter(level -> level.name().equals(name))
         .findFirst()
         .orElseThrow(
             () ->
@@ -260,24 +261,24 @@
         "| level | runs | requests | worth kept (95 %) | worst run | p50 ms | p99 ms | p99.9 ms "
             + "| broken rules |");
     table.add("|---|---|---|---|---|---|---|---|---|");
-    for (Level l : levels) {
-      BootstrapInterval.Interval worth = BootstrapInterval.mean(l.servedValueFractions());
-      Histogram latency = l.latencyMicros();
+    for (Level level : levels) {
+      BootstrapInterval.Interval worth = BootstrapInterval.mean(level.servedValueFractions());
+      Histogram latency = level.latencyMicros();
       table.add(
           String.format(
               Locale.ROOT,
               "| %s | %d | %d | %.3f (%.3f to %.3f) | %.3f | %.1f | %.1f | %.1f | %d |",
-              l.name(),
-              l.runs().size(),
-              l.runs().stream().mapToLong(RecordedRun::requests).sum(),
+              level.name(),
+              level.runs().size(),
+              level.runs().stream().mapToLong(RecordedRun::requests).sum(),
               worth.mean(),
               worth.low(),
               worth.high(),
-              l.runs().stream().mapToDouble(RecordedRun::servedValueFraction).min().orElse(0),
+              level.runs().stream().mapToDouble(RecordedRun::servedValueFraction).min().orElse(0),
               latency.getValueAtPercentile(50) / 1e3,
               latency.getValueAtPercentile(99) / 1e3,
               latency.getValueAtPercentile(99.9) / 1e3,
-              l.violationCount()));
+              level.violationCount()));
     }
     for (JsonNode claim : file.path("claims")) {
       if (claim.has("rules")) {
@@ -285,8 +286,8 @@
         recordClaim(broken == 0, broken + " rules broken in all runs");
         continue;
       }
-      Level l = level(claim.path("level").asText());
-      double low = BootstrapInterval.mean(l.servedValueFractions()).low();
+      Level level = level(claim.path("level").asText());
+      double low = BootstrapInterval.mean(level.servedValueFractions()).low();
       if (claim.has("worthAtLeast")) {
         double least = claim.path("worthAtLeast").asDouble();
         recordClaim(
@@ -294,20 +295,21 @@
             String.format(
                 Locale.ROOT,
                 "%s keeps %.3f of its worth at least: %.3f wanted",
-                l.name(),
+                level.name(),
                 low,
                 least));
       } else {
         Level other = level(claim.path("against").asText());
         BootstrapInterval.Interval less =
-            BootstrapInterval.difference(other.servedValueFractions(), l.servedValueFractions());
+            BootstrapInterval.difference(
+                other.servedValueFractions(), level.servedValueFractions());
         double within = claim.path("within").asDouble();
         recordClaim(
             less.high() <= within,
             String.format(
                 Locale.ROOT,
                 "%s keeps %.3f less than %s (%.3f to %.3f): %.3f at the most wanted",
-                l.name(),
+                level.name(),
                 less.mean(),
                 other.name(),
                 less.low(),
@@ -328,41 +330,42 @@
   private void save(Path directory, Experiment.Report report) throws IOException {
     StringBuilder csv =
         new StringBuilder("level,seed,requests,worth_kept,p50_ms,p99_ms,broken,hash\n");
-    for (Level l : levels) {
-      for (RecordedRun r : l.runs()) {
+    for (Level level : levels) {
+      for (RecordedRun run : level.runs()) {
         csv.append(
             String.format(
                 Locale.ROOT,
                 "%s,%d,%d,%.5f,%.3f,%.3f,%d,%s%n",
-                l.name(),
-                r.seed(),
-                r.requests(),
-                r.servedValueFraction(),
-                r.latencyMicros().getValueAtPercentile(50) / 1e3,
-                r.latencyMicros().getValueAtPercentile(99) / 1e3,
-                r.violationCount(),
-                r.hash().substring(0, 16)));
+                level.name(),
+                run.seed(),
+                run.requests(),
+                run.servedValueFraction(),
+                run.latencyMicros().getValueAtPercentile(50) / 1e3,
+                run.latencyMicros().getValueAtPercentile(99) / 1e3,
+                run.violationCount(),
+                run.hash().substring(0, 16)));
       }
     }
     Files.writeString(directory.resolve("runs.csv"), csv);
     Charts charts = new Charts();
-    for (Level l : levels) {
-      double[] wanted = new double[l.runs().get(0).requestedValue().length];
+    for (Level level : levels) {
+      double[] wanted = new double[level.runs().get(0).requestedValue().length];
       double[] served = new double[wanted.length];
-      for (RecordedRun r : l.runs()) {
-        for (int w = 0; w < wanted.length; w++) {
-          wanted[w] += r.requestedValue()[w];
-          served[w] += r.servedValue()[w];
+      for (RecordedRun run : level.runs()) {
+        for (int window = 0; window < wanted.length; window++) {
+          wanted[window] += run.requestedValue()[window];
+          served[window] += run.servedValue()[window];
         }
       }
-      charts.add(l.name(), FleetSimulation.WINDOW_MICROS, wanted, served, l.latencyMicros());
+      charts.add(
+          level.name(), FleetSimulation.WINDOW_MICROS, wanted, served, level.latencyMicros());
     }
     Set<String> drawn = new HashSet<>();
-    for (Level l : levels) {
-      for (Fault f : l.scenario().faults()) {
-        String name = f.kind().name().toLowerCase(Locale.ROOT) + " " + f.at() / 1e6;
+    for (Level level : levels) {
+      for (Fault fault : level.scenario().faults()) {
+        String name = fault.kind().name().toLowerCase(Locale.ROOT) + " " + fault.at() / 1e6;
         if (drawn.add(name)) {
-          charts.mark(name, f.at() / 1e6);
+          charts.mark(name, fault.at() / 1e6);
         }
       }
     }
@@ -376,31 +379,33 @@
     List<String> lines = new ArrayList<>();
     for (var each : first.entrySet()) {
       if (second.containsKey(each.getKey())) {
-        BootstrapInterval.Interval d =
+        BootstrapInterval.Interval difference =
             BootstrapInterval.difference(array(second.get(each.getKey())), array(each.getValue()));
         lines.add(
             String.format(
                 Locale.ROOT,
                 "%s: worth kept differs by %+.4f (%+.4f to %+.4f), %s",
                 each.getKey(),
-                d.mean(),
-                d.low(),
-                d.high(),
-                d.low() > 0 || d.high() < 0 ? "beyond chance" : "no more than chance"));
+                difference.mean(),
+                difference.low(),
+                difference.high(),
+                difference.low() > 0 || difference.high() < 0
+                    ? "beyond chance"
+                    : "no more than chance"));
       }
     }
     return lines;
   }
 
   private static double[] array(List<Double> list) {
-    return list.stream().mapToDouble(d -> d).toArray();
+    return list.stream().mapToDouble(value -> value).toArray();
   }
 
   private static Map<String, List<Double>> worth(Path directory) throws IOException {
     Map<String, List<Double>> all = new LinkedHashMap<>();
     for (String line : Files.readAllLines(directory.resolve("runs.jsonl"))) {
       JsonNode run = TenantSpecCodec.JSON.readTree(line);
-      all.computeIfAbsent(run.path("level").asText(), n -> new ArrayList<>())
+      all.computeIfAbsent(run.path("level").asText(), name -> new ArrayList<>())
           .add(run.path("worthKept").asDouble());
     }
     return all;
--- a/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
@@ -248,8 +248,8 @@
   }
 
   /** Names are taken in any case, as the published implementation's JSON reader does. */
-  private static JsonNode operation(JsonNode in) {
-    return in.has("KV") ? in.path("KV") : in.path("kv");
+  private static JsonNode operation(JsonNode operation) {
+    return operation.has("KV") ? operation.path("KV") : operation.path("kv");
   }
 
   private static String cas(JsonNode operation) {
@@ -267,23 +267,23 @@
     }
   }
 
-  private static ObjectNode toJson(String key, Entry e) {
+  private static ObjectNode toJson(String key, Entry entry) {
     return JSON.createObjectNode()
         .put("LockIndex", 0)
         .put("Key", key)
         .put("Flags", 0)
-        .put("Value", Base64.getEncoder().encodeToString(e.value()))
-        .put("CreateIndex", e.created())
-        .put("ModifyIndex", e.modified());
+        .put("Value", Base64.getEncoder().encodeToString(entry.value()))
+        .put("CreateIndex", entry.created())
+        .put("ModifyIndex", entry.modified());
   }
 
-  private void apply(String key, byte[] value, long at) {
+  private void apply(String key, byte[] value, long atMicros) {
     if (value == null) {
       entries.remove(key);
-      removed.put(key, at);
+      removed.put(key, atMicros);
     } else {
       Entry before = entries.get(key);
-      entries.put(key, new Entry(value, before == null ? at : before.created(), at));
+      entries.put(key, new Entry(value, before == null ? atMicros : before.created(), atMicros));
     }
   }
 
@@ -341,12 +341,13 @@
         LONGEST_WAIT_MS, number * (text.endsWith("ms") ? 1 : text.endsWith("m") ? 60_000 : 1_000));
   }
 
-  private void answer(HttpExchange exchange, int status, String text, long at) throws IOException {
+  private void answer(HttpExchange exchange, int status, String text, long atMicros)
+      throws IOException {
     byte[] body =
         (corruptsAnswers && status == 200 ? text.substring(0, text.length() / 2) + "\0{" : text)
             .getBytes(UTF_8);
     exchange.getResponseHeaders().set("Content-Type", "application/json");
-    exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(at));
+    exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(atMicros));
     exchange.getResponseHeaders().set("X-Consul-KnownLeader", "true");
     exchange.getResponseHeaders().set("X-Consul-LastContact", "0");
     byteCount.addAndGet(body.length);
--- a/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
@@ -236,18 +236,18 @@
             gateways.stream()
                 .filter(GatewayProcess::isUp)
                 .allMatch(
-                    n -> {
-                      JsonNode shown = n.subjectStatus();
+                    gateway -> {
+                      JsonNode shown = gateway.subjectStatus();
                       return shown != null && shown.path("inForceHere").asText().equals(stage);
                     }));
   }
 
   /** The gateway that is owner, as the first that says so; null where none does. */
   public GatewayProcess leader() {
-    for (GatewayProcess n : gateways) {
-      JsonNode shown = n.subjectStatus();
+    for (GatewayProcess gateway : gateways) {
+      JsonNode shown = gateway.subjectStatus();
       if (shown != null && shown.path("owner").asBoolean()) {
-        return n;
+        return gateway;
       }
     }
     return null;
@@ -269,11 +269,11 @@
 
   @Override
   public void close() throws IOException {
-    for (GatewayProcess n : gateways) {
-      if (n.process != null) {
-        n.process.abandon();
+    for (GatewayProcess gateway : gateways) {
+      if (gateway.process != null) {
+        gateway.process.abandon();
       }
-      n.proxy.close();
+      gateway.proxy.close();
     }
     agent.abandon();
   }
--- a/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
@@ -25,8 +25,8 @@
   private long delayMs;
   private int pieceBytes; // bytes at a time; 0: all there are
 
-  public FaultProxy(InetSocketAddress to) throws IOException {
-    this.target = to;
+  public FaultProxy(InetSocketAddress address) throws IOException {
+    this.target = address;
     listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
     thread(this::accept);
   }
@@ -43,8 +43,8 @@
   }
 
   /** Each piece comes so much later, in pieces of so many bytes; 0 for at once and for whole. */
-  public synchronized void slow(long ms, int bytes) {
-    delayMs = ms;
+  public synchronized void slow(long millis, int bytes) {
+    delayMs = millis;
     pieceBytes = bytes;
     notifyAll();
   }
@@ -100,11 +100,11 @@
     try {
       int count = from.getInputStream().read(buffer);
       while (count >= 0) {
-        for (int at = 0; at < count; ) {
+        for (int offset = 0; offset < count; ) {
           int piece = pass(there);
-          int length = Math.min(piece, count - at);
-          into.getOutputStream().write(buffer, at, length);
-          at += length;
+          int length = Math.min(piece, count - offset);
+          into.getOutputStream().write(buffer, offset, length);
+          offset += length;
         }
         count = from.getInputStream().read(buffer);
       }
--- a/lab/src/main/java/shelffront/lab/faultinjection/JavaProcess.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/JavaProcess.java
@@ -64,8 +64,8 @@
 
   /** The first group of a pattern in what it has printed; null where it has not printed that. */
   public String found(Pattern pattern) {
-    Matcher m = pattern.matcher(printed());
-    return m.find() ? m.group(1) : null;
+    Matcher matcher = pattern.matcher(printed());
+    return matcher.find() ? matcher.group(1) : null;
   }
 
   public void signal(String name) {
@@ -113,8 +113,8 @@
   }
 
   private long number(String file, String pattern) {
-    Matcher m = Pattern.compile(pattern).matcher(proc(file));
-    return m.find() ? Long.parseLong(m.group(1)) : 0;
+    Matcher matcher = Pattern.compile(pattern).matcher(proc(file));
+    return matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
   }
 
   /** Empty where it has ended. */
--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
@@ -64,23 +64,23 @@
       List<String> steps = new ArrayList<>();
       List<String> broken;
       int count = 0;
-      try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
+      try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
         try {
-          play(rig, seed, steps);
+          play(harness, seed, steps);
         } catch (ConditionTimeoutException e) {
           steps.add("never arrived: " + e.getMessage());
         }
-        RolloutHistoryChecker all = rig.histories();
+        RolloutHistoryChecker all = harness.histories();
         broken = new ArrayList<>(all.violations());
         count = all.moves();
       }
-      steps.stream().filter(s -> s.startsWith("never")).forEach(broken::add);
+      steps.stream().filter(step -> step.startsWith("never")).forEach(broken::add);
       moves += count;
       System.out.printf(
           Locale.ROOT, "seed %d: %d moves, %s%n", seed, count, String.join(", ", steps));
       if (!broken.isEmpty()) {
         failed++;
-        broken.stream().limit(5).forEach(b -> System.out.println("  " + b));
+        broken.stream().limit(5).forEach(violation -> System.out.println("  " + violation));
         System.out.println(
             "  again: java -jar lab/target/shelffront-lab.jar stage-explore --from "
                 + seed
@@ -96,33 +96,34 @@
     return failed == 0 ? 0 : 1;
   }
 
-  private void play(FaultInjectionHarness rig, long seed, List<String> steps)
+  private void play(FaultInjectionHarness harness, long seed, List<String> steps)
       throws IOException, InterruptedException {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     for (int i = 0; i < gateways; i++) {
-      rig.add(i == 0 && oddLeaseMs > 0 ? oddLeaseMs : leaseMs);
+      harness.add(i == 0 && oddLeaseMs > 0 ? oddLeaseMs : leaseMs);
     }
-    rig.awaitStage("one");
+    harness.awaitStage("one");
     boolean[] stopped = new boolean[gateways];
     for (int step = 0; step < STEPS; step++) {
       int number = random.nextInt(gateways);
-      FaultInjectionHarness.GatewayProcess node = rig.gateways().get(number);
+      FaultInjectionHarness.GatewayProcess node = harness.gateways().get(number);
       int what = random.nextInt(11);
       // The draws of a step are made whatever becomes of it: the same seed gives the same schedule.
       boolean there = random.nextBoolean();
       String stage = STAGES.get(random.nextInt(STAGES.size()));
       int asked = random.nextInt(gateways);
       long hold = random.nextLong(leaseMs);
-      steps.add(step(rig, node, number, what, there, stopped));
-      if (!stopped[asked] && rig.gateways().get(asked).isReady()) {
-        steps.add("g" + asked + " " + rig.gateways().get(asked).requestStage(stage) + " " + stage);
+      steps.add(step(harness, node, number, what, there, stopped));
+      if (!stopped[asked] && harness.gateways().get(asked).isReady()) {
+        steps.add(
+            "g" + asked + " " + harness.gateways().get(asked).requestStage(stage) + " " + stage);
       }
       long until = System.nanoTime() + hold * 1_000_000;
-      rig.await("the schedule's next step is due", () -> System.nanoTime() >= until);
+      harness.await("the schedule's next step is due", () -> System.nanoTime() >= until);
     }
-    rig.injectStoreFault("");
+    harness.injectStoreFault("");
     for (int i = 0; i < gateways; i++) {
-      FaultInjectionHarness.GatewayProcess node = rig.gateways().get(i);
+      FaultInjectionHarness.GatewayProcess node = harness.gateways().get(i);
       node.proxy().heal();
       if (stopped[i]) {
         node.signal("CONT");
@@ -131,13 +132,13 @@
         node.start();
       }
     }
-    FaultInjectionHarness.GatewayProcess any = rig.gateways().get(0);
-    rig.await("the target is taken", () -> any.isReady() && any.requestStage("three") == 200);
-    rig.awaitStage("three");
+    FaultInjectionHarness.GatewayProcess any = harness.gateways().get(0);
+    harness.await("the target is taken", () -> any.isReady() && any.requestStage("three") == 200);
+    harness.awaitStage("three");
   }
 
   private static String step(
-      FaultInjectionHarness rig,
+      FaultInjectionHarness harness,
       FaultInjectionHarness.GatewayProcess node,
       int number,
       int what,
@@ -166,9 +167,9 @@
           node.start();
         }
       }
-      case 8 -> rig.restartStore();
-      case 9 -> rig.injectStoreFault(there ? "leader=no" : "garble");
-      default -> rig.injectStoreFault(there ? "late=100" : "");
+      case 8 -> harness.restartStore();
+      case 9 -> harness.injectStoreFault(there ? "leader=no" : "garble");
+      default -> harness.injectStoreFault(there ? "late=100" : "");
     }
     return List.of(
                 "cut",
--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
@@ -64,10 +64,10 @@
       if (o.path("what").asText().equals("move")) {
         String before =
             leaderByEpoch
-                .computeIfAbsent(subject, s -> new TreeMap<>())
+                .computeIfAbsent(subject, step -> new TreeMap<>())
                 .putIfAbsent(o.path("epoch").asLong(), o.path("who").asText());
         stageByEpoch
-            .computeIfAbsent(subject, s -> new TreeMap<>())
+            .computeIfAbsent(subject, step -> new TreeMap<>())
             .put(o.path("epoch").asLong(), o.path("stage").asInt());
         if (before != null) {
           violations.add(
@@ -88,17 +88,17 @@
     last.values().forEach(o -> end(o, Long.MAX_VALUE));
   }
 
-  private void end(JsonNode o, long next) {
-    if (o != null && o.path("what").asText().equals("force")) {
+  private void end(JsonNode line, long next) {
+    if (line != null && line.path("what").asText().equals("force")) {
       Span span =
           new Span(
-              o.path("who").asText(),
-              o.path("subject").asText(),
-              o.path("epoch").asLong(),
-              o.path("stage").asInt(),
-              o.path("at").asLong(),
-              Math.min(next, o.path("until").asLong()));
-      spans.computeIfAbsent(span.subject(), s -> new ArrayList<>()).add(span);
+              line.path("who").asText(),
+              line.path("subject").asText(),
+              line.path("epoch").asLong(),
+              line.path("stage").asInt(),
+              line.path("at").asLong(),
+              Math.min(next, line.path("until").asLong()));
+      spans.computeIfAbsent(span.subject(), step -> new ArrayList<>()).add(span);
     }
   }
 
@@ -106,10 +106,10 @@
     spans.forEach(
         (subject, list) -> {
           List<Edge> edges = new ArrayList<>();
-          for (Span s : list) {
-            if (s.from() < s.until()) {
-              edges.add(new Edge(s.from(), true, s));
-              edges.add(new Edge(s.until(), false, s));
+          for (Span span : list) {
+            if (span.from() < span.until()) {
+              edges.add(new Edge(span.from(), true, span));
+              edges.add(new Edge(span.until(), false, span));
             }
           }
           // What ends at a moment ends before what begins there.
@@ -164,6 +164,9 @@
 
   /** How many different owners moved a subject on. */
   public long leaderCount() {
-    return leaderByEpoch.values().stream().flatMap(m -> m.values().stream()).distinct().count();
+    return leaderByEpoch.values().stream()
+        .flatMap(leaders -> leaders.values().stream())
+        .distinct()
+        .count();
   }
 }
--- a/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
+++ b/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
@@ -72,8 +72,8 @@
     }
 
     /** The box has written its answer; one that proves that nothing ran. */
-    public void answered(long at, boolean provesNothingRan) {
-      answeredAtMicros = at;
+    public void answered(long atMicros, boolean provesNothingRan) {
+      answeredAtMicros = atMicros;
       provedNotExecuted = provesNothingRan;
     }
   }
@@ -149,10 +149,10 @@
     return (positionsCarried ? "" : gateway) + "/" + session;
   }
 
-  public void violated(long at, Rule rule, String what) {
+  public void violated(long atMicros, Rule rule, String what) {
     violationCount++;
     if (countByRule.merge(rule, 1, Integer::sum) <= MAX_RECORDED_PER_RULE) {
-      violations.add(new Violation(at, rule, what));
+      violations.add(new Violation(atMicros, rule, what));
     }
   }
 
@@ -176,7 +176,7 @@
       int gateway,
       long now,
       long deadline) {
-    CheckedRequest a =
+    CheckedRequest request =
         new CheckedRequest(
             id,
             type,
@@ -186,68 +186,72 @@
             now,
             deadline,
             lastCommits.getOrDefault(sessionKey(gateway, session), 0L));
-    requests.put(id, a);
-    return a;
+    requests.put(id, request);
+    return request;
   }
 
   /** Its answer has come; a code where it is an error, the value else. */
-  public void answered(CheckedRequest a, long now, String value, String code) {
-    if (a.answered) {
-      violated(now, Rule.ONE_ANSWER, a.id + " was answered twice");
+  public void answered(CheckedRequest request, long now, String value, String code) {
+    if (request.answered) {
+      violated(now, Rule.ONE_ANSWER, request.id + " was answered twice");
       return;
     }
-    a.answered = true;
-    a.code = code;
-    if (now > a.deadlineMicros + SLACK_MICROS && !a.excused) {
+    request.answered = true;
+    request.code = code;
+    if (now > request.deadlineMicros + SLACK_MICROS && !request.excused) {
       violated(
           now,
           Rule.IN_TIME,
           String.format(
               Locale.ROOT,
               "%s was answered %.1f ms after its time",
-              a.id,
-              (now - a.deadlineMicros) / 1e3));
+              request.id,
+              (now - request.deadlineMicros) / 1e3));
     }
     if (code == null) {
-      if (!a.id.equals(value)) {
-        violated(now, Rule.RIGHT_VALUE, a.id + " was answered with " + value);
+      if (!request.id.equals(value)) {
+        violated(now, Rule.RIGHT_VALUE, request.id + " was answered with " + value);
       }
-      if (a.requestClass.isWrite() && !a.applied && !lostKeys.contains(a.key)) {
-        violated(now, Rule.NOTHING_LOST, a.id + " was told served and has no effect");
+      if (request.requestClass.isWrite() && !request.applied && !lostKeys.contains(request.key)) {
+        violated(now, Rule.NOTHING_LOST, request.id + " was told served and has no effect");
       }
-      if (a.requestClass.isWrite() && !lostKeys.contains(a.key)) {
+      if (request.requestClass.isWrite() && !lostKeys.contains(request.key)) {
         lastCommits.merge(
-            sessionKey(a.gateway, a.session), commitByKey.getOrDefault(a.key, 0L), Math::max);
+            sessionKey(request.gateway, request.session),
+            commitByKey.getOrDefault(request.key, 0L),
+            Math::max);
       }
     } else if (code.equals("53300") || code.equals("57P03")) {
-      for (Attempt t : a.attempts) {
-        if (!a.requestClass.isIdempotent() && t.started && !t.provedNotExecuted) {
+      for (Attempt attempt : request.attempts) {
+        if (!request.requestClass.isIdempotent() && attempt.started && !attempt.provedNotExecuted) {
           violated(
-              now, Rule.TRUE_REFUSAL, a.id + " was told untouched, and had begun at " + t.host);
+              now,
+              Rule.TRUE_REFUSAL,
+              request.id + " was told untouched, and had begun at " + attempt.host);
         }
       }
     }
   }
 
   /** No answer came and none is owed: its client left, or its gateway was killed. */
-  public void excuse(CheckedRequest a) {
-    a.excused = true;
+  public void excuse(CheckedRequest request) {
+    request.excused = true;
   }
 
   /** The client has waited its time out, or the connection has ended, and there is no answer. */
-  public void unanswered(CheckedRequest a, long now, String how) {
-    if (!a.excused && !a.answered) {
-      a.answered = true;
+  public void unanswered(CheckedRequest request, long now, String how) {
+    if (!request.excused && !request.answered) {
+      request.answered = true;
       violated(
           now,
           Rule.ONE_ANSWER,
-          a.id
+          request.id
               + " ("
-              + a.requestClass.name()
+              + request.requestClass.name()
               + ") "
               + how
               + ", tries "
-              + a.attempts.stream().map(t -> t.host).toList());
+              + request.attempts.stream().map(attempt -> attempt.host).toList());
     }
   }
 
@@ -260,35 +264,37 @@
    */
   public Attempt attemptArrived(
       String id, String box, long now, long writtenAt, LongSupplier overAt) {
-    CheckedRequest a = requests.get(id);
-    if (a == null) {
+    CheckedRequest request = requests.get(id);
+    if (request == null) {
       violated(now, Rule.RIGHT_VALUE, box + " was sent " + id + ", which nobody asked");
       return new Attempt(box, writtenAt, overAt);
     }
     Attempt next = new Attempt(box, writtenAt, overAt);
     long first = Long.MAX_VALUE;
     int out = 0;
-    for (Attempt t : a.attempts) {
+    for (Attempt attempt : request.attempts) {
       // Of two that take different ways the later may arrive first.
-      Attempt earlier = t.sentAtMicros <= writtenAt ? t : next;
+      Attempt earlier = attempt.sentAtMicros <= writtenAt ? attempt : next;
       if (Math.min(earlier.answeredAtMicros, earlier.abandonedAtMicros.getAsLong())
-          > Math.max(t.sentAtMicros, writtenAt)) {
+          > Math.max(attempt.sentAtMicros, writtenAt)) {
         out++;
-        if (out > (hedgingAllowed && a.requestClass.isIdempotent() ? 1 : 0)) {
+        if (out > (hedgingAllowed && request.requestClass.isIdempotent() ? 1 : 0)) {
           violated(
-              now, Rule.ONE_ATTEMPT_OUT, id + " was sent to " + box + " while out at " + t.host);
+              now,
+              Rule.ONE_ATTEMPT_OUT,
+              id + " was sent to " + box + " while out at " + attempt.host);
         }
       }
-      if (t.started && !t.provedNotExecuted) {
-        first = Math.min(first, t.sentAtMicros);
+      if (attempt.started && !attempt.provedNotExecuted) {
+        first = Math.min(first, attempt.sentAtMicros);
       }
     }
     if (first < Long.MAX_VALUE) {
-      switch (a.requestClass.idempotency()) {
+      switch (request.requestClass.idempotency()) {
         case NON_IDEMPOTENT ->
             violated(now, Rule.CLASS_PERMITS, id + " may run once and was sent again to " + box);
         case IDEMPOTENCY_KEY -> {
-          if (writtenAt > first + a.requestClass.deduplicationWindowMicros() + SLACK_MICROS) {
+          if (writtenAt > first + request.requestClass.deduplicationWindowMicros() + SLACK_MICROS) {
             violated(
                 now,
                 Rule.CLASS_PERMITS,
@@ -303,7 +309,7 @@
         default -> {}
       }
     }
-    Long told = drainAnnouncedMicros.get(a.gateway + "/" + box);
+    Long told = drainAnnouncedMicros.get(request.gateway + "/" + box);
     if (told != null && writtenAt > told + 2_000_000 + SLACK_MICROS) {
       violated(
           now,
@@ -315,22 +321,22 @@
               box,
               (writtenAt - told) / 1e3));
     }
-    a.attempts.add(next);
+    request.attempts.add(next);
     return next;
   }
 
   /** A box has begun to work on it: from here on it may have run. */
-  public void executionStarted(Attempt t) {
-    t.started = true;
+  public void executionStarted(Attempt attempt) {
+    attempt.started = true;
   }
 
   public void effectApplied(Effect effect, String byId, boolean repeated, long now) {
-    CheckedRequest a = requests.get(byId);
-    if (a != null) {
-      a.applied = true;
+    CheckedRequest request = requests.get(byId);
+    if (request != null) {
+      request.applied = true;
     }
     // By the key that its client gave: what the box was told may be another.
-    String key = a == null ? effect.key() : a.key;
+    String key = request == null ? effect.key() : request.key;
     commitByKey.put(key, effect.commitMicros());
     if (!repeated && effectCounts.merge(key, 1, Integer::sum) > 1) {
       violated(now, Rule.NO_DOUBLE_EFFECT, "the write of key " + key + " took effect twice");
@@ -339,10 +345,10 @@
 
   /** The set itself has lost effects: they may come again, and nobody else is to blame. */
   public void effectsLost(List<Effect> gone) {
-    for (Effect e : gone) {
-      effectCounts.merge(e.key(), -1, Integer::sum);
-      lostKeys.add(e.key());
-      lastCommits.replaceAll((session, mark) -> mark == e.commitMicros() ? 0 : mark);
+    for (Effect effect : gone) {
+      effectCounts.merge(effect.key(), -1, Integer::sum);
+      lostKeys.add(effect.key());
+      lastCommits.replaceAll((session, mark) -> mark == effect.commitMicros() ? 0 : mark);
     }
   }
 
@@ -352,16 +358,16 @@
    */
   public void readServed(
       String id, String box, boolean primary, long position, long now, long known) {
-    CheckedRequest a = requests.get(id);
-    if (a == null || a.attempts.isEmpty() || primary) {
+    CheckedRequest request = requests.get(id);
+    if (request == null || request.attempts.isEmpty() || primary) {
       return;
     }
-    long sent = a.attempts.get(a.attempts.size() - 1).sentAtMicros;
+    long sent = request.attempts.get(request.attempts.size() - 1).sentAtMicros;
     if (sent < known) {
       return;
     }
-    if (a.requestClass.consistency() == Consistency.BOUNDED_STALENESS
-        && position < sent - a.requestClass.maxStalenessMicros() - SLACK_MICROS) {
+    if (request.requestClass.consistency() == Consistency.BOUNDED_STALENESS
+        && position < sent - request.requestClass.maxStalenessMicros() - SLACK_MICROS) {
       violated(
           now,
           Rule.FRESH,
@@ -371,8 +377,8 @@
               id,
               box,
               (sent - position) / 1e3));
-    } else if (a.requestClass.consistency() == Consistency.SESSION
-        && position < a.requiredPositionMicros) {
+    } else if (request.requestClass.consistency() == Consistency.SESSION
+        && position < request.requiredPositionMicros) {
       violated(
           now,
           Rule.OWN_WRITES,
@@ -381,8 +387,8 @@
               "%s at %s misses its session's write by %.1f ms",
               id,
               box,
-              (a.requiredPositionMicros - position) / 1e3));
-    } else if (a.requestClass.consistency() == Consistency.STRONG) {
+              (request.requiredPositionMicros - position) / 1e3));
+    } else if (request.requestClass.consistency() == Consistency.STRONG) {
       violated(now, Rule.FRESH, id + " had to be current and was read from " + box);
     }
   }
@@ -402,14 +408,14 @@
 
   /** A gateway began anew: what was told the one before it is not told to this one. */
   public void gatewayRestarted(int gateway) {
-    drainAnnouncedMicros.keySet().removeIf(k -> k.startsWith(gateway + "/"));
-    lastCommits.keySet().removeIf(k -> k.startsWith(gateway + "/"));
+    drainAnnouncedMicros.keySet().removeIf(key -> key.startsWith(gateway + "/"));
+    lastCommits.keySet().removeIf(key -> key.startsWith(gateway + "/"));
   }
 
   /** By which gateway a request goes; -1 if nobody asked it. */
   public int gatewayOf(String id) {
-    CheckedRequest a = requests.get(id);
-    return a == null ? -1 : a.gateway;
+    CheckedRequest request = requests.get(id);
+    return request == null ? -1 : request.gateway;
   }
 
   /** All that were asked. */
--- a/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
+++ b/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
@@ -86,7 +86,7 @@
     if (pattern == Pattern.WAVES) {
       return (Math.floor(time / 1e4) + 1) * 1e4;
     }
-    double in = time % BURST_PERIOD_MICROS;
-    return time - in + (in < BURST_MICROS ? BURST_MICROS : BURST_PERIOD_MICROS);
+    double offset = time % BURST_PERIOD_MICROS;
+    return time - offset + (offset < BURST_MICROS ? BURST_MICROS : BURST_PERIOD_MICROS);
   }
 }
--- a/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
@@ -20,20 +20,24 @@
   public interface Listener<R> {
 
     /** It has been let in. */
-    default void ready(ClientConnectionHandler<R> by) {}
+    default void ready(ClientConnectionHandler<R> connection) {}
 
     /**
      * An answer: a code where it is an error, the value else; when it was told to come back, in
      * microseconds.
      */
     void answered(
-        ClientConnectionHandler<R> by, R request, String value, String code, long retryAfter);
+        ClientConnectionHandler<R> connection,
+        R request,
+        String value,
+        String code,
+        long retryAfter);
 
     /** Its time is up and nothing has come; the connection was given up. */
-    void timedOut(ClientConnectionHandler<R> by, R request);
+    void timedOut(ClientConnectionHandler<R> connection, R request);
 
     /** The connection has ended, with a request open or null. */
-    void disconnected(ClientConnectionHandler<R> by, R request, boolean reset);
+    void disconnected(ClientConnectionHandler<R> connection, R request, boolean reset);
 
     /** What no gateway may send. */
     void malformedResponse(String why);
@@ -54,17 +58,17 @@
 
   /** Connects as a user to a database; the password is null where none is to be asked for. */
   public ClientConnectionHandler(
-      Transport carrier,
+      Transport transport,
       InetSocketAddress gateway,
       String user,
       String database,
       String password,
       Listener<R> caller) {
-    this.transport = carrier;
+    this.transport = transport;
     this.listener = caller;
     this.database = database;
     this.password = password;
-    connection = carrier.connect(gateway, this);
+    connection = transport.connect(gateway, this);
     send(Message.startup(user, database));
   }
 
@@ -115,8 +119,8 @@
   @Override
   protected void received(ByteBuffer bytes) {
     try {
-      for (Message m = next(bytes); m != null && !isClosed(); m = next(bytes)) {
-        handle(m);
+      for (Message message = next(bytes); message != null && !isClosed(); message = next(bytes)) {
+        handle(message);
       }
     } catch (ProtocolException e) {
       listener.malformedResponse("a client was sent what it can't read: " + e.getMessage());
@@ -129,16 +133,16 @@
     return Message.next(bytes, "RSKZTDCEIN", Message.MAX_BYTES);
   }
 
-  private void handle(Message m) throws ProtocolException {
-    switch (m.type()) {
+  private void handle(Message message) throws ProtocolException {
+    switch (message.type()) {
       case 'R' -> {
-        if (m.code() == CLEARTEXT_PASSWORD && password != null) {
+        if (message.code() == CLEARTEXT_PASSWORD && password != null) {
           send(new Message('p', (password + "\0").getBytes(ISO_8859_1)).bytes());
         }
       }
-      case 'D' -> value = m.onlyColumn();
+      case 'D' -> value = message.onlyColumn();
       case 'E' -> {
-        var fields = m.errorFields();
+        var fields = message.errorFields();
         code = fields.get('C');
         retryAfterMicros = fields.containsKey('D') ? Long.parseLong(fields.get('D')) * 1000 : 0;
         if ("FATAL".equals(fields.get('S'))) {
--- a/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
+++ b/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
@@ -145,7 +145,11 @@
     }
 
     public double worstWindow() {
-      return windows.stream().filter(w -> w[0] > 0).mapToDouble(w -> w[1] / w[0]).min().orElse(1);
+      return windows.stream()
+          .filter(window -> window[0] > 0)
+          .mapToDouble(window -> window[1] / window[0])
+          .min()
+          .orElse(1);
     }
 
     public double worstKind() {
@@ -190,25 +194,25 @@
    * the seed.
    */
   public OpenLoopLoad(
-      Transport carrier,
+      Transport transport,
       InetSocketAddress gateway,
       String tenant,
       String password,
       List<RequestKind> kinds,
-      ClientBehavior habits,
+      ClientBehavior behavior,
       double perSecond,
       int connections,
       long seed) {
-    this.transport = carrier;
+    this.transport = transport;
     this.gateway = gateway;
     this.tenant = tenant;
     this.password = password;
     this.kinds = List.copyOf(kinds);
-    this.behavior = habits;
+    this.behavior = behavior;
     this.perSecond = perSecond;
     maxConnections = connections;
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    kinds.forEach(k -> result.byKind.put(k.name(), new Outcomes()));
+    kinds.forEach(kind -> result.byKind.put(kind.name(), new Outcomes()));
   }
 
   /**
@@ -220,26 +224,26 @@
       String tenant,
       String password,
       List<RequestKind> kinds,
-      ClientBehavior habits,
+      ClientBehavior behavior,
       double perSecond,
       int connections,
       double seconds)
       throws InterruptedException, IOException {
-    try (SocketTransport carrier = new SocketTransport("load " + tenant)) {
+    try (SocketTransport transport = new SocketTransport("load " + tenant)) {
       OpenLoopLoad load =
           new OpenLoopLoad(
-              carrier,
+              transport,
               gateway,
               tenant,
               password,
               kinds,
-              habits,
+              behavior,
               perSecond,
               connections,
               tenant.hashCode());
       CountDownLatch over = new CountDownLatch(1);
-      carrier.post(() -> load.start((long) (seconds * 1e6), over::countDown));
-      carrier.await(over);
+      transport.post(() -> load.start((long) (seconds * 1e6), over::countDown));
+      transport.await(over);
       return load.result;
     }
   }
@@ -305,10 +309,10 @@
 
   private RequestKind drawKind() {
     double lot = random.nextDouble() * kinds.stream().mapToDouble(RequestKind::share).sum();
-    for (RequestKind k : kinds) {
-      lot -= k.share();
+    for (RequestKind kind : kinds) {
+      lot -= kind.share();
       if (lot < 0) {
-        return k;
+        return kind;
       }
     }
     return kinds.get(kinds.size() - 1);
@@ -324,38 +328,38 @@
   // ---- A request
   // --------------------------------------------------------------------------------
 
-  private void submit(Request r) {
+  private void submit(Request request) {
     openRequests++;
-    countDue(r, 1);
-    send(r);
+    countDue(request, 1);
+    send(request);
   }
 
   /** Counts a request as due, or, with -1, as not due after all. */
-  private void countDue(Request r, int sign) {
-    for (Outcomes t : outcomesOf(r)) {
-      t.due += sign;
-      t.valueDue += sign * r.kind.priorityWeight();
+  private void countDue(Request request, int sign) {
+    for (Outcomes outcomes : outcomesOf(request)) {
+      outcomes.due += sign;
+      outcomes.valueDue += sign * request.kind.priorityWeight();
     }
-    window(r)[0] += sign * r.kind.priorityWeight();
+    window(request)[0] += sign * request.kind.priorityWeight();
   }
 
-  private Outcomes[] outcomesOf(Request r) {
-    return new Outcomes[] {result.total, result.byKind.get(r.kind.name())};
+  private Outcomes[] outcomesOf(Request request) {
+    return new Outcomes[] {result.total, result.byKind.get(request.kind.name())};
   }
 
-  private double[] window(Request r) {
-    int index = (int) ((r.dueMicros - startMicros) / WINDOW_MICROS);
+  private double[] window(Request request) {
+    int index = (int) ((request.dueMicros - startMicros) / WINDOW_MICROS);
     while (result.windows.size() <= index) {
       result.windows.add(new double[2]);
     }
     return result.windows.get(index);
   }
 
-  private long deadlineMicros(Request r) {
-    return r.dueMicros + r.kind.deadlineMillis() * 1000L;
+  private long deadlineMicros(Request request) {
+    return request.dueMicros + request.kind.deadlineMillis() * 1000L;
   }
 
-  private void send(Request r) {
+  private void send(Request request) {
     ClientConnectionHandler<Request> connection = freeConnections.poll();
     while (connection != null && !connection.isFree()) {
       connection = freeConnections.poll();
@@ -363,50 +367,50 @@
     if (connection == null) {
       result.waitedCount++;
       if (waitingRequests.size() >= MAX_WAITING) {
-        finish(r, t -> t.unanswered++);
+        finish(request, outcomes -> outcomes.unanswered++);
       } else {
-        waitingRequests.add(r);
+        waitingRequests.add(request);
       }
       return;
     }
-    long left = (deadlineMicros(r) - transport.clock().nowMicros()) / 1000;
+    long left = (deadlineMicros(request) - transport.clock().nowMicros()) / 1000;
     if (left <= 0) {
       freeConnections.push(connection);
-      finish(r, t -> t.unanswered++);
+      finish(request, outcomes -> outcomes.unanswered++);
       return;
     }
-    r.attempts++;
+    request.attempts++;
     connection.send(
-        r,
+        request,
         ClientConnectionHandler.statement(
-            r.id + (r.attempts > 1 ? "." + r.attempts : ""),
-            r.kind.name(),
+            request.id + (request.attempts > 1 ? "." + request.attempts : ""),
+            request.kind.name(),
             left,
-            r.id,
+            request.id,
             1,
-            r.session,
-            r.kind.write()),
-        deadlineMicros(r));
+            request.session,
+            request.kind.write()),
+        deadlineMicros(request));
     if (behavior.hangUpFraction() > 0 && random.nextDouble() < behavior.hangUpFraction()) {
       ClientConnectionHandler<Request> hanging = connection;
       transport
           .clock()
           .after(
-              1 + random.nextInt(r.kind.latencyObjectiveMillis() * 1000),
+              1 + random.nextInt(request.kind.latencyObjectiveMillis() * 1000),
               () -> {
-                if (hanging.currentRequest() == r) {
+                if (hanging.currentRequest() == request) {
                   hanging.hangUp();
-                  countDue(r, -1);
-                  finish(r, t -> t.hungUp++);
+                  countDue(request, -1);
+                  finish(request, outcomes -> outcomes.hungUp++);
                   replaceConnection(hanging);
                 }
               });
     }
   }
 
-  private void finish(Request r, Consumer<Outcomes> how) {
-    for (Outcomes t : outcomesOf(r)) {
-      how.accept(t);
+  private void finish(Request request, Consumer<Outcomes> how) {
+    for (Outcomes outcomes : outcomesOf(request)) {
+      how.accept(outcomes);
     }
     openRequests--;
     endIfDone();
@@ -416,9 +420,9 @@
     if (connection.isFree()) {
       freeConnections.add(connection);
     }
-    Request r = waitingRequests.poll();
-    if (r != null) {
-      send(r);
+    Request request = waitingRequests.poll();
+    if (request != null) {
+      send(request);
     }
   }
 
@@ -432,55 +436,59 @@
   // --------------------------------------------------------------------------------
 
   @Override
-  public void ready(ClientConnectionHandler<Request> by) {
-    useConnection(by);
+  public void ready(ClientConnectionHandler<Request> connection) {
+    useConnection(connection);
   }
 
   @Override
   public void answered(
-      ClientConnectionHandler<Request> by, Request r, String value, String code, long retryAfter) {
+      ClientConnectionHandler<Request> connection,
+      Request request,
+      String value,
+      String code,
+      long retryAfter) {
     long now = transport.clock().nowMicros();
-    long took = now - r.dueMicros;
+    long took = now - request.dueMicros;
     if (code != null) {
       boolean refused = code.equals("53300") || code.equals("57P03");
       long again = now + Math.max(RECONNECT_MICROS, retryAfter);
-      if (refused && r.attempts <= behavior.retries() && again < deadlineMicros(r)) {
-        transport.clock().at(again, () -> send(r));
+      if (refused && request.attempts <= behavior.retries() && again < deadlineMicros(request)) {
+        transport.clock().at(again, () -> send(request));
       } else {
         finish(
-            r,
-            t -> {
-              t.rejected += refused ? 1 : 0;
-              t.failed += refused ? 0 : 1;
+            request,
+            outcomes -> {
+              outcomes.rejected += refused ? 1 : 0;
+              outcomes.failed += refused ? 0 : 1;
             });
       }
-    } else if (value == null || !value.startsWith(r.id)) {
-      malformedResponse(r.id + " was answered with " + value);
-      finish(r, t -> t.failed++);
+    } else if (value == null || !value.startsWith(request.id)) {
+      malformedResponse(request.id + " was answered with " + value);
+      finish(request, outcomes -> outcomes.failed++);
     } else {
-      boolean onTime = took <= r.kind.latencyObjectiveMillis() * 1000L;
+      boolean onTime = took <= request.kind.latencyObjectiveMillis() * 1000L;
       result.latencyMicros.recordValue(
           Math.max(0, Math.min(took, result.latencyMicros.getHighestTrackableValue())));
       if (onTime) {
-        window(r)[1] += r.kind.priorityWeight();
+        window(request)[1] += request.kind.priorityWeight();
       }
-      if (r.kind.write() && random.nextDouble() < behavior.readBackFraction()) {
-        readBack(r);
+      if (request.kind.write() && random.nextDouble() < behavior.readBackFraction()) {
+        readBack(request);
       }
       finish(
-          r,
-          t -> {
-            t.onTime += onTime ? 1 : 0;
-            t.late += onTime ? 0 : 1;
-            t.valueServed += onTime ? r.kind.priorityWeight() : 0;
+          request,
+          outcomes -> {
+            outcomes.onTime += onTime ? 1 : 0;
+            outcomes.late += onTime ? 0 : 1;
+            outcomes.valueServed += onTime ? request.kind.priorityWeight() : 0;
           });
     }
     if (random.nextDouble() < behavior.reconnectFraction()) {
-      by.expectNoAnswer();
-      by.close();
-      replaceConnection(by);
+      connection.expectNoAnswer();
+      connection.close();
+      replaceConnection(connection);
     } else {
-      useConnection(by);
+      useConnection(connection);
     }
   }
 
@@ -505,17 +513,18 @@
   }
 
   @Override
-  public void timedOut(ClientConnectionHandler<Request> by, Request r) {
-    finish(r, t -> t.unanswered++);
-    replaceConnection(by);
+  public void timedOut(ClientConnectionHandler<Request> connection, Request request) {
+    finish(request, outcomes -> outcomes.unanswered++);
+    replaceConnection(connection);
   }
 
   @Override
-  public void disconnected(ClientConnectionHandler<Request> by, Request r, boolean reset) {
-    if (r != null) {
-      finish(r, t -> t.unanswered++);
+  public void disconnected(
+      ClientConnectionHandler<Request> connection, Request request, boolean reset) {
+    if (request != null) {
+      finish(request, outcomes -> outcomes.unanswered++);
     }
-    replaceConnection(by);
+    replaceConnection(connection);
   }
 
   @Override
@@ -537,12 +546,14 @@
     }
     ended = true;
     // What no connection came to in its time has had no answer.
-    for (Request r = waitingRequests.poll(); r != null; r = waitingRequests.poll()) {
-      finish(r, t -> t.unanswered++);
+    for (Request request = waitingRequests.poll();
+        request != null;
+        request = waitingRequests.poll()) {
+      finish(request, outcomes -> outcomes.unanswered++);
     }
-    for (ClientConnectionHandler<Request> c : List.copyOf(connections)) {
-      c.expectNoAnswer();
-      c.close();
+    for (ClientConnectionHandler<Request> connection : List.copyOf(connections)) {
+      connection.expectNoAnswer();
+      connection.close();
     }
     onEnd.run();
   }
--- a/lab/src/main/java/shelffront/lab/load/TransparentProxy.java
+++ b/lab/src/main/java/shelffront/lab/load/TransparentProxy.java
@@ -27,8 +27,8 @@
   private final Set<AsynchronousSocketChannel> open = ConcurrentHashMap.newKeySet();
 
   /** Listens on loopback, on any port. */
-  public TransparentProxy(InetSocketAddress to) throws IOException {
-    this.to = to;
+  public TransparentProxy(InetSocketAddress address) throws IOException {
+    this.to = address;
     group =
         AsynchronousChannelGroup.withFixedThreadPool(
             1,
--- a/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
+++ b/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
@@ -52,21 +52,21 @@
   public interface Observer {
 
     /** A box has begun with a request, which from now on may have an effect. */
-    void executionStarted(Host box, Query query);
+    void executionStarted(Host host, Query query);
 
-    void applied(Host box, Effect effect, Query by, boolean repeated);
+    void applied(Host host, Effect effect, Query query, boolean repeated);
 
     /** A read was answered from a copy at this position, which needed that one. */
-    void readServed(Host box, Query query, long position);
+    void readServed(Host host, Query query, long position);
 
     /** A cold box got more than it can bear. */
-    void overloaded(Host box);
+    void overloaded(Host host);
 
     /**
      * Who is primary and who was; null where there is none. What of the log was lost with the one
      * before.
      */
-    void primaryChanged(Host box, Host before, List<Effect> lost);
+    void primaryChanged(Host host, Host before, List<Effect> lost);
   }
 
   private record LogEntry(long commitMicros, String session, Effect effect) {}
@@ -235,59 +235,60 @@
 
     private void startQueued() {
       while (!queue.isEmpty() && busyCores < parameters.cores()) {
-        QueuedRequest w = queue.poll();
-        if (w.query().deadlineMicros() <= clock.nowMicros()) {
-          reply(w.answer(), AnswerKind.FULL);
+        QueuedRequest queued = queue.poll();
+        if (queued.query().deadlineMicros() <= clock.nowMicros()) {
+          reply(queued.answer(), AnswerKind.FULL);
           continue;
         }
         busyCores++;
-        observer.executionStarted(this, w.query());
+        observer.executionStarted(this, queued.query());
         double factor = (clock.nowMicros() < slowUntilMicros ? slowdown : 1) / capacityFraction();
         clock.after(
-            (long) (w.workMicros() * factor),
+            (long) (queued.workMicros() * factor),
             () -> {
-              if (w.incarnation() == incarnation) {
+              if (queued.incarnation() == incarnation) {
                 busyCores--;
-                finish(w);
+                finish(queued);
                 startQueued();
               }
             });
       }
     }
 
-    private void finish(QueuedRequest w) {
-      if (w.query().write()) {
+    private void finish(QueuedRequest queued) {
+      if (queued.query().write()) {
         if (!isPrimary()) {
-          reply(w.answer(), AnswerKind.ERROR); // it was deposed meanwhile; nothing was committed
+          reply(
+              queued.answer(), AnswerKind.ERROR); // it was deposed meanwhile; nothing was committed
           return;
         }
-        long commit = apply(this, w.query(), w.arrivedAtMicros());
-        w.answer().accept(new Answer(AnswerKind.OK, true, commit));
+        long commit = apply(this, queued.query(), queued.arrivedAtMicros());
+        queued.answer().accept(new Answer(AnswerKind.OK, true, commit));
         return;
       }
-      read(w, clock.nowMicros() + parameters.patience());
+      read(queued, clock.nowMicros() + parameters.patience());
     }
 
-    private void read(QueuedRequest w, long until) {
-      if (w.incarnation() != incarnation) {
+    private void read(QueuedRequest queued, long until) {
+      if (queued.incarnation() != incarnation) {
         return;
       }
-      Query q = w.query();
+      Query query = queued.query();
       long now = clock.nowMicros();
       long need =
-          q.strong()
+          query.strong()
               ? now
-              : q.maxStalenessMicros() > 0
-                  ? now - q.maxStalenessMicros()
-                  : lastCommitBySession.getOrDefault(q.session(), 0L);
-      boolean covered = isPrimary() || !q.strong() && positionMicros() >= need;
+              : query.maxStalenessMicros() > 0
+                  ? now - query.maxStalenessMicros()
+                  : lastCommitBySession.getOrDefault(query.session(), 0L);
+      boolean covered = isPrimary() || !query.strong() && positionMicros() >= need;
       if (covered || parameters.check() == ReplicaSetParameters.Check.SILENT) {
-        observer.readServed(this, q, positionMicros());
-        w.answer().accept(new Answer(AnswerKind.OK, isPrimary(), positionMicros()));
+        observer.readServed(this, query, positionMicros());
+        queued.answer().accept(new Answer(AnswerKind.OK, isPrimary(), positionMicros()));
       } else if (parameters.check() == ReplicaSetParameters.Check.REFUSE || now >= until) {
-        reply(w.answer(), AnswerKind.MISS);
+        reply(queued.answer(), AnswerKind.MISS);
       } else {
-        clock.at(Math.min(until, now + 5_000), () -> read(w, until));
+        clock.at(Math.min(until, now + 5_000), () -> read(queued, until));
       }
     }
   }
@@ -311,17 +312,17 @@
       int boxCount,
       Clock clock,
       UniformRandomProvider random,
-      ReplicaSetParameters figures,
+      ReplicaSetParameters parameters,
       Observer witness) {
     this.clock = clock;
     this.random = random;
-    this.parameters = figures;
+    this.parameters = parameters;
     this.observer = witness;
     workSpread =
-        figures.sigma() == 0
+        parameters.sigma() == 0
             ? () -> 1
             : LogNormalSampler.of(
-                ZigguratSampler.NormalizedGaussian.of(random), 0, figures.sigma());
+                ZigguratSampler.NormalizedGaussian.of(random), 0, parameters.sigma());
     for (int i = 0; i < boxCount; i++) {
       hosts.add(new Host(name + "-" + i));
     }
@@ -351,72 +352,72 @@
    * A repeat counts by when it arrived, as the sender's window does: that it waited for a core is
    * not its doing.
    */
-  private long apply(Host box, Query query, long arrived) {
+  private long apply(Host host, Query query, long arrived) {
     Effect before = lastByKey.get(query.key());
     long now = clock.nowMicros();
     if (before != null && arrived - before.commitMicros() < parameters.window()) {
-      observer.applied(box, before, query, true);
+      observer.applied(host, before, query, true);
       return before.commitMicros();
     }
-    Effect effect = new Effect(query.key(), query.id(), now, box.id());
+    Effect effect = new Effect(query.key(), query.id(), now, host.id());
     lastByKey.put(query.key(), effect);
     effectCounts.merge(query.key(), 1, Integer::sum);
     log.add(new LogEntry(now, query.session(), effect));
     lastCommitBySession.put(query.session(), now);
-    observer.applied(box, effect, query, false);
+    observer.applied(host, effect, query, false);
     return now;
   }
 
   /** A new box joins as a replica, with a copy as of now, cold. */
   public Host join(String id) {
-    Host box = new Host(id);
-    box.startedAtMicros = clock.nowMicros();
-    box.nextEntry = log.size();
-    box.applierFreeAtMicros = clock.nowMicros();
-    hosts.add(box);
-    return box;
+    Host host = new Host(id);
+    host.startedAtMicros = clock.nowMicros();
+    host.nextEntry = log.size();
+    host.applierFreeAtMicros = clock.nowMicros();
+    hosts.add(host);
+    return host;
   }
 
   /** Its process ends; where it was primary, another is elected after a while. */
-  public void kill(Host box) {
-    if (!box.up) {
+  public void kill(Host host) {
+    if (!host.up) {
       return;
     }
-    box.up = false;
-    box.incarnation++;
-    box.busyCores = 0;
-    box.queue.clear();
-    if (primary == box) {
-      box.nextEntry = log.size();
-      box.applierFreeAtMicros = clock.nowMicros();
+    host.up = false;
+    host.incarnation++;
+    host.busyCores = 0;
+    host.queue.clear();
+    if (primary == host) {
+      host.nextEntry = log.size();
+      host.applierFreeAtMicros = clock.nowMicros();
       primary = null;
-      observer.primaryChanged(null, box, List.of());
-      elect(box, parameters.election() + random.nextLong(parameters.election() + 1));
+      observer.primaryChanged(null, host, List.of());
+      elect(host, parameters.election() + random.nextLong(parameters.election() + 1));
     }
   }
 
   /** Its process starts anew from the copy that it had. */
-  public void restart(Host box) {
-    if (box.up) {
+  public void restart(Host host) {
+    if (host.up) {
       return;
     }
-    box.up = true;
-    box.draining = false;
-    box.overloaded = false;
-    box.recentWork.clear();
-    box.startedAtMicros = clock.nowMicros();
-    box.nextEntry = Math.min(box.nextEntry, log.size());
-    box.applierFreeAtMicros = clock.nowMicros();
+    host.up = true;
+    host.draining = false;
+    host.overloaded = false;
+    host.recentWork.clear();
+    host.startedAtMicros = clock.nowMicros();
+    host.nextEntry = Math.min(host.nextEntry, log.size());
+    host.applierFreeAtMicros = clock.nowMicros();
     if (primary == null && pendingElections == 0) {
       elect(null, parameters.election());
     }
   }
 
   /** It finishes what it has and takes nothing new; a primary hands over. */
-  public void drain(Host box) {
-    box.draining = true;
-    if (primary == box) {
-      elect(box, parameters.handOver());
+  public void drain(Host host) {
+    host.draining = true;
+    if (primary == host) {
+      elect(host, parameters.handOver());
     }
   }
 
@@ -431,10 +432,10 @@
           }
           Host best = null;
           Set<Host> able = new LinkedHashSet<>(hosts);
-          able.removeIf(b -> !b.up || b.draining);
-          for (Host b : able) {
-            b.appliedPosition(clock.nowMicros());
-            best = best == null || b.nextEntry > best.nextEntry ? b : best;
+          able.removeIf(host -> !host.up || host.draining);
+          for (Host host : able) {
+            host.appliedPosition(clock.nowMicros());
+            best = best == null || host.nextEntry > best.nextEntry ? host : best;
           }
           if (best == null) {
             if (primary == null) {
@@ -455,8 +456,8 @@
         effectCounts.merge(gone.key(), -1, Integer::sum);
         lastByKey.remove(gone.key());
       }
-      for (Host b : hosts) {
-        b.nextEntry = Math.min(b.nextEntry, log.size());
+      for (Host host : hosts) {
+        host.nextEntry = Math.min(host.nextEntry, log.size());
       }
     }
     if (primary != null) {
--- a/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
+++ b/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
@@ -78,8 +78,8 @@
    * Connects, names a database and asks nothing, as clients do first; the answers are to be read.
    */
   static Socket open(String address, String database) throws IOException {
-    String[] at = address.split(":");
-    Socket socket = new Socket(at[0], Integer.parseInt(at[1]));
+    String[] hostAndPort = address.split(":");
+    Socket socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
     socket.setSoTimeout(TIMEOUT_MILLIS);
     byte[] parameters = ("user\0api\0database\0" + database + "\0\0").getBytes(UTF_8);
     socket
@@ -97,10 +97,10 @@
   /** Whether the gateway lets a client of this tenant in. */
   static boolean isServed(String address, String database) {
     try (Socket socket = open(address, database)) {
-      DataInputStream in = new DataInputStream(socket.getInputStream());
-      int type = in.readUnsignedByte();
-      in.readInt();
-      return type == 'R' && in.readInt() == 0; // AuthenticationOk: nobody has a password here
+      DataInputStream input = new DataInputStream(socket.getInputStream());
+      int type = input.readUnsignedByte();
+      input.readInt();
+      return type == 'R' && input.readInt() == 0; // AuthenticationOk: nobody has a password here
     } catch (IOException e) {
       return false;
     }
--- a/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
@@ -93,7 +93,7 @@
         System.out.println("seed " + seed + ": " + play.summary());
         if (!broken.isEmpty()) {
           failed++;
-          broken.stream().limit(5).forEach(b -> System.out.println("  " + b));
+          broken.stream().limit(5).forEach(failure -> System.out.println("  " + failure));
           System.out.println(
               "  again: java -jar lab/target/shelffront-lab.jar distribution-explore --from "
                   + seed
@@ -133,14 +133,15 @@
       }
     }
 
-    private String proxyAddress(String from, String to, String address) throws IOException {
-      FaultProxy relay = proxies.get(from + " " + to);
-      if (relay == null) {
-        String[] at = address.split(":");
-        relay = new FaultProxy(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
-        proxies.put(from + " " + to, relay);
+    private String proxyAddress(String from, String target, String address) throws IOException {
+      FaultProxy proxy = proxies.get(from + " " + target);
+      if (proxy == null) {
+        String[] hostAndPort = address.split(":");
+        proxy =
+            new FaultProxy(new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
+        proxies.put(from + " " + target, proxy);
       }
-      return relay.address();
+      return proxy.address();
     }
 
     List<String> run(int count, long bound) throws Exception {
@@ -174,9 +175,9 @@
         case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("STOP");
         case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().kill();
         case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("STOP");
-        case SLOW_ZONE -> proxiesOutOf("z" + which).forEach(w -> w.slow(20, 4096));
-        case CUT_ZONE -> proxiesOutOf("z" + which).forEach(w -> w.cut(true, true));
-        case CUT_REGIONS -> proxiesBetweenRegions().forEach(w -> w.cut(true, true));
+        case SLOW_ZONE -> proxiesOutOf("z" + which).forEach(proxy -> proxy.slow(20, 4096));
+        case CUT_ZONE -> proxiesOutOf("z" + which).forEach(proxy -> proxy.cut(true, true));
+        case CUT_REGIONS -> proxiesBetweenRegions().forEach(proxy -> proxy.cut(true, true));
         case ENGINE_LEADERLESS -> fleet.engineFault("leader=no");
         case ENGINE_RESTARTS -> {
           fleet.engine().process().kill();
@@ -214,14 +215,16 @@
      */
     private void beginIncarnation() throws OperatorException {
       Version kept = fleet.store().head().version();
-      acknowledged.values().forEach(list -> list.removeIf(a -> kept.isBefore(a.version())));
+      acknowledged
+          .values()
+          .forEach(list -> list.removeIf(change -> kept.isBefore(change.version())));
       newest = fleet.store().beginIncarnation();
     }
 
     /** All ways out of a part of the fleet. */
     private List<FaultProxy> proxiesOutOf(String from) {
       return proxies.entrySet().stream()
-          .filter(e -> e.getKey().startsWith(from + " "))
+          .filter(entry -> entry.getKey().startsWith(from + " "))
           .map(Map.Entry::getValue)
           .toList();
     }
@@ -230,10 +233,10 @@
     private List<FaultProxy> proxiesBetweenRegions() {
       List<FaultProxy> between = new ArrayList<>();
       proxies.forEach(
-          (way, relay) -> {
+          (way, proxy) -> {
             String[] ends = way.split(" ");
             if (region(ends[0]) != region(ends[1])) {
-              between.add(relay);
+              between.add(proxy);
             }
           });
       return between;
@@ -272,7 +275,7 @@
                 .store()
                 .write(name, present == null ? 0 : present.version().sequence(), document, newest);
         acknowledged
-            .computeIfAbsent(name, n -> new ArrayList<>())
+            .computeIfAbsent(name, key -> new ArrayList<>())
             .add(new Acknowledged(name, newest, remove, TrialTenants.nowMicros()));
       } catch (OperatorException | RecordChanged e) {
         refused++;
@@ -284,18 +287,18 @@
 
     private void checkHistories(long bound) throws Exception {
       Thread.sleep(BOUND / 1000 + 1000); // what is not in force then is late
-      clients.forEach(c -> failures.addAll(c.stop()));
+      clients.forEach(client -> failures.addAll(client.stop()));
       fleet.endHollow();
-      for (int z = 0; z < SIZE.zones(); z++) {
-        histories.add("z" + z, Files.readAllLines(fleet.history(z)));
+      for (int zone = 0; zone < SIZE.zones(); zone++) {
+        histories.add("z" + zone, Files.readAllLines(fleet.history(zone)));
       }
       for (Map.Entry<String, List<Acknowledged>> each : acknowledged.entrySet()) {
         List<String> serving = new ArrayList<>();
-        for (int g = 0; g < SIZE.gateways(); g++) {
-          if (TrialTenants.servedNames(g, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed())
+        for (int gateway = 0; gateway < SIZE.gateways(); gateway++) {
+          if (TrialTenants.servedNames(gateway, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed())
                   .contains(each.getKey())
               && neverRemoved(each.getValue())) {
-            serving.add("g" + g);
+            serving.add("g" + gateway);
           }
         }
         histories.check(each.getKey(), serving, each.getValue(), cuts, bound);
@@ -337,8 +340,8 @@
     public void close() throws IOException {
       clients.forEach(ClientProbe::stop);
       fleet.close();
-      for (FaultProxy relay : proxies.values()) {
-        relay.close();
+      for (FaultProxy proxy : proxies.values()) {
+        proxy.close();
       }
     }
   }
--- a/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
@@ -56,8 +56,8 @@
       zones.put(parts[1], zone);
       List<State> states =
           statesByIncarnation
-              .computeIfAbsent(parts[1] + " " + parts[2], k -> new TreeMap<>())
-              .computeIfAbsent(incarnation, l -> new ArrayList<>());
+              .computeIfAbsent(parts[1] + " " + parts[2], key -> new TreeMap<>())
+              .computeIfAbsent(incarnation, key -> new ArrayList<>());
       State last = states.isEmpty() ? null : states.get(states.size() - 1);
       if (last != null
           && last.version() != null
@@ -87,20 +87,22 @@
       Acknowledged change = changes.get(i);
       for (String gateway : gateways) {
         long from = reachableFrom(zones.getOrDefault(gateway, ""), change.at(), cuts, bound);
-        Long at = inForceAt(gateway + " " + name, changes.subList(i, changes.size()), change);
-        if (at == null) {
+        Long inForceAt =
+            inForceAt(gateway + " " + name, changes.subList(i, changes.size()), change);
+        if (inForceAt == null) {
           broken.add("never in force: " + change + " at " + gateway);
-        } else if (at > from + bound) {
-          broken.add("late by " + (at - from - bound) / 1000 + " ms: " + change + " at " + gateway);
+        } else if (inForceAt > from + bound) {
+          broken.add(
+              "late by " + (inForceAt - from - bound) / 1000 + " ms: " + change + " at " + gateway);
         } else {
-          delaysMicros.add(Math.max(0, at - from));
+          delaysMicros.add(Math.max(0, inForceAt - from));
         }
       }
     }
   }
 
-  private static long reachableFrom(String zone, long at, List<Cut> cuts, long bound) {
-    long from = at;
+  private static long reachableFrom(String zone, long atMicros, List<Cut> cuts, long bound) {
+    long from = atMicros;
     for (Cut cut : cuts) { // in their order
       if (cut.concerns(zone) && cut.from() < from + bound && cut.until() > from) {
         from = cut.until();
--- a/lab/src/main/java/shelffront/lab/scale/FleetScale.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScale.java
@@ -119,16 +119,16 @@
 
     static ResourceUsage of(List<ScaledFleet.FleetProcess> parts) {
       double cpu = 0;
-      long io = 0;
+      long ioBytes = 0;
       long resident = 0;
       for (ScaledFleet.FleetProcess part : parts) {
         JavaProcess process = part.process();
         cpu += process.cpuSeconds();
-        io += process.ioBytes();
+        ioBytes += process.ioBytes();
         resident += process.residentBytes();
       }
       boolean intact = parts.stream().allMatch(ScaledFleet.FleetProcess::isFirstAndUp);
-      return new ResourceUsage(cpu, io, resident, TrialTenants.nowMicros(), intact);
+      return new ResourceUsage(cpu, ioBytes, resident, TrialTenants.nowMicros(), intact);
     }
 
     double cpuSince(ResourceUsage before) {
@@ -165,14 +165,15 @@
       recordFigure("idle_engine_kb_per_s", (idleCalls[1] - calls[1]) / 1e3 / idleSeconds);
       long began = TrialTenants.nowMicros();
       Map<String, Version> written = change(fleet, tenants);
-      double took = (TrialTenants.nowMicros() - began) / 1e6;
-      tooSlow = took > TOO_SLOW * seconds;
+      double tookSeconds = (TrialTenants.nowMicros() - began) / 1e6;
+      tooSlow = tookSeconds > TOO_SLOW * seconds;
       Map<String, ResourceUsage> after = usageByRole(fleet);
       long[] afterCalls = fleet.engineCalls();
       report("changing", idle, after);
       int count = figures.path("changes").asInt();
       recordFigure(
-          "engine_calls_per_change", (afterCalls[0] - idleCalls[0] - idlePerSecond * took) / count);
+          "engine_calls_per_change",
+          (afterCalls[0] - idleCalls[0] - idlePerSecond * tookSeconds) / count);
       recordFigure("engine_kb_per_change", (afterCalls[1] - idleCalls[1]) / 1e3 / count);
       recordDelays(fleet, written);
     }
@@ -239,7 +240,7 @@
               : TrialTenants.tenantId(random.nextInt(tenants));
       String name = "tenant/" + id;
       RecordChange present = fleet.store().record(name);
-      long at = TrialTenants.nowMicros();
+      long atMicros = TrialTenants.nowMicros();
       written.put(
           name,
           fleet
@@ -247,9 +248,9 @@
               .write(
                   name,
                   present.version().sequence(),
-                  TrialTenants.document(id, at).toString(),
+                  TrialTenants.document(id, atMicros).toString(),
                   Version.NONE));
-      slowest = Math.max(slowest, TrialTenants.nowMicros() - at);
+      slowest = Math.max(slowest, TrialTenants.nowMicros() - atMicros);
       next += pause;
       long left = next - TrialTenants.nowMicros();
       if (left > 0) {
@@ -289,7 +290,9 @@
           .path("delays")
           .fields()
           .forEachRemaining(
-              f -> delays.recordValueWithCount(Long.parseLong(f.getKey()), f.getValue().asLong()));
+              field ->
+                  delays.recordValueWithCount(
+                      Long.parseLong(field.getKey()), field.getValue().asLong()));
       for (var each : report.path("inForce").properties()) {
         int number = Integer.parseInt(each.getKey().substring(1));
         for (String name :
--- a/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
@@ -64,13 +64,14 @@
                 "ones; of a role whose process was killed in the run they say nothing.",
                 ""));
     StringBuilder heading = new StringBuilder("| gateways | watching themselves | fault |");
-    COLUMNS.forEach(c -> heading.append(' ').append(c.heading()).append(" |"));
+    COLUMNS.forEach(column -> heading.append(' ').append(column.heading()).append(" |"));
     lines.add(heading.toString());
     lines.add("|" + " --- |".repeat(3 + COLUMNS.size()));
-    runs.forEach(r -> lines.add(line(r)));
+    runs.forEach(run -> lines.add(line(run)));
     List<JsonNode> calm =
         runs.stream()
-            .filter(r -> r.path("fault").asText().equals("none") && r.path("direct").asInt() == 0)
+            .filter(
+                run -> run.path("fault").asText().equals("none") && run.path("direct").asInt() == 0)
             .toList();
     chart(
         "Engine calls for a change",
@@ -100,9 +101,9 @@
       }
     }
     runs.sort(
-        Comparator.comparingInt((JsonNode r) -> r.path("direct").asInt())
-            .thenComparing(r -> !r.path("fault").asText().equals("none"))
-            .thenComparingInt(r -> r.path("gateways").asInt()));
+        Comparator.comparingInt((JsonNode run) -> run.path("direct").asInt())
+            .thenComparing(run -> !run.path("fault").asText().equals("none"))
+            .thenComparingInt(run -> run.path("gateways").asInt()));
     return runs;
   }
 
@@ -115,12 +116,12 @@
                 run.path("gateways").asInt(),
                 run.path("direct").asInt(),
                 run.path("fault").asText()));
-    for (Column c : COLUMNS) {
+    for (Column column : COLUMNS) {
       line.append(
           String.format(
               Locale.ROOT,
               " %.3f |",
-              run.path("figures").path(c.figure()).asDouble() * c.factor()));
+              run.path("figures").path(column.figure()).asDouble() * column.factor()));
     }
     return line.toString();
   }
@@ -140,12 +141,12 @@
             .yAxisTitle(unit)
             .build();
     chart.getStyler().setYAxisMin(0.0);
-    double[] gateways = runs.stream().mapToDouble(r -> r.path("gateways").asDouble()).toArray();
+    double[] gateways = runs.stream().mapToDouble(run -> run.path("gateways").asDouble()).toArray();
     for (String figure : figures) {
       chart.addSeries(
           figure,
           gateways,
-          runs.stream().mapToDouble(r -> r.path("figures").path(figure).asDouble()).toArray());
+          runs.stream().mapToDouble(run -> run.path("figures").path(figure).asDouble()).toArray());
     }
     VectorGraphicsEncoder.saveVectorGraphic(
         chart, directory.resolve(name).toString(), VectorGraphicsFormat.SVG);
--- a/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
@@ -89,13 +89,13 @@
       measure("tenants of five hosts, at rest", count, config(count, HOSTS_OF_TENANT), 0, 0);
     }
     // Hosts that answer, the same five for all: a gateway asks those again and again that do not.
-    EmulatedReplicaSet set = new EmulatedReplicaSet("cost", HOSTS_OF_TENANT - 1, 8, 1, 5);
+    EmulatedReplicaSet replicaSet = new EmulatedReplicaSet("cost", HOSTS_OF_TENANT - 1, 8, 1, 5);
     try {
       for (int count : awake) {
         measure(
             "tenants of five hosts, awake",
             count,
-            served(config(count, HOSTS_OF_TENANT), set),
+            served(config(count, HOSTS_OF_TENANT), replicaSet),
             count,
             1);
       }
@@ -103,21 +103,21 @@
         measure(
             "idle connections, one tenant",
             count,
-            served(config(1, HOSTS_OF_TENANT), set),
+            served(config(1, HOSTS_OF_TENANT), replicaSet),
             1,
             count);
       }
     } finally {
-      set.close();
+      replicaSet.close();
     }
     return 0;
   }
 
-  private static ObjectNode served(ObjectNode config, EmulatedReplicaSet set) {
+  private static ObjectNode served(ObjectNode config, EmulatedReplicaSet replicaSet) {
     for (JsonNode tenant : config.path("tenants")) {
-      int h = 0;
+      int host = 0;
       for (JsonNode box : tenant.path("boxes").path("list")) {
-        ((ObjectNode) box).put("address", set.hosts().get(h++).address());
+        ((ObjectNode) box).put("address", replicaSet.hosts().get(host++).address());
       }
     }
     return config;
@@ -131,13 +131,13 @@
       ObjectNode tenant = TrialTenants.document(TrialTenants.tenantId(t), 0);
       ((ObjectNode) tenant.withObject("/limits")).put("clientConnections", 40_000);
       ArrayNode boxes = (ArrayNode) tenant.path("boxes").path("list");
-      for (int h = boxes.size(); h < hostsOfEach; h++) {
+      for (int host = boxes.size(); host < hostsOfEach; host++) {
         boxes
             .addObject()
-            .put("id", "h" + h)
+            .put("id", "h" + host)
             .put("address", "127.0.0.1:9")
-            .put("group", h / HOSTS_OF_TENANT)
-            .put("role", h % HOSTS_OF_TENANT == 0 ? "primary" : "replica");
+            .put("group", host / HOSTS_OF_TENANT)
+            .put("role", host % HOSTS_OF_TENANT == 0 ? "primary" : "replica");
       }
       list.add(tenant);
     }
@@ -163,9 +163,9 @@
       }
       double ready = (System.nanoTime() - from) / 1e9;
       double start = process.cpuSeconds();
-      for (int t = 0; t < tenants; t++) {
+      for (int tenant = 0; tenant < tenants; tenant++) {
         for (int c = 0; c < clientsOfEach; c++) {
-          clients.add(ClientProbe.open(process.found(LISTENS), TrialTenants.tenantId(t)));
+          clients.add(ClientProbe.open(process.found(LISTENS), TrialTenants.tenantId(tenant)));
         }
       }
       TimeUnit.SECONDS.sleep(2); // connections and probes of the first moment
--- a/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
@@ -175,8 +175,8 @@
               System.out::println);
       tables.put(settings.name(), table);
       records.start();
-      each.path("names").forEach(n -> lookups.add(new Lookup(records, n.asText())));
-      each.path("names").forEach(n -> records.lookUp(n.asText()));
+      each.path("names").forEach(name -> lookups.add(new Lookup(records, name.asText())));
+      each.path("names").forEach(name -> records.lookUp(name.asText()));
     }
     watchDirectly(config.path("direct"));
     Runtime.getRuntime().addShutdownHook(new Thread(() -> report(tables)));
@@ -194,9 +194,10 @@
     if (direct.isMissingNode()) {
       return;
     }
-    String[] at = direct.path("engine").asText().split(":");
+    String[] hostAndPort = direct.path("engine").asText().split(":");
     ConsulCoordinationStore engine =
-        new ConsulCoordinationStore(at[0], Integer.parseInt(at[1]), Duration.ofMillis(1500));
+        new ConsulCoordinationStore(
+            hostAndPort[0], Integer.parseInt(hostAndPort[1]), Duration.ofMillis(1500));
     for (int i = 0; i < direct.path("count").asInt(); i++) {
       ChangeStore store = new ChangeStore(engine, direct.path("fleet").asText());
       Thread thread = new Thread(null, () -> watch(store), "direct-" + i, 256 << 10);
@@ -231,14 +232,15 @@
     delays
         .recordedValues()
         .forEach(
-            v ->
+            bucket ->
                 histogram.put(
-                    Long.toString(v.getValueIteratedTo()), v.getCountAtValueIteratedTo()));
+                    Long.toString(bucket.getValueIteratedTo()),
+                    bucket.getCountAtValueIteratedTo()));
     ObjectNode inForce = report.putObject("inForce");
     tables.forEach(
         (name, table) -> {
-          ObjectNode of = inForce.putObject(name);
-          table.copy().forEach(of::put);
+          ObjectNode sequences = inForce.putObject(name);
+          table.copy().forEach(sequences::put);
         });
     try {
       Files.writeString(reportFile, report.toString());
--- a/lab/src/main/java/shelffront/lab/scale/RolloutCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/RolloutCost.java
@@ -60,12 +60,12 @@
   public Integer call() throws Exception {
     System.out.println("| gateways | subjects | engine calls/s | engine KB/s |");
     System.out.println("| --- | --- | --- | --- |");
-    for (int g : gateways) {
-      measure(g, 1);
+    for (int gateway : gateways) {
+      measure(gateway, 1);
     }
-    for (int s : subjects) {
-      if (s > 1) {
-        measure(3, s);
+    for (int subject : subjects) {
+      if (subject > 1) {
+        measure(3, subject);
       }
     }
     return 0;
@@ -120,8 +120,8 @@
     ObjectNode fleet =
         config.putObject("fleet").put("engine", engine).put("fleet", "cost").put("name", name);
     ObjectNode subjects = fleet.putObject("subjects");
-    for (int s = 0; s < subjectCount; s++) {
-      subjects.putArray("s" + s).add("one").add("two");
+    for (int subject = 0; subject < subjectCount; subject++) {
+      subjects.putArray("s" + subject).add("one").add("two");
     }
     return config;
   }
--- a/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
+++ b/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
@@ -67,7 +67,7 @@
   /** The way from one part of the fleet to another: the address that it is given. */
   interface AddressTranslator {
 
-    String translate(String from, String to, String address) throws IOException;
+    String translate(String from, String target, String address) throws IOException;
   }
 
   /** A process with its part in the fleet. */
@@ -122,7 +122,7 @@
   private final ArrayNode zoneEndpoints = TenantSpecCodec.JSON.createArrayNode();
 
   ScaledFleet(Path directory, Size size) throws Exception {
-    this(directory, size, (from, to, address) -> address, false);
+    this(directory, size, (from, target, address) -> address, false);
   }
 
   /**
@@ -182,28 +182,29 @@
    * that it follows.
    */
   void start() throws IOException {
-    for (int r = 0; r < size.regions(); r++) {
+    for (int region = 0; region < size.regions(); region++) {
       ObjectNode config =
-          distributor("r" + r, "r" + r, "")
-              .put("engine", addressTranslator.translate("r" + r, "engine", engineAddress));
-      regions.add(distribute("region-r" + r, config));
+          distributor("r" + region, "r" + region, "")
+              .put("engine", addressTranslator.translate("r" + region, "engine", engineAddress));
+      regions.add(distribute("region-r" + region, config));
     }
     endpoints(regions, regionEndpoints, false);
-    for (int z = 0; z < size.zones(); z++) {
-      ObjectNode config = distributor(zone(z), region(z), zone(z));
-      config.set("distributors", seenFrom(zone(z), regionEndpoints));
-      zones.add(distribute("zone-" + zone(z), config));
+    for (int zone = 0; zone < size.zones(); zone++) {
+      ObjectNode config = distributor(zone(zone), region(zone), zone(zone));
+      config.set("distributors", seenFrom(zone(zone), regionEndpoints));
+      zones.add(distribute("zone-" + zone(zone), config));
     }
     endpoints(zones, zoneEndpoints, true);
-    for (int z = 0; z < size.zones(); z++) {
-      hollow.add(hollow(z));
+    for (int zone = 0; zone < size.zones(); zone++) {
+      hollow.add(hollow(zone));
     }
     for (int i = 0; i < size.real(); i++) {
       real.add(real(i));
     }
     awaitCurrent();
     real.forEach(
-        p -> await("a real gateway listens", () -> p.process().found(REAL_LISTENS) != null));
+        process ->
+            await("a real gateway listens", () -> process.process().found(REAL_LISTENS) != null));
   }
 
   private String region(int zone) {
@@ -256,9 +257,11 @@
   private ArrayNode seenFrom(String zone, ArrayNode endpoints) throws IOException {
     ArrayNode seen = endpoints.deepCopy();
     for (JsonNode endpoint : seen) {
-      String to = endpoint.path("zone").asText(endpoint.path("region").asText());
+      String target = endpoint.path("zone").asText(endpoint.path("region").asText());
       ((ObjectNode) endpoint)
-          .put("address", addressTranslator.translate(zone, to, endpoint.path("address").asText()));
+          .put(
+              "address",
+              addressTranslator.translate(zone, target, endpoint.path("address").asText()));
     }
     return seen;
   }
@@ -280,11 +283,11 @@
   private FleetProcess hollow(int zone) throws IOException {
     ObjectNode config = TenantSpecCodec.JSON.createObjectNode();
     ArrayNode gateways = config.putArray("gateways");
-    for (int g = zone; g < size.gateways(); g += size.zones()) {
+    for (int gateway = zone; gateway < size.gateways(); gateway += size.zones()) {
       ObjectNode each = gateways.addObject();
-      each.set("distribution", gateway("g" + g, zone));
+      each.set("distribution", gateway("g" + gateway, zone));
       ArrayNode names = each.putArray("names");
-      TrialTenants.servedNames(g, size.tenants(), size.namesOfGateway(), size.seed())
+      TrialTenants.servedNames(gateway, size.tenants(), size.namesOfGateway(), size.seed())
           .forEach(names::add);
     }
     if (size.direct() > 0) {
@@ -366,7 +369,9 @@
 
   /** Waits until every hollow gateway has all that it follows. */
   void awaitCurrent() {
-    hollow.forEach(p -> await(p.name + " is current", () -> p.process().found(CURRENT) != null));
+    hollow.forEach(
+        process ->
+            await(process.name + " is current", () -> process.process().found(CURRENT) != null));
   }
 
   /**
@@ -375,8 +380,8 @@
    */
   long slowestStartMillis() {
     return hollow.stream()
-        .map(p -> p.process().found(CURRENT))
-        .filter(t -> t != null)
+        .map(process -> process.process().found(CURRENT))
+        .filter(text -> text != null)
         .mapToLong(Long::parseLong)
         .max()
         .orElse(0);
@@ -416,24 +421,24 @@
 
   /** Calls that the engine has answered, and bytes of their bodies. */
   long[] engineCalls() throws IOException, InterruptedException {
-    JsonNode o =
+    JsonNode counts =
         TenantSpecCodec.JSON.readTree(
             http.send(
                     HttpRequest.newBuilder(URI.create("http://" + engineAddress + "/calls"))
                         .build(),
                     BodyHandlers.ofString())
                 .body());
-    return new long[] {o.path("calls").asLong(), o.path("bytes").asLong()};
+    return new long[] {counts.path("calls").asLong(), counts.path("bytes").asLong()};
   }
 
   /** Ends the hollow gateways and gives their reports, by zone. */
   TreeMap<Integer, JsonNode> endHollow() throws IOException, InterruptedException {
     TreeMap<Integer, JsonNode> reports = new TreeMap<>();
-    for (int z = 0; z < hollow.size(); z++) {
-      if (!hollow.get(z).process().terminate(TIMEOUT.toSeconds())) {
-        throw new IllegalStateException(hollow.get(z).name + " does not end");
+    for (int zone = 0; zone < hollow.size(); zone++) {
+      if (!hollow.get(zone).process().terminate(TIMEOUT.toSeconds())) {
+        throw new IllegalStateException(hollow.get(zone).name + " does not end");
       }
-      reports.put(z, TenantSpecCodec.JSON.readTree(report(z).toFile()));
+      reports.put(zone, TenantSpecCodec.JSON.readTree(report(zone).toFile()));
     }
     return reports;
   }
@@ -445,7 +450,7 @@
     all.addAll(zones);
     all.addAll(regions);
     all.add(engine);
-    all.forEach(p -> p.process().abandon());
+    all.forEach(process -> process.process().abandon());
     store.close();
   }
 }
--- a/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
+++ b/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
@@ -25,15 +25,17 @@
   void save(Path file) throws IOException {
     List<String> lines = new ArrayList<>();
     values.values().stream()
-        .sorted((a, b) -> Long.compare(a.index(), b.index()))
+        .sorted((first, second) -> Long.compare(first.index(), second.index()))
         .forEach(
-            v ->
+            value ->
                 lines.add(
                     TenantSpecCodec.JSON
                         .createObjectNode()
-                        .put("index", v.index())
-                        .put("key", v.key())
-                        .put("value", Base64.getEncoder().encodeToString(v.text().getBytes(UTF_8)))
+                        .put("index", value.index())
+                        .put("key", value.key())
+                        .put(
+                            "value",
+                            Base64.getEncoder().encodeToString(value.text().getBytes(UTF_8)))
                         .toString()));
     Files.write(file, lines);
   }
@@ -48,7 +50,7 @@
     return new Listing(
         index,
         values.tailMap(prefix).values().stream()
-            .takeWhile(v -> v.key().startsWith(prefix))
+            .takeWhile(value -> value.key().startsWith(prefix))
             .toList());
   }
 
@@ -58,13 +60,13 @@
   }
 
   @Override
-  public boolean checkAndSet(String key, long at, String text) {
-    return transact(List.of(new Write(key, at, text)));
+  public boolean checkAndSet(String key, long atMicros, String text) {
+    return transact(List.of(new Write(key, atMicros, text)));
   }
 
   @Override
-  public void checkAndDelete(String key, long at) {
-    transact(List.of(new Write(key, at, null)));
+  public void checkAndDelete(String key, long atMicros) {
+    transact(List.of(new Write(key, atMicros, null)));
   }
 
   @Override
--- a/lab/src/main/java/shelffront/lab/scale/TrialTenants.java
+++ b/lab/src/main/java/shelffront/lab/scale/TrialTenants.java
@@ -72,8 +72,8 @@
 
   /** When a document was written. */
   static long writtenAtMicros(String document) {
-    Matcher m = WRITTEN_AT.matcher(document);
-    return m.find() ? Long.parseLong(m.group(1)) : 0;
+    Matcher matcher = WRITTEN_AT.matcher(document);
+    return matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
   }
 
   /** Microseconds on the clock that all processes of a machine share. */
--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -206,7 +206,7 @@
   /** Some sessions read their own write soon; a rejected request is sent again when permitted. */
   @Override
   public void answered(
-      ClientConnectionHandler<CheckedRequest> by,
+      ClientConnectionHandler<CheckedRequest> connection,
       CheckedRequest request,
       String value,
       String error,
@@ -256,15 +256,15 @@
   }
 
   @Override
-  public void timedOut(ClientConnectionHandler<CheckedRequest> by, CheckedRequest request) {
+  public void timedOut(ClientConnectionHandler<CheckedRequest> connection, CheckedRequest request) {
     recorder.unanswered(request, "had no answer in time");
-    connections.remove(by);
+    connections.remove(connection);
   }
 
   @Override
   public void disconnected(
-      ClientConnectionHandler<CheckedRequest> by, CheckedRequest request, boolean reset) {
-    connections.remove(by);
+      ClientConnectionHandler<CheckedRequest> connection, CheckedRequest request, boolean reset) {
+    connections.remove(connection);
     if (request != null) {
       recorder.connectionLost(request, reset);
     }
--- a/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
+++ b/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
@@ -18,8 +18,8 @@
   private static final long LONGEST_STAY_MICROS = 1_500_000;
 
   MisbehavingClientHandler(
-      Transport carrier, InetSocketAddress gateway, UniformRandomProvider random) {
-    connection = carrier.connect(gateway, this);
+      Transport transport, InetSocketAddress gateway, UniformRandomProvider random) {
+    connection = transport.connect(gateway, this);
     byte[] startup = Message.startup("api", "ledger");
     byte[] query =
         Message.query("/* id=rude,c=map-read,d=1000,cluster=1 */ SELECT 1".getBytes(ISO_8859_1));
@@ -49,7 +49,7 @@
       default -> send(new byte[0]);
     }
     long stays = random.nextLong(LONGEST_STAY_MICROS);
-    carrier.clock().after(stays, random.nextBoolean() ? this::reset : this::close);
+    transport.clock().after(stays, random.nextBoolean() ? this::reset : this::close);
   }
 
   private static byte[] noise(UniformRandomProvider random, int count) {
--- a/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -81,22 +81,22 @@
   }
 
   /** Any that the protocol permits, each setting by itself. */
-  static RandomDeployment draw(UniformRandomProvider r, boolean onceWrites) {
-    boolean stamped = r.nextBoolean();
+  static RandomDeployment draw(UniformRandomProvider random, boolean onceWrites) {
+    boolean stamped = random.nextBoolean();
     LoadReportSource reports =
-        stamped && r.nextInt(3) == 0
+        stamped && random.nextInt(3) == 0
             ? LoadReportSource.NONE
-            : r.nextBoolean() ? LoadReportSource.RESPONSES : LoadReportSource.HEALTH_CHECKS;
+            : random.nextBoolean() ? LoadReportSource.RESPONSES : LoadReportSource.HEALTH_CHECKS;
     return new RandomDeployment(
         onceWrites,
-        r.nextBoolean(),
-        r.nextBoolean(),
+        random.nextBoolean(),
+        random.nextBoolean(),
         reports,
         stamped,
-        ListedRoles.values()[r.nextInt(ListedRoles.values().length)],
-        r.nextBoolean(),
-        r.nextBoolean(),
-        r.nextBoolean() ? 0.01 : 0.07);
+        ListedRoles.values()[random.nextInt(ListedRoles.values().length)],
+        random.nextBoolean(),
+        random.nextBoolean(),
+        random.nextBoolean() ? 0.01 : 0.07);
   }
 
   List<RequestClass> requestClasses() {
@@ -168,9 +168,9 @@
   }
 
   /** What one of so many modules is told. */
-  RoutingSettings settings(int self, int modules, ReplicaSetParameters f) {
+  RoutingSettings settings(int self, int modules, ReplicaSetParameters parameters) {
     LagCheck check =
-        switch (f.check()) {
+        switch (parameters.check()) {
           case SILENT -> LagCheck.NONE;
           case REFUSE -> LagCheck.REJECT;
           case WAIT -> LagCheck.WAIT;
@@ -179,15 +179,15 @@
         new GatewayIdentity(self, modules, "a"),
         1000,
         requestClasses(),
-        new ConsistencySettings(check, f.patience(), stamped, carried),
+        new ConsistencySettings(check, parameters.patience(), stamped, carried),
         new EndpointListSettings(listRole, !pushed),
         reports,
         new SafetyRules(
             2_000_000,
-            f.coldFrom(),
-            f.coldTime(),
-            f.fall(),
-            f.fallTime(),
+            parameters.coldFrom(),
+            parameters.coldTime(),
+            parameters.fall(),
+            parameters.fallTime(),
             false,
             10_000_000,
             20_000),
--- a/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
@@ -36,9 +36,9 @@
   }
 
   @Override
-  public void applied(Host host, Effect effect, Query by, boolean repeated) {
-    context.trace().record("applied", host.id(), by.id(), effect.key());
-    context.checker().effectApplied(effect, by.id(), repeated, context.nowMicros());
+  public void applied(Host host, Effect effect, Query query, boolean repeated) {
+    context.trace().record("applied", host.id(), query.id(), effect.key());
+    context.checker().effectApplied(effect, query.id(), repeated, context.nowMicros());
   }
 
   @Override
--- a/lab/src/main/java/shelffront/lab/simulation/Scenario.java
+++ b/lab/src/main/java/shelffront/lab/simulation/Scenario.java
@@ -93,62 +93,64 @@
 
   /** By a seed alone; the rate is that of all gateways together. */
   public static Scenario draw(long seed) {
-    UniformRandomProvider r = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    int gateways = 1 + r.nextInt(4);
-    int sets = 1 + r.nextInt(2);
-    int boxes = 2 + r.nextInt(3);
-    long length = (6 + r.nextInt(10)) * MICROS_PER_SECOND;
-    ReplicaSetParameters.Check check = ReplicaSetParameters.Check.values()[r.nextInt(3)];
-    int cores = 2 + r.nextInt(7);
-    long work = 1_000 + r.nextInt(12_000);
-    double load = 0.15 + 1.1 * r.nextDouble() * r.nextDouble();
-    ReplicaSetParameters figures =
+    UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+    int gateways = 1 + random.nextInt(4);
+    int sets = 1 + random.nextInt(2);
+    int boxes = 2 + random.nextInt(3);
+    long length = (6 + random.nextInt(10)) * MICROS_PER_SECOND;
+    ReplicaSetParameters.Check check = ReplicaSetParameters.Check.values()[random.nextInt(3)];
+    int cores = 2 + random.nextInt(7);
+    long work = 1_000 + random.nextInt(12_000);
+    double load = 0.15 + 1.1 * random.nextDouble() * random.nextDouble();
+    ReplicaSetParameters parameters =
         new ReplicaSetParameters(
             cores,
-            8 + r.nextInt(60),
-            40 + r.nextInt(200),
+            8 + random.nextInt(60),
+            40 + random.nextInt(200),
             work,
             work * 2,
-            0.2 + r.nextDouble(),
-            300 + r.nextInt(3_000),
-            500 + r.nextInt(40_000),
-            100 + r.nextInt(1500),
+            0.2 + random.nextDouble(),
+            300 + random.nextInt(3_000),
+            500 + random.nextInt(40_000),
+            100 + random.nextInt(1500),
             0.21,
             18 * MICROS_PER_SECOND,
-            MICROS_PER_SECOND + r.nextInt((int) (3 * MICROS_PER_SECOND)),
-            200_000 + r.nextInt((int) MICROS_PER_SECOND),
+            MICROS_PER_SECOND + random.nextInt((int) (3 * MICROS_PER_SECOND)),
+            200_000 + random.nextInt((int) MICROS_PER_SECOND),
             2 * MICROS_PER_SECOND,
             check,
             50_000,
             4,
             2 * MICROS_PER_SECOND,
-            r.nextInt(4) == 0);
+            random.nextInt(4) == 0);
     Weather weather =
         new Weather(
-            100 + r.nextInt(900), r.nextInt(2_000), r.nextInt(3) == 0 ? 0 : r.nextDouble() / 2);
+            100 + random.nextInt(900),
+            random.nextInt(2_000),
+            random.nextInt(3) == 0 ? 0 : random.nextDouble() / 2);
     // Half the boxes' capacity at the most on most days: a replica serves reads, the primary writes
     // too.
     double perSecond = load * sets * boxes * cores * 1e6 / (work * 1.4);
     List<Fault> faults = new ArrayList<>();
-    int count = r.nextInt(9);
+    int count = random.nextInt(9);
     for (int i = 0; i < count; i++) {
-      FaultKind kind = FaultKind.values()[r.nextInt(FaultKind.values().length)];
+      FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
       faults.add(
           new Fault(
-              MICROS_PER_SECOND / 2 + r.nextLong(length - MICROS_PER_SECOND),
+              MICROS_PER_SECOND / 2 + random.nextLong(length - MICROS_PER_SECOND),
               kind,
-              r.nextInt(100),
-              50_000 + r.nextLong(4 * MICROS_PER_SECOND)));
+              random.nextInt(100),
+              50_000 + random.nextLong(4 * MICROS_PER_SECOND)));
     }
-    long listDelay = 200_000 + r.nextInt((int) (2 * MICROS_PER_SECOND));
-    boolean onceWrites = r.nextInt(3) == 0;
+    long listDelay = 200_000 + random.nextInt((int) (2 * MICROS_PER_SECOND));
+    boolean onceWrites = random.nextInt(3) == 0;
     Means means =
         new Means(
-            r.nextInt(4) == 0 ? 256 : 1024,
-            r.nextInt(2) == 0 ? 0 : 10 + r.nextInt(90),
-            r.nextInt(3) == 0 ? r.nextDouble() : 0,
-            Math.max(0, r.nextInt(8) - 4),
-            1 + r.nextInt(3),
+            random.nextInt(4) == 0 ? 256 : 1024,
+            random.nextInt(2) == 0 ? 0 : 10 + random.nextInt(90),
+            random.nextInt(3) == 0 ? random.nextDouble() : 0,
+            Math.max(0, random.nextInt(8) - 4),
+            1 + random.nextInt(3),
             Means.CONNECTIONS);
     return new Scenario(
         seed,
@@ -157,10 +159,10 @@
         boxes,
         Math.min(600, perSecond),
         length,
-        figures,
+        parameters,
         weather,
         listDelay,
-        RandomDeployment.draw(r, onceWrites),
+        RandomDeployment.draw(random, onceWrites),
         means,
         List.copyOf(faults));
   }
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
@@ -106,8 +106,8 @@
   }
 
   @Override
-  public void replicaRoleSent(Host host, TransportConnection to) {
-    Integer gateway = gateways.indexOf(((SimulatedSocket) to).peer().machine());
+  public void replicaRoleSent(Host host, TransportConnection connection) {
+    Integer gateway = gateways.indexOf(((SimulatedSocket) connection).peer().machine());
     if (gateway != null) {
       announcements.announced(gateway, host.id(), context.nowMicros());
     }
--- a/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
@@ -30,9 +30,9 @@
   protected abstract void ended(boolean reset);
 
   /** Reads nothing more for now, or again. */
-  public final void setStalled(boolean on) {
-    stalled = on;
-    if (!on) {
+  public final void setStalled(boolean enabled) {
+    stalled = enabled;
+    if (!enabled) {
       readable();
     }
   }
--- a/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
+++ b/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
@@ -143,25 +143,26 @@
   }
 
   @Override
-  public TransportConnection connect(InetSocketAddress to, TransportConnection.Listener owner) {
-    SocketConnection wire = new SocketConnection(owner);
+  public TransportConnection connect(
+      InetSocketAddress address, TransportConnection.Listener listener) {
+    SocketConnection connection = new SocketConnection(listener);
     try {
-      wire.channel = SocketChannel.open();
-      wire.channel.configureBlocking(false);
-      wire.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      wire.key = wire.channel.register(selector, SelectionKey.OP_CONNECT, wire);
-      wire.channel.connect(to);
+      connection.channel = SocketChannel.open();
+      connection.channel.configureBlocking(false);
+      connection.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      connection.key = connection.channel.register(selector, SelectionKey.OP_CONNECT, connection);
+      connection.channel.connect(address);
     } catch (IOException e) {
-      posted.add(wire::failedToConnect);
+      posted.add(connection::failedToConnect);
     }
-    return wire;
+    return connection;
   }
 
   @Override
   public void listen(
-      InetSocketAddress at, Function<TransportConnection, TransportConnection.Listener> accept)
+      InetSocketAddress address, Function<TransportConnection, TransportConnection.Listener> accept)
       throws IOException {
-    open(at, accept);
+    open(address, accept);
   }
 
   /** Listens on a port that nobody else has; where. Any thread may call. */
@@ -171,13 +172,13 @@
   }
 
   private InetSocketAddress open(
-      InetSocketAddress at, Function<TransportConnection, TransportConnection.Listener> accept)
+      InetSocketAddress address, Function<TransportConnection, TransportConnection.Listener> accept)
       throws IOException {
     ServerSocketChannel listener = ServerSocketChannel.open();
     try {
       listener.configureBlocking(false);
       listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      listener.bind(at, BACKLOG);
+      listener.bind(address, BACKLOG);
       listener.register(
           selector, SelectionKey.OP_ACCEPT, (ReadyHandler) key -> accept(listener, accept));
     } catch (IOException e) {
@@ -197,14 +198,14 @@
           channel = listener.accept()) {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        SocketConnection wire = new SocketConnection(null);
-        wire.channel = channel;
-        wire.key = channel.register(selector, 0, wire);
-        wire.listener = accept.apply(wire);
-        if (wire.listener == null) {
-          wire.reset();
+        SocketConnection connection = new SocketConnection(null);
+        connection.channel = channel;
+        connection.key = channel.register(selector, 0, connection);
+        connection.listener = accept.apply(connection);
+        if (connection.listener == null) {
+          connection.reset();
         } else {
-          wire.connected();
+          connection.connected();
         }
       }
     } catch (IOException e) {
@@ -250,8 +251,8 @@
     private boolean closing;
     private boolean closed;
 
-    SocketConnection(Listener owner) {
-      this.listener = owner;
+    SocketConnection(Listener listener) {
+      this.listener = listener;
     }
 
     private void connected() {
@@ -384,13 +385,13 @@
     }
 
     @Override
-    public int read(ByteBuffer to, int most) {
+    public int read(ByteBuffer target, int most) {
       int count = 0;
-      while (!received.isEmpty() && to.hasRemaining() && count < most) {
+      while (!received.isEmpty() && target.hasRemaining() && count < most) {
         byte[] first = received.get(0);
         int take =
-            Math.min(Math.min(first.length - firstPieceOffset, to.remaining()), most - count);
-        to.put(first, firstPieceOffset, take);
+            Math.min(Math.min(first.length - firstPieceOffset, target.remaining()), most - count);
+        target.put(first, firstPieceOffset, take);
         count += take;
         firstPieceOffset += take;
         if (firstPieceOffset == first.length) {
--- a/lab/src/main/java/shelffront/lab/transport/TaskScheduler.java
+++ b/lab/src/main/java/shelffront/lab/transport/TaskScheduler.java
@@ -21,8 +21,8 @@
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private long order;
 
-  public void add(long at, Runnable task) {
-    events.add(new Event(at, order++, task));
+  public void add(long atMicros, Runnable task) {
+    events.add(new Event(atMicros, order++, task));
   }
 
   /** When the next event is due; {@link Long#MAX_VALUE} if there is none. */
--- a/lab/src/main/java/shelffront/lab/transport/Transport.java
+++ b/lab/src/main/java/shelffront/lab/transport/Transport.java
@@ -14,7 +14,7 @@
   Clock clock();
 
   /** Sets up a connection; the owner is told how it went. */
-  TransportConnection connect(InetSocketAddress to, TransportConnection.Listener owner);
+  TransportConnection connect(InetSocketAddress address, TransportConnection.Listener listener);
 
   /**
    * Takes connections at an address; each is given the owner that the function returns, null
@@ -23,6 +23,6 @@
    * @throws IOException where the address can't be had
    */
   void listen(
-      InetSocketAddress at, Function<TransportConnection, TransportConnection.Listener> accept)
+      InetSocketAddress address, Function<TransportConnection, TransportConnection.Listener> accept)
       throws IOException;
 }
--- a/lab/src/main/java/shelffront/lab/virtual/SimulatedSocket.java
+++ b/lab/src/main/java/shelffront/lab/virtual/SimulatedSocket.java
@@ -27,10 +27,10 @@
   private long closedAtMicros = Long.MAX_VALUE;
   private long lastWriteMicros;
 
-  SimulatedSocket(VirtualNetwork net, SimulatedMachine machine, Listener owner) {
-    this.network = net;
+  SimulatedSocket(VirtualNetwork network, SimulatedMachine machine, Listener listener) {
+    this.network = network;
     this.machine = machine;
-    this.listener = owner;
+    this.listener = listener;
   }
 
   public boolean isOpen() {
@@ -102,10 +102,10 @@
       return;
     }
     lastWriteMicros = network.clock().nowMicros();
-    SimulatedSocket to = peer;
+    SimulatedSocket receiver = peer;
     for (byte[] piece : network.pieces(bytes)) {
-      to.inFlightBytes += piece.length;
-      network.deliver(this, to, () -> to.arrive(piece));
+      receiver.inFlightBytes += piece.length;
+      network.deliver(this, receiver, () -> receiver.arrive(piece));
     }
   }
 
@@ -123,8 +123,8 @@
   }
 
   private void answerWithReset() {
-    SimulatedSocket to = peer;
-    network.deliver(this, to, to::arriveReset);
+    SimulatedSocket receiver = peer;
+    network.deliver(this, receiver, receiver::arriveReset);
   }
 
   private void arriveReset() {
@@ -144,16 +144,16 @@
       return;
     }
     endSent = true;
-    SimulatedSocket to = peer;
+    SimulatedSocket receiver = peer;
     network.deliver(
         this,
-        to,
+        receiver,
         () -> {
-          if (to.closed || to.forgotten) {
+          if (receiver.closed || receiver.forgotten) {
             return;
           }
-          to.endReceived = true;
-          to.listener.readable();
+          receiver.endReceived = true;
+          receiver.listener.readable();
         });
   }
 
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualChannels.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualChannels.java
@@ -37,8 +37,8 @@
   private int openCount;
 
   /** Of a process on a machine that may have so many descriptors. */
-  public VirtualChannels(VirtualNetwork net, SimulatedMachine machine, int mostOpen) {
-    this.network = net;
+  public VirtualChannels(VirtualNetwork network, SimulatedMachine machine, int mostOpen) {
+    this.network = network;
     this.machine = machine;
     this.maxOpen = mostOpen;
   }
@@ -110,8 +110,8 @@
 
     @Override
     public <A> void connect(
-        SocketAddress to, A attachment, CompletionHandler<Void, ? super A> handler) {
-      remote = (InetSocketAddress) to;
+        SocketAddress address, A attachment, CompletionHandler<Void, ? super A> handler) {
+      remote = (InetSocketAddress) address;
       connectDone = () -> complete(handler, null, attachment);
       connectFailed =
           () ->
@@ -308,7 +308,7 @@
     }
 
     @Override
-    public Future<Void> connect(SocketAddress to) {
+    public Future<Void> connect(SocketAddress address) {
       throw unsupported();
     }
 
@@ -376,7 +376,7 @@
       network.listen(
           machine,
           address,
-          far -> {
+          peer -> {
             if (closed || backlog.size() >= most) {
               return null;
             }
@@ -384,7 +384,7 @@
             // then.
             ClientChannel channel = new ClientChannel();
             openCount--;
-            channel.socket = far;
+            channel.socket = peer;
             backlog.add(channel);
             network.clock().after(0, this::tryAccept);
             return channel;
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
@@ -61,13 +61,13 @@
   /** Takes connections; each new end is given the owner that the function returns, null refuses. */
   public void listen(
       SimulatedMachine machine,
-      InetSocketAddress at,
+      InetSocketAddress address,
       Function<SimulatedSocket, TransportConnection.Listener> accept) {
-    listeners.put(at, new Binding(machine, accept));
+    listeners.put(address, new Binding(machine, accept));
   }
 
-  public void unlisten(InetSocketAddress at) {
-    listeners.remove(at);
+  public void unlisten(InetSocketAddress address) {
+    listeners.remove(address);
   }
 
   /** What a party on a machine lives on. */
@@ -79,63 +79,64 @@
       }
 
       @Override
-      public TransportConnection connect(InetSocketAddress to, TransportConnection.Listener owner) {
-        return VirtualNetwork.this.connect(machine, to, owner);
+      public TransportConnection connect(
+          InetSocketAddress address, TransportConnection.Listener listener) {
+        return VirtualNetwork.this.connect(machine, address, listener);
       }
 
       @Override
       public void listen(
-          InetSocketAddress at,
+          InetSocketAddress address,
           Function<TransportConnection, TransportConnection.Listener> accept) {
-        VirtualNetwork.this.listen(machine, at, accept::apply);
+        VirtualNetwork.this.listen(machine, address, accept::apply);
       }
     };
   }
 
   /** Sets up a connection; the owner is told how it went, or nothing where a machine is away. */
   public SimulatedSocket connect(
-      SimulatedMachine from, InetSocketAddress to, TransportConnection.Listener owner) {
-    SimulatedSocket end = new SimulatedSocket(this, from, owner);
-    from.sockets.add(end);
+      SimulatedMachine from, InetSocketAddress address, TransportConnection.Listener listener) {
+    SimulatedSocket socket = new SimulatedSocket(this, from, listener);
+    from.sockets.add(socket);
     clock.after(
         drawDelayMicros(),
         () -> {
-          Binding there = listeners.get(to);
+          Binding there = listeners.get(address);
           if (from.isIsolated() || there != null && there.machine().isIsolated()) {
             return;
           }
-          SimulatedSocket far =
+          SimulatedSocket peer =
               there == null ? null : new SimulatedSocket(this, there.machine(), null);
-          TransportConnection.Listener taker = far == null ? null : there.accept().apply(far);
+          TransportConnection.Listener taker = peer == null ? null : there.accept().apply(peer);
           if (taker == null) {
             clock.after(
                 drawDelayMicros(),
                 () -> {
-                  if (!end.isClosed()) {
-                    end.close();
-                    owner.refused();
+                  if (!socket.isClosed()) {
+                    socket.close();
+                    listener.refused();
                   }
                 });
             return;
           }
-          far.listener = taker;
-          far.peer = end;
-          there.machine().sockets.add(far);
+          peer.listener = taker;
+          peer.peer = socket;
+          there.machine().sockets.add(peer);
           clock.after(
               drawDelayMicros(),
               () -> {
                 if (from.isIsolated()) {
                   return;
                 }
-                if (end.isClosed()) { // given up meanwhile
-                  far.peerAbandoned();
+                if (socket.isClosed()) { // given up meanwhile
+                  peer.peerAbandoned();
                   return;
                 }
-                end.peer = far;
-                owner.connected();
+                socket.peer = peer;
+                listener.connected();
               });
         });
-    return end;
+    return socket;
   }
 
   private long drawDelayMicros() {
@@ -146,12 +147,13 @@
    * Has something arrive at an end, in order behind what was sent to it before, unless a machine is
    * away.
    */
-  void deliver(SimulatedSocket from, SimulatedSocket to, Runnable arrival) {
-    to.lastArrivalMicros = Math.max(to.lastArrivalMicros, clock.nowMicros() + drawDelayMicros());
+  void deliver(SimulatedSocket from, SimulatedSocket receiver, Runnable arrival) {
+    receiver.lastArrivalMicros =
+        Math.max(receiver.lastArrivalMicros, clock.nowMicros() + drawDelayMicros());
     clock.at(
-        to.lastArrivalMicros,
+        receiver.lastArrivalMicros,
         () -> {
-          if (!from.machine.isIsolated() && !to.machine.isIsolated()) {
+          if (!from.machine.isIsolated() && !receiver.machine.isIsolated()) {
             arrival.run();
           }
         });
@@ -165,11 +167,11 @@
     List<byte[]> pieces = new ArrayList<>();
     int from = 0;
     while (from < bytes.length) {
-      int to = Math.min(bytes.length, from + 1 + random.nextInt(Math.max(1, bytes.length - from)));
-      byte[] piece = new byte[to - from];
+      int end = Math.min(bytes.length, from + 1 + random.nextInt(Math.max(1, bytes.length - from)));
+      byte[] piece = new byte[end - from];
       System.arraycopy(bytes, from, piece, 0, piece.length);
       pieces.add(piece);
-      from = to;
+      from = end;
     }
     return pieces;
   }
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualTimeScheduler.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualTimeScheduler.java
@@ -32,8 +32,8 @@
   }
 
   /** Lets time pass; never back, and not past an event. */
-  public void advanceTo(long to) {
-    nowMicros = Math.max(nowMicros, Math.min(to, nextMicros()));
+  public void advanceTo(long timeMicros) {
+    nowMicros = Math.max(nowMicros, Math.min(timeMicros, nextMicros()));
   }
 
   /** Runs the next event if it is due. */
--- a/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
@@ -35,14 +35,16 @@
     return hosted.loopOf(id).get(MISSING_MS, TimeUnit.MILLISECONDS);
   }
 
-  private ObjectNode[] three(EmulatedReplicaSet set) {
-    return new ObjectNode[] {tenant("a", set), tenant("b", set), tenant("c", set)};
+  private ObjectNode[] three(EmulatedReplicaSet replicaSet) {
+    return new ObjectNode[] {
+      tenant("a", replicaSet), tenant("b", replicaSet), tenant("c", replicaSet)
+    };
   }
 
   @Test
   void tenantsLiveOnDifferentLoopsAndEachIsServed() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
-    start(three(set));
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    start(three(replicaSet));
     List<Integer> loops = new ArrayList<>();
     for (String id : List.of("a", "b", "c")) {
       loops.add(loopOf(id));
@@ -60,8 +62,8 @@
    */
   @Test
   void whatFollowsTheStartupAtOnceIsNotLostInTheHandOver() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
-    start(three(set));
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    start(three(replicaSet));
     for (int i = 0; i < 150; i++) {
       String id = List.of("a", "b", "c").get(i % 3);
       ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -74,8 +76,10 @@
       assertEquals(List.of("r" + i), client.answers());
       client.close();
     }
-    assertEquals(150, set.effects().size());
-    assertTrue(set.effects().values().stream().allMatch(n -> n.get() == 1), "a write was doubled");
+    assertEquals(150, replicaSet.effects().size());
+    assertTrue(
+        replicaSet.effects().values().stream().allMatch(count -> count.get() == 1),
+        "a write was doubled");
   }
 
   /**
@@ -83,8 +87,8 @@
    */
   @Test
   void aStartupInPiecesIsHandedOver() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
-    start(three(set));
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    start(three(replicaSet));
     byte[] startup = Message.startup("api", "c");
     for (int cut = 1; cut < startup.length; cut++) {
       try (Socket socket =
@@ -104,9 +108,9 @@
 
   @Test
   void aKeyIsAskedForAndJudgedOnTheLoopWhereTheTenantLives() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     String key = ApiKeys.generate();
-    ObjectNode[] tenants = three(set);
+    ObjectNode[] tenants = three(replicaSet);
     tenants[2]
         .putArray("credentials")
         .addObject()
@@ -127,8 +131,8 @@
    */
   @Test
   void placesOfConnectionsThatEndedElsewhereAreFreeAgain() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
-    start(three(set));
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    start(three(replicaSet));
     byte[] startup = Message.startup("api", "c");
     for (int i = 0; i < 1200; i++) { // more than the listener has places for at a time
       Socket socket = new Socket(InetAddress.getLoopbackAddress(), hosted.address().getPort());
@@ -150,10 +154,10 @@
    */
   @Test
   void aTenantThatWakesLeavesABusyLoop() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     ObjectNode[] tenants = new ObjectNode[6];
     for (int i = 0; i < 6; i++) {
-      tenants[i] = tenant("t" + i, set);
+      tenants[i] = tenant("t" + i, replicaSet);
     }
     start(tenants);
     String quiet = loopOf("t1") == loopOf("t4") ? "t4" : "none";
@@ -207,8 +211,8 @@
    */
   @Test
   void aDrainWaitsForTheRequestsOfAllLoops() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 100);
-    start(three(set));
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 100);
+    start(three(replicaSet));
     List<Client> clients = new ArrayList<>();
     for (String id : List.of("a", "b", "c", "a", "b", "c")) {
       Client client = new Client(id, null);
@@ -222,7 +226,7 @@
       assertEquals(List.of("w" + i), clients.get(i).answers());
       assertEquals("", clients.get(i).next());
     }
-    assertEquals(6, set.effects().size());
+    assertEquals(6, replicaSet.effects().size());
   }
 
   /**
@@ -232,8 +236,8 @@
    */
   @Test
   void removalMeetsHandOvers() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
-    start(three(set));
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    start(three(replicaSet));
     CompletableFuture<Long> gone = new CompletableFuture<>();
     List<Client> clients = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
--- a/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
@@ -70,12 +70,12 @@
   }
 
   EmulatedReplicaSet boxes(String name, int replicas, double workMs) throws IOException {
-    EmulatedReplicaSet set = new EmulatedReplicaSet(name, replicas, 4, workMs, 5);
-    open.add(set);
-    return set;
+    EmulatedReplicaSet replicaSet = new EmulatedReplicaSet(name, replicas, 4, workMs, 5);
+    open.add(replicaSet);
+    return replicaSet;
   }
 
-  static ObjectNode tenant(String id, EmulatedReplicaSet set) {
+  static ObjectNode tenant(String id, EmulatedReplicaSet replicaSet) {
     ObjectNode tenant = TenantSpecCodec.JSON.createObjectNode().put("id", id).put("graceMs", 0);
     ArrayNode classes = tenant.putArray("classes");
     classes.addObject().put("name", "read").put("giveUpMs", 20_000).put("read", "any");
@@ -87,13 +87,13 @@
         .put("effect", "keyed")
         .put("windowMs", 2000);
     ArrayNode list = tenant.putObject("boxes").putArray("list");
-    if (set != null) {
-      for (EmulatedReplicaSet.Host box : set.hosts()) {
+    if (replicaSet != null) {
+      for (EmulatedReplicaSet.Host host : replicaSet.hosts()) {
         list.addObject()
-            .put("id", box.id())
-            .put("address", box.address())
+            .put("id", host.id())
+            .put("address", host.address())
             .put("group", 1)
-            .put("role", box.isPrimary() ? "primary" : "replica");
+            .put("role", host.isPrimary() ? "primary" : "replica");
       }
     }
     return tenant;
@@ -199,10 +199,10 @@
    */
   @Test
   void aTenantRemovedWithRequestsInItAnswersEachOnceAndLeavesNothing() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
-    set.hosts().forEach(b -> b.setSilent(true));
-    start(tenant("airport", set));
-    int idle = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    replicaSet.hosts().forEach(b -> b.setSilent(true));
+    start(tenant("airport", replicaSet));
+    int idle = gateway.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
     Client read = new Client("airport", null);
     Client write = new Client("airport", null);
     Client half = new Client("airport", null);
@@ -236,12 +236,12 @@
     }
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
     MultiTenantGateway.HeldResources held =
-        hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
-    while (set.connectionCount() > 0 || held.deadlines() > idle || held.bufferBytes() > 0) {
+        gateway.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
+    while (replicaSet.connectionCount() > 0 || held.deadlines() > idle || held.bufferBytes() > 0) {
       assertTrue(
           System.nanoTime() < end,
-          set.connectionCount() + " connections to boxes and " + held + " stay");
-      held = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
+          replicaSet.connectionCount() + " connections to boxes and " + held + " stay");
+      held = gateway.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     }
     Client late = new Client("airport", "x");
     assertEquals(List.of("3D000"), late.answers());
@@ -273,8 +273,8 @@
   /** What a tenant has taken may end within the grace, and is served as if nothing were. */
   @Test
   void withinTheGraceWhatWasTakenIsServed() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 200);
-    start(tenant("airport", set).put("graceMs", 15_000));
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 200);
+    start(tenant("airport", replicaSet).put("graceMs", 15_000));
     Client client = new Client("airport", null);
     assertEquals(List.of(), client.answers());
     client.send("w1", "write");
@@ -286,7 +286,7 @@
     List<String> next = client.answers();
     assertTrue(next.equals(List.of("57P03")) || next.isEmpty(), next.toString());
     gone.get(MISSING_MS, TimeUnit.MILLISECONDS);
-    assertEquals(1, set.effects().size());
+    assertEquals(1, replicaSet.effects().size());
   }
 
   /**
@@ -296,7 +296,7 @@
   @Test
   void aTenantWhoseBoxesAreSilentIsNotNoticedByAnother() throws Exception {
     EmulatedReplicaSet silent = boxes("s", 1, 1);
-    silent.hosts().forEach(b -> b.setSilent(true));
+    silent.hosts().forEach(host -> host.setSilent(true));
     EmulatedReplicaSet well = boxes("w", 1, 1);
     ObjectNode stuck = tenant("stuck", silent);
     stuck
@@ -324,53 +324,57 @@
   /** Requests that meet a change which only a new module can take up are each answered once. */
   @Test
   void aTenantWhoseClassesChangeUnderLoadLosesNothing() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 2);
-    start(tenant("airport", set).put("graceMs", 10_000));
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 2);
+    start(tenant("airport", replicaSet).put("graceMs", 10_000));
     for (int round = 0; round < 20; round++) {
       Client client = new Client("airport", null);
       assertEquals(List.of(), client.answers());
       client.send("w" + round, "write");
       untilTaken(round + 1);
-      ObjectNode next = tenant("airport", set).put("graceMs", 10_000);
+      ObjectNode next = tenant("airport", replicaSet).put("graceMs", 10_000);
       ((ObjectNode) next.path("classes").path(0)).put("giveUpMs", 10_000 + round);
       CompletableFuture<Long> inForce = new CompletableFuture<>();
       hosted.apply(TenantSpecCodec.read(next), inForce::complete);
       assertEquals(List.of("w" + round), client.answers());
       inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
     }
-    assertEquals(20, set.effects().size());
-    assertTrue(set.effects().values().stream().allMatch(n -> n.get() == 1), "a write was doubled");
+    assertEquals(20, replicaSet.effects().size());
+    assertTrue(
+        replicaSet.effects().values().stream().allMatch(count -> count.get() == 1),
+        "a write was doubled");
   }
 
   @Test
   void anAdministratorsDrainStopsNewWorkWithTheChange() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 2, 1);
-    start(tenant("airport", set));
+    EmulatedReplicaSet replicaSet = boxes("s", 2, 1);
+    start(tenant("airport", replicaSet));
     Client client = new Client("airport", null);
     assertEquals(List.of(), client.answers());
-    ObjectNode next = tenant("airport", set);
+    ObjectNode next = tenant("airport", replicaSet);
     next.putArray("drained").add("s-1");
     CompletableFuture<Long> inForce = new CompletableFuture<>();
     hosted.apply(TenantSpecCodec.read(next), inForce::complete);
     inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
-    long before = set.hosts().get(1).startedCount();
+    long before = replicaSet.hosts().get(1).startedCount();
     for (int i = 0; i < 50; i++) {
       client.send("r" + i, "read");
       assertEquals(List.of("r" + i), client.answers());
     }
-    assertEquals(before, set.hosts().get(1).startedCount());
+    assertEquals(before, replicaSet.hosts().get(1).startedCount());
   }
 
   /** The same classes in the opposite order, on boxes of the same names, which are others. */
-  private static ObjectNode mirrored(String id, EmulatedReplicaSet set) {
-    ObjectNode tenant = tenant(id, set).put("graceMs", 10_000);
+  private static ObjectNode mirrored(String id, EmulatedReplicaSet replicaSet) {
+    ObjectNode tenant = tenant(id, replicaSet).put("graceMs", 10_000);
     ArrayNode classes = (ArrayNode) tenant.path("classes");
     classes.add(classes.remove(0));
     return tenant;
   }
 
-  private static Set<String> firstLetters(EmulatedReplicaSet set) {
-    return set.effects().keySet().stream().map(k -> k.substring(0, 1)).collect(Collectors.toSet());
+  private static Set<String> firstLetters(EmulatedReplicaSet replicaSet) {
+    return replicaSet.effects().keySet().stream()
+        .map(k -> k.substring(0, 1))
+        .collect(Collectors.toSet());
   }
 
   /**
@@ -383,16 +387,16 @@
     EmulatedReplicaSet ours = boxes("s", 1, 1);
     EmulatedReplicaSet theirs = boxes("s", 1, 1);
     start(tenant("one", ours), mirrored("other", theirs));
-    Client a = new Client("one", null);
-    Client b = new Client("other", null);
-    assertEquals(List.of(), a.answers());
-    assertEquals(List.of(), b.answers());
+    Client first = new Client("one", null);
+    Client second = new Client("other", null);
+    assertEquals(List.of(), first.answers());
+    assertEquals(List.of(), second.answers());
     for (int i = 0; i < 50; i++) {
       String type = i % 2 == 0 ? "write" : "read";
-      a.send("a" + i, type);
-      b.send("b" + i, type);
-      assertEquals(List.of("a" + i), a.answers());
-      assertEquals(List.of("b" + i), b.answers());
+      first.send("a" + i, type);
+      second.send("b" + i, type);
+      assertEquals(List.of("a" + i), first.answers());
+      assertEquals(List.of("b" + i), second.answers());
     }
     assertEquals(Set.of("a"), firstLetters(ours));
     assertEquals(Set.of("b"), firstLetters(theirs));
@@ -443,15 +447,15 @@
   /** A wrong key, another tenant's key and a name that nobody has are told the same. */
   @Test
   void keysAreOfOneTenantAlone() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 0, 1);
+    EmulatedReplicaSet replicaSet = boxes("s", 0, 1);
     String ours = ApiKeys.generate();
     String theirs = ApiKeys.generate();
-    ObjectNode one = tenant("one", set);
+    ObjectNode one = tenant("one", replicaSet);
     one.putArray("credentials")
         .addObject()
         .put("user", "api")
         .put("sha256", HexFormat.of().formatHex(ApiKeys.hash(ours)));
-    ObjectNode other = tenant("other", set);
+    ObjectNode other = tenant("other", replicaSet);
     other
         .putArray("credentials")
         .addObject()
@@ -482,16 +486,16 @@
   /** 2,000 tenants at rest hold no timer and no connection. */
   @Test
   void tenantsThatRestCostNoTimerAndNoConnection() throws Exception {
-    EmulatedReplicaSet set = boxes("s", 1, 1);
+    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     ObjectNode[] tenants = new ObjectNode[2000];
     for (int i = 0; i < tenants.length; i++) {
-      tenants[i] = tenant("t" + i, set);
+      tenants[i] = tenant("t" + i, replicaSet);
     }
     start(tenants);
     MultiTenantGateway.HeldResources held =
         hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     assertEquals(0, held.deadlines());
-    assertEquals(0, set.connectionCount());
+    assertEquals(0, replicaSet.connectionCount());
     for (int i = 0; i < 20; i++) {
       Client client = new Client("t" + i * 100, null);
       assertEquals(List.of(), client.answers());
--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
@@ -21,24 +21,24 @@
 
   @Test
   void stagesStayAdjacentWhileOwnersDieAndGatewaysAreCutOffStoppedAndRestarted() throws Exception {
-    try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
+    try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
       for (int i = 0; i < 5; i++) {
-        rig.add(LEASE_MS);
+        harness.add(LEASE_MS);
       }
-      rig.awaitStage("one");
-      rig.await("there is an owner", () -> rig.leader() != null);
-      FaultInjectionHarness.GatewayProcess owner = rig.leader();
+      harness.awaitStage("one");
+      harness.await("there is an owner", () -> harness.leader() != null);
+      FaultInjectionHarness.GatewayProcess owner = harness.leader();
       List<FaultInjectionHarness.GatewayProcess> others =
-          rig.gateways().stream().filter(n -> n != owner).toList();
+          harness.gateways().stream().filter(gateway -> gateway != owner).toList();
 
       // One is cut off, one is stopped, and the owner dies while the subject is on its way.
       others.get(0).proxy().cut(true, true);
       others.get(1).signal("STOP");
       assertEquals(200, others.get(2).requestStage("four"));
-      rig.await("the owner has begun", () -> rig.moves() > 0);
+      harness.await("the owner has begun", () -> harness.moves() > 0);
       owner.kill();
       FaultInjectionHarness.GatewayProcess seeing = others.get(2);
-      rig.await(
+      harness.await(
           "the rest go on without them",
           () ->
               seeing.subjectStatus() != null
@@ -47,17 +47,17 @@
       others.get(1).signal("CONT");
       others.get(0).proxy().heal();
       owner.start();
-      rig.awaitStage("four");
+      harness.awaitStage("four");
 
       // Back, with the engine gone for a while and a gateway that restarts on the way.
       assertEquals(200, seeing.requestStage("one"));
-      rig.restartStore();
+      harness.restartStore();
       others.get(3).terminate();
       others.get(3).start();
       others.get(0).proxy().slow(40, 200);
-      rig.awaitStage("one");
+      harness.awaitStage("one");
 
-      RolloutHistoryChecker all = rig.histories();
+      RolloutHistoryChecker all = harness.histories();
       assertTrue(all.violations().isEmpty(), () -> String.join("\n", all.violations()));
       assertTrue(all.moves() >= 6, "noted moves " + all.moves());
       assertEquals(7, all.gatewayCount(), "five processes, and two that started again");
@@ -67,25 +67,25 @@
 
   @Test
   void anEngineThatGarblesOrHasNoLeaderLeavesAllInTheSafeStageAndNothingIsLost() throws Exception {
-    try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
-      FaultInjectionHarness.GatewayProcess one = rig.add(LEASE_MS);
-      FaultInjectionHarness.GatewayProcess two = rig.add(LEASE_MS);
-      rig.awaitStage("one");
+    try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
+      FaultInjectionHarness.GatewayProcess one = harness.add(LEASE_MS);
+      FaultInjectionHarness.GatewayProcess two = harness.add(LEASE_MS);
+      harness.awaitStage("one");
       assertEquals(200, one.requestStage("two"));
-      rig.awaitStage("two");
-      rig.injectStoreFault("leader=no");
-      rig.await(
+      harness.awaitStage("two");
+      harness.injectStoreFault("leader=no");
+      harness.await(
           "both fall back",
           () -> one.hasLogged("is the safe one") && two.hasLogged("is the safe one"));
       assertEquals(503, one.requestStage("three"), "the operator is told");
-      rig.injectStoreFault("garble");
-      rig.await("it is said what is wrong", () -> one.hasLogged("engine-garbled"));
-      rig.injectStoreFault("");
-      rig.awaitStage("two");
+      harness.injectStoreFault("garble");
+      harness.await("it is said what is wrong", () -> one.hasLogged("engine-garbled"));
+      harness.injectStoreFault("");
+      harness.awaitStage("two");
       assertEquals(422, one.requestStage("nine"));
       assertEquals(200, two.requestStage("three"));
-      rig.awaitStage("three");
-      assertTrue(rig.histories().violations().isEmpty());
+      harness.awaitStage("three");
+      assertTrue(harness.histories().violations().isEmpty());
     }
   }
 
@@ -95,20 +95,20 @@
    */
   @Test
   void aGatewayThatTrustsItsLeaseForTooLongIsCaught() throws Exception {
-    try (FaultInjectionHarness rig = new FaultInjectionHarness(directory)) {
-      FaultInjectionHarness.GatewayProcess first = rig.add(LEASE_MS);
-      rig.add(LEASE_MS);
-      rig.awaitStage("one");
-      rig.await("there is an owner", () -> rig.leader() != null);
-      FaultInjectionHarness.GatewayProcess late = rig.add(LEASE_MS * 100);
-      rig.awaitStage("one");
+    try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
+      FaultInjectionHarness.GatewayProcess first = harness.add(LEASE_MS);
+      harness.add(LEASE_MS);
+      harness.awaitStage("one");
+      harness.await("there is an owner", () -> harness.leader() != null);
+      FaultInjectionHarness.GatewayProcess late = harness.add(LEASE_MS * 100);
+      harness.awaitStage("one");
       late.proxy().cut(true, true);
       assertEquals(200, first.requestStage("four"));
-      rig.await(
+      harness.await(
           "the rest do not wait for it",
           () -> first.subjectStatus().path("inForceHere").asText().equals("four"));
       assertFalse(
-          rig.histories().violations().isEmpty(),
+          harness.histories().violations().isEmpty(),
           "it may act in stage one, and the others do in four");
     }
   }
