--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
@@ -10,17 +10,17 @@
 /** That the checker of histories says no. */
 class RolloutHistoryCheckerTest {
 
-  private static String force(String who, long at, long epoch, int stage, long until) {
+  private static String force(String who, long atMicros, long epoch, int stage, long until) {
     return String.format(
         "{\"at\":%d,\"who\":\"%s\",\"what\":\"force\",\"subject\":\"s\",\"epoch\":%d,\"stage\":%d,"
             + "\"until\":%d}",
-        at, who, epoch, stage, until);
+        atMicros, who, epoch, stage, until);
   }
 
-  private static String move(String who, long at, long epoch, int stage) {
+  private static String move(String who, long atMicros, long epoch, int stage) {
     return String.format(
         "{\"at\":%d,\"who\":\"%s\",\"what\":\"move\",\"subject\":\"s\",\"epoch\":%d,\"stage\":%d}",
-        at, who, epoch, stage);
+        atMicros, who, epoch, stage);
   }
 
   private static List<String> broken(List<String> one, List<String> other) throws IOException {
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -37,16 +37,16 @@
 
     private boolean started;
 
-    Server(TransportConnection wire) {
-      accept(wire);
+    Server(TransportConnection connection) {
+      accept(connection);
     }
 
     @Override
     protected void received(ByteBuffer bytes) {
       try {
-        for (Message m = next(bytes); m != null; m = next(bytes)) {
-          if (m.type() == 'Q') {
-            String id = m.text(0).replaceAll(".*id=([^,]+),.*", "$1");
+        for (Message message = next(bytes); message != null; message = next(bytes)) {
+          if (message.type() == 'Q') {
+            String id = message.text(0).replaceAll(".*id=([^,]+),.*", "$1");
             clock.after(serverTakes, () -> answer(id));
           }
         }
@@ -82,7 +82,7 @@
   }
 
   private OpenLoopLoad.Result play(
-      OpenLoopLoad.ClientBehavior habits, double perSecond, int connections) {
+      OpenLoopLoad.ClientBehavior behavior, double perSecond, int connections) {
     net.listen(net.machine("server"), address, Server::new);
     boolean[] over = new boolean[1];
     OpenLoopLoad load =
@@ -94,7 +94,7 @@
             List.of(
                 new OpenLoopLoad.RequestKind("read", false, 50, 400, 3, 1),
                 new OpenLoopLoad.RequestKind("write", true, 50, 400, 1, 5)),
-            habits,
+            behavior,
             perSecond,
             connections,
             11);
@@ -149,12 +149,13 @@
 
   @Test
   void allIsServedWhereThereIsRoomWhateverClientsDo() {
-    OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
+    OpenLoopLoad.Result result =
+        play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
     assertTrue(
-        r.total.due > 1_000 && r.total.hungUp > 10,
-        r.total.due + " due, " + r.total.hungUp + " hung up");
-    assertTrue(r.servedValueFraction() > 0.98, "worth kept " + r.servedValueFraction());
-    assertEquals(0, r.lagMicros.getMaxValue(), "virtual time is never late");
+        result.total.due > 1_000 && result.total.hungUp > 10,
+        result.total.due + " due, " + result.total.hungUp + " hung up");
+    assertTrue(result.servedValueFraction() > 0.98, "worth kept " + result.servedValueFraction());
+    assertEquals(0, result.lagMicros.getMaxValue(), "virtual time is never late");
   }
 
   /**
@@ -164,11 +165,11 @@
   @Test
   void whatWaitsForAConnectionIsLateByThat() {
     serverTakes = 20_000;
-    OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
-    assertTrue(r.waitedCount > 500, "waited " + r.waitedCount);
-    assertTrue(r.servedValueFraction() < 0.5, "worth kept " + r.servedValueFraction());
-    assertTrue(r.total.unanswered > 100, "unanswered " + r.total.unanswered);
-    assertTrue(r.worstWindow() == 0 && r.worstKind() <= r.servedValueFraction());
+    OpenLoopLoad.Result result = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
+    assertTrue(result.waitedCount > 500, "waited " + result.waitedCount);
+    assertTrue(result.servedValueFraction() < 0.5, "worth kept " + result.servedValueFraction());
+    assertTrue(result.total.unanswered > 100, "unanswered " + result.total.unanswered);
+    assertTrue(result.worstWindow() == 0 && result.worstKind() <= result.servedValueFraction());
   }
 
   @Test
@@ -182,7 +183,7 @@
   @Test
   void anErrorThatIsNoRefusalIsAFailure() {
     code = "40003";
-    OpenLoopLoad.Result r = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
-    assertEquals(r.total.due, r.total.failed);
+    OpenLoopLoad.Result result = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
+    assertEquals(result.total.due, result.total.failed);
   }
 }
--- a/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
+++ b/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
@@ -112,22 +112,24 @@
     ScaledFleet.Size size = new ScaledFleet.Size(1, 2500, 3, 1, 1, 0, 0, 1);
     List<FaultProxy> relays = new ArrayList<>();
     ScaledFleet.AddressTranslator slow =
-        (from, to, address) -> {
-          if (!to.startsWith("r")) {
+        (from, target, address) -> {
+          if (!target.startsWith("r")) {
             return address;
           }
-          String[] at = address.split(":");
-          FaultProxy relay = new FaultProxy(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
-          relay.slow(20, 16 << 10); // 0.8 MB a second, for 2.4 MB
-          relays.add(relay);
-          return relay.address();
+          String[] hostAndPort = address.split(":");
+          FaultProxy proxy =
+              new FaultProxy(
+                  new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
+          proxy.slow(20, 16 << 10); // 0.8 MB a second, for 2.4 MB
+          relays.add(proxy);
+          return proxy.address();
         };
     try (ScaledFleet fleet = new ScaledFleet(directory, size, slow, false)) {
       fleet.start();
       assertEquals(1, fleet.endHollow().size());
     } finally {
-      for (FaultProxy relay : relays) {
-        relay.close();
+      for (FaultProxy proxy : relays) {
+        proxy.close();
       }
     }
   }
@@ -139,8 +141,8 @@
     return histories.broken();
   }
 
-  private static Acknowledged change(long sequence, long at) {
-    return new Acknowledged("n", new Version(1, sequence), false, at);
+  private static Acknowledged change(long sequence, long atMicros) {
+    return new Acknowledged("n", new Version(1, sequence), false, atMicros);
   }
 
   @Test
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
@@ -28,7 +28,8 @@
   /** Hashes of everything that happened, of a few seeds: printed by {@link #main}, and compared. */
   private static List<String> hashes() {
     return LongStream.of(3, 11, 25, 66)
-        .mapToObj(s -> FleetSimulation.run(Scenario.draw(s).shortened(0.5, 4 * SECOND)).hash())
+        .mapToObj(
+            seed -> FleetSimulation.run(Scenario.draw(seed).shortened(0.5, 4 * SECOND)).hash())
         .toList();
   }
 
@@ -79,7 +80,7 @@
                 s ->
                     Scenario.draw(s).faults().size() >= 5
                         && Scenario.draw(s).faults().stream()
-                                .filter(f -> f.kind() == FaultKind.KILL_BOX)
+                                .filter(fault -> fault.kind() == FaultKind.KILL_BOX)
                                 .count()
                             == 1)
             .findFirst()
@@ -87,9 +88,9 @@
     Cut cut =
         ScenarioShrinker.shrink(
             seed,
-            s ->
-                s.faults().stream().anyMatch(f -> f.kind() == FaultKind.KILL_BOX)
-                    && s.length() > 2 * SECOND);
+            scenario ->
+                scenario.faults().stream().anyMatch(fault -> fault.kind() == FaultKind.KILL_BOX)
+                    && scenario.length() > 2 * SECOND);
     assertEquals(1, cut.faults().size());
     assertTrue(cut.length() < 4 * SECOND && cut.rate() < 0.05, cut.toString());
     assertEquals(FaultKind.KILL_BOX, cut.of(seed).faults().get(0).kind());
@@ -102,7 +103,7 @@
       ReplicaSetParameters.Check check,
       boolean losesTail,
       Fault... faults) {
-    ReplicaSetParameters figures =
+    ReplicaSetParameters parameters =
         new ReplicaSetParameters(
             8,
             60,
@@ -130,7 +131,7 @@
         4,
         perSecond,
         8 * SECOND,
-        figures,
+        parameters,
         new Weather(300, 700, 0.1),
         SECOND / 2,
         RandomDeployment.plain(true),
@@ -189,7 +190,7 @@
    */
   @Test
   void gatewaysThatDoNotKnowOfEachOtherDoNotPushAColdBoxOver() {
-    ReplicaSetParameters figures =
+    ReplicaSetParameters parameters =
         new ReplicaSetParameters(
             4,
             60,
@@ -218,7 +219,7 @@
             3,
             900,
             10 * SECOND,
-            figures,
+            parameters,
             new Weather(300, 700, 0.1),
             SECOND / 2,
             RandomDeployment.plain(false),
@@ -319,20 +320,20 @@
   }
 
   private static Scenario hosted(int loops, Fault... faults) {
-    Scenario d = day(2, 400, ReplicaSetParameters.Check.WAIT, false, faults);
+    Scenario scenario = day(2, 400, ReplicaSetParameters.Check.WAIT, false, faults);
     return new Scenario(
-        d.seed(),
-        d.gateways(),
-        d.sets(),
-        d.boxes(),
-        d.perSecond(),
-        d.length(),
-        d.figures(),
-        d.weather(),
-        d.listDelay(),
-        d.deployment(),
+        scenario.seed(),
+        scenario.gateways(),
+        scenario.sets(),
+        scenario.boxes(),
+        scenario.perSecond(),
+        scenario.length(),
+        scenario.figures(),
+        scenario.weather(),
+        scenario.listDelay(),
+        scenario.deployment(),
         Means.hosted(3, loops),
-        d.faults());
+        scenario.faults());
   }
 
   /**
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
@@ -48,44 +48,45 @@
   }
 
   private static long count(List<Network> networks, Counters.Name name) {
-    return networks.stream().mapToLong(n -> n.counters().get(name)).sum();
+    return networks.stream().mapToLong(network -> network.counters().get(name)).sum();
   }
 
   /**
    * A gateway that takes itself for the only one, which switches off what it leaves to the others.
    */
   private static Gateway alone(FleetSimulation.GatewayParts start) {
-    GatewayConfig c = start.config();
-    RoutingSettings s = c.settings();
+    GatewayConfig config = start.config();
+    RoutingSettings settings = config.settings();
     return start.withConfig(
         new GatewayConfig(
-            c.name(),
-            c.listenAddress(),
-            c.discoveryAddress(),
-            c.seed(),
-            c.maxSockets(),
-            c.maxOpenRequests(),
+            config.name(),
+            config.listenAddress(),
+            config.discoveryAddress(),
+            config.seed(),
+            config.maxSockets(),
+            config.maxOpenRequests(),
             new RoutingSettings(
-                new GatewayIdentity(0, 1, s.gateway().zone()),
-                s.tickMicros(),
-                s.requestClasses(),
+                new GatewayIdentity(0, 1, settings.gateway().zone()),
+                settings.tickMicros(),
+                settings.requestClasses(),
                 new ConsistencySettings(
-                    s.consistency().lagCheck(),
-                    s.consistency().lagWaitMicros(),
-                    s.consistency().responsesCarryPosition(),
-                    s.consistency().clientsCarryPosition()),
-                new EndpointListSettings(s.endpointList().listedRoles(), s.endpointList().polled()),
-                s.loadReportSource(),
-                s.safetyRules(),
-                s.limits(),
-                s.crossZoneCost(),
-                s.healthCheckCost()),
-            c.knownEndpoints()));
+                    settings.consistency().lagCheck(),
+                    settings.consistency().lagWaitMicros(),
+                    settings.consistency().responsesCarryPosition(),
+                    settings.consistency().clientsCarryPosition()),
+                new EndpointListSettings(
+                    settings.endpointList().listedRoles(), settings.endpointList().polled()),
+                settings.loadReportSource(),
+                settings.safetyRules(),
+                settings.limits(),
+                settings.crossZoneCost(),
+                settings.healthCheckCost()),
+            config.knownEndpoints()));
   }
 
   /** Two sets of six hosts, ten requests a second at each gateway. */
   private static Scenario day(Fault... faults) {
-    ReplicaSetParameters figures =
+    ReplicaSetParameters parameters =
         new ReplicaSetParameters(
             8,
             60,
@@ -113,7 +114,7 @@
         6,
         10.0 * GATEWAYS,
         8 * SECOND,
-        figures,
+        parameters,
         new Weather(300, 700, 0.1),
         SECOND / 2,
         RandomDeployment.plain(false),
--- a/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -54,7 +54,7 @@
       long applyCost,
       double perSecond,
       Fault... faults) {
-    ReplicaSetParameters figures =
+    ReplicaSetParameters parameters =
         new ReplicaSetParameters(
             4,
             40,
@@ -82,7 +82,7 @@
         3,
         perSecond,
         9 * SECOND,
-        figures,
+        parameters,
         new Weather(300, 700, 0.2),
         SECOND / 2,
         RandomDeployment.plain(true),
@@ -90,8 +90,8 @@
         List.of(faults));
   }
 
-  private static Fault fault(double at, FaultKind kind, int target, double time) {
-    return new Fault((long) (at * SECOND), kind, target, (long) (time * SECOND));
+  private static Fault fault(double atSeconds, FaultKind kind, int target, double time) {
+    return new Fault((long) (atSeconds * SECOND), kind, target, (long) (time * SECOND));
   }
 
   /**
@@ -103,64 +103,75 @@
     assertEquals(
         List.of(), FleetSimulation.run(scenario).violations(), "the whole gateway on the same day");
     List<Violation> found = FleetSimulation.run(scenario, broken, line -> {}).violations();
-    assertTrue(found.stream().anyMatch(v -> v.rule() == rule), rule + " was not caught: " + found);
+    assertTrue(
+        found.stream().anyMatch(violation -> violation.rule() == rule),
+        rule + " was not caught: " + found);
   }
 
   private static Gateway told(
       FleetSimulation.GatewayParts start, UnaryOperator<RoutingSettings> change) {
-    GatewayConfig c = start.config();
+    GatewayConfig config = start.config();
     return start.withConfig(
         new GatewayConfig(
-            c.name(),
-            c.listenAddress(),
-            c.discoveryAddress(),
-            c.seed(),
-            c.maxSockets(),
-            c.maxOpenRequests(),
-            change.apply(c.settings()),
-            c.knownEndpoints()));
+            config.name(),
+            config.listenAddress(),
+            config.discoveryAddress(),
+            config.seed(),
+            config.maxSockets(),
+            config.maxOpenRequests(),
+            change.apply(config.settings()),
+            config.knownEndpoints()));
   }
 
   private static RoutingSettings with(
-      RoutingSettings s,
+      RoutingSettings settings,
       List<RequestClass> classes,
       LagCheck check,
       SafetyRules rules,
       OperatingLimits limits) {
     return new RoutingSettings(
         new GatewayIdentity(
-            s.gateway().gatewayIndex(), s.gateway().gatewayCount(), s.gateway().zone()),
-        s.tickMicros(),
+            settings.gateway().gatewayIndex(),
+            settings.gateway().gatewayCount(),
+            settings.gateway().zone()),
+        settings.tickMicros(),
         classes,
         new ConsistencySettings(
             check,
-            s.consistency().lagWaitMicros(),
-            s.consistency().responsesCarryPosition(),
-            s.consistency().clientsCarryPosition()),
-        new EndpointListSettings(s.endpointList().listedRoles(), s.endpointList().polled()),
-        s.loadReportSource(),
+            settings.consistency().lagWaitMicros(),
+            settings.consistency().responsesCarryPosition(),
+            settings.consistency().clientsCarryPosition()),
+        new EndpointListSettings(
+            settings.endpointList().listedRoles(), settings.endpointList().polled()),
+        settings.loadReportSource(),
         rules,
         limits,
-        s.crossZoneCost(),
-        s.healthCheckCost());
+        settings.crossZoneCost(),
+        settings.healthCheckCost());
   }
 
-  private static RoutingSettings types(RoutingSettings s, UnaryOperator<RequestClass> change) {
+  private static RoutingSettings types(
+      RoutingSettings settings, UnaryOperator<RequestClass> change) {
     List<RequestClass> classes = new ArrayList<>();
-    s.requestClasses().forEach(c -> classes.add(change.apply(c)));
-    return with(s, classes, s.consistency().lagCheck(), s.safetyRules(), s.limits());
+    settings.requestClasses().forEach(requestClass -> classes.add(change.apply(requestClass)));
+    return with(
+        settings,
+        classes,
+        settings.consistency().lagCheck(),
+        settings.safetyRules(),
+        settings.limits());
   }
 
   private static RequestClass as(
-      RequestClass c, Idempotency effect, long window, Consistency read, long bound) {
+      RequestClass requestClass, Idempotency effect, long window, Consistency read, long bound) {
     return new RequestClass(
-        c.name(),
-        c.latencyObjectiveMicros(),
-        c.deadlineMicros(),
-        c.priorityWeight(),
-        c.lateValueFraction(),
+        requestClass.name(),
+        requestClass.latencyObjectiveMicros(),
+        requestClass.deadlineMicros(),
+        requestClass.priorityWeight(),
+        requestClass.lateValueFraction(),
         effect,
-        c.deduplicationScope(),
+        requestClass.deduplicationScope(),
         window,
         read,
         bound);
@@ -170,8 +181,8 @@
    * Alters what the gateway writes, or what it reads, wherever a text stands in it; lengths stay.
    */
   private static Gateway tampered(
-      FleetSimulation.GatewayParts start, String out, String outAs, String in, String inAs) {
-    start.channels().tamper(replacing(out, outAs), replacing(in, inAs));
+      FleetSimulation.GatewayParts start, String out, String outAs, String received, String inAs) {
+    start.channels().tamper(replacing(out, outAs), replacing(received, inAs));
     return start.unmodified();
   }
 
@@ -186,21 +197,21 @@
     caught(
         Rule.FRESH,
         scenario(ReplicaSetParameters.Check.SILENT, 4, 12_000, 500),
-        s ->
+        parts ->
             told(
-                s,
-                t ->
+                parts,
+                settings ->
                     types(
-                        t,
-                        c ->
-                            c.consistency() == Consistency.BOUNDED_STALENESS
+                        settings,
+                        requestClass ->
+                            requestClass.consistency() == Consistency.BOUNDED_STALENESS
                                 ? as(
-                                    c,
-                                    c.idempotency(),
+                                    requestClass,
+                                    requestClass.idempotency(),
                                     0,
                                     Consistency.BOUNDED_STALENESS,
                                     60 * SECOND)
-                                : c)));
+                                : requestClass)));
   }
 
   @Test
@@ -208,16 +219,21 @@
     caught(
         Rule.FRESH,
         scenario(ReplicaSetParameters.Check.SILENT, 100),
-        s ->
+        parts ->
             told(
-                s,
-                t ->
+                parts,
+                settings ->
                     types(
-                        t,
-                        c ->
-                            c.consistency() == Consistency.STRONG
-                                ? as(c, c.idempotency(), 0, Consistency.EVENTUAL, 0)
-                                : c)));
+                        settings,
+                        requestClass ->
+                            requestClass.consistency() == Consistency.STRONG
+                                ? as(
+                                    requestClass,
+                                    requestClass.idempotency(),
+                                    0,
+                                    Consistency.EVENTUAL,
+                                    0)
+                                : requestClass)));
   }
 
   @Test
@@ -225,16 +241,21 @@
     caught(
         Rule.OWN_WRITES,
         scenario(ReplicaSetParameters.Check.SILENT, 300),
-        s ->
+        parts ->
             told(
-                s,
-                t ->
+                parts,
+                settings ->
                     types(
-                        t,
-                        c ->
-                            c.consistency() == Consistency.SESSION
-                                ? as(c, c.idempotency(), 0, Consistency.EVENTUAL, 0)
-                                : c)));
+                        settings,
+                        requestClass ->
+                            requestClass.consistency() == Consistency.SESSION
+                                ? as(
+                                    requestClass,
+                                    requestClass.idempotency(),
+                                    0,
+                                    Consistency.EVENTUAL,
+                                    0)
+                                : requestClass)));
   }
 
   private static Scenario carrying(
@@ -247,7 +268,7 @@
     caught(
         Rule.OWN_WRITES,
         carrying(ReplicaSetParameters.Check.SILENT, 300),
-        s -> tampered(s, null, null, ",after=", ",aftex="));
+        parts -> tampered(parts, null, null, ",after=", ",aftex="));
   }
 
   @Test
@@ -255,18 +276,18 @@
     caught(
         Rule.DRAIN,
         carrying(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
-        s -> {
-          GatewayConfig c = s.config();
-          return s.withConfig(
+        parts -> {
+          GatewayConfig config = parts.config();
+          return parts.withConfig(
               new GatewayConfig(
-                  c.name(),
-                  c.listenAddress(),
+                  config.name(),
+                  config.listenAddress(),
                   new InetSocketAddress("10.255.0.1", 9),
-                  c.seed(),
-                  c.maxSockets(),
-                  c.maxOpenRequests(),
-                  c.settings(),
-                  c.knownEndpoints()));
+                  config.seed(),
+                  config.maxSockets(),
+                  config.maxOpenRequests(),
+                  config.settings(),
+                  config.knownEndpoints()));
         });
   }
 
@@ -275,10 +296,10 @@
     caught(
         Rule.DRAIN,
         scenario(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
-        s -> {
+        parts -> {
           // It does not read that the box drains.
-          s.channels().tamper(b -> b, replacing("Terminating", "Ready      "));
-          return s.unmodified();
+          parts.channels().tamper(bytes -> bytes, replacing("Terminating", "Ready      "));
+          return parts.unmodified();
         });
   }
 
@@ -288,24 +309,24 @@
     caught(
         Rule.COLD,
         scenario(ReplicaSetParameters.Check.WAIT, 0.6, 900, faults),
-        s ->
+        parts ->
             told(
-                s,
-                t ->
+                parts,
+                settings ->
                     with(
-                        t,
-                        t.requestClasses(),
-                        t.consistency().lagCheck(),
+                        settings,
+                        settings.requestClasses(),
+                        settings.consistency().lagCheck(),
                         new SafetyRules(
-                            t.safetyRules().drainGraceMicros(),
+                            settings.safetyRules().drainGraceMicros(),
                             1,
                             0,
                             100,
-                            t.safetyRules().overloadWindowMicros(),
+                            settings.safetyRules().overloadWindowMicros(),
                             false,
-                            t.safetyRules().pollIntervalMicros(),
-                            t.safetyRules().responseSlackMicros()),
-                        t.limits())));
+                            settings.safetyRules().pollIntervalMicros(),
+                            settings.safetyRules().responseSlackMicros()),
+                        settings.limits())));
   }
 
   @Test
@@ -318,33 +339,34 @@
     caught(
         Rule.CLASS_PERMITS,
         scenario(ReplicaSetParameters.Check.WAIT, 500, faults),
-        s ->
+        parts ->
             told(
-                s,
-                t ->
+                parts,
+                settings ->
                     types(
-                        t,
-                        c ->
-                            c.idempotency() == Idempotency.NON_IDEMPOTENT
-                                ? as(c, Idempotency.IDEMPOTENT, 0, Consistency.WRITE, 0)
-                                : c)));
+                        settings,
+                        requestClass ->
+                            requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                                ? as(requestClass, Idempotency.IDEMPOTENT, 0, Consistency.WRITE, 0)
+                                : requestClass)));
     caught(
         Rule.NO_DOUBLE_EFFECT,
         scenario(ReplicaSetParameters.Check.WAIT, 500, faults),
-        s -> {
+        parts -> {
           // A key that is another each time it is sent.
           int[] sent = {0};
-          s.channels()
+          parts
+              .channels()
               .tamper(
-                  b -> {
-                    String text = new String(b, ISO_8859_1);
+                  bytes -> {
+                    String text = new String(bytes, ISO_8859_1);
                     return text.contains("INSERT")
                         ? text.replaceFirst("k=kg", "k=k" + (char) ('h' + sent[0]++ % 9))
                             .getBytes(ISO_8859_1)
-                        : b;
+                        : bytes;
                   },
-                  b -> b);
-          return s.unmodified();
+                  bytes -> bytes);
+          return parts.unmodified();
         });
   }
 
@@ -357,21 +379,21 @@
       fault(2, FaultKind.SLOW_BOX, 18, 1), fault(2.2, FaultKind.KILL_PRIMARY, 0, 1)
     };
     Function<FleetSimulation.GatewayParts, Gateway> broken =
-        s ->
+        parts ->
             told(
-                s,
-                t ->
+                parts,
+                settings ->
                     types(
-                        t,
-                        c ->
-                            c.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        settings,
+                        requestClass ->
+                            requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                                 ? as(
-                                    c,
+                                    requestClass,
                                     Idempotency.IDEMPOTENCY_KEY,
                                     10 * SECOND,
                                     Consistency.WRITE,
                                     0)
-                                : c));
+                                : requestClass));
     int found = 0;
     for (int seed = 1; seed <= 12; seed++) {
       Scenario day = scenario(ReplicaSetParameters.Check.WAIT, 300, faults).withSeed(seed);
@@ -380,7 +402,7 @@
       found +=
           (int)
               FleetSimulation.run(day, broken, line -> {}).violations().stream()
-                  .filter(v -> v.rule() == Rule.CLASS_PERMITS)
+                  .filter(violation -> violation.rule() == Rule.CLASS_PERMITS)
                   .count();
     }
     assertTrue(found > 0, "caught on none of the seeds");
@@ -393,9 +415,9 @@
     caught(
         Rule.ONE_ATTEMPT_OUT,
         scenario(ReplicaSetParameters.Check.WAIT, 500, fault(2, FaultKind.SLOW_BOX, 16, 4)),
-        s -> {
-          s.channels().keepPeersOpen();
-          return s.unmodified();
+        parts -> {
+          parts.channels().keepPeersOpen();
+          return parts.unmodified();
         });
   }
 
@@ -404,7 +426,7 @@
     caught(
         Rule.RIGHT_VALUE,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
-        s -> tampered(s, null, null, "r1", "r2"));
+        parts -> tampered(parts, null, null, "r1", "r2"));
   }
 
   @Test
@@ -412,7 +434,7 @@
     caught(
         Rule.NOTHING_LOST,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
-        s -> tampered(s, "c=map-write,", "c=map-read, ", null, null));
+        parts -> tampered(parts, "c=map-write,", "c=map-read, ", null, null));
   }
 
   @Test
@@ -420,7 +442,7 @@
     caught(
         Rule.TRUE_REFUSAL,
         scenario(ReplicaSetParameters.Check.WAIT, 500, fault(2, FaultKind.SPOIL_BOX, 0, 4)),
-        s -> tampered(s, "C40003", "C53300", null, null));
+        parts -> tampered(parts, "C40003", "C53300", null, null));
   }
 
   @Test
@@ -428,16 +450,17 @@
     caught(
         Rule.ONE_ANSWER,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
-        s -> {
+        parts -> {
           int[] count = {0};
-          s.channels()
+          parts
+              .channels()
               .tamper(
-                  b ->
-                      new String(b, ISO_8859_1).contains("SELECT 1") && ++count[0] % 50 == 0
+                  bytes ->
+                      new String(bytes, ISO_8859_1).contains("SELECT 1") && ++count[0] % 50 == 0
                           ? new byte[0]
-                          : b,
-                  b -> b);
-          return s.unmodified();
+                          : bytes,
+                  bytes -> bytes);
+          return parts.unmodified();
         });
   }
 
@@ -446,15 +469,16 @@
     caught(
         Rule.ONE_ANSWER,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
-        s -> {
-          s.channels()
+        parts -> {
+          parts
+              .channels()
               .tamper(
-                  b -> {
-                    String text = new String(b, ISO_8859_1);
+                  bytes -> {
+                    String text = new String(bytes, ISO_8859_1);
                     return (text.contains("SELECT 1") ? text + text : text).getBytes(ISO_8859_1);
                   },
-                  b -> b);
-          return s.unmodified();
+                  bytes -> bytes);
+          return parts.unmodified();
         });
   }
 
@@ -464,7 +488,7 @@
     caught(
         Rule.IN_TIME,
         scenario(ReplicaSetParameters.Check.WAIT, 300, fault(2, FaultKind.VANISH_BOX, 0, 9)),
-        s -> tampered(s, null, null, ",d=3000,", ",d=3085,"));
+        parts -> tampered(parts, null, null, ",d=3000,", ",d=3085,"));
   }
 
   @Test
@@ -472,9 +496,9 @@
     caught(
         Rule.NOTHING_LEFT,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
-        s -> {
-          s.network().budget().tryAcquire(100);
-          return s.unmodified();
+        parts -> {
+          parts.network().budget().tryAcquire(100);
+          return parts.unmodified();
         });
   }
 
@@ -483,9 +507,9 @@
     caught(
         Rule.NO_FAULT,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
-        s -> {
-          s.network().counters().add(shelffront.net.Counters.Name.FAULTS);
-          return s.unmodified();
+        parts -> {
+          parts.network().counters().add(shelffront.net.Counters.Name.FAULTS);
+          return parts.unmodified();
         });
   }
 }
