--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
@@ -323,8 +323,8 @@
   private final class EffectCounter implements ReplicaSetModel.Observer {
 
     @Override
-    public void executionStarted(ReplicaSetModel.Host host, Query query) {
-      Host host = hosts.get(host.id());
+    public void executionStarted(ReplicaSetModel.Host model, Query query) {
+      Host host = hosts.get(model.id());
       host.lastStartNanos = System.nanoTime();
       host.startedCount.incrementAndGet();
     }
@@ -344,8 +344,8 @@
 
     @Override
     public void primaryChanged(
-        ReplicaSetModel.Host host, ReplicaSetModel.Host before, List<Effect> lost) {
-      hosts.values().forEach(host -> host.primary = host.model == host);
+        ReplicaSetModel.Host primary, ReplicaSetModel.Host before, List<Effect> lost) {
+      hosts.values().forEach(host -> host.primary = host.model == primary);
       primaryListener.accept(EmulatedReplicaSet.this);
     }
   }
--- a/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
@@ -202,7 +202,7 @@
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     replicaSet.hosts().forEach(b -> b.setSilent(true));
     start(tenant("airport", replicaSet));
-    int idle = gateway.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
+    int idle = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
     Client read = new Client("airport", null);
     Client write = new Client("airport", null);
     Client half = new Client("airport", null);
@@ -236,12 +236,12 @@
     }
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
     MultiTenantGateway.HeldResources held =
-        gateway.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
+        hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     while (replicaSet.connectionCount() > 0 || held.deadlines() > idle || held.bufferBytes() > 0) {
       assertTrue(
           System.nanoTime() < end,
           replicaSet.connectionCount() + " connections to boxes and " + held + " stay");
-      held = gateway.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
+      held = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
     }
     Client late = new Client("airport", "x");
     assertEquals(List.of("3D000"), late.answers());
