--- /dev/null
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
@@ -0,0 +1,186 @@
+package shelffront.rolloutcontrol;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import shelffront.coordination.CoordinationException;
+import shelffront.net.EventLog;
+import shelffront.rollout.LeaseTimings;
+import shelffront.rollout.RolloutLeader;
+import shelffront.rollout.RolloutState;
+
+/**
+ * Tries to lead the fleet's rollouts, and advances the subjects while it does.
+ *
+ * <p>The leader is found by a key that its holder writes anew in time; who sees it unchanged for
+ * long enough takes it over. That saves the coordination store work and no more: what keeps stages
+ * apart is in {@link RolloutLeader} and does not rest on there being one leader.
+ *
+ * <p>Threads: {@link #run} has one of its own, which alone touches the state here; others read
+ * whether it leads, and call {@link #wake}.
+ */
+final class LeadershipLoop implements Runnable {
+
+  private static final String ERROR_SOURCE = "owner";
+
+  /** Of the suspicion time: a leader's key that is unchanged for so long is taken over. */
+  private static final int TAKEOVER_FACTOR = 2;
+
+  /** Between reads while a subject is on its way, at most. */
+  private static final long MAX_POLL_MICROS = 100_000;
+
+  /** Reads while a subject is on its way, in the time between two renewals. */
+  private static final int POLLS_PER_RENEWAL = 4;
+
+  private static final long MICROS_PER_MILLI = 1000;
+
+  private final Collection<Subject> subjects;
+  private final LeaseTimings timings;
+  private final RolloutStore store;
+  private final WorkerThreads threads;
+  private final ErrorReporter errors;
+  private final RolloutHistory history;
+  private final EventLog log;
+  private final Map<Subject, RolloutLeader> leaders = new HashMap<>();
+  private long leaderKeyIndex;
+  private long leaderKeySinceMicros;
+  private long heartbeat;
+  private volatile boolean leads;
+
+  LeadershipLoop(
+      Collection<Subject> subjects,
+      LeaseTimings timings,
+      RolloutStore store,
+      WorkerThreads threads,
+      ErrorReporter errors,
+      RolloutHistory history,
+      EventLog log) {
+    this.subjects = subjects;
+    this.timings = timings;
+    this.store = store;
+    this.threads = threads;
+    this.errors = errors;
+    this.history = history;
+    this.log = log;
+  }
+
+  /** Whether this gateway leads, as far as it knows. */
+  boolean leads() {
+    return leads;
+  }
+
+  /** Has the thread look at the subjects at once. */
+  synchronized void wake() {
+    notifyAll();
+  }
+
+  @Override
+  public void run() {
+    leaderKeySinceMicros = MonotonicClock.nowMicros();
+    while (!threads.isClosed()) {
+      long wakeAtMicros = MonotonicClock.nowMicros() + timings.renewIntervalMicros();
+      try {
+        renewOrTakeOver();
+        if (leads) {
+          for (Subject subject : subjects) {
+            wakeAtMicros = Math.min(wakeAtMicros, lead(subject));
+          }
+        }
+        errors.clear(ERROR_SOURCE);
+      } catch (CoordinationException e) {
+        errors.report(ERROR_SOURCE, e);
+      }
+      synchronized (this) {
+        threads.pause(this, wakeAtMicros);
+      }
+    }
+  }
+
+  private void renewOrTakeOver() throws CoordinationException {
+    RolloutStore.LeaderKey key = store.readLeader();
+    if (key.index() != leaderKeyIndex) {
+      leaderKeyIndex = key.index();
+      leaderKeySinceMicros = MonotonicClock.nowMicros();
+    }
+    boolean led = leads;
+    leads = (key.isOwn() || isFree(key)) && store.writeLeader(key.index(), ++heartbeat);
+    if (leads != led) {
+      log.println(leads ? "owns the fleet's stages" : "owns the fleet's stages no longer");
+      leaders.clear(); // what was seen before tells nothing of the time between
+      subjects.forEach(subject -> subject.setBlockingMembers(List.of()));
+    }
+  }
+
+  private boolean isFree(RolloutStore.LeaderKey key) {
+    long unchangedMicros = MonotonicClock.nowMicros() - leaderKeySinceMicros;
+    return key.index() == 0 || unchangedMicros > TAKEOVER_FACTOR * timings.suspectAfterMicros();
+  }
+
+  /** Reads a subject and does what is due; gives when to read it again. */
+  private long lead(Subject subject) throws CoordinationException {
+    Optional<RolloutStore.VersionedState> read = store.readState(subject);
+    if (read.isEmpty()) {
+      store.writeState(subject, 0, RolloutCoordinator.FIRST_STATE);
+      return MonotonicClock.nowMicros();
+    }
+    // The members after the state: see RolloutLeader.onRead.
+    Map<String, RolloutLeader.VersionedMember> members = store.readMembers(subject);
+    RolloutState state = read.get().state();
+    RolloutLeader leader =
+        leaders
+            .getOrDefault(subject, RolloutLeader.fresh(timings))
+            .onRead(MonotonicClock.nowMicros(), state, read.get().index(), members);
+    leaders.put(subject, leader.withoutActions());
+    subject.setBlockingMembers(
+        leader.blockingMembers().stream()
+            .map(memberKey -> store.memberName(subject, memberKey))
+            .toList());
+    for (RolloutLeader.Action action : leader.actions()) {
+      perform(subject, action);
+    }
+    return state.stage() == state.target() ? leader.wakeAt() : nextPollMicros();
+  }
+
+  private long nextPollMicros() {
+    long pollMicros = Math.min(timings.renewIntervalMicros() / POLLS_PER_RENEWAL, MAX_POLL_MICROS);
+    return MonotonicClock.nowMicros() + pollMicros;
+  }
+
+  private void perform(Subject subject, RolloutLeader.Action action) throws CoordinationException {
+    if (action instanceof RolloutLeader.Advance advance) {
+      advance(subject, advance);
+    } else if (action instanceof RolloutLeader.Revoke revoke) {
+      revoke(revoke);
+    } else if (action instanceof RolloutLeader.RemoveMember remove) {
+      store.removeMember(remove.memberKey(), remove.expectedIndex());
+    }
+  }
+
+  private void advance(Subject subject, RolloutLeader.Advance advance)
+      throws CoordinationException {
+    RolloutState newState = advance.newState();
+    if (store.writeState(subject, advance.expectedIndex(), newState)) {
+      history.recordAdvance(store.instance(), subject.name(), newState, MonotonicClock.nowMicros());
+      log.println(
+          "moved "
+              + subject.name()
+              + " to "
+              + subject.stageName(newState.stage())
+              + ", epoch "
+              + newState.epoch());
+    }
+  }
+
+  private void revoke(RolloutLeader.Revoke revoke) throws CoordinationException {
+    if (store.revoke(revoke.memberKey(), revoke.expectedIndex(), revoke.revoked())) {
+      log.println(
+          "revoked "
+              + revoke.memberKey()
+              + ", which did not renew; its lease may run for "
+              + timings.leaseExpiryBoundMicros() / MICROS_PER_MILLI
+              + " ms");
+    }
+  }
+}
--- a/gateway/src/main/java/shelffront/rolloutcontrol/OpenOperations.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/OpenOperations.java
@@ -1,23 +1,27 @@
 package shelffront.rolloutcontrol;
 
+import java.util.Map;
 import java.util.concurrent.ConcurrentSkipListMap;
 
-/** Counts the acts that go on under each epoch; any thread may call, none waits. */
+/** Counts the operations that are open under each epoch. Threads: any may call, none waits. */
 final class OpenOperations {
 
-  private final ConcurrentSkipListMap<Long, Integer> counts = new ConcurrentSkipListMap<>();
+  /** The oldest epoch where nothing is open. */
+  static final long NONE = Long.MAX_VALUE;
+
+  private final ConcurrentSkipListMap<Long, Integer> countByEpoch = new ConcurrentSkipListMap<>();
 
   void enter(long epoch) {
-    counts.merge(epoch, 1, Integer::sum);
+    countByEpoch.merge(epoch, 1, Integer::sum);
   }
 
   void leave(long epoch) {
-    counts.computeIfPresent(epoch, (e, count) -> count == 1 ? null : count - 1);
+    countByEpoch.computeIfPresent(epoch, (key, count) -> count == 1 ? null : count - 1);
   }
 
-  /** The oldest epoch under which something goes on; the greatest number where nothing does. */
-  long oldest() {
-    var first = counts.firstEntry();
-    return first == null ? Long.MAX_VALUE : first.getKey();
+  /** The oldest epoch under which an operation is open; {@link #NONE} where none is. */
+  long oldestEpoch() {
+    Map.Entry<Long, Integer> first = countByEpoch.firstEntry();
+    return first == null ? NONE : first.getKey();
   }
 }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
@@ -34,7 +34,7 @@
     int shards,
     Path historyFile) {
 
-  private static final Set<String> NAMES =
+  private static final Set<String> FIELDS =
       Set.of(
           "engine",
           "fleet",
@@ -46,83 +46,119 @@
           "subjects",
           "shards",
           "history");
-  private static final String WORD = "[a-zA-Z0-9][a-zA-Z0-9_.-]{0,63}";
+  private static final String NAME_PATTERN = "[a-zA-Z0-9][a-zA-Z0-9_.-]{0,63}";
+  private static final String ADDRESS_PATTERN = "[0-9a-zA-Z.-]+:[0-9]{1,5}";
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final long MIN_LEASE_MILLIS = 300;
+  private static final long MAX_LEASE_MILLIS = 600_000;
+  private static final long DEFAULT_LEASE_MILLIS = 6_000;
+  private static final long MAX_OPERATION_MILLIS = 600_000;
+  private static final long DEFAULT_OPERATION_MILLIS = 3_000;
+  private static final long MAX_SUSPECT_MILLIS = 6_000_000;
+  private static final double MAX_CLOCK_DRIFT = 0.5;
+  private static final double DEFAULT_CLOCK_DRIFT = 0.01;
+  private static final int MAX_SHARDS = 64;
+  private static final int DEFAULT_SHARDS = 2;
+  private static final int MIN_STAGES = 2;
 
   /** Reads the object at a pointer; throws with the pointer to the first field at fault. */
-  public static RolloutConfig read(JsonNode o, String at) throws SpecException {
-    if (!o.isObject()) {
-      throw new SpecException(at, "is not an object");
+  public static RolloutConfig read(JsonNode json, String pointer) throws SpecException {
+    if (!json.isObject()) {
+      throw new SpecException(pointer, "is not an object");
     }
-    TenantSpecCodec.onlyFields(o, at, NAMES);
-    String engine = o.path("engine").asText();
-    if (!engine.matches("[0-9a-zA-Z.-]+:[0-9]{1,5}")) {
-      throw new SpecException(at + "/engine", "is not an address host:port");
+    TenantSpecCodec.onlyFields(json, pointer, FIELDS);
+    String engine = json.path("engine").asText();
+    if (!engine.matches(ADDRESS_PATTERN)) {
+      throw new SpecException(pointer + "/engine", "is not an address host:port");
     }
     int colon = engine.lastIndexOf(':');
-    long lease = number(o, at, "leaseMs", 300, 600_000, 6_000);
-    LeaseTimings bounds =
-        new LeaseTimings(
-            lease * 1000,
-            number(o, at, "actMs", 0, 600_000, 3_000) * 1000,
-            drift(o, at),
-            number(o, at, "suspectMs", lease, 6_000_000, lease) * 1000);
-    Map<String, List<String>> subjects = new LinkedHashMap<>();
-    for (Iterator<Map.Entry<String, JsonNode>> each = o.path("subjects").fields();
-        each.hasNext(); ) {
-      Map.Entry<String, JsonNode> subject = each.next();
-      subjects.put(
-          word(subject.getKey(), at + "/subjects"),
-          stages(subject.getValue(), at + "/subjects/" + subject.getKey()));
-    }
-    if (subjects.isEmpty()) {
-      throw new SpecException(at + "/subjects", "names no subject");
-    }
+    LeaseTimings leaseTimings = leaseTimings(json, pointer);
+    Map<String, List<String>> stagesBySubject =
+        stagesBySubject(json.path("subjects"), pointer + "/subjects");
     return new RolloutConfig(
         engine.substring(0, colon),
         Integer.parseInt(engine.substring(colon + 1)),
-        word(o.path("fleet").asText(), at + "/fleet"),
-        word(o.path("name").asText(), at + "/name"),
-        bounds,
-        subjects,
-        (int) number(o, at, "shards", 1, 64, 2),
-        o.has("history") ? Path.of(o.path("history").asText()) : null);
+        name(json.path("fleet").asText(), pointer + "/fleet"),
+        name(json.path("name").asText(), pointer + "/name"),
+        leaseTimings,
+        stagesBySubject,
+        (int) wholeNumber(json, pointer, "shards", new Range(1, MAX_SHARDS, DEFAULT_SHARDS)),
+        json.has("history") ? Path.of(json.path("history").asText()) : null);
+  }
+
+  private static LeaseTimings leaseTimings(JsonNode json, String pointer) throws SpecException {
+    Range leaseRange = new Range(MIN_LEASE_MILLIS, MAX_LEASE_MILLIS, DEFAULT_LEASE_MILLIS);
+    long leaseMillis = wholeNumber(json, pointer, "leaseMs", leaseRange);
+    Range operationRange = new Range(0, MAX_OPERATION_MILLIS, DEFAULT_OPERATION_MILLIS);
+    Range suspectRange = new Range(leaseMillis, MAX_SUSPECT_MILLIS, leaseMillis);
+    return new LeaseTimings(
+        leaseMillis * MICROS_PER_MILLI,
+        wholeNumber(json, pointer, "actMs", operationRange) * MICROS_PER_MILLI,
+        clockDrift(json, pointer),
+        wholeNumber(json, pointer, "suspectMs", suspectRange) * MICROS_PER_MILLI);
+  }
+
+  private static Map<String, List<String>> stagesBySubject(JsonNode subjects, String pointer)
+      throws SpecException {
+    Map<String, List<String>> stagesBySubject = new LinkedHashMap<>();
+    Iterator<Map.Entry<String, JsonNode>> fields = subjects.fields();
+    while (fields.hasNext()) {
+      Map.Entry<String, JsonNode> subject = fields.next();
+      stagesBySubject.put(
+          name(subject.getKey(), pointer),
+          stages(subject.getValue(), pointer + "/" + subject.getKey()));
+    }
+    if (stagesBySubject.isEmpty()) {
+      throw new SpecException(pointer, "names no subject");
+    }
+    return stagesBySubject;
   }
 
-  private static List<String> stages(JsonNode list, String at) throws SpecException {
+  private static List<String> stages(JsonNode list, String pointer) throws SpecException {
     List<String> stages = new ArrayList<>();
     for (JsonNode stage : list) {
-      stages.add(word(stage.asText(), at + "/" + stages.size()));
+      stages.add(name(stage.asText(), pointer + "/" + stages.size()));
     }
-    if (stages.size() < 2 || new HashSet<>(stages).size() < stages.size()) {
-      throw new SpecException(at, "is not a list of two stages or more, each of another name");
+    if (stages.size() < MIN_STAGES || new HashSet<>(stages).size() < stages.size()) {
+      throw new SpecException(pointer, "is not a list of two stages or more, each of another name");
     }
     return List.copyOf(stages);
   }
 
-  private static String word(String text, String at) throws SpecException {
-    if (!text.matches(WORD)) {
-      throw new SpecException(at, "is not a name of letters, digits, dots, dashes and underscores");
+  private static String name(String text, String pointer) throws SpecException {
+    if (!text.matches(NAME_PATTERN)) {
+      throw new SpecException(
+          pointer, "is not a name of letters, digits, dots, dashes and underscores");
     }
     return text;
   }
 
-  private static double drift(JsonNode o, String at) throws SpecException {
-    JsonNode value = o.path("drift");
-    if (!value.isMissingNode()
-        && !(value.isNumber() && value.asDouble() >= 0 && value.asDouble() <= 0.5)) {
-      throw new SpecException(at + "/drift", "is not a number from 0 to 0.5");
+  private static double clockDrift(JsonNode json, String pointer) throws SpecException {
+    JsonNode value = json.path("drift");
+    boolean isInRange =
+        value.isNumber() && value.asDouble() >= 0 && value.asDouble() <= MAX_CLOCK_DRIFT;
+    if (!value.isMissingNode() && !isInRange) {
+      throw new SpecException(pointer + "/drift", "is not a number from 0 to 0.5");
+    }
+    return value.asDouble(DEFAULT_CLOCK_DRIFT);
+  }
+
+  /** What a whole number may be, and what it is where it is absent. */
+  private record Range(long least, long most, long absent) {
+
+    boolean contains(JsonNode value) {
+      return value.isIntegralNumber() && value.asLong() >= least && value.asLong() <= most;
     }
-    return value.asDouble(0.01);
   }
 
-  private static long number(JsonNode o, String at, String name, long least, long most, long absent)
+  private static long wholeNumber(JsonNode json, String pointer, String field, Range range)
       throws SpecException {
-    JsonNode value = o.path(name);
-    if (!value.isMissingNode()
-        && !(value.isIntegralNumber() && value.asLong() >= least && value.asLong() <= most)) {
+    JsonNode value = json.path(field);
+    if (!value.isMissingNode() && !range.contains(value)) {
       throw new SpecException(
-          at + "/" + name, "is not a whole number from " + least + " to " + most);
+          pointer + "/" + field,
+          "is not a whole number from " + range.least() + " to " + range.most());
     }
-    return value.asLong(absent);
+    return value.asLong(range.absent());
   }
 }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutHistory.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutHistory.java
@@ -13,13 +13,14 @@
 /**
  * What came into force here and when, a JSON object a line, for whoever holds a fleet's histories
  * against each other. Times are microseconds of this machine's monotonic clock. A line is in the
- * file when its method returns.
+ * file when its method returns; an {@link UncheckedIOException} says that it is not. Any thread may
+ * call.
  */
 public final class RolloutHistory implements AutoCloseable {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final Writer out; // null: nobody wants it
+  private final Writer out; // null: nothing is recorded
 
   private RolloutHistory(Writer out) {
     this.out = out;
@@ -33,29 +34,30 @@
             : Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
   }
 
-  void force(String who, String subject, RolloutState standing, long until, long now) {
-    ObjectNode line = line(now, who, standing == null ? "safe" : "force", subject, standing);
-    if (standing != null) {
-      line.put("until", until);
+  /** What is in force from now until a time; a state of null: the safe stage. */
+  void recordInForce(
+      String instance, String subject, RolloutState state, long untilMicros, long nowMicros) {
+    ObjectNode line = line(nowMicros, instance, state == null ? "safe" : "force", subject, state);
+    if (state != null) {
+      line.put("until", untilMicros);
     }
     write(line);
   }
 
-  void moved(String who, String subject, RolloutState to, long now) {
-    write(line(now, who, "move", subject, to));
+  /** The leader has advanced a subject. */
+  void recordAdvance(String instance, String subject, RolloutState newState, long nowMicros) {
+    write(line(nowMicros, instance, "move", subject, newState));
   }
 
   private static ObjectNode line(
-      long now, String who, String what, String subject, RolloutState standing) {
+      long nowMicros, String instance, String event, String subject, RolloutState state) {
     ObjectNode line =
         JSON.createObjectNode()
-            .put("at", now)
-            .put("who", who)
-            .put("what", what)
+            .put("at", nowMicros)
+            .put("who", instance)
+            .put("what", event)
             .put("subject", subject);
-    return standing == null
-        ? line
-        : line.put("epoch", standing.epoch()).put("stage", standing.stage());
+    return state == null ? line : line.put("epoch", state.epoch()).put("stage", state.stage());
   }
 
   private synchronized void write(ObjectNode line) {
--- /dev/null
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
@@ -0,0 +1,75 @@
+package shelffront.rolloutcontrol;
+
+import java.util.List;
+import shelffront.coordination.CoordinationException;
+import shelffront.rollout.LeaseTimings;
+
+/**
+ * Watches where subjects stand, and has those that changed read at once. A watch that breaks or
+ * says nothing is begun anew; leases are kept without it. Threads: {@link #run} has one of its own.
+ */
+final class StateWatcher implements Runnable {
+
+  private static final String ERROR_SOURCE = "watch";
+
+  /** After a failure it tries again within this part of the time between renewals. */
+  private static final int RETRIES_PER_RENEWAL = 4;
+
+  private final List<LeaseKeeper> keepers;
+  private final LeadershipLoop leadership;
+  private final LeaseTimings timings;
+  private final RolloutStore store;
+  private final WorkerThreads threads;
+  private final ErrorReporter errors;
+
+  StateWatcher(
+      List<LeaseKeeper> keepers,
+      LeadershipLoop leadership,
+      LeaseTimings timings,
+      RolloutStore store,
+      WorkerThreads threads,
+      ErrorReporter errors) {
+    this.keepers = keepers;
+    this.leadership = leadership;
+    this.timings = timings;
+    this.store = store;
+    this.threads = threads;
+    this.errors = errors;
+  }
+
+  @Override
+  public void run() {
+    long index = 0;
+    while (!threads.isClosed()) {
+      try {
+        index = watch(index);
+      } catch (CoordinationException e) {
+        errors.report(ERROR_SOURCE, e);
+        index = 0;
+        pauseAfterFailure();
+      }
+    }
+  }
+
+  /** Waits for a change after an index; gives the index to watch from next. */
+  private long watch(long lastIndex) throws CoordinationException {
+    long index = store.awaitStates(lastIndex);
+    errors.clear(ERROR_SOURCE);
+    if (index < lastIndex) {
+      index = 0; // the store began anew
+    }
+    if (index != lastIndex) {
+      for (LeaseKeeper keeper : keepers) {
+        keeper.readStates();
+        keeper.wake();
+      }
+      leadership.wake();
+    }
+    return index;
+  }
+
+  private synchronized void pauseAfterFailure() {
+    threads.pause(
+        this, MonotonicClock.nowMicros() + timings.renewIntervalMicros() / RETRIES_PER_RENEWAL);
+  }
+}
--- /dev/null
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/WorkerThreads.java
@@ -0,0 +1,72 @@
+package shelffront.rolloutcontrol;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import shelffront.net.EventLog;
+
+/**
+ * The threads of one coordinator. Invariant: once it is closed, {@link #pause} returns at once, so
+ * that every loop ends at its next turn.
+ */
+final class WorkerThreads implements AutoCloseable {
+
+  private static final long MIN_PAUSE_MILLIS = 20;
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final long JOIN_SECONDS = 2;
+
+  private final EventLog log;
+  private final List<Thread> threads = new ArrayList<>();
+  private volatile boolean closed;
+
+  WorkerThreads(EventLog log) {
+    this.log = log;
+  }
+
+  /** Starts a daemon; a fault ends it, with a line in the log. */
+  void start(String name, Runnable task) {
+    Thread thread = new Thread(() -> runLogged(name, task), name);
+    thread.setDaemon(true);
+    threads.add(thread);
+    thread.start();
+  }
+
+  private void runLogged(String name, Runnable task) {
+    try {
+      task.run();
+    } catch (RuntimeException e) {
+      log.println(name + " has ended, what it kept in force lapses: " + e);
+    }
+  }
+
+  boolean isClosed() {
+    return closed;
+  }
+
+  /** Waits until the time comes or the monitor is notified; the caller holds the monitor. */
+  void pause(Object monitor, long untilMicros) {
+    long leftMicros = untilMicros - MonotonicClock.nowMicros();
+    try {
+      if (!closed) {
+        monitor.wait(Math.max(MIN_PAUSE_MILLIS, leftMicros / MICROS_PER_MILLI));
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      closed = true;
+    }
+  }
+
+  /** Interrupts the threads and waits for each a bounded time. */
+  @Override
+  public void close() {
+    closed = true;
+    threads.forEach(Thread::interrupt);
+    for (Thread thread : threads) {
+      try {
+        thread.join(TimeUnit.SECONDS.toMillis(JOIN_SECONDS));
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+      }
+    }
+  }
+}
--- a/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
@@ -64,7 +64,7 @@
       assertNull(stages.beginOperation("s"));
       stages.start();
       awaitLine(log, "stage of s is one");
-      RolloutCoordinator.Operation act = stages.beginOperation("s");
+      Operation act = stages.beginOperation("s");
       assertEquals(1, act.state().epoch());
       stages.requestStage("s", "three");
       awaitLine(log, "stage of s is two");
