--- a/gateway/src/main/java/shelffront/controlplane/DistributionException.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionException.java
@@ -93,6 +93,7 @@
 
     private static final long serialVersionUID = 1L;
 
+    /** Its text is always the same. */
     public NoEngine() {
       super(
           "no-engine",
--- a/gateway/src/main/java/shelffront/controlplane/DistributionMessages.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionMessages.java
@@ -1,102 +1,98 @@
 package shelffront.controlplane;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
 import shelffront.controlplane.DistributionException.DistributionGarbled;
 import shelffront.distribution.RecordChange;
-import shelffront.distribution.Staleness;
 import shelffront.distribution.Update;
 import shelffront.distribution.Version;
 
 /**
- * What subscribers and distributors say to each other, and its form as JSON. Ages are microseconds
- * here.
+ * The messages between subscribers and distributors, each with its JSON form. Reading throws {@link
+ * DistributionGarbled} where the text is not such a message. All are immutable.
  */
 final class DistributionMessages {
 
-  static final ObjectMapper JSON = new ObjectMapper();
-  private static final long NO_AGE = -1; // on the wire: the view was never confirmed
-
   private DistributionMessages() {}
 
   /** Whom a subscription is for, and what it follows. */
   record Subscribe(String subscriber, boolean all, long edition, List<String> names) {
 
-    byte[] bytes() {
-      ObjectNode o =
-          JSON.createObjectNode()
+    byte[] toJson() {
+      ObjectNode json =
+          DistributionJson.newObject()
               .put("subscriber", subscriber)
               .put("all", all)
               .put("edition", edition);
-      put(o.putArray("names"), names);
-      return DistributionMessages.bytes(o);
+      DistributionJson.putTexts(json.putArray("names"), names);
+      return DistributionJson.bytes(json);
     }
 
-    static Subscribe read(byte[] text) throws DistributionGarbled {
-      JsonNode o = object(text);
+    static Subscribe fromJson(byte[] text) throws DistributionGarbled {
+      JsonNode json = DistributionJson.parseObject(text);
       return new Subscribe(
-          o.path("subscriber").asText(),
-          o.path("all").asBoolean(),
-          o.path("edition").asLong(),
-          strings(o.path("names")));
+          json.path("subscriber").asText(),
+          json.path("all").asBoolean(),
+          json.path("edition").asLong(),
+          DistributionJson.readTexts(json.path("names")));
     }
   }
 
-  /** The name of a subscription that was made. */
+  /** The id of a subscription that was made. */
   record Subscribed(String subscription) {
 
-    byte[] bytes() {
-      return DistributionMessages.bytes(JSON.createObjectNode().put("subscription", subscription));
+    byte[] toJson() {
+      return DistributionJson.bytes(DistributionJson.newObject().put("subscription", subscription));
     }
 
-    static Subscribed read(byte[] text) throws DistributionGarbled {
-      JsonNode o = object(text);
-      if (!o.path("subscription").isTextual()) {
+    static Subscribed fromJson(byte[] text) throws DistributionGarbled {
+      JsonNode json = DistributionJson.parseObject(text);
+      if (!json.path("subscription").isTextual()) {
         throw new DistributionGarbled("an answer without a subscription", null);
       }
-      return new Subscribed(o.path("subscription").asText());
+      return new Subscribed(json.path("subscription").asText());
     }
   }
 
   /** Names that a subscription follows from an edition on, and such as it follows no longer. */
   record ChangeNames(long edition, List<String> add, List<String> remove) {
 
-    byte[] bytes() {
-      ObjectNode o = JSON.createObjectNode().put("edition", edition);
-      put(o.putArray("add"), add);
-      put(o.putArray("remove"), remove);
-      return DistributionMessages.bytes(o);
+    byte[] toJson() {
+      ObjectNode json = DistributionJson.newObject().put("edition", edition);
+      DistributionJson.putTexts(json.putArray("add"), add);
+      DistributionJson.putTexts(json.putArray("remove"), remove);
+      return DistributionJson.bytes(json);
     }
 
-    static ChangeNames read(byte[] text) throws DistributionGarbled {
-      JsonNode o = object(text);
+    static ChangeNames fromJson(byte[] text) throws DistributionGarbled {
+      JsonNode json = DistributionJson.parseObject(text);
       return new ChangeNames(
-          o.path("edition").asLong(), strings(o.path("add")), strings(o.path("remove")));
+          json.path("edition").asLong(),
+          DistributionJson.readTexts(json.path("add")),
+          DistributionJson.readTexts(json.path("remove")));
     }
   }
 
   /**
    * The records of names that were added, as of a version; a name that is not among them has none.
    */
-  record Added(Version version, long age, List<RecordChange> records) {
-
-    byte[] bytes() {
-      ObjectNode o = JSON.createObjectNode();
-      put(o.putObject("version"), version);
-      putAge(o, age);
-      putChanges(o.putArray("records"), records);
-      return DistributionMessages.bytes(o);
+  record Added(Version version, long ageMicros, List<RecordChange> records) {
+
+    byte[] toJson() {
+      ObjectNode json = DistributionJson.newObject();
+      DistributionJson.putVersion(json.putObject("version"), version);
+      DistributionJson.putAge(json, ageMicros);
+      DistributionJson.putChanges(json.putArray("records"), records);
+      return DistributionJson.bytes(json);
     }
 
-    static Added read(byte[] text) throws DistributionGarbled {
-      JsonNode o = object(text);
-      return new Added(readVersion(o.path("version")), readAge(o), changes(o.path("records")));
+    static Added fromJson(byte[] text) throws DistributionGarbled {
+      JsonNode json = DistributionJson.parseObject(text);
+      return new Added(
+          DistributionJson.readVersion(json.path("version")),
+          DistributionJson.readAge(json),
+          DistributionJson.readChanges(json.path("records")));
     }
   }
 
@@ -104,118 +100,54 @@
    * The answer to a poll: what the subscriber lacks, for an edition of its names, and how old that
    * may be.
    */
-  record Polled(long edition, long age, Update update) {
-
-    byte[] bytes() {
-      ObjectNode o = JSON.createObjectNode().put("edition", edition);
-      putAge(o, age);
-      put(o.putObject("version"), update.version());
-      if (update instanceof Update.Changes c) {
-        put(o.putObject("after"), c.after());
-        putChanges(o.putArray("changes"), c.changes());
-      } else if (update instanceof Update.Snapshot s) {
-        putChanges(o.putArray("records"), s.records());
+  record Polled(long edition, long ageMicros, Update update) {
+
+    byte[] toJson() {
+      ObjectNode json = DistributionJson.newObject().put("edition", edition);
+      DistributionJson.putAge(json, ageMicros);
+      DistributionJson.putVersion(json.putObject("version"), update.version());
+      if (update instanceof Update.Changes changes) {
+        DistributionJson.putVersion(json.putObject("after"), changes.after());
+        DistributionJson.putChanges(json.putArray("changes"), changes.changes());
+      } else if (update instanceof Update.Snapshot snapshot) {
+        DistributionJson.putChanges(json.putArray("records"), snapshot.records());
       }
-      return DistributionMessages.bytes(o);
+      return DistributionJson.bytes(json);
+    }
+
+    static Polled fromJson(byte[] text) throws DistributionGarbled {
+      JsonNode json = DistributionJson.parseObject(text);
+      Update update = readUpdate(json);
+      return new Polled(json.path("edition").asLong(), DistributionJson.readAge(json), update);
     }
 
-    static Polled read(byte[] text) throws DistributionGarbled {
-      JsonNode o = object(text);
-      Version version = readVersion(o.path("version"));
-      Update update =
-          o.has("after")
-              ? new Update.Changes(
-                  readVersion(o.path("after")), version, changes(o.path("changes")))
-              : new Update.Snapshot(version, changes(o.path("records")));
-      return new Polled(o.path("edition").asLong(), readAge(o), update);
+    /** Only changes name the version that they come after. */
+    private static Update readUpdate(JsonNode json) throws DistributionGarbled {
+      Version version = DistributionJson.readVersion(json.path("version"));
+      return json.has("after")
+          ? new Update.Changes(
+              DistributionJson.readVersion(json.path("after")),
+              version,
+              DistributionJson.readChanges(json.path("changes")))
+          : new Update.Snapshot(version, DistributionJson.readChanges(json.path("records")));
     }
   }
 
   /** A record that could not be put in force. */
   record Rejected(String name, Version version, String reason) {
 
-    byte[] bytes() {
-      ObjectNode o = JSON.createObjectNode().put("name", name).put("reason", reason);
-      put(o.putObject("version"), version);
-      return DistributionMessages.bytes(o);
+    byte[] toJson() {
+      ObjectNode json = DistributionJson.newObject().put("name", name).put("reason", reason);
+      DistributionJson.putVersion(json.putObject("version"), version);
+      return DistributionJson.bytes(json);
     }
 
-    static Rejected read(byte[] text) throws DistributionGarbled {
-      JsonNode o = object(text);
+    static Rejected fromJson(byte[] text) throws DistributionGarbled {
+      JsonNode json = DistributionJson.parseObject(text);
       return new Rejected(
-          o.path("name").asText(), readVersion(o.path("version")), o.path("reason").asText());
-    }
-  }
-
-  static void put(ObjectNode o, Version version) {
-    o.put("incarnation", version.incarnation()).put("sequence", version.sequence());
-  }
-
-  static Version readVersion(JsonNode o) throws DistributionGarbled {
-    if (!o.path("incarnation").isIntegralNumber() || !o.path("sequence").isIntegralNumber()) {
-      throw new DistributionGarbled("a version is missing", null);
-    }
-    return new Version(o.path("incarnation").asLong(), o.path("sequence").asLong());
-  }
-
-  static void putChanges(ArrayNode list, List<RecordChange> changes) {
-    for (RecordChange change : changes) {
-      ObjectNode o = list.addObject().put("name", change.name());
-      put(o, change.version());
-      if (!change.isRemoval()) {
-        o.put("document", change.document());
-      }
-    }
-  }
-
-  static List<RecordChange> changes(JsonNode list) throws DistributionGarbled {
-    List<RecordChange> changes = new ArrayList<>();
-    for (JsonNode o : list) {
-      changes.add(
-          new RecordChange(
-              readVersion(o),
-              o.path("name").asText(),
-              o.has("document") ? o.path("document").asText() : null));
-    }
-    return changes;
-  }
-
-  private static void putAge(ObjectNode o, long age) {
-    o.put("ageMicros", age == Staleness.NEVER ? NO_AGE : age);
-  }
-
-  private static long readAge(JsonNode o) {
-    long age = o.path("ageMicros").asLong(NO_AGE);
-    return age < 0 ? Staleness.NEVER : age;
-  }
-
-  private static void put(ArrayNode list, List<String> texts) {
-    texts.forEach(list::add);
-  }
-
-  private static List<String> strings(JsonNode list) {
-    List<String> texts = new ArrayList<>();
-    list.forEach(t -> texts.add(t.asText()));
-    return texts;
-  }
-
-  static byte[] bytes(JsonNode node) {
-    try {
-      return JSON.writeValueAsBytes(node);
-    } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree of texts and numbers can always be written", e);
-    }
-  }
-
-  static JsonNode object(byte[] text) throws DistributionGarbled {
-    try {
-      JsonNode node = JSON.readTree(text);
-      if (node != null && node.isObject()) {
-        return node;
-      }
-    } catch (IOException e) {
-      throw new DistributionGarbled("not JSON: " + e.getMessage(), e);
+          json.path("name").asText(),
+          DistributionJson.readVersion(json.path("version")),
+          json.path("reason").asText());
     }
-    throw new DistributionGarbled("not a JSON object", null);
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
@@ -15,8 +15,8 @@
 import shelffront.net.EventLog;
 
 /**
- * The distributor's HTTP/1.1 listener. A poll that waits holds its connection and no thread: its
- * exchange is answered later, by whichever thread has the answer.
+ * The distributor's HTTP/1.1 listener: reads each call, has the {@link Distributor} answer it, and
+ * writes the answer.
  *
  * <pre>
  *   POST /v1/subscriptions                    Subscribe  -> 201 Subscribed, 503 not ready
@@ -26,15 +26,22 @@
  *   POST /v1/subscriptions/ID/rejected        Rejected   -> 204
  *   GET  /v1/status                                      -> 200
  * </pre>
+ *
+ * <p>Threads: calls are read on those of the executor. A poll that waits holds its connection and
+ * no thread: its exchange is answered later, by whichever thread has the answer.
  */
 final class DistributionServer implements AutoCloseable {
 
-  private static final int GREATEST_BODY = 4 << 20;
+  private static final int MAX_BODY_BYTES = 4 << 20;
   private static final int BACKLOG = 1024;
-  private static final int NO_CONTENT = 204;
-  private static final int BAD_REQUEST = 400;
-  private static final int NOT_FOUND = 404;
-  private static final int OK = 200;
+  private static final int MICROS_PER_MILLI = 1000;
+  private static final byte[] EMPTY_BODY = {};
+
+  /** Places in a path {@code /v1/subscriptions/ID/RESOURCE}, split at its slashes. */
+  private static final int ID_PLACE = 3;
+
+  private static final int RESOURCE_PLACE = 4;
+  private static final int PLACES_WITH_RESOURCE = 5;
 
   private final HttpServer server;
   private final Distributor distributor;
@@ -45,19 +52,24 @@
       throws IOException {
     this.distributor = distributor;
     this.log = log;
-    System.setProperty(
-        "sun.net.httpserver.nodelay", "true"); // else each answer waits 40 ms for an ACK
+    configureHttpServer();
+    server = HttpServer.create(listen, BACKLOG);
+    server.setExecutor(threads);
+    server.createContext("/v1/subscriptions", this::serveSubscriptions);
+    server.createContext("/v1/status", this::serveStatus);
+  }
+
+  /** By properties: the JDK's server has no other way. They hold for the whole process. */
+  private static void configureHttpServer() {
+    // Without it each answer waits 40 ms for an ACK.
+    System.setProperty("sun.net.httpserver.nodelay", "true");
     // Seconds for a request to come and for its answer to be taken; a poll's wait is within the
     // second.
     System.setProperty("sun.net.httpserver.maxReqTime", "10");
     System.setProperty("sun.net.httpserver.maxRspTime", "30");
     System.setProperty(
         "sun.net.httpserver.maxIdleConnections",
-        Integer.toString(2 * Distributor.MOST_SUBSCRIPTIONS));
-    server = HttpServer.create(listen, BACKLOG);
-    server.setExecutor(threads);
-    server.createContext("/v1/subscriptions", this::subscriptions);
-    server.createContext("/v1/status", this::status);
+        Integer.toString(2 * Distributor.MAX_SUBSCRIPTIONS));
   }
 
   void start() {
@@ -68,37 +80,13 @@
     return server.getAddress();
   }
 
-  private void subscriptions(HttpExchange exchange) {
+  private void serveSubscriptions(HttpExchange exchange) {
     try {
-      String[] parts = exchange.getRequestURI().getPath().split("/");
-      byte[] body = exchange.getRequestBody().readNBytes(GREATEST_BODY);
-      String call = exchange.getRequestMethod() + (parts.length == 5 ? " " + parts[4] : "");
-      Subscription.Responder responder = (status, bytes) -> respond(exchange, status, bytes);
-      switch (call) {
-        case "POST" -> distributor.subscribe(DistributionMessages.Subscribe.read(body), responder);
-        case "POST names" ->
-            distributor.changeNames(
-                parts[3], DistributionMessages.ChangeNames.read(body), responder);
-        case "GET changes" -> {
-          Map<String, String> query = query(exchange);
-          distributor.poll(
-              parts[3],
-              new Version(number(query, "incarnation"), number(query, "sequence")),
-              number(query, "waitMicros"),
-              responder);
-        }
-        case "POST rejected" -> {
-          DistributionMessages.Rejected rejected = DistributionMessages.Rejected.read(body);
-          log.println(
-              "record-rejected by a subscriber: "
-                  + new RecordRejected(rejected.name(), rejected.version(), rejected.reason())
-                      .getMessage());
-          responder.answer(NO_CONTENT, new byte[0]);
-        }
-        default -> responder.answer(NOT_FOUND, new byte[0]);
-      }
+      String[] path = exchange.getRequestURI().getPath().split("/");
+      byte[] body = exchange.getRequestBody().readNBytes(MAX_BODY_BYTES);
+      dispatch(exchange, path, body);
     } catch (DistributionGarbled | NumberFormatException e) {
-      respond(exchange, BAD_REQUEST, new byte[0]);
+      respond(exchange, HttpStatus.BAD_REQUEST, EMPTY_BODY);
     } catch (IOException e) {
       exchange.close();
     } catch (RuntimeException e) {
@@ -107,17 +95,47 @@
     }
   }
 
-  private void status(HttpExchange exchange) {
+  private void dispatch(HttpExchange exchange, String[] path, byte[] body)
+      throws DistributionGarbled {
+    boolean hasResource = path.length == PLACES_WITH_RESOURCE;
+    String call = exchange.getRequestMethod() + (hasResource ? " " + path[RESOURCE_PLACE] : "");
+    Subscription.Responder responder = (status, answer) -> respond(exchange, status, answer);
+    switch (call) {
+      case "POST" ->
+          distributor.subscribe(DistributionMessages.Subscribe.fromJson(body), responder);
+      case "POST names" ->
+          distributor.changeNames(
+              path[ID_PLACE], DistributionMessages.ChangeNames.fromJson(body), responder);
+      case "GET changes" -> poll(path[ID_PLACE], query(exchange), responder);
+      case "POST rejected" -> {
+        logRejected(DistributionMessages.Rejected.fromJson(body));
+        responder.answer(HttpStatus.NO_CONTENT, EMPTY_BODY);
+      }
+      default -> responder.answer(HttpStatus.NOT_FOUND, EMPTY_BODY);
+    }
+  }
+
+  private void poll(String id, Map<String, String> query, Subscription.Responder responder) {
+    Version after = new Version(number(query, "incarnation"), number(query, "sequence"));
+    distributor.poll(id, after, number(query, "waitMicros"), responder);
+  }
+
+  private void logRejected(DistributionMessages.Rejected rejected) {
+    RecordRejected error =
+        new RecordRejected(rejected.name(), rejected.version(), rejected.reason());
+    log.println("record-rejected by a subscriber: " + error.getMessage());
+  }
+
+  private void serveStatus(HttpExchange exchange) {
     Version version = distributor.version();
-    long age = distributor.age();
-    ObjectNode o =
-        DistributionMessages.JSON
-            .createObjectNode()
-            .put("records", distributor.records())
-            .put("subscriptions", distributor.subscriptions())
-            .put("ageMillis", age == Staleness.NEVER ? -1 : age / 1000);
-    DistributionMessages.put(o.putObject("version"), version);
-    respond(exchange, OK, DistributionMessages.bytes(o));
+    long ageMicros = distributor.ageMicros();
+    ObjectNode json =
+        DistributionJson.newObject()
+            .put("records", distributor.recordCount())
+            .put("subscriptions", distributor.subscriptionCount())
+            .put("ageMillis", ageMicros == Staleness.NEVER ? -1 : ageMicros / MICROS_PER_MILLI);
+    DistributionJson.putVersion(json.putObject("version"), version);
+    respond(exchange, HttpStatus.OK, DistributionJson.bytes(json));
   }
 
   private static Map<String, String> query(HttpExchange exchange) {
--- a/gateway/src/main/java/shelffront/controlplane/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -1,16 +1,14 @@
 package shelffront.controlplane;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.UUID;
 import java.util.concurrent.Executor;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.LongSupplier;
 import shelffront.controlplane.DistributionMessages.Added;
 import shelffront.controlplane.DistributionMessages.ChangeNames;
@@ -27,90 +25,76 @@
 import shelffront.distribution.Version;
 
 /**
- * Serves subscribers from one table. The table has a lock; subscriptions are in shards, each under
- * its own. No lock is held while an answer is made or written, and a subscriber costs its names and
- * at most one waiting poll: what it lacks is found anew from its version, in the bounded log or by
- * a snapshot.
+ * Serves subscribers from one table of records.
+ *
+ * <p>Invariants: a subscriber costs its names and at most one waiting poll. What it lacks is found
+ * anew from its version, in the bounded log or by a snapshot, so a slow one holds nothing up.
+ *
+ * <p>Threads: any may call. The table has a lock, each subscription that of its shard; no lock is
+ * held while an answer is made or written.
  */
 final class Distributor {
 
-  static final int LOG_CHANGES = 10_000;
-  static final long LOG_CHARACTERS = 32L << 20;
-  static final int MOST_SUBSCRIPTIONS = 4096;
-  static final int MOST_NAMES = 20_000;
-  static final long LONGEST_WAIT = 10_000_000;
-  private static final int SHARDS = 16;
-  private static final long UNUSED =
-      30_000_000; // a subscription that was not used for so long is forgotten
-  private static final long SWEEP_MILLIS = 5_000;
+  static final int MAX_SUBSCRIPTIONS = 4096;
+  static final int MAX_NAMES = 20_000;
+  private static final int MAX_LOG_CHANGES = 10_000;
+  private static final long MAX_LOG_CHARACTERS = 32L << 20;
+  private static final long MAX_WAIT_MICROS = 10_000_000;
 
-  /** Statuses of HTTP, as answers use them. */
-  private static final int OK = 200;
+  /** A subscription that was not used for so long is forgotten. */
+  private static final long SUBSCRIPTION_EXPIRY_MICROS = 30_000_000;
 
-  private static final int CREATED = 201;
-  private static final int UNKNOWN_SUBSCRIPTION = 404;
-  private static final int BEHIND = 409;
-  private static final int TOO_LARGE = 413;
-  private static final int NOT_READY = 503;
+  private static final long SWEEP_INTERVAL_MILLIS = 5_000;
+  private static final byte[] EMPTY_BODY = {};
 
-  private static final byte[] NOTHING = {};
-
-  private static final class Shard {
-    private final Map<String, Subscription> subscriptions = new HashMap<>();
-  }
-
-  private volatile boolean ready; // it has read what its upstream has
-  private final RecordTable table = new RecordTable(LOG_CHANGES, LOG_CHARACTERS);
-  private final Staleness freshness = new Staleness();
-  private final List<Shard> shards = new ArrayList<>();
-  private final AtomicInteger count = new AtomicInteger();
+  private final RecordTable table = new RecordTable(MAX_LOG_CHANGES, MAX_LOG_CHARACTERS);
+  private final Staleness staleness = new Staleness();
+  private final SubscriptionTable subscriptions = new SubscriptionTable();
   private final ScheduledExecutorService timer;
   private final Executor answers;
   private final LongSupplier clock;
+  private volatile boolean ready; // it has read what its upstream has
 
   /** The clock is monotonic, in microseconds. */
   Distributor(ScheduledExecutorService timer, Executor answers, LongSupplier clock) {
     this.timer = timer;
     this.answers = answers;
     this.clock = clock;
-    for (int i = 0; i < SHARDS; i++) {
-      shards.add(new Shard());
-    }
-    timer.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+    timer.scheduleWithFixedDelay(
+        this::removeUnused, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  // ---- From upstream
-  // --------------------------------------------------------------------------------
-
   Version version() {
     synchronized (table) {
       return table.version();
     }
   }
 
-  long age() {
+  long ageMicros() {
     synchronized (table) {
-      return freshness.maxAgeMicros(clock.getAsLong());
+      return staleness.maxAgeMicros(clock.getAsLong());
     }
   }
 
-  int records() {
+  int recordCount() {
     synchronized (table) {
       return table.size();
     }
   }
 
-  int subscriptions() {
-    return count.get();
+  int subscriptionCount() {
+    return subscriptions.size();
   }
 
+  // From upstream
+
   /**
    * What it has is current as of a question sent at this time, to somebody whose own view had this
    * age.
    */
-  void confirm(long sentAt, long statedAge) {
+  void confirm(long sentAtMicros, long statedAgeMicros) {
     synchronized (table) {
-      freshness.confirm(sentAt, statedAge);
+      staleness.confirm(sentAtMicros, statedAgeMicros);
     }
   }
 
@@ -118,103 +102,64 @@
    * Takes what upstream gave; false where that does not fit what is here, and only a snapshot
    * helps.
    */
-  boolean take(Update update) {
-    return update instanceof Update.Snapshot snapshot
-        ? install(snapshot)
-        : apply((Update.Changes) update);
+  boolean apply(Update update) {
+    if (update instanceof Update.Snapshot snapshot) {
+      install(snapshot);
+      return true;
+    }
+    return applyChanges((Update.Changes) update);
   }
 
-  private boolean install(Update.Snapshot snapshot) {
-    boolean newer;
+  private void install(Update.Snapshot snapshot) {
+    boolean isNewer;
     synchronized (table) {
-      newer = table.version().isBefore(snapshot.version()) && table.install(snapshot);
+      isNewer = table.version().isBefore(snapshot.version()) && table.install(snapshot);
     }
     ready = true;
-    if (newer) {
-      wakeAll();
+    if (isNewer) {
+      subscriptions.forEach(this::answerWaitingPoll);
     }
-    return true;
   }
 
-  private boolean apply(Update.Changes update) {
-    Set<String> changed = new HashSet<>();
-    boolean complete = true;
+  private boolean applyChanges(Update.Changes update) {
+    Set<String> changedNames = new HashSet<>();
+    boolean isComplete = true;
     synchronized (table) {
       for (RecordChange change : update.changes()) {
-        complete &= table.apply(change) != RecordTable.ApplyResult.GAP;
-        changed.add(change.name());
-      }
-      complete &= !table.version().isBefore(update.version());
-    }
-    if (!changed.isEmpty()) {
-      wake(changed);
-    }
-    return complete;
-  }
-
-  private void wakeAll() {
-    for (Shard shard : shards) {
-      synchronized (shard) {
-        shard.subscriptions.values().forEach(this::wake);
+        isComplete &= table.apply(change) != RecordTable.ApplyResult.GAP;
+        changedNames.add(change.name());
       }
+      isComplete &= !table.version().isBefore(update.version());
     }
-  }
-
-  private void wake(Set<String> changed) {
-    for (Shard shard : shards) {
-      synchronized (shard) {
-        for (Subscription subscription : shard.subscriptions.values()) {
-          if (subscription.isInterested(changed)) {
-            wake(subscription);
-          }
-        }
-      }
+    if (!changedNames.isEmpty()) {
+      subscriptions.forEachInterested(changedNames, this::answerWaitingPoll);
     }
+    return isComplete;
   }
 
-  /** Under the shard's lock. */
-  private void wake(Subscription subscription) {
+  /** Under the subscription's lock. */
+  private void answerWaitingPoll(Subscription subscription) {
     Poll poll = subscription.unpark();
     if (poll != null) {
-      poll.timeout.cancel(false);
+      poll.cancelTimeout();
       answers.execute(() -> answer(subscription, poll));
     }
   }
 
-  // ---- From subscribers
-  // --------------------------------------------------------------------------------
+  // From subscribers
 
-  private Shard shard(String id) {
-    return shards.get(Math.floorMod(id.hashCode(), SHARDS));
-  }
-
-  private Subscription find(String id) {
-    Shard shard = shard(id);
-    synchronized (shard) {
-      Subscription subscription = shard.subscriptions.get(id);
-      if (subscription != null) {
-        subscription.usedAt = clock.getAsLong();
-      }
-      return subscription;
-    }
-  }
-
-  void subscribe(Subscribe asked, Responder responder) {
-    if (!ready || count.get() >= MOST_SUBSCRIPTIONS) {
-      responder.answer(NOT_READY, NOTHING);
+  void subscribe(Subscribe request, Responder responder) {
+    if (!ready || subscriptions.size() >= MAX_SUBSCRIPTIONS) {
+      responder.answer(HttpStatus.NOT_READY, EMPTY_BODY);
       return;
     }
-    if (asked.names().size() > MOST_NAMES) {
-      responder.answer(TOO_LARGE, NOTHING);
+    if (request.names().size() > MAX_NAMES) {
+      responder.answer(HttpStatus.TOO_LARGE, EMPTY_BODY);
       return;
     }
     String id = UUID.randomUUID().toString();
-    Shard shard = shard(id);
-    synchronized (shard) {
-      shard.subscriptions.put(id, new Subscription(id, asked, clock.getAsLong()));
-    }
-    count.incrementAndGet();
-    responder.answer(CREATED, new Subscribed(id).bytes());
+    subscriptions.add(new Subscription(id, request, clock.getAsLong()));
+    responder.answer(HttpStatus.CREATED, new Subscribed(id).toJson());
   }
 
   /**
@@ -222,39 +167,42 @@
    * too.
    */
   void changeNames(String id, ChangeNames change, Responder responder) {
-    Subscription subscription = find(id);
+    Subscription subscription = subscriptions.use(id, clock.getAsLong());
     if (subscription == null) {
-      responder.answer(UNKNOWN_SUBSCRIPTION, NOTHING);
+      responder.answer(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
       return;
     }
-    synchronized (shard(id)) {
-      if (subscription.size() + change.add().size() > MOST_NAMES) {
-        responder.answer(TOO_LARGE, NOTHING);
+    synchronized (subscriptions.lockOf(id)) {
+      if (subscription.size() + change.add().size() > MAX_NAMES) {
+        responder.answer(HttpStatus.TOO_LARGE, EMPTY_BODY);
         return;
       }
       subscription.change(change);
     }
     // Read after the names are followed: a change in between is in this answer, or in a later one,
     // or in both.
-    Added added;
+    Added added = readRecords(change.add());
+    Set<String> absentNames = new HashSet<>(change.add());
+    added.records().forEach(record -> absentNames.remove(record.name()));
+    synchronized (subscriptions.lockOf(id)) {
+      subscription.drop(absentNames);
+    }
+    responder.answer(HttpStatus.OK, added.toJson());
+  }
+
+  private Added readRecords(List<String> names) {
     synchronized (table) {
       List<RecordChange> records = new ArrayList<>();
-      change.add().stream().map(table::record).filter(r -> r != null).forEach(records::add);
-      added = new Added(table.version(), freshness.maxAgeMicros(clock.getAsLong()), records);
-    }
-    Set<String> absent = new HashSet<>(change.add());
-    added.records().forEach(r -> absent.remove(r.name()));
-    synchronized (shard(id)) {
-      subscription.drop(absent);
+      names.stream().map(table::record).filter(Objects::nonNull).forEach(records::add);
+      return new Added(table.version(), staleness.maxAgeMicros(clock.getAsLong()), records);
     }
-    responder.answer(OK, added.bytes());
   }
 
   /** Answers at once where the subscriber lacks something, else when it does, or after the wait. */
-  void poll(String id, Version after, long wait, Responder responder) {
-    Subscription subscription = find(id);
+  void poll(String id, Version after, long waitMicros, Responder responder) {
+    Subscription subscription = subscriptions.use(id, clock.getAsLong());
     if (subscription == null) {
-      responder.answer(UNKNOWN_SUBSCRIPTION, NOTHING);
+      responder.answer(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
       return;
     }
     Poll poll = new Poll(after, responder);
@@ -263,83 +211,71 @@
       answer(subscription, poll);
       return;
     }
-    synchronized (shard(id)) {
-      poll.timeout =
-          timer.schedule(
-              () -> expire(subscription, poll),
-              Math.min(wait, LONGEST_WAIT),
-              TimeUnit.MICROSECONDS);
-      Poll before = subscription.park(poll);
-      if (before != null) {
-        before.timeout.cancel(false);
-        answers.execute(() -> answer(subscription, before));
-      }
-    }
-    // A change between the look and the wait would have found nobody to wake.
+    park(subscription, poll, Math.min(waitMicros, MAX_WAIT_MICROS));
+    // A change between the look and the wait would have found no poll to answer.
     if (!version().equals(seen) && lacksSomething(subscription, after)) {
-      synchronized (shard(id)) {
-        wake(subscription);
+      synchronized (subscriptions.lockOf(id)) {
+        answerWaitingPoll(subscription);
       }
     }
   }
 
-  private boolean lacksSomething(Subscription subscription, Version after) {
-    Update update = updateFor(subscription, after);
-    return !(update instanceof Update.Changes c) || !c.changes().isEmpty();
+  private void park(Subscription subscription, Poll poll, long waitMicros) {
+    synchronized (subscriptions.lockOf(subscription.id())) {
+      poll.setTimeout(
+          timer.schedule(() -> expire(subscription, poll), waitMicros, TimeUnit.MICROSECONDS));
+      Poll before = subscription.park(poll);
+      if (before != null) {
+        before.cancelTimeout();
+        answers.execute(() -> answer(subscription, before));
+      }
+    }
   }
 
-  private Update updateFor(Subscription subscription, Version after) {
-    SubscriptionFilter interest;
-    synchronized (shard(subscription.id)) {
-      interest = subscription.interest();
+  private void expire(Subscription subscription, Poll poll) {
+    boolean isWaiting;
+    synchronized (subscriptions.lockOf(subscription.id())) {
+      isWaiting = subscription.unpark(poll);
     }
-    synchronized (table) {
-      return table.updateFor(after, interest);
+    if (isWaiting) {
+      answers.execute(() -> answer(subscription, poll));
     }
   }
 
-  private void expire(Subscription subscription, Poll poll) {
-    boolean waits;
-    synchronized (shard(subscription.id)) {
-      waits = subscription.unpark(poll);
+  private boolean lacksSomething(Subscription subscription, Version after) {
+    SubscriptionFilter filter;
+    synchronized (subscriptions.lockOf(subscription.id())) {
+      filter = subscription.filter();
     }
-    if (waits) {
-      answers.execute(() -> answer(subscription, poll));
+    Update update;
+    synchronized (table) {
+      update = table.updateFor(after, filter);
     }
+    return !(update instanceof Update.Changes changes) || !changes.changes().isEmpty();
   }
 
   private void answer(Subscription subscription, Poll poll) {
     long edition;
-    SubscriptionFilter interest;
-    synchronized (shard(subscription.id)) {
+    SubscriptionFilter filter;
+    synchronized (subscriptions.lockOf(subscription.id())) {
       edition = subscription.edition();
-      interest = subscription.interest();
+      filter = subscription.filter();
     }
     Update update;
-    long age;
+    long ageMicros;
     synchronized (table) {
-      update = table.updateFor(poll.after, interest);
-      age = freshness.maxAgeMicros(clock.getAsLong());
+      update = table.updateFor(poll.after(), filter);
+      ageMicros = staleness.maxAgeMicros(clock.getAsLong());
     }
     if (update == null) {
-      poll.responder.answer(BEHIND, NOTHING);
+      poll.responder().answer(HttpStatus.BEHIND, EMPTY_BODY);
     } else {
-      poll.responder.answer(OK, new Polled(edition, age, update).bytes());
+      byte[] body = new Polled(edition, ageMicros, update).toJson();
+      poll.responder().answer(HttpStatus.OK, body);
     }
   }
 
-  /**
-   * Forgets subscriptions that nobody uses any more; their subscribers, should they come, subscribe
-   * anew.
-   */
-  private void sweep() {
-    long now = clock.getAsLong();
-    for (Shard shard : shards) {
-      synchronized (shard) {
-        int before = shard.subscriptions.size();
-        shard.subscriptions.values().removeIf(s -> s.usedAt < now - UNUSED);
-        count.addAndGet(shard.subscriptions.size() - before);
-      }
-    }
+  private void removeUnused() {
+    subscriptions.removeUnusedSince(clock.getAsLong() - SUBSCRIPTION_EXPIRY_MICROS);
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
@@ -16,10 +16,14 @@
 import shelffront.distribution.DistributorEndpoint;
 import shelffront.distribution.Version;
 
-/** The calls of one distributor's HTTP interface. Each gives up by itself; nothing here blocks. */
+/**
+ * The calls of one distributor's HTTP interface. Each gives up by itself, and ends with {@link
+ * DistributorUnreachable}, {@link DistributorRefused} or {@link DistributionGarbled} where it does
+ * not succeed. Any thread may call; nothing here blocks.
+ */
 final class DistributorClient {
 
-  private static final int FIRST_ERROR = 300;
+  private static final long NANOS_PER_MICRO = 1000;
 
   /** Reads an answer's body. */
   private interface Reader<T> {
@@ -40,21 +44,25 @@
   }
 
   CompletableFuture<DistributionMessages.Subscribed> subscribe(
-      DistributionMessages.Subscribe asked, long within) {
-    return post("/v1/subscriptions", asked.bytes(), within, DistributionMessages.Subscribed::read);
+      DistributionMessages.Subscribe request, long withinMicros) {
+    return post(
+        "/v1/subscriptions",
+        request.toJson(),
+        withinMicros,
+        DistributionMessages.Subscribed::fromJson);
   }
 
   CompletableFuture<DistributionMessages.Added> changeNames(
-      String subscription, DistributionMessages.ChangeNames change, long within) {
+      String subscription, DistributionMessages.ChangeNames change, long withinMicros) {
     return post(
         "/v1/subscriptions/" + subscription + "/names",
-        change.bytes(),
-        within,
-        DistributionMessages.Added::read);
+        change.toJson(),
+        withinMicros,
+        DistributionMessages.Added::fromJson);
   }
 
   CompletableFuture<DistributionMessages.Polled> poll(
-      String subscription, Version after, long wait, long within) {
+      String subscription, Version after, long waitMicros, long withinMicros) {
     String path =
         "/v1/subscriptions/"
             + subscription
@@ -63,33 +71,43 @@
             + "&sequence="
             + after.sequence()
             + "&waitMicros="
-            + wait;
-    return call(HttpRequest.newBuilder(uri(path)).GET(), within, DistributionMessages.Polled::read);
+            + waitMicros;
+    return call(
+        HttpRequest.newBuilder(uri(path)).GET(),
+        withinMicros,
+        DistributionMessages.Polled::fromJson);
   }
 
   CompletableFuture<Void> reject(
-      String subscription, DistributionMessages.Rejected rejected, long within) {
+      String subscription, DistributionMessages.Rejected rejected, long withinMicros) {
     return post(
-        "/v1/subscriptions/" + subscription + "/rejected", rejected.bytes(), within, body -> null);
+        "/v1/subscriptions/" + subscription + "/rejected",
+        rejected.toJson(),
+        withinMicros,
+        body -> null);
   }
 
   private URI uri(String path) {
     return URI.create("http://" + endpoint.address() + path);
   }
 
-  private <T> CompletableFuture<T> post(String path, byte[] body, long within, Reader<T> reader) {
+  private <T> CompletableFuture<T> post(
+      String path, byte[] body, long withinMicros, Reader<T> reader) {
     return call(
-        HttpRequest.newBuilder(uri(path)).POST(BodyPublishers.ofByteArray(body)), within, reader);
+        HttpRequest.newBuilder(uri(path)).POST(BodyPublishers.ofByteArray(body)),
+        withinMicros,
+        reader);
   }
 
   private <T> CompletableFuture<T> call(
-      HttpRequest.Builder request, long within, Reader<T> reader) {
+      HttpRequest.Builder request, long withinMicros, Reader<T> reader) {
     CompletableFuture<HttpResponse<byte[]>> call =
         http.sendAsync(
-            request.timeout(Duration.ofNanos(within * 1000)).build(), BodyHandlers.ofByteArray());
+            request.timeout(Duration.ofNanos(withinMicros * NANOS_PER_MICRO)).build(),
+            BodyHandlers.ofByteArray());
     // The request's own limit ends with the answer's headers; this one holds for its body too.
     CompletableFuture<HttpResponse<byte[]>> bounded =
-        call.copy().orTimeout(within, TimeUnit.MICROSECONDS);
+        call.copy().orTimeout(withinMicros, TimeUnit.MICROSECONDS);
     return bounded.handle(
         (answer, failure) -> {
           if (failure != null) {
@@ -101,7 +119,7 @@
   }
 
   private <T> T read(HttpResponse<byte[]> answer, Reader<T> reader) {
-    if (answer.statusCode() >= FIRST_ERROR) {
+    if (answer.statusCode() >= HttpStatus.FIRST_ERROR) {
       throw new CompletionException(
           new DistributorRefused(endpoint.address(), answer.statusCode()));
     }
--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -15,57 +15,49 @@
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
 import shelffront.coordination.ConsulCoordinationStore;
-import shelffront.distribution.DistributorSelector;
 import shelffront.net.EventLog;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * A distributor as {@code distribute --config} starts it: follows the engine or others, and serves
- * subscribers.
+ * A distributor as {@code distribute --config} starts it: follows the change store or other
+ * distributors, and serves subscribers. It owns its threads: a few for the timer, those that make
+ * answers, and that of an {@link EngineFollower}.
  */
 public final class DistributorProcess implements AutoCloseable {
 
   private static final int ANSWER_THREADS = 16;
+  private static final int TIMER_THREADS = 2;
+  private static final long NANOS_PER_MICRO = 1000;
 
   private final DistributionServer server;
   private final ScheduledThreadPoolExecutor timer;
   private final ExecutorService answers;
   private final AutoCloseable follower;
-  private final Runnable start;
+  private final Runnable followerStart;
 
   private DistributorProcess(InetSocketAddress listen, SubscribedRecordsConfig config, EventLog log)
       throws IOException {
-    LongSupplier clock = () -> System.nanoTime() / 1000;
-    timer = newTimer(2, "distributor-timer");
+    LongSupplier clock = () -> System.nanoTime() / NANOS_PER_MICRO;
+    timer = newTimer(TIMER_THREADS, "distributor-timer");
     answers = Executors.newFixedThreadPool(ANSWER_THREADS, daemons("distributor-answer"));
     Distributor distributor = new Distributor(timer, answers, clock);
     server = new DistributionServer(listen, distributor, answers, log);
     if (config.distributors().isEmpty()) {
       EngineFollower engine = new EngineFollower(openChangeStore(config), distributor, clock, log);
       follower = engine;
-      start = engine::start;
+      followerStart = engine::start;
     } else {
-      DistributorSelector choice =
-          new DistributorSelector(
-              config.name(),
-              config.region(),
-              config.zone(),
-              config.distributors(),
-              config.timings().reconnectJitterMicros(),
-              new Random());
       Subscriber subscriber =
           new Subscriber(
-              config.name(),
+              config.subscriberSettings(),
               new UpstreamFollower(config.name(), distributor),
               SubscribedRecords.httpClient(config.timings()),
-              choice,
-              config.timings(),
-              config.staleAfterMicros(),
+              config.newSelector(new Random()),
               timer,
               clock,
               log);
       follower = subscriber;
-      start = subscriber::start;
+      followerStart = subscriber::start;
     }
   }
 
@@ -85,7 +77,7 @@
     }
   }
 
-  /** The engine's side, for whoever has an engine in its settings. */
+  /** Opens the change store, for whoever has an engine in its settings. */
   public static ChangeStore openChangeStore(SubscribedRecordsConfig config) {
     return new ChangeStore(
         new ConsulCoordinationStore(
@@ -113,7 +105,7 @@
   /** Follows and serves until {@link #close}. */
   public void start() {
     server.start();
-    start.run();
+    followerStart.run();
   }
 
   public InetSocketAddress address() {
--- a/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
@@ -12,14 +12,14 @@
 import shelffront.net.EventLog;
 
 /**
- * Keeps a distributor's table as the engine's, on a thread of its own: watches the head, reads the
- * changes that are missing, and all records where the log does not reach back. What the engine
- * can't give, or what would step back, changes nothing.
+ * Keeps a distributor's table as that of the change store: watches the head, reads the changes that
+ * are missing, and all records where the log does not reach back. Invariant: what the store can't
+ * give, or what would step back, changes nothing. Threads: it has one of its own.
  */
 final class EngineFollower implements AutoCloseable {
 
-  private static final long FIRST_PAUSE_MILLIS = 100;
-  private static final long LONGEST_PAUSE_MILLIS = 1000;
+  private static final long INITIAL_BACKOFF_MILLIS = 100;
+  private static final long MAX_BACKOFF_MILLIS = 1000;
 
   private final ChangeStore store;
   private final Distributor distributor;
@@ -28,8 +28,8 @@
   private final Thread thread;
   private volatile boolean closed;
   private Head known = Head.EMPTY;
-  private boolean read; // all records were read once
-  private String lastError = "";
+  private boolean hasReadAll;
+  private String lastErrorCode = "";
 
   EngineFollower(ChangeStore store, Distributor distributor, LongSupplier clock, EventLog log) {
     this.store = store;
@@ -45,57 +45,64 @@
   }
 
   private void run() {
-    long pause = FIRST_PAUSE_MILLIS;
+    long backoffMillis = INITIAL_BACKOFF_MILLIS;
     while (!closed) {
       try {
         follow();
-        lastError = "";
-        pause = FIRST_PAUSE_MILLIS;
-        if (known.index() == 0) {
-          TimeUnit.MILLISECONDS.sleep(LONGEST_PAUSE_MILLIS); // nothing was ever written
+        lastErrorCode = "";
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
+        if (known.index() == 0) { // nothing was ever written
+          TimeUnit.MILLISECONDS.sleep(MAX_BACKOFF_MILLIS);
         }
       } catch (CoordinationException | EngineSteppedBack e) {
-        complain(e);
-        pause = sleep(pause);
+        logOnce(e);
+        backoffMillis = backOff(backoffMillis);
       } catch (RuntimeException e) {
         log.println("engine follower fault " + e);
-        pause = sleep(pause);
+        backoffMillis = backOff(backoffMillis);
       } catch (InterruptedException e) {
         return;
       }
     }
   }
 
-  private long sleep(long pause) {
+  /** Sleeps for the backoff; gives the next one. */
+  private static long backOff(long backoffMillis) {
     try {
-      TimeUnit.MILLISECONDS.sleep(pause);
+      TimeUnit.MILLISECONDS.sleep(backoffMillis);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return Math.min(LONGEST_PAUSE_MILLIS, 2 * pause);
+    return Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
   }
 
   private void follow() throws CoordinationException, EngineSteppedBack {
-    long sentAt = clock.getAsLong();
-    Head head = read ? store.awaitHead(known) : store.head();
-    boolean sameIncarnation = head.version().incarnation() == known.version().incarnation();
-    List<RecordChange> missing = read && sameIncarnation ? store.changesBetween(known, head) : null;
+    long sentAtMicros = clock.getAsLong();
+    Head head = hasReadAll ? store.awaitHead(known) : store.head();
+    List<RecordChange> missing = missingChanges(head);
     if (missing != null) {
-      distributor.take(new Update.Changes(known.version(), head.version(), missing));
+      distributor.apply(new Update.Changes(known.version(), head.version(), missing));
       known = head;
-    } else if (read && head.version().isBefore(known.version())) {
+    } else if (hasReadAll && head.version().isBefore(known.version())) {
       throw new EngineSteppedBack(head.version(), known.version());
     } else {
       readAll();
     }
-    distributor.confirm(sentAt, 0);
+    distributor.confirm(sentAtMicros, 0);
+  }
+
+  /** Null where only all records help: at first, in a new incarnation, past the log's end. */
+  private List<RecordChange> missingChanges(Head head)
+      throws CoordinationException, EngineSteppedBack {
+    boolean isSameIncarnation = head.version().incarnation() == known.version().incarnation();
+    return hasReadAll && isSameIncarnation ? store.changesBetween(known, head) : null;
   }
 
   private void readAll() throws CoordinationException, EngineSteppedBack {
     ChangeStore.VersionedSnapshot all = store.readAll();
-    distributor.take(all.snapshot());
+    distributor.apply(all.snapshot());
     known = all.head();
-    read = true;
+    hasReadAll = true;
     log.println(
         "engine read whole at "
             + known.version().incarnation()
@@ -106,11 +113,12 @@
             + " records");
   }
 
-  /** Says each trouble once, until it is over or another. */
-  private void complain(OperatorException e) {
-    if (!e.code().equals(lastError)) {
-      lastError = e.code();
-      log.println("engine follower " + e.code() + ": " + e.getMessage() + ". " + e.advice());
+  /** Logs each error once, until it is over or another. */
+  private void logOnce(OperatorException error) {
+    if (!error.code().equals(lastErrorCode)) {
+      lastErrorCode = error.code();
+      log.println(
+          "engine follower " + error.code() + ": " + error.getMessage() + ". " + error.advice());
     }
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/LastKnownGood.java
+++ b/gateway/src/main/java/shelffront/controlplane/LastKnownGood.java
@@ -14,16 +14,16 @@
 import shelffront.distribution.Version;
 
 /**
- * What a gateway last had in force, in a file of its own, so that it serves on after a restart
- * while nothing answers. The file is replaced as a whole: after a crash it holds the old state or
- * the new one.
+ * The file with what a gateway last had in force, so that it serves on after a restart while
+ * nothing answers. Invariant: the file is replaced as a whole; after a crash it holds the old state
+ * or the new one. Threads: one at a time.
  */
 final class LastKnownGood {
 
   private static final String FORMAT = "shelffront-last-known-good-1";
 
   /** The records in force, and the version of the view that they belong to. */
-  record Kept(Version version, List<RecordChange> records) {}
+  record Contents(Version version, List<RecordChange> records) {}
 
   private final Path file;
 
@@ -32,25 +32,25 @@
   }
 
   /** Null where there is no file yet. */
-  Kept read() throws IOException, DistributionGarbled {
+  Contents read() throws IOException, DistributionGarbled {
     if (!Files.exists(file)) {
       return null;
     }
-    JsonNode o = DistributionMessages.object(Files.readAllBytes(file));
-    if (!o.path("format").asText().equals(FORMAT)) {
+    JsonNode json = DistributionJson.parseObject(Files.readAllBytes(file));
+    if (!json.path("format").asText().equals(FORMAT)) {
       throw new DistributionGarbled(file + " is not what a gateway had in force", null);
     }
-    return new Kept(
-        DistributionMessages.readVersion(o.path("version")),
-        DistributionMessages.changes(o.path("records")));
+    return new Contents(
+        DistributionJson.readVersion(json.path("version")),
+        DistributionJson.readChanges(json.path("records")));
   }
 
-  void write(Kept kept) throws IOException {
-    ObjectNode o = DistributionMessages.JSON.createObjectNode().put("format", FORMAT);
-    DistributionMessages.put(o.putObject("version"), kept.version());
-    DistributionMessages.putChanges(o.putArray("records"), kept.records());
+  void write(Contents contents) throws IOException {
+    ObjectNode json = DistributionJson.newObject().put("format", FORMAT);
+    DistributionJson.putVersion(json.putObject("version"), contents.version());
+    DistributionJson.putChanges(json.putArray("records"), contents.records());
     Path next = file.resolveSibling(file.getFileName() + ".next");
-    Files.write(next, DistributionMessages.bytes(o));
+    Files.write(next, DistributionJson.bytes(json));
     try (FileChannel channel = FileChannel.open(next, StandardOpenOption.WRITE)) {
       channel.force(true);
     }
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -1,6 +1,5 @@
 package shelffront.controlplane;
 
-import java.io.IOException;
 import java.net.http.HttpClient;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -12,25 +11,27 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import shelffront.controlplane.DistributionException.DistributionGarbled;
 import shelffront.controlplane.DistributionException.LookupsFull;
 import shelffront.controlplane.DistributionException.RecordRejected;
 import shelffront.controlplane.DistributionException.ViewTooOld;
 import shelffront.distribution.DistributionTimings;
 import shelffront.distribution.DistributorEndpoint;
-import shelffront.distribution.DistributorSelector;
-import shelffront.distribution.NegativeCache;
 import shelffront.distribution.RecordChange;
 import shelffront.distribution.ReplicatedView;
-import shelffront.distribution.Staleness;
 import shelffront.distribution.Version;
 import shelffront.net.EventLog;
 
 /**
  * A gateway's part in distribution: the records of the names that it serves, kept current by a
- * subscription, put in force in their order, and kept on disk where it has one. A name is followed
- * from its first use on; names that nobody has are remembered for a while. Any thread may call;
- * nothing waits.
+ * subscription, put in force, and cached on disk where it has one.
+ *
+ * <p>Invariants: records are put in force in the order of their changes, and never an older state
+ * after a newer one. A name is followed from its first use on; a record that is not valid leaves
+ * the one before in force.
+ *
+ * <p>Threads: any may call; nothing waits. State is guarded by this object's lock, under which the
+ * {@link RecordApplier} is called. The subscriber is called on the timer's threads only: it has a
+ * lock of its own, under which it calls back here.
  */
 public final class SubscribedRecords implements Subscriber.Owner, AutoCloseable {
 
@@ -40,6 +41,7 @@
     /** Null where it was put in force; else why it is not valid, and what it replaces stays. */
     String apply(RecordChange record);
 
+    /** Takes a record out of force. */
     void remove(String name);
 
     /**
@@ -49,148 +51,113 @@
     void onVersionReached(Version version);
   }
 
-  private static final int MOST_ABSENT = 10_000;
-
-  /**
-   * Names asked for that nobody has answered yet: while no distributor does, a flood of them stops
-   * here.
-   */
-  static final int MOST_LOOKUPS = 10_000;
-
-  private static final long ABSENT_FOR = 5_000_000;
-  private static final long KEEP_DELAY_MILLIS = 200;
-  private static final long AGE_CHECK_MILLIS = 1_000;
+  private static final long AGE_CHECK_INTERVAL_MILLIS = 1_000;
+  private static final long NANOS_PER_MICRO = 1000;
 
   /** How long somebody waits for a record that nobody can give. */
-  private static final long LOOKUP_MILLIS = 2_000;
+  private static final long LOOKUP_TIMEOUT_MILLIS = 2_000;
 
   private final SubscribedRecordsConfig config;
-  private final RecordApplier target;
+  private final RecordApplier applier;
   private final EventLog log;
   private final ScheduledExecutorService timer;
   private final LongSupplier clock;
   private final Subscriber subscriber;
-  private final LastKnownGood lastKnownGood; // null where it has no disk
+  private final LastKnownGoodCache lastKnownGood;
+  private final ViewAgeMonitor viewAge;
   private final ReplicatedView view = new ReplicatedView();
-  private final Staleness freshness = new Staleness();
-  private final NegativeCache absent = new NegativeCache(MOST_ABSENT, ABSENT_FOR);
-  private final Map<String, CompletableFuture<Boolean>> lookups = new HashMap<>();
+  private final RecordLookups lookups = new RecordLookups();
   private final Map<String, RecordChange> inForce = new HashMap<>();
-  private final Map<String, String> rejected =
-      new HashMap<>(); // by name, why its newest state is not in force
-  private boolean keeping; // a write of the last known good is due
-  private boolean tooOld;
-  private long startedAt;
+  private final Map<String, String> rejectionReasons = new HashMap<>(); // of the newest states
 
   /** The clock is monotonic, in microseconds. */
   public SubscribedRecords(
       SubscribedRecordsConfig config,
-      RecordApplier target,
+      RecordApplier applier,
       HttpClient http,
       ScheduledExecutorService timer,
       LongSupplier clock,
       Random random,
       EventLog log) {
     this.config = config;
-    this.target = target;
+    this.applier = applier;
     this.timer = timer;
     this.clock = clock;
     this.log = log;
     lastKnownGood =
-        config.lastKnownGoodFile() == null ? null : new LastKnownGood(config.lastKnownGoodFile());
-    DistributorSelector choice =
-        new DistributorSelector(
-            config.name(),
-            config.region(),
-            config.zone(),
-            config.distributors(),
-            config.timings().reconnectJitterMicros(),
-            random);
+        new LastKnownGoodCache(config.lastKnownGoodFile(), this::contentsInForce, timer, log);
+    viewAge = new ViewAgeMonitor(config.maxAgeMicros(), log);
     subscriber =
         new Subscriber(
-            config.name(),
-            this,
-            http,
-            choice,
-            config.timings(),
-            config.staleAfterMicros(),
-            timer,
-            clock,
-            log);
+            config.subscriberSettings(), this, http, config.newSelector(random), timer, clock, log);
   }
 
   /** The client that all calls go through; several subscribers of one process may share it. */
   public static HttpClient httpClient(DistributionTimings timings) {
     return HttpClient.newBuilder()
         .version(HttpClient.Version.HTTP_1_1)
-        .connectTimeout(Duration.ofNanos(timings.connectTimeoutMicros() * 1000))
+        .connectTimeout(Duration.ofNanos(timings.connectTimeoutMicros() * NANOS_PER_MICRO))
         .build();
   }
 
-  /** Puts in force what was kept, then follows the distributors. */
+  /** Puts in force what an earlier run had, then follows the distributors. */
   public void start() {
     synchronized (this) {
-      startedAt = clock.getAsLong();
+      viewAge.start(clock.getAsLong());
       restore();
     }
     subscriber.start();
     timer.scheduleWithFixedDelay(
-        this::checkAge, AGE_CHECK_MILLIS, AGE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        this::checkAge,
+        AGE_CHECK_INTERVAL_MILLIS,
+        AGE_CHECK_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   private void restore() {
-    if (lastKnownGood == null) {
-      return;
-    }
-    try {
-      LastKnownGood.Kept kept = lastKnownGood.read();
-      if (kept != null) {
-        view.restore(kept.version(), kept.records());
-        kept.records().forEach(this::putInForce);
-        log.println("begins with " + kept.records().size() + " records as last known");
-      }
-    } catch (IOException | DistributionGarbled e) {
-      log.println("the last known good can't be read, it begins without: " + e.getMessage());
+    LastKnownGood.Contents cached = lastKnownGood.read();
+    if (cached != null) {
+      view.restore(cached.version(), cached.records());
+      cached.records().forEach(this::putInForce);
+      log.println("begins with " + cached.records().size() + " records as last known");
     }
   }
 
   /**
    * Whether a name has a record, which is in force then. The first who asks for a name has it
    * followed; others who ask meanwhile wait for the same answer. Completed exceptionally where
-   * nobody can tell in time.
+   * nobody can tell in time, and with {@link LookupsFull} where too many names wait.
    */
   public synchronized CompletableFuture<Boolean> lookUp(String name) {
     if (inForce.containsKey(name)) {
       return CompletableFuture.completedFuture(true);
     }
-    if (absent.contains(name, clock.getAsLong()) || view.follows(name)) {
+    if (lookups.isAbsent(name, clock.getAsLong()) || view.follows(name)) {
       return CompletableFuture.completedFuture(false);
     }
-    CompletableFuture<Boolean> pending = lookups.get(name);
-    if (pending == null && lookups.size() >= MOST_LOOKUPS) {
-      return CompletableFuture.failedFuture(new LookupsFull(lookups.size()));
-    }
+    CompletableFuture<Boolean> pending = lookups.pending(name);
     if (pending == null) {
-      pending = new CompletableFuture<>();
-      lookups.put(name, pending);
-      List<String> names = List.of(name);
-      timer.execute(() -> subscriber.want(names));
+      try {
+        pending = lookups.begin(name);
+      } catch (LookupsFull e) {
+        return CompletableFuture.failedFuture(e);
+      }
+      timer.execute(() -> subscriber.addNames(List.of(name)));
     }
-    return pending.copy().orTimeout(LOOKUP_MILLIS, TimeUnit.MILLISECONDS);
+    return pending.copy().orTimeout(LOOKUP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Follows a name no longer, and has it put out of force here. */
   public synchronized void unsubscribe(String name) {
     view.unfollow(name);
-    timer.execute(() -> subscriber.forget(name));
+    timer.execute(() -> subscriber.removeName(name));
     if (inForce.remove(name) != null) {
-      target.remove(name);
-      keepSoon();
+      applier.remove(name);
+      lastKnownGood.writeSoon();
     }
   }
 
-  // ---- From the subscription
-  // --------------------------------------------------------------------------------
+  // From the subscription
 
   @Override
   public synchronized DistributionMessages.Subscribe subscribing() {
@@ -208,7 +175,7 @@
     Version before = view.version();
     view.apply(answer.update(), answer.edition()).forEach(this::takeUp);
     if (!view.version().equals(before)) {
-      target.onVersionReached(view.version());
+      applier.onVersionReached(view.version());
     }
     return true;
   }
@@ -220,110 +187,76 @@
 
   @Override
   public synchronized boolean added(List<String> names, DistributionMessages.Added answer) {
-    Map<String, RecordChange> found = new HashMap<>();
-    answer.records().forEach(r -> found.put(r.name(), r));
     if (answer.version().isBefore(view.version())) {
       return false;
     }
+    Map<String, RecordChange> recordByName = new HashMap<>();
+    answer.records().forEach(record -> recordByName.put(record.name(), record));
     for (String name : names) {
-      RecordChange record = found.get(name);
+      RecordChange record = recordByName.get(name);
       if (record == null) {
-        absent.add(name, clock.getAsLong());
+        lookups.recordAbsent(name, clock.getAsLong());
       } else {
         view.follow(name, record, answer.version());
-        absent.remove(name);
+        lookups.recordPresent(name);
         takeUp(view.record(name));
       }
-      CompletableFuture<Boolean> pending = lookups.remove(name);
-      if (pending != null) {
-        pending.complete(inForce.containsKey(name));
-      }
+      lookups.complete(name, inForce.containsKey(name));
     }
     return true;
   }
 
   @Override
-  public synchronized void confirmed(long sentAt, long statedAge) {
-    freshness.confirm(sentAt, statedAge);
+  public synchronized void confirmed(long sentAtMicros, long statedAgeMicros) {
+    viewAge.confirm(sentAtMicros, statedAgeMicros);
   }
 
   private void takeUp(RecordChange change) {
     if (change.isRemoval()) {
       inForce.remove(change.name());
-      rejected.remove(change.name());
-      target.remove(change.name());
+      rejectionReasons.remove(change.name());
+      applier.remove(change.name());
     } else {
       putInForce(change);
     }
-    keepSoon();
+    lastKnownGood.writeSoon();
   }
 
   private void putInForce(RecordChange change) {
-    String reason = target.apply(change);
-    if (reason == null) {
+    String rejectionReason = applier.apply(change);
+    if (rejectionReason == null) {
       inForce.put(change.name(), change);
-      rejected.remove(change.name());
-      return;
+      rejectionReasons.remove(change.name());
+    } else {
+      rejectionReasons.put(change.name(), rejectionReason);
+      reportRejected(change, rejectionReason);
     }
-    RecordRejected e = new RecordRejected(change.name(), change.version(), reason);
-    log.println(e.code() + ": " + e.getMessage() + ". " + e.advice());
-    rejected.put(change.name(), reason);
-    DistributionMessages.Rejected told =
-        new DistributionMessages.Rejected(change.name(), change.version(), reason);
-    timer.execute(() -> subscriber.reject(told));
   }
 
-  // ---- What was in force, kept
-  // --------------------------------------------------------------------------------
-
-  private void keepSoon() {
-    if (lastKnownGood != null && !keeping) {
-      keeping = true;
-      timer.schedule(this::keep, KEEP_DELAY_MILLIS, TimeUnit.MILLISECONDS);
-    }
+  private void reportRejected(RecordChange change, String reason) {
+    RecordRejected error = new RecordRejected(change.name(), change.version(), reason);
+    log.println(error.code() + ": " + error.getMessage() + ". " + error.advice());
+    DistributionMessages.Rejected rejected =
+        new DistributionMessages.Rejected(change.name(), change.version(), reason);
+    timer.execute(() -> subscriber.reportRejected(rejected));
   }
 
-  private void keep() {
-    LastKnownGood.Kept kept;
-    synchronized (this) {
-      keeping = false;
-      kept = new LastKnownGood.Kept(view.version(), new ArrayList<>(inForce.values()));
-    }
-    try {
-      lastKnownGood.write(kept);
-    } catch (IOException e) {
-      log.println(
-          "the last known good can't be written, a restart would begin with older records: " + e);
-    }
+  private synchronized LastKnownGood.Contents contentsInForce() {
+    return new LastKnownGood.Contents(view.version(), new ArrayList<>(inForce.values()));
   }
 
-  // ---- Age
-  // --------------------------------------------------------------------------------
-
   private synchronized void checkAge() {
-    ViewTooOld e = ageError();
-    if (e != null && !tooOld) {
-      log.println(e.code() + ": " + e.getMessage() + ". " + e.advice());
-    } else if (e == null && tooOld) {
-      log.println("the configuration is current again");
-    }
-    tooOld = e != null;
-  }
-
-  private ViewTooOld ageError() {
-    long now = clock.getAsLong();
-    long age = freshness.maxAgeMicros(now);
-    boolean starting = age == Staleness.NEVER && now - startedAt <= config.maxAgeMicros();
-    return starting || age <= config.maxAgeMicros()
-        ? null
-        : new ViewTooOld(age == Staleness.NEVER ? -1 : age / 1000, config.maxAgeMicros() / 1000);
+    viewAge.check(clock.getAsLong());
   }
 
   /**
    * What an administrator sees of it.
    *
    * @param ageMillis -1 where it was never current since the start
-   * @param errorCode the code of what an operator should look at; null where nothing is
+   * @param followedDistributor its address; null where none is followed
+   * @param rejectionReasons by name, why its newest state is not in force
+   * @param errorCode of what an operator should look at; null where nothing is
+   * @param advice what an operator can do about it; null where there is no error
    */
   public record Status(
       Version version,
@@ -335,30 +268,30 @@
       String errorCode,
       String advice) {}
 
+  /** How current this gateway is. */
   public Status status() {
-    DistributorEndpoint following = subscriber.following();
-    return status(following);
+    // Before this object's lock is taken: the subscriber has its own, and calls back under it.
+    DistributorEndpoint followed = subscriber.following();
+    return status(followed);
   }
 
-  private synchronized Status status(DistributorEndpoint following) {
-    long age = freshness.maxAgeMicros(clock.getAsLong());
-    ViewTooOld e = ageError();
+  private synchronized Status status(DistributorEndpoint followed) {
+    long nowMicros = clock.getAsLong();
+    ViewTooOld error = viewAge.error(nowMicros);
     return new Status(
         view.version(),
-        age == Staleness.NEVER ? -1 : age / 1000,
-        following == null ? null : following.address(),
+        viewAge.ageMillis(nowMicros),
+        followed == null ? null : followed.address(),
         view.names().size(),
         inForce.size(),
-        Map.copyOf(rejected),
-        e == null ? null : e.code(),
-        e == null ? null : e.advice());
+        Map.copyOf(rejectionReasons),
+        error == null ? null : error.code(),
+        error == null ? null : error.advice());
   }
 
   @Override
   public void close() {
     subscriber.close();
-    if (lastKnownGood != null) {
-      keep();
-    }
+    lastKnownGood.writeNow();
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -5,11 +5,13 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Random;
 import java.util.Set;
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
 import shelffront.distribution.DistributionTimings;
 import shelffront.distribution.DistributorEndpoint;
+import shelffront.distribution.DistributorSelector;
 import shelffront.tenant.TenantSpecCodec;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
@@ -38,7 +40,7 @@
     long staleAfterMicros,
     long maxAgeMicros) {
 
-  private static final Set<String> NAMES =
+  private static final Set<String> FIELDS =
       Set.of(
           "name",
           "fleet",
@@ -49,78 +51,103 @@
           "lastKnownGood",
           "staleAfterMs",
           "greatestAgeMs");
-  private static final Set<String> ENDPOINT_NAMES = Set.of("address", "region", "zone");
-  private static final long MS = 1000;
+  private static final Set<String> ENDPOINT_FIELDS = Set.of("address", "region", "zone");
+  private static final long MICROS_PER_MILLI = 1000;
 
   /** Beyond the age that a view has while nothing fails. */
-  private static final long STALE_AFTER_MS = 6_000;
+  private static final long DEFAULT_STALE_AFTER_MILLIS = 6_000;
 
-  private static final long GREATEST_AGE_MS = 14_000;
+  private static final long DEFAULT_MAX_AGE_MILLIS = 14_000;
+  private static final long LARGEST_AGE_MILLIS = 3_600_000;
 
   /** Throws with the pointer to the first field at fault, below the one given. */
-  public static SubscribedRecordsConfig read(JsonNode o, String at) throws SpecException {
-    if (!o.isObject()) {
-      throw new SpecException(at, "is not an object");
+  public static SubscribedRecordsConfig read(JsonNode json, String pointer) throws SpecException {
+    if (!json.isObject()) {
+      throw new SpecException(pointer, "is not an object");
     }
-    TenantSpecCodec.onlyFields(o, at, NAMES);
-    List<DistributorEndpoint> distributors = new ArrayList<>();
-    for (JsonNode each : o.path("distributors")) {
-      String here = at + "/distributors/" + distributors.size();
-      TenantSpecCodec.onlyFields(each, here, ENDPOINT_NAMES);
-      address(each, here + "/address", "address");
-      distributors.add(
-          new DistributorEndpoint(
-              each.path("address").asText(),
-              name(each, here, "region", ""),
-              name(each, here, "zone", "")));
-    }
-    InetSocketAddress engine = o.has("engine") ? address(o, at + "/engine", "engine") : null;
-    if (distributors.isEmpty() && engine == null) {
-      throw new SpecException(at + "/distributors", "names nobody to follow");
+    TenantSpecCodec.onlyFields(json, pointer, FIELDS);
+    List<DistributorEndpoint> distributors =
+        distributors(json.path("distributors"), pointer + "/distributors");
+    InetSocketAddress engineAddress =
+        json.has("engine") ? address(json, pointer + "/engine", "engine") : null;
+    if (distributors.isEmpty() && engineAddress == null) {
+      throw new SpecException(pointer + "/distributors", "names nobody to follow");
     }
     return new SubscribedRecordsConfig(
-        name(o, at, "name", null),
-        name(o, at, "fleet", null),
-        name(o, at, "region", ""),
-        name(o, at, "zone", ""),
-        List.copyOf(distributors),
-        engine,
-        o.has("lastKnownGood") ? Path.of(o.path("lastKnownGood").asText()) : null,
+        requiredName(json, pointer, "name"),
+        requiredName(json, pointer, "fleet"),
+        optionalName(json, pointer, "region"),
+        optionalName(json, pointer, "zone"),
+        distributors,
+        engineAddress,
+        json.has("lastKnownGood") ? Path.of(json.path("lastKnownGood").asText()) : null,
         DistributionTimings.STANDARD,
-        millis(o, at, "staleAfterMs", STALE_AFTER_MS),
-        millis(o, at, "greatestAgeMs", GREATEST_AGE_MS));
+        ageMicros(json, pointer, "staleAfterMs", DEFAULT_STALE_AFTER_MILLIS),
+        ageMicros(json, pointer, "greatestAgeMs", DEFAULT_MAX_AGE_MILLIS));
   }
 
-  private static String name(JsonNode o, String at, String field, String absent)
+  /** What a subscriber of this process needs to know. */
+  Subscriber.Settings subscriberSettings() {
+    return new Subscriber.Settings(name, timings, staleAfterMicros);
+  }
+
+  /** Selects among the distributors, for one subscriber. */
+  DistributorSelector newSelector(Random random) {
+    return new DistributorSelector(
+        name, region, zone, distributors, timings.reconnectJitterMicros(), random);
+  }
+
+  private static List<DistributorEndpoint> distributors(JsonNode list, String pointer)
       throws SpecException {
-    JsonNode value = o.path(field);
-    if (value.isMissingNode() && absent != null) {
-      return absent;
+    List<DistributorEndpoint> distributors = new ArrayList<>();
+    for (JsonNode json : list) {
+      String each = pointer + "/" + distributors.size();
+      TenantSpecCodec.onlyFields(json, each, ENDPOINT_FIELDS);
+      address(json, each + "/address", "address");
+      distributors.add(
+          new DistributorEndpoint(
+              json.path("address").asText(),
+              optionalName(json, each, "region"),
+              optionalName(json, each, "zone")));
     }
+    return List.copyOf(distributors);
+  }
+
+  private static String optionalName(JsonNode json, String pointer, String field)
+      throws SpecException {
+    return json.path(field).isMissingNode() ? "" : requiredName(json, pointer, field);
+  }
+
+  private static String requiredName(JsonNode json, String pointer, String field)
+      throws SpecException {
+    JsonNode value = json.path(field);
     if (!value.asText().matches(TenantSpecCodec.NAME)) {
       throw new SpecException(
-          at + "/" + field, "is not a name of letters, digits, dots and dashes");
+          pointer + "/" + field, "is not a name of letters, digits, dots and dashes");
     }
     return value.asText();
   }
 
-  private static long millis(JsonNode o, String at, String field, long absent)
+  private static long ageMicros(JsonNode json, String pointer, String field, long defaultMillis)
       throws SpecException {
-    long value = o.path(field).asLong(absent);
-    if (value * MS < DistributionTimings.STANDARD.maxHealthyAgeMicros() || value > 3_600_000) {
+    long millis = json.path(field).asLong(defaultMillis);
+    long leastMicros = DistributionTimings.STANDARD.maxHealthyAgeMicros();
+    if (millis * MICROS_PER_MILLI < leastMicros || millis > LARGEST_AGE_MILLIS) {
       throw new SpecException(
-          at + "/" + field,
+          pointer + "/" + field,
           "is not from "
-              + DistributionTimings.STANDARD.maxHealthyAgeMicros() / MS
-              + " to 3600000 milliseconds");
+              + leastMicros / MICROS_PER_MILLI
+              + " to "
+              + LARGEST_AGE_MILLIS
+              + " milliseconds");
     }
-    return value * MS;
+    return millis * MICROS_PER_MILLI;
   }
 
-  private static InetSocketAddress address(JsonNode o, String pointer, String field)
+  private static InetSocketAddress address(JsonNode json, String pointer, String field)
       throws SpecException {
     try {
-      return GatewayConfig.parseAddress(o.path(field).asText());
+      return GatewayConfig.parseAddress(json.path(field).asText());
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException(pointer, "is not an address host:port");
     }
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -18,22 +18,25 @@
 import shelffront.net.EventLog;
 
 /**
- * Follows one distributor at a time, and another when that one breaks, is silent, is behind or has
- * an old view. Asks with long polls; no call blocks and there is no thread of its own: all runs on
- * the timer's.
+ * Follows one distributor at a time by long polls, and another when that one breaks, is silent, is
+ * behind or has an old view.
+ *
+ * <p>Invariants: answers of a distributor that is followed no longer change nothing; a poll and a
+ * call that adds names are out at a time, one of each at most.
+ *
+ * <p>Threads: no call blocks and there is no thread of its own; all runs on the timer's, under this
+ * object's lock. The {@link Owner} is called under that lock.
  */
 final class Subscriber implements AutoCloseable {
 
-  private static final int UNKNOWN_SUBSCRIPTION = 404;
-
   /** Times the usual grace, after polls that failed one after another. */
-  private static final int GREATEST_PATIENCE = 32;
+  private static final int MAX_GRACE_FACTOR = 32;
 
   /** Names that wait are asked for together, so many at a time. */
-  private static final int MOST_NAMES_IN_CALL = 1000;
+  private static final int MAX_NAMES_PER_CALL = 1000;
 
   /** After a distributor that was behind what this subscriber has seen. */
-  private static final long ADD_AGAIN_MILLIS = 50;
+  private static final long RETRY_ADD_MILLIS = 50;
 
   /** Whose subscription this is. Called on the timer's threads, never twice at once. */
   interface Owner {
@@ -55,77 +58,80 @@
     boolean added(List<String> names, DistributionMessages.Added answer);
 
     /** Everything that it has is current as of a question sent at this time, up to an age. */
-    void confirmed(long sentAt, long statedAge);
+    void confirmed(long sentAtMicros, long statedAgeMicros);
   }
 
-  private final String name;
+  /**
+   * What does not change while it runs.
+   *
+   * @param name of the subscriber, in log lines
+   * @param staleAfterMicros a distributor whose view is older than this is left for another
+   */
+  record Settings(String name, DistributionTimings timings, long staleAfterMicros) {}
+
+  private final Settings settings;
+  private final DistributionTimings timings;
   private final Owner owner;
   private final HttpClient http;
-  private final DistributorSelector choice;
-  private final DistributionTimings timings;
-  private final long staleAfter;
+  private final DistributorSelector selector;
   private final ScheduledExecutorService timer;
   private final LongSupplier clock;
   private final EventLog log;
-  private final Set<String> wanted = new LinkedHashSet<>(); // names to be asked for
-  private final List<String> forgotten =
-      new ArrayList<>(); // told with the next names that are asked for
+  private final Set<String> namesToAdd = new LinkedHashSet<>();
+  private final List<String> namesToRemove = new ArrayList<>(); // sent with the next names to add
   private DistributorClient client; // null while none is followed
   private String subscription;
   private long attempt; // of following somebody; what belongs to an earlier one counts no more
-  private boolean adding;
-  private long switchedAt;
+  private boolean addingNames;
+  private long followingSinceMicros;
 
   /**
-   * Times the usual grace: a large snapshot on a slow way takes longer than a silence that is taken
-   * for a break.
+   * Times the usual grace: a large snapshot on a slow link takes longer than a silence that is
+   * taken for a break.
    */
-  private int patience = 1;
+  private int graceFactor = 1;
 
   private boolean closed;
 
-  /**
-   * @param staleAfter a distributor whose view is older than this is left for another
-   */
+  /** The clock is monotonic, in microseconds. */
   Subscriber(
-      String name,
+      Settings settings,
       Owner owner,
       HttpClient http,
-      DistributorSelector choice,
-      DistributionTimings timings,
-      long staleAfter,
+      DistributorSelector selector,
       ScheduledExecutorService timer,
       LongSupplier clock,
       EventLog log) {
-    this.name = name;
+    this.settings = settings;
+    this.timings = settings.timings();
     this.owner = owner;
     this.http = http;
-    this.choice = choice;
-    this.timings = timings;
-    this.staleAfter = staleAfter;
+    this.selector = selector;
     this.timer = timer;
     this.clock = clock;
     this.log = log;
   }
 
   synchronized void start() {
-    follow();
+    followNext();
   }
 
   /** Asks for names as soon as there is somebody to ask. */
-  synchronized void want(List<String> names) {
-    wanted.addAll(names);
-    addNames();
+  synchronized void addNames(List<String> names) {
+    namesToAdd.addAll(names);
+    sendNames();
   }
 
-  /** A name is followed no longer; the distributor is told when there is something else to tell. */
-  synchronized void forget(String forgottenName) {
-    wanted.remove(forgottenName);
-    forgotten.add(forgottenName);
+  /**
+   * A name is followed no longer; the distributor hears of it with the next names that are added.
+   */
+  synchronized void removeName(String name) {
+    namesToAdd.remove(name);
+    namesToRemove.add(name);
   }
 
   /** Tells the distributor that a record can't be put in force here. */
-  synchronized void reject(DistributionMessages.Rejected rejected) {
+  synchronized void reportRejected(DistributionMessages.Rejected rejected) {
     if (client != null) {
       client.reject(subscription, rejected, timings.connectTimeoutMicros());
     }
@@ -142,185 +148,210 @@
     attempt++;
   }
 
-  private void follow() {
+  // Which distributor is followed
+
+  private void followNext() {
     client = null;
-    adding = false;
-    long now = clock.getAsLong();
-    DistributorSelector.Selection next = choice.next(now);
-    long mine = ++attempt;
+    addingNames = false;
+    long nowMicros = clock.getAsLong();
+    DistributorSelector.Selection selection = selector.next(nowMicros);
+    long thisAttempt = ++attempt;
     timer.schedule(
-        () -> {
-          synchronized (this) {
-            if (mine == attempt && !closed) {
-              subscribe(next.endpoint());
-            }
-          }
-        },
-        Math.max(0, next.atMicros() - now),
+        () -> subscribeIfCurrent(thisAttempt, selection.endpoint()),
+        Math.max(0, selection.atMicros() - nowMicros),
         TimeUnit.MICROSECONDS);
   }
 
+  private synchronized void subscribeIfCurrent(long thisAttempt, DistributorEndpoint endpoint) {
+    if (isCurrent(thisAttempt)) {
+      subscribe(endpoint);
+    }
+  }
+
+  private boolean isCurrent(long thatAttempt) {
+    return thatAttempt == attempt && !closed;
+  }
+
   private void subscribe(DistributorEndpoint endpoint) {
-    long mine = ++attempt;
+    long thisAttempt = ++attempt;
     client = null;
-    adding = false;
-    DistributorClient asked = new DistributorClient(http, endpoint);
-    asked
+    addingNames = false;
+    DistributorClient newClient = new DistributorClient(http, endpoint);
+    newClient
         .subscribe(owner.subscribing(), timings.connectTimeoutMicros())
         .whenCompleteAsync(
-            (answer, failure) -> guarded(() -> subscribed(mine, asked, answer, failure)), timer);
+            (answer, failure) ->
+                handle(() -> onSubscribed(thisAttempt, newClient, answer, failure)),
+            timer);
   }
 
-  private void subscribed(
-      long mine,
-      DistributorClient asked,
+  private void onSubscribed(
+      long thisAttempt,
+      DistributorClient newClient,
       DistributionMessages.Subscribed answer,
       Throwable failure) {
-    if (mine != attempt || closed) {
+    if (!isCurrent(thisAttempt)) {
       return;
     }
     if (failure != null) {
-      leave(asked.endpoint(), failure);
+      leave(newClient.endpoint(), failure);
       return;
     }
-    client = asked;
+    client = newClient;
     subscription = answer.subscription();
-    switchedAt = clock.getAsLong();
-    addNames();
+    followingSinceMicros = clock.getAsLong();
+    sendNames();
     poll();
   }
 
-  /** Guards against a fault in one answer's handling ending the following for good, unseen. */
-  private synchronized void guarded(Runnable handling) {
+  /** A fault in one answer's handling must not end the following for good, unseen. */
+  private synchronized void handle(Runnable handling) {
     try {
       handling.run();
     } catch (RuntimeException e) {
-      log.println(name + " fault " + e);
+      log.println(settings.name() + " fault " + e);
       if (!closed) {
-        follow();
+        followNext();
       }
     }
   }
 
   private void leave(DistributorEndpoint endpoint, Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
-    log.println(name + " leaves distributor " + endpoint.address() + ": " + cause.getMessage());
-    choice.recordFailure(endpoint, clock.getAsLong());
-    follow();
+    log.println(
+        settings.name() + " leaves distributor " + endpoint.address() + ": " + cause.getMessage());
+    selector.recordFailure(endpoint, clock.getAsLong());
+    followNext();
   }
 
-  // ---- Polls
-  // --------------------------------------------------------------------------------
+  // Polls
 
   private void poll() {
-    long mine = attempt;
-    long sentAt = clock.getAsLong();
-    DistributorClient asked = client;
-    asked
+    long thisAttempt = attempt;
+    long sentAtMicros = clock.getAsLong();
+    DistributorClient polledClient = client;
+    long graceMicros = graceFactor * timings.responseGraceMicros();
+    polledClient
         .poll(
             subscription,
             owner.version(),
             timings.pollWaitMicros(),
-            timings.pollWaitMicros() + patience * timings.responseGraceMicros())
+            timings.pollWaitMicros() + graceMicros)
         .whenCompleteAsync(
-            (answer, failure) -> guarded(() -> polled(mine, asked, sentAt, answer, failure)),
+            (answer, failure) ->
+                handle(
+                    () ->
+                        onPolled(
+                            thisAttempt, polledClient.endpoint(), sentAtMicros, answer, failure)),
             timer);
   }
 
-  private void polled(
-      long mine,
-      DistributorClient asked,
-      long sentAt,
+  private void onPolled(
+      long thisAttempt,
+      DistributorEndpoint endpoint,
+      long sentAtMicros,
       DistributionMessages.Polled answer,
       Throwable failure) {
-    if (mine != attempt || closed) {
+    if (!isCurrent(thisAttempt)) {
       return;
     }
     if (failure != null) {
-      patience = Math.min(GREATEST_PATIENCE, 2 * patience);
-      if (failure.getCause() instanceof DistributorRefused e
-          && e.status() == UNKNOWN_SUBSCRIPTION) {
-        subscribe(asked.endpoint());
-      } else {
-        leave(asked.endpoint(), failure);
-      }
+      onPollFailed(endpoint, failure);
       return;
     }
     if (!owner.polled(answer)) {
-      leave(
-          asked.endpoint(),
-          new DistributionGarbled("an answer that does not follow what is here", null));
+      leave(endpoint, new DistributionGarbled("an answer that does not follow what is here", null));
       return;
     }
-    patience = 1;
-    owner.confirmed(sentAt, answer.age());
-    long now = clock.getAsLong();
-    boolean stale = answer.age() == Staleness.NEVER || answer.age() > staleAfter;
-    // Where all are stale it would go round and round: one is given the time in which its own
-    // upstream recovers.
-    if (stale && now - switchedAt > timings.failedHopMicros()) {
-      log.println(
-          name + " leaves distributor " + asked.endpoint().address() + ", whose view is old");
-      choice.recordFailure(asked.endpoint(), now);
-      follow();
-      return;
+    graceFactor = 1;
+    owner.confirmed(sentAtMicros, answer.ageMicros());
+    if (staysWith(endpoint, answer.ageMicros())) {
+      poll();
+    } else {
+      followNext();
+    }
+  }
+
+  private void onPollFailed(DistributorEndpoint endpoint, Throwable failure) {
+    graceFactor = Math.min(MAX_GRACE_FACTOR, 2 * graceFactor);
+    if (failure.getCause() instanceof DistributorRefused refused
+        && refused.status() == HttpStatus.UNKNOWN_SUBSCRIPTION) {
+      subscribe(endpoint);
+    } else {
+      leave(endpoint, failure);
     }
-    if (!stale) {
-      choice.recordSuccess(asked.endpoint());
-      if (choice.hasPreferredAlternative(asked.endpoint(), now)
-          && now - switchedAt > DistributorSelector.MAX_BACKOFF_MICROS) {
-        follow();
-        return;
+  }
+
+  /** Whether it goes on with a distributor whose view has this age; else another is selected. */
+  private boolean staysWith(DistributorEndpoint endpoint, long viewAgeMicros) {
+    long nowMicros = clock.getAsLong();
+    long followedMicros = nowMicros - followingSinceMicros;
+    if (isStale(viewAgeMicros)) {
+      // Where all are stale it would go round and round: one is given the time in which its own
+      // upstream recovers.
+      if (followedMicros <= timings.failedHopMicros()) {
+        return true;
       }
+      log.println(
+          settings.name() + " leaves distributor " + endpoint.address() + ", whose view is old");
+      selector.recordFailure(endpoint, nowMicros);
+      return false;
     }
-    poll();
+    selector.recordSuccess(endpoint);
+    return !selector.hasPreferredAlternative(endpoint, nowMicros)
+        || followedMicros <= DistributorSelector.MAX_BACKOFF_MICROS;
+  }
+
+  private boolean isStale(long viewAgeMicros) {
+    return viewAgeMicros == Staleness.NEVER || viewAgeMicros > settings.staleAfterMicros();
   }
 
-  // ---- Names
-  // --------------------------------------------------------------------------------
+  // Names
 
-  private void addNames() {
-    if (client == null || adding || wanted.isEmpty()) {
+  private void sendNames() {
+    if (client == null || addingNames || namesToAdd.isEmpty()) {
       return;
     }
-    adding = true;
-    long mine = attempt;
-    long sentAt = clock.getAsLong();
-    List<String> names = wanted.stream().limit(MOST_NAMES_IN_CALL).toList();
+    addingNames = true;
+    long thisAttempt = attempt;
+    long sentAtMicros = clock.getAsLong();
+    List<String> names = namesToAdd.stream().limit(MAX_NAMES_PER_CALL).toList();
     DistributionMessages.ChangeNames change =
         new DistributionMessages.ChangeNames(
-            owner.beginAdding(names), names, List.copyOf(forgotten));
-    forgotten.clear();
+            owner.beginAdding(names), names, List.copyOf(namesToRemove));
+    namesToRemove.clear();
     client
         .changeNames(subscription, change, timings.connectTimeoutMicros())
         .whenCompleteAsync(
-            (answer, failure) -> guarded(() -> added(mine, sentAt, names, answer, failure)), timer);
+            (answer, failure) ->
+                handle(() -> onNamesAdded(thisAttempt, sentAtMicros, names, answer, failure)),
+            timer);
   }
 
-  private void added(
-      long mine,
-      long sentAt,
+  private void onNamesAdded(
+      long thisAttempt,
+      long sentAtMicros,
       List<String> names,
       DistributionMessages.Added answer,
       Throwable failure) {
-    if (mine != attempt || closed) {
-      return; // asked for again by whoever is followed now
+    if (!isCurrent(thisAttempt)) {
+      return; // whoever is followed now is asked again
     }
-    adding = false;
+    addingNames = false;
     if (failure != null) {
       leave(client.endpoint(), failure);
       return;
     }
     if (owner.added(names, answer)) {
-      owner.confirmed(sentAt, answer.age());
-      names.forEach(wanted::remove);
-      addNames();
+      owner.confirmed(sentAtMicros, answer.ageMicros());
+      names.forEach(namesToAdd::remove);
+      sendNames();
     } else {
-      timer.schedule(this::addNamesAgain, ADD_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+      timer.schedule(this::sendNamesAgain, RETRY_ADD_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private synchronized void addNamesAgain() {
-    addNames();
+  private synchronized void sendNamesAgain() {
+    sendNames();
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/Subscription.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscription.java
@@ -8,22 +8,38 @@
 import shelffront.distribution.Version;
 
 /**
- * One subscriber at a distributor: what it follows, and its poll where one waits. Guarded by its
- * shard's lock.
+ * One subscriber at a distributor: what it follows, and its poll where one waits. Invariant: one
+ * poll waits at most. Threads: guarded by the lock of its shard in {@link SubscriptionTable}.
  */
 final class Subscription {
 
   /** A poll that waits for a change. */
   static final class Poll {
 
-    final Version after;
-    final Responder responder;
-    ScheduledFuture<?> timeout;
+    private final Version after;
+    private final Responder responder;
+    private ScheduledFuture<?> timeout;
 
     Poll(Version after, Responder responder) {
       this.after = after;
       this.responder = responder;
     }
+
+    Version after() {
+      return after;
+    }
+
+    Responder responder() {
+      return responder;
+    }
+
+    void setTimeout(ScheduledFuture<?> newTimeout) {
+      timeout = newTimeout;
+    }
+
+    void cancelTimeout() {
+      timeout.cancel(false);
+    }
   }
 
   /** Where the answer to a call goes; once. */
@@ -32,31 +48,37 @@
     void answer(int status, byte[] body);
   }
 
-  final String id;
-  final String subscriber;
+  private final String id;
   private final boolean all;
   private final Set<String> names;
-  private SubscriptionFilter interest;
+  private SubscriptionFilter filter;
   private long edition;
-  private Poll waiting;
-  long usedAt;
+  private Poll waitingPoll;
+  private long usedAtMicros;
 
-  Subscription(String id, DistributionMessages.Subscribe asked, long now) {
+  Subscription(String id, DistributionMessages.Subscribe request, long nowMicros) {
     this.id = id;
-    subscriber = asked.subscriber();
-    all = asked.all();
-    names = new HashSet<>(asked.names());
-    edition = asked.edition();
-    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.ofNames(names);
-    usedAt = now;
+    all = request.all();
+    names = new HashSet<>(request.names());
+    edition = request.edition();
+    usedAtMicros = nowMicros;
+    updateFilter();
   }
 
-  SubscriptionFilter interest() {
-    return interest;
+  private void updateFilter() {
+    filter = all ? SubscriptionFilter.ALL : SubscriptionFilter.ofNames(names);
   }
 
-  boolean isInterested(Set<String> changed) {
-    return all || changed.stream().anyMatch(names::contains);
+  String id() {
+    return id;
+  }
+
+  SubscriptionFilter filter() {
+    return filter;
+  }
+
+  boolean isInterested(Set<String> changedNames) {
+    return all || changedNames.stream().anyMatch(names::contains);
   }
 
   long edition() {
@@ -67,23 +89,31 @@
     return names.size();
   }
 
+  long usedAtMicros() {
+    return usedAtMicros;
+  }
+
+  void markUsed(long nowMicros) {
+    usedAtMicros = nowMicros;
+  }
+
   void change(DistributionMessages.ChangeNames change) {
     change.remove().forEach(names::remove);
     names.addAll(change.add());
-    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.ofNames(names);
+    updateFilter();
     edition = Math.max(edition, change.edition());
   }
 
   /** Follows these no longer. */
-  void drop(Collection<String> dropped) {
-    dropped.forEach(names::remove);
-    interest = all ? SubscriptionFilter.ALL : SubscriptionFilter.ofNames(names);
+  void drop(Collection<String> droppedNames) {
+    droppedNames.forEach(names::remove);
+    updateFilter();
   }
 
   /** Has a poll wait; gives the one that waited before, which nobody asks for any more. */
   Poll park(Poll poll) {
-    Poll before = waiting;
-    waiting = poll;
+    Poll before = waitingPoll;
+    waitingPoll = poll;
     return before;
   }
 
@@ -94,10 +124,10 @@
 
   /** Takes this poll, unless another has taken its place or it was answered. */
   boolean unpark(Poll poll) {
-    if (waiting != poll) {
+    if (waitingPoll != poll) {
       return false;
     }
-    waiting = null;
+    waitingPoll = null;
     return true;
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import shelffront.distribution.Version;
 
-/** Keeps a distributor's table as that of another one, by a subscription to all records. */
+/**
+ * Keeps a distributor's table as that of another one, by a subscription to all records. Threads:
+ * those of its {@link Subscriber}.
+ */
 final class UpstreamFollower implements Subscriber.Owner {
 
   private final String name;
@@ -26,7 +29,7 @@
 
   @Override
   public boolean polled(DistributionMessages.Polled answer) {
-    return distributor.take(answer.update());
+    return distributor.apply(answer.update());
   }
 
   @Override
@@ -40,7 +43,7 @@
   }
 
   @Override
-  public void confirmed(long sentAt, long statedAge) {
-    distributor.confirm(sentAt, statedAge);
+  public void confirmed(long sentAtMicros, long statedAgeMicros) {
+    distributor.confirm(sentAtMicros, statedAgeMicros);
   }
 }
--- a/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
@@ -94,12 +94,10 @@
     } else {
       Subscriber subscriber =
           new Subscriber(
-              "d",
+              new Subscriber.Settings("d", QUICK, 2_000_000),
               new UpstreamFollower("d", distributor),
               http,
               new DistributorSelector("d", "", "", List.of(upstream), 0, new Random(1)),
-              QUICK,
-              2_000_000,
               timer,
               DistributionTest::clock,
               line -> log.add(line.toString()));
@@ -208,7 +206,7 @@
   void aFloodOfNamesStopsAtTheGatewayWhileNobodyAnswers() {
     SubscribedRecords gateway =
         gateway("g", new Force(), null, new DistributorEndpoint("127.0.0.1:9", "", ""));
-    for (int i = 0; i < SubscribedRecords.MOST_LOOKUPS; i++) {
+    for (int i = 0; i < RecordLookups.MAX_PENDING; i++) {
       assertFalse(gateway.lookUp("n" + i).isDone());
     }
     assertTrue(gateway.lookUp("one more").isCompletedExceptionally());
--- a/gateway/src/test/java/shelffront/controlplane/LastKnownGoodCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/LastKnownGoodCompatibilityTest.java
@@ -17,8 +17,8 @@
 
   private static final long INCARNATION = 1_700_000_000_000L;
   private static final long EARLIER_INCARNATION = 1_699_000_000_000L;
-  private static final LastKnownGood.Kept KEPT =
-      new LastKnownGood.Kept(
+  private static final LastKnownGood.Contents KEPT =
+      new LastKnownGood.Contents(
           new Version(INCARNATION, 42),
           List.of(
               new RecordChange(
