--- a/gateway/src/main/java/shelffront/backend/BackendCall.java
+++ b/gateway/src/main/java/shelffront/backend/BackendCall.java
@@ -6,19 +6,19 @@
 /** What one host connection carries at a time: an attempt, or a probe where there is none. */
 final class BackendCall {
 
-  final String member;
+  final String endpointId;
   final BackendHost host; // null where the list does not know the member
   final BackendAttempt attempt;
-  final long startedAt;
-  Deadline connectBy;
-  Deadline endBy;
-  BackendConnection on;
-  boolean over;
+  final long startedAtMicros;
+  Deadline connectDeadline;
+  Deadline endDeadline;
+  BackendConnection connection;
+  boolean finished;
 
-  BackendCall(String member, BackendHost host, BackendAttempt attempt, long startedAt) {
-    this.member = member;
+  BackendCall(String endpointId, BackendHost host, BackendAttempt attempt, long startedAt) {
+    this.endpointId = endpointId;
     this.host = host;
     this.attempt = attempt;
-    this.startedAt = startedAt;
+    this.startedAtMicros = startedAt;
   }
 }
--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -17,24 +17,24 @@
  */
 final class BackendConnection extends Connection {
 
-  private static final int GREATEST_GREETING = 8192;
+  private static final int MAX_STARTUP_MESSAGE_BYTES = 8192;
 
   /** An answer comes in one piece or in quick succession: one that stops half-way is spoilt. */
-  private static final long ANSWER_TIME = 250_000;
+  private static final long RESPONSE_STALL_MICROS = 250_000;
 
   final BackendHost host;
   private final InetSocketAddress address;
-  private final BackendConnections servers;
-  private final Deadline openBy;
-  private Deadline idleUntil;
-  private Deadline answerBy;
+  private final BackendConnections backend;
+  private final Deadline openDeadline;
+  private Deadline idleDeadline;
+  private Deadline responseDeadline;
   private boolean ready;
   private BackendCall call;
   private boolean requestWritten;
-  private boolean inPieces; // part of a message has come
-  private boolean spoilt;
-  private QueryResponse answer = new QueryResponse();
-  private int held; // bytes of the answer that the memory budget counts
+  private boolean messageIncomplete; // part of a message has come
+  private boolean malformed;
+  private QueryResponse response = new QueryResponse();
+  private int heldBytes; // bytes of the answer that the memory budget counts
 
   BackendConnection(
       Network network,
@@ -45,14 +45,14 @@
     super(network, "host", channel, Message.MAX_ROW_BYTES);
     this.host = host;
     address = host.address;
-    this.servers = servers;
-    this.openBy =
+    this.backend = servers;
+    this.openDeadline =
         network.loop().scheduleAfter(openWithin, () -> close(CloseReason.CONNECT_TIMEOUT));
   }
 
   /** Connects; may end it at once, so whoever counts it has done so before. */
   void open() {
-    write(Message.startup(servers.login.user(), servers.login.database()));
+    write(Message.startup(backend.login.user(), backend.login.database()));
     connect(address);
   }
 
@@ -64,19 +64,19 @@
     return address.equals(host.address);
   }
 
-  boolean ready() {
+  boolean isReady() {
     return ready;
   }
 
   void begin(BackendCall next, byte[] query) {
-    cancel(idleUntil);
+    cancel(idleDeadline);
     call = next;
     requestWritten = false;
     write(query);
   }
 
-  void idleUntil(long time) {
-    idleUntil = network.loop().scheduleAt(time, () -> close(CloseReason.IDLE));
+  void closeWhenIdleAt(long time) {
+    idleDeadline = network.loop().scheduleAt(time, () -> close(CloseReason.IDLE));
   }
 
   private static void cancel(Deadline deadline) {
@@ -102,42 +102,48 @@
   @Override
   protected void onBytesReceived(ByteBuffer bytes) {
     try {
-      while (!isClosed() && (ready ? take(bytes) : greeting(bytes))) {
+      while (!isClosed() && (ready ? takeResponseMessage(bytes) : takeStartupMessage(bytes))) {
         continue;
       }
     } catch (ProtocolException e) {
-      spoilt(e.getMessage());
+      closeAsMalformed(e.getMessage());
       return;
     }
-    inPieces = bytes.hasRemaining();
-    if (!isClosed() && call != null && answerBy == null && (inPieces || answer.begun())) {
-      answerBy =
-          network.loop().scheduleAt(nowMicros() + ANSWER_TIME, () -> spoilt("it does not go on"));
+    messageIncomplete = bytes.hasRemaining();
+    if (!isClosed()
+        && call != null
+        && responseDeadline == null
+        && (messageIncomplete || response.hasBegun())) {
+      responseDeadline =
+          network
+              .loop()
+              .scheduleAt(
+                  nowMicros() + RESPONSE_STALL_MICROS, () -> closeAsMalformed("it does not go on"));
     }
   }
 
-  private void spoilt(String why) {
+  private void closeAsMalformed(String why) {
     network.log().println("spoilt answer of " + host.id + ": " + why);
-    spoilt = true;
+    malformed = true;
     close(CloseReason.BAD_ANSWER);
   }
 
   /**
    * Takes a message that comes before the first ReadyForQuery; false where there is no whole one.
    */
-  private boolean greeting(ByteBuffer bytes) throws ProtocolException {
-    Message m = Message.next(bytes, "RSKNZE", GREATEST_GREETING);
-    if (m == null) {
+  private boolean takeStartupMessage(ByteBuffer bytes) throws ProtocolException {
+    Message message = Message.next(bytes, "RSKNZE", MAX_STARTUP_MESSAGE_BYTES);
+    if (message == null) {
       return false;
     }
-    if (m.type() == 'E') {
+    if (message.type() == 'E') {
       close(CloseReason.REFUSED_BY_HOST);
-    } else if (m.type() == 'Z' && bytes.hasRemaining()) {
+    } else if (message.type() == 'Z' && bytes.hasRemaining()) {
       close(CloseReason.SURPLUS);
-    } else if (m.type() == 'Z') {
+    } else if (message.type() == 'Z') {
       ready = true;
-      openBy.cancel();
-      servers.onConnectionReady(this);
+      openDeadline.cancel();
+      backend.onConnectionReady(this);
     }
     return true;
   }
@@ -148,7 +154,7 @@
    * before the request was written whole, ends the connection, or it would be read as the answer to
    * the next request.
    */
-  private boolean take(ByteBuffer bytes) throws ProtocolException {
+  private boolean takeResponseMessage(ByteBuffer bytes) throws ProtocolException {
     if (!bytes.hasRemaining()) {
       return false;
     }
@@ -160,20 +166,20 @@
       throw new ProtocolException(
           SqlState.PROTOCOL_VIOLATION, "it came before the request was written");
     }
-    Message m = answer.next(bytes);
-    if (m == null) {
+    Message message = response.next(bytes);
+    if (message == null) {
       return false;
     }
-    answer.take(m);
-    if (!network.budget().tryAcquire(answer.size() - held)) {
+    response.take(message);
+    if (!network.budget().tryAcquire(response.heldBytes() - heldBytes)) {
       close(CloseReason.NO_MEMORY);
       return false;
     }
-    held = answer.size();
-    if (answer.over()) {
+    heldBytes = response.heldBytes();
+    if (response.isComplete()) {
       // A buffer that is full to the end may hide surplus that the socket still holds.
       finish(bytes.hasRemaining() || bytes.limit() == bytes.capacity());
-    } else if (answer.fatal()) {
+    } else if (response.isFatal()) {
       close(CloseReason.REFUSED_BY_HOST);
     }
     return true;
@@ -182,15 +188,15 @@
   private void finish(boolean surplus) {
     BackendCall done = call;
     call = null;
-    BackendResponse reply = answer.reply(done.attempt == null);
-    dropAnswer();
+    BackendResponse reply = response.toBackendResponse(done.attempt == null);
+    discardResponse();
     if (surplus) {
       close(CloseReason.SURPLUS);
     } else {
-      servers.onConnectionFree(
+      backend.onConnectionFree(
           this); // before the outcome, whose next send may want this connection
     }
-    servers.finishCall(done, reply);
+    backend.finishCall(done, reply);
   }
 
   /**
@@ -200,37 +206,41 @@
    */
   @Override
   protected void onClosed(CloseReason reason) {
-    openBy.cancel();
-    cancel(idleUntil);
+    openDeadline.cancel();
+    cancel(idleDeadline);
     BackendCall broken = call;
     call = null;
     BackendResponse reply = null;
     if (broken != null) {
-      boolean said = answer.whole() && !inPieces && !spoilt && reason != CloseReason.NO_MEMORY;
+      boolean said =
+          response.isOutcomeKnown()
+              && !messageIncomplete
+              && !malformed
+              && reason != CloseReason.NO_MEMORY;
       reply =
           said
-              ? answer.reply(broken.attempt == null)
+              ? response.toBackendResponse(broken.attempt == null)
               : BackendResponse.of(
-                  spoilt
+                  malformed
                       ? AttemptStatus.ERROR
                       : requestWritten ? AttemptStatus.RESET : AttemptStatus.CONNECT_FAILED);
     }
-    dropAnswer();
-    servers.onConnectionClosed(this);
+    discardResponse();
+    backend.onConnectionClosed(this);
     if (broken != null) {
-      servers.finishCall(broken, reply);
+      backend.finishCall(broken, reply);
     }
   }
 
   /**
    * Host connections are many and kept for long: none keeps the room that its greatest answer took.
    */
-  private void dropAnswer() {
-    cancel(answerBy);
-    answerBy = null;
-    network.budget().release(held);
-    held = 0;
-    answer = new QueryResponse();
+  private void discardResponse() {
+    cancel(responseDeadline);
+    responseDeadline = null;
+    network.budget().release(heldBytes);
+    heldBytes = 0;
+    response = new QueryResponse();
   }
 
   @Override
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -37,13 +37,18 @@
     /** Whether an attempt may still be written, now that a connection is there for it. */
     boolean mayStartAttempt(BackendAttempt attempt);
 
-    void onHealthCheckEnded(String member, BackendResponse reply, long took);
+    void onHealthCheckEnded(String endpointId, BackendResponse reply, long elapsedMicros);
   }
 
   /** Who the hosts are told this is. */
   public record Login(String user, String database) {}
 
-  private static final byte[] PROBE = Message.query("SHOW usage".getBytes(US_ASCII));
+  /** Connections are closed at four fifths of the time for which hosts let them idle. */
+  private static final int IDLE_PARTS_USED = 4;
+
+  private static final int IDLE_PARTS = 5;
+
+  private static final byte[] HEALTH_CHECK_QUERY = Message.query("SHOW usage".getBytes(US_ASCII));
 
   private final Network network;
   private final OperatingLimits limits;
@@ -55,7 +60,7 @@
   /** In the order of their begin, so that closing all goes the same way each time. */
   private final Map<BackendAttempt, BackendCall> calls = new LinkedHashMap<>();
 
-  private boolean owes; // another tenant waits for a socket, and none of these was idle
+  private boolean owesConnection; // another tenant waits for a socket, and none of these was idle
 
   /** Each connection takes one of the sockets, divided by weight and bounded, while it is open. */
   public BackendConnections(
@@ -72,21 +77,21 @@
         sockets.register(
             weight,
             mostSockets,
-            () -> network.post(this::giveOneBack),
-            () -> network.post(this::oneCame));
+            () -> network.post(this::onConnectionDemanded),
+            () -> network.post(this::onConnectionAvailable));
     this.login = login;
     this.listener = listener;
   }
 
   /** Takes the addresses of a list; connections to hosts that left it, or moved, are given back. */
   public void updateEndpoints(EndpointList list) {
-    for (Endpoint m : list.endpoints()) {
-      if (m.availability() == Availability.REMOVED) {
-        leave(m.id());
+    for (Endpoint endpoint : list.endpoints()) {
+      if (endpoint.availability() == Availability.REMOVED) {
+        removeHost(endpoint.id());
         continue;
       }
-      InetSocketAddress address = list.addresses().get(m.id());
-      BackendHost host = hosts.computeIfAbsent(m.id(), BackendHost::new);
+      InetSocketAddress address = list.addresses().get(endpoint.id());
+      BackendHost host = hosts.computeIfAbsent(endpoint.id(), BackendHost::new);
       if (host.address != null && !host.address.equals(address)) {
         closeIdleConnections(host, CloseReason.LEFT_LIST);
       }
@@ -94,38 +99,43 @@
     }
     if (list.complete()) {
       List<String> named = list.endpoints().stream().map(Endpoint::id).toList();
-      List.copyOf(hosts.keySet()).stream().filter(id -> !named.contains(id)).forEach(this::leave);
+      List.copyOf(hosts.keySet()).stream()
+          .filter(id -> !named.contains(id))
+          .forEach(this::removeHost);
     }
   }
 
-  private void leave(String member) {
-    BackendHost host = hosts.remove(member);
+  private void removeHost(String endpointId) {
+    BackendHost host = hosts.remove(endpointId);
     if (host != null) {
       closeIdleConnections(host, CloseReason.LEFT_LIST);
     }
   }
 
+  /** Begins an attempt; its end is told by {@link Listener#onAttemptEnded}. */
   public void startAttempt(BackendAttempt attempt) {
     BackendHost host = hosts.get(attempt.endpointId);
     BackendCall call =
         new BackendCall(attempt.endpointId, host, attempt, network.loop().nowMicros());
     calls.put(attempt, call);
-    call.endBy =
+    call.endDeadline =
         network
             .loop()
             .scheduleAt(attempt.request.deadlineMicros, () -> giveUp(call, AttemptStatus.TIMEOUT));
-    begin(call);
+    assignConnection(call);
   }
 
-  public void checkHealth(String member) {
-    BackendCall call = new BackendCall(member, hosts.get(member), null, network.loop().nowMicros());
+  /** Begins a health check; its end is told by {@link Listener#onHealthCheckEnded}. */
+  public void checkHealth(String endpointId) {
+    BackendCall call =
+        new BackendCall(endpointId, hosts.get(endpointId), null, network.loop().nowMicros());
     network.counters().add(Counters.Name.PROBES_SENT);
-    call.endBy =
+    call.endDeadline =
         network
             .loop()
             .scheduleAfter(
                 limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.TIMEOUT));
-    begin(call);
+    assignConnection(call);
   }
 
   /** Calls the attempt off; its outcome follows unless it is over already. */
@@ -137,19 +147,21 @@
     }
   }
 
-  public void closeIdleConnections(String member) {
-    if (hosts.containsKey(member)) {
-      closeIdleConnections(hosts.get(member), CloseReason.GIVEN_BACK);
+  /** Closes the connections to this endpoint that carry nothing. */
+  public void closeIdleConnections(String endpointId) {
+    if (hosts.containsKey(endpointId)) {
+      closeIdleConnections(hosts.get(endpointId), CloseReason.GIVEN_BACK);
     }
   }
 
   /** Ends every connection and whatever waits for one; outcomes follow where any are owed. */
   public void closeAll(CloseReason reason) {
     for (BackendHost host : hosts.values()) {
-      List.copyOf(host.connections).forEach(c -> c.close(reason));
-      List.copyOf(host.waiting)
-          .forEach(e -> finishCall(e, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
-      host.waiting.clear();
+      List.copyOf(host.connections).forEach(connection -> connection.close(reason));
+      List.copyOf(host.waitingCalls)
+          .forEach(
+              waiting -> finishCall(waiting, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
+      host.waitingCalls.clear();
     }
     // Hosts that have left the list may still carry some.
     for (BackendCall call : List.copyOf(calls.values())) {
@@ -159,33 +171,33 @@
   }
 
   private void closeIdleConnections(BackendHost host, CloseReason reason) {
-    List.copyOf(host.idle).forEach(c -> c.close(reason));
+    List.copyOf(host.idleConnections).forEach(connection -> connection.close(reason));
   }
 
-  private void begin(BackendCall call) {
+  private void assignConnection(BackendCall call) {
     BackendHost host = call.host;
     if (host == null) {
       network.post(() -> finishCall(call, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       return;
     }
-    BackendConnection connection = host.idle.pollLast();
+    BackendConnection connection = host.idleConnections.pollLast();
     while (connection != null && connection.hasUnprocessedInput()) {
       // Its end, or what nobody asked for, waits to be looked at: written to, it would seem to have
       // been sent.
-      connection = host.idle.pollLast();
+      connection = host.idleConnections.pollLast();
     }
     if (connection != null) {
-      carry(connection, call);
+      sendOn(connection, call);
       return;
     }
-    call.connectBy =
+    call.connectDeadline =
         network
             .loop()
             .scheduleAfter(
                 limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.CONNECT_FAILED));
-    host.waiting.add(call);
-    if (host.opening < host.waiting.size()) {
-      open(host);
+    host.waitingCalls.add(call);
+    if (host.openingCount < host.waitingCalls.size()) {
+      openConnection(host);
     }
   }
 
@@ -193,9 +205,9 @@
    * At the bound for sockets the call waits for a connection of its host, or for a socket, to come
    * free.
    */
-  private void open(BackendHost host) {
+  private void openConnection(BackendHost host) {
     Acquisition verdict = sockets.tryAcquire(false);
-    if (verdict != Acquisition.ACQUIRED && evict()) {
+    if (verdict != Acquisition.ACQUIRED && evictIdle()) {
       verdict = sockets.tryAcquire(true);
     }
     if (verdict != Acquisition.ACQUIRED) {
@@ -204,12 +216,12 @@
     AsynchronousSocketChannel channel;
     try {
       channel = network.newChannel();
-    } catch (IOException e) {
-      network.log().println("no socket for " + host.id + ": " + e.getMessage());
+    } catch (IOException call) {
+      network.log().println("no socket for " + host.id + ": " + call.getMessage());
       sockets.release();
       return;
     }
-    host.opening++;
+    host.openingCount++;
     network.counters().add(Counters.Name.HOST_CONNECTIONS_OPENED);
     BackendConnection connection =
         new BackendConnection(network, channel, host, this, limits.connectTimeoutMicros());
@@ -218,11 +230,11 @@
   }
 
   /** What another tenant is owed: an idle connection goes now, or the next that falls idle. */
-  private void giveOneBack() {
-    owes = sockets.excess() > 0 && !evict();
+  private void onConnectionDemanded() {
+    owesConnection = sockets.excess() > 0 && !evictIdle();
   }
 
-  private void oneCame() {
+  private void onConnectionAvailable() {
     sockets.acknowledgeAvailable();
     for (BackendHost host : hosts.values()) {
       if (!openForWaiting(host)) {
@@ -233,10 +245,10 @@
 
   /** As many connections as calls wait for; false where no socket is left for them. */
   private boolean openForWaiting(BackendHost host) {
-    while (host.opening < host.waiting.size()) {
-      int before = host.opening;
-      open(host);
-      if (host.opening == before) {
+    while (host.openingCount < host.waitingCalls.size()) {
+      int before = host.openingCount;
+      openConnection(host);
+      if (host.openingCount == before) {
         return false;
       }
     }
@@ -253,10 +265,10 @@
     return sockets.inUse();
   }
 
-  private boolean evict() {
+  private boolean evictIdle() {
     for (BackendHost host : hosts.values()) {
-      if (!host.idle.isEmpty()) {
-        host.idle.peekFirst().close(CloseReason.EVICTED);
+      if (!host.idleConnections.isEmpty()) {
+        host.idleConnections.peekFirst().close(CloseReason.EVICTED);
         return true;
       }
     }
@@ -264,7 +276,7 @@
   }
 
   void onConnectionReady(BackendConnection connection) {
-    connection.host.opening--;
+    connection.host.openingCount--;
     onConnectionFree(connection);
   }
 
@@ -281,33 +293,35 @@
       openForWaiting(host);
       return;
     }
-    BackendCall next = host.waiting.poll();
+    BackendCall next = host.waitingCalls.poll();
     // What the choice of one that waited rested on may hold no longer.
     while (next != null && next.attempt != null && !listener.mayStartAttempt(next.attempt)) {
       BackendCall late = next;
       network.post(() -> finishCall(late, BackendResponse.of(AttemptStatus.NOT_SENT)));
-      next = host.waiting.poll();
+      next = host.waitingCalls.poll();
     }
     if (next != null) {
-      carry(connection, next);
-    } else if (owes && sockets.excess() > 0) {
-      owes = false;
+      sendOn(connection, next);
+    } else if (owesConnection && sockets.excess() > 0) {
+      owesConnection = false;
       connection.close(CloseReason.GIVEN_BACK);
     } else if (hosts.get(host.id) != host) {
       connection.close(CloseReason.LEFT_LIST);
     } else {
-      host.idle.addLast(connection);
-      connection.idleUntil(network.loop().nowMicros() + limits.connectionIdleMicros() * 4 / 5);
+      host.idleConnections.addLast(connection);
+      connection.closeWhenIdleAt(
+          network.loop().nowMicros()
+              + limits.connectionIdleMicros() * IDLE_PARTS_USED / IDLE_PARTS);
     }
   }
 
-  private void carry(BackendConnection connection, BackendCall call) {
-    if (call.connectBy != null) {
-      call.connectBy.cancel();
+  private void sendOn(BackendConnection connection, BackendCall call) {
+    if (call.connectDeadline != null) {
+      call.connectDeadline.cancel();
     }
-    call.on = connection;
+    call.connection = connection;
     if (call.attempt == null) {
-      connection.begin(call, PROBE);
+      connection.begin(call, HEALTH_CHECK_QUERY);
       return;
     }
     call.attempt.sentAtMicros = network.loop().nowMicros();
@@ -323,10 +337,10 @@
     BackendHost host = connection.host;
     sockets.release();
     host.connections.remove(connection);
-    host.idle.remove(connection);
-    if (!connection.ready()) {
-      host.opening--;
-      BackendCall first = host.waiting.poll();
+    host.idleConnections.remove(connection);
+    if (!connection.isReady()) {
+      host.openingCount--;
+      BackendCall first = host.waitingCalls.poll();
       if (first != null) {
         network.post(() -> finishCall(first, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       }
@@ -346,28 +360,29 @@
   }
 
   private void abandon(BackendCall call, CloseReason reason) {
-    if (call.on != null) {
-      call.on.abandon(reason);
+    if (call.connection != null) {
+      call.connection.abandon(reason);
     } else if (call.host != null) {
-      call.host.waiting.remove(call);
+      call.host.waitingCalls.remove(call);
     }
   }
 
   void finishCall(BackendCall call, BackendResponse reply) {
-    if (call.over) {
+    if (call.finished) {
       return;
     }
-    call.over = true;
-    call.on = null;
-    call.endBy.cancel();
-    if (call.connectBy != null) {
-      call.connectBy.cancel();
+    call.finished = true;
+    call.connection = null;
+    call.endDeadline.cancel();
+    if (call.connectDeadline != null) {
+      call.connectDeadline.cancel();
     }
     if (call.attempt != null) {
       calls.remove(call.attempt);
       listener.onAttemptEnded(call.attempt, reply);
     } else {
-      listener.onHealthCheckEnded(call.member, reply, network.loop().nowMicros() - call.startedAt);
+      listener.onHealthCheckEnded(
+          call.endpointId, reply, network.loop().nowMicros() - call.startedAtMicros);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/backend/BackendHost.java
+++ b/gateway/src/main/java/shelffront/backend/BackendHost.java
@@ -11,9 +11,9 @@
   final String id;
   InetSocketAddress address;
   final Set<BackendConnection> connections = new LinkedHashSet<>();
-  final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
-  final ArrayDeque<BackendCall> waiting = new ArrayDeque<>();
-  int opening;
+  final ArrayDeque<BackendConnection> idleConnections = new ArrayDeque<>();
+  final ArrayDeque<BackendCall> waitingCalls = new ArrayDeque<>();
+  int openingCount;
 
   BackendHost(String id) {
     this.id = id;
--- a/gateway/src/main/java/shelffront/backend/LoadReportParser.java
+++ b/gateway/src/main/java/shelffront/backend/LoadReportParser.java
@@ -15,7 +15,10 @@
  */
 final class LoadReportParser {
 
-  private static final int GREATEST = 1024;
+  /** From seconds to microseconds. */
+  private static final int MICROS_DECIMALS = 6;
+
+  private static final int MAX_LENGTH = 1024;
 
   private static final Pattern FIELD =
       Pattern.compile("([a-z0-9_]+)=([0-9]{1,12}(?:\\.[0-9]{1,18})?)");
@@ -27,7 +30,7 @@
    * relied on.
    */
   static LoadReport read(String text) {
-    if (text == null || text.length() > GREATEST) {
+    if (text == null || text.length() > MAX_LENGTH) {
       return null;
     }
     long position = Router.UNKNOWN;
@@ -39,7 +42,7 @@
       }
       if (field.group(1).equals("x0")) {
         // Rounded down: a replica taken for further than it is could serve a stale read.
-        position = new BigDecimal(field.group(2)).movePointRight(6).longValue();
+        position = new BigDecimal(field.group(2)).movePointRight(MICROS_DECIMALS).longValue();
       } else if (field.group(1).equals("x1")) {
         role = Double.parseDouble(field.group(2)) >= 0.5 ? Role.PRIMARY : Role.REPLICA;
       }
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -26,7 +26,7 @@
     OVER
   }
 
-  private static final int GREATEST_OTHER = 8192; // Any message but a row.
+  private static final int MAX_OTHER_BYTES = 8192; // Any message but a row.
 
   private static final Map<String, AttemptStatus> STATUS_BY_SQLSTATE =
       Map.of(
@@ -35,11 +35,12 @@
           SqlState.TOO_MANY_CONNECTIONS.code(), AttemptStatus.CAPACITY_EXCEEDED,
           SqlState.CANNOT_CONNECT_NOW.code(), AttemptStatus.CAPACITY_EXCEEDED);
 
-  private static final Set<String> TOLD = Set.of("server_role", "commit_clock", "usage");
+  private static final Set<String> REPORTED_PARAMETERS =
+      Set.of("server_role", "commit_clock", "usage");
 
   private final ByteArrayOutputStream messages = new ByteArrayOutputStream();
-  private final Map<String, String> told = new HashMap<>();
-  private Part part = Part.DESCRIPTION;
+  private final Map<String, String> parameters = new HashMap<>();
+  private Part expected = Part.DESCRIPTION;
   private String value; // the only column of the row
   private String errorCode;
   private boolean fatal;
@@ -50,7 +51,7 @@
    */
   Message next(ByteBuffer in) throws ProtocolException {
     String types =
-        switch (part) {
+        switch (expected) {
           case DESCRIPTION -> "TESN";
           case ROW -> "DESN";
           case COMPLETION -> "CESN";
@@ -60,93 +61,98 @@
     return Message.next(
         in,
         types,
-        in.hasRemaining() && in.get(in.position()) == 'D' ? Message.MAX_ROW_BYTES : GREATEST_OTHER);
+        in.hasRemaining() && in.get(in.position()) == 'D'
+            ? Message.MAX_ROW_BYTES
+            : MAX_OTHER_BYTES);
   }
 
-  void take(Message m) throws ProtocolException {
-    switch (m.type()) {
+  /** Takes the message that {@link #next} gave; throws where its body does not fit. */
+  void take(Message message) throws ProtocolException {
+    switch (message.type()) {
       case 'S' -> {
-        String[] words = m.texts(2);
-        if (TOLD.contains(words[0])) {
-          told.put(words[0], words[1]);
+        String[] words = message.texts(2);
+        if (REPORTED_PARAMETERS.contains(words[0])) {
+          parameters.put(words[0], words[1]);
         }
       }
-      case 'N' -> m.errorFields();
+      case 'N' -> message.errorFields();
       case 'T' -> {
-        m.requireOneColumnDescribed();
-        keep(m, Part.ROW);
+        message.requireOneColumnDescribed();
+        keep(message, Part.ROW);
       }
       case 'D' -> {
-        value = m.onlyColumn();
-        keep(m, Part.COMPLETION);
+        value = message.onlyColumn();
+        keep(message, Part.COMPLETION);
       }
       case 'C' -> {
-        if (!m.texts(1)[0].matches("SHOW|[A-Z]+( [0-9]+)? 1")) {
+        if (!message.texts(1)[0].matches("SHOW|[A-Z]+( [0-9]+)? 1")) {
           throw new ProtocolException(
               SqlState.PROTOCOL_VIOLATION, "not the tag of a command with one row");
         }
-        keep(m, Part.READY);
-      }
-      case 'E' -> {
-        Map<Character, String> fields = m.errorFields();
-        errorCode = fields.getOrDefault('C', "");
-        fatal = "FATAL".equals(fields.get('S'));
-        if (!errorCode.matches("[0-9A-Z]{5}")) {
-          throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "not an SQLSTATE");
-        }
-        part = Part.READY;
+        keep(message, Part.READY);
       }
+      case 'E' -> takeError(message);
       default -> {
-        if (m.body().length != 1 || m.body()[0] != 'I') {
+        if (message.body().length != 1 || message.body()[0] != 'I') {
           throw new ProtocolException(
               SqlState.PROTOCOL_VIOLATION, "not the state of a session outside a transaction");
         }
-        part = Part.OVER;
+        expected = Part.OVER;
       }
     }
   }
 
-  private void keep(Message m, Part next) {
-    messages.writeBytes(m.bytes());
-    part = next;
+  private void takeError(Message message) throws ProtocolException {
+    Map<Character, String> fields = message.errorFields();
+    errorCode = fields.getOrDefault('C', "");
+    fatal = "FATAL".equals(fields.get('S'));
+    if (!errorCode.matches("[0-9A-Z]{5}")) {
+      throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "not an SQLSTATE");
+    }
+    expected = Part.READY;
+  }
+
+  private void keep(Message message, Part next) {
+    messages.writeBytes(message.bytes());
+    expected = next;
   }
 
   /** Some of it has come. */
-  boolean begun() {
-    return part != Part.DESCRIPTION || !told.isEmpty();
+  boolean hasBegun() {
+    return expected != Part.DESCRIPTION || !parameters.isEmpty();
   }
 
   /** ReadyForQuery has come. */
-  boolean over() {
-    return part == Part.OVER;
+  boolean isComplete() {
+    return expected == Part.OVER;
   }
 
   /** All that tells how the query ended has come; the host may close here. */
-  boolean whole() {
-    return part == Part.READY || over();
+  boolean isOutcomeKnown() {
+    return expected == Part.READY || isComplete();
   }
 
   /** The host ends the connection with this error, and no ReadyForQuery follows. */
-  boolean fatal() {
+  boolean isFatal() {
     return fatal;
   }
 
   /** Bytes held for the client. */
-  int size() {
+  int heldBytes() {
     return messages.size();
   }
 
   /** What it says once it is whole; a report that can't be read spoils only the report. */
-  BackendResponse reply(boolean probe) {
+  BackendResponse toBackendResponse(boolean probe) {
     AttemptStatus status =
         errorCode == null
             ? AttemptStatus.OK
             : STATUS_BY_SQLSTATE.getOrDefault(errorCode, AttemptStatus.ERROR);
-    LoadReport report = LoadReportParser.read(probe ? value : told.get("usage"));
+    LoadReport report = LoadReportParser.read(probe ? value : parameters.get("usage"));
     return new BackendResponse(
         status,
-        LoadReportParser.role(told.get("server_role")),
-        LoadReportParser.position(told.get("commit_clock")),
+        LoadReportParser.role(parameters.get("server_role")),
+        LoadReportParser.position(parameters.get("commit_clock")),
         report,
         status == AttemptStatus.OK ? messages.toByteArray() : null);
   }
--- a/gateway/src/main/java/shelffront/config/EndpointList.java
+++ b/gateway/src/main/java/shelffront/config/EndpointList.java
@@ -41,15 +41,20 @@
       return news;
     }
     Map<String, Endpoint> all = new LinkedHashMap<>();
-    endpoints.forEach(m -> all.put(m.id(), m));
-    news.endpoints.forEach(m -> all.put(m.id(), m));
-    all.values().removeIf(m -> m.availability() == Availability.REMOVED);
+    endpoints.forEach(member -> all.put(member.id(), member));
+    news.endpoints.forEach(member -> all.put(member.id(), member));
+    all.values().removeIf(member -> member.availability() == Availability.REMOVED);
     Map<String, InetSocketAddress> where = new HashMap<>(addresses);
     where.putAll(news.addresses);
     where.keySet().retainAll(all.keySet());
     return new EndpointList(news.revision, true, List.copyOf(all.values()), Map.copyOf(where));
   }
 
+  /**
+   * Reads a list as discovery and the configuration write it.
+   *
+   * @throws MalformedInputException where an entry lacks a field or has one that does not fit
+   */
   public static EndpointList read(Map<?, ?> object) throws MalformedInputException {
     List<Endpoint> members = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
@@ -57,26 +62,26 @@
       throw new MalformedInputException("members is not an array");
     }
     for (Object entry : entries) {
-      if (!(entry instanceof Map<?, ?> m)) {
+      if (!(entry instanceof Map<?, ?> member)) {
         throw new MalformedInputException("a member is not an object");
       }
-      String id = JsonReader.text(m, "id");
-      Availability phase = PHASES.get(JsonReader.text(m, "phase"));
+      String id = JsonReader.text(member, "id");
+      Availability phase = PHASES.get(JsonReader.text(member, "phase"));
       if (phase == null) {
         throw new MalformedInputException("phase of " + id + " is not known");
       }
       if (phase != Availability.REMOVED) {
-        addresses.put(id, GatewayConfig.parseAddress(JsonReader.text(m, "host_port")));
+        addresses.put(id, GatewayConfig.parseAddress(JsonReader.text(member, "host_port")));
       }
       members.add(
           new Endpoint(
               id,
-              m.get("flavor") instanceof String kind ? kind : "",
-              m.get("locality") instanceof String zone ? zone : "",
-              (int) JsonReader.number(m, "cell", 0),
-              JsonReader.number(m, "size", 1),
-              (long) JsonReader.number(m, "up_since_ms", 0) * 1000,
-              "writer".equals(m.get("access")),
+              member.get("flavor") instanceof String kind ? kind : "",
+              member.get("locality") instanceof String zone ? zone : "",
+              (int) JsonReader.number(member, "cell", 0),
+              JsonReader.number(member, "size", 1),
+              (long) JsonReader.number(member, "up_since_ms", 0) * 1000,
+              "writer".equals(member.get("access")),
               phase));
     }
     return new EndpointList(
--- a/gateway/src/main/java/shelffront/config/GatewayConfig.java
+++ b/gateway/src/main/java/shelffront/config/GatewayConfig.java
@@ -21,8 +21,17 @@
     RoutingSettings settings,
     EndpointList knownEndpoints) {
 
-  private static final int GREATEST_FILE = 1 << 20;
+  private static final int DEFAULT_MAX_SOCKETS = 1024;
+  private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
+  private static final int HEXADECIMAL = 16;
+  private static final int MAX_PORT = 65_535;
+  private static final int MAX_FILE_BYTES = 1 << 20;
 
+  /**
+   * Reads the file that the environment names; its variables go before the file's values.
+   *
+   * @throws MalformedInputException where a value is missing or does not fit
+   */
   public static GatewayConfig fromEnvironment(Map<String, String> environment)
       throws IOException, MalformedInputException {
     Map<?, ?> top = JsonReader.parseObject(text(file(environment)));
@@ -32,8 +41,10 @@
         parseAddress(given(environment, "BALANCER_LISTEN", top, "listen")),
         parseAddress(given(environment, "BALANCER_DISCOVERY", top, "discovery")),
         seed(JsonReader.text(top, "seed")),
-        (int) JsonReader.number(JsonReader.part(top, "limits"), "sockets", 1024),
-        (int) JsonReader.number(JsonReader.part(settings, "limits"), "openCap", 20_000),
+        (int) JsonReader.number(JsonReader.part(top, "limits"), "sockets", DEFAULT_MAX_SOCKETS),
+        (int)
+            JsonReader.number(
+                JsonReader.part(settings, "limits"), "openCap", DEFAULT_MAX_OPEN_REQUESTS),
         RoutingSettingsCodec.read(settings),
         EndpointList.read(JsonReader.part(top, "known")));
   }
@@ -50,10 +61,10 @@
   /** Guards a running gateway that reads its file anew against one too large for its memory. */
   private static String text(Path path) throws IOException, MalformedInputException {
     try (InputStream in = Files.newInputStream(path)) {
-      byte[] bytes = in.readNBytes(GREATEST_FILE + 1);
-      if (bytes.length > GREATEST_FILE) {
+      byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
+      if (bytes.length > MAX_FILE_BYTES) {
         throw new MalformedInputException(
-            "the configuration is larger than " + GREATEST_FILE + " bytes");
+            "the configuration is larger than " + MAX_FILE_BYTES + " bytes");
       }
       return new String(bytes, UTF_8);
     }
@@ -68,7 +79,7 @@
 
   private static long seed(String hex) throws MalformedInputException {
     try {
-      return Long.parseUnsignedLong(hex, 16);
+      return Long.parseUnsignedLong(hex, HEXADECIMAL);
     } catch (NumberFormatException e) {
       throw new MalformedInputException("seed is not a hexadecimal number");
     }
@@ -81,7 +92,7 @@
     String port = text.substring(colon + 1);
     if (!host.matches("[0-9.]+|\\[[0-9A-Fa-f:.]+]")
         || !port.matches("[0-9]{1,5}")
-        || Integer.parseInt(port) > 65_535) {
+        || Integer.parseInt(port) > MAX_PORT) {
       throw new MalformedInputException("not an address: " + text);
     }
     return new InetSocketAddress(host, Integer.parseInt(port));
--- a/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
+++ b/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
@@ -61,6 +61,9 @@
           "pull",
           LoadReportSource.HEALTH_CHECKS);
 
+  private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
+  private static final long DEFAULT_CONNECTION_IDLE_MICROS = 15_000_000;
+
   private final String path;
   private final Map<?, ?> values;
 
@@ -74,45 +77,25 @@
     return new RoutingSettingsCodec("facts", facts).part("familyInfo").integer("zero", 0);
   }
 
+  /**
+   * Reads the settings; absent ones have the protocol's defaults.
+   *
+   * @throws MalformedInputException where a part is no object or a figure no number
+   */
   public static RoutingSettings read(Map<?, ?> facts) throws MalformedInputException {
     RoutingSettingsCodec top = new RoutingSettingsCodec("facts", facts);
     RoutingSettingsCodec family = top.part("familyInfo");
     RoutingSettingsCodec limits = top.part("limits");
     RoutingSettingsCodec rules = top.part("guarantees");
     RoutingSettingsCodec prices = top.part("tariffs");
-    List<?> reads = family.list("classRead");
-    List<?> bounds = family.list("oldestData");
-    List<RequestClass> classes = new ArrayList<>();
-    for (Object entry : top.list("categories")) {
-      int i = classes.size();
-      RoutingSettingsCodec c =
-          new RoutingSettingsCodec("facts.categories[" + i + "]", asMap(entry));
-      Consistency read =
-          i < reads.size() && reads.get(i) instanceof String word
-              ? READS.getOrDefault(word, Consistency.STRONG)
-              : Consistency.STRONG;
-      long bound = i < bounds.size() && bounds.get(i) instanceof Number n ? n.longValue() : 0;
-      long deadline = c.integer("hardLimit", 0);
-      classes.add(
-          new RequestClass(
-              c.text("name", ""),
-              c.integer("aim", deadline),
-              deadline,
-              c.number("points", 1),
-              c.number("lateShare", 0),
-              c.word("effect", EFFECTS, Idempotency.NON_IDEMPOTENT),
-              c.word("group", SCOPES, DeduplicationScope.REPLICA_SET),
-              c.integer("dedupWindow", 0),
-              read,
-              bound));
-    }
+    List<RequestClass> classes = readClasses(top, family);
     return new RoutingSettings(
         new GatewayIdentity(
             (int) top.integer("selfIndex", 0),
             (int) top.integer("balancers", 1),
             top.text("zone", "")),
         top.integer("period", 1000),
-        List.copyOf(classes),
+        classes,
         new ConsistencySettings(
             family.word("checks", CHECKS, LagCheck.NONE),
             family.integer("patience", 0),
@@ -122,29 +105,81 @@
             family.word("roleInList", LIST_ROLES, ListedRoles.NONE),
             top.text("membershipMode", "push").equals("ask")),
         top.part("loadInfo").word("source", SOURCES, LoadReportSource.NONE),
-        new SafetyRules(
-            rules.integer("drainGrace", 0),
-            rules.number("coldFrom", 1),
-            rules.integer("cold", 0),
-            rules.number("fallMultiple", 1),
-            rules.integer("fall", 0),
-            rules.flag("softRemoval"),
-            rules.integer("askWithin", 0),
-            rules.integer("answerSlack", 0)),
-        new OperatingLimits(
-            (int) limits.integer("maxAttempts", 1),
-            limits.integer("maxRetryAfter", 0),
-            limits.flag("retryAfter"),
-            limits.flag("mayCancel"),
-            limits.flag("mayDuplicate"),
-            limits.flag("mayProbe"),
-            limits.flag("mayTell"),
-            limits.integer("connectTimeout", 250_000),
-            limits.integer("connIdle", 15_000_000)),
+        readRules(rules),
+        readLimits(limits),
         prices.number("crossZone", 0),
         prices.number("probe", 0));
   }
 
+  private static List<RequestClass> readClasses(
+      RoutingSettingsCodec top, RoutingSettingsCodec family) throws MalformedInputException {
+    List<?> reads = family.list("classRead");
+    List<?> bounds = family.list("oldestData");
+    List<RequestClass> classes = new ArrayList<>();
+    for (Object entry : top.list("categories")) {
+      int index = classes.size();
+      RoutingSettingsCodec category =
+          new RoutingSettingsCodec("facts.categories[" + index + "]", asMap(entry));
+      classes.add(
+          category.readClass(consistencyAt(reads, index), maxStalenessMicrosAt(bounds, index)));
+    }
+    return List.copyOf(classes);
+  }
+
+  private static Consistency consistencyAt(List<?> reads, int index) {
+    return index < reads.size() && reads.get(index) instanceof String word
+        ? READS.getOrDefault(word, Consistency.STRONG)
+        : Consistency.STRONG;
+  }
+
+  private static long maxStalenessMicrosAt(List<?> bounds, int index) {
+    return index < bounds.size() && bounds.get(index) instanceof Number number
+        ? number.longValue()
+        : 0;
+  }
+
+  private RequestClass readClass(Consistency consistency, long maxStalenessMicros)
+      throws MalformedInputException {
+    long deadlineMicros = integer("hardLimit", 0);
+    return new RequestClass(
+        text("name", ""),
+        integer("aim", deadlineMicros),
+        deadlineMicros,
+        number("points", 1),
+        number("lateShare", 0),
+        word("effect", EFFECTS, Idempotency.NON_IDEMPOTENT),
+        word("group", SCOPES, DeduplicationScope.REPLICA_SET),
+        integer("dedupWindow", 0),
+        consistency,
+        maxStalenessMicros);
+  }
+
+  private static SafetyRules readRules(RoutingSettingsCodec rules) throws MalformedInputException {
+    return new SafetyRules(
+        rules.integer("drainGrace", 0),
+        rules.number("coldFrom", 1),
+        rules.integer("cold", 0),
+        rules.number("fallMultiple", 1),
+        rules.integer("fall", 0),
+        rules.flag("softRemoval"),
+        rules.integer("askWithin", 0),
+        rules.integer("answerSlack", 0));
+  }
+
+  private static OperatingLimits readLimits(RoutingSettingsCodec limits)
+      throws MalformedInputException {
+    return new OperatingLimits(
+        (int) limits.integer("maxAttempts", 1),
+        limits.integer("maxRetryAfter", 0),
+        limits.flag("retryAfter"),
+        limits.flag("mayCancel"),
+        limits.flag("mayDuplicate"),
+        limits.flag("mayProbe"),
+        limits.flag("mayTell"),
+        limits.integer("connectTimeout", DEFAULT_CONNECT_TIMEOUT_MICROS),
+        limits.integer("connIdle", DEFAULT_CONNECTION_IDLE_MICROS));
+  }
+
   private static Map<?, ?> asMap(Object value) {
     return value instanceof Map<?, ?> map ? map : Map.of();
   }
@@ -174,7 +209,7 @@
   }
 
   private boolean flag(String name) {
-    return values.get(name) instanceof Boolean b && b;
+    return values.get(name) instanceof Boolean flag && flag;
   }
 
   private <T> T word(String name, Map<String, T> words, T absent) {
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
@@ -16,14 +16,16 @@
 /** One call of discovery on a connection of its own. */
 final class DiscoveryCall extends Connection {
 
-  private static final int GREATEST_LIST = 256 * 1024;
+  private static final int HTTP_OK = 200;
+  private static final int MAX_INPUT_BYTES = 64 * 1024;
+  private static final int MAX_LIST_CHARS = 256 * 1024;
 
   private final DiscoveryClient discovery;
-  private final boolean standing;
-  private final HttpLineReader answer = new HttpLineReader(this::line);
+  private final boolean isWatch;
+  private final HttpLineReader response = new HttpLineReader(this::onLine);
   private final StringBuilder body = new StringBuilder();
-  private int depth; // of braces, in what has come of a list
-  private Deadline silence;
+  private int openBraces; // of braces, in what has come of a list
+  private Deadline silenceDeadline;
   private boolean listCame;
 
   DiscoveryCall(
@@ -33,10 +35,10 @@
       String request,
       boolean standing,
       DiscoveryClient discovery) {
-    super(network, "discovery", channel, 64 * 1024);
+    super(network, "discovery", channel, MAX_INPUT_BYTES);
     this.discovery = discovery;
-    this.standing = standing;
-    listen();
+    this.isWatch = standing;
+    restartSilenceDeadline();
     write(request.getBytes(US_ASCII));
     connect(address);
   }
@@ -45,23 +47,24 @@
    * Guards against a watch whose other end vanished, and against one that trickles: only whole
    * headers and whole lines count, of a list only its last.
    */
-  private void listen() {
-    if (silence != null) {
-      silence.cancel();
+  private void restartSilenceDeadline() {
+    if (silenceDeadline != null) {
+      silenceDeadline.cancel();
     }
-    silence =
+    silenceDeadline =
         network
             .loop()
-            .scheduleAfter(DiscoveryClient.SILENCE_TIMEOUT_MICROS, () -> end(CloseReason.SILENT));
+            .scheduleAfter(
+                DiscoveryClient.SILENCE_TIMEOUT_MICROS, () -> endOnceProcessed(CloseReason.SILENT));
   }
 
   /**
    * Ends it, once what was read in this moment has been looked at: a list that has come counts as
    * told.
    */
-  void end(CloseReason reason) {
+  void endOnceProcessed(CloseReason reason) {
     if (hasUnprocessedInput()) {
-      network.post(() -> end(reason));
+      network.post(() -> endOnceProcessed(reason));
     } else {
       close(reason);
     }
@@ -69,9 +72,9 @@
 
   @Override
   protected void onBytesReceived(ByteBuffer bytes) {
-    boolean before = answer.hasHeaders();
+    boolean before = response.hasHeaders();
     try {
-      answer.take(bytes);
+      response.take(bytes);
     } catch (MalformedInputException e) {
       network.log().println("discovery: " + e.getMessage());
       close(CloseReason.BAD_ANSWER);
@@ -80,43 +83,43 @@
     if (isClosed()) {
       return;
     }
-    if (answer.hasHeaders() && answer.status() != 200) {
+    if (response.hasHeaders() && response.status() != HTTP_OK) {
       close(CloseReason.ANSWERED); // a refusal: what it says beside that may never end
       return;
     }
-    if (answer.hasHeaders() && !before) {
-      listen();
+    if (response.hasHeaders() && !before) {
+      restartSilenceDeadline();
     }
-    if (answer.ended()) {
+    if (response.ended()) {
       finish(CloseReason.ANSWERED);
     }
   }
 
-  private void line(String text) {
-    if (answer.status() != 200 || isClosed()) {
+  private void onLine(String text) {
+    if (response.status() != HTTP_OK || isClosed()) {
       return;
     }
-    if (body.length() + text.length() > GREATEST_LIST) {
+    if (body.length() + text.length() > MAX_LIST_CHARS) {
       network.log().println("discovery: a list is too long");
       close(CloseReason.BAD_ANSWER);
       return;
     }
-    if (!standing) {
+    if (!isWatch) {
       body.append(text).append('\n');
       return;
     }
     // A list may be indented, over several lines; it has come when its first brace is closed.
-    depth += depth(text);
+    openBraces += braceBalance(text);
     if (body.length() > 0 || !text.isBlank()) {
       body.append(text).append('\n');
     }
-    if (depth <= 0) {
-      listen();
+    if (openBraces <= 0) {
+      restartSilenceDeadline();
       if (body.length() > 0) {
         String whole = body.toString();
         body.setLength(0);
-        depth = 0;
-        list(whole);
+        openBraces = 0;
+        onListText(whole);
       }
     }
   }
@@ -125,23 +128,23 @@
    * By how much the braces of a line open more than they close; those within texts, which end on
    * their line, not.
    */
-  private static int depth(String line) {
+  private static int braceBalance(String line) {
     int depth = 0;
     boolean inText = false;
     for (int i = 0; i < line.length(); i++) {
-      char c = line.charAt(i);
-      if (inText && c == '\\') {
+      char character = line.charAt(i);
+      if (inText && character == '\\') {
         i++;
-      } else if (c == '"') {
+      } else if (character == '"') {
         inText = !inText;
-      } else if (!inText && (c == '{' || c == '}')) {
-        depth += c == '{' ? 1 : -1;
+      } else if (!inText && (character == '{' || character == '}')) {
+        depth += character == '{' ? 1 : -1;
       }
     }
     return depth;
   }
 
-  private void list(String text) {
+  private void onListText(String text) {
     EndpointList list;
     try {
       list = EndpointList.read(JsonReader.parseObject(text));
@@ -155,20 +158,20 @@
   }
 
   private void finish(CloseReason reason) {
-    if (!standing && answer.status() == 200) {
-      list(body.toString());
+    if (!isWatch && response.status() == HTTP_OK) {
+      onListText(body.toString());
     }
     close(reason);
   }
 
   @Override
   protected void onClosed(CloseReason reason) {
-    silence.cancel();
-    discovery.onCallClosed(this, standing, listCame);
+    silenceDeadline.cancel();
+    discovery.onCallClosed(this, isWatch, listCame);
   }
 
   @Override
   protected String describe() {
-    return (standing ? "watch" : "fetch") + " status=" + answer.status();
+    return (isWatch ? "watch" : "fetch") + " status=" + response.status();
   }
 }
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
@@ -96,11 +96,12 @@
     call("/catalog/members", false);
   }
 
+  /** Ends the watch without a report of failure; fetches go on. */
   public void close(CloseReason reason) {
     DiscoveryCall old = watch;
     watch = null;
     if (old != null) {
-      old.end(reason);
+      old.endOnceProcessed(reason);
     }
   }
 
--- a/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
+++ b/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
@@ -15,7 +15,16 @@
  */
 final class HttpLineReader {
 
-  private static final int GREATEST_LINE = 256 * 1024;
+  private static final int MAX_LINE_BYTES = 256 * 1024;
+
+  private static final String CONTENT_LENGTH = "content-length:";
+
+  /** Where the status code stands in the status line. */
+  private static final int STATUS_START = "HTTP/1.1 ".length();
+
+  private static final int STATUS_END = STATUS_START + 3;
+  private static final int DECIMAL = 10;
+  private static final int HEXADECIMAL = 16;
 
   private enum Part {
     STATUS,
@@ -37,7 +46,7 @@
   private Part part = Part.STATUS;
   private int status;
   private boolean chunked;
-  private long left = Long.MAX_VALUE;
+  private long bytesLeft = Long.MAX_VALUE;
 
   HttpLineReader(Consumer<String> lines) {
     this.lines = lines;
@@ -68,13 +77,13 @@
 
   void take(ByteBuffer in) throws MalformedInputException {
     while (in.hasRemaining() && part != Part.END) {
-      byte b = in.get();
+      byte nextByte = in.get();
       boolean inBody = part == Part.BODY;
-      left -= inBody ? 1 : 0;
+      bytesLeft -= inBody ? 1 : 0;
       ByteArrayOutputStream into = inBody ? line : frame;
-      if (b != '\n') {
-        into.write(b);
-        if (into.size() > GREATEST_LINE) {
+      if (nextByte != '\n') {
+        into.write(nextByte);
+        if (into.size() > MAX_LINE_BYTES) {
           throw new MalformedInputException("a line is too long");
         }
       } else if (inBody) {
@@ -85,7 +94,7 @@
         frame.reset();
         protocolLine(text);
       }
-      if (part == Part.BODY && left == 0) {
+      if (part == Part.BODY && bytesLeft == 0) {
         bodyPartEnds();
       }
     }
@@ -105,14 +114,14 @@
         if (!text.matches("HTTP/1\\.[01] [0-9]{3}.*")) {
           throw new MalformedInputException("not an HTTP answer");
         }
-        status = Integer.parseInt(text.substring(9, 12));
+        status = Integer.parseInt(text.substring(STATUS_START, STATUS_END));
         part = Part.HEADER;
       }
       case HEADER -> header(text.toLowerCase(Locale.ROOT));
       case CHUNK_SIZE -> {
-        left = size(text.split(";", 2)[0].strip(), 16);
+        bytesLeft = size(text.split(";", 2)[0].strip(), HEXADECIMAL);
         part = Part.BODY;
-        if (left == 0) {
+        if (bytesLeft == 0) {
           finish();
         }
       }
@@ -124,18 +133,18 @@
   private void header(String text) throws MalformedInputException {
     if (text.startsWith("transfer-encoding:") && text.endsWith("chunked")) {
       chunked = true;
-    } else if (text.startsWith("content-length:")) {
-      left = size(text.substring(15).strip(), 10);
+    } else if (text.startsWith(CONTENT_LENGTH)) {
+      bytesLeft = size(text.substring(CONTENT_LENGTH.length()).strip(), DECIMAL);
     } else if (text.isEmpty()) {
       part = chunked ? Part.CHUNK_SIZE : Part.BODY;
-      if (!chunked && left == 0) {
+      if (!chunked && bytesLeft == 0) {
         finish();
       }
     }
   }
 
   private static long size(String text, int radix) throws MalformedInputException {
-    if (!text.matches(radix == 16 ? "[0-9A-Fa-f]{1,7}" : "[0-9]{1,9}")) {
+    if (!text.matches(radix == HEXADECIMAL ? "[0-9A-Fa-f]{1,7}" : "[0-9]{1,9}")) {
       throw new MalformedInputException("not a length: " + text);
     }
     return Long.parseLong(text, radix);
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -92,16 +92,21 @@
     int clientCount();
 
     /** Throws where the request can't be taken for what it says; nothing has been done then. */
-    void validate(ClientRequest exchange) throws ProtocolException;
+    void validate(ClientRequest request) throws ProtocolException;
 
     /**
      * The position, in microseconds, is that of the session's last write as the client tells it, or
      * unknown.
      */
-    void handle(ClientRequest exchange, String session, int group, long after, boolean repeat);
+    void handle(
+        ClientRequest request,
+        String session,
+        int replicaSet,
+        long requiredPositionMicros,
+        boolean repeat);
 
     /** The client waits no longer; no answer is owed. */
-    void onRequestAbandoned(ClientRequest exchange);
+    void onRequestAbandoned(ClientRequest request);
   }
 
   private static final int BACKLOG = 1024;
@@ -109,14 +114,14 @@
   /**
    * Beyond the places, as a part of them: connections that were told to go and have not ended yet.
    */
-  private static final int LINGERING_PART = 16;
+  private static final int LINGERING_DIVISOR = 16;
 
-  private static final long ACCEPT_PAUSE = 20_000;
+  private static final long ACCEPT_BACKOFF_MICROS = 20_000;
 
   final Network network;
   final TenantLookup tenantLookup;
-  private final int mostConnections;
-  private final int mostLingering;
+  private final int maxConnections;
+  private final int maxLingering;
   private final AsynchronousServerSocketChannel
       listener; // null where they come from another loop's
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -125,20 +130,21 @@
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   /** Those that came in here and live on another loop now, by whose they are there. */
-  private final Map<FrontendConnections, Integer> away = new LinkedHashMap<>();
+  private final Map<FrontendConnections, Integer> movedAwayCounts = new LinkedHashMap<>();
 
   private boolean accepting; // an accept is out
-  private boolean lookingAgain; // a look at who may go is due
-  private boolean turnsAway; // there was no place for a while: who comes is told so
+  private boolean recheckScheduled; // a look at who may go is due
+  private boolean rejectsNewcomers; // there was no place for a while: who comes is told so
   private boolean draining;
   private Runnable whenStopped; // to be told that no accept is out any more
 
+  /** Listens on the address, and accepts from {@link #accept} on. */
   public FrontendConnections(
-      Network network, InetSocketAddress listen, int mostConnections, TenantLookup door)
+      Network network, InetSocketAddress listen, int maxConnections, TenantLookup door)
       throws IOException {
     this.network = network;
-    mostLingering = Math.max(1, mostConnections / LINGERING_PART);
-    this.mostConnections = mostConnections;
+    maxLingering = Math.max(1, maxConnections / LINGERING_DIVISOR);
+    this.maxConnections = maxConnections;
     this.tenantLookup = door;
     listener = network.channels().listen(listen, BACKLOG);
   }
@@ -147,8 +153,8 @@
   public FrontendConnections(Network network, TenantLookup door) {
     this.network = network;
     this.tenantLookup = door;
-    mostConnections = Integer.MAX_VALUE;
-    mostLingering = Integer.MAX_VALUE;
+    maxConnections = Integer.MAX_VALUE;
+    maxLingering = Integer.MAX_VALUE;
     listener = null;
   }
 
@@ -156,6 +162,7 @@
     return listener.getLocalAddress();
   }
 
+  /** Accepts the next connection, and goes on from there while there are places. */
   public void accept() {
     accepting = true;
     listener.accept(
@@ -182,19 +189,19 @@
     ClientConnection connection = new ClientConnection(this, channel);
     connections.add(connection);
     connection.begin();
-    if (connections.size() + awayCount() > mostConnections && !evict()) {
+    if (connections.size() + movedAwayCount() > maxConnections && !evict()) {
       connection.endWithError(
           new ProtocolException(SqlState.TOO_MANY_CONNECTIONS, "too many connections"),
           CloseReason.NO_PLACE);
     }
-    makeRoom();
+    acceptNext();
     if (!accepting && listener.isOpen()) {
       // The next one waits in the backlog for a moment. Whoever has most elsewhere is asked for
       // one.
-      away.entrySet().stream()
+      movedAwayCounts.entrySet().stream()
           .max(Map.Entry.comparingByValue())
           .map(Map.Entry::getKey)
-          .ifPresent(c -> c.network.loop().post(c::evict));
+          .ifPresent(other -> other.network.loop().post(other::evict));
     }
   }
 
@@ -203,7 +210,9 @@
     accepting = false;
     if (listener.isOpen()) {
       network.log().println("accept failed: " + failure);
-      network.loop().scheduleAt(network.loop().nowMicros() + ACCEPT_PAUSE, this::makeRoom);
+      network
+          .loop()
+          .scheduleAt(network.loop().nowMicros() + ACCEPT_BACKOFF_MICROS, this::acceptNext);
     } else if (whenStopped != null) {
       whenStopped.run();
     }
@@ -234,9 +243,9 @@
     return victim != null && victim.retire(CloseReason.EVICTED);
   }
 
-  private int awayCount() {
+  private int movedAwayCount() {
     int count = 0;
-    for (int each : away.values()) {
+    for (int each : movedAwayCounts.values()) {
       count += each;
     }
     return count;
@@ -247,7 +256,7 @@
    */
   void onMovedAway(ClientConnection connection, FrontendConnections to) {
     connections.remove(connection);
-    away.merge(to, 1, Integer::sum);
+    movedAwayCounts.merge(to, 1, Integer::sum);
   }
 
   /** A connection that came in elsewhere lives here from now on. */
@@ -258,8 +267,9 @@
   /** One that came in here has ended with another loop's clients. */
   void onClosedElsewhere(Map<String, String> startup, FrontendConnections there) {
     tenantLookup.onConnectionClosed(startup, there);
-    away.merge(there, -1, (a, b) -> a + b == 0 ? null : a + b);
-    makeRoom();
+    movedAwayCounts.merge(
+        there, -1, (before, change) -> before + change == 0 ? null : before + change);
+    acceptNext();
   }
 
   /** Keeps the connections in the order of their last use. */
@@ -274,7 +284,7 @@
     if (draining && connection.mayRetire()) {
       connection.retire(CloseReason.DRAINED);
     }
-    makeRoom(); // One that fell idle gives its place to one that waits in the backlog.
+    acceptNext(); // One that fell idle gives its place to one that waits in the backlog.
   }
 
   /**
@@ -284,16 +294,16 @@
   void onLingering(ClientConnection connection) {
     connections.remove(connection);
     lingering.add(connection);
-    if (lingering.size() > mostLingering) {
+    if (lingering.size() > maxLingering) {
       lingering.iterator().next().close(CloseReason.EVICTED);
     }
-    makeRoom();
+    acceptNext();
   }
 
   void onClosed(ClientConnection connection) {
     connections.remove(connection);
     lingering.remove(connection);
-    makeRoom();
+    acceptNext();
   }
 
   /**
@@ -302,27 +312,27 @@
    * that moment those that come are told at once that there is no place, until there is one: what
    * waits in the backlog has been taken, and is owed an answer.
    */
-  private void makeRoom() {
+  private void acceptNext() {
     if (listener == null || accepting || !listener.isOpen()) {
       return;
     }
-    boolean room = connections.size() + awayCount() < mostConnections || evict();
-    turnsAway &= !room;
+    boolean room = connections.size() + movedAwayCount() < maxConnections || evict();
+    rejectsNewcomers &= !room;
     if (accepting) {
       return; // what was evicted has made room by itself
     }
-    if (room || turnsAway) {
+    if (room || rejectsNewcomers) {
       accept();
-    } else if (!lookingAgain) {
-      lookingAgain = true;
+    } else if (!recheckScheduled) {
+      recheckScheduled = true;
       network
           .loop()
           .scheduleAt(
               network.loop().nowMicros() + ClientActivity.BRIEF_SILENCE_MICROS + 1,
               () -> {
-                lookingAgain = false;
-                turnsAway = true;
-                makeRoom();
+                recheckScheduled = false;
+                rejectsNewcomers = true;
+                acceptNext();
               });
     }
   }
@@ -338,7 +348,7 @@
 
   /** Whether no connection is left. */
   public boolean isEmpty() {
-    return connections.isEmpty() && lingering.isEmpty() && away.isEmpty();
+    return connections.isEmpty() && lingering.isEmpty() && movedAwayCounts.isEmpty();
   }
 
   /**
@@ -363,9 +373,10 @@
     }
   }
 
+  /** Closes the listener and every connection at once. */
   public void close() {
     closeListener();
-    List.copyOf(connections).forEach(c -> c.close(CloseReason.DRAINED));
-    List.copyOf(lingering).forEach(c -> c.close(CloseReason.DRAINED));
+    List.copyOf(connections).forEach(connection -> connection.close(CloseReason.DRAINED));
+    List.copyOf(lingering).forEach(connection -> connection.close(CloseReason.DRAINED));
   }
 }
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -264,9 +264,6 @@
     firstNetwork.loop().scheduleAt(now + FORGET_AFTER_MICROS / 10, this::forgetUnused);
   }
 
-  // ---- The door
-  // --------------------------------------------------------------------------------
-
   @Override
   public boolean lookUp(
       Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
@@ -278,19 +275,15 @@
         .apply(name)
         .whenComplete(
             (found, failure) ->
-                firstNetwork
-                    .loop()
-                    .post(
-                        () ->
-                            then.accept(
-                                failure == null
-                                    ? null
-                                    : new ProtocolException(
-                                        SqlState.CANNOT_CONNECT_NOW,
-                                        "whether there is such a database can't be told now"))));
+                firstNetwork.loop().post(() -> then.accept(lookUpFailure(failure))));
     return true;
   }
 
+  private static ProtocolException lookUpFailure(Throwable failure) {
+    String text = "whether there is such a database can't be told now";
+    return failure == null ? null : new ProtocolException(SqlState.CANNOT_CONNECT_NOW, text);
+  }
+
   @Override
   public FrontendConnections connectionsFor(Map<String, String> startup, FrontendConnections here) {
     Home home = homes.get(TenantRegistry.nameIn(startup));
--- a/gateway/src/main/java/shelffront/net/ArrivalTimes.java
+++ b/gateway/src/main/java/shelffront/net/ArrivalTimes.java
@@ -7,12 +7,12 @@
  * may be parsed long after it was read, since the commands before it come first; its time counts
  * from when its last byte was read.
  *
- * <p>Bounded: once {@link #GREATEST_READS} reads are kept, each two neighbouring ones become one
- * with the earlier time. An arrival may then be taken for earlier than it was, and never for later.
+ * <p>Bounded: once {@link #MAX_READS} reads are kept, each two neighbouring ones become one with
+ * the earlier time. An arrival may then be taken for earlier than it was, and never for later.
  */
 final class ArrivalTimes {
 
-  static final int GREATEST_READS = 64;
+  static final int MAX_READS = 64;
 
   /** One read: the offset behind its last byte, and when it was made. */
   private record Read(long endOffset, long time) {}
@@ -22,7 +22,7 @@
 
   /** The next bytes of the stream were read at this time. */
   void read(int count, long time) {
-    if (reads.size() == GREATEST_READS) {
+    if (reads.size() == MAX_READS) {
       mergeNeighbours();
     }
     endOffset += count;
--- a/gateway/src/main/java/shelffront/net/AsyncEventLog.java
+++ b/gateway/src/main/java/shelffront/net/AsyncEventLog.java
@@ -13,15 +13,20 @@
  */
 public final class AsyncEventLog implements EventLog {
 
-  private static final int LINES = 4096;
-  private static final long PAUSE_MS = 20;
+  private static final int MAX_QUEUED_LINES = 4096;
 
-  private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(LINES);
+  /** After so much a write goes out though more lines wait. */
+  private static final int MAX_WRITE_CHARS = 8192;
+
+  private static final long POLL_INTERVAL_MILLIS = 20;
+
+  private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private final AtomicLong dropped = new AtomicLong();
   private final PrintStream out;
   private final Thread writer = new Thread(this::write, "log");
   private volatile boolean closed;
 
+  /** Starts the writing thread, a daemon. */
   public AsyncEventLog(PrintStream out) {
     this.out = out;
     writer.setDaemon(true);
@@ -47,11 +52,13 @@
         // thread.
         String line = lines.poll();
         if (line == null) {
-          Thread.sleep(PAUSE_MS);
+          Thread.sleep(POLL_INTERVAL_MILLIS);
           continue;
         }
         StringBuilder text = new StringBuilder(line).append('\n');
-        for (line = lines.poll(); line != null && text.length() < 8192; line = lines.poll()) {
+        for (line = lines.poll();
+            line != null && text.length() < MAX_WRITE_CHARS;
+            line = lines.poll()) {
           text.append(line).append('\n');
         }
         if (line != null) {
--- a/gateway/src/main/java/shelffront/net/Counters.java
+++ b/gateway/src/main/java/shelffront/net/Counters.java
@@ -8,6 +8,7 @@
 /** What the program has taken in, sent and answered; owned by the loop thread, printed at exit. */
 public final class Counters {
 
+  /** What is counted; the names are published, in the log and in usage reports. */
   public enum Name {
     CLIENTS_ACCEPTED,
     BYTES_IN,
@@ -54,6 +55,7 @@
     add(name, 1);
   }
 
+  /** Adds here and in the counters that these are a part of. */
   public void add(Name name, long amount) {
     values.merge(name, amount, Long::sum);
     if (parent != null) {
@@ -73,13 +75,13 @@
   /** A copy, by name. */
   public Map<String, Long> values() {
     return values.entrySet().stream()
-        .collect(Collectors.toMap(e -> e.getKey().name(), Map.Entry::getValue));
+        .collect(Collectors.toMap(entry -> entry.getKey().name(), Map.Entry::getValue));
   }
 
   @Override
   public String toString() {
     return values.entrySet().stream()
-        .map(e -> e.getKey().name().toLowerCase(Locale.ROOT) + "=" + e.getValue())
+        .map(entry -> entry.getKey().name().toLowerCase(Locale.ROOT) + "=" + entry.getValue())
         .collect(Collectors.joining(" ", "counters ", ""));
   }
 }
--- a/gateway/src/main/java/shelffront/net/EventLoop.java
+++ b/gateway/src/main/java/shelffront/net/EventLoop.java
@@ -49,7 +49,8 @@
   private final Flow<Runnable> sharedFlow = new Flow<>(1);
   private final TreeSet<Deadline> deadlines =
       new TreeSet<>(
-          Comparator.<Deadline>comparingLong(d -> d.atMicros).thenComparingLong(d -> d.sequence));
+          Comparator.<Deadline>comparingLong(deadline -> deadline.atMicros)
+              .thenComparingLong(deadline -> deadline.sequence));
   private final Set<Connection> toFlush = new LinkedHashSet<>();
   private final LongSupplier clock;
   private final Counters counters;
@@ -99,6 +100,7 @@
     return nowMicros;
   }
 
+  /** Runs the task on the loop thread in the first turn at or after this time. */
   public Deadline scheduleAt(long time, Runnable task) {
     Deadline deadline = new Deadline(time, task);
     deadlines.add(deadline);
@@ -126,6 +128,7 @@
     stopped = true;
   }
 
+  /** Takes turns, waiting for tasks and deadlines, until {@link #stop}. */
   public void run() throws InterruptedException {
     while (!stopped) {
       runTurn(
--- a/gateway/src/main/java/shelffront/net/ResourceBudget.java
+++ b/gateway/src/main/java/shelffront/net/ResourceBudget.java
@@ -31,6 +31,7 @@
     limit = newMost;
   }
 
+  /** Takes the amount from this budget and its parents, or nothing; false where one is short. */
   public boolean tryAcquire(long amount) {
     long before = held.get();
     while (amount <= limit - before && !held.compareAndSet(before, before + amount)) {
@@ -46,6 +47,7 @@
     return true;
   }
 
+  /** Returns what {@link #tryAcquire} took. */
   public void release(long amount) {
     held.addAndGet(-amount);
     if (parent != null) {
--- a/gateway/src/main/java/shelffront/pg/Statement.java
+++ b/gateway/src/main/java/shelffront/pg/Statement.java
@@ -12,14 +12,14 @@
  */
 public final class Statement {
 
-  private static final int GREATEST_COMMENT = 1024;
-  private static final int GREATEST_KEY = 64;
+  private static final int MAX_COMMENT_BYTES = 1024;
+  private static final int MAX_KEY_LENGTH = 64;
 
   private final byte[] bytes;
   private final Map<String, String> values = new HashMap<>();
   private int commentEnd;
-  private int waitFrom = -1;
-  private int waitTo;
+  private int timeToDeadlineStart = -1;
+  private int timeToDeadlineEnd;
 
   private Statement(byte[] bytes) {
     this.bytes = bytes;
@@ -28,7 +28,7 @@
   /** Reads the comment; a statement without one, or with a broken one, is no request. */
   public static Statement parse(byte[] bytes) throws ProtocolException {
     Statement statement = new Statement(bytes);
-    String head = new String(bytes, 0, Math.min(bytes.length, GREATEST_COMMENT), ISO_8859_1);
+    String head = new String(bytes, 0, Math.min(bytes.length, MAX_COMMENT_BYTES), ISO_8859_1);
     int end = head.indexOf("*/");
     if (!head.startsWith("/*") || end < 2) {
       throw new ProtocolException(
@@ -41,7 +41,9 @@
       statement.take(head, from, to);
       from = to + 1;
     }
-    if (statement.waitFrom < 0 || statement.value("id") == null || statement.value("c") == null) {
+    if (statement.timeToDeadlineStart < 0
+        || statement.value("id") == null
+        || statement.value("c") == null) {
       throw new ProtocolException(SqlState.SYNTAX_ERROR, "the request comment lacks id, c or d");
     }
     if (!statement.value("id").matches("[0-9A-Za-z_.:-]{1,64}")) {
@@ -68,8 +70,8 @@
           SqlState.SYNTAX_ERROR, "the request comment names " + name + " twice");
     }
     if (name.equals("d")) {
-      waitFrom = equals + 1;
-      waitTo = to;
+      timeToDeadlineStart = equals + 1;
+      timeToDeadlineEnd = to;
     }
   }
 
@@ -128,9 +130,9 @@
     String key = new String(bytes, from + 1, to - from - 1, ISO_8859_1);
     // Guards the memory of sessions; two long keys taken for one only make its reads wait for
     // either's write.
-    return key.length() <= GREATEST_KEY
+    return key.length() <= MAX_KEY_LENGTH
         ? key
-        : key.substring(0, GREATEST_KEY) + "#" + key.hashCode();
+        : key.substring(0, MAX_KEY_LENGTH) + "#" + key.hashCode();
   }
 
   private int indexOf(char wanted, int from) {
@@ -148,10 +150,16 @@
    */
   public byte[] withTimeToDeadlineMillis(long milliseconds) {
     byte[] digits = Long.toString(milliseconds).getBytes(ISO_8859_1);
-    byte[] whole = new byte[bytes.length - (waitTo - waitFrom) + digits.length];
-    System.arraycopy(bytes, 0, whole, 0, waitFrom);
-    System.arraycopy(digits, 0, whole, waitFrom, digits.length);
-    System.arraycopy(bytes, waitTo, whole, waitFrom + digits.length, bytes.length - waitTo);
+    byte[] whole =
+        new byte[bytes.length - (timeToDeadlineEnd - timeToDeadlineStart) + digits.length];
+    System.arraycopy(bytes, 0, whole, 0, timeToDeadlineStart);
+    System.arraycopy(digits, 0, whole, timeToDeadlineStart, digits.length);
+    System.arraycopy(
+        bytes,
+        timeToDeadlineEnd,
+        whole,
+        timeToDeadlineStart + digits.length,
+        bytes.length - timeToDeadlineEnd);
     return whole;
   }
 }
--- a/gateway/src/main/java/shelffront/request/BackendAttempt.java
+++ b/gateway/src/main/java/shelffront/request/BackendAttempt.java
@@ -1,6 +1,9 @@
 package shelffront.request;
 
-/** One try of a request at one database host. */
+/**
+ * One attempt of a request at one database host. Owned by the loop thread of the request's tenant;
+ * the backend sets when it was sent, the tenant whether it is outstanding.
+ */
 public final class BackendAttempt {
 
   public final ClientRequest request;
@@ -14,10 +17,11 @@
   /** Until its outcome was told. */
   public boolean outstanding = true;
 
-  public BackendAttempt(ClientRequest exchange, String member, long now) {
-    this.request = exchange;
-    this.endpointId = member;
-    this.sentAtMicros = now;
-    this.number = exchange.attempts.size();
+  /** The next attempt of the request, which does not contain it yet. */
+  public BackendAttempt(ClientRequest request, String endpointId, long nowMicros) {
+    this.request = request;
+    this.endpointId = endpointId;
+    this.sentAtMicros = nowMicros;
+    this.number = request.attempts.size();
   }
 }
--- a/gateway/src/main/java/shelffront/request/ClientRequest.java
+++ b/gateway/src/main/java/shelffront/request/ClientRequest.java
@@ -19,7 +19,7 @@
     void onServed(byte[] messages);
 
     /** Refused untouched; 0 means no advice when to come again. */
-    void onRejected(long retryAfter);
+    void onRejected(long retryAfterMicros);
 
     /** Refused untouched, since what was asked is being taken out of service. */
     void onUnavailable();
@@ -40,12 +40,17 @@
   /** Its final answer was given, or nobody waits for it any more. */
   public boolean answered;
 
+  /** A request without attempts. */
   public ClientRequest(
-      String id, Statement statement, int classIndex, long deadline, ResponseListener asker) {
+      String id,
+      Statement statement,
+      int classIndex,
+      long deadlineMicros,
+      ResponseListener responseListener) {
     this.id = id;
     this.statement = statement;
     this.classIndex = classIndex;
-    this.deadlineMicros = deadline;
-    this.responseListener = asker;
+    this.deadlineMicros = deadlineMicros;
+    this.responseListener = responseListener;
   }
 }
--- a/gateway/src/main/java/shelffront/simulator/SimulatorMessage.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorMessage.java
@@ -52,16 +52,16 @@
     if (value == null) {
       return absent;
     }
-    if (value instanceof Number n) {
-      return n.doubleValue();
+    if (value instanceof Number number) {
+      return number.doubleValue();
     }
     throw bad(name, "a number");
   }
 
   long integer(String name) throws MalformedInputException {
     Object value = take();
-    if (value instanceof Number n) {
-      return n.longValue();
+    if (value instanceof Number number) {
+      return number.longValue();
     }
     throw bad(name, "a number");
   }
@@ -72,8 +72,8 @@
 
   boolean flag(String name) throws MalformedInputException {
     Object value = take();
-    if (value instanceof Boolean b) {
-      return b;
+    if (value instanceof Boolean flag) {
+      return flag;
     }
     throw bad(name, "true or false");
   }
--- a/gateway/src/test/java/shelffront/net/ArrivalTimesTest.java
+++ b/gateway/src/test/java/shelffront/net/ArrivalTimesTest.java
@@ -35,7 +35,7 @@
    */
   @Test
   public void mergedReadsAreNeverTakenForLater() {
-    int reads = 10 * ArrivalTimes.GREATEST_READS + 7;
+    int reads = 10 * ArrivalTimes.MAX_READS + 7;
     for (int i = 1; i <= reads; i++) {
       times.read(1, i);
     }
--- a/gateway/src/test/java/shelffront/net/AsyncEventLogTest.java
+++ b/gateway/src/test/java/shelffront/net/AsyncEventLogTest.java
@@ -21,8 +21,8 @@
     private final ByteArrayOutputStream seen = new ByteArrayOutputStream();
 
     @Override
-    public void write(int b) {
-      write(new byte[] {(byte) b}, 0, 1);
+    public void write(int singleByte) {
+      write(new byte[] {(byte) singleByte}, 0, 1);
     }
 
     @Override
--- a/gateway/src/test/java/shelffront/simulator/SimulatorAdapterIT.java
+++ b/gateway/src/test/java/shelffront/simulator/SimulatorAdapterIT.java
@@ -65,7 +65,7 @@
 
   @Test
   void answersEachBatchWithOneReply() throws Exception {
-    Result r =
+    Result round =
         run(
             """
             ["clock",1999990000]
@@ -86,15 +86,16 @@
                 ["eofBatch"]
                 """,
             "benchlink");
-    assertEquals(List.of(), r.err);
-    assertEquals(0, r.code);
-    assertEquals(4, r.out.stream().filter(l -> l.equals("[\"ok\"]")).count());
+    assertEquals(List.of(), round.err);
+    assertEquals(0, round.code);
+    assertEquals(4, round.out.stream().filter(line -> line.equals("[\"ok\"]")).count());
     assertTrue(
-        r.out.contains("[\"place\",0,\"00000000000000aa\",0,\"member_b\"]"), r.out.toString());
-    assertTrue(r.out.contains("[\"place\",0,\"00000000000000bb\",0,\"member_a\"]"));
-    assertTrue(r.out.contains("[\"soundOut\",0,\"member_a\"]"));
+        round.out.contains("[\"place\",0,\"00000000000000aa\",0,\"member_b\"]"),
+        round.out.toString());
+    assertTrue(round.out.contains("[\"place\",0,\"00000000000000bb\",0,\"member_a\"]"));
+    assertTrue(round.out.contains("[\"soundOut\",0,\"member_a\"]"));
     assertTrue(
-        r.out.contains("[\"fail\",0,\"00000000000000bb\"]"),
+        round.out.contains("[\"fail\",0,\"00000000000000bb\"]"),
         "a reset write that may not run twice");
   }
 
@@ -109,10 +110,10 @@
             "[\"clock\",\"x\"]",
             "[\"discovery\",0,\"all\",2,9]",
             "[\"reply\",0,\"aa\",\"odd\",true,0,1,0,\"m\",null]")) {
-      Result r = run(START + "[\"clock\",2000005000]\n" + bad + "\n", "benchlink");
-      assertEquals(1, r.code, bad);
-      assertEquals(1, r.err.size(), bad);
-      assertTrue(r.err.get(0).matches("shelffront: line [78]: .+"), r.err.get(0));
+      Result round = run(START + "[\"clock\",2000005000]\n" + bad + "\n", "benchlink");
+      assertEquals(1, round.code, bad);
+      assertEquals(1, round.err.size(), bad);
+      assertTrue(round.err.get(0).matches("shelffront: line [78]: .+"), round.err.get(0));
     }
   }
 
@@ -127,9 +128,9 @@
             List.of("benchlink", "x"),
             "Unmatched argument at index 1: 'x'");
     for (Map.Entry<List<String>, String> each : expected.entrySet()) {
-      Result r = run("", each.getKey().toArray(new String[0]));
-      assertEquals(2, r.code);
-      assertTrue(r.err.get(0).startsWith(each.getValue()), r.err.toString());
+      Result round = run("", each.getKey().toArray(new String[0]));
+      assertEquals(2, round.code);
+      assertTrue(round.err.get(0).startsWith(each.getValue()), round.err.toString());
     }
   }
 }
--- a/gateway/src/test/java/shelffront/simulator/SimulatorExchangeTest.java
+++ b/gateway/src/test/java/shelffront/simulator/SimulatorExchangeTest.java
@@ -26,8 +26,8 @@
 
   private static String marked(List<String> lines, String mark) {
     return lines.stream()
-        .filter(l -> l.startsWith(mark))
-        .map(l -> l.substring(mark.length()) + "\n")
+        .filter(line -> line.startsWith(mark))
+        .map(line -> line.substring(mark.length()) + "\n")
         .collect(joining());
   }
 
