--- a/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
+++ b/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
@@ -16,18 +16,18 @@
   private final ReplicationProgress progress = new ReplicationProgress();
 
   @BeforeEach
-  void hundredBehind() {
+  void reportLagOfHundredMillis() {
     progress.advance(NOW, NOW - 100 * MS);
   }
 
   @Test
-  void nothingIsKnownBeforeTheFirstWord() {
+  void knowsNothingBeforeTheFirstReport() {
     assertFalse(new ReplicationProgress().hasApplied(0));
     assertFalse(new ReplicationProgress().mayHaveApplied(NOW, 0, 0));
   }
 
   @Test
-  void aPositionMovesForwardOnlyAndNeverAheadOfTheClock() {
+  void movesPositionForwardOnlyAndNotAheadOfTheClock() {
     progress.advance(NOW, NOW - 200 * MS);
     assertTrue(progress.hasApplied(NOW - 100 * MS));
     progress.advance(NOW + MS, NOW + 2 * MS);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void itIsTrustedToKeepItsPace() {
+  void trustsAReplicaToKeepItsPace() {
     assertTrue(progress.mayHaveApplied(NOW + 300 * MS, NOW + 200 * MS, 0));
     assertFalse(progress.mayHaveApplied(NOW + 300 * MS, NOW + 200 * MS + 1, 0));
     assertTrue(
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aReadTurnedAwayDisprovesThatUntilNewsComeOrItIsOld() {
+  void distrustsAfterARejectedReadUntilTheNextReport() {
     progress.recordRejectedRead(NOW + MS);
     assertFalse(progress.mayHaveApplied(NOW + 100 * MS, NOW, 0));
     assertTrue(progress.mayHaveApplied(NOW + 202 * MS, NOW, 0));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void anAnswerProvesWhatItNeeded() {
+  void takesAnAnswerAsProofOfItsPosition() {
     progress.recordProvenPosition(NOW + 500 * MS, NOW + 300 * MS);
     assertTrue(progress.hasApplied(NOW + 300 * MS));
     assertEquals(
@@ -73,7 +73,7 @@
    * One that starts from an old copy was asked again every 100 ms, by every gateway, for seconds.
    */
   @Test
-  void theFurtherBehindTheLaterANewWordIsWorthAProbe() {
+  void checksLaterTheFurtherBehindAReplicaIs() {
     assertEquals(100 * MS, new ReplicationProgress().healthCheckIntervalMicros());
     assertEquals(100 * MS, progress.healthCheckIntervalMicros());
     ReplicationProgress old = new ReplicationProgress();
--- a/core/src/test/java/shelffront/decision/DecisionModuleSourceTest.java
+++ b/core/src/test/java/shelffront/decision/DecisionModuleSourceTest.java
@@ -42,7 +42,10 @@
     String policy =
         deployFile.lines().filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
     TreeSet<String> named = new TreeSet<>();
-    Pattern.compile("\"([^\"]+)\"").matcher(policy).results().forEach(m -> named.add(m.group(1)));
+    Pattern.compile("\"([^\"]+)\"")
+        .matcher(policy)
+        .results()
+        .forEach(match -> named.add(match.group(1)));
     TreeSet<String> present = new TreeSet<>();
     sources().forEach(file -> present.add("core/" + file.toString().replace('\\', '/')));
     assertFalse(present.isEmpty());
--- /dev/null
+++ b/core/src/test/java/shelffront/decision/EndpointHealthTest.java
@@ -0,0 +1,312 @@
+package shelffront.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import shelffront.routing.AttemptOutcome;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.Role;
+import shelffront.routing.Router;
+
+/**
+ * When an endpoint is ejected, put on probation, health-checked and used again, and when its
+ * attempts are hedged.
+ */
+class EndpointHealthTest {
+
+  private final RoutingTestHarness harness = new RoutingTestHarness();
+
+  @Test
+  void ejectsSilentEndpointAndHedgesItsReads() {
+    harness.start();
+    for (int i = 0; i < 12; i++) {
+      harness.request("a" + i, RoutingTestHarness.EVENTUAL_READ);
+    }
+    List<String> sent = harness.newActions();
+    for (String line : sent) {
+      if (line.endsWith("m3")) {
+        harness.outcome(line.split(" ")[1], 0, "m3", AttemptStatus.OK, Role.REPLICA);
+      }
+    }
+    harness.advanceTime(390 * RoutingTestHarness.MS);
+    List<String> news = harness.newActions();
+    assertTrue(
+        news.stream().anyMatch(action -> action.startsWith("send") && action.endsWith("m3")),
+        news.toString());
+    assertTrue(news.stream().anyMatch(action -> action.startsWith("cancel")), news.toString());
+    harness.request("b", RoutingTestHarness.EVENTUAL_READ);
+    assertFalse(harness.newActions().contains("send b m2"));
+  }
+
+  @Test
+  void toleratesFewRefusedConnectionsAndEjectsAfterFailedHealthChecks() {
+    harness.start();
+    harness.updateEndpoints(RoutingTestHarness.endpoint("m3", 0, Availability.DRAINING));
+    for (int i = 0; i < 3; i++) {
+      harness.request("a" + i, RoutingTestHarness.EVENTUAL_READ);
+      harness.outcome("a" + i, 0, "m2", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
+    }
+    assertEquals(3, harness.newSendsTo("m2"), "one that is well loses connections too");
+    harness.request("b", RoutingTestHarness.EVENTUAL_READ);
+    assertEquals(0, harness.newSendsTo("m2"), "none for a moment");
+    harness.answerHealthCheck("m2", Role.REPLICA, harness.nowMicros);
+    harness.advanceTime(45 * RoutingTestHarness.MS);
+    harness.request("c", RoutingTestHarness.EVENTUAL_READ);
+    assertTrue(harness.newSendsTo("m2") > 0, "its table was full, it lives");
+    for (int i = 0; i < 6; i++) {
+      harness.router.onHealthCheckResult(
+          harness.nowMicros, "m2", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
+    }
+    harness.newActions();
+    harness.advanceTime(400 * RoutingTestHarness.MS);
+    harness.request("d", RoutingTestHarness.EVENTUAL_READ);
+    assertEquals(0, harness.newSendsTo("m2"), "six failures in a row");
+  }
+
+  /** Guards against idle connections that fill an endpoint's table while others need one. */
+  @Test
+  void closesIdleConnectionsWhileTheyAreScarce() {
+    harness.start();
+    harness.request("a", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    harness.outcome("a", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
+    assertFalse(harness.newActions().contains("closeIdle m1"), "kept while nothing is refused");
+    harness.request("b", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    for (int i = 0; i < 3; i++) {
+      harness.outcome("b", i, "m1", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
+    }
+    harness.advanceTime(45 * RoutingTestHarness.MS);
+    harness.outcome("b", 3, "m1", AttemptStatus.OK, Role.PRIMARY);
+    assertTrue(harness.newActions().contains("closeIdle m1"));
+  }
+
+  @Test
+  void sendsWriteToEjectedPrimaryOnceAHealthCheckIsAnswered() {
+    harness.start();
+    for (int i = 0; i < 6; i++) {
+      harness.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    }
+    harness.advanceTime(600 * RoutingTestHarness.MS);
+    harness.request("x", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    harness.newActions();
+    harness.advanceTime(400 * RoutingTestHarness.MS);
+    assertFalse(harness.newActions().contains("send x m1"), "silent");
+    for (int i = 0; i < 6; i++) {
+      harness.outcome("w" + i, 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
+    }
+    harness.advanceTime(2_500 * RoutingTestHarness.MS);
+    harness.request("y", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    assertFalse(harness.newActions().contains("send y m1"), "not proved");
+    harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros);
+    assertTrue(harness.newActions().contains("send y m1"), "proved");
+  }
+
+  /**
+   * The connection of one was lost; those sent after it were answered at once, so the endpoint is
+   * neither slow nor silent.
+   */
+  @Test
+  void ignoresOvertakenAttemptsInTheEndpointsHealth() {
+    harness.start();
+    for (int lost = 0; lost < 6; lost++) {
+      harness.request("lost" + lost, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+      for (int i = 0; i < 4; i++) {
+        harness.advanceTime(40 * RoutingTestHarness.MS);
+        harness.request("w" + lost + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+        harness.outcome(
+            "w" + lost + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY, 5 * RoutingTestHarness.MS);
+      }
+      harness.newActions();
+      harness.advanceTime(2_700 * RoutingTestHarness.MS);
+      harness.outcome("lost" + lost, 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
+    }
+    harness.newActions();
+    for (int i = 0; i < 5; i++) {
+      harness.request("after" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    }
+    assertEquals(5, harness.newSendsTo("m1"));
+  }
+
+  @Test
+  void takesEndpointWithOvertakenAttemptsOnlyAsNotSilent() {
+    harness.start();
+    for (int i = 0; i < 120; i++) {
+      harness.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+      harness.outcome("w" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY, 10 * RoutingTestHarness.MS);
+    }
+    harness.request("lost", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    harness.advanceTime(RoutingTestHarness.MS);
+    harness.request("later", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    harness.outcome("later", 0, "m1", AttemptStatus.OK, Role.PRIMARY, 10 * RoutingTestHarness.MS);
+    harness.advanceTime(500 * RoutingTestHarness.MS);
+    harness.newActions();
+    harness.request("next", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    assertTrue(harness.newActions().contains("send next m1"));
+  }
+
+  @Test
+  void hedgesOvertakenRead() {
+    harness.start();
+    harness.updateEndpoints(RoutingTestHarness.endpoint("m3", 0, Availability.DRAINING));
+    for (int i = 0; i < 120; i++) {
+      harness.request("r" + i, RoutingTestHarness.EVENTUAL_READ);
+      harness.outcome("r" + i, 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
+    }
+    harness.request("lost", RoutingTestHarness.EVENTUAL_READ);
+    harness.advanceTime(RoutingTestHarness.MS);
+    harness.request("later", RoutingTestHarness.EVENTUAL_READ);
+    harness.outcome("later", 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
+    harness.updateEndpoints(RoutingTestHarness.endpoint("m3", 0, Availability.READY));
+    harness.answerHealthCheck("m3", Role.REPLICA, harness.nowMicros);
+    harness.newActions();
+    for (int i = 0; i < 30; i++) {
+      harness.advanceTime(10 * RoutingTestHarness.MS);
+      harness.request("s" + i, RoutingTestHarness.EVENTUAL_READ);
+      harness.outcome("s" + i, 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
+      harness.outcome("s" + i, 0, "m3", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
+    }
+    List<String> news = harness.newActions();
+    assertTrue(news.contains("send lost m3"), news.toString());
+    assertTrue(news.contains("cancel lost 0"), news.toString());
+  }
+
+  /** Nothing else would prove it: reads go to replicas, and a once-only write is no trial. */
+  @Test
+  void checksPrimaryOnProbationUntilItAnswers() {
+    harness.start();
+    for (int i = 0; i < 6; i++) {
+      harness.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    }
+    harness.advanceTime(600 * RoutingTestHarness.MS);
+    harness.request("x", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    harness.advanceTime(2_500 * RoutingTestHarness.MS);
+    for (int i = 0; i < 6; i++) {
+      harness.outcome("w" + i, 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
+    }
+    harness.router.onHealthCheckResult(
+        harness.nowMicros, "m1", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
+    harness.answerHealthCheck("m2", Role.REPLICA, harness.nowMicros);
+    harness.answerHealthCheck("m3", Role.REPLICA, harness.nowMicros);
+    harness.advanceTime(2_500 * RoutingTestHarness.MS);
+    long before = harness.healthChecksOf("m1");
+    harness.request("y", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    harness.advanceTime(300 * RoutingTestHarness.MS);
+    assertTrue(harness.healthChecksOf("m1") > before);
+  }
+
+  @Test
+  void readmitsEndpointAtItsFirstAnsweredHealthCheck() {
+    harness.start();
+    for (int i = 0; i < 8; i++) {
+      harness.router.onHealthCheckResult(
+          harness.nowMicros, "m1", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
+    }
+    harness.request("w", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    assertFalse(harness.newActions().contains("send w m1"), "it answers no probe");
+    harness.advanceTime(200 * RoutingTestHarness.MS);
+    harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros);
+    assertTrue(harness.newActions().contains("send w m1"), "it does");
+  }
+
+  @Test
+  void retriesNonIdempotentWriteElsewhereAfterRefusedConnections() {
+    harness.start();
+    harness.request("w", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    for (int i = 0; i < 3; i++) {
+      harness.outcome("w", i, "m1", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
+    }
+    harness.advanceTime(30 * RoutingTestHarness.MS);
+    harness.answerHealthCheck("m2", Role.PRIMARY, harness.nowMicros);
+    assertEquals(
+        List.of("send w m1", "send w m1", "send w m1", "send w m2"),
+        harness.newActions().stream().filter(action -> action.startsWith("send")).toList());
+  }
+
+  @Test
+  void lowersConcurrencyLimitBelowOneAfterUnansweredReads() {
+    harness.gatewayCount = 20;
+    harness.start();
+    harness.updateEndpoints(RoutingTestHarness.endpoint("m3", 0, Availability.DRAINING));
+    for (int i = 0; i < 60; i++) {
+      harness.request("a" + i, RoutingTestHarness.BOUNDED_READ);
+      harness.answerHealthCheck("m2", Role.REPLICA, harness.nowMicros);
+      harness.advanceTime(450 * RoutingTestHarness.MS);
+      harness.outcome("a" + i, 0, "m2", AttemptStatus.TIMEOUT, Role.UNKNOWN);
+    }
+    assertTrue(
+        harness.newSendsTo("m2") < 40,
+        "a member that answers no read in time is not asked each time");
+  }
+
+  /** Guards against giving back connections that could not be set up again in time. */
+  @Test
+  void keepsAndPrefersIdleConnectionsWhileNewOnesAreExpensive() {
+    harness.start();
+    harness.request("a", RoutingTestHarness.EVENTUAL_READ);
+    String used = harness.newActions().get(0).substring("send a ".length());
+    harness.outcome("a", 0, used, AttemptStatus.OK, Role.REPLICA);
+    harness.request("w", RoutingTestHarness.KEYED_WRITE);
+    harness.router.onAttemptOutcome(
+        harness.nowMicros,
+        new AttemptOutcome(
+            "w",
+            0,
+            "m1",
+            AttemptStatus.CONNECT_FAILED,
+            false,
+            250 * RoutingTestHarness.MS,
+            Role.UNKNOWN,
+            Router.UNKNOWN,
+            null));
+    for (int i = 0; i < 5; i++) {
+      harness.request("b" + i, RoutingTestHarness.EVENTUAL_READ);
+      harness.outcome("b" + i, 0, used, AttemptStatus.OK, Role.REPLICA);
+      assertTrue(harness.newActions().contains("send b" + i + " " + used), "the connected one");
+    }
+    harness.outcome("w", 1, "m1", AttemptStatus.OK, Role.PRIMARY);
+    assertFalse(
+        harness.newActions().stream().anyMatch(action -> action.startsWith("closeIdle")),
+        "kept open");
+  }
+
+  /**
+   * Hosts that answer within a millisecond were all left alone at the first hiccup: 4,000 reads a
+   * second lost.
+   */
+  @Test
+  void toleratesShortPausesOfFastEndpoints() {
+    harness.start();
+    for (int i = 0; i < 600; i++) {
+      harness.request("q" + i, RoutingTestHarness.EVENTUAL_READ);
+      String member =
+          harness.newActions().stream()
+              .filter(action -> action.startsWith("send"))
+              .findFirst()
+              .orElseThrow()
+              .split(" ")[2];
+      harness.nowMicros += RoutingTestHarness.MS;
+      harness.outcome("q" + i, 0, member, AttemptStatus.OK, Role.REPLICA, RoutingTestHarness.MS);
+    }
+    harness.newActions();
+    for (int i = 0; i < 12; i++) {
+      harness.request("a" + i, RoutingTestHarness.EVENTUAL_READ);
+    }
+    assertEquals(
+        12,
+        harness.newActions().stream()
+            .filter(action -> action.matches("send a[0-9]+ m[23]"))
+            .count());
+    harness.advanceTime(20 * RoutingTestHarness.MS);
+    harness.request("b", RoutingTestHarness.EVENTUAL_READ);
+    List<String> news = harness.newActions();
+    assertTrue(news.stream().noneMatch(action -> action.startsWith("cancel")), news.toString());
+    assertTrue(news.stream().anyMatch(action -> action.startsWith("send b m")), news.toString());
+    harness.advanceTime(40 * RoutingTestHarness.MS);
+    assertTrue(
+        harness.newActions().stream().anyMatch(action -> action.startsWith("cancel")),
+        "that long is silence");
+  }
+}
--- a/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
@@ -13,157 +13,159 @@
 /** What the design page says of the ordinary path. */
 class EndpointSelectionTest {
 
-  private final RoutingTestHarness bed = new RoutingTestHarness();
+  private final RoutingTestHarness harness = new RoutingTestHarness();
 
   @Test
-  void writesGoToThePrimaryAsLastTold() {
-    bed.start();
-    bed.request("a", RoutingTestHarness.ONCE);
-    assertEquals(List.of("send a m1"), bed.news());
-    bed.probed("m2", Role.PRIMARY, bed.now);
-    bed.request("b", RoutingTestHarness.ONCE);
-    assertEquals(List.of("send b m2"), bed.news());
+  void sendsWritesToThePrimaryLastReported() {
+    harness.start();
+    harness.request("a", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    assertEquals(List.of("send a m1"), harness.newActions());
+    harness.answerHealthCheck("m2", Role.PRIMARY, harness.nowMicros);
+    harness.request("b", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    assertEquals(List.of("send b m2"), harness.newActions());
   }
 
   @Test
-  void anOlderWordDoesNotMoveThePrimary() {
-    bed.start();
-    bed.pass(100 * RoutingTestHarness.MS);
-    bed.probed("m2", Role.PRIMARY, bed.now);
-    bed.probed("m1", Role.PRIMARY, bed.now - 50 * RoutingTestHarness.MS);
-    bed.request("a", RoutingTestHarness.ONCE);
-    assertTrue(bed.news().contains("send a m2"));
+  void ignoresAnOlderReportOfThePrimary() {
+    harness.start();
+    harness.advanceTime(100 * RoutingTestHarness.MS);
+    harness.answerHealthCheck("m2", Role.PRIMARY, harness.nowMicros);
+    harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros - 50 * RoutingTestHarness.MS);
+    harness.request("a", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    assertTrue(harness.newActions().contains("send a m2"));
   }
 
   @Test
-  void withoutAPrimaryAWriteTriesMembersInIdOrderAndPausesAfterARound() {
-    bed.bare("m1", "m2", "m3");
-    bed.news();
-    bed.request("a", RoutingTestHarness.KEYED);
-    bed.outcome("a", 0, "m1", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
-    bed.outcome("a", 1, "m2", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
-    bed.outcome("a", 2, "m3", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
-    assertEquals(List.of("send a m1", "send a m2", "send a m3"), bed.news());
-    bed.pass(90 * RoutingTestHarness.MS);
-    assertEquals(List.of(), bed.news());
-    bed.pass(30 * RoutingTestHarness.MS);
-    assertEquals(List.of("send a m1"), bed.news());
+  void searchesForThePrimaryInOrderOfIdsAndPausesAfterARound() {
+    harness.startWithUnknown("m1", "m2", "m3");
+    harness.newActions();
+    harness.request("a", RoutingTestHarness.KEYED_WRITE);
+    harness.outcome("a", 0, "m1", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+    harness.outcome("a", 1, "m2", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+    harness.outcome("a", 2, "m3", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+    assertEquals(List.of("send a m1", "send a m2", "send a m3"), harness.newActions());
+    harness.advanceTime(90 * RoutingTestHarness.MS);
+    assertEquals(List.of(), harness.newActions());
+    harness.advanceTime(30 * RoutingTestHarness.MS);
+    assertEquals(List.of("send a m1"), harness.newActions());
   }
 
   @Test
-  void aSessionReadGoesToAReplicaThatCoversItsWrite() {
-    bed.start();
-    bed.pass(20 * RoutingTestHarness.MS);
-    bed.probed("m3", Role.REPLICA, bed.now);
-    bed.request("a", RoutingTestHarness.SESSION, 10 * RoutingTestHarness.MS);
-    assertEquals(List.of("send a m3"), bed.news());
+  void sendsSessionReadToAReplicaThatCoversItsWrite() {
+    harness.start();
+    harness.advanceTime(20 * RoutingTestHarness.MS);
+    harness.answerHealthCheck("m3", Role.REPLICA, harness.nowMicros);
+    harness.request("a", RoutingTestHarness.SESSION_READ, 10 * RoutingTestHarness.MS);
+    assertEquals(List.of("send a m3"), harness.newActions());
   }
 
   @Test
-  void aSessionReadIsHeldShortlyAndThenGoesToThePrimary() {
-    bed.start();
-    bed.pass(20 * RoutingTestHarness.MS);
-    bed.request("a", RoutingTestHarness.SESSION, 10 * RoutingTestHarness.MS);
-    bed.pass(40 * RoutingTestHarness.MS);
-    assertEquals(List.of(), bed.news());
-    bed.pass(20 * RoutingTestHarness.MS);
-    assertEquals(List.of("send a m1"), bed.news());
+  void queuesSessionReadShortlyAndThenSendsItToThePrimary() {
+    harness.start();
+    harness.advanceTime(20 * RoutingTestHarness.MS);
+    harness.request("a", RoutingTestHarness.SESSION_READ, 10 * RoutingTestHarness.MS);
+    harness.advanceTime(40 * RoutingTestHarness.MS);
+    assertEquals(List.of(), harness.newActions());
+    harness.advanceTime(20 * RoutingTestHarness.MS);
+    assertEquals(List.of("send a m1"), harness.newActions());
   }
 
   @Test
-  void newsOfAPositionEndTheHold() {
-    bed.start();
-    bed.pass(20 * RoutingTestHarness.MS);
-    bed.request("a", RoutingTestHarness.SESSION, 10 * RoutingTestHarness.MS);
-    bed.pass(10 * RoutingTestHarness.MS);
-    bed.probed("m2", Role.REPLICA, bed.now);
-    assertEquals(List.of("send a m2"), bed.news());
+  void sendsQueuedReadWhenAPositionIsReported() {
+    harness.start();
+    harness.advanceTime(20 * RoutingTestHarness.MS);
+    harness.request("a", RoutingTestHarness.SESSION_READ, 10 * RoutingTestHarness.MS);
+    harness.advanceTime(10 * RoutingTestHarness.MS);
+    harness.answerHealthCheck("m2", Role.REPLICA, harness.nowMicros);
+    assertEquals(List.of("send a m2"), harness.newActions());
   }
 
   @Test
-  void aSessionWithoutAWriteMayReadFromAnyReplica() {
-    bed.start();
-    bed.pass(10_000 * RoutingTestHarness.MS);
-    bed.news();
-    bed.request("a", RoutingTestHarness.SESSION, 0);
-    assertTrue(bed.news().get(0).matches("send a m[23]"));
+  void sendsReadOfASessionWithoutWritesToAnyReplica() {
+    harness.start();
+    harness.advanceTime(10_000 * RoutingTestHarness.MS);
+    harness.newActions();
+    harness.request("a", RoutingTestHarness.SESSION_READ, 0);
+    assertTrue(harness.newActions().get(0).matches("send a m[23]"));
   }
 
   @Test
-  void rememberedSessionsSeeTheWritesAnsweredHere() {
-    bed.carried = false;
-    bed.start();
-    bed.pass(5 * RoutingTestHarness.MS);
-    bed.request("w", RoutingTestHarness.ONCE);
-    bed.outcome("w", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
-    bed.request("r", RoutingTestHarness.SESSION, 0);
-    assertEquals(List.of("send w m1"), bed.news());
-    bed.pass(5 * RoutingTestHarness.MS);
-    bed.probed("m2", Role.REPLICA, bed.now);
-    assertEquals(List.of("send r m2"), bed.news());
+  void remembersPositionOfASessionsWrite() {
+    harness.clientsCarryPosition = false;
+    harness.start();
+    harness.advanceTime(5 * RoutingTestHarness.MS);
+    harness.request("w", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    harness.outcome("w", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
+    harness.request("r", RoutingTestHarness.SESSION_READ, 0);
+    assertEquals(List.of("send w m1"), harness.newActions());
+    harness.advanceTime(5 * RoutingTestHarness.MS);
+    harness.answerHealthCheck("m2", Role.REPLICA, harness.nowMicros);
+    assertEquals(List.of("send r m2"), harness.newActions());
   }
 
   @Test
-  void boundedReadsAvoidReplicasThatAreTooFarBehind() {
-    bed.start();
-    bed.pass(900 * RoutingTestHarness.MS);
-    bed.probed("m3", Role.REPLICA, bed.now - 100 * RoutingTestHarness.MS);
-    bed.news();
+  void avoidsReplicasTooFarBehindForBoundedReads() {
+    harness.start();
+    harness.advanceTime(900 * RoutingTestHarness.MS);
+    harness.answerHealthCheck("m3", Role.REPLICA, harness.nowMicros - 100 * RoutingTestHarness.MS);
+    harness.newActions();
     for (String id : List.of("a", "b", "c")) {
-      bed.request(id, RoutingTestHarness.BOUNDED);
+      harness.request(id, RoutingTestHarness.BOUNDED_READ);
     }
-    assertEquals(List.of("send a m3", "send b m3", "send c m3"), bed.news());
+    assertEquals(List.of("send a m3", "send b m3", "send c m3"), harness.newActions());
   }
 
   @Test
-  void anyReadsSkipThePositionCheck() {
-    bed.start();
-    bed.pass(10_000 * RoutingTestHarness.MS);
-    bed.news();
-    bed.request("a", RoutingTestHarness.ANY);
-    assertTrue(bed.news().get(0).matches("send a m[23]"));
+  void sendsEventualReadsWithoutCheckingPositions() {
+    harness.start();
+    harness.advanceTime(10_000 * RoutingTestHarness.MS);
+    harness.newActions();
+    harness.request("a", RoutingTestHarness.EVENTUAL_READ);
+    assertTrue(harness.newActions().get(0).matches("send a m[23]"));
   }
 
   @Test
-  void freshReadsGoToThePrimary() {
-    bed.start();
-    bed.request("a", RoutingTestHarness.FRESH);
-    assertEquals(List.of("send a m1"), bed.news());
+  void sendsStrongReadsToThePrimary() {
+    harness.start();
+    harness.request("a", RoutingTestHarness.STRONG_READ);
+    assertEquals(List.of("send a m1"), harness.newActions());
   }
 
   @Test
-  void positionsNeverMoveBackAndNeverAheadOfTheClock() {
-    bed.start();
-    bed.pass(900 * RoutingTestHarness.MS);
-    bed.probed("m2", Role.REPLICA, bed.now);
-    bed.probed("m2", Role.REPLICA, bed.now - 5_000 * RoutingTestHarness.MS);
-    bed.probed("m3", Role.REPLICA, bed.now + 5_000 * RoutingTestHarness.MS);
-    bed.news();
-    bed.request("a", RoutingTestHarness.BOUNDED);
-    bed.request("b", RoutingTestHarness.BOUNDED);
-    assertEquals(List.of("send a m2", "send b m2"), bed.news());
+  void keepsPositionsFromMovingBackOrAheadOfTheClock() {
+    harness.start();
+    harness.advanceTime(900 * RoutingTestHarness.MS);
+    harness.answerHealthCheck("m2", Role.REPLICA, harness.nowMicros);
+    harness.answerHealthCheck(
+        "m2", Role.REPLICA, harness.nowMicros - 5_000 * RoutingTestHarness.MS);
+    harness.answerHealthCheck(
+        "m3", Role.REPLICA, harness.nowMicros + 5_000 * RoutingTestHarness.MS);
+    harness.newActions();
+    harness.request("a", RoutingTestHarness.BOUNDED_READ);
+    harness.request("b", RoutingTestHarness.BOUNDED_READ);
+    assertEquals(List.of("send a m2", "send b m2"), harness.newActions());
   }
 
   @Test
-  void aFreshInstanceCountsReplicasBehindAndProbesEachOnce() {
-    bed.bare("m1", "m2");
-    assertEquals(List.of("probe m1", "probe m2"), bed.out.lines);
-    bed.news();
-    bed.request("a", RoutingTestHarness.BOUNDED);
-    assertEquals(List.of(), bed.news());
+  void takesUnknownReplicasAsBehindAndChecksEachOnce() {
+    harness.startWithUnknown("m1", "m2");
+    assertEquals(List.of("probe m1", "probe m2"), harness.actions.lines);
+    harness.newActions();
+    harness.request("a", RoutingTestHarness.BOUNDED_READ);
+    assertEquals(List.of(), harness.newActions());
   }
 
   @Test
-  void whereMembersRefuseAReplicaThatKeptPaceIsTrustedUntilAMiss() {
-    bed.check = LagCheck.REJECT;
-    bed.start();
-    bed.pass(150 * RoutingTestHarness.MS);
-    bed.news();
-    bed.request("a", RoutingTestHarness.SESSION, 20 * RoutingTestHarness.MS);
-    String first = bed.news().get(0);
+  void trustsLagCheckingReplicaUntilItRejectsARead() {
+    harness.lagCheck = LagCheck.REJECT;
+    harness.start();
+    harness.advanceTime(150 * RoutingTestHarness.MS);
+    harness.newActions();
+    harness.request("a", RoutingTestHarness.SESSION_READ, 20 * RoutingTestHarness.MS);
+    String first = harness.newActions().get(0);
     assertTrue(first.matches("send a m[23]"), first);
-    bed.outcome("a", 0, first.substring(7), AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
-    String second = bed.news().get(0);
+    harness.outcome("a", 0, first.substring(7), AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+    String second = harness.newActions().get(0);
     assertFalse(second.equals(first), "not to the member that just missed");
   }
 }
--- /dev/null
+++ b/core/src/test/java/shelffront/decision/RequestSchedulingTest.java
@@ -0,0 +1,248 @@
+package shelffront.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Availability;
+import shelffront.routing.EndpointUpdateKind;
+import shelffront.routing.Request;
+import shelffront.routing.Role;
+
+/** When requests are queued, sent, looked at again and shed, and what that costs. */
+class RequestSchedulingTest {
+
+  private final RoutingTestHarness harness = new RoutingTestHarness();
+
+  /**
+   * Its timer from the time when it was queued finds it sent, and permission for copies is no
+   * reason for one.
+   */
+  @Test
+  void sendsQueuedRequestOnceThoughItsTimersRemain() {
+    for (int type :
+        List.of(
+            RoutingTestHarness.NON_IDEMPOTENT_WRITE,
+            RoutingTestHarness.KEYED_WRITE,
+            RoutingTestHarness.STRONG_READ)) {
+      RoutingTestHarness held = new RoutingTestHarness();
+      held.start();
+      held.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.DRAINING));
+      held.request("r", type);
+      held.advanceTime(100 * RoutingTestHarness.MS);
+      held.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.READY));
+      held.answerHealthCheck("m1", Role.PRIMARY, held.nowMicros);
+      for (String line : held.newActions()) {
+        if (line.startsWith("send r") && !line.endsWith("m1")) {
+          held.outcome("r", 0, line.split(" ")[2], AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+        }
+      }
+      held.advanceTime(20 * RoutingTestHarness.MS);
+      held.newActions();
+      for (int i = 0; i < 50; i++) {
+        held.advanceTime(20 * RoutingTestHarness.MS);
+        held.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+        held.outcome("w" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY, 5 * RoutingTestHarness.MS);
+      }
+      assertFalse(
+          held.newActions().stream()
+              .anyMatch(action -> action.matches("(send|reject|fail) r( .*)?")),
+          "class " + type);
+    }
+  }
+
+  @Test
+  void shedsUnsentRequestBeforeHalfOfItsTime() {
+    harness.start();
+    harness.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.DRAINING));
+    for (String endpointId : List.of("m2", "m3")) {
+      for (int i = 0; i < 12; i++) {
+        harness.router.onHealthCheckResult(
+            harness.nowMicros,
+            endpointId,
+            AttemptStatus.TIMEOUT,
+            250 * RoutingTestHarness.MS,
+            null);
+      }
+    }
+    harness.request("w", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+    harness.advanceTime(1_100 * RoutingTestHarness.MS);
+    assertFalse(harness.newActions().stream().anyMatch(action -> action.startsWith("reject w")));
+    harness.advanceTime(150 * RoutingTestHarness.MS);
+    assertTrue(harness.newActions().stream().anyMatch(action -> action.startsWith("reject w")));
+  }
+
+  @Test
+  void sendsFewerHealthChecksWhereTheyCostMore() {
+    long cheap = healthChecksOfQueuedReads(0.01);
+    long dear = healthChecksOfQueuedReads(0.1);
+    assertTrue(dear <= 20 + 200 * 0.1 + 3, dear + " probes");
+    assertTrue(cheap > 2 * dear, cheap + " and " + dear + " probes");
+  }
+
+  /** Two hundred reads that no replica covers, over ten seconds. */
+  private static long healthChecksOfQueuedReads(double price) {
+    RoutingTestHarness held = new RoutingTestHarness();
+    held.healthCheckCost = price;
+    held.start();
+    held.advanceTime(2_000 * RoutingTestHarness.MS);
+    long before = held.healthChecks();
+    for (int i = 0; i < 200; i++) {
+      held.request("r" + i, RoutingTestHarness.BOUNDED_READ);
+      held.advanceTime(50 * RoutingTestHarness.MS);
+      held.answerHealthCheck("m2", Role.REPLICA, held.nowMicros - 5_000 * RoutingTestHarness.MS);
+      held.answerHealthCheck("m3", Role.REPLICA, held.nowMicros - 5_000 * RoutingTestHarness.MS);
+    }
+    return held.healthChecks() - before;
+  }
+
+  @Test
+  void rejectsRequestWithTooLittleTimeLeftAtOnce() {
+    harness.start();
+    harness.router.onRequest(
+        harness.nowMicros,
+        new Request(
+            "a",
+            RoutingTestHarness.NON_IDEMPOTENT_WRITE,
+            "s",
+            1,
+            60 * RoutingTestHarness.MS,
+            0,
+            true));
+    assertEquals(List.of("reject a"), harness.newActions());
+  }
+
+  @Test
+  void sendsQueuedRequestsOfMostValueForTheirWorkFirst() {
+    harness.startWithUnknown("m1", "m2", "m3");
+    harness.newActions();
+    harness.request("low", RoutingTestHarness.STRONG_READ);
+    harness.request("high", RoutingTestHarness.KEYED_WRITE);
+    harness.outcome("high", 0, "m1", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+    harness.outcome("high", 1, "m2", AttemptStatus.OK, Role.PRIMARY);
+    assertEquals(List.of("send high m1", "send high m2", "send low m2"), harness.newActions());
+  }
+
+  @Test
+  void watchesEndpointListAgainAfterFailures() {
+    harness.endpointListPolled = true;
+    harness.startWithUnknown("m1");
+    assertTrue(harness.newActions().contains("subscribe true"));
+    for (int i = 0; i < 8; i++) {
+      harness.router.onEndpoints(harness.nowMicros, EndpointUpdateKind.FAILED, 0, List.of());
+      harness.advanceTime(3_100 * RoutingTestHarness.MS);
+      assertEquals(List.of("subscribe true"), harness.newActions());
+    }
+  }
+
+  /**
+   * Guards against work that grows with all queued requests at each outcome; without the limit it
+   * takes over 20 s.
+   */
+  @Test
+  void boundsWorkOfAnOutcomeWhileManyRequestsAreQueued() {
+    harness.start();
+    assertTimeoutPreemptively(
+        Duration.ofSeconds(20),
+        () -> {
+          for (int i = 0; i < 20_000; i++) {
+            harness.request("held" + i, RoutingTestHarness.STRONG_READ);
+          }
+          for (int i = 0; i < 20_000; i++) {
+            harness.outcome("unknown", 0, "m2", AttemptStatus.OK, Role.REPLICA);
+            harness.request("a" + i, RoutingTestHarness.EVENTUAL_READ);
+            harness.outcome("a" + i, 0, "m2", AttemptStatus.OK, Role.REPLICA);
+          }
+        });
+  }
+
+  @Test
+  void ignoresUnknownMessagesAndLateEvents() {
+    harness.start();
+    harness.router.onPeerMessage(harness.nowMicros, 2, new byte[] {9, 9});
+    harness.outcome("never", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
+    harness.outcome("never", 3, "nobody", AttemptStatus.RESET, Role.UNKNOWN);
+    harness.router.onClientDisconnected(harness.nowMicros, "never");
+    harness.router.onHealthCheckResult(harness.nowMicros, "nobody", AttemptStatus.OK, 1, null);
+    harness.router.onTimer(harness.nowMicros, "odd");
+    assertEquals(List.of(), harness.newActions());
+  }
+
+  /**
+   * At one request a second a clock asks far too often or too late; the read that needs a position
+   * asks.
+   */
+  @Test
+  void checksPositionsWhenAReadNeedsThemOnly() {
+    harness.startWithUnknown("m1", "m2", "m3", "m4", "m5");
+    harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros);
+    for (String id : List.of("m2", "m3", "m4", "m5")) {
+      harness.answerHealthCheck(id, Role.REPLICA, harness.nowMicros);
+    }
+    harness.actions.lines.clear();
+    harness.advanceTime(30_000 * RoutingTestHarness.MS);
+    assertEquals(List.of(), harness.actions.lines, "nothing needs a position");
+    harness.request("a", RoutingTestHarness.BOUNDED_READ);
+    assertEquals(2, harness.actions.lines.size(), "two are asked, not the whole group");
+    String asked = harness.actions.lines.get(0).substring("probe ".length());
+    harness.answerHealthCheck(asked, Role.REPLICA, harness.nowMicros - 100 * RoutingTestHarness.MS);
+    assertTrue(harness.actions.lines.contains("send a " + asked), harness.actions.lines.toString());
+  }
+
+  /**
+   * Guards against overload that a gateway with few requests sees too late: one answer tells of the
+   * replica set.
+   */
+  @Test
+  void holdsReadsBackWhileTheirReplicaSetIsSlow() {
+    harness.start();
+    harness.request("a", RoutingTestHarness.SESSION_READ);
+    harness.advanceTime(2_000 * RoutingTestHarness.MS);
+    harness.newActions();
+    harness.outcome("a", 0, "m2", AttemptStatus.TIMEOUT, Role.UNKNOWN);
+    harness.request("b", RoutingTestHarness.SESSION_READ);
+    assertFalse(
+        harness.newActions().stream().anyMatch(action -> action.startsWith("send b")),
+        "no member would be in time");
+    harness.advanceTime(15_000 * RoutingTestHarness.MS);
+    harness.request("c", RoutingTestHarness.SESSION_READ);
+    assertTrue(
+        harness.newActions().stream().anyMatch(action -> action.startsWith("send c")),
+        "the evidence has faded");
+  }
+
+  /**
+   * Guards against work that ends late for little worth while it makes the next requests late as
+   * well.
+   */
+  @Test
+  void shedsReadOfLittleLateValueAtItsObjective() {
+    harness.start();
+    for (String id : List.of("m1", "m2", "m3")) {
+      harness.updateEndpoints(RoutingTestHarness.endpoint(id, 0, Availability.DRAINING));
+    }
+    harness.request("a", RoutingTestHarness.EVENTUAL_READ);
+    harness.advanceTime(401 * RoutingTestHarness.MS);
+    assertEquals(List.of("reject a"), harness.newActions());
+  }
+
+  /**
+   * Guards against memory and work that grow with the requests of the last seconds instead of those
+   * queued.
+   */
+  @Test
+  void dropsTimersOfCompletedRequests() throws ReflectiveOperationException {
+    harness.start();
+    for (int i = 0; i < 20_000; i++) {
+      harness.request("a" + i, RoutingTestHarness.KEYED_WRITE);
+      harness.outcome("a" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY);
+    }
+    int size = harness.router.state.timers.size();
+    assertTrue(size < 1_000, size + " timers");
+  }
+}
--- a/core/src/test/java/shelffront/decision/RoutingTestHarness.java
+++ b/core/src/test/java/shelffront/decision/RoutingTestHarness.java
@@ -27,36 +27,36 @@
 import shelffront.routing.SafetyRules;
 
 /**
- * Drives one instance of the module by hand: a clock, a small group, and short calls for the
+ * Drives one gateway of the module by hand: a clock, a small replica set, and short calls for the
  * events.
  */
 final class RoutingTestHarness {
 
-  static final int BOUNDED = 0;
-  static final int SESSION = 1;
-  static final int ONCE = 2;
-  static final int KEYED = 3;
-  static final int ANY = 4;
-  static final int FRESH = 5;
+  static final int BOUNDED_READ = 0;
+  static final int SESSION_READ = 1;
+  static final int NON_IDEMPOTENT_WRITE = 2;
+  static final int KEYED_WRITE = 3;
+  static final int EVENTUAL_READ = 4;
+  static final int STRONG_READ = 5;
   static final long MS = 1000;
   static final long START = 1_000_000_000;
 
-  final RecordingActions out = new RecordingActions();
-  final RoutingEngine router = new RoutingEngine(out);
-  long now = START;
-  private int seen;
-
-  LagCheck check = LagCheck.NONE;
-  boolean carried = true;
-  boolean duplicate = true;
-  boolean listAsked;
-  boolean retryAfter = true;
-  boolean softRemoval;
-  int attempts = 6;
-  int routers = 4;
-  int self;
-  DeduplicationScope scope = DeduplicationScope.REPLICA_SET;
-  double probePrice = 0.01;
+  final RecordingActions actions = new RecordingActions();
+  final RoutingEngine router = new RoutingEngine(actions);
+  long nowMicros = START;
+  private int linesSeen;
+
+  LagCheck lagCheck = LagCheck.NONE;
+  boolean clientsCarryPosition = true;
+  boolean hedgingAllowed = true;
+  boolean endpointListPolled;
+  boolean retryAfterAllowed = true;
+  boolean removalIsAdvisory;
+  int maxAttempts = 6;
+  int gatewayCount = 4;
+  int gatewayIndex;
+  DeduplicationScope deduplicationScope = DeduplicationScope.REPLICA_SET;
+  double healthCheckCost = 0.01;
 
   RoutingSettings settings() {
     List<RequestClass> classes =
@@ -101,7 +101,7 @@
                 3,
                 0.5,
                 Idempotency.IDEMPOTENCY_KEY,
-                scope,
+                deduplicationScope,
                 3000 * MS,
                 Consistency.WRITE,
                 0),
@@ -128,52 +128,60 @@
                 Consistency.STRONG,
                 0));
     return new RoutingSettings(
-        new GatewayIdentity(self, routers, "z1"),
+        new GatewayIdentity(gatewayIndex, gatewayCount, "z1"),
         5 * MS,
         classes,
-        new ConsistencySettings(check, 100 * MS, false, carried),
-        new EndpointListSettings(ListedRoles.NONE, listAsked),
+        new ConsistencySettings(lagCheck, 100 * MS, false, clientsCarryPosition),
+        new EndpointListSettings(ListedRoles.NONE, endpointListPolled),
         LoadReportSource.HEALTH_CHECKS,
         new SafetyRules(
-            500 * MS, 0.25, 20_000 * MS, 2.5, 1500 * MS, softRemoval, 10_000 * MS, 20 * MS),
+            500 * MS, 0.25, 20_000 * MS, 2.5, 1500 * MS, removalIsAdvisory, 10_000 * MS, 20 * MS),
         new OperatingLimits(
-            attempts, 2000 * MS, retryAfter, true, duplicate, true, true, 250 * MS, 30_000 * MS),
+            maxAttempts,
+            2000 * MS,
+            retryAfterAllowed,
+            true,
+            hedgingAllowed,
+            true,
+            true,
+            250 * MS,
+            30_000 * MS),
         0,
-        probePrice);
+        healthCheckCost);
   }
 
-  /** Starts with members m1 (told to be the primary), m2 and m3, all at a current position. */
+  /** Starts with endpoints m1 (told to be the primary), m2 and m3, all at a current position. */
   RoutingTestHarness start() {
-    bare("m1", "m2", "m3");
-    probed("m1", Role.PRIMARY, now);
-    probed("m2", Role.REPLICA, now);
-    probed("m3", Role.REPLICA, now);
-    news();
+    startWithUnknown("m1", "m2", "m3");
+    answerHealthCheck("m1", Role.PRIMARY, nowMicros);
+    answerHealthCheck("m2", Role.REPLICA, nowMicros);
+    answerHealthCheck("m3", Role.REPLICA, nowMicros);
+    newActions();
     return this;
   }
 
-  /** Starts with these members and nothing heard of them. */
-  RoutingTestHarness bare(String... ids) {
-    router.onStart(now, 7, settings());
+  /** Starts with these endpoints and nothing heard of them. */
+  RoutingTestHarness startWithUnknown(String... ids) {
+    router.onStart(nowMicros, 7, settings());
     List<Endpoint> members = new ArrayList<>();
     for (String id : ids) {
-      members.add(member(id, 0, Availability.READY));
+      members.add(endpoint(id, 0, Availability.READY));
     }
-    router.onEndpoints(now, EndpointUpdateKind.CACHED, 1, members);
+    router.onEndpoints(nowMicros, EndpointUpdateKind.CACHED, 1, members);
     return this;
   }
 
-  static Endpoint member(String id, long startedAt, Availability availability) {
+  static Endpoint endpoint(String id, long startedAt, Availability availability) {
     return new Endpoint(id, "kind", "z1", 1, 1, startedAt, false, availability);
   }
 
-  void changed(Endpoint... members) {
-    router.onEndpoints(now, EndpointUpdateKind.DELTA, 2, List.of(members));
+  void updateEndpoints(Endpoint... members) {
+    router.onEndpoints(nowMicros, EndpointUpdateKind.DELTA, 2, List.of(members));
   }
 
-  void probed(String member, Role role, long position) {
+  void answerHealthCheck(String endpointId, Role role, long position) {
     router.onHealthCheckResult(
-        now, member, AttemptStatus.OK, MS, new LoadReport(position, role, -1, -1, -1));
+        nowMicros, endpointId, AttemptStatus.OK, MS, new LoadReport(position, role, -1, -1, -1));
   }
 
   void request(String id, int classIndex) {
@@ -182,21 +190,22 @@
 
   void request(String id, int classIndex, long sinceWrite) {
     long left = settings().requestClasses().get(classIndex).deadlineMicros();
-    long after = sinceWrite > 0 ? now - sinceWrite : Router.UNKNOWN;
-    router.onRequest(now, new Request(id, classIndex, "s", 1, left, after, false));
+    long after = sinceWrite > 0 ? nowMicros - sinceWrite : Router.UNKNOWN;
+    router.onRequest(nowMicros, new Request(id, classIndex, "s", 1, left, after, false));
   }
 
-  void outcome(String id, int attempt, String member, AttemptStatus status, Role role) {
-    outcome(id, attempt, member, status, role, 50 * MS);
+  void outcome(String id, int attempt, String endpointId, AttemptStatus status, Role role) {
+    outcome(id, attempt, endpointId, status, role, 50 * MS);
   }
 
-  void outcome(String id, int attempt, String member, AttemptStatus status, Role role, long took) {
+  void outcome(
+      String id, int attempt, String endpointId, AttemptStatus status, Role role, long took) {
     router.onAttemptOutcome(
-        now,
+        nowMicros,
         new AttemptOutcome(
             id,
             attempt,
-            member,
+            endpointId,
             status,
             status == AttemptStatus.OK,
             took,
@@ -206,40 +215,47 @@
   }
 
   /** Lets time pass; timers fire when due, as the embedding proxy would fire them. */
-  void pass(long time) {
-    long end = now + time;
+  void advanceTime(long time) {
+    long end = nowMicros + time;
     while (true) {
       RecordingActions.Timer next = null;
-      for (RecordingActions.Timer t : out.timers) {
-        next = t.at() <= end && (next == null || t.at() < next.at()) ? t : next;
+      for (RecordingActions.Timer timer : actions.timers) {
+        next = timer.at() <= end && (next == null || timer.at() < next.at()) ? timer : next;
       }
       if (next == null) {
         break;
       }
-      out.timers.remove(next);
-      now = Math.max(now + 1, next.at());
-      router.onTimer(now, next.name());
+      actions.timers.remove(next);
+      nowMicros = Math.max(nowMicros + 1, next.at());
+      router.onTimer(nowMicros, next.name());
     }
-    now = Math.max(now, end);
+    nowMicros = Math.max(nowMicros, end);
   }
 
-  /** Probes of a member so far. */
-  long probesOf(String member) {
-    return out.lines.stream().filter(l -> l.equals("probe " + member)).count();
+  /** Probes of an endpoint so far. */
+  long healthChecksOf(String endpointId) {
+    return actions.lines.stream().filter(action -> action.equals("probe " + endpointId)).count();
   }
 
-  /** Probes of all members so far. */
-  long probes() {
-    return out.lines.stream().filter(l -> l.startsWith("probe ")).count();
+  /** Probes of all endpoints so far. */
+  long healthChecks() {
+    return actions.lines.stream().filter(action -> action.startsWith("probe ")).count();
   }
 
-  /** Actions since the last call, without probes and log lines. */
-  List<String> news() {
+  /** Actions since the last call, without health checks and log lines. */
+  List<String> newActions() {
     List<String> lines =
-        out.lines.subList(seen, out.lines.size()).stream()
-            .filter(l -> !l.startsWith("probe ") && !l.startsWith("log "))
+        actions.lines.subList(linesSeen, actions.lines.size()).stream()
+            .filter(action -> !action.startsWith("probe ") && !action.startsWith("log "))
             .collect(Collectors.toList());
-    seen = out.lines.size();
+    linesSeen = actions.lines.size();
     return lines;
   }
+
+  /** Attempts started at an endpoint since the last look at new actions. */
+  long newSendsTo(String endpointId) {
+    return newActions().stream()
+        .filter(action -> action.startsWith("send") && action.endsWith(endpointId))
+        .count();
+  }
 }
--- a/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
+++ b/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
@@ -24,32 +24,35 @@
 class EndpointSubsettingTest {
 
   private static List<String> names(String kind, int from, int count) {
-    return IntStream.range(from, from + count).mapToObj(i -> kind + i).collect(Collectors.toList());
+    return IntStream.range(from, from + count)
+        .mapToObj(index -> kind + index)
+        .collect(Collectors.toList());
   }
 
   private static Set<String> pairs(List<String> gateways, List<String> hosts, int size) {
-    return pairs(gateways, g -> true, hosts, size);
+    return pairs(gateways, gateway -> true, hosts, size);
   }
 
   private static Set<String> pairs(
       List<String> gateways, IntPredicate up, List<String> hosts, int size) {
     List<List<String>> all = EndpointSubsetting.subsets(gateways, up, hosts, size);
     Set<String> pairs = new HashSet<>();
-    for (int g = 0; g < gateways.size(); g++) {
-      for (String host : all.get(g)) {
-        pairs.add(gateways.get(g) + " " + host);
+    for (int gateway = 0; gateway < gateways.size(); gateway++) {
+      for (String host : all.get(gateway)) {
+        pairs.add(gateways.get(gateway) + " " + host);
       }
     }
     return pairs;
   }
 
   @Property(tries = 300, seed = "2026")
-  void everyHostIsWithinOneGatewayOfTheMean(
+  void keepsEveryEndpointWithinOneGatewayOfTheMean(
       @ForAll @IntRange(min = 1, max = 300) int gateways,
       @ForAll @IntRange(min = 1, max = 12) int hosts,
       @ForAll @IntRange(min = 1, max = 12) int size) {
     List<List<String>> all =
-        EndpointSubsetting.subsets(names("n", 0, gateways), g -> true, names("s-", 0, hosts), size);
+        EndpointSubsetting.subsets(
+            names("n", 0, gateways), gateway -> true, names("s-", 0, hosts), size);
     Map<String, Long> load =
         all.stream()
             .flatMap(List::stream)
@@ -66,41 +69,44 @@
 
   /** A thousand, as the greatest fleet, and the least. */
   @Test
-  void aFleetOfOneTwoAndAThousand() {
+  void assignsFleetsOfOneTwoAndAThousand() {
     assertEquals(
         List.of("s-0", "s-1", "s-2"),
         EndpointSubsetting.subsets(
-                List.of("n0"), g -> true, names("s-", 0, 3), EndpointSubsetting.size(1, 3))
+                List.of("n0"), gateway -> true, names("s-", 0, 3), EndpointSubsetting.size(1, 3))
             .get(0));
     assertEquals(
         3,
         EndpointSubsetting.subsets(
-                names("n", 0, 2), g -> true, names("s-", 0, 3), EndpointSubsetting.size(2, 3))
+                names("n", 0, 2), gateway -> true, names("s-", 0, 3), EndpointSubsetting.size(2, 3))
             .get(1)
             .size());
     assertEquals(
         List.of(List.of()),
         EndpointSubsetting.subsets(
-            List.of("n0"), g -> true, List.of(), EndpointSubsetting.size(1, 0)));
-    assertEquals(List.of(), EndpointSubsetting.subsets(List.of(), g -> true, names("s-", 0, 3), 2));
+            List.of("n0"), gateway -> true, List.of(), EndpointSubsetting.size(1, 0)));
+    assertEquals(
+        List.of(), EndpointSubsetting.subsets(List.of(), gateway -> true, names("s-", 0, 3), 2));
     List<List<String>> all =
-        EndpointSubsetting.subsets(names("n", 0, 1000), g -> true, names("s-", 0, 120), 3);
+        EndpointSubsetting.subsets(names("n", 0, 1000), gateway -> true, names("s-", 0, 120), 3);
     Map<String, Long> load =
         all.stream()
             .flatMap(List::stream)
             .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
     assertEquals(120, load.size());
-    assertTrue(load.values().stream().allMatch(n -> n >= 24 && n <= 26), load.toString());
+    assertTrue(
+        load.values().stream().allMatch(count -> count >= 24 && count <= 26), load.toString());
   }
 
   /** What an order of names by which gateways happened to be heard of must not change. */
   @Test
-  void hostsInAnyOrderGiveTheSame() {
+  void givesTheSameForEndpointsInAnyOrder() {
     List<String> hosts = names("s-", 0, 6);
-    List<List<String>> all = EndpointSubsetting.subsets(names("n", 0, 100), g -> true, hosts, 2);
+    List<List<String>> all =
+        EndpointSubsetting.subsets(names("n", 0, 100), gateway -> true, hosts, 2);
     for (int seed = 0; seed < 10; seed++) {
       Collections.shuffle(hosts, new Random(seed));
-      assertEquals(all, EndpointSubsetting.subsets(names("n", 0, 100), g -> true, hosts, 2));
+      assertEquals(all, EndpointSubsetting.subsets(names("n", 0, 100), gateway -> true, hosts, 2));
     }
   }
 
@@ -118,16 +124,17 @@
       List<Integer> order = new ArrayList<>(IntStream.range(0, gateways).boxed().toList());
       Collections.shuffle(order, new Random(random.nextLong()));
       Set<Integer> dead = new HashSet<>(order.subList(0, (int) (gateways * down)));
-      Set<String> gone = pairs(fleet, g -> !dead.contains(g), names("s-", 0, hosts), size);
+      Set<String> gone =
+          pairs(fleet, gateway -> !dead.contains(gateway), names("s-", 0, hosts), size);
       dead.add(order.get(gateways - 1));
-      gone.removeAll(pairs(fleet, g -> !dead.contains(g), names("s-", 0, hosts), size));
+      gone.removeAll(pairs(fleet, gateway -> !dead.contains(gateway), names("s-", 0, hosts), size));
       changed += gone.size();
     }
     return changed / rounds / size;
   }
 
   @Test
-  void aGatewayThatStopsOrComesBackMovesFewChoicesOfOthers() {
+  void movesFewChoicesWhenAGatewayStops() {
     for (int gateways : new int[] {20, 60, 100, 300}) {
       for (int hosts : new int[] {4, 5, 6}) {
         String fleet = gateways + " gateways, " + hosts + " hosts: ";
@@ -143,19 +150,20 @@
 
   /** What is left of a fleet shares its hosts as evenly as the whole did. */
   @Property(tries = 100, seed = "2027")
-  void whatIsLeftOfAFleetKeepsNearTheMean(
+  void keepsRemainingFleetNearTheMean(
       @ForAll @IntRange(min = 2, max = 200) int gateways,
       @ForAll @IntRange(min = 3, max = 8) int hosts,
       @ForAll @IntRange(min = 0, max = 9) int tenthsDown) {
     Random random = new Random(gateways * 100L + tenthsDown);
     boolean[] up = new boolean[gateways];
     int left = 0;
-    for (int g = 0; g < gateways; g++) {
-      up[g] = random.nextInt(10) >= tenthsDown;
-      left += up[g] ? 1 : 0;
+    for (int gateway = 0; gateway < gateways; gateway++) {
+      up[gateway] = random.nextInt(10) >= tenthsDown;
+      left += up[gateway] ? 1 : 0;
     }
     Map<String, Long> load =
-        EndpointSubsetting.subsets(names("n", 0, gateways), g -> up[g], names("s-", 0, hosts), 2)
+        EndpointSubsetting.subsets(
+                names("n", 0, gateways), gateway -> up[gateway], names("s-", 0, hosts), 2)
             .stream()
             .flatMap(List::stream)
             .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
@@ -169,21 +177,21 @@
   }
 
   @Test
-  void aHostThatIsReplacedMovesFewChoicesOfOtherHosts() {
+  void movesFewChoicesWhenAnEndpointIsReplaced() {
     for (int gateways : new int[] {20, 60, 100, 300}) {
       List<String> old = names("s-", 0, 6);
       List<String> next = names("s-", 1, 6);
       Set<String> gone = pairs(names("n", 0, gateways), old, 2);
       int all = gone.size();
       gone.removeAll(pairs(names("n", 0, gateways), next, 2));
-      gone.removeIf(p -> p.endsWith(" s-0"));
+      gone.removeIf(pair -> pair.endsWith(" s-0"));
       assertTrue(
           gone.size() <= all * 0.25, gone.size() + " of " + all + " choices of other hosts moved");
     }
   }
 
   @Test
-  void aSmallFleetUsesEveryHost() {
+  void usesEveryEndpointInASmallFleet() {
     assertEquals(5, EndpointSubsetting.size(5, 5));
     assertEquals(5, EndpointSubsetting.size(16, 5));
     assertEquals(2, EndpointSubsetting.size(60, 5));
--- a/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
@@ -5,25 +5,25 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a fleet spends on probes follows its traffic, not its size. */
+/** What a fleet spends on health checks follows its traffic, not its size. */
 class HealthCheckBudgetTest {
 
-  private static int spent(HealthCheckBudget allowance, int requests) {
+  private static int spent(HealthCheckBudget budget, int requests) {
     int probes = 0;
     for (int i = 0; i <= requests; i++) {
-      while (allowance.tryAcquire()) {
+      while (budget.tryAcquire()) {
         probes++;
       }
-      allowance.recordRequest();
+      budget.recordRequest();
     }
     return probes;
   }
 
   @Test
-  void aStartOfAllGatewaysAtOnceFreesNoMoreThanOneBurst() {
+  void limitsStartOfAllGatewaysToOneBurst() {
     for (int gateways : new int[] {20, 60, 100, 200}) {
       int probes = 0;
-      for (int g = 0; g < gateways; g++) {
+      for (int gateway = 0; gateway < gateways; gateway++) {
         probes += spent(new HealthCheckBudget(0.08, gateways), 0);
       }
       assertTrue(
@@ -32,8 +32,9 @@
   }
 
   @Test
-  void aRequestCostsItsPointsAtMost() {
-    // A probe for each request costs 0.08 points, so one for eight requests costs a hundredth.
+  void limitsCostOfARequest() {
+    // A health check for each request costs 0.08 points, so one for eight requests costs a
+    // hundredth.
     assertEquals(20 + 125, spent(new HealthCheckBudget(0.08, 1), 1000), 1);
     assertEquals(20 + 1000, spent(new HealthCheckBudget(0.01, 1), 1000), 1);
     assertEquals(
@@ -41,16 +42,16 @@
   }
 
   @Test
-  void whatIsSavedInAQuietHourIsBounded() {
-    HealthCheckBudget allowance = new HealthCheckBudget(0.01, 100);
+  void boundsWhatIsSavedUp() {
+    HealthCheckBudget budget = new HealthCheckBudget(0.01, 100);
     for (int i = 0; i < 10_000; i++) {
-      allowance.recordRequest();
+      budget.recordRequest();
     }
-    assertEquals(4, spent(allowance, 0));
+    assertEquals(4, spent(budget, 0));
   }
 
   @Test
-  void everyGatewayOfTheGreatestFleetHasSome() {
+  void leavesSomeToEveryGatewayOfTheGreatestFleet() {
     assertEquals(2, spent(new HealthCheckBudget(0.08, 5_000), 0));
   }
 }
--- a/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
@@ -42,65 +42,74 @@
   }
 
   @Test
-  void writesAreMeasuredAgainstWritesAlone() {
+  void measuresWritesAgainstWritesAlone() {
     // 6 in 100 requests write. A host of five at a third of its capacity may have two thirds of
     // what a warm one
-    // gets, ten times the writes: none of them may be turned away for what the reads of its group
+    // gets, ten times the writes: none of them may be turned away for what the reads of its replica
+    // set
     // would add.
-    Asked a = traffic(new SplittableRandom(1), 10, 0.06);
-    double budget = a.budget.budget(a.now, 0.33, 4, 40, false);
+    Asked asked = traffic(new SplittableRandom(1), 10, 0.06);
+    double budget = asked.budget.budget(asked.now, 0.33, 4, 40, false);
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
-      admitted += a.budget.admits(a.now, "w" + i, true, true, true, 0, budget) ? 1 : 0;
+      admitted += asked.budget.admits(asked.now, "w" + i, true, true, true, 0, budget) ? 1 : 0;
     }
     assertEquals(1_000, admitted);
   }
 
   @Test
-  void aPrimaryGivesReadsOnlyWhatItsWritesLeave() {
-    Asked a = traffic(new SplittableRandom(2), 10, 0.5);
+  void givesReadsOnlyWhatAPrimarysWritesLeave() {
+    Asked asked = traffic(new SplittableRandom(2), 10, 0.5);
     double budget =
-        a.budget.budget(a.now, 0.25, 4, 200, false); // the count of writes, 100 in the window
+        asked.budget.budget(
+            asked.now, 0.25, 4, 200, false); // the count of writes, 100 in the window
     int reads = 0;
     for (int i = 0; i < 1_000; i++) {
-      reads += a.budget.admits(a.now, "r" + i, false, true, true, 0, budget) ? 1 : 0;
+      reads += asked.budget.admits(asked.now, "r" + i, false, true, true, 0, budget) ? 1 : 0;
     }
     assertTrue(reads < 200, reads + " of 1000 reads on top of as many writes as it may have");
   }
 
   @Test
-  void aPrimaryThatBearsMoreThanOthersIsMeasuredByThat() {
+  void measuresPrimaryByWhatItUsuallyBears() {
     // Half of all requests write, 100 in the window; a warm host of eight gets 25. At a quarter of
     // its capacity
     // and a multiple of 4 the primary may have half of its writes, not an eighth.
-    Asked a = traffic(new SplittableRandom(7), 10, 0.5);
+    Asked asked = traffic(new SplittableRandom(7), 10, 0.5);
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
       admitted +=
-          a.budget.admits(
-                  a.now, "w" + i, true, true, true, 0, a.budget.budget(a.now, 0.25, 4, 25, true))
+          asked.budget.admits(
+                  asked.now,
+                  "w" + i,
+                  true,
+                  true,
+                  true,
+                  0,
+                  asked.budget.budget(asked.now, 0.25, 4, 25, true))
               ? 1
               : 0;
     }
     assertTrue(admitted > 450 && admitted < 550, admitted + " of 1000 writes");
-    assertTrue(a.budget.budget(a.now, 0.25, 4, 25, false) < 15, "a replica may not");
+    assertTrue(asked.budget.budget(asked.now, 0.25, 4, 25, false) < 15, "a replica may not");
   }
 
   @Test
-  void lotsOfAGroupAreOneDraw() {
-    // Five cold hosts, each with a budget of a fifth of what is asked: each request meets exactly
+  void sharesOneDrawAmongEndpointsOfAReplicaSet() {
+    // Five warming hosts, each with a budget of a fifth of what is asked: each request meets
+    // exactly
     // one of them.
-    Asked a = traffic(new SplittableRandom(3), 10, 0);
+    Asked asked = traffic(new SplittableRandom(3), 10, 0);
     double budget = 200 / 5.0;
     int met = 0;
     int twice = 0;
     int[] each = new int[5];
     for (int i = 0; i < 10_000; i++) {
       int hosts = 0;
-      for (int h = 0; h < 5; h++) {
-        if (a.budget.admits(a.now, "r" + i, false, false, true, h * budget, budget)) {
+      for (int host = 0; host < 5; host++) {
+        if (asked.budget.admits(asked.now, "r" + i, false, false, true, host * budget, budget)) {
           hosts++;
-          each[h]++;
+          each[host]++;
         }
       }
       met += hosts > 0 ? 1 : 0;
@@ -109,19 +118,19 @@
     assertTrue(
         met > 9_000, met + " of 10000 met a host; draws apart would let a third of them meet none");
     assertTrue(twice < 1_000, twice + " met two");
-    for (int n : each) {
-      assertTrue(n > 1_500 && n < 2_500, n + " to one host");
+    for (int count : each) {
+      assertTrue(count > 1_500 && count < 2_500, count + " to one host");
     }
   }
 
   @Test
-  void withoutAPrimaryWritesCountWhereTheyAreTried() {
-    Asked a = traffic(new SplittableRandom(4), 10, 0.5);
+  void countsWritesAsReadsWithoutAPrimary() {
+    Asked asked = traffic(new SplittableRandom(4), 10, 0.5);
     int known = 0;
     int unknown = 0;
     for (int i = 0; i < 10_000; i++) {
-      known += a.budget.admits(a.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
-      unknown += a.budget.admits(a.now, "r" + i, false, false, false, 0, 20) ? 1 : 0;
+      known += asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
+      unknown += asked.budget.admits(asked.now, "r" + i, false, false, false, 0, 20) ? 1 : 0;
     }
     assertTrue(unknown < known * 0.7, unknown + " against " + known);
   }
@@ -131,7 +140,7 @@
    * whole.
    */
   @Property(tries = 40, seed = "2026")
-  void theFleetKeepsToItsBudget(
+  void keepsFleetNearItsBudget(
       @ForAll @IntRange(min = 1, max = 200) int gateways,
       @ForAll @DoubleRange(min = 0.05, max = 20) double rate,
       @ForAll @DoubleRange(min = 0.2, max = 1) double warmth) {
@@ -143,14 +152,17 @@
     double sent = 0;
     double mayHave = 0;
     int rounds = Math.max(1, 400 / gateways);
-    for (int g = 0; g < gateways * rounds; g++) {
-      Asked a = traffic(random, rate, 0);
-      double budget = a.budget.budget(a.now, warmth, 2, each, false);
+    for (int gateway = 0; gateway < gateways * rounds; gateway++) {
+      Asked asked = traffic(random, rate, 0);
+      double budget = asked.budget.budget(asked.now, warmth, 2, each, false);
       // The requests of the next moment, each of which counts itself.
-      a.budget.recordRequest(a.now, false);
+      asked.budget.recordRequest(asked.now, false);
       int admitted = 0;
       for (int i = 0; i < 50; i++) {
-        admitted += a.budget.admits(a.now, g + "-" + i, false, false, true, 0, budget) ? 1 : 0;
+        admitted +=
+            asked.budget.admits(asked.now, gateway + "-" + i, false, false, true, 0, budget)
+                ? 1
+                : 0;
       }
       sent += admitted / 50.0 * rate * SlowStartBudget.WINDOW_SECONDS;
       mayHave += budget;
@@ -181,24 +193,26 @@
     private static final double MULTIPLE = 3;
     private static final int HOSTS = 5;
 
-    double n() {
+    double allowedRequests() {
       return MULTIPLE * warmth * capacity * FALL_SECONDS;
     }
 
-    /** The most that the first cold host gets in a fall time of a play of 200 s. */
+    /** The most that the first warming host gets in an overload window of a play of 200 s. */
     int worst() {
       List<Double> sends = new ArrayList<>();
       SplittableRandom random =
           new SplittableRandom(
               Double.hashCode(capacity) * 31L + gateways * 1_000L + (long) (warmth * 100) + cold);
       int busy = Math.max(1, gateways / 10);
-      for (int g = 0; g < gateways; g++) {
+      for (int gateway = 0; gateway < gateways; gateway++) {
         double mean = capacity * use * HOSTS / gateways;
         sends(
-            g,
+            gateway,
             gateways < 10
                 ? mean
-                : g < busy ? mean * gateways / busy / 2 : mean * gateways / (gateways - busy) / 2,
+                : gateway < busy
+                    ? mean * gateways / busy / 2
+                    : mean * gateways / (gateways - busy) / 2,
             random,
             sends);
       }
@@ -215,7 +229,7 @@
 
     /** The same over what may be put to chance. */
     double worstOverBound() {
-      return worst() / (n() + 2 * Math.sqrt(n()) + 2);
+      return worst() / (allowedRequests() + 2 * Math.sqrt(allowedRequests()) + 2);
     }
 
     private void sends(int gateway, double perSecond, SplittableRandom random, List<Double> sends) {
@@ -234,10 +248,10 @@
         double usual = Math.max(least, warm.count(now) + 1.0 / HOSTS);
         double may = times * budget.budget(now, warmth, MULTIPLE, usual, false);
         boolean admitted = false;
-        for (int h = 0; h < cold; h++) {
-          if (budget.admits(now, gateway + "-" + at, false, false, true, h * may, may)) {
+        for (int host = 0; host < cold; host++) {
+          if (budget.admits(now, gateway + "-" + at, false, false, true, host * may, may)) {
             admitted = true;
-            if (h == 0 && at > 20) {
+            if (host == 0 && at > 20) {
               sends.add(at);
             }
           }
@@ -250,18 +264,18 @@
   }
 
   /**
-   * The operators' bound: of N calls that the settings allow a cold host in the fall time, ramp
-   * included, it falls beyond N + 2 x root of N + 2, from all gateways together.
+   * The operators' bound: of N calls that the settings allow a warming host in the overload window,
+   * ramp included, it falls beyond N + 2 x root of N + 2, from all gateways together.
    *
    * <p>What it gets is the sum of many rare choices, so nearly Poisson, with the mean N / 2 x use:
-   * the budget is half the fall multiple of what a warm host gets, and that is use x its capacity.
-   * The chance of more than the bound in one fall time at full use is 1.4e-5 for N = 1, 8.3e-5 for
-   * N = 2, 8e-6 for N = 4, 1.4e-6 for N = 10, 3e-9 for N = 30; at three quarters, near the most
-   * that the operators' days ask for outside overload, a fifth of that or less. With a budget four
-   * times as large it is then 0.04, 0.18, 0.64 and 0.99 for N = 4, 10, 30 and 100.
+   * the budget is half the overload factor of what a warm host gets, and that is use x its
+   * capacity. The chance of more than the bound in one overload window at full use is 1.4e-5 for N
+   * = 1, 8.3e-5 for N = 2, 8e-6 for N = 4, 1.4e-6 for N = 10, 3e-9 for N = 30; at three quarters,
+   * near the most that the operators' days ask for outside overload, a fifth of that or less. With
+   * a budget four times as large it is then 0.04, 0.18, 0.64 and 0.99 for N = 4, 10, 30 and 100.
    */
   @Test
-  void theFleetsSumStaysUnderWhatIsPutToChance() {
+  void keepsFleetUnderTheBoundOfChance() {
     for (int gateways : new int[] {5, 20, 30, 100}) {
       for (double capacity : new double[] {0.5, 2, 10, 50}) {
         for (double warmth : new double[] {0.18, 0.5, 0.9}) {
@@ -270,11 +284,12 @@
             double worst = fleet.worstOverBound();
             assertTrue(
                 worst <= 1, fleet + " came to " + worst + " of the bound in its worst fall time");
-            // At full load six in a fall time for N = 1.5 are seen, as the figures above let
+            // At full load six in an overload window for N = 1.5 are seen, as the figures above let
             // expect.
             Fleet full = new Fleet(gateways, capacity, 1, warmth, cold, 1, 0);
             assertTrue(
-                full.worst() < 0.9 * (full.n() + 3 * Math.sqrt(full.n()) + 3),
+                full.worst()
+                    < 0.9 * (full.allowedRequests() + 3 * Math.sqrt(full.allowedRequests()) + 3),
                 full + " came to " + full.worst() + " in its worst fall time");
           }
         }
@@ -283,7 +298,7 @@
   }
 
   @Test
-  void aBudgetFourTimesTooLargePushesHostsOver() {
+  void exceedsTheBoundWithABudgetFourTimesTooLarge() {
     for (int gateways : new int[] {5, 20, 30, 100}) {
       Fleet fleet = new Fleet(gateways, 10, 0.75, 0.18, 1, 4, 0);
       assertTrue(
@@ -296,24 +311,24 @@
   }
 
   @Test
-  void aJumpOfDemandCountsAtOnce() {
-    Asked a = traffic(new SplittableRandom(5), 2, 0);
+  void countsAJumpOfDemandAtOnce() {
+    Asked asked = traffic(new SplittableRandom(5), 2, 0);
     int before = 0;
     int after = 0;
     for (int i = 0; i < 1_000; i++) {
-      before += a.budget.admits(a.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
+      before += asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
     }
     for (int i = 0; i < 60; i++) {
-      a.budget.recordRequest(a.now + i * SECOND / 60, false);
+      asked.budget.recordRequest(asked.now + i * SECOND / 60, false);
     }
     for (int i = 0; i < 1_000; i++) {
-      after += a.budget.admits(a.now + SECOND, "r" + i, false, false, true, 0, 20) ? 1 : 0;
+      after += asked.budget.admits(asked.now + SECOND, "r" + i, false, false, true, 0, 20) ? 1 : 0;
     }
     assertTrue(after * 3 < before, before + " of 1000 before, " + after + " after");
   }
 
   @Test
-  void warmthGrowsWithAgeAndStaysInBounds() {
+  void growsCapacityFractionWithAgeWithinBounds() {
     assertEquals(0.2, SlowStartBudget.capacityFraction(0, 0.2, 10 * SECOND));
     assertEquals(
         0.2,
@@ -328,13 +343,14 @@
   }
 
   @Test
-  void theSameRequestDrawsTheSameLot() {
-    Asked a = traffic(new SplittableRandom(6), 10, 0);
+  void drawsTheSameForTheSameRequest() {
+    Asked asked = traffic(new SplittableRandom(6), 10, 0);
     for (int i = 0; i < 100; i++) {
-      boolean first = a.budget.admits(a.now, "r" + i, false, false, true, 0, 50);
-      assertEquals(first, a.budget.admits(a.now, "r" + i, false, false, true, 0, 50));
+      boolean first = asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 50);
+      assertEquals(first, asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 50));
     }
     assertFalse(
-        a.budget.admits(a.now, "r", false, false, true, 0, 0), "without a budget nothing goes");
+        asked.budget.admits(asked.now, "r", false, false, true, 0, 0),
+        "without a budget nothing goes");
   }
 }
--- a/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
+++ b/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
@@ -10,56 +10,56 @@
 
   private static final long TOOK = 100_000;
 
-  private final ConcurrencyLimit window = new ConcurrencyLimit();
+  private final ConcurrencyLimit limit = new ConcurrencyLimit();
 
-  private boolean room(int out) {
-    return window.hasCapacity(1_000_000, 1, out, 0, TOOK);
+  private boolean hasCapacity(int out) {
+    return limit.hasCapacity(1_000_000, 1, out, 0, TOOK);
   }
 
   @Test
-  void aSecondOpeningKeepsWhatWasLearned() {
-    window.initialize(2);
-    window.initialize(50);
-    assertTrue(room(1));
-    assertFalse(room(2));
-    assertFalse(window.hasCapacity(1_000_000, 0.5, 1, 0, TOOK), "a part of it");
+  void keepsWhatItLearnedWhenInitializedAgain() {
+    limit.initialize(2);
+    limit.initialize(50);
+    assertTrue(hasCapacity(1));
+    assertFalse(hasCapacity(2));
+    assertFalse(limit.hasCapacity(1_000_000, 0.5, 1, 0, TOOK), "a part of it");
   }
 
   @Test
-  void itGrowsWhileItIsUsedAndNoFurtherThanItsBound() {
-    window.initialize(4);
+  void growsWhileUsedUpToItsBound() {
+    limit.initialize(4);
     for (int i = 0; i < 100; i++) {
-      window.increase(0);
+      limit.increase(0);
     }
-    assertFalse(room(4), "one that is not used does not grow");
+    assertFalse(hasCapacity(4), "one that is not used does not grow");
     for (int i = 0; i < 100_000; i++) {
-      window.increase(300);
+      limit.increase(300);
     }
-    assertTrue(room(199));
-    assertFalse(room(200));
+    assertTrue(hasCapacity(199));
+    assertFalse(hasCapacity(200));
   }
 
   @Test
-  void itIsCutOnceInAnAnswerTime() {
-    window.initialize(16);
-    window.decrease(1_000_000, TOOK, 0.5);
-    window.decrease(1_000_001, TOOK, 0.5);
-    assertTrue(room(7));
-    window.decrease(1_000_000 + TOOK + 1, TOOK, 0.5);
-    assertFalse(room(4));
+  void decreasesOnceWithinALatency() {
+    limit.initialize(16);
+    limit.decrease(1_000_000, TOOK, 0.5);
+    limit.decrease(1_000_001, TOOK, 0.5);
+    assertTrue(hasCapacity(7));
+    limit.decrease(1_000_000 + TOOK + 1, TOOK, 0.5);
+    assertFalse(hasCapacity(4));
   }
 
   @Test
-  void underOneItSpacesRequestsOut() {
-    window.initialize(1);
-    window.decrease(0, TOOK, 0.5);
-    assertFalse(window.hasCapacity(2 * TOOK, 1, 0, 0, TOOK));
-    assertTrue(window.hasCapacity(2 * TOOK + 1, 1, 0, 0, TOOK));
+  void spacesRequestsOutBelowOne() {
+    limit.initialize(1);
+    limit.decrease(0, TOOK, 0.5);
+    assertFalse(limit.hasCapacity(2 * TOOK, 1, 0, 0, TOOK));
+    assertTrue(limit.hasCapacity(2 * TOOK + 1, 1, 0, 0, TOOK));
     for (int i = 1; i < 100; i++) {
-      window.decrease(i * 2 * TOOK, TOOK, 0.5);
+      limit.decrease(i * 2 * TOOK, TOOK, 0.5);
     }
-    assertTrue(window.hasCapacity(40 * TOOK, 1, 0, 0, TOOK), "never shut for ever");
-    window.halve();
-    assertTrue(window.hasCapacity(1, 1, 0, 0, TOOK), "back from a ban it begins with one");
+    assertTrue(limit.hasCapacity(40 * TOOK, 1, 0, 0, TOOK), "never shut for ever");
+    limit.halve();
+    assertTrue(limit.hasCapacity(1, 1, 0, 0, TOOK), "back from a ban it begins with one");
   }
 }
