--- a/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
+++ b/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
@@ -50,79 +50,13 @@
   /** How far a time limit may be passed: what the network takes, and the clocks' grain. */
   private static final long SLACK_MICROS = 60_000;
 
-  private static final int MAX_RECORDED_PER_RULE = 5; // of each rule, in full
-
-  /** One try of a request at a box. */
-  public static final class Attempt {
-
-    final String host;
-    final long sentAtMicros;
-
-    /** Since when the gateway waits for it no longer; asked when it matters. */
-    final LongSupplier abandonedAtMicros;
+  /** After this time a gateway sends nothing more to a host whose drain it was told. */
+  private static final long DRAIN_REACTION_MICROS = 2_000_000;
 
-    long answeredAtMicros = Long.MAX_VALUE;
-    boolean started;
-    boolean provedNotExecuted;
-
-    private Attempt(String box, long sentAt, LongSupplier overAt) {
-      this.host = box;
-      this.sentAtMicros = sentAt;
-      this.abandonedAtMicros = overAt;
-    }
-
-    /** The box has written its answer; one that proves that nothing ran. */
-    public void answered(long atMicros, boolean provesNothingRan) {
-      answeredAtMicros = atMicros;
-      provedNotExecuted = provesNothingRan;
-    }
-  }
-
-  /** A request as its client sees it. */
-  public static final class CheckedRequest {
-
-    public final String id;
-    public final RequestClass requestClass;
-    public final String key;
-    public final String session;
-    public final int gateway;
-    public final long sentAtMicros;
-    public final long deadlineMicros;
-    public final long requiredPositionMicros; // the commit that its session must see
-    final List<Attempt> attempts = new ArrayList<>();
-    boolean answered;
-    boolean excused;
-    boolean applied;
-    String code;
-
-    private CheckedRequest(
-        String id,
-        RequestClass type,
-        String key,
-        String session,
-        int gateway,
-        long sentAt,
-        long deadline,
-        long mark) {
-      this.id = id;
-      this.requestClass = type;
-      this.key = key;
-      this.session = session;
-      this.gateway = gateway;
-      this.sentAtMicros = sentAt;
-      this.deadlineMicros = deadline;
-      this.requiredPositionMicros = mark;
-    }
-
-    /** Whether no box has been sent it. */
-    public boolean hasNoAttempt() {
-      return attempts.isEmpty();
-    }
-
-    public boolean isAnswered() {
-      return answered;
-    }
-  }
+  private static final double MICROS_PER_MILLI = 1e3;
+  private static final String CAPACITY_EXCEEDED = "53300";
+  private static final String SHUTTING_DOWN = "57P03";
+  private static final int MAX_RECORDED_PER_RULE = 5; // of each rule, in full
 
   private final Map<String, CheckedRequest> requests = new LinkedHashMap<>();
   private final Map<String, Long> lastCommits = new HashMap<>();
@@ -137,18 +71,20 @@
   private int violationCount;
 
   /**
-   * Marks are the session's where clients carry them, else its gateway's; reads may have a copy out
-   * or not.
+   * @param positionsCarried whether the position of a session's last write goes with the session;
+   *     else each gateway remembers its own
+   * @param hedgingAllowed whether a read may have two attempts out
    */
-  public InvariantChecker(boolean carried, boolean copies) {
-    this.positionsCarried = carried;
-    this.hedgingAllowed = copies;
+  public InvariantChecker(boolean positionsCarried, boolean hedgingAllowed) {
+    this.positionsCarried = positionsCarried;
+    this.hedgingAllowed = hedgingAllowed;
   }
 
   private String sessionKey(int gateway, String session) {
     return (positionsCarried ? "" : gateway) + "/" + session;
   }
 
+  /** Records a broken rule; of each rule the first few in full. */
   public void violated(long atMicros, Rule rule, String what) {
     violationCount++;
     if (countByRule.merge(rule, 1, Integer::sum) <= MAX_RECORDED_PER_RULE) {
@@ -164,9 +100,6 @@
     return violationCount;
   }
 
-  // ---- From clients
-  // --------------------------------------------------------------------------------
-
   /** The last byte of a request has been written by its client. */
   public CheckedRequest requestSent(
       String id,
@@ -197,7 +130,6 @@
       return;
     }
     request.answered = true;
-    request.code = code;
     if (now > request.deadlineMicros + SLACK_MICROS && !request.excused) {
       violated(
           now,
@@ -206,29 +138,39 @@
               Locale.ROOT,
               "%s was answered %.1f ms after its time",
               request.id,
-              (now - request.deadlineMicros) / 1e3));
+              (now - request.deadlineMicros) / MICROS_PER_MILLI));
     }
     if (code == null) {
-      if (!request.id.equals(value)) {
-        violated(now, Rule.RIGHT_VALUE, request.id + " was answered with " + value);
-      }
-      if (request.requestClass.isWrite() && !request.applied && !lostKeys.contains(request.key)) {
-        violated(now, Rule.NOTHING_LOST, request.id + " was told served and has no effect");
-      }
-      if (request.requestClass.isWrite() && !lostKeys.contains(request.key)) {
-        lastCommits.merge(
-            sessionKey(request.gateway, request.session),
-            commitByKey.getOrDefault(request.key, 0L),
-            Math::max);
-      }
-    } else if (code.equals("53300") || code.equals("57P03")) {
-      for (Attempt attempt : request.attempts) {
-        if (!request.requestClass.isIdempotent() && attempt.started && !attempt.provedNotExecuted) {
-          violated(
-              now,
-              Rule.TRUE_REFUSAL,
-              request.id + " was told untouched, and had begun at " + attempt.host);
-        }
+      checkServed(request, now, value);
+    } else if (code.equals(CAPACITY_EXCEEDED) || code.equals(SHUTTING_DOWN)) {
+      checkRejection(request, now);
+    }
+  }
+
+  private void checkServed(CheckedRequest request, long now, String value) {
+    if (!request.id.equals(value)) {
+      violated(now, Rule.RIGHT_VALUE, request.id + " was answered with " + value);
+    }
+    if (!request.requestClass.isWrite() || lostKeys.contains(request.key)) {
+      return;
+    }
+    if (!request.applied) {
+      violated(now, Rule.NOTHING_LOST, request.id + " was told served and has no effect");
+    }
+    lastCommits.merge(
+        sessionKey(request.gateway, request.session),
+        commitByKey.getOrDefault(request.key, 0L),
+        Math::max);
+  }
+
+  /** A rejection promises that nothing was executed. */
+  private void checkRejection(CheckedRequest request, long now) {
+    for (Attempt attempt : request.attempts) {
+      if (!request.requestClass.isIdempotent() && attempt.mayHaveExecuted()) {
+        violated(
+            now,
+            Rule.TRUE_REFUSAL,
+            request.id + " was told untouched, and had begun at " + attempt.host);
       }
     }
   }
@@ -255,87 +197,100 @@
     }
   }
 
-  // ---- From boxes
-  // --------------------------------------------------------------------------------
-
   /**
    * An attempt has arrived whole; the gateway wrote its last byte at a time, and its end says how
    * long it waits.
    */
   public Attempt attemptArrived(
-      String id, String box, long now, long writtenAt, LongSupplier overAt) {
+      String id, String host, long now, long sentAtMicros, LongSupplier abandonedAtMicros) {
     CheckedRequest request = requests.get(id);
     if (request == null) {
-      violated(now, Rule.RIGHT_VALUE, box + " was sent " + id + ", which nobody asked");
-      return new Attempt(box, writtenAt, overAt);
+      violated(now, Rule.RIGHT_VALUE, host + " was sent " + id + ", which nobody asked");
+      return new Attempt(host, sentAtMicros, abandonedAtMicros);
     }
-    Attempt next = new Attempt(box, writtenAt, overAt);
-    long first = Long.MAX_VALUE;
+    Attempt next = new Attempt(host, sentAtMicros, abandonedAtMicros);
+    checkAttemptsOut(request, next, now);
+    checkRepetition(request, next, now);
+    checkDrain(request, next, now);
+    request.attempts.add(next);
+    return next;
+  }
+
+  private void checkAttemptsOut(CheckedRequest request, Attempt next, long now) {
+    int permitted = hedgingAllowed && request.requestClass.isIdempotent() ? 1 : 0;
     int out = 0;
     for (Attempt attempt : request.attempts) {
       // Of two that take different ways the later may arrive first.
-      Attempt earlier = attempt.sentAtMicros <= writtenAt ? attempt : next;
-      if (Math.min(earlier.answeredAtMicros, earlier.abandonedAtMicros.getAsLong())
-          > Math.max(attempt.sentAtMicros, writtenAt)) {
+      Attempt earlier = attempt.sentAtMicros <= next.sentAtMicros ? attempt : next;
+      if (earlier.isOutAfter(Math.max(attempt.sentAtMicros, next.sentAtMicros))) {
         out++;
-        if (out > (hedgingAllowed && request.requestClass.isIdempotent() ? 1 : 0)) {
+        if (out > permitted) {
           violated(
               now,
               Rule.ONE_ATTEMPT_OUT,
-              id + " was sent to " + box + " while out at " + attempt.host);
+              request.id + " was sent to " + next.host + " while out at " + attempt.host);
         }
       }
-      if (attempt.started && !attempt.provedNotExecuted) {
-        first = Math.min(first, attempt.sentAtMicros);
-      }
     }
-    if (first < Long.MAX_VALUE) {
-      switch (request.requestClass.idempotency()) {
-        case NON_IDEMPOTENT ->
-            violated(now, Rule.CLASS_PERMITS, id + " may run once and was sent again to " + box);
-        case IDEMPOTENCY_KEY -> {
-          if (writtenAt > first + request.requestClass.deduplicationWindowMicros() + SLACK_MICROS) {
-            violated(
-                now,
-                Rule.CLASS_PERMITS,
-                String.format(
-                    Locale.ROOT,
-                    "%s was sent to %s %.1f ms after its first try, past its window",
-                    id,
-                    box,
-                    (writtenAt - first) / 1e3));
-          }
+  }
+
+  private void checkRepetition(CheckedRequest request, Attempt next, long now) {
+    long firstMicros = request.firstExecutedMicros();
+    if (firstMicros == Long.MAX_VALUE) {
+      return;
+    }
+    switch (request.requestClass.idempotency()) {
+      case NON_IDEMPOTENT ->
+          violated(
+              now,
+              Rule.CLASS_PERMITS,
+              request.id + " may run once and was sent again to " + next.host);
+      case IDEMPOTENCY_KEY -> {
+        long windowMicros = request.requestClass.deduplicationWindowMicros();
+        if (next.sentAtMicros > firstMicros + windowMicros + SLACK_MICROS) {
+          violated(
+              now,
+              Rule.CLASS_PERMITS,
+              String.format(
+                  Locale.ROOT,
+                  "%s was sent to %s %.1f ms after its first try, past its window",
+                  request.id,
+                  next.host,
+                  (next.sentAtMicros - firstMicros) / MICROS_PER_MILLI));
         }
-        default -> {}
       }
+      default -> {}
     }
-    Long told = drainAnnouncedMicros.get(request.gateway + "/" + box);
-    if (told != null && writtenAt > told + 2_000_000 + SLACK_MICROS) {
+  }
+
+  private void checkDrain(CheckedRequest request, Attempt next, long now) {
+    Long announcedMicros = drainAnnouncedMicros.get(request.gateway + "/" + next.host);
+    if (announcedMicros != null
+        && next.sentAtMicros > announcedMicros + DRAIN_REACTION_MICROS + SLACK_MICROS) {
       violated(
           now,
           Rule.DRAIN,
           String.format(
               Locale.ROOT,
               "%s was sent to %s %.1f ms after its drain was told",
-              id,
-              box,
-              (writtenAt - told) / 1e3));
+              request.id,
+              next.host,
+              (next.sentAtMicros - announcedMicros) / MICROS_PER_MILLI));
     }
-    request.attempts.add(next);
-    return next;
   }
 
-  /** A box has begun to work on it: from here on it may have run. */
+  /** A host has begun to work on it: from here on it may have run. */
   public void executionStarted(Attempt attempt) {
     attempt.started = true;
   }
 
+  /** A write took effect, or was recognized as the repetition of one that did. */
   public void effectApplied(Effect effect, String byId, boolean repeated, long now) {
     CheckedRequest request = requests.get(byId);
     if (request != null) {
       request.applied = true;
     }
-    // By the key that its client gave: what the box was told may be another.
+    // By the key that its client gave: what the host was told may be another.
     String key = request == null ? effect.key() : request.key;
     commitByKey.put(key, effect.commitMicros());
     if (!repeated && effectCounts.merge(key, 1, Integer::sum) > 1) {
@@ -357,7 +312,7 @@
    * primary it was.
    */
   public void readServed(
-      String id, String box, boolean primary, long position, long now, long known) {
+      String id, String host, boolean primary, long position, long now, long known) {
     CheckedRequest request = requests.get(id);
     if (request == null || request.attempts.isEmpty() || primary) {
       return;
@@ -366,7 +321,13 @@
     if (sent < known) {
       return;
     }
-    if (request.requestClass.consistency() == Consistency.BOUNDED_STALENESS
+    checkPosition(request, host, position, sent, now);
+  }
+
+  private void checkPosition(
+      CheckedRequest request, String host, long position, long sent, long now) {
+    Consistency consistency = request.requestClass.consistency();
+    if (consistency == Consistency.BOUNDED_STALENESS
         && position < sent - request.requestClass.maxStalenessMicros() - SLACK_MICROS) {
       violated(
           now,
@@ -374,36 +335,32 @@
           String.format(
               Locale.ROOT,
               "%s was read at %s from a copy %.1f ms old",
-              id,
-              box,
-              (sent - position) / 1e3));
-    } else if (request.requestClass.consistency() == Consistency.SESSION
-        && position < request.requiredPositionMicros) {
+              request.id,
+              host,
+              (sent - position) / MICROS_PER_MILLI));
+    } else if (consistency == Consistency.SESSION && position < request.requiredPositionMicros) {
       violated(
           now,
           Rule.OWN_WRITES,
           String.format(
               Locale.ROOT,
               "%s at %s misses its session's write by %.1f ms",
-              id,
-              box,
-              (request.requiredPositionMicros - position) / 1e3));
-    } else if (request.requestClass.consistency() == Consistency.STRONG) {
-      violated(now, Rule.FRESH, id + " had to be current and was read from " + box);
+              request.id,
+              host,
+              (request.requiredPositionMicros - position) / MICROS_PER_MILLI));
+    } else if (consistency == Consistency.STRONG) {
+      violated(now, Rule.FRESH, request.id + " had to be current and was read from " + host);
     }
   }
 
-  // ---- From the fleet
-  // --------------------------------------------------------------------------------
-
-  /** A gateway has been told that a box drains or is gone. */
-  public void drainAnnounced(int gateway, String box, long now) {
-    drainAnnouncedMicros.putIfAbsent(gateway + "/" + box, now);
+  /** A gateway has been told that a host drains or is gone. */
+  public void drainAnnounced(int gateway, String host, long now) {
+    drainAnnouncedMicros.putIfAbsent(gateway + "/" + host, now);
   }
 
-  /** A gateway has been told that a box takes work again. */
-  public void drainEnded(int gateway, String box) {
-    drainAnnouncedMicros.remove(gateway + "/" + box);
+  /** A gateway has been told that a host takes work again. */
+  public void drainEnded(int gateway, String host) {
+    drainAnnouncedMicros.remove(gateway + "/" + host);
   }
 
   /** A gateway began anew: what was told the one before it is not told to this one. */
--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import shelffront.lab.invariants.InvariantChecker.CheckedRequest;
+import shelffront.lab.invariants.CheckedRequest;
 import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.load.ClientConnectionHandler;
 import shelffront.lab.virtual.SimulatedMachine;
--- a/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
+++ b/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import shelffront.gateway.Gateway;
-import shelffront.lab.invariants.InvariantChecker.CheckedRequest;
+import shelffront.lab.invariants.CheckedRequest;
 import shelffront.lab.virtual.SimulatedMachine;
 
 /**
--- a/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
@@ -1,7 +1,7 @@
 package shelffront.lab.simulation;
 
 import java.util.List;
-import shelffront.lab.invariants.InvariantChecker;
+import shelffront.lab.invariants.Attempt;
 import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.model.ReplicaSetModel;
 import shelffront.lab.model.ReplicaSetModel.Effect;
@@ -29,7 +29,7 @@
 
   @Override
   public void executionStarted(Host host, Query query) {
-    InvariantChecker.Attempt attempt = environment.lastAttempt(query.id());
+    Attempt attempt = environment.lastAttempt(query.id());
     if (attempt != null) {
       context.checker().executionStarted(attempt);
     }
--- a/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import shelffront.lab.invariants.InvariantChecker.CheckedRequest;
+import shelffront.lab.invariants.CheckedRequest;
 import shelffront.routing.RequestClass;
 
 /**
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import shelffront.lab.emulator.HostEnvironment;
-import shelffront.lab.invariants.InvariantChecker;
+import shelffront.lab.invariants.Attempt;
 import shelffront.lab.invariants.InvariantChecker.Rule;
 import shelffront.lab.model.Clock;
 import shelffront.lab.model.ReplicaSetModel.Answer;
@@ -32,7 +32,7 @@
   private final GatewayFleet gateways;
   private final RoleAnnouncements announcements;
   private final Map<String, Long> corruptUntilMicros = new HashMap<>();
-  private final Map<String, InvariantChecker.Attempt> lastAttempts = new HashMap<>();
+  private final Map<String, Attempt> lastAttempts = new HashMap<>();
   private boolean unknownClients;
 
   SimulatedHostEnvironment(
@@ -53,7 +53,7 @@
   }
 
   /** The attempt of a request that arrived last; null where none is known. */
-  InvariantChecker.Attempt lastAttempt(String requestId) {
+  Attempt lastAttempt(String requestId) {
     return lastAttempts.get(requestId);
   }
 
@@ -86,7 +86,7 @@
       return answer -> {}; // of a client that does not keep to the protocol
     }
     SimulatedSocket gateway = ((SimulatedSocket) from).peer();
-    InvariantChecker.Attempt attempt =
+    Attempt attempt =
         context
             .checker()
             .attemptArrived(
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
@@ -35,6 +35,7 @@
   private record Binding(
       SimulatedMachine machine, Function<SimulatedSocket, TransportConnection.Listener> accept) {}
 
+  /** A network without machines; its delays and cuts are drawn from the random numbers. */
   public VirtualNetwork(Clock clock, UniformRandomProvider random, Weather weather) {
     this.clock = clock;
     this.random = random;
@@ -93,52 +94,52 @@
     };
   }
 
-  /** Sets up a connection; the owner is told how it went, or nothing where a machine is away. */
+  /** Sets up a connection; the listener is told how it went, or nothing if a machine is away. */
   public SimulatedSocket connect(
       SimulatedMachine from, InetSocketAddress address, TransportConnection.Listener listener) {
     SimulatedSocket socket = new SimulatedSocket(this, from, listener);
     from.sockets.add(socket);
-    clock.after(
-        drawDelayMicros(),
-        () -> {
-          Binding there = listeners.get(address);
-          if (from.isIsolated() || there != null && there.machine().isIsolated()) {
-            return;
-          }
-          SimulatedSocket peer =
-              there == null ? null : new SimulatedSocket(this, there.machine(), null);
-          TransportConnection.Listener taker = peer == null ? null : there.accept().apply(peer);
-          if (taker == null) {
-            clock.after(
-                drawDelayMicros(),
-                () -> {
-                  if (!socket.isClosed()) {
-                    socket.close();
-                    listener.refused();
-                  }
-                });
-            return;
-          }
-          peer.listener = taker;
-          peer.peer = socket;
-          there.machine().sockets.add(peer);
-          clock.after(
-              drawDelayMicros(),
-              () -> {
-                if (from.isIsolated()) {
-                  return;
-                }
-                if (socket.isClosed()) { // given up meanwhile
-                  peer.peerAbandoned();
-                  return;
-                }
-                socket.peer = peer;
-                listener.connected();
-              });
-        });
+    clock.after(drawDelayMicros(), () -> requestArrives(socket, address));
     return socket;
   }
 
+  private void requestArrives(SimulatedSocket socket, InetSocketAddress address) {
+    Binding binding = listeners.get(address);
+    if (socket.machine.isIsolated() || binding != null && binding.machine().isIsolated()) {
+      return;
+    }
+    SimulatedSocket peer =
+        binding == null ? null : new SimulatedSocket(this, binding.machine(), null);
+    TransportConnection.Listener acceptor = peer == null ? null : binding.accept().apply(peer);
+    if (acceptor == null) {
+      clock.after(drawDelayMicros(), () -> refusalArrives(socket));
+      return;
+    }
+    peer.listener = acceptor;
+    peer.peer = socket;
+    binding.machine().sockets.add(peer);
+    clock.after(drawDelayMicros(), () -> acceptanceArrives(socket, peer));
+  }
+
+  private static void refusalArrives(SimulatedSocket socket) {
+    if (!socket.isClosed()) {
+      socket.close();
+      socket.listener.refused();
+    }
+  }
+
+  private static void acceptanceArrives(SimulatedSocket socket, SimulatedSocket peer) {
+    if (socket.machine.isIsolated()) {
+      return;
+    }
+    if (socket.isClosed()) { // given up meanwhile
+      peer.peerAbandoned();
+      return;
+    }
+    socket.peer = peer;
+    socket.listener.connected();
+  }
+
   private long drawDelayMicros() {
     return weather.latency() + (weather.jitter() > 0 ? random.nextLong(weather.jitter()) : 0);
   }
