--- a/lab/src/main/java/shelffront/lab/Demo.java
+++ b/lab/src/main/java/shelffront/lab/Demo.java
@@ -10,7 +10,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import shelffront.lab.emulator.EmulatedReplicaSet;
+import shelffront.lab.load.ClientBehavior;
+import shelffront.lab.load.LoadResult;
 import shelffront.lab.load.OpenLoopLoad;
+import shelffront.lab.load.RequestKind;
 import shelffront.multitenant.MultiTenantConfig;
 import shelffront.multitenant.MultiTenantGateway;
 import shelffront.tenant.TenantSpecCodec;
@@ -68,13 +71,13 @@
               + "' http://"
               + admin
               + "/v1/tenants/sample/usage");
-      OpenLoopLoad.Result result =
+      LoadResult result =
           OpenLoopLoad.run(
               clients,
               "sample",
               null,
-              List.of(new OpenLoopLoad.RequestKind("read", false, 200, 1000)),
-              OpenLoopLoad.ClientBehavior.PLAIN,
+              List.of(new RequestKind("read", false, 200, 1000)),
+              ClientBehavior.PLAIN,
               20,
               4,
               Math.min(5, seconds));
--- a/lab/src/main/java/shelffront/lab/experiment/Experiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Experiment.java
@@ -19,7 +19,9 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import shelffront.lab.emulator.EmulatedReplicaSet;
+import shelffront.lab.load.LoadResult;
 import shelffront.lab.load.OpenLoopLoad;
+import shelffront.lab.load.RequestOutcomes;
 import shelffront.lab.load.TransparentProxy;
 import shelffront.lab.transport.SocketTransport;
 import shelffront.multitenant.MultiTenantConfig;
@@ -59,7 +61,7 @@
   private final JsonNode file;
   private final List<String> table = new ArrayList<>();
   private final List<String> claims = new ArrayList<>();
-  private final Map<String, Map<String, OpenLoopLoad.Result>> results = new LinkedHashMap<>();
+  private final Map<String, Map<String, LoadResult>> results = new LinkedHashMap<>();
   private final Map<String, Double> cpuMicrosPerRequest = new LinkedHashMap<>();
   private final List<String> malformedResponses = new ArrayList<>();
   private boolean claimsHold = true;
@@ -120,9 +122,9 @@
             tenants.forEach(
                 (tenant, result) -> {
                   double[] wanted =
-                      result.windows.stream().mapToDouble(window -> window[0]).toArray();
+                      result.windows.stream().mapToDouble(LoadResult.Window::due).toArray();
                   double[] served =
-                      result.windows.stream().mapToDouble(window -> window[1]).toArray();
+                      result.windows.stream().mapToDouble(LoadResult.Window::served).toArray();
                   charts.add(
                       phase + ", " + tenant,
                       OpenLoopLoad.WINDOW_MICROS,
@@ -273,7 +275,7 @@
       }
     }
     long before = cpuNanos(eventLoopThread);
-    Map<String, OpenLoopLoad.Result> measured = run(phase, gateway, seconds);
+    Map<String, LoadResult> measured = run(phase, gateway, seconds);
     double cost =
         (cpuNanos(eventLoopThread) - before)
             / 1e3
@@ -285,7 +287,7 @@
           long lag = result.lagMicros.getValueAtPercentile(99);
           machineTooSlow |= lag > MAX_LAG_MICROS;
           malformedResponses.addAll(result.malformedResponses);
-          OpenLoopLoad.Outcomes all = result.total;
+          RequestOutcomes all = result.total;
           table.add(
               String.format(
                   Locale.ROOT,
@@ -313,10 +315,9 @@
     }
   }
 
-  private Map<String, OpenLoopLoad.Result> run(
-      JsonNode phase, InetSocketAddress gateway, double seconds)
+  private Map<String, LoadResult> run(JsonNode phase, InetSocketAddress gateway, double seconds)
       throws InterruptedException, IOException, SpecException {
-    Map<String, OpenLoopLoad.Result> all = new LinkedHashMap<>();
+    Map<String, LoadResult> all = new LinkedHashMap<>();
     List<SocketTransport> carriers = new ArrayList<>();
     CountDownLatch over = new CountDownLatch(phase.path("load").size());
     try {
@@ -350,7 +351,7 @@
 
   private void check(JsonNode claim) {
     double within = claim.path("within").asDouble();
-    Map<String, OpenLoopLoad.Result> phase = results.get(claim.path("phase").asText());
+    Map<String, LoadResult> phase = results.get(claim.path("phase").asText());
     if (claim.has("medianAgainst")) {
       String tenant = claim.path("tenant").asText();
       double bare =
--- a/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
+++ b/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
@@ -4,7 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import shelffront.lab.load.ArrivalSchedule;
-import shelffront.lab.load.OpenLoopLoad;
+import shelffront.lab.load.ClientBehavior;
+import shelffront.lab.load.RequestKind;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /** Loads as experiment files say them. */
@@ -16,8 +17,8 @@
    * One class by its number ({@code class}), or all by their parts ({@code mix}, in the order of
    * the tenant's classes).
    */
-  static List<OpenLoopLoad.RequestKind> kinds(JsonNode load, JsonNode classes) {
-    List<OpenLoopLoad.RequestKind> kinds = new ArrayList<>();
+  static List<RequestKind> kinds(JsonNode load, JsonNode classes) {
+    List<RequestKind> kinds = new ArrayList<>();
     for (int i = 0; i < classes.size(); i++) {
       double share =
           load.has("mix")
@@ -26,7 +27,7 @@
       JsonNode classNode = classes.path(i);
       if (share > 0) {
         kinds.add(
-            new OpenLoopLoad.RequestKind(
+            new RequestKind(
                 classNode.path("name").asText(),
                 classNode.path("read").asText().equals("write"),
                 classNode.path("aimMs").asInt(classNode.path("giveUpMs").asInt()),
@@ -38,15 +39,15 @@
     return kinds;
   }
 
-  static OpenLoopLoad.ClientBehavior habits(JsonNode load, String pointer) throws SpecException {
-    OpenLoopLoad.ClientBehavior plain = OpenLoopLoad.ClientBehavior.PLAIN;
+  static ClientBehavior habits(JsonNode load, String pointer) throws SpecException {
+    ClientBehavior plain = ClientBehavior.PLAIN;
     ArrivalSchedule.Pattern pattern;
     try {
       pattern = ArrivalSchedule.Pattern.of(load.path("arrivals").asText(plain.arrivals().name()));
     } catch (IllegalArgumentException e) {
       throw new SpecException(pointer + "/arrivals", "is none of even, poisson, waves, bursts");
     }
-    return new OpenLoopLoad.ClientBehavior(
+    return new ClientBehavior(
         pattern,
         load.path("sessions").asInt(plain.sessions()),
         load.path("skew").asDouble(1),
--- a/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
+++ b/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
@@ -3,15 +3,11 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
-import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import shelffront.lab.transport.SocketTransport;
@@ -25,53 +21,6 @@
  */
 public final class OpenLoopLoad implements ClientConnectionHandler.Listener<OpenLoopLoad.Request> {
 
-  /**
-   * A class of requests.
-   *
-   * @param latencyObjectiveMillis after which an answer is late
-   * @param deadlineMillis after which it is worth nothing and its client has gone
-   * @param share of the requests, beside the other kinds' shares
-   * @param priorityWeight of an answer on time
-   */
-  public record RequestKind(
-      String name,
-      boolean write,
-      int latencyObjectiveMillis,
-      int deadlineMillis,
-      double share,
-      double priorityWeight) {
-
-    public RequestKind(String name, boolean write, int aimMs, int giveUpMs) {
-      this(name, write, aimMs, giveUpMs, 1, 1);
-    }
-  }
-
-  /**
-   * What clients are like beside what they ask.
-   *
-   * @param arrivals how requests come
-   * @param sessions among which requests are spread
-   * @param sessionSkew 1 for evenly, more for some that are much busier than others
-   * @param readBackFraction part of the served writes that are read soon after, by the first kind
-   *     that reads
-   * @param retries how often one that was refused comes back, when it was told to
-   * @param reconnectFraction part of the answers after which a client leaves and connects anew
-   * @param hangUpFraction part of the requests whose client leaves before the answer
-   */
-  public record ClientBehavior(
-      ArrivalSchedule.Pattern arrivals,
-      int sessions,
-      double sessionSkew,
-      double readBackFraction,
-      int retries,
-      double reconnectFraction,
-      double hangUpFraction) {
-
-    /** Even arrivals of clients that ask once and wait. */
-    public static final ClientBehavior PLAIN =
-        new ClientBehavior(ArrivalSchedule.Pattern.EVEN, 997, 1, 0, 0, 0, 0);
-  }
-
   /** One request under way. */
   public static final class Request {
 
@@ -89,77 +38,12 @@
     }
   }
 
-  /**
-   * What became of the requests of a class, or of all. Each due one ends as exactly one of the
-   * others.
-   */
-  public static final class Outcomes {
-
-    public long due;
-    public long onTime;
-    public long late;
-    public long rejected;
-    public long failed;
-
-    /** No answer, or a connection that ended without one. */
-    public long unanswered;
-
-    /** Its client left by itself; not part of what was due. */
-    public long hungUp;
-
-    private double valueDue;
-    private double valueServed;
-
-    /** Worth answered on time over worth asked for. */
-    public double servedValueFraction() {
-      return valueDue == 0 ? 1 : valueServed / valueDue;
-    }
-  }
-
-  /** What became of a load. */
-  public static final class Result {
-
-    public final Outcomes total = new Outcomes();
-    public final Map<String, Outcomes> byKind = new LinkedHashMap<>();
-
-    /** Worth due and worth served on time in each {@link #WINDOW_MICROS}. */
-    public final List<double[]> windows = new ArrayList<>();
-
-    /** Microseconds from due to the end of an answer that served. */
-    public final Histogram latencyMicros = new Histogram(60_000_000L, 3);
-
-    /**
-     * Microseconds from due until the load itself came to the request: how far the tool lagged
-     * behind.
-     */
-    public final Histogram lagMicros = new Histogram(60_000_000L, 3);
-
-    /** Requests that waited because every connection was busy. */
-    public long waitedCount;
-
-    /** Answers with another's value, to nothing, or unreadable. */
-    public final List<String> malformedResponses = new ArrayList<>();
-
-    public double servedValueFraction() {
-      return total.servedValueFraction();
-    }
-
-    public double worstWindow() {
-      return windows.stream()
-          .filter(window -> window[0] > 0)
-          .mapToDouble(window -> window[1] / window[0])
-          .min()
-          .orElse(1);
-    }
-
-    public double worstKind() {
-      return byKind.values().stream().mapToDouble(Outcomes::servedValueFraction).min().orElse(1);
-    }
-  }
-
   /** Microseconds of a window in which worth is counted. */
   public static final long WINDOW_MICROS = 250_000;
 
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final String CAPACITY_EXCEEDED = "53300";
+  private static final String SHUTTING_DOWN = "57P03";
   private static final int MAX_WAITING = 100_000;
   private static final int MAX_RECORDED_MALFORMED = 20;
   private static final long CONNECT_MICROS = 5_000_000;
@@ -179,7 +63,7 @@
   private final Set<ClientConnectionHandler<Request>> connections = new LinkedHashSet<>();
   private final ArrayDeque<ClientConnectionHandler<Request>> freeConnections = new ArrayDeque<>();
   private final ArrayDeque<Request> waitingRequests = new ArrayDeque<>();
-  private final Result result = new Result();
+  private final LoadResult result = new LoadResult();
   private ArrivalSchedule arrivals;
   private Runnable onEnd;
   private boolean started;
@@ -212,14 +96,14 @@
     this.perSecond = perSecond;
     maxConnections = connections;
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    kinds.forEach(kind -> result.byKind.put(kind.name(), new Outcomes()));
+    kinds.forEach(kind -> result.byKind.put(kind.name(), new RequestOutcomes()));
   }
 
   /**
    * Runs on sockets for so long and ends by itself; what is due then has had its answer or its
    * time.
    */
-  public static Result run(
+  public static LoadResult run(
       InetSocketAddress gateway,
       String tenant,
       String password,
@@ -263,7 +147,7 @@
     awaitConnections(length);
   }
 
-  public Result result() {
+  public LoadResult result() {
     return result;
   }
 
@@ -325,9 +209,6 @@
     }
   }
 
-  // ---- A request
-  // --------------------------------------------------------------------------------
-
   private void submit(Request request) {
     openRequests++;
     countDue(request, 1);
@@ -336,21 +217,21 @@
 
   /** Counts a request as due, or, with -1, as not due after all. */
   private void countDue(Request request, int sign) {
-    for (Outcomes outcomes : outcomesOf(request)) {
+    for (RequestOutcomes outcomes : outcomesOf(request)) {
       outcomes.due += sign;
       outcomes.valueDue += sign * request.kind.priorityWeight();
     }
-    window(request)[0] += sign * request.kind.priorityWeight();
+    window(request).due += sign * request.kind.priorityWeight();
   }
 
-  private Outcomes[] outcomesOf(Request request) {
-    return new Outcomes[] {result.total, result.byKind.get(request.kind.name())};
+  private List<RequestOutcomes> outcomesOf(Request request) {
+    return List.of(result.total, result.byKind.get(request.kind.name()));
   }
 
-  private double[] window(Request request) {
+  private LoadResult.Window window(Request request) {
     int index = (int) ((request.dueMicros - startMicros) / WINDOW_MICROS);
     while (result.windows.size() <= index) {
-      result.windows.add(new double[2]);
+      result.windows.add(new LoadResult.Window());
     }
     return result.windows.get(index);
   }
@@ -365,51 +246,59 @@
       connection = freeConnections.poll();
     }
     if (connection == null) {
-      result.waitedCount++;
-      if (waitingRequests.size() >= MAX_WAITING) {
-        finish(request, outcomes -> outcomes.unanswered++);
-      } else {
-        waitingRequests.add(request);
-      }
+      await(request);
       return;
     }
-    long left = (deadlineMicros(request) - transport.clock().nowMicros()) / 1000;
-    if (left <= 0) {
+    long leftMillis = (deadlineMicros(request) - transport.clock().nowMicros()) / MICROS_PER_MILLI;
+    if (leftMillis <= 0) {
       freeConnections.push(connection);
       finish(request, outcomes -> outcomes.unanswered++);
       return;
     }
     request.attempts++;
-    connection.send(
-        request,
+    byte[] statement =
         ClientConnectionHandler.statement(
             request.id + (request.attempts > 1 ? "." + request.attempts : ""),
             request.kind.name(),
-            left,
+            leftMillis,
             request.id,
             1,
             request.session,
-            request.kind.write()),
-        deadlineMicros(request));
+            request.kind.write());
+    connection.send(request, statement, deadlineMicros(request));
     if (behavior.hangUpFraction() > 0 && random.nextDouble() < behavior.hangUpFraction()) {
-      ClientConnectionHandler<Request> hanging = connection;
-      transport
-          .clock()
-          .after(
-              1 + random.nextInt(request.kind.latencyObjectiveMillis() * 1000),
-              () -> {
-                if (hanging.currentRequest() == request) {
-                  hanging.hangUp();
-                  countDue(request, -1);
-                  finish(request, outcomes -> outcomes.hungUp++);
-                  replaceConnection(hanging);
-                }
-              });
+      scheduleHangUp(connection, request);
+    }
+  }
+
+  /** Every connection is busy: the request waits for one. */
+  private void await(Request request) {
+    result.waitedCount++;
+    if (waitingRequests.size() >= MAX_WAITING) {
+      finish(request, outcomes -> outcomes.unanswered++);
+    } else {
+      waitingRequests.add(request);
     }
   }
 
-  private void finish(Request request, Consumer<Outcomes> how) {
-    for (Outcomes outcomes : outcomesOf(request)) {
+  private void scheduleHangUp(ClientConnectionHandler<Request> connection, Request request) {
+    long longestMicros = request.kind.latencyObjectiveMillis() * MICROS_PER_MILLI;
+    transport
+        .clock()
+        .after(
+            1 + random.nextInt((int) longestMicros),
+            () -> {
+              if (connection.currentRequest() == request) {
+                connection.hangUp();
+                countDue(request, -1);
+                finish(request, outcomes -> outcomes.hungUp++);
+                replaceConnection(connection);
+              }
+            });
+  }
+
+  private void finish(Request request, Consumer<RequestOutcomes> how) {
+    for (RequestOutcomes outcomes : outcomesOf(request)) {
       how.accept(outcomes);
     }
     openRequests--;
@@ -432,9 +321,6 @@
     transport.clock().after(RECONNECT_MICROS, this::connect);
   }
 
-  // ---- What connections tell
-  // --------------------------------------------------------------------------------
-
   @Override
   public void ready(ClientConnectionHandler<Request> connection) {
     useConnection(connection);
@@ -447,41 +333,13 @@
       String value,
       String code,
       long retryAfter) {
-    long now = transport.clock().nowMicros();
-    long took = now - request.dueMicros;
     if (code != null) {
-      boolean refused = code.equals("53300") || code.equals("57P03");
-      long again = now + Math.max(RECONNECT_MICROS, retryAfter);
-      if (refused && request.attempts <= behavior.retries() && again < deadlineMicros(request)) {
-        transport.clock().at(again, () -> send(request));
-      } else {
-        finish(
-            request,
-            outcomes -> {
-              outcomes.rejected += refused ? 1 : 0;
-              outcomes.failed += refused ? 0 : 1;
-            });
-      }
+      failed(request, code, retryAfter);
     } else if (value == null || !value.startsWith(request.id)) {
       malformedResponse(request.id + " was answered with " + value);
       finish(request, outcomes -> outcomes.failed++);
     } else {
-      boolean onTime = took <= request.kind.latencyObjectiveMillis() * 1000L;
-      result.latencyMicros.recordValue(
-          Math.max(0, Math.min(took, result.latencyMicros.getHighestTrackableValue())));
-      if (onTime) {
-        window(request)[1] += request.kind.priorityWeight();
-      }
-      if (request.kind.write() && random.nextDouble() < behavior.readBackFraction()) {
-        readBack(request);
-      }
-      finish(
-          request,
-          outcomes -> {
-            outcomes.onTime += onTime ? 1 : 0;
-            outcomes.late += onTime ? 0 : 1;
-            outcomes.valueServed += onTime ? request.kind.priorityWeight() : 0;
-          });
+      served(request);
     }
     if (random.nextDouble() < behavior.reconnectFraction()) {
       connection.expectNoAnswer();
@@ -492,6 +350,42 @@
     }
   }
 
+  private void failed(Request request, String code, long retryAfterMicros) {
+    boolean rejected = code.equals(CAPACITY_EXCEEDED) || code.equals(SHUTTING_DOWN);
+    long retryAtMicros =
+        transport.clock().nowMicros() + Math.max(RECONNECT_MICROS, retryAfterMicros);
+    if (rejected
+        && request.attempts <= behavior.retries()
+        && retryAtMicros < deadlineMicros(request)) {
+      transport.clock().at(retryAtMicros, () -> send(request));
+    } else if (rejected) {
+      finish(request, outcomes -> outcomes.rejected++);
+    } else {
+      finish(request, outcomes -> outcomes.failed++);
+    }
+  }
+
+  private void served(Request request) {
+    double weight = request.kind.priorityWeight();
+    long elapsedMicros = transport.clock().nowMicros() - request.dueMicros;
+    boolean onTime = elapsedMicros <= request.kind.latencyObjectiveMillis() * MICROS_PER_MILLI;
+    result.latencyMicros.recordValue(
+        Math.max(0, Math.min(elapsedMicros, result.latencyMicros.getHighestTrackableValue())));
+    if (onTime) {
+      window(request).served += weight;
+    }
+    if (request.kind.write() && random.nextDouble() < behavior.readBackFraction()) {
+      readBack(request);
+    }
+    finish(
+        request,
+        outcomes -> {
+          outcomes.onTime += onTime ? 1 : 0;
+          outcomes.late += onTime ? 0 : 1;
+          outcomes.valueServed += onTime ? weight : 0;
+        });
+  }
+
   private void readBack(Request write) {
     long due = transport.clock().nowMicros() + random.nextLong(READ_BACK_MICROS);
     kinds.stream()
--- a/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
@@ -14,7 +14,8 @@
 import shelffront.cli.JsonnetTemplates;
 import shelffront.lab.compatibility.StoredResource;
 import shelffront.lab.load.ArrivalSchedule;
-import shelffront.lab.load.OpenLoopLoad;
+import shelffront.lab.load.ClientBehavior;
+import shelffront.lab.load.RequestKind;
 import shelffront.lab.model.ReplicaSetParameters;
 import shelffront.lab.simulation.RandomDeployment;
 import shelffront.lab.simulation.Scenario;
@@ -171,8 +172,7 @@
             "{\"arrivals\":\"poisson\",\"sessions\":77,\"skew\":1.5,\"readBack\":0.25,"
                 + "\"retries\":2,\"roam\":0.125,\"hangUp\":0.0625,\"mix\":[3,0,1]}");
     assertEquals(
-        new OpenLoopLoad.ClientBehavior(
-            ArrivalSchedule.Pattern.POISSON, 77, 1.5, 0.25, 2, 0.125, 0.0625),
+        new ClientBehavior(ArrivalSchedule.Pattern.POISSON, 77, 1.5, 0.25, 2, 0.125, 0.0625),
         LoadCodec.habits(load, "/load"));
     JsonNode classes =
         JSON.readTree(
@@ -181,11 +181,11 @@
                 + "{\"name\":\"c\",\"read\":\"write\",\"giveUpMs\":700}]");
     assertEquals(
         List.of(
-            new OpenLoopLoad.RequestKind("a", false, 400, 900, 3, 2),
-            new OpenLoopLoad.RequestKind("c", true, 700, 700, 1, 1)),
+            new RequestKind("a", false, 400, 900, 3, 2),
+            new RequestKind("c", true, 700, 700, 1, 1)),
         LoadCodec.kinds(load, classes));
     assertEquals(
-        List.of(new OpenLoopLoad.RequestKind("b", false, 800, 800, 1, 1)),
+        List.of(new RequestKind("b", false, 800, 800, 1, 1)),
         LoadCodec.kinds(JSON.readTree("{\"class\":1}"), classes));
   }
 
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -81,8 +81,7 @@
     protected void ended(boolean reset) {}
   }
 
-  private OpenLoopLoad.Result play(
-      OpenLoopLoad.ClientBehavior behavior, double perSecond, int connections) {
+  private LoadResult play(ClientBehavior behavior, double perSecond, int connections) {
     net.listen(net.machine("server"), address, Server::new);
     boolean[] over = new boolean[1];
     OpenLoopLoad load =
@@ -92,8 +91,8 @@
             "t",
             null,
             List.of(
-                new OpenLoopLoad.RequestKind("read", false, 50, 400, 3, 1),
-                new OpenLoopLoad.RequestKind("write", true, 50, 400, 1, 5)),
+                new RequestKind("read", false, 50, 400, 3, 1),
+                new RequestKind("write", true, 50, 400, 1, 5)),
             behavior,
             perSecond,
             connections,
@@ -104,7 +103,7 @@
       clock.runNext();
     }
     assertTrue(over[0], "it never ended");
-    OpenLoopLoad.Outcomes all = load.result().total;
+    RequestOutcomes all = load.result().total;
     assertEquals(
         all.due,
         all.onTime + all.late + all.rejected + all.failed + all.unanswered,
@@ -113,9 +112,9 @@
     return load.result();
   }
 
-  private static OpenLoopLoad.ClientBehavior habits(
+  private static ClientBehavior habits(
       ArrivalSchedule.Pattern pattern, int retries, double roam, double hangUp) {
-    return new OpenLoopLoad.ClientBehavior(pattern, 100, 2, 0.5, retries, roam, hangUp);
+    return new ClientBehavior(pattern, 100, 2, 0.5, retries, roam, hangUp);
   }
 
   @ParameterizedTest
@@ -149,8 +148,7 @@
 
   @Test
   void allIsServedWhereThereIsRoomWhateverClientsDo() {
-    OpenLoopLoad.Result result =
-        play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
+    LoadResult result = play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
     assertTrue(
         result.total.due > 1_000 && result.total.hungUp > 10,
         result.total.due + " due, " + result.total.hungUp + " hung up");
@@ -165,7 +163,7 @@
   @Test
   void whatWaitsForAConnectionIsLateByThat() {
     serverTakes = 20_000;
-    OpenLoopLoad.Result result = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
+    LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
     assertTrue(result.waitedCount > 500, "waited " + result.waitedCount);
     assertTrue(result.servedValueFraction() < 0.5, "worth kept " + result.servedValueFraction());
     assertTrue(result.total.unanswered > 100, "unanswered " + result.total.unanswered);
@@ -175,7 +173,7 @@
   @Test
   void whatIsRefusedComesBackWhenItWasToldAndEndsOnce() {
     code = "53300";
-    OpenLoopLoad.Result never = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
+    LoadResult never = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(never.total.due, never.total.rejected);
     assertEquals(0, never.latencyMicros.getTotalCount());
   }
@@ -183,7 +181,7 @@
   @Test
   void anErrorThatIsNoRefusalIsAFailure() {
     code = "40003";
-    OpenLoopLoad.Result result = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
+    LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(result.total.due, result.total.failed);
   }
 }
