--- a/gateway/src/main/java/shelffront/simulator/SimulatorMessage.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorMessage.java
@@ -5,65 +5,66 @@
 import shelffront.config.MalformedInputException;
 
 /**
- * One array of the wire: named access to its values by place, with plain messages on what is wrong.
+ * A cursor over the fields of one row of the wire. A field of another type is a {@link
+ * MalformedInputException} that names the row and the field.
  */
 final class SimulatorMessage {
 
-  private final String what;
+  private final String rowName;
   private final List<?> values;
   private int next;
 
-  SimulatorMessage(String what, List<?> values, int first) {
-    this.what = what;
+  SimulatorMessage(String rowName, List<?> values, int first) {
+    this.rowName = rowName;
     this.values = values;
     this.next = first;
   }
 
   /** The next value, or null when it is null or the array has ended. */
-  private Object take() {
+  private Object nextField() {
     return next < values.size() ? values.get(next++) : null;
   }
 
-  private MalformedInputException bad(String name, String expected) {
-    return new MalformedInputException(what + ": " + name + " is not " + expected);
+  private MalformedInputException malformed(String name, String expected) {
+    return new MalformedInputException(rowName + ": " + name + " is not " + expected);
   }
 
   String text(String name) throws MalformedInputException {
     String value = optionalText(name);
     if (value == null) {
-      throw bad(name, "a text");
+      throw malformed(name, "a text");
     }
     return value;
   }
 
   String optionalText(String name) throws MalformedInputException {
-    Object value = take();
+    Object value = nextField();
     if (value == null || value instanceof String) {
       return (String) value;
     }
     if (value instanceof Number) {
       return null;
     }
-    throw bad(name, "a text");
+    throw malformed(name, "a text");
   }
 
   double number(String name, double absent) throws MalformedInputException {
-    Object value = take();
+    Object value = nextField();
     if (value == null) {
       return absent;
     }
     if (value instanceof Number number) {
       return number.doubleValue();
     }
-    throw bad(name, "a number");
+    throw malformed(name, "a number");
   }
 
   long integer(String name) throws MalformedInputException {
-    Object value = take();
+    Object value = nextField();
     if (value instanceof Number number) {
       return number.longValue();
     }
-    throw bad(name, "a number");
+    throw malformed(name, "a number");
   }
 
   long integer(String name, long absent) throws MalformedInputException {
@@ -71,35 +72,35 @@
   }
 
   boolean flag(String name) throws MalformedInputException {
-    Object value = take();
+    Object value = nextField();
     if (value instanceof Boolean flag) {
       return flag;
     }
-    throw bad(name, "true or false");
+    throw malformed(name, "true or false");
   }
 
   /** The next value as an object; null when absent. */
   Map<?, ?> object(String name) throws MalformedInputException {
-    Object value = take();
+    Object value = nextField();
     if (value == null || value instanceof Map) {
       return (Map<?, ?>) value;
     }
-    throw bad(name, "an object");
+    throw malformed(name, "an object");
   }
 
   List<?> array(String name) throws MalformedInputException {
-    Object value = take();
+    Object value = nextField();
     if (value instanceof List<?> list) {
       return list;
     }
-    throw bad(name, "an array");
+    throw malformed(name, "an array");
   }
 
   <T> T word(String name, Map<String, T> words) throws MalformedInputException {
-    Object value = take();
+    Object value = nextField();
     T found = value == null ? null : words.get(value);
     if (found == null) {
-      throw bad(name, "a known word");
+      throw malformed(name, "a known word");
     }
     return found;
   }
