--- a/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
@@ -1,10 +1,12 @@
 package shelffront.coordination;
 
+import com.fasterxml.jackson.core.JacksonException;
 import com.google.common.net.HostAndPort;
 import java.math.BigInteger;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Supplier;
 import org.kiwiproject.consul.Consul;
 import org.kiwiproject.consul.ConsulException;
@@ -23,63 +25,77 @@
 import shelffront.coordination.CoordinationException.EngineUnreachable;
 
 /**
- * Consul's KV store as the engine, through its agent: check-and-set by ModifyIndex, blocking
- * queries for the watch. Reads are in mode {@code consistent}; in the default one an old leader
- * that was cut off may answer for a while.
+ * Consul's KV store, through its agent: check-and-set by ModifyIndex, blocking queries for the
+ * watch. Reads are in mode {@code consistent}: in the default one an old leader that was cut off
+ * may answer for a while.
+ *
+ * <p>Threads: any may call; the client has connections of its own.
  */
 public final class ConsulCoordinationStore implements CoordinationStore {
 
+  /** A transaction was rolled back for what its keys hold. */
   private static final int CONFLICT = 409;
 
-  private final String where;
-  private final Consul brief;
-  private final Consul patient;
+  private static final long MILLIS_PER_SECOND = 1000;
+
+  private final String address;
+  private final Consul callClient;
+  private final Consul watchClient;
   private final KeyValueClient calls;
   private final KeyValueClient watches;
-  private final String wait;
+  private final String watchWait;
 
   /**
-   * Calls are given up after the time; a watch that nothing changes answers after as long, and one
-   * second at least.
+   * Connects with the first call.
+   *
+   * @param timeout calls are given up after this; a watch that nothing changes answers after as
+   *     long, and one second at least
    */
-  public ConsulCoordinationStore(String host, int port, Duration most) {
-    where = host + ":" + port;
-    HostAndPort at = HostAndPort.fromParts(host, port);
-    brief = builder(at, most.toMillis(), most.toMillis()).build();
+  public ConsulCoordinationStore(String host, int port, Duration timeout) {
+    address = host + ":" + port;
+    HostAndPort agent = HostAndPort.fromParts(host, port);
+    long timeoutMillis = timeout.toMillis();
+    callClient = builder(agent, timeoutMillis, timeoutMillis).build();
     // The client sends waits in whole seconds only.
-    long seconds = Math.max(1, most.toSeconds());
-    patient = builder(at, most.toMillis(), 1000 * seconds + most.toMillis()).build();
-    calls = brief.keyValueClient();
-    watches = patient.keyValueClient();
-    wait = seconds + "s";
+    long waitSeconds = Math.max(1, timeout.toSeconds());
+    watchClient =
+        builder(agent, timeoutMillis, MILLIS_PER_SECOND * waitSeconds + timeoutMillis).build();
+    calls = callClient.keyValueClient();
+    watches = watchClient.keyValueClient();
+    watchWait = waitSeconds + "s";
   }
 
-  private static Consul.Builder builder(HostAndPort at, long connectMillis, long readMillis) {
+  private static Consul.Builder builder(HostAndPort agent, long connectMillis, long readMillis) {
     return Consul.builder()
-        .withHostAndPort(at)
+        .withHostAndPort(agent)
         .withPing(false)
         .withConnectTimeoutMillis(connectMillis)
         .withReadTimeoutMillis(readMillis)
         .withWriteTimeoutMillis(connectMillis);
   }
 
-  private <T> T ask(Supplier<T> call) throws CoordinationException {
+  /** Has the client's exceptions say what went wrong. */
+  private <T> T call(Supplier<T> request) throws CoordinationException {
     try {
-      return call.get();
+      return request.get();
     } catch (ConsulException e) {
-      if (e.hasCode()) {
-        throw new EngineRefused(where, e.getCode());
-      }
-      throw e.getCause() instanceof com.fasterxml.jackson.core.JacksonException
-          ? new EngineGarbled("the engine at " + where + " answered what can't be read", e)
-          : new EngineUnreachable(where, e);
+      throw translate(e);
     } catch (RuntimeException e) { // the client's own, at an answer that lacks what it must have
-      throw new EngineGarbled("the engine at " + where + " answered what can't be read: " + e, e);
+      throw new EngineGarbled("the engine at " + address + " answered what can't be read: " + e, e);
     }
   }
 
-  private static Value value(org.kiwiproject.consul.model.kv.Value v) {
-    return new Value(v.getKey(), v.getModifyIndex(), v.getValueAsString().orElse(""));
+  private CoordinationException translate(ConsulException exception) {
+    if (exception.hasCode()) {
+      return new EngineRefused(address, exception.getCode());
+    }
+    return exception.getCause() instanceof JacksonException
+        ? new EngineGarbled("the engine at " + address + " answered what can't be read", exception)
+        : new EngineUnreachable(address, exception);
+  }
+
+  private static Value value(org.kiwiproject.consul.model.kv.Value read) {
+    return new Value(read.getKey(), read.getModifyIndex(), read.getValueAsString().orElse(""));
   }
 
   private static ImmutableQueryOptions.Builder consistent() {
@@ -88,7 +104,7 @@
 
   @Override
   public Value read(String key) throws CoordinationException {
-    return ask(
+    return call(
         () ->
             calls
                 .getValue(key, consistent().build())
@@ -98,92 +114,102 @@
 
   @Override
   public Listing list(String prefix) throws CoordinationException {
-    return ask(() -> listing(calls.getConsulResponseWithValues(prefix, consistent().build())));
+    return call(() -> listing(calls.getConsulResponseWithValues(prefix, consistent().build())));
   }
 
   @Override
-  public Listing watch(String prefix, long after) throws CoordinationException {
-    return ask(
-        () ->
-            listing(
-                watches.getConsulResponseWithValues(
-                    prefix, consistent().index(BigInteger.valueOf(after)).wait(wait).build())));
+  public Listing watch(String prefix, long afterIndex) throws CoordinationException {
+    ImmutableQueryOptions options =
+        consistent().index(BigInteger.valueOf(afterIndex)).wait(watchWait).build();
+    return call(() -> listing(watches.getConsulResponseWithValues(prefix, options)));
   }
 
   private static Listing listing(
-      ConsulResponse<List<org.kiwiproject.consul.model.kv.Value>> answer) {
+      ConsulResponse<List<org.kiwiproject.consul.model.kv.Value>> response) {
     List<Value> values = new ArrayList<>();
-    if (answer.getResponse() != null) {
-      answer.getResponse().forEach(v -> values.add(value(v)));
+    if (response.getResponse() != null) {
+      response.getResponse().forEach(read -> values.add(value(read)));
     }
-    return new Listing(answer.getIndex() == null ? 0 : answer.getIndex().longValue(), values);
+    return new Listing(response.getIndex() == null ? 0 : response.getIndex().longValue(), values);
   }
 
   @Override
-  public boolean checkAndSet(String key, long index, String text) throws CoordinationException {
-    return ask(
-        () -> calls.putValue(key, text, 0, ImmutablePutOptions.builder().cas(index).build()));
+  public boolean checkAndSet(String key, long expectedIndex, String text)
+      throws CoordinationException {
+    ImmutablePutOptions options = ImmutablePutOptions.builder().cas(expectedIndex).build();
+    return call(() -> calls.putValue(key, text, 0, options));
   }
 
   @Override
-  public void checkAndDelete(String key, long index) throws CoordinationException {
-    ask(
+  public void checkAndDelete(String key, long expectedIndex) throws CoordinationException {
+    ImmutableDeleteOptions options = ImmutableDeleteOptions.builder().cas(expectedIndex).build();
+    call(
         () -> {
-          calls.deleteKey(key, ImmutableDeleteOptions.builder().cas(index).build());
+          calls.deleteKey(key, options);
           return null;
         });
   }
 
   @Override
   public boolean transact(List<Write> writes) throws CoordinationException {
-    return transaction(
-            writes.stream().map(ConsulCoordinationStore::operation).toArray(Operation[]::new))
-        != null;
+    Operation[] operations =
+        writes.stream().map(ConsulCoordinationStore::operation).toArray(Operation[]::new);
+    return transaction(operations).isPresent();
   }
 
   private static Operation operation(Write write) {
-    boolean removes = write.newText() == null;
     boolean checked = write.index() != Write.ANY_INDEX;
-    Verb verb =
-        removes
-            ? checked ? Verb.DELETE_CHECK_AND_SET : Verb.DELETE
-            : checked ? Verb.CHECK_AND_SET : Verb.SET;
-    ImmutableOperation.Builder operation = Operation.builder(verb).key(write.key());
-    if (!removes) {
+    ImmutableOperation.Builder operation =
+        Operation.builder(write.newText() == null ? deletion(checked) : setting(checked))
+            .key(write.key());
+    if (write.newText() != null) {
       operation.value(write.newText());
     }
     return checked ? operation.index(BigInteger.valueOf(write.index())).build() : operation.build();
   }
 
+  private static Verb deletion(boolean checked) {
+    return checked ? Verb.DELETE_CHECK_AND_SET : Verb.DELETE;
+  }
+
+  private static Verb setting(boolean checked) {
+    return checked ? Verb.CHECK_AND_SET : Verb.SET;
+  }
+
   @Override
   public List<Value> readAll(List<String> keys) throws CoordinationException {
-    List<Value> found =
-        transaction(
-            keys.stream()
-                .map(k -> Operation.builder(Verb.GET).key(k).build())
-                .toArray(Operation[]::new));
-    if (found == null) { // a key that is not there ends a transaction of reads
-      found = new ArrayList<>();
-      for (String key : keys) {
-        Value value = read(key);
-        if (value != null) {
-          found.add(value);
-        }
+    Operation[] reads =
+        keys.stream()
+            .map(key -> Operation.builder(Verb.GET).key(key).build())
+            .toArray(Operation[]::new);
+    Optional<List<Value>> values = transaction(reads);
+    // A key that is not there ends a transaction of reads.
+    return values.isPresent() ? values.get() : readOneByOne(keys);
+  }
+
+  private List<Value> readOneByOne(List<String> keys) throws CoordinationException {
+    List<Value> values = new ArrayList<>();
+    for (String key : keys) {
+      Value value = read(key);
+      if (value != null) {
+        values.add(value);
       }
     }
-    return found;
+    return values;
   }
 
-  /** The values that it read or wrote; null where it was refused for what its keys hold. */
-  private List<Value> transaction(Operation... operations) throws CoordinationException {
+  /** The values that it read or wrote; empty where it was rolled back for what its keys hold. */
+  private Optional<List<Value>> transaction(Operation... operations) throws CoordinationException {
     try {
-      TxResponse response = ask(() -> calls.performTransaction(operations).getResponse());
+      TxResponse response = call(() -> calls.performTransaction(operations).getResponse());
       List<Value> values = new ArrayList<>();
-      response.results().forEach(r -> r.values().forEach(v -> values.add(value(v))));
-      return values;
+      response
+          .results()
+          .forEach(result -> result.values().forEach(read -> values.add(value(read))));
+      return Optional.of(values);
     } catch (EngineRefused e) {
       if (e.status() == CONFLICT) {
-        return null;
+        return Optional.empty();
       }
       throw e;
     }
@@ -191,7 +217,7 @@
 
   @Override
   public void close() {
-    brief.destroy();
-    patient.destroy();
+    callClient.destroy();
+    watchClient.destroy();
   }
 }
--- a/gateway/src/main/java/shelffront/coordination/CoordinationException.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationException.java
@@ -1,6 +1,9 @@
 package shelffront.coordination;
 
-/** The engine gave no answer that says anything; what became of a write is not known. */
+/**
+ * The coordination store gave no answer that says anything; what became of a write is not known,
+ * but for {@link EngineContended}. The codes are listed in {@code docs/operators/fleet-changes.md}.
+ */
 public abstract sealed class CoordinationException extends OperatorException {
 
   private static final long serialVersionUID = 1L;
@@ -14,10 +17,11 @@
 
     private static final long serialVersionUID = 1L;
 
-    public EngineUnreachable(String where, Throwable cause) {
+    /** The address is that of the agent. */
+    public EngineUnreachable(String address, Throwable cause) {
       super(
           "engine-unreachable",
-          "the engine at " + where + " does not answer: " + cause.getMessage(),
+          "the engine at " + address + " does not answer: " + cause.getMessage(),
           "Look at the engine's agent and the way to it. Gateways fall back to the safe stage when"
               + " their leases lapse and come back by themselves.",
           cause);
@@ -31,10 +35,11 @@
 
     private final int status;
 
-    public EngineRefused(String where, int status) {
+    /** The status is that of HTTP. */
+    public EngineRefused(String address, int status) {
       super(
           "engine-refused",
-          "the engine at " + where + " answered " + status,
+          "the engine at " + address + " answered " + status,
           "Look at the engine's servers: without a leader it takes no write. Nothing is lost; moves"
               + " wait.",
           null);
@@ -52,6 +57,7 @@
 
     private static final long serialVersionUID = 1L;
 
+    /** What can't be read, with the key or the address. */
     public EngineGarbled(String what, Throwable cause) {
       super(
           "engine-garbled",
@@ -68,10 +74,11 @@
 
     private static final long serialVersionUID = 1L;
 
-    public EngineContended(String what, int tries) {
+    /** What was to be written, and how often it was tried. */
+    public EngineContended(String what, int attempts) {
       super(
           "engine-contended",
-          "the write of " + what + " lost to others " + tries + " times",
+          "the write of " + what + " lost to others " + attempts + " times",
           "Nothing was changed; ask again. If it stays so, see who writes without pause.",
           null);
     }
--- a/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
@@ -3,38 +3,32 @@
 import java.util.List;
 
 /**
- * Keeps what must not be lost or decided twice. Every read sees all writes that were answered
- * before it was sent, and a write is taken only where the key has the index that it names. Calls
- * block for a bounded time; any thread may call.
+ * A small key-value store that the gateways of a fleet share: it keeps what must not be lost or
+ * decided twice.
+ *
+ * <p>Invariants: every read sees all writes that were answered before it was sent. A write is taken
+ * only where the key has the index that it names. An index changes with every write of the key and
+ * never comes back.
+ *
+ * <p>Threads: any may call; calls block for a bounded time. A {@link CoordinationException} says
+ * why there is no answer; whether a write was taken is not known then.
  */
 public interface CoordinationStore extends AutoCloseable {
 
-  /** A key's text; the index changes with every write and never comes back. */
+  /** Operations that one transaction may have. */
+  int MAX_TRANSACTION_OPERATIONS = 64;
+
+  /** A key's text, and the index of its last write. */
   record Value(String key, long index, String text) {}
 
   /** What stands under a prefix, and the index of that answer. */
   record Listing(long index, List<Value> values) {}
 
-  /** A key, or null. */
-  Value read(String key) throws CoordinationException;
-
-  /** All keys under a prefix. */
-  Listing list(String prefix) throws CoordinationException;
-
   /**
-   * The same once its index has passed that of a listing, or after a while of the engine's choice.
-   */
-  Listing watch(String prefix, long after) throws CoordinationException;
-
-  /** Whether it was taken; index 0: only where there is no such key. */
-  boolean checkAndSet(String key, long index, String text) throws CoordinationException;
-
-  /** Takes the key away where it has the index. */
-  void checkAndDelete(String key, long index) throws CoordinationException;
-
-  /**
-   * One key's part in a transaction: its index must be this one (0: there is no such key); a text
-   * of null removes it.
+   * One key's part in a transaction.
+   *
+   * @param index that the key must have; 0: there is no such key; {@link #ANY_INDEX}: whatever
+   * @param newText null removes the key
    */
   record Write(String key, long index, String newText) {
 
@@ -42,11 +36,8 @@
     public static final long ANY_INDEX = -1;
   }
 
-  /**
-   * Carries out all writes, at most {@link #MAX_TRANSACTION_OPERATIONS}, or none; whether they were
-   * taken.
-   */
-  boolean transact(List<Write> writes) throws CoordinationException;
+  /** A key as it stands; null where there is none. */
+  Value read(String key) throws CoordinationException;
 
   /**
    * Several keys as of one moment, those that there are; at most {@link
@@ -54,8 +45,26 @@
    */
   List<Value> readAll(List<String> keys) throws CoordinationException;
 
-  /** Operations that one transaction may have. */
-  int MAX_TRANSACTION_OPERATIONS = 64;
+  /** All keys under a prefix. */
+  Listing list(String prefix) throws CoordinationException;
+
+  /**
+   * All keys under a prefix, once the listing's index has passed this one, or after a while of the
+   * store's choice.
+   */
+  Listing watch(String prefix, long afterIndex) throws CoordinationException;
+
+  /** Writes a key; whether it was taken. Index 0: only where there is no such key. */
+  boolean checkAndSet(String key, long expectedIndex, String text) throws CoordinationException;
+
+  /** Removes the key where it has the index. */
+  void checkAndDelete(String key, long expectedIndex) throws CoordinationException;
+
+  /**
+   * Carries out all writes, at most {@link #MAX_TRANSACTION_OPERATIONS}, or none; whether they were
+   * taken.
+   */
+  boolean transact(List<Write> writes) throws CoordinationException;
 
   @Override
   void close();
--- a/gateway/src/main/java/shelffront/coordination/OperatorException.java
+++ b/gateway/src/main/java/shelffront/coordination/OperatorException.java
@@ -1,8 +1,8 @@
 package shelffront.coordination;
 
 /**
- * Something that goes wrong in what gateways share. Each kind has a code that stays, says what
- * happened, and what an operator can do about it.
+ * Something that goes wrong in what gateways share. Each kind has a code that never changes; the
+ * message says what happened, and the advice what an operator can do about it.
  */
 public abstract class OperatorException extends Exception {
 
--- a/gateway/src/main/java/shelffront/coordination/ValueJson.java
+++ b/gateway/src/main/java/shelffront/coordination/ValueJson.java
@@ -6,7 +6,7 @@
 import shelffront.coordination.CoordinationException.EngineGarbled;
 import shelffront.coordination.CoordinationStore.Value;
 
-/** The engine's texts as JSON objects. */
+/** Reads the coordination store's texts as JSON objects. Any thread may call. */
 public final class ValueJson {
 
   private static final ObjectMapper JSON = new ObjectMapper();
