--- a/core/src/test/java/shelffront/distribution/DistributionModel.java
+++ b/core/src/test/java/shelffront/distribution/DistributionModel.java
@@ -39,21 +39,21 @@
       version = new Version(version.incarnation() + 1, version.sequence() + 1);
       restoredAt = version;
       history.replaceAll(
-          c ->
+          change ->
               new RecordChange(
-                  new Version(restoredAt.incarnation(), c.version().sequence()),
-                  c.name(),
-                  c.document()));
+                  new Version(restoredAt.incarnation(), change.version().sequence()),
+                  change.name(),
+                  change.document()));
     }
 
-    Map<String, RecordChange> recordsAt(Version at) {
+    Map<String, RecordChange> recordsAt(Version version) {
       Map<String, RecordChange> records = new HashMap<>();
-      for (RecordChange c : history) {
-        if (!at.isBefore(c.version())) {
-          if (c.isRemoval()) {
-            records.remove(c.name());
+      for (RecordChange change : history) {
+        if (!version.isBefore(change.version())) {
+          if (change.isRemoval()) {
+            records.remove(change.name());
           } else {
-            records.put(c.name(), c);
+            records.put(change.name(), change);
           }
         }
       }
@@ -66,7 +66,7 @@
      */
     Update.Snapshot snapshot(Version readFirst) {
       List<RecordChange> since =
-          history.stream().filter(c -> readFirst.isBefore(c.version())).toList();
+          history.stream().filter(change -> readFirst.isBefore(change.version())).toList();
       return Update.Snapshot.assemble(version, List.copyOf(recordsAt(version).values()), since);
     }
   }
@@ -157,9 +157,9 @@
       return;
     }
     int most = 1 + random.nextInt(6);
-    for (RecordChange c : engine.history) {
-      if (behind.isBefore(c.version()) && most-- > 0) {
-        distributor.apply(c);
+    for (RecordChange change : engine.history) {
+      if (behind.isBefore(change.version()) && most-- > 0) {
+        distributor.apply(change);
       }
     }
   }
--- a/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
+++ b/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
@@ -36,11 +36,11 @@
     List<DistributorEndpoint> order = choice("g").preferenceOrder();
     assertTrue(
         order.subList(0, 3).stream()
-            .allMatch(e -> e.region().equals("r1") && e.zone().equals("y")));
+            .allMatch(endpoint -> endpoint.region().equals("r1") && endpoint.zone().equals("y")));
     assertTrue(
         order.subList(3, 6).stream()
-            .allMatch(e -> e.region().equals("r1") && e.zone().equals("x")));
-    assertTrue(order.subList(6, 12).stream().allMatch(e -> e.region().equals("r2")));
+            .allMatch(endpoint -> endpoint.region().equals("r1") && endpoint.zone().equals("x")));
+    assertTrue(order.subList(6, 12).stream().allMatch(endpoint -> endpoint.region().equals("r2")));
   }
 
   /** Those of one that fails must not all go to one other. */
@@ -57,9 +57,9 @@
         second.merge(choice.next(0).endpoint().address(), 1, Integer::sum);
       }
     }
-    first.values().forEach(n -> assertTrue(n > 240 && n < 360, first.toString()));
+    first.values().forEach(count -> assertTrue(count > 240 && count < 360, first.toString()));
     assertEquals(2, second.size());
-    second.values().forEach(n -> assertTrue(n > 100, second.toString()));
+    second.values().forEach(count -> assertTrue(count > 100, second.toString()));
   }
 
   @Test
@@ -89,7 +89,7 @@
   @Test
   void whereAllAreLeftOutTheSoonestIsAskedWhenItsPauseIsOver() {
     DistributorSelector choice = choice("g");
-    choice.preferenceOrder().forEach(e -> choice.recordFailure(e, 0));
+    choice.preferenceOrder().forEach(endpoint -> choice.recordFailure(endpoint, 0));
     choice.recordFailure(choice.preferenceOrder().get(0), 0);
     assertEquals(
         new DistributorSelector.Selection(
--- a/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
@@ -12,11 +12,11 @@
 /** Forty sockets for tenants who open, keep and close them. */
 class ConnectionQuotasTest {
 
-  private final ConnectionQuotas holdings = new ConnectionQuotas(40);
+  private final ConnectionQuotas quotas = new ConnectionQuotas(40);
   private final List<String> said = new ArrayList<>();
 
   private ConnectionQuota join(String name, double weight, int most) {
-    return holdings.register(
+    return quotas.register(
         weight, most, () -> said.add(name + " asked"), () -> said.add(name + " told"));
   }
 
@@ -31,7 +31,7 @@
   @Test
   void oneAloneHasAllAndNotMore() {
     assertEquals(40, fill(join("a", 1, 100)));
-    assertEquals(40, holdings.inUse());
+    assertEquals(40, quotas.inUse());
   }
 
   @Test
@@ -84,13 +84,13 @@
 
   @Test
   void oneGivenBackForAnotherIsNotLostToTheBound() {
-    ConnectionQuota a = join("a", 1, 100);
-    ConnectionQuota b = join("b", 1, 100);
-    b.tryAcquire(false);
-    fill(a);
-    assertEquals(Acquisition.REJECTED, a.tryAcquire(false));
-    a.release();
-    assertEquals(Acquisition.ACQUIRED, a.tryAcquire(true));
+    ConnectionQuota first = join("a", 1, 100);
+    ConnectionQuota second = join("b", 1, 100);
+    second.tryAcquire(false);
+    fill(first);
+    assertEquals(Acquisition.REJECTED, first.tryAcquire(false));
+    first.release();
+    assertEquals(Acquisition.ACQUIRED, first.tryAcquire(true));
   }
 
   /**
@@ -102,9 +102,9 @@
     CountDownLatch done = new CountDownLatch(4);
     boolean[] over = new boolean[4];
     List<ConnectionQuota> all = new ArrayList<>();
-    for (int t = 0; t < 4; t++) {
-      int seed = t;
-      ConnectionQuota mine = holdings.register(1 + t, 30, () -> {}, () -> {});
+    for (int tenant = 0; tenant < 4; tenant++) {
+      int seed = tenant;
+      ConnectionQuota mine = quotas.register(1 + tenant, 30, () -> {}, () -> {});
       all.add(mine);
       new Thread(
               () -> {
@@ -115,7 +115,7 @@
                   } else if (mine.inUse() > 0) {
                     mine.release();
                   }
-                  over[seed] |= holdings.inUse() > 40;
+                  over[seed] |= quotas.inUse() > 40;
                 }
                 while (mine.inUse() > 0) {
                   mine.release();
@@ -128,7 +128,7 @@
     for (boolean each : over) {
       assertTrue(!each, "more were held than there are");
     }
-    assertEquals(0, holdings.inUse());
+    assertEquals(0, quotas.inUse());
     all.forEach(ConnectionQuota::acknowledgeAvailable);
     assertEquals(40, fill(join("last", 1, 100)), "no weight of the others is left");
   }
--- a/core/src/test/java/shelffront/quota/DeficitRoundRobinTest.java
+++ b/core/src/test/java/shelffront/quota/DeficitRoundRobinTest.java
@@ -53,7 +53,7 @@
       @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 1, max = 500) Integer> costs) {
     DeficitRoundRobin<Integer> rounds = new DeficitRoundRobin<>(100);
     List<Flow<Integer>> flows = List.of(new Flow<>(1), new Flow<>(weight));
-    flows.forEach(f -> rounds.add(f, flows.indexOf(f)));
+    flows.forEach(flow -> rounds.add(flow, flows.indexOf(flow)));
     double[] spent = new double[2];
     for (int i = 0; i < 20_000; i++) {
       int who = rounds.next();
--- a/core/src/test/java/shelffront/quota/MaxMinFairnessTest.java
+++ b/core/src/test/java/shelffront/quota/MaxMinFairnessTest.java
@@ -12,6 +12,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** That nobody gets more than it asks for, and that nothing is left that somebody wants. */
 class MaxMinFairnessTest {
 
   @Test
@@ -27,16 +28,19 @@
       @ForAll @DoubleRange(min = 0.01, max = 1e6) double capacity,
       @ForAll @Size(min = 1, max = 12) List<@DoubleRange(min = 0.01, max = 100) Double> weights,
       @ForAll @Size(12) List<@DoubleRange(min = 0, max = 1e6) Double> demands) {
-    double[] w = weights.stream().mapToDouble(x -> x).toArray();
-    double[] d = demands.stream().limit(w.length).mapToDouble(x -> x).toArray();
-    double[] parts = MaxMinFairness.divide(capacity, w, d);
+    double[] weight = weights.stream().mapToDouble(value -> value).toArray();
+    double[] demand = demands.stream().limit(weight.length).mapToDouble(value -> value).toArray();
+    double[] parts = MaxMinFairness.divide(capacity, weight, demand);
     double slack = 1e-6 * (capacity + 1);
-    assertEquals(Math.min(capacity, Arrays.stream(d).sum()), Arrays.stream(parts).sum(), slack);
-    for (int i = 0; i < w.length; i++) {
-      assertTrue(parts[i] <= d[i] + slack);
-      for (int j = 0; j < w.length; j++) {
+    assertEquals(
+        Math.min(capacity, Arrays.stream(demand).sum()), Arrays.stream(parts).sum(), slack);
+    for (int i = 0; i < weight.length; i++) {
+      assertTrue(parts[i] <= demand[i] + slack);
+      for (int j = 0; j < weight.length; j++) {
         // One that has less than it wants has no less for its weight than anybody.
-        assertTrue(parts[i] >= d[i] - slack || parts[i] / w[i] >= parts[j] / w[j] - slack * 100);
+        assertTrue(
+            parts[i] >= demand[i] - slack
+                || parts[i] / weight[i] >= parts[j] / weight[j] - slack * 100);
       }
     }
   }
--- a/core/src/test/java/shelffront/rollout/RolloutModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -33,116 +33,147 @@
   private static final int FAST = 5;
 
   /** A request on its way, of a process that waits for it no longer. */
-  private record Loose(String what, UnaryOperator<Engine> effect) {}
+  private record DelayedRequest(String what, UnaryOperator<Engine> effect) {}
 
   /** What the engine keeps. */
   private record Engine(
-      RolloutState standing,
+      RolloutState rolloutState,
       long index,
       Map<String, RolloutLeader.VersionedMember> members,
       long next) {
 
-    Engine put(String key, long at, Member member, boolean checked) {
+    Engine writeMember(String key, long at, Member member, boolean checked) {
       RolloutLeader.VersionedMember now = members.get(key);
       if (checked && (now == null ? 0 : now.index()) != at) {
         return this;
       }
       Map<String, RolloutLeader.VersionedMember> map = new TreeMap<>(members);
       map.put(key, new RolloutLeader.VersionedMember(member, next));
-      return new Engine(standing, index, map, next + 1);
+      return new Engine(rolloutState, index, map, next + 1);
     }
 
-    Engine forget(String key, long at, boolean checked) {
+    Engine removeMember(String key, long at, boolean checked) {
       RolloutLeader.VersionedMember now = members.get(key);
       if (now == null || checked && now.index() != at) {
         return this;
       }
       Map<String, RolloutLeader.VersionedMember> map = new TreeMap<>(members);
       map.remove(key);
-      return new Engine(standing, index, map, next);
+      return new Engine(rolloutState, index, map, next);
     }
 
-    Engine stand(long at, RolloutState to, boolean checked) {
-      return checked && index != at ? this : new Engine(to, next, members, next + 1);
+    Engine writeState(long at, RolloutState newState, boolean checked) {
+      return checked && index != at ? this : new Engine(newState, next, members, next + 1);
     }
   }
 
   /** A gateway: what it is, its clock, and the epoch and end of an act that goes on. */
   private record Gateway(
-      int life,
+      int incarnation,
       LeaseHolder holder,
       long clock,
-      RolloutState open,
+      RolloutState openUnder,
       long openUntil,
-      LeaseHolder.Write out,
+      LeaseHolder.Write writeInFlight,
       long sentAt,
-      boolean taken,
-      long answered,
-      RolloutState late,
+      boolean writeTaken,
+      long answeredIndex,
+      RolloutState lateState,
       int lateTerm) {
 
     Gateway with(LeaseHolder next) {
-      return new Gateway(life, next, clock, open, openUntil, null, 0, false, 0, late, lateTerm);
+      return new Gateway(
+          incarnation, next, clock, openUnder, openUntil, null, 0, false, 0, lateState, lateTerm);
     }
 
     Gateway at(long time) {
-      boolean over = open != null && time >= openUntil;
+      boolean over = openUnder != null && time >= openUntil;
       return new Gateway(
-          life,
+          incarnation,
           holder,
           time,
-          over ? null : open,
+          over ? null : openUnder,
           openUntil,
-          out,
+          writeInFlight,
           sentAt,
-          taken,
-          answered,
-          late,
+          writeTaken,
+          answeredIndex,
+          lateState,
           lateTerm);
     }
 
-    Gateway acting(RolloutState under, long until) {
+    Gateway withOperation(RolloutState under, long until) {
       return new Gateway(
-          life, holder, clock, under, until, out, sentAt, taken, answered, late, lateTerm);
+          incarnation,
+          holder,
+          clock,
+          under,
+          until,
+          writeInFlight,
+          sentAt,
+          writeTaken,
+          answeredIndex,
+          lateState,
+          lateTerm);
     }
 
-    Gateway waiting(LeaseHolder.Write write, boolean wasTaken, long index) {
+    Gateway withWriteInFlight(LeaseHolder.Write write, boolean wasTaken, long index) {
       return new Gateway(
-          life, holder, clock, open, openUntil, write, clock, wasTaken, index, late, lateTerm);
+          incarnation,
+          holder,
+          clock,
+          openUnder,
+          openUntil,
+          write,
+          clock,
+          wasTaken,
+          index,
+          lateState,
+          lateTerm);
     }
 
-    Gateway hearsLater(RolloutState what) {
+    Gateway withLateState(RolloutState what) {
       return new Gateway(
-          life, holder, clock, open, openUntil, out, sentAt, taken, answered, what, holder.term());
+          incarnation,
+          holder,
+          clock,
+          openUnder,
+          openUntil,
+          writeInFlight,
+          sentAt,
+          writeTaken,
+          answeredIndex,
+          what,
+          holder.term());
     }
 
     String key(int number) {
-      return "g" + number + "." + life + "." + holder.term();
+      return "g" + number + "." + incarnation + "." + holder.term();
     }
 
     RolloutState inForce() {
-      return open != null ? open : holder.inForce(clock);
+      return openUnder != null ? openUnder : holder.inForce(clock);
     }
   }
 
   /** An owner, its clock, and what it has read of a look that is not over. */
-  private record Mover(
-      RolloutLeader owner,
+  private record LeaderProcess(
+      RolloutLeader leader,
       long clock,
       RolloutState standing,
       long index,
       Map<String, RolloutLeader.VersionedMember> members) {
 
-    Mover with(RolloutLeader next) {
-      return new Mover(next, clock, null, 0, null);
+    LeaderProcess with(RolloutLeader next) {
+      return new LeaderProcess(next, clock, null, 0, null);
     }
   }
 
   private record State(
       Engine engine,
       List<Gateway> gateways,
-      List<Mover> movers,
-      List<Loose> loose,
+      List<LeaderProcess> leaders,
+      List<DelayedRequest> delayedRequests,
       int faults,
       int turns,
       int ticks,
@@ -156,14 +187,14 @@
    * A lease that a slow clock ends in the third step, and a lapse that a fast one reaches there and
    * not before.
    */
-  private final LeaseTimings bounds = new LeaseTimings(7, 0, 0.25, 0);
+  private final LeaseTimings timings = new LeaseTimings(7, 0, 0.25, 0);
 
-  private final Set<SafetyRule> off;
+  private final Set<SafetyRule> disabledRules;
   private final boolean checked;
   private final int gateways;
-  private final int owners;
+  private final int leaders;
   private final int faults;
-  private final int turns;
+  private final int retargets;
 
   /**
    * @param faults late answers, requests held up, looks in two parts and restarts, in all
@@ -171,11 +202,12 @@
    */
   RolloutModel(int gateways, int owners, int faults, int turns, SafetyRule... off) {
     this.gateways = gateways;
-    this.owners = owners;
+    this.leaders = owners;
     this.faults = faults;
-    this.turns = turns;
-    this.off = off.length == 0 ? EnumSet.noneOf(SafetyRule.class) : EnumSet.of(off[0], off);
-    checked = !this.off.contains(SafetyRule.CHECK_AND_SET);
+    this.retargets = turns;
+    this.disabledRules =
+        off.length == 0 ? EnumSet.noneOf(SafetyRule.class) : EnumSet.of(off[0], off);
+    checked = !this.disabledRules.contains(SafetyRule.CHECK_AND_SET);
   }
 
   /**
@@ -209,288 +241,333 @@
   private State start(boolean joined) {
     Engine engine = new Engine(new RolloutState(1, 0, 3), 1, Map.of(), 2);
     List<Gateway> all = new ArrayList<>();
-    for (int i = 0; i < gateways; i++) {
-      Gateway g =
-          new Gateway(0, LeaseHolder.absent(bounds, off), 0, null, 0, null, 0, false, 0, null, 0);
-      for (int write = 0; joined && write < 2; write++) {
-        LeaseHolder.Write w = (LeaseHolder.Write) g.holder().nextAction(0, Long.MAX_VALUE);
-        engine = engine.put(g.key(i), w.expectedIndex(), w.member(), true);
-        g =
-            g.with(
-                g.holder().onWriteAnswered(0, 0, w, true, engine.members().get(g.key(i)).index()));
-        g = g.with(g.holder().onStateRead(g.holder().term(), engine.standing()));
+    for (int number = 0; number < gateways; number++) {
+      Gateway gateway =
+          new Gateway(
+              0,
+              LeaseHolder.absent(timings, disabledRules),
+              0,
+              null,
+              0,
+              null,
+              0,
+              false,
+              0,
+              null,
+              0);
+      for (int round = 0; joined && round < 2; round++) {
+        LeaseHolder.Write write =
+            (LeaseHolder.Write) gateway.holder().nextAction(0, Long.MAX_VALUE);
+        engine =
+            engine.writeMember(gateway.key(number), write.expectedIndex(), write.member(), true);
+        gateway =
+            gateway.with(
+                gateway
+                    .holder()
+                    .onWriteAnswered(
+                        0, 0, write, true, engine.members().get(gateway.key(number)).index()));
+        gateway =
+            gateway.with(
+                gateway.holder().onStateRead(gateway.holder().term(), engine.rolloutState()));
       }
-      all.add(g);
+      all.add(gateway);
     }
-    Mover mover = new Mover(RolloutLeader.fresh(bounds, off), 0, null, 0, null);
+    LeaderProcess mover =
+        new LeaderProcess(RolloutLeader.fresh(timings, disabledRules), 0, null, 0, null);
     return new State(
         engine,
         all,
-        Collections.nCopies(owners, mover),
+        Collections.nCopies(leaders, mover),
         List.of(),
         faults,
-        turns,
+        retargets,
         0,
         null,
         "start");
   }
 
   /** At most two neighbouring stages in force, and nobody further from the engine than one. */
-  private static boolean isBroken(State s) {
-    int least = s.engine().standing().stage();
+  private static boolean isBroken(State state) {
+    int least = state.engine().rolloutState().stage();
     int most = least;
-    for (Gateway g : s.gateways()) {
-      RolloutState in = g.inForce();
-      if (in != null) {
-        least = Math.min(least, in.stage());
-        most = Math.max(most, in.stage());
+    for (Gateway gateway : state.gateways()) {
+      RolloutState inForce = gateway.inForce();
+      if (inForce != null) {
+        least = Math.min(least, inForce.stage());
+        most = Math.max(most, inForce.stage());
       }
     }
     return most - least > 1;
   }
 
-  private static List<String> trace(State s) {
+  private static List<String> trace(State state) {
     List<String> lines = new ArrayList<>();
-    for (State at = s; at != null; at = at.before()) {
-      lines.add(0, at.step() + " -> engine " + at.engine().standing());
+    for (State each = state; each != null; each = each.before()) {
+      lines.add(0, each.step() + " -> engine " + each.engine().rolloutState());
     }
     return lines;
   }
 
-  private void steps(State s, Consumer<State> to) {
-    tick(s, to);
-    for (int i = 0; i < s.gateways().size(); i++) {
-      gateway(s, i, to);
+  private void steps(State state, Consumer<State> successors) {
+    tick(state, successors);
+    for (int number = 0; number < state.gateways().size(); number++) {
+      gateway(state, number, successors);
     }
-    for (int i = 0; i < s.movers().size(); i++) {
-      mover(s, i, to);
+    for (int number = 0; number < state.leaders().size(); number++) {
+      mover(state, number, successors);
     }
-    for (int i = 0; i < s.loose().size(); i++) {
-      Loose l = s.loose().get(i);
-      List<Loose> rest = new ArrayList<>(s.loose());
-      rest.remove(i);
-      to.accept(
+    for (int number = 0; number < state.delayedRequests().size(); number++) {
+      DelayedRequest held = state.delayedRequests().get(number);
+      List<DelayedRequest> rest = new ArrayList<>(state.delayedRequests());
+      rest.remove(number);
+      successors.accept(
           new State(
-              l.effect().apply(s.engine()),
-              s.gateways(),
-              s.movers(),
+              held.effect().apply(state.engine()),
+              state.gateways(),
+              state.leaders(),
               rest,
-              s.faults(),
-              s.turns(),
-              s.ticks(),
-              s,
-              l.what() + " is taken after all"));
-    }
-    if (s.turns() > 0) {
-      to.accept(
+              state.faults(),
+              state.turns(),
+              state.ticks(),
+              state,
+              held.what() + " is taken after all"));
+    }
+    if (state.turns() > 0) {
+      successors.accept(
           new State(
-              s.engine()
-                  .stand(
-                      s.engine().index(),
-                      s.engine().standing().withTarget(s.engine().standing().target() == 0 ? 3 : 0),
+              state
+                  .engine()
+                  .writeState(
+                      state.engine().index(),
+                      state
+                          .engine()
+                          .rolloutState()
+                          .withTarget(state.engine().rolloutState().target() == 0 ? 3 : 0),
                       true),
-              s.gateways(),
-              s.movers(),
-              s.loose(),
-              s.faults(),
-              s.turns() - 1,
-              s.ticks(),
-              s,
+              state.gateways(),
+              state.leaders(),
+              state.delayedRequests(),
+              state.faults(),
+              state.turns() - 1,
+              state.ticks(),
+              state,
               "the target is turned round"));
     }
   }
 
-  private void tick(State s, Consumer<State> to) {
+  private void tick(State state, Consumer<State> successors) {
     List<Gateway> gateways = new ArrayList<>();
-    for (int i = 0; i < s.gateways().size(); i++) {
-      Gateway g = s.gateways().get(i);
-      gateways.add(g.at(g.clock() + (i == 0 ? SLOW : TRUE)));
+    for (int number = 0; number < state.gateways().size(); number++) {
+      Gateway gateway = state.gateways().get(number);
+      gateways.add(gateway.at(gateway.clock() + (number == 0 ? SLOW : TRUE)));
     }
-    List<Mover> movers = new ArrayList<>();
-    for (int i = 0; i < s.movers().size(); i++) {
-      Mover m = s.movers().get(i);
+    List<LeaderProcess> movers = new ArrayList<>();
+    for (int number = 0; number < state.leaders().size(); number++) {
+      LeaderProcess mover = state.leaders().get(number);
       movers.add(
-          new Mover(
-              m.owner(), m.clock() + (i == 0 ? FAST : TRUE), m.standing(), m.index(), m.members()));
-    }
-    to.accept(
+          new LeaderProcess(
+              mover.leader(),
+              mover.clock() + (number == 0 ? FAST : TRUE),
+              mover.standing(),
+              mover.index(),
+              mover.members()));
+    }
+    successors.accept(
         new State(
-            s.engine(),
+            state.engine(),
             gateways,
             movers,
-            s.loose(),
-            s.faults(),
-            s.turns(),
-            s.ticks() + 1,
-            s,
+            state.delayedRequests(),
+            state.faults(),
+            state.turns(),
+            state.ticks() + 1,
+            state,
             "time passes"));
   }
 
-  private State set(State s, Engine engine, int i, Gateway g, String step) {
-    return set(s, engine, i, g, s.loose(), s.faults(), step);
+  private State set(State state, Engine engine, int number, Gateway gateway, String step) {
+    return set(state, engine, number, gateway, state.delayedRequests(), state.faults(), step);
   }
 
   private State set(
-      State s, Engine engine, int i, Gateway g, List<Loose> loose, int left, String step) {
-    List<Gateway> gateways = new ArrayList<>(s.gateways());
-    gateways.set(i, g);
+      State state,
+      Engine engine,
+      int number,
+      Gateway gateway,
+      List<DelayedRequest> loose,
+      int left,
+      String step) {
+    List<Gateway> gateways = new ArrayList<>(state.gateways());
+    gateways.set(number, gateway);
     return new State(
         engine,
         gateways,
-        s.movers(),
+        state.leaders(),
         loose,
         left,
-        s.turns(),
-        s.ticks(),
-        s,
-        "gateway " + i + " " + step);
+        state.turns(),
+        state.ticks(),
+        state,
+        "gateway " + number + " " + step);
   }
 
-  private static List<Loose> plus(List<Loose> loose, Loose one) {
-    List<Loose> all = new ArrayList<>(loose);
+  private static List<DelayedRequest> plus(List<DelayedRequest> loose, DelayedRequest one) {
+    List<DelayedRequest> all = new ArrayList<>(loose);
     all.add(one);
     return all;
   }
 
-  private void gateway(State s, int i, Consumer<State> to) {
-    Gateway g = s.gateways().get(i);
-    LeaseHolder h = g.holder();
-    long now = g.clock();
-    Engine e = s.engine();
-    String key = g.key(i);
-    boolean fault = s.faults() > 0;
-    if (g.out() != null) {
-      to.accept(
+  private void gateway(State state, int number, Consumer<State> successors) {
+    Gateway gateway = state.gateways().get(number);
+    LeaseHolder holder = gateway.holder();
+    long now = gateway.clock();
+    Engine engine = state.engine();
+    String key = gateway.key(number);
+    boolean fault = state.faults() > 0;
+    if (gateway.writeInFlight() != null) {
+      successors.accept(
           set(
-              s,
-              e,
-              i,
-              g.with(h.onWriteAnswered(g.sentAt(), now, g.out(), g.taken(), g.answered())),
-              "hears late that its write was " + (g.taken() ? "" : "not ") + "taken"));
+              state,
+              engine,
+              number,
+              gateway.with(
+                  holder.onWriteAnswered(
+                      gateway.sentAt(),
+                      now,
+                      gateway.writeInFlight(),
+                      gateway.writeTaken(),
+                      gateway.answeredIndex())),
+              "hears late that its write was " + (gateway.writeTaken() ? "" : "not ") + "taken"));
     } else {
       LeaseHolder.Action action =
-          h.nextAction(now, g.open() == null ? Long.MAX_VALUE : g.open().epoch());
-      if (action instanceof LeaseHolder.Write w) {
-        Engine after = e.put(key, w.expectedIndex(), w.member(), checked);
-        boolean taken = after != e;
-        long at = taken ? after.members().get(key).index() : 0;
-        String what = "write of " + key + " " + w;
-        to.accept(
+          holder.nextAction(
+              now, gateway.openUnder() == null ? Long.MAX_VALUE : gateway.openUnder().epoch());
+      if (action instanceof LeaseHolder.Write write) {
+        Engine after = engine.writeMember(key, write.expectedIndex(), write.member(), checked);
+        boolean taken = after != engine;
+        long index = taken ? after.members().get(key).index() : 0;
+        String what = "write of " + key + " " + write;
+        successors.accept(
             set(
-                s,
+                state,
                 after,
-                i,
-                g.with(h.onWriteAnswered(now, now, w, taken, at)),
+                number,
+                gateway.with(holder.onWriteAnswered(now, now, write, taken, index)),
                 what + (taken ? "" : " fails")));
         if (fault) {
-          to.accept(
+          successors.accept(
               set(
-                  s,
+                  state,
                   after,
-                  i,
-                  g.waiting(w, taken, at),
-                  s.loose(),
-                  s.faults() - 1,
+                  number,
+                  gateway.withWriteInFlight(write, taken, index),
+                  state.delayedRequests(),
+                  state.faults() - 1,
                   what + ", its answer is late"));
-          to.accept(
+          successors.accept(
               set(
-                  s,
-                  e,
-                  i,
-                  g.with(h.onWriteUnknown(now)),
+                  state,
+                  engine,
+                  number,
+                  gateway.with(holder.onWriteUnknown(now)),
                   plus(
-                      s.loose(),
-                      new Loose(what, x -> x.put(key, w.expectedIndex(), w.member(), checked))),
-                  s.faults() - 1,
+                      state.delayedRequests(),
+                      new DelayedRequest(
+                          what,
+                          current ->
+                              current.writeMember(
+                                  key, write.expectedIndex(), write.member(), checked))),
+                  state.faults() - 1,
                   what + " is held up and given up"));
         }
       } else if (action instanceof LeaseHolder.ReadOwnKey) {
-        RolloutLeader.VersionedMember seen = e.members().get(key);
-        to.accept(
+        RolloutLeader.VersionedMember seen = engine.members().get(key);
+        successors.accept(
             set(
-                s,
-                e,
-                i,
-                g.with(
-                    h.onOwnKeyRead(
+                state,
+                engine,
+                number,
+                gateway.with(
+                    holder.onOwnKeyRead(
                         now, seen == null ? null : seen.member(), seen == null ? 0 : seen.index())),
                 "looks at " + key));
       }
     }
-    if (h.isMember() || off.contains(SafetyRule.JOIN_FIRST)) {
-      LeaseHolder heard = h.onStateRead(h.term(), e.standing());
-      if (heard != h) {
-        to.accept(
+    if (holder.isMember() || disabledRules.contains(SafetyRule.JOIN_FIRST)) {
+      LeaseHolder heard = holder.onStateRead(holder.term(), engine.rolloutState());
+      if (heard != holder) {
+        successors.accept(
             set(
-                s,
-                e,
-                i,
+                state,
+                engine,
+                number,
                 new Gateway(
-                    g.life(),
+                    gateway.incarnation(),
                     heard,
                     now,
-                    g.open(),
-                    g.openUntil(),
-                    g.out(),
-                    g.sentAt(),
-                    g.taken(),
-                    g.answered(),
-                    g.late(),
-                    g.lateTerm()),
+                    gateway.openUnder(),
+                    gateway.openUntil(),
+                    gateway.writeInFlight(),
+                    gateway.sentAt(),
+                    gateway.writeTaken(),
+                    gateway.answeredIndex(),
+                    gateway.lateState(),
+                    gateway.lateTerm()),
                 "reads the standing"));
       }
-      if (fault && g.late() == null) {
-        to.accept(
+      if (fault && gateway.lateState() == null) {
+        successors.accept(
             set(
-                s,
-                e,
-                i,
-                g.hearsLater(e.standing()),
-                s.loose(),
-                s.faults() - 1,
+                state,
+                engine,
+                number,
+                gateway.withLateState(engine.rolloutState()),
+                state.delayedRequests(),
+                state.faults() - 1,
                 "reads the standing, the answer is late"));
       }
     }
-    if (g.late() != null) { // it stays: it may come once more
-      to.accept(
+    if (gateway.lateState() != null) { // it stays: it may come once more
+      successors.accept(
           set(
-              s,
-              e,
-              i,
+              state,
+              engine,
+              number,
               new Gateway(
-                  g.life(),
-                  h.onStateRead(g.lateTerm(), g.late()),
+                  gateway.incarnation(),
+                  holder.onStateRead(gateway.lateTerm(), gateway.lateState()),
                   now,
-                  g.open(),
-                  g.openUntil(),
-                  g.out(),
-                  g.sentAt(),
-                  g.taken(),
-                  g.answered(),
-                  g.late(),
-                  g.lateTerm()),
-              "hears a late answer " + g.late()));
-    }
-    if (g.open() == null && h.inForce(now) != null) {
-      to.accept(
+                  gateway.openUnder(),
+                  gateway.openUntil(),
+                  gateway.writeInFlight(),
+                  gateway.sentAt(),
+                  gateway.writeTaken(),
+                  gateway.answeredIndex(),
+                  gateway.lateState(),
+                  gateway.lateTerm()),
+              "hears a late answer " + gateway.lateState()));
+    }
+    if (gateway.openUnder() == null && holder.inForce(now) != null) {
+      successors.accept(
           set(
-              s,
-              e,
-              i,
-              g.acting(h.inForce(now), h.leaseUntil() + bounds.operationMicros()),
+              state,
+              engine,
+              number,
+              gateway.withOperation(
+                  holder.inForce(now), holder.leaseUntil() + timings.operationMicros()),
               "begins an act"));
-    } else if (g.open() != null) {
-      to.accept(set(s, e, i, g.acting(null, 0), "ends an act"));
+    } else if (gateway.openUnder() != null) {
+      successors.accept(set(state, engine, number, gateway.withOperation(null, 0), "ends an act"));
     }
     if (fault) {
-      to.accept(
+      successors.accept(
           set(
-              s,
-              e,
-              i,
+              state,
+              engine,
+              number,
               new Gateway(
-                  g.life() + 1,
-                  LeaseHolder.absent(bounds, off),
+                  gateway.incarnation() + 1,
+                  LeaseHolder.absent(timings, disabledRules),
                   now,
                   null,
                   0,
@@ -500,137 +577,157 @@
                   0,
                   null,
                   0),
-              s.loose(),
-              s.faults() - 1,
+              state.delayedRequests(),
+              state.faults() - 1,
               "restarts"));
     }
   }
 
   private State set(
-      State s, Engine engine, int i, Mover m, List<Loose> loose, int left, String step) {
-    List<Mover> movers = new ArrayList<>(s.movers());
-    movers.set(i, m);
+      State state,
+      Engine engine,
+      int number,
+      LeaderProcess mover,
+      List<DelayedRequest> loose,
+      int left,
+      String step) {
+    List<LeaderProcess> movers = new ArrayList<>(state.leaders());
+    movers.set(number, mover);
     return new State(
         engine,
-        s.gateways(),
+        state.gateways(),
         movers,
         loose,
         left,
-        s.turns(),
-        s.ticks(),
-        s,
-        "owner " + i + " " + step);
+        state.turns(),
+        state.ticks(),
+        state,
+        "owner " + number + " " + step);
   }
 
-  private void mover(State s, int i, Consumer<State> to) {
-    Mover m = s.movers().get(i);
-    Engine e = s.engine();
-    if (m.standing() == null && m.members() == null) {
-      to.accept(
+  private void mover(State state, int number, Consumer<State> successors) {
+    LeaderProcess mover = state.leaders().get(number);
+    Engine engine = state.engine();
+    if (mover.standing() == null && mover.members() == null) {
+      successors.accept(
           set(
-              s,
-              e,
-              i,
-              m.with(m.owner().onRead(m.clock(), e.standing(), e.index(), e.members())),
-              s.loose(),
-              s.faults(),
+              state,
+              engine,
+              number,
+              mover.with(
+                  mover
+                      .leader()
+                      .onRead(
+                          mover.clock(), engine.rolloutState(), engine.index(), engine.members())),
+              state.delayedRequests(),
+              state.faults(),
               "looks"));
-      if (s.faults() > 0) {
-        Mover half =
-            off.contains(SafetyRule.STANDING_FIRST)
-                ? new Mover(m.owner(), m.clock(), null, 0, e.members())
-                : new Mover(m.owner(), m.clock(), e.standing(), e.index(), null);
-        to.accept(set(s, e, i, half, s.loose(), s.faults() - 1, "begins a look"));
+      if (state.faults() > 0) {
+        LeaderProcess half =
+            disabledRules.contains(SafetyRule.STANDING_FIRST)
+                ? new LeaderProcess(mover.leader(), mover.clock(), null, 0, engine.members())
+                : new LeaderProcess(
+                    mover.leader(), mover.clock(), engine.rolloutState(), engine.index(), null);
+        successors.accept(
+            set(
+                state,
+                engine,
+                number,
+                half,
+                state.delayedRequests(),
+                state.faults() - 1,
+                "begins a look"));
       }
     } else {
-      RolloutState standing = m.standing() != null ? m.standing() : e.standing();
-      long index = m.standing() != null ? m.index() : e.index();
+      RolloutState standing = mover.standing() != null ? mover.standing() : engine.rolloutState();
+      long index = mover.standing() != null ? mover.index() : engine.index();
       Map<String, RolloutLeader.VersionedMember> members =
-          m.members() != null ? m.members() : e.members();
-      to.accept(
+          mover.members() != null ? mover.members() : engine.members();
+      successors.accept(
           set(
-              s,
-              e,
-              i,
-              m.with(m.owner().onRead(m.clock(), standing, index, members)),
-              s.loose(),
-              s.faults(),
+              state,
+              engine,
+              number,
+              mover.with(mover.leader().onRead(mover.clock(), standing, index, members)),
+              state.delayedRequests(),
+              state.faults(),
               "ends its look"));
     }
-    for (RolloutLeader.Action action : m.owner().actions()) {
-      UnaryOperator<Engine> effect = x -> effect(x, action);
-      to.accept(
+    for (RolloutLeader.Action action : mover.leader().actions()) {
+      UnaryOperator<Engine> effect = current -> effect(current, action);
+      successors.accept(
           set(
-              s,
-              effect.apply(e),
-              i,
-              m.with(m.owner().withoutActions()),
-              s.loose(),
-              s.faults(),
+              state,
+              effect.apply(engine),
+              number,
+              mover.with(mover.leader().withoutActions()),
+              state.delayedRequests(),
+              state.faults(),
               action.toString()));
-      if (s.faults() > 0) {
-        to.accept(
+      if (state.faults() > 0) {
+        successors.accept(
             set(
-                s,
-                e,
-                i,
-                m.with(m.owner().withoutActions()),
-                plus(s.loose(), new Loose("the owner's " + action, effect)),
-                s.faults() - 1,
+                state,
+                engine,
+                number,
+                mover.with(mover.leader().withoutActions()),
+                plus(state.delayedRequests(), new DelayedRequest("the owner's " + action, effect)),
+                state.faults() - 1,
                 action + " is held up and given up"));
       }
     }
-    if (s.faults() > 0) {
-      to.accept(
+    if (state.faults() > 0) {
+      successors.accept(
           set(
-              s,
-              e,
-              i,
-              m.with(RolloutLeader.fresh(bounds, off)),
-              s.loose(),
-              s.faults() - 1,
+              state,
+              engine,
+              number,
+              mover.with(RolloutLeader.fresh(timings, disabledRules)),
+              state.delayedRequests(),
+              state.faults() - 1,
               "restarts"));
     }
   }
 
-  private Engine effect(Engine e, RolloutLeader.Action action) {
+  private Engine effect(Engine engine, RolloutLeader.Action action) {
     if (action instanceof RolloutLeader.Advance move) {
-      return e.stand(move.expectedIndex(), move.newState(), checked);
+      return engine.writeState(move.expectedIndex(), move.newState(), checked);
     }
-    if (action instanceof RolloutLeader.Revoke r) {
-      return e.put(r.memberKey(), r.expectedIndex(), r.revoked(), checked);
+    if (action instanceof RolloutLeader.Revoke revoke) {
+      return engine.writeMember(
+          revoke.memberKey(), revoke.expectedIndex(), revoke.revoked(), checked);
     }
-    RolloutLeader.RemoveMember f = (RolloutLeader.RemoveMember) action;
-    return e.forget(f.memberKey(), f.expectedIndex(), checked);
+    RolloutLeader.RemoveMember remove = (RolloutLeader.RemoveMember) action;
+    return engine.removeMember(remove.memberKey(), remove.expectedIndex(), checked);
   }
 
-  private static long hash(State s) {
+  private static long hash(State state) {
     StringBuilder text = new StringBuilder(256);
-    text.append(s.engine()).append(s.faults()).append(s.turns());
-    for (Gateway g : s.gateways()) {
+    text.append(state.engine()).append(state.faults()).append(state.turns());
+    for (Gateway gateway : state.gateways()) {
       text.append('|')
-          .append(g.life())
-          .append(g.holder().fingerprint(g.clock()))
-          .append(g.open())
-          .append(g.open() == null ? 0 : g.openUntil() - g.clock())
-          .append(g.out())
-          .append(g.out() == null ? 0 : g.sentAt() - g.clock())
-          .append(g.taken())
-          .append(g.answered())
-          .append(g.late())
-          .append(g.lateTerm());
-    }
-    for (Mover m : s.movers()) {
+          .append(gateway.incarnation())
+          .append(gateway.holder().fingerprint(gateway.clock()))
+          .append(gateway.openUnder())
+          .append(gateway.openUnder() == null ? 0 : gateway.openUntil() - gateway.clock())
+          .append(gateway.writeInFlight())
+          .append(gateway.writeInFlight() == null ? 0 : gateway.sentAt() - gateway.clock())
+          .append(gateway.writeTaken())
+          .append(gateway.answeredIndex())
+          .append(gateway.lateState())
+          .append(gateway.lateTerm());
+    }
+    for (LeaderProcess mover : state.leaders()) {
       text.append('|')
-          .append(m.owner().fingerprint(m.clock()))
-          .append(m.standing())
-          .append(m.index())
-          .append(m.members());
+          .append(mover.leader().fingerprint(mover.clock()))
+          .append(mover.standing())
+          .append(mover.index())
+          .append(mover.members());
     }
-    s.loose().forEach(l -> text.append('|').append(l.what()));
+    state.delayedRequests().forEach(held -> text.append('|').append(held.what()));
     long hash = 0xcbf29ce484222325L;
-    for (int i = 0; i < text.length(); i++) {
-      hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
+    for (int number = 0; number < text.length(); number++) {
+      hash = (hash ^ text.charAt(number)) * 0x100000001b3L;
     }
     return hash ^ hash >>> 29;
   }
--- a/core/src/test/java/shelffront/rollout/RolloutModelTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModelTest.java
@@ -21,7 +21,7 @@
     "2, 1, 1, 1, true, 7",
     "2, 2, 1, 1, false, 6"
   })
-  void noOrderOfEventsBringsThreeStagesIntoForce(
+  void noOrderOfEventsPutsThreeStagesInForce(
       int gateways, int owners, int faults, int turns, boolean joined, int depth) {
     RolloutModel.Result result =
         new RolloutModel(gateways, owners, faults, turns)
@@ -55,7 +55,7 @@
     "STANDING_FIRST, 2, 1, false",
     "CHECK_AND_SET, 1, 0, true"
   })
-  void eachRuleIsMissed(SafetyRule rule, int owners, int faults, boolean joined) {
+  void eachDisabledRuleHasACounterExample(SafetyRule rule, int owners, int faults, boolean joined) {
     RolloutModel.Result result = new RolloutModel(1, owners, faults, 0, rule).explore(joined, 13);
     System.out.println(rule + ": " + result.states() + " states, " + result.depth() + " steps");
     assertNotNull(result.trace(), "nothing goes wrong without it");
--- a/gateway/src/test/java/shelffront/compatibility/FleetRecordsCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/FleetRecordsCompatibilityTest.java
@@ -136,15 +136,15 @@
   void writesUnderTheSameKeys() throws Exception {
     Path file = StoredResource.copy("fleet-records.jsonl", directory);
     InMemoryCoordinationStore engine = StoredEngine.load(file);
-    List<String> keysBefore = List.copyOf(engine.keep().keySet());
+    List<String> keysBefore = List.copyOf(engine.copy().keySet());
     try (ChangeStore store = new ChangeStore(engine, "maps")) {
       store.write("tower", 0, tenant("tower", 1), HEAD.version());
     }
     List<String> keysAdded =
-        engine.keep().keySet().stream().filter(key -> !keysBefore.contains(key)).toList();
+        engine.copy().keySet().stream().filter(key -> !keysBefore.contains(key)).toList();
     assertEquals(
         List.of("shelffront/maps/config/log/0008", "shelffront/maps/config/record/tower"),
         keysAdded);
-    assertEquals(keysBefore.size() + 2, engine.keep().size());
+    assertEquals(keysBefore.size() + 2, engine.copy().size());
   }
 }
--- a/gateway/src/test/java/shelffront/controlplane/ChangeStoreTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/ChangeStoreTest.java
@@ -32,8 +32,8 @@
     assertEquals(1, first.sequence());
     assertThrows(RecordChanged.class, () -> put("a", 0, "two"));
     Version second = put("a", 1, "two");
-    RecordChanged e = assertThrows(RecordChanged.class, () -> put("a", 1, null));
-    assertEquals("two", e.currentRecord().document());
+    RecordChanged error = assertThrows(RecordChanged.class, () -> put("a", 1, null));
+    assertEquals("two", error.currentRecord().document());
     put("a", second.sequence(), null);
     assertNull(store.record("a"));
     assertThrows(RecordChanged.class, () -> put("a", 3, "four"));
@@ -67,7 +67,7 @@
   @Test
   void anEngineRestoredFromOlderDataIsKnown() throws Exception {
     put("a", 0, "one");
-    var kept = engine.keep();
+    var kept = engine.copy();
     put("a", 1, "two");
     put("a", 2, "three");
     Head seen = store.head();
@@ -83,7 +83,7 @@
   @Test
   void aRestoredEngineThatHasGoneOnIsKnownToo() throws Exception {
     put("a", 0, "one");
-    var kept = engine.keep();
+    var kept = engine.copy();
     put("a", 1, "two");
     Head seen = store.head();
     engine.restore(kept);
@@ -98,7 +98,7 @@
   @Test
   void aNewIncarnationIsNewerThanAllThatWasGivenOut() throws Exception {
     put("a", 0, "one");
-    var kept = engine.keep();
+    var kept = engine.copy();
     put("a", 1, "two");
     Head seen = store.head();
     engine.restore(kept);
--- a/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
@@ -225,7 +225,9 @@
     assertEquals("one", force.documents.get("a"));
     await()
         .atMost(MOST)
-        .until(() -> log.stream().anyMatch(l -> l.startsWith("record-rejected by a subscriber")));
+        .until(
+            () ->
+                log.stream().anyMatch(line -> line.startsWith("record-rejected by a subscriber")));
     store.write("a", 2, "three", Version.NONE);
     await().atMost(MOST).until(() -> "three".equals(force.documents.get("a")));
     assertTrue(gateway.status().rejectionReasons().isEmpty());
@@ -281,14 +283,16 @@
   @Test
   void aRestoredEngineChangesNothingUntilANewIncarnationIsBegun() throws Exception {
     store.write("a", 0, "one", Version.NONE);
-    var kept = engine.keep();
+    var kept = engine.copy();
     Force force = new Force();
     SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
     assertTrue(found(gateway, "a"));
     store.write("a", 1, "two", Version.NONE);
     await().atMost(MOST).until(() -> "two".equals(force.documents.get("a")));
     engine.restore(kept);
-    await().atMost(MOST).until(() -> log.stream().anyMatch(l -> l.contains("engine-stepped-back")));
+    await()
+        .atMost(MOST)
+        .until(() -> log.stream().anyMatch(line -> line.contains("engine-stepped-back")));
     assertEquals("two", force.documents.get("a"));
     store.beginIncarnation();
     await().atMost(MOST).until(() -> "one".equals(force.documents.get("a")));
--- a/gateway/src/test/java/shelffront/coordination/InMemoryCoordinationStore.java
+++ b/gateway/src/test/java/shelffront/coordination/InMemoryCoordinationStore.java
@@ -18,7 +18,9 @@
   public synchronized Listing list(String prefix) {
     return new Listing(
         index,
-        values.tailMap(prefix).values().stream().filter(v -> v.key().startsWith(prefix)).toList());
+        values.tailMap(prefix).values().stream()
+            .filter(value -> value.key().startsWith(prefix))
+            .toList());
   }
 
   @Override
@@ -34,22 +36,22 @@
   }
 
   @Override
-  public synchronized boolean checkAndSet(String key, long at, String text) {
-    return transact(List.of(new Write(key, at, text)));
+  public synchronized boolean checkAndSet(String key, long expectedIndex, String text) {
+    return transact(List.of(new Write(key, expectedIndex, text)));
   }
 
   @Override
-  public synchronized void checkAndDelete(String key, long at) {
+  public synchronized void checkAndDelete(String key, long expectedIndex) {
     if (values.containsKey(key)) {
-      transact(List.of(new Write(key, at, null)));
+      transact(List.of(new Write(key, expectedIndex, null)));
     }
   }
 
   @Override
   public synchronized boolean transact(List<Write> writes) {
     for (Write write : writes) {
-      long at = values.containsKey(write.key()) ? values.get(write.key()).index() : 0;
-      if (write.index() != Write.ANY_INDEX && write.index() != at) {
+      long expectedIndex = values.containsKey(write.key()) ? values.get(write.key()).index() : 0;
+      if (write.index() != Write.ANY_INDEX && write.index() != expectedIndex) {
         return false;
       }
     }
@@ -71,7 +73,7 @@
   }
 
   /** What it holds now, for {@link #restore}. */
-  public synchronized TreeMap<String, Value> keep() {
+  public synchronized TreeMap<String, Value> copy() {
     return new TreeMap<>(values);
   }
 
--- a/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
@@ -20,7 +20,10 @@
 import shelffront.coordination.InMemoryCoordinationStore;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
-/** One gateway's stages on an engine in memory, its settings, and the page of its errors. */
+/**
+ * One gateway's rollouts on a coordination store in memory, its settings, and the page of its
+ * errors.
+ */
 class RolloutCoordinatorTest {
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -50,67 +53,68 @@
   }
 
   @Test
-  void anActHoldsUpTheMoveAfterTheNextUntilItEnds() throws Exception {
+  void anOpenOperationBlocksTheAdvanceAfterTheNextUntilItIsClosed() throws Exception {
     BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    InMemoryCoordinationStore memory = new InMemoryCoordinationStore();
-    try (RolloutCoordinator stages =
+    InMemoryCoordinationStore store = new InMemoryCoordinationStore();
+    try (RolloutCoordinator coordinator =
         new RolloutCoordinator(
             config(",\"leaseMs\":600000"),
-            memory,
+            store,
             "1",
             RolloutHistory.appendingTo(null),
             line -> log.add(String.valueOf(line)))) {
-      assertNull(stages.inForce("s"), "the safe stage until it has joined");
-      assertNull(stages.beginOperation("s"));
-      stages.start();
+      assertNull(coordinator.inForce("s"), "the safe stage until it has joined");
+      assertNull(coordinator.beginOperation("s"));
+      coordinator.start();
       awaitLine(log, "stage of s is one");
-      Operation act = stages.beginOperation("s");
-      assertEquals(1, act.state().epoch());
-      stages.requestStage("s", "three");
+      Operation operation = coordinator.beginOperation("s");
+      assertEquals(1, operation.state().epoch());
+      coordinator.requestStage("s", "three");
       awaitLine(log, "stage of s is two");
       assertEquals(
           "two",
-          stages.status("s").get(0).stage(),
+          coordinator.status("s").get(0).stage(),
           "nothing further while something goes on under one");
       assertTrue(
-          memory.list("shelffront/f/members/").values().get(0).text().contains("\"epoch\":1"));
+          store.list("shelffront/f/members/").values().get(0).text().contains("\"epoch\":1"));
       await()
           .atMost(Duration.ofSeconds(20))
-          .until(() -> stages.status("s").get(0).blockingMembers().equals(List.of("g-1.1")));
-      act.close();
-      act.close();
+          .until(() -> coordinator.status("s").get(0).blockingMembers().equals(List.of("g-1.1")));
+      operation.close();
+      operation.close();
       awaitLine(log, "stage of s is three");
-      assertThrows(RolloutException.UnknownStage.class, () -> stages.requestStage("s", "nine"));
-      assertThrows(RolloutException.UnknownSubject.class, () -> stages.inForce("t"));
-      assertThrows(RolloutException.UnknownSubject.class, () -> stages.status("t"));
-      assertEquals(1, stages.status(null).size());
+      assertThrows(
+          RolloutException.UnknownStage.class, () -> coordinator.requestStage("s", "nine"));
+      assertThrows(RolloutException.UnknownSubject.class, () -> coordinator.inForce("t"));
+      assertThrows(RolloutException.UnknownSubject.class, () -> coordinator.status("t"));
+      assertEquals(1, coordinator.status(null).size());
     }
     assertTrue(
-        memory.list("shelffront/f/members/").values().isEmpty(),
+        store.list("shelffront/f/members/").values().isEmpty(),
         "it has left: no move waits for it");
   }
 
   @Test
-  void whatStandsInTheEngineAndCantBeReadIsSaid() throws Exception {
+  void aStateThatCantBeReadIsLoggedAndLeavesTheSafeStage() throws Exception {
     BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    InMemoryCoordinationStore memory = new InMemoryCoordinationStore();
-    memory.checkAndSet(
+    InMemoryCoordinationStore store = new InMemoryCoordinationStore();
+    store.checkAndSet(
         "shelffront/f/standing/s", 0, "{\"epoch\":1,\"stage\":\"five\",\"target\":\"one\"}");
-    try (RolloutCoordinator stages =
+    try (RolloutCoordinator coordinator =
         new RolloutCoordinator(
             config(""),
-            memory,
+            store,
             "1",
             RolloutHistory.appendingTo(null),
             line -> log.add(String.valueOf(line)))) {
-      stages.start();
+      coordinator.start();
       awaitLine(log, "engine-garbled");
-      assertNull(stages.inForce("s"));
+      assertNull(coordinator.inForce("s"));
     }
   }
 
   @Test
-  void aFileAtFaultIsNamedByItsField() throws Exception {
+  void aSettingAtFaultIsNamedByItsPointer() throws Exception {
     assertEquals(2, config("").shards());
     for (String[] bad :
         new String[][] {
@@ -126,8 +130,8 @@
           {",\"shards\":0", "/fleet/shards"},
           {",\"other\":1", "/fleet/other"}
         }) {
-      SpecException e = assertThrows(SpecException.class, () -> config(bad[0]), bad[0]);
-      assertEquals(bad[1], e.pointer());
+      SpecException error = assertThrows(SpecException.class, () -> config(bad[0]), bad[0]);
+      assertEquals(bad[1], error.pointer());
     }
   }
 
