--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -22,7 +22,7 @@
  * that was taken up gets exactly one answer unless the client leaves.
  */
 final class ClientConnection extends Connection
-    implements ClientRequest.ResponseListener, FrontendConnections.ClientHandle {
+    implements ClientRequest.ResponseListener, ClientHandle {
 
   /** The message types that a client may send after its startup. */
   private static final String COMMAND_TYPES = "QXSPBDECHFdcf";
@@ -43,7 +43,7 @@
   private FrontendConnections destination;
 
   /** Null until its tenant has admitted it. */
-  private FrontendConnections.RequestHandler handler;
+  private RequestHandler handler;
 
   /** After an error in the extended protocol, everything up to the next Sync is skipped. */
   private boolean skippingToSync;
@@ -235,7 +235,7 @@
   }
 
   /** Becomes one of the tenant's connections, within its budget. */
-  void joinTenant(FrontendConnections.RequestHandler tenant) throws ProtocolException {
+  void joinTenant(RequestHandler tenant) throws ProtocolException {
     if (!tryJoinTenant(tenant.network())) {
       throw new ProtocolException(SqlState.OUT_OF_MEMORY, "there is no room for the connection");
     }
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -11,104 +11,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
 import shelffront.pg.SqlState;
-import shelffront.request.ClientRequest;
-import shelffront.routing.RequestClass;
 
 /**
- * The client side: accepts connections, bounded in number, and passes their requests on as
- * exchanges.
+ * Accepts the connections of clients, bounded in number, and evicts those of which nothing is owed
+ * where others need a place.
+ *
+ * <p>Invariants: a connection holds its place where it was accepted until it has closed, wherever
+ * it lives; at most one accept is outstanding. Runs on the loop thread.
  */
 public final class FrontendConnections {
 
-  /** Finds who serves a client. */
-  public interface TenantLookup {
-
-    /**
-     * Finds out who serves a client, where that takes time: {@code then} runs later on the loop of
-     * these clients, with null or with what the client is told. False, and nothing runs later,
-     * where it is known already.
-     */
-    default boolean lookUp(
-        Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
-      return false;
-    }
-
-    /**
-     * Who serves a client on the loop where its tenant lives; by default those where it came in.
-     */
-    default FrontendConnections connectionsFor(
-        Map<String, String> startup, FrontendConnections here) {
-      return here;
-    }
-
-    /** A connection that {@link #connectionsFor} sent elsewhere has ended there. */
-    default void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {}
-
-    /**
-     * By the parameters of its startup message; throws where nobody does, with what the client is
-     * told.
-     */
-    RequestHandler authenticate(Map<String, String> startup) throws ProtocolException;
-
-    /**
-     * Whether a client that begins like this is asked for a password first; the same for names
-     * nobody has.
-     */
-    boolean requiresPassword(Map<String, String> startup);
-
-    /** As {@link #authenticate(Map)}, with the password that it gave. */
-    RequestHandler authenticate(Map<String, String> startup, byte[] password)
-        throws ProtocolException;
-  }
-
-  /** A client's connection, as the one that serves it sees it. */
-  public interface ClientHandle {
-
-    boolean isIdle();
-
-    /** Ends it with an error once what is in work has been answered. */
-    void endWithError(ProtocolException why, CloseReason reason);
-  }
-
-  /** Takes requests in; each is answered through its exchange. */
-  public interface RequestHandler {
-
-    /** What its clients' connections post to, borrow from and count in. */
-    Network network();
-
-    List<RequestClass> requestClasses();
-
-    void onClientConnected(ClientHandle client);
-
-    void onClientClosed(ClientHandle client);
-
-    /** Connections that it has now. */
-    int clientCount();
-
-    /** Throws where the request can't be taken for what it says; nothing has been done then. */
-    void validate(ClientRequest request) throws ProtocolException;
-
-    /**
-     * The position, in microseconds, is that of the session's last write as the client tells it, or
-     * unknown.
-     */
-    void handle(
-        ClientRequest request,
-        String session,
-        int replicaSet,
-        long requiredPositionMicros,
-        boolean repeat);
-
-    /** The client waits no longer; no answer is owed. */
-    void onRequestAbandoned(ClientRequest request);
-  }
-
   private static final int BACKLOG = 1024;
 
   /**
--- a/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
+++ b/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
@@ -113,7 +113,7 @@
   }
 
   private boolean authenticate() throws ProtocolException {
-    FrontendConnections.TenantLookup tenants = connection.frontend().tenantLookup;
+    TenantLookup tenants = connection.frontend().tenantLookup;
     if (tenants.requiresPassword(parameters)) {
       step = Step.PASSWORD;
       connection.send(Message.authenticationCleartextPassword());
@@ -135,7 +135,7 @@
     return false;
   }
 
-  private void complete(FrontendConnections.RequestHandler handler) throws ProtocolException {
+  private void complete(RequestHandler handler) throws ProtocolException {
     connection.joinTenant(handler);
     step = Step.COMPLETE;
     connection.send(Message.authenticationOk());
--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -10,6 +10,8 @@
 import shelffront.backend.BackendConnections.Login;
 import shelffront.config.GatewayConfig;
 import shelffront.frontend.FrontendConnections;
+import shelffront.frontend.RequestHandler;
+import shelffront.frontend.TenantLookup;
 import shelffront.net.CloseReason;
 import shelffront.net.EventLoop;
 import shelffront.net.Network;
@@ -59,9 +61,9 @@
             network,
             config.listenAddress(),
             clientConnectionLimit(config.maxSockets()),
-            new FrontendConnections.TenantLookup() {
+            new TenantLookup() {
               @Override
-              public FrontendConnections.RequestHandler authenticate(Map<String, String> startup) {
+              public RequestHandler authenticate(Map<String, String> startup) {
                 return singleTenant;
               }
 
@@ -71,8 +73,7 @@
               }
 
               @Override
-              public FrontendConnections.RequestHandler authenticate(
-                  Map<String, String> startup, byte[] password) {
+              public RequestHandler authenticate(Map<String, String> startup, byte[] password) {
                 return singleTenant;
               }
             });
@@ -90,7 +91,7 @@
       Network network,
       InetSocketAddress listen,
       int sockets,
-      FrontendConnections.TenantLookup door,
+      TenantLookup door,
       BooleanSupplier drained,
       Runnable closing)
       throws IOException {
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -10,6 +10,8 @@
 import java.util.function.Function;
 import java.util.function.LongConsumer;
 import shelffront.frontend.FrontendConnections;
+import shelffront.frontend.RequestHandler;
+import shelffront.frontend.TenantLookup;
 import shelffront.gateway.Gateway;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
@@ -39,7 +41,7 @@
  *
  * <p>Methods run on the first loop's thread unless they say otherwise.
  */
-final class EventLoopGroup implements FrontendConnections.TenantLookup {
+final class EventLoopGroup implements TenantLookup {
 
   /**
    * Microseconds after which a tenant of a fleet that no client asked for is served here no longer.
@@ -348,14 +350,13 @@
   }
 
   @Override
-  public FrontendConnections.RequestHandler authenticate(Map<String, String> startup)
-      throws ProtocolException {
+  public RequestHandler authenticate(Map<String, String> startup) throws ProtocolException {
     return members.get(0).tenants().authenticate(startup);
   }
 
   @Override
-  public FrontendConnections.RequestHandler authenticate(
-      Map<String, String> startup, byte[] password) throws ProtocolException {
+  public RequestHandler authenticate(Map<String, String> startup, byte[] password)
+      throws ProtocolException {
     return members.get(0).tenants().authenticate(startup, password);
   }
 
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -13,7 +13,8 @@
 import shelffront.config.EndpointList;
 import shelffront.decision.RoutingEngine;
 import shelffront.discovery.DiscoveryClient;
-import shelffront.frontend.FrontendConnections;
+import shelffront.frontend.ClientHandle;
+import shelffront.frontend.RequestHandler;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
 import shelffront.net.EventLoop;
@@ -48,7 +49,7 @@
  */
 public final class Tenant
     implements RouterActions,
-        FrontendConnections.RequestHandler,
+        RequestHandler,
         BackendConnections.Listener,
         DiscoveryClient.Listener {
 
@@ -93,7 +94,7 @@
   private long
       predecessorEndedAtMicros; // writes before this time may have gone through another module
   private final Map<String, ClientRequest> exchanges = new HashMap<>();
-  private final Set<FrontendConnections.ClientHandle> clients = new LinkedHashSet<>();
+  private final Set<ClientHandle> clients = new LinkedHashSet<>();
 
   /** The sockets are those for hosts; shares is null for one that has the gateway to itself. */
   public Tenant(
@@ -299,7 +300,7 @@
     return new ProtocolException(SqlState.CANNOT_CONNECT_NOW, "the database is being removed");
   }
 
-  private void dismissIdle(FrontendConnections.ClientHandle client) {
+  private void dismissIdle(ClientHandle client) {
     if (client.isIdle()) {
       client.endWithError(removed(), CloseReason.TENANT_GONE);
     }
@@ -378,7 +379,7 @@
   }
 
   @Override
-  public void onClientConnected(FrontendConnections.ClientHandle client) {
+  public void onClientConnected(ClientHandle client) {
     clients.add(client);
     if (sleep != null) {
       sleep.cancel();
@@ -388,7 +389,7 @@
   }
 
   @Override
-  public void onClientClosed(FrontendConnections.ClientHandle client) {
+  public void onClientClosed(ClientHandle client) {
     clients.remove(client);
     if (clients.isEmpty() && quotas != null && state == State.ACTIVE) {
       sleep = loop.scheduleAt(loop.nowMicros() + SLEEP_AFTER, this::suspend);
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongConsumer;
-import shelffront.frontend.FrontendConnections;
+import shelffront.frontend.TenantLookup;
 import shelffront.net.CloseReason;
 import shelffront.net.Network;
 import shelffront.pg.ProtocolException;
@@ -20,7 +20,7 @@
  * of the startup message. What all use is divided among them by {@link TenantQuotas}. On the loop
  * thread.
  */
-public final class TenantRegistry implements FrontendConnections.TenantLookup {
+public final class TenantRegistry implements TenantLookup {
 
   private static final byte[] HASH_OF_NO_KEY = new byte[32];
 
--- a/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
+++ b/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import shelffront.frontend.FrontendConnections;
+import shelffront.frontend.ClientHandle;
 import shelffront.net.CloseReason;
 import shelffront.net.Counters;
 import shelffront.net.EventLoop;
@@ -38,8 +38,8 @@
   private Tenant tenant;
   private Thread turns;
 
-  private final FrontendConnections.ClientHandle client =
-      new FrontendConnections.ClientHandle() {
+  private final ClientHandle client =
+      new ClientHandle() {
         @Override
         public boolean isIdle() {
           return true;
