--- a/gateway/src/main/java/shelffront/backend/BackendCall.java
+++ b/gateway/src/main/java/shelffront/backend/BackendCall.java
@@ -3,16 +3,26 @@
 import shelffront.net.EventLoop.Deadline;
 import shelffront.request.BackendAttempt;
 
-/** What one host connection carries at a time: an attempt, or a probe where there is none. */
+/**
+ * One call to a database host: an attempt, or a health check where {@link #attempt} is null. It
+ * waits for a connection, is carried by one, and finishes exactly once. Owned by {@link
+ * BackendConnections}.
+ */
 final class BackendCall {
 
   final String endpointId;
-  final BackendHost host; // null where the list does not know the member
+
+  /** Null where the list does not know the endpoint. */
+  final BackendHost host;
+
   final BackendAttempt attempt;
   final long startedAtMicros;
   Deadline connectDeadline;
   Deadline endDeadline;
+
+  /** The connection that carries it; null while it waits. */
   BackendConnection connection;
+
   boolean finished;
 
   BackendCall(String endpointId, BackendHost host, BackendAttempt attempt, long startedAt) {
--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -13,7 +13,10 @@
 import shelffront.routing.AttemptStatus;
 
 /**
- * A connection to a database host. It carries a single call at a time and is closed to abandon one.
+ * A connection to a database host.
+ *
+ * <p>Invariants: it carries a single call at a time; a call is written only once the host has
+ * declared it ready; a call is abandoned by closing it; bytes that belong to no call end it.
  */
 final class BackendConnection extends Connection {
 
@@ -31,10 +34,15 @@
   private boolean ready;
   private BackendCall call;
   private boolean requestWritten;
-  private boolean messageIncomplete; // part of a message has come
+
+  /** Part of a message has come. */
+  private boolean messageIncomplete;
+
   private boolean malformed;
   private QueryResponse response = new QueryResponse();
-  private int heldBytes; // bytes of the answer that the memory budget counts
+
+  /** Bytes of the response that are held from the memory budget. */
+  private int heldBytes;
 
   BackendConnection(
       Network network,
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -23,7 +23,13 @@
 import shelffront.routing.Endpoint;
 import shelffront.routing.OperatingLimits;
 
-/** The server side: a pool of connections to each database host, the attempts and the probes. */
+/**
+ * A pool of connections to each database host, with the attempts and the health checks on them.
+ *
+ * <p>Invariants: every attempt and health check ends exactly once, by {@link Listener}; as many
+ * connections are being opened to a host as calls wait for one, where sockets permit; at the bound
+ * of sockets an idle connection gives way. Runs on the loop thread.
+ */
 public final class BackendConnections {
 
   /**
@@ -32,15 +38,17 @@
    */
   public interface Listener {
 
+    /** An attempt has ended. */
     void onAttemptEnded(BackendAttempt attempt, BackendResponse reply);
 
     /** Whether an attempt may still be written, now that a connection is there for it. */
     boolean mayStartAttempt(BackendAttempt attempt);
 
+    /** A health check has ended. */
     void onHealthCheckEnded(String endpointId, BackendResponse reply, long elapsedMicros);
   }
 
-  /** Who the hosts are told this is. */
+  /** The user and database of the startup message to hosts. */
   public record Login(String user, String database) {}
 
   /** Connections are closed at four fifths of the time for which hosts let them idle. */
@@ -60,7 +68,8 @@
   /** In the order of their begin, so that closing all goes the same way each time. */
   private final Map<BackendAttempt, BackendCall> calls = new LinkedHashMap<>();
 
-  private boolean owesConnection; // another tenant waits for a socket, and none of these was idle
+  /** Another tenant waits for a socket, and no connection here was idle. */
+  private boolean owesConnection;
 
   /** Each connection takes one of the sockets, divided by weight and bounded, while it is open. */
   public BackendConnections(
--- a/gateway/src/main/java/shelffront/backend/BackendHost.java
+++ b/gateway/src/main/java/shelffront/backend/BackendHost.java
@@ -5,7 +5,11 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One database host: its address, the connections to it, and the calls that wait for one. */
+/**
+ * One database host: its address, the connections to it, and the calls that wait for one. Owned by
+ * {@link BackendConnections}; {@link #openingCount} is the number of connections that are not ready
+ * yet.
+ */
 final class BackendHost {
 
   final String id;
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
@@ -13,7 +13,11 @@
 import shelffront.net.EventLoop.Deadline;
 import shelffront.net.Network;
 
-/** One call of discovery on a connection of its own. */
+/**
+ * One call of discovery on a connection of its own: a watch, which gives a list a line for as long
+ * as it stands, or a fetch of one list. Tells {@link DiscoveryClient} of each list, and once of its
+ * end.
+ */
 final class DiscoveryCall extends Connection {
 
   private static final int HTTP_OK = 200;
@@ -24,7 +28,10 @@
   private final boolean isWatch;
   private final HttpLineReader response = new HttpLineReader(this::onLine);
   private final StringBuilder body = new StringBuilder();
-  private int openBraces; // of braces, in what has come of a list
+
+  /** Braces that are open in what has come of a list. */
+  private int openBraces;
+
   private Deadline silenceDeadline;
   private boolean listCame;
 
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
@@ -8,13 +8,18 @@
 import shelffront.net.Network;
 
 /**
- * Asks discovery for the list of database hosts: one standing watch, and fetches of the whole list.
+ * Asks discovery for the endpoint list: one standing watch, and fetches of the whole list.
+ *
+ * <p>Invariants: at most one watch stands; an older list never follows a newer one within {@link
+ * #STALE_LIST_WINDOW_MICROS}. It retries nothing by itself: its listener does. Runs on the loop
+ * thread.
  */
 public final class DiscoveryClient {
 
   /** Takes what discovery tells. */
   public interface Listener {
 
+    /** A list has come that is not older than the newest. */
     void onEndpoints(EndpointList list);
 
     /** A watch or a fetch has failed; the list stands. */
@@ -47,7 +52,10 @@
   private InetSocketAddress address;
   private long revision;
   private long newestAtMicros;
-  private boolean watching; // as asked; the watch itself may have failed
+
+  /** As ordered; the watch itself may have failed. */
+  private boolean watching;
+
   private DiscoveryCall watch;
 
   /** The revision is that of the list that is known already; 0 asks for the whole list. */
@@ -92,6 +100,7 @@
     return watch != null;
   }
 
+  /** Fetches the whole list once, on a connection of its own. */
   public void fetchEndpoints() {
     call("/catalog/members", false);
   }
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -49,11 +49,19 @@
   /** Those that came in here and live on another loop now, by whose they are there. */
   private final Map<FrontendConnections, Integer> movedAwayCounts = new LinkedHashMap<>();
 
-  private boolean accepting; // an accept is out
-  private boolean recheckScheduled; // a look at who may go is due
-  private boolean rejectsNewcomers; // there was no place for a while: who comes is told so
+  /** An accept is outstanding. */
+  private boolean accepting;
+
+  /** A further look at who may be evicted is scheduled. */
+  private boolean recheckScheduled;
+
+  /** There was no place for a while: who comes is told so. */
+  private boolean rejectsNewcomers;
+
   private boolean draining;
-  private Runnable whenStopped; // to be told that no accept is out any more
+
+  /** Runs once no accept is outstanding any more; null until accepting is stopped. */
+  private Runnable whenStopped;
 
   /** Listens on the address, and accepts from {@link #accept} on. */
   public FrontendConnections(
