--- a/core/src/main/java/shelffront/routing/GatewayIdentity.java
+++ b/core/src/main/java/shelffront/routing/GatewayIdentity.java
@@ -1,7 +1,7 @@
 package shelffront.routing;
 
 /**
- * Which gateway of its fleet an instance is.
+ * Which gateway of its fleet a routing module runs in.
  *
  * @param gatewayIndex position of this gateway among all of the fleet, from 0
  * @param gatewayCount number of gateways in the fleet
--- a/core/src/test/java/shelffront/decision/EndpointHealthTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointHealthTest.java
@@ -205,7 +205,7 @@
           harness.nowMicros, "m1", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
     }
     harness.request("w", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
-    assertFalse(harness.newActions().contains("send w m1"), "it answers no probe");
+    assertFalse(harness.newActions().contains("send w m1"), "it answers no health check");
     harness.advanceTime(200 * RoutingTestHarness.MS);
     harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros);
     assertTrue(harness.newActions().contains("send w m1"), "it does");
@@ -238,7 +238,7 @@
     }
     assertTrue(
         harness.newSendsTo("m2") < 40,
-        "a member that answers no read in time is not asked each time");
+        "an endpoint that answers no read in time is not asked each time");
   }
 
   /** Guards against giving back connections that could not be set up again in time. */
@@ -281,14 +281,15 @@
     harness.start();
     for (int i = 0; i < 600; i++) {
       harness.request("q" + i, RoutingTestHarness.EVENTUAL_READ);
-      String member =
+      String endpointId =
           harness.newActions().stream()
               .filter(action -> action.startsWith("send"))
               .findFirst()
               .orElseThrow()
               .split(" ")[2];
       harness.nowMicros += RoutingTestHarness.MS;
-      harness.outcome("q" + i, 0, member, AttemptStatus.OK, Role.REPLICA, RoutingTestHarness.MS);
+      harness.outcome(
+          "q" + i, 0, endpointId, AttemptStatus.OK, Role.REPLICA, RoutingTestHarness.MS);
     }
     harness.newActions();
     for (int i = 0; i < 12; i++) {
--- a/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
@@ -166,6 +166,6 @@
     assertTrue(first.matches("send a m[23]"), first);
     harness.outcome("a", 0, first.substring(7), AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
     String second = harness.newActions().get(0);
-    assertFalse(second.equals(first), "not to the member that just missed");
+    assertFalse(second.equals(first), "not to the endpoint that just rejected it");
   }
 }
--- a/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
@@ -18,13 +18,13 @@
 /** A hundred gateways that know of each other only their number: what they choose adds up. */
 class FleetEndpointSelectionTest {
 
-  private static final int INSTANCES = 100;
+  private static final int GATEWAYS = 100;
   private static final List<String> HOSTS = List.of("m1", "m2", "m3", "m4", "m5");
 
-  private static RoutingTestHarness harness(int self, int instances) {
+  private static RoutingTestHarness harness(int gatewayIndex, int gateways) {
     RoutingTestHarness harness = new RoutingTestHarness();
-    harness.gatewayIndex = self;
-    harness.gatewayCount = instances;
+    harness.gatewayIndex = gatewayIndex;
+    harness.gatewayCount = gateways;
     return harness.startWithUnknown(HOSTS.toArray(String[]::new));
   }
 
@@ -53,8 +53,8 @@
   @Test
   void sharesReplicasEvenlyAmongGateways() {
     Map<String, Integer> users = new TreeMap<>();
-    for (int self = 0; self < INSTANCES; self++) {
-      RoutingTestHarness harness = harness(self, INSTANCES);
+    for (int gatewayIndex = 0; gatewayIndex < GATEWAYS; gatewayIndex++) {
+      RoutingTestHarness harness = harness(gatewayIndex, GATEWAYS);
       answerAllHealthChecks(harness);
       Set<String> used = new HashSet<>();
       for (int i = 0; i < 30; i++) {
@@ -88,8 +88,8 @@
   @Test
   void dividesFirstHealthChecksAmongGateways() {
     Map<String, Integer> probes = new TreeMap<>();
-    for (int self = 0; self < INSTANCES; self++) {
-      RoutingTestHarness harness = harness(self, INSTANCES);
+    for (int gatewayIndex = 0; gatewayIndex < GATEWAYS; gatewayIndex++) {
+      RoutingTestHarness harness = harness(gatewayIndex, GATEWAYS);
       assertEquals(0, harness.healthChecks(), "a start of all at once");
       harness.request("r", RoutingTestHarness.BOUNDED_READ);
       for (String host : HOSTS) {
@@ -98,7 +98,7 @@
     }
     probes.forEach((host, count) -> assertTrue(count <= 60, probes.toString()));
     assertTrue(
-        probes.values().stream().mapToInt(Integer::intValue).sum() >= INSTANCES, probes.toString());
+        probes.values().stream().mapToInt(Integer::intValue).sum() >= GATEWAYS, probes.toString());
   }
 
   /**
@@ -107,8 +107,8 @@
    */
   @Test
   void usesOtherReplicasWhereThePreferredMayNotServe() {
-    for (int self = 0; self < 20; self++) {
-      RoutingTestHarness harness = harness(self, INSTANCES);
+    for (int gatewayIndex = 0; gatewayIndex < 20; gatewayIndex++) {
+      RoutingTestHarness harness = harness(gatewayIndex, GATEWAYS);
       answerAllHealthChecks(harness);
       Set<String> own = new HashSet<>();
       for (int i = 0; i < 30; i++) {
--- a/core/src/test/java/shelffront/decision/RecordingActions.java
+++ b/core/src/test/java/shelffront/decision/RecordingActions.java
@@ -7,23 +7,23 @@
 /** Records what the module asks for, one plain line an action, and the timers it set. */
 final class RecordingActions implements RouterActions {
 
-  record Timer(String name, long at) {}
+  record Timer(String name, long atMicros) {}
 
   final List<String> lines = new ArrayList<>();
   final List<Timer> timers = new ArrayList<>();
 
   @Override
-  public void startAttempt(String requestId, String member, long timeout) {
-    lines.add("send " + requestId + " " + member);
+  public void startAttempt(String requestId, String endpointId, long timeoutMicros) {
+    lines.add("send " + requestId + " " + endpointId);
   }
 
   @Override
-  public void cancelAttempt(String requestId, int attempt) {
-    lines.add("cancel " + requestId + " " + attempt);
+  public void cancelAttempt(String requestId, int attemptNumber) {
+    lines.add("cancel " + requestId + " " + attemptNumber);
   }
 
   @Override
-  public void reject(String requestId, long retryAfter) {
+  public void reject(String requestId, long retryAfterMicros) {
     lines.add("reject " + requestId);
   }
 
@@ -33,18 +33,18 @@
   }
 
   @Override
-  public void checkHealth(String member) {
-    lines.add("probe " + member);
+  public void checkHealth(String endpointId) {
+    lines.add("probe " + endpointId);
   }
 
   @Override
-  public void setTimer(String name, long at) {
-    timers.add(new Timer(name, at));
+  public void setTimer(String name, long atMicros) {
+    timers.add(new Timer(name, atMicros));
   }
 
   @Override
-  public void watchEndpoints(boolean on) {
-    lines.add("subscribe " + on);
+  public void watchEndpoints(boolean enabled) {
+    lines.add("subscribe " + enabled);
   }
 
   @Override
@@ -53,13 +53,13 @@
   }
 
   @Override
-  public void sendToPeers(int peer, byte[] payload) {
-    lines.add("tell " + peer);
+  public void sendToPeers(int gatewayIndex, byte[] payload) {
+    lines.add("tell " + gatewayIndex);
   }
 
   @Override
-  public void closeIdleConnections(String member) {
-    lines.add("closeIdle " + member);
+  public void closeIdleConnections(String endpointId) {
+    lines.add("closeIdle " + endpointId);
   }
 
   @Override
--- a/core/src/test/java/shelffront/decision/RequestSchedulingTest.java
+++ b/core/src/test/java/shelffront/decision/RequestSchedulingTest.java
@@ -30,27 +30,29 @@
             RoutingTestHarness.NON_IDEMPOTENT_WRITE,
             RoutingTestHarness.KEYED_WRITE,
             RoutingTestHarness.STRONG_READ)) {
-      RoutingTestHarness held = new RoutingTestHarness();
-      held.start();
-      held.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.DRAINING));
-      held.request("r", type);
-      held.advanceTime(100 * RoutingTestHarness.MS);
-      held.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.READY));
-      held.answerHealthCheck("m1", Role.PRIMARY, held.nowMicros);
-      for (String line : held.newActions()) {
+      RoutingTestHarness gateway = new RoutingTestHarness();
+      gateway.start();
+      gateway.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.DRAINING));
+      gateway.request("r", type);
+      gateway.advanceTime(100 * RoutingTestHarness.MS);
+      gateway.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.READY));
+      gateway.answerHealthCheck("m1", Role.PRIMARY, gateway.nowMicros);
+      for (String line : gateway.newActions()) {
         if (line.startsWith("send r") && !line.endsWith("m1")) {
-          held.outcome("r", 0, line.split(" ")[2], AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
+          gateway.outcome(
+              "r", 0, line.split(" ")[2], AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
         }
       }
-      held.advanceTime(20 * RoutingTestHarness.MS);
-      held.newActions();
+      gateway.advanceTime(20 * RoutingTestHarness.MS);
+      gateway.newActions();
       for (int i = 0; i < 50; i++) {
-        held.advanceTime(20 * RoutingTestHarness.MS);
-        held.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
-        held.outcome("w" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY, 5 * RoutingTestHarness.MS);
+        gateway.advanceTime(20 * RoutingTestHarness.MS);
+        gateway.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
+        gateway.outcome(
+            "w" + i, 0, "m1", AttemptStatus.OK, Role.PRIMARY, 5 * RoutingTestHarness.MS);
       }
       assertFalse(
-          held.newActions().stream()
+          gateway.newActions().stream()
               .anyMatch(action -> action.matches("(send|reject|fail) r( .*)?")),
           "class " + type);
     }
@@ -87,18 +89,20 @@
 
   /** Two hundred reads that no replica covers, over ten seconds. */
   private static long healthChecksOfQueuedReads(double price) {
-    RoutingTestHarness held = new RoutingTestHarness();
-    held.healthCheckCost = price;
-    held.start();
-    held.advanceTime(2_000 * RoutingTestHarness.MS);
-    long before = held.healthChecks();
+    RoutingTestHarness gateway = new RoutingTestHarness();
+    gateway.healthCheckCost = price;
+    gateway.start();
+    gateway.advanceTime(2_000 * RoutingTestHarness.MS);
+    long before = gateway.healthChecks();
     for (int i = 0; i < 200; i++) {
-      held.request("r" + i, RoutingTestHarness.BOUNDED_READ);
-      held.advanceTime(50 * RoutingTestHarness.MS);
-      held.answerHealthCheck("m2", Role.REPLICA, held.nowMicros - 5_000 * RoutingTestHarness.MS);
-      held.answerHealthCheck("m3", Role.REPLICA, held.nowMicros - 5_000 * RoutingTestHarness.MS);
+      gateway.request("r" + i, RoutingTestHarness.BOUNDED_READ);
+      gateway.advanceTime(50 * RoutingTestHarness.MS);
+      gateway.answerHealthCheck(
+          "m2", Role.REPLICA, gateway.nowMicros - 5_000 * RoutingTestHarness.MS);
+      gateway.answerHealthCheck(
+          "m3", Role.REPLICA, gateway.nowMicros - 5_000 * RoutingTestHarness.MS);
     }
-    return held.healthChecks() - before;
+    return gateway.healthChecks() - before;
   }
 
   @Test
--- a/core/src/test/java/shelffront/decision/RoutingTestHarness.java
+++ b/core/src/test/java/shelffront/decision/RoutingTestHarness.java
@@ -163,11 +163,11 @@
   /** Starts with these endpoints and nothing heard of them. */
   RoutingTestHarness startWithUnknown(String... ids) {
     router.onStart(nowMicros, 7, settings());
-    List<Endpoint> members = new ArrayList<>();
+    List<Endpoint> endpoints = new ArrayList<>();
     for (String id : ids) {
-      members.add(endpoint(id, 0, Availability.READY));
+      endpoints.add(endpoint(id, 0, Availability.READY));
     }
-    router.onEndpoints(nowMicros, EndpointUpdateKind.CACHED, 1, members);
+    router.onEndpoints(nowMicros, EndpointUpdateKind.CACHED, 1, endpoints);
     return this;
   }
 
@@ -175,8 +175,8 @@
     return new Endpoint(id, "kind", "z1", 1, 1, startedAt, false, availability);
   }
 
-  void updateEndpoints(Endpoint... members) {
-    router.onEndpoints(nowMicros, EndpointUpdateKind.DELTA, 2, List.of(members));
+  void updateEndpoints(Endpoint... endpoints) {
+    router.onEndpoints(nowMicros, EndpointUpdateKind.DELTA, 2, List.of(endpoints));
   }
 
   void answerHealthCheck(String endpointId, Role role, long position) {
@@ -188,9 +188,9 @@
     request(id, classIndex, 0);
   }
 
-  void request(String id, int classIndex, long sinceWrite) {
+  void request(String id, int classIndex, long sinceWriteMicros) {
     long left = settings().requestClasses().get(classIndex).deadlineMicros();
-    long after = sinceWrite > 0 ? nowMicros - sinceWrite : Router.UNKNOWN;
+    long after = sinceWriteMicros > 0 ? nowMicros - sinceWriteMicros : Router.UNKNOWN;
     router.onRequest(nowMicros, new Request(id, classIndex, "s", 1, left, after, false));
   }
 
@@ -220,13 +220,16 @@
     while (true) {
       RecordingActions.Timer next = null;
       for (RecordingActions.Timer timer : actions.timers) {
-        next = timer.at() <= end && (next == null || timer.at() < next.at()) ? timer : next;
+        next =
+            timer.atMicros() <= end && (next == null || timer.atMicros() < next.atMicros())
+                ? timer
+                : next;
       }
       if (next == null) {
         break;
       }
       actions.timers.remove(next);
-      nowMicros = Math.max(nowMicros + 1, next.at());
+      nowMicros = Math.max(nowMicros + 1, next.atMicros());
       router.onTimer(nowMicros, next.name());
     }
     nowMicros = Math.max(nowMicros, end);
--- a/core/src/test/java/shelffront/decision/SafetyRulesTest.java
+++ b/core/src/test/java/shelffront/decision/SafetyRulesTest.java
@@ -175,11 +175,11 @@
    * Sends to an endpoint that restarts and warms up as the only one left, from gateways of equal,
    * usual traffic.
    */
-  private static long sentToWarmingEndpoint(int instances, String member, int classIndex) {
+  private static long sentToWarmingEndpoint(int gateways, String endpointId, int classIndex) {
     long sent = 0;
-    for (int i = 0; i < instances; i++) {
+    for (int i = 0; i < gateways; i++) {
       RoutingTestHarness gateway = new RoutingTestHarness();
-      gateway.gatewayCount = instances;
+      gateway.gatewayCount = gateways;
       gateway.start();
       for (int round = 0; round < 6; round++) {
         gateway.request("w" + i + "-" + round, classIndex);
@@ -197,13 +197,13 @@
         gateway.updateEndpoints(
             RoutingTestHarness.endpoint(
                 id,
-                id.equals(member) ? gateway.nowMicros : 0,
-                id.equals(member) ? Availability.READY : Availability.DRAINING));
+                id.equals(endpointId) ? gateway.nowMicros : 0,
+                id.equals(endpointId) ? Availability.READY : Availability.DRAINING));
       }
       gateway.newActions();
       gateway.request("c" + i, classIndex);
       gateway.advanceTime(300 * RoutingTestHarness.MS);
-      sent += gateway.newActions().contains("send c" + i + " " + member) ? 1 : 0;
+      sent += gateway.newActions().contains("send c" + i + " " + endpointId) ? 1 : 0;
     }
     return sent;
   }
@@ -267,7 +267,7 @@
       tries += all.size();
       harness.router.onClientDisconnected(harness.nowMicros, id);
     }
-    assertTrue(tries > 0, "a cold member is tried");
+    assertTrue(tries > 0, "a warming endpoint is tried");
   }
 
   @Test
