--- a/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void tenantsLiveOnDifferentLoopsAndEachIsServed() throws Exception {
+  void servesTenantsOnDifferentLoops() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     start(three(replicaSet));
     List<Integer> loops = new ArrayList<>();
@@ -61,7 +61,7 @@
    * other loop.
    */
   @Test
-  void whatFollowsTheStartupAtOnceIsNotLostInTheHandOver() throws Exception {
+  void keepsRequestSentWithStartupInHandOver() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     start(three(replicaSet));
     for (int i = 0; i < 150; i++) {
@@ -86,7 +86,7 @@
    * A startup cut at every byte, after a request for encryption whose refusal is still on its way.
    */
   @Test
-  void aStartupInPiecesIsHandedOver() throws Exception {
+  void handsOverStartupInPieces() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     start(three(replicaSet));
     byte[] startup = Message.startup("api", "c");
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void aKeyIsAskedForAndJudgedOnTheLoopWhereTheTenantLives() throws Exception {
+  void checksKeyOnLoopOfTenant() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     String key = ApiKeys.generate();
     ObjectNode[] tenants = three(replicaSet);
@@ -130,7 +130,7 @@
    * in again.
    */
   @Test
-  void placesOfConnectionsThatEndedElsewhereAreFreeAgain() throws Exception {
+  void freesPlacesOfConnectionsThatEndedOnAnotherLoop() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     start(three(replicaSet));
     byte[] startup = Message.startup("api", "c");
@@ -153,7 +153,7 @@
    * they wrote.
    */
   @Test
-  void aTenantThatWakesLeavesABusyLoop() throws Exception {
+  void movesWakingTenantOffBusyLoop() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     ObjectNode[] tenants = new ObjectNode[6];
     for (int i = 0; i < 6; i++) {
@@ -210,7 +210,7 @@
    * stop()).
    */
   @Test
-  void aDrainWaitsForTheRequestsOfAllLoops() throws Exception {
+  void drainAwaitsRequestsOfAllLoops() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 100);
     start(three(replicaSet));
     List<Client> clients = new ArrayList<>();
@@ -235,7 +235,7 @@
    * is none.
    */
   @Test
-  void removalMeetsHandOvers() throws Exception {
+  void removesTenantDuringHandOvers() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     start(three(replicaSet));
     CompletableFuture<Long> gone = new CompletableFuture<>();
--- a/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
@@ -198,7 +198,7 @@
    * nothing stays.
    */
   @Test
-  void aTenantRemovedWithRequestsInItAnswersEachOnceAndLeavesNothing() throws Exception {
+  void answersEachRequestOfRemovedTenantOnce() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     replicaSet.hosts().forEach(b -> b.setSilent(true));
     start(tenant("airport", replicaSet));
@@ -251,7 +251,7 @@
    * No box is known for its group, so the module holds it; the removal answers it, and only once.
    */
   @Test
-  void aRequestThatIsHeldIsRefusedAtTheRemoval() throws Exception {
+  void rejectsQueuedRequestAtRemoval() throws Exception {
     start(tenant("airport", boxes("s", 1, 1)));
     Client client = new Client("airport", null);
     assertEquals(List.of(), client.answers());
@@ -272,7 +272,7 @@
 
   /** What a tenant has taken may end within the grace, and is served as if nothing were. */
   @Test
-  void withinTheGraceWhatWasTakenIsServed() throws Exception {
+  void servesAdmittedRequestsWithinGracePeriod() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 200);
     start(tenant("airport", replicaSet).put("graceMs", 15_000));
     Client client = new Client("airport", null);
@@ -294,7 +294,7 @@
    * ever.
    */
   @Test
-  void aTenantWhoseBoxesAreSilentIsNotNoticedByAnother() throws Exception {
+  void isolatesTenantsFromSilentHostsOfAnother() throws Exception {
     EmulatedReplicaSet silent = boxes("s", 1, 1);
     silent.hosts().forEach(host -> host.setSilent(true));
     EmulatedReplicaSet well = boxes("w", 1, 1);
@@ -323,7 +323,7 @@
 
   /** Requests that meet a change which only a new module can take up are each answered once. */
   @Test
-  void aTenantWhoseClassesChangeUnderLoadLosesNothing() throws Exception {
+  void losesNothingWhenClassesChangeUnderLoad() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 2);
     start(tenant("airport", replicaSet).put("graceMs", 10_000));
     for (int round = 0; round < 20; round++) {
@@ -345,7 +345,7 @@
   }
 
   @Test
-  void anAdministratorsDrainStopsNewWorkWithTheChange() throws Exception {
+  void sendsNothingToHostAfterAdministratorDrainsIt() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 2, 1);
     start(tenant("airport", replicaSet));
     Client client = new Client("airport", null);
@@ -383,7 +383,7 @@
    * another's requests.
    */
   @Test
-  void nothingOfOneTenantServesAnother() throws Exception {
+  void sharesNothingBetweenTenants() throws Exception {
     EmulatedReplicaSet ours = boxes("s", 1, 1);
     EmulatedReplicaSet theirs = boxes("s", 1, 1);
     start(tenant("one", ours), mirrored("other", theirs));
@@ -409,7 +409,7 @@
    * same name.
    */
   @Test
-  void aTenantMadeAnewServesNobodyOfTheOldOne() throws Exception {
+  void servesNoClientOfRemovedTenantAfterRecreation() throws Exception {
     EmulatedReplicaSet before = boxes("s", 1, 20);
     EmulatedReplicaSet after = boxes("s", 1, 1);
     start(tenant("one", before).put("graceMs", 10_000));
@@ -446,7 +446,7 @@
 
   /** A wrong key, another tenant's key and a name that nobody has are told the same. */
   @Test
-  void keysAreOfOneTenantAlone() throws Exception {
+  void acceptsKeysOfOneTenantOnly() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 0, 1);
     String ours = ApiKeys.generate();
     String theirs = ApiKeys.generate();
@@ -485,7 +485,7 @@
 
   /** 2,000 tenants at rest hold no timer and no connection. */
   @Test
-  void tenantsThatRestCostNoTimerAndNoConnection() throws Exception {
+  void keepsNoTimerOrConnectionForSuspendedTenants() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
     ObjectNode[] tenants = new ObjectNode[2000];
     for (int i = 0; i < tenants.length; i++) {
--- a/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
@@ -32,7 +32,7 @@
    * compare.
    */
   @Test
-  void theSmokeExperimentKeepsItsClaimsAndIsTheSameTwice() throws Exception {
+  void repeatsSmokeExperimentWithTheSameResult() throws Exception {
     Experiment.Report report = VirtualExperiment.run(smoke(), directory.resolve("a"));
     assertTrue(report.claimsHold(), report.claims().toString());
     VirtualExperiment.run(smoke(), directory.resolve("b"));
@@ -53,7 +53,7 @@
    * played.
    */
   @Test
-  void aStoppedExperimentGoesOnWhereItWas() throws Exception {
+  void resumesStoppedExperiment() throws Exception {
     ObjectNode file = smoke();
     ((ObjectNode) file.path("base")).put("seconds", 2).put("perSecond", 100);
     file.put("seeds", 2).putArray("claims");
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void aClaimThatDoesNotHoldIsSaid() throws Exception {
+  void reportsClaimThatDoesNotHold() throws Exception {
     ObjectNode file = smoke();
     JsonNode calm = file.path("levels").path(0);
     file.putArray("levels").add(calm);
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aFaultThatDoesNotExistIsNamed() throws Exception {
+  void rejectsUnknownFault() throws Exception {
     JsonNode scenario = TenantSpecCodec.parse("{\"faults\": [{\"kind\": \"FLOOD\"}]}".getBytes());
     SpecException e =
         assertThrows(SpecException.class, () -> VirtualExperiment.scenario(scenario, "/levels/0"));
@@ -95,7 +95,7 @@
 
   /** Figures far apart differ beyond chance, and the interval of a mean lies around it. */
   @Test
-  void intervalsTellChanceFromDifference() {
+  void tellsDifferenceFromChance() {
     double[] low = {0.50, 0.52, 0.48, 0.51, 0.49};
     double[] high = {0.90, 0.91, 0.89, 0.92, 0.88};
     BootstrapInterval.Interval mean = BootstrapInterval.mean(low);
--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
@@ -20,7 +20,7 @@
   @TempDir private Path directory;
 
   @Test
-  void stagesStayAdjacentWhileOwnersDieAndGatewaysAreCutOffStoppedAndRestarted() throws Exception {
+  void keepsStagesAdjacentWhileLeadersAndGatewaysFail() throws Exception {
     try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
       for (int i = 0; i < 5; i++) {
         harness.add(LEASE_MS);
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void anEngineThatGarblesOrHasNoLeaderLeavesAllInTheSafeStageAndNothingIsLost() throws Exception {
+  void fallsBackToSafeStageWhileStoreFails() throws Exception {
     try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
       FaultInjectionHarness.GatewayProcess one = harness.add(LEASE_MS);
       FaultInjectionHarness.GatewayProcess two = harness.add(LEASE_MS);
@@ -94,7 +94,7 @@
    * caught.
    */
   @Test
-  void aGatewayThatTrustsItsLeaseForTooLongIsCaught() throws Exception {
+  void detectsGatewayThatTrustsItsLeaseTooLong() throws Exception {
     try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
       FaultInjectionHarness.GatewayProcess first = harness.add(LEASE_MS);
       harness.add(LEASE_MS);
--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void neighboursAndLapsedLeasesAreWell() throws IOException {
+  void acceptsAdjacentStagesAndLapsedLeases() throws IOException {
     assertTrue(
         broken(
                 List.of(force("a", 0, 1, 0, 100)),
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void twoStagesApartAreNot() throws IOException {
+  void rejectsStagesTwoApart() throws IOException {
     assertEquals(
         1,
         broken(
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aProcessThatStopsWritingCountsToTheEndOfItsLease() throws IOException {
+  void countsSilentProcessToTheEndOfItsLease() throws IOException {
     assertEquals(
         1,
         broken(
@@ -57,13 +57,13 @@
   }
 
   @Test
-  void twoOwnersOfAnEpochAndTwoStepsAtOnceAreNot() throws IOException {
+  void rejectsTwoLeadersOfEpochAndTwoStepsAtOnce() throws IOException {
     assertEquals(1, broken(List.of(move("a", 0, 2, 1)), List.of(move("b", 0, 2, 1))).size());
     assertEquals(1, broken(List.of(move("a", 0, 2, 1)), List.of(move("b", 0, 3, 3))).size());
   }
 
   @Test
-  void oneEpochIsOneStage() throws IOException {
+  void rejectsTwoStagesInOneEpoch() throws IOException {
     assertEquals(
         1, broken(List.of(force("a", 0, 2, 1, 100)), List.of(force("b", 0, 2, 0, 100))).size());
   }
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -119,7 +119,7 @@
 
   @ParameterizedTest
   @EnumSource(ArrivalSchedule.Pattern.class)
-  void everyPatternComesAtItsMeanRateAndInOrder(ArrivalSchedule.Pattern pattern) {
+  void keepsMeanRateAndOrderOfEveryPattern(ArrivalSchedule.Pattern pattern) {
     ArrivalSchedule arrivals =
         new ArrivalSchedule(pattern, 500, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
     long last = 0;
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void burstsBringHalfOfAllInATwentiethOfTheTime() {
+  void bringsHalfOfRequestsInBursts() {
     ArrivalSchedule arrivals =
         new ArrivalSchedule(
             ArrivalSchedule.Pattern.BURSTS, 1000, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void allIsServedWhereThereIsRoomWhateverClientsDo() {
+  void servesAllWithinCapacityWhateverClientsDo() {
     LoadResult result = play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
     assertTrue(
         result.total.due > 1_000 && result.total.hungUp > 10,
@@ -161,7 +161,7 @@
    * or lost.
    */
   @Test
-  void whatWaitsForAConnectionIsLateByThat() {
+  void countsWaitForConnectionAsLatency() {
     serverTakes = 20_000;
     LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
     assertTrue(result.waitedCount > 500, "waited " + result.waitedCount);
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void whatIsRefusedComesBackWhenItWasToldAndEndsOnce() {
+  void retriesRejectedRequestsAfterRetryAfter() {
     code = "53300";
     LoadResult never = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(never.total.due, never.total.rejected);
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void anErrorThatIsNoRefusalIsAFailure() {
+  void countsOtherErrorsAsFailures() {
     code = "40003";
     LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(result.total.due, result.total.failed);
--- a/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
+++ b/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
@@ -26,7 +26,7 @@
   private static final long BOUND = 14 * SECOND;
 
   @Test
-  void aHundredGatewaysKeepEveryClaim() {
+  void keepsEveryClaimWithHundredGateways() {
     assertEquals(
         0,
         new CommandLine(new FleetScale())
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void drawnFaultsBreakNothing() {
+  void keepsHistoriesConsistentUnderDrawnFaults() {
     assertEquals(
         0,
         new CommandLine(new DistributionExplore())
@@ -59,8 +59,7 @@
 
   /** The administration of one gateway, the clients of another. */
   @Test
-  void aTenantIsMadeChangedAndRemovedAtOneGatewayAndServedAtAnother(@TempDir Path directory)
-      throws Exception {
+  void servesTenantThatAnotherGatewayAdministers(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 5, 3, 1, 1, 2, 0, 1);
     try (ScaledFleet fleet = new ScaledFleet(directory, size)) {
       fleet.start();
@@ -108,7 +107,7 @@
 
   /** It was given up as silent after 2.1 s, and begun anew, for ever. */
   @Test
-  void aSnapshotThatTakesLongerThanASilenceArrives(@TempDir Path directory) throws Exception {
+  void deliversSnapshotSlowerThanSilenceTimeout(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 2500, 3, 1, 1, 0, 0, 1);
     List<FaultProxy> relays = new ArrayList<>();
     ScaledFleet.AddressTranslator slow =
@@ -146,7 +145,7 @@
   }
 
   @Test
-  void theCheckerSeesWhatIsLateLostOrSteppedBack() {
+  void detectsLateLostAndSteppedBackChanges() {
     List<Acknowledged> changes = List.of(change(1, SECOND), change(2, 2 * SECOND));
     assertEquals(List.of(), judged(List.of(), changes, "1100000 g n 1 1", "2100000 g n 1 2"));
     assertEquals(
@@ -169,7 +168,7 @@
   }
 
   @Test
-  void aCutMovesTheBoundToItsEndForItsZoneAlone() {
+  void extendsBoundByCutForItsZoneAlone() {
     List<Acknowledged> changes = List.of(change(1, SECOND));
     Cut own = new Cut("z0", SECOND / 2, 20 * SECOND);
     Cut other = new Cut("z1", SECOND / 2, 20 * SECOND);
@@ -179,7 +178,7 @@
   }
 
   @Test
-  void whatWasRemovedHasToGo() {
+  void requiresRemovedRecordsToGo() {
     Acknowledged removal = new Acknowledged("n", new Version(1, 2), true, 2 * SECOND);
     assertEquals(
         List.of(),
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void theSameSeedGivesTheSameRunInTwoProcesses() throws Exception {
+  void repeatsRunOfSeedInAnotherProcess() throws Exception {
     List<String> here = hashes();
     assertEquals(here, hashes(), "in one process");
     Process child =
@@ -58,7 +58,7 @@
 
   /** Among them each that has shown a fault of the gateway or of the lab, and what it was. */
   @Test
-  void everyRuleIsKeptOnTheFixedSeeds() {
+  void keepsEveryRuleOnFixedSeeds() {
     LongStream.rangeClosed(1, 60)
         .parallel()
         .forEach(
@@ -73,7 +73,7 @@
    * A fault that one of five faults of the day brings out is cut down to that one and a short run.
    */
   @Test
-  void aFailingSeedIsCutDown() {
+  void shrinksFailingSeed() {
     long seed =
         LongStream.range(1, 500)
             .filter(
@@ -141,7 +141,7 @@
 
   /** Three gateways, eight boxes and 1,500 requests a second, many at once when a crowd comes. */
   @Test
-  void aQuietDayIsServedWhole() {
+  void servesEverythingOnQuietDay() {
     FleetSimulation.Result result =
         FleetSimulation.run(day(3, 1500, ReplicaSetParameters.Check.WAIT, false));
     assertEquals(List.of(), result.violations());
@@ -154,7 +154,7 @@
    * no one's.
    */
   @Test
-  void aPrimaryThatTakesItsLogsEndAlongBreaksNoRule() {
+  void keepsRulesWhenPrimaryLosesItsLogTail() {
     FleetSimulation.Result result =
         FleetSimulation.run(
             day(
@@ -169,7 +169,7 @@
 
   /** A clock that steps 20 ms either way under load, twice. */
   @Test
-  void clocksThatStepBreakNoRule() {
+  void keepsRulesWhenClocksStep() {
     FleetSimulation.Result result =
         FleetSimulation.run(
             day(
@@ -189,7 +189,7 @@
    * over.
    */
   @Test
-  void gatewaysThatDoNotKnowOfEachOtherDoNotPushAColdBoxOver() {
+  void doesNotOverloadWarmingHostFromIndependentGateways() {
     ReplicaSetParameters parameters =
         new ReplicaSetParameters(
             4,
@@ -237,7 +237,7 @@
    * thousand together.
    */
   @Test
-  void aThousandConnectionsAtOnceBreakNoRule() {
+  void keepsRulesWithThousandConnectionsAtOnce() {
     Fault[] bursts = new Fault[8];
     for (int i = 0; i < bursts.length; i++) {
       bursts[i] = new Fault(2 * SECOND, FaultKind.BURST, i, SECOND);
@@ -253,7 +253,7 @@
    * twice done.
    */
   @Test
-  void aWriteWhoseAnswerIsLostIsNotDoneTwice() {
+  void doesNotRepeatWriteWhoseAnswerIsLost() {
     Fault[] resets = new Fault[12];
     for (int i = 0; i < resets.length; i++) {
       resets[i] =
@@ -274,7 +274,7 @@
    * never stopped.
    */
   @Test
-  void clientsThatKeepToNoProtocolLeaveNothingBehind() {
+  void releasesEverythingOfMisbehavingClients() {
     Fault[] rude = new Fault[40];
     for (int i = 0; i < rude.length; i++) {
       rude[i] = new Fault(SECOND + i * SECOND / 8, FaultKind.GARBAGE, i, SECOND);
@@ -290,7 +290,7 @@
    * still served.
    */
   @Test
-  void fiveThousandIdleConnectionsAtOnceBreakNoRule() {
+  void keepsRulesWithFiveThousandIdleConnections() {
     Fault[] crowds = new Fault[5];
     for (int i = 0; i < crowds.length; i++) {
       crowds[i] = new Fault(2 * SECOND, FaultKind.IDLE_CROWD, i, SECOND);
@@ -303,7 +303,7 @@
 
   /** SIGHUP with another address of discovery, again and again, under load and broken watches. */
   @Test
-  void reloadsUnderLoadBreakNoRule() {
+  void keepsRulesWhenReloadedUnderLoad() {
     Fault[] reloads = new Fault[30];
     for (int i = 0; i < reloads.length; i++) {
       reloads[i] =
@@ -341,7 +341,7 @@
    * had gone.
    */
   @Test
-  void aHostedGatewayStopsWithIdleClientsOnEveryLoop() {
+  void stopsMultiTenantGatewayWithIdleClientsOnEveryLoop() {
     FleetSimulation.Result result =
         FleetSimulation.run(
             hosted(
@@ -357,7 +357,7 @@
    * clients.
    */
   @Test
-  void administrationUnderLoadBreaksNoRule() {
+  void keepsRulesWhenAdministeredUnderLoad() {
     FaultKind[] kinds = {
       FaultKind.REMOVE_TENANT,
       FaultKind.CHANGE_TENANT,
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void gatewaysThatKnowTheirNumberCostTheirHostsLessThanHalfOfWhatTheyWouldAlone() {
+  void halvesCostForHostsWhenGatewaysKnowTheirNumber() {
     Cost together = cost(day(), FleetSimulation.GatewayParts::unmodified);
     Cost alone = cost(day(), FleetSizeSimulationTest::alone);
     assertEquals(List.of(), together.result().violations());
@@ -146,7 +146,7 @@
 
   /** Hosts that restart cold, one of them a primary, while a fifth of the gateways are killed. */
   @Test
-  void hostsAndGatewaysThatRestartBreakNoRule() {
+  void keepsRulesWhenHostsAndGatewaysRestart() {
     Fault[] faults = new Fault[23];
     for (int i = 0; i < 20; i++) {
       faults[i] = new Fault(3 * SECOND, FaultKind.KILL_GATEWAY, i * 5, SECOND);
--- a/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -98,7 +98,7 @@
    * Plays a day on the whole gateway and on a broken one: only the broken one is caught, by this
    * rule.
    */
-  private static void caught(
+  private static void assertDetected(
       Rule rule, Scenario scenario, Function<FleetSimulation.GatewayParts, Gateway> broken) {
     assertEquals(
         List.of(), FleetSimulation.run(scenario).violations(), "the whole gateway on the same day");
@@ -108,7 +108,7 @@
         rule + " was not caught: " + found);
   }
 
-  private static Gateway told(
+  private static Gateway withSettings(
       FleetSimulation.GatewayParts start, UnaryOperator<RoutingSettings> change) {
     GatewayConfig config = start.config();
     return start.withConfig(
@@ -192,13 +192,13 @@
   }
 
   @Test
-  void readsFromCopiesThatAreTooOld() {
+  void detectsReadsFromStaleReplicas() {
     // Writes come faster than a replica can apply them.
-    caught(
+    assertDetected(
         Rule.FRESH,
         scenario(ReplicaSetParameters.Check.SILENT, 4, 12_000, 500),
         parts ->
-            told(
+            withSettings(
                 parts,
                 settings ->
                     types(
@@ -215,12 +215,12 @@
   }
 
   @Test
-  void currentReadsFromReplicas() {
-    caught(
+  void detectsStrongReadsFromReplicas() {
+    assertDetected(
         Rule.FRESH,
         scenario(ReplicaSetParameters.Check.SILENT, 100),
         parts ->
-            told(
+            withSettings(
                 parts,
                 settings ->
                     types(
@@ -237,12 +237,12 @@
   }
 
   @Test
-  void sessionsThatDoNotSeeTheirWrites() {
-    caught(
+  void detectsSessionsThatMissTheirWrites() {
+    assertDetected(
         Rule.OWN_WRITES,
         scenario(ReplicaSetParameters.Check.SILENT, 300),
         parts ->
-            told(
+            withSettings(
                 parts,
                 settings ->
                     types(
@@ -264,16 +264,16 @@
   }
 
   @Test
-  void carriedMarksThatAreNotRead() {
-    caught(
+  void detectsIgnoredCarriedPositions() {
+    assertDetected(
         Rule.OWN_WRITES,
         carrying(ReplicaSetParameters.Check.SILENT, 300),
         parts -> tampered(parts, null, null, ",after=", ",aftex="));
   }
 
   @Test
-  void pushedListsThatNobodyWatches() {
-    caught(
+  void detectsUnwatchedPushedLists() {
+    assertDetected(
         Rule.DRAIN,
         carrying(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
         parts -> {
@@ -292,8 +292,8 @@
   }
 
   @Test
-  void workForABoxThatDrains() {
-    caught(
+  void detectsWorkForDrainingHost() {
+    assertDetected(
         Rule.DRAIN,
         scenario(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
         parts -> {
@@ -304,13 +304,13 @@
   }
 
   @Test
-  void aColdBoxThatIsPushedOver() {
+  void detectsOverloadOfWarmingHost() {
     Fault[] faults = {fault(1, FaultKind.KILL_BOX, 1, 0.2)};
-    caught(
+    assertDetected(
         Rule.COLD,
         scenario(ReplicaSetParameters.Check.WAIT, 0.6, 900, faults),
         parts ->
-            told(
+            withSettings(
                 parts,
                 settings ->
                     with(
@@ -330,17 +330,17 @@
   }
 
   @Test
-  void writesThatRunOnceSentAgain() {
+  void detectsRepeatedNonIdempotentWrites() {
     Fault[] faults = {
       fault(2, FaultKind.RESET_BOX, 0, 1),
       fault(3, FaultKind.RESET_BOX, 0, 1),
       fault(4, FaultKind.SPOIL_BOX, 0, 4)
     };
-    caught(
+    assertDetected(
         Rule.CLASS_PERMITS,
         scenario(ReplicaSetParameters.Check.WAIT, 500, faults),
         parts ->
-            told(
+            withSettings(
                 parts,
                 settings ->
                     types(
@@ -349,7 +349,7 @@
                             requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
                                 ? as(requestClass, Idempotency.IDEMPOTENT, 0, Consistency.WRITE, 0)
                                 : requestClass)));
-    caught(
+    assertDetected(
         Rule.NO_DOUBLE_EFFECT,
         scenario(ReplicaSetParameters.Check.WAIT, 500, faults),
         parts -> {
@@ -371,7 +371,7 @@
   }
 
   @Test
-  void keyedWritesSentPastTheirWindow() {
+  void detectsKeyedWritesPastTheirWindow() {
     // The primary dies with writes in it. The next one must be there after their window and before
     // their clients
     // give up, which not every seed gives.
@@ -380,7 +380,7 @@
     };
     Function<FleetSimulation.GatewayParts, Gateway> broken =
         parts ->
-            told(
+            withSettings(
                 parts,
                 settings ->
                     types(
@@ -409,10 +409,10 @@
   }
 
   @Test
-  void twoAttemptsOut() {
+  void detectsTwoAttemptsOut() {
     // The gateway closes nothing that it gives up: here, what it writes at the end of a connection
     // is kept back.
-    caught(
+    assertDetected(
         Rule.ONE_ATTEMPT_OUT,
         scenario(ReplicaSetParameters.Check.WAIT, 500, fault(2, FaultKind.SLOW_BOX, 16, 4)),
         parts -> {
@@ -422,32 +422,32 @@
   }
 
   @Test
-  void answersThatAreNotTheRequests() {
-    caught(
+  void detectsAnswersToOtherRequests() {
+    assertDetected(
         Rule.RIGHT_VALUE,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         parts -> tampered(parts, null, null, "r1", "r2"));
   }
 
   @Test
-  void writesThatNeverRanAndWereToldServed() {
-    caught(
+  void detectsServedWritesWithoutEffect() {
+    assertDetected(
         Rule.NOTHING_LOST,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         parts -> tampered(parts, "c=map-write,", "c=map-read, ", null, null));
   }
 
   @Test
-  void writesThatRanAndWereToldUntouched() {
-    caught(
+  void detectsRejectedWritesThatRan() {
+    assertDetected(
         Rule.TRUE_REFUSAL,
         scenario(ReplicaSetParameters.Check.WAIT, 500, fault(2, FaultKind.SPOIL_BOX, 0, 4)),
         parts -> tampered(parts, "C40003", "C53300", null, null));
   }
 
   @Test
-  void requestsWithoutAnAnswer() {
-    caught(
+  void detectsRequestsWithoutAnswer() {
+    assertDetected(
         Rule.ONE_ANSWER,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         parts -> {
@@ -465,8 +465,8 @@
   }
 
   @Test
-  void requestsAnsweredTwice() {
-    caught(
+  void detectsRequestsAnsweredTwice() {
+    assertDetected(
         Rule.ONE_ANSWER,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         parts -> {
@@ -483,17 +483,17 @@
   }
 
   @Test
-  void answersThatComeTooLate() {
+  void detectsAnswersAfterDeadline() {
     // It takes its clients for more patient than they are.
-    caught(
+    assertDetected(
         Rule.IN_TIME,
         scenario(ReplicaSetParameters.Check.WAIT, 300, fault(2, FaultKind.VANISH_BOX, 0, 9)),
         parts -> tampered(parts, null, null, ",d=3000,", ",d=3085,"));
   }
 
   @Test
-  void whatIsLeftAtTheEnd() {
-    caught(
+  void detectsResourcesLeftAtTheEnd() {
+    assertDetected(
         Rule.NOTHING_LEFT,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         parts -> {
@@ -503,8 +503,8 @@
   }
 
   @Test
-  void faultsInATurn() {
-    caught(
+  void detectsFaultsOfEventLoop() {
+    assertDetected(
         Rule.NO_FAULT,
         scenario(ReplicaSetParameters.Check.WAIT, 100),
         parts -> {
