--- a/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
+++ b/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
@@ -11,9 +11,6 @@
 import java.nio.channels.SocketChannel;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
@@ -31,6 +28,9 @@
  */
 public final class SocketTransport implements Transport, Clock, AutoCloseable {
 
+  private static final int STACK_BYTES = 256 * 1024;
+  private static final long LONGEST_LATENESS_MICROS = 60_000_000;
+  private static final int LATENESS_DIGITS = 3;
   private static final int BACKLOG = 4096;
   private static final int READ_BUFFER_BYTES = 16 * 1024;
   private static final long FAILURE_CHECK_MILLIS = 100;
@@ -43,14 +43,15 @@
   private final Selector selector;
   private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
   private final Thread thread;
-  private final Histogram latenessMicros = new ConcurrentHistogram(60_000_000L, 3);
+  private final Histogram latenessMicros =
+      new ConcurrentHistogram(LONGEST_LATENESS_MICROS, LATENESS_DIGITS);
   private volatile boolean closed;
   private volatile RuntimeException failure;
 
   /** Its thread is a daemon, which ends with {@link #close}. */
   public SocketTransport(String name) throws IOException {
     selector = Selector.open();
-    thread = new Thread(null, this::run, name, 256 * 1024);
+    thread = new Thread(null, this::run, name, STACK_BYTES);
     thread.setDaemon(true);
     thread.start();
   }
@@ -96,11 +97,6 @@
     }
   }
 
-  private interface ReadyHandler {
-
-    void ready(SelectionKey key);
-  }
-
   /** Runs a task on its thread, soon. Any thread may call. */
   public void post(Runnable task) {
     posted.add(task);
@@ -145,7 +141,7 @@
   @Override
   public TransportConnection connect(
       InetSocketAddress address, TransportConnection.Listener listener) {
-    SocketConnection connection = new SocketConnection(listener);
+    SocketConnection connection = new SocketConnection(listener, readBuffer, posted::add);
     try {
       connection.channel = SocketChannel.open();
       connection.channel.configureBlocking(false);
@@ -198,7 +194,7 @@
           channel = listener.accept()) {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        SocketConnection connection = new SocketConnection(null);
+        SocketConnection connection = new SocketConnection(null, readBuffer, posted::add);
         connection.channel = channel;
         connection.key = channel.register(selector, 0, connection);
         connection.listener = accept.apply(connection);
@@ -227,220 +223,11 @@
     }
   }
 
-  private static void closeQuietly(AutoCloseable channel) {
+  static void closeQuietly(AutoCloseable channel) {
     try {
       channel.close();
     } catch (Exception e) {
       // It is closed or breaks either way.
     }
   }
-
-  private final class SocketConnection implements TransportConnection, ReadyHandler {
-
-    private SocketChannel channel;
-    private SelectionKey key;
-    private Listener listener;
-    private final List<byte[]> received = new ArrayList<>();
-    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
-    private int receivedBytes;
-    private int firstPieceOffset; // of the first piece, what has been read
-    private int unsentBytes;
-    private boolean connected;
-    private boolean ended;
-    private boolean broken;
-    private boolean closing;
-    private boolean closed;
-
-    SocketConnection(Listener listener) {
-      this.listener = listener;
-    }
-
-    private void connected() {
-      connected = true;
-      updateInterest();
-      listener.connected();
-    }
-
-    private void failedToConnect() {
-      if (!closed) {
-        closeChannel();
-        listener.refused();
-      }
-    }
-
-    private void updateInterest() {
-      if (!closed && key.isValid()) {
-        key.interestOps(
-            (ended || broken || receivedBytes >= WINDOW ? 0 : SelectionKey.OP_READ)
-                | (unsent.isEmpty() ? 0 : SelectionKey.OP_WRITE));
-      }
-    }
-
-    @Override
-    public void ready(SelectionKey ready) {
-      if (closed) {
-        return;
-      }
-      if (!connected) {
-        try {
-          channel.finishConnect();
-        } catch (IOException e) {
-          failedToConnect();
-          return;
-        }
-        connected();
-        return;
-      }
-      int ops = ready.readyOps();
-      if ((ops & SelectionKey.OP_WRITE) != 0) {
-        flush();
-        if (!closed && !closing) {
-          listener.writable();
-        }
-      }
-      if (!closed && (ops & SelectionKey.OP_READ) != 0) {
-        receive();
-      }
-    }
-
-    private void receive() {
-      try {
-        readBuffer.clear();
-        int count = channel.read(readBuffer);
-        if (count < 0) {
-          ended = true;
-        } else if (count > 0) {
-          byte[] piece = new byte[count];
-          readBuffer.flip().get(piece);
-          received.add(piece);
-          receivedBytes += count;
-        }
-      } catch (IOException e) {
-        broken = true;
-      }
-      updateInterest();
-      if (closing) {
-        received.clear(); // nobody reads any more
-        receivedBytes = 0;
-        if (broken) {
-          closeChannel();
-        }
-      } else {
-        listener.readable();
-      }
-    }
-
-    @Override
-    public boolean isConnected() {
-      return connected;
-    }
-
-    @Override
-    public int writableBytes() {
-      return connected && !closed ? Math.max(0, WINDOW - unsentBytes) : 0;
-    }
-
-    @Override
-    public void write(byte[] bytes) {
-      if (closed || closing) {
-        return;
-      }
-      unsentBytes += bytes.length;
-      unsent.add(ByteBuffer.wrap(bytes));
-      flush();
-    }
-
-    private void flush() {
-      try {
-        while (!unsent.isEmpty()) {
-          unsentBytes -= channel.write(unsent.peek());
-          if (unsent.peek().hasRemaining()) {
-            break;
-          }
-          unsent.poll();
-        }
-      } catch (IOException e) {
-        unsent.clear();
-        unsentBytes = 0;
-        broken = true;
-        if (!closing) {
-          posted.add(
-              () -> {
-                if (!closed) {
-                  listener.readable();
-                }
-              });
-        }
-      }
-      if (closing && unsent.isEmpty()) {
-        closeChannel();
-      } else {
-        updateInterest();
-      }
-    }
-
-    @Override
-    public int readableBytes() {
-      return receivedBytes;
-    }
-
-    @Override
-    public int read(ByteBuffer target, int most) {
-      int count = 0;
-      while (!received.isEmpty() && target.hasRemaining() && count < most) {
-        byte[] first = received.get(0);
-        int take =
-            Math.min(Math.min(first.length - firstPieceOffset, target.remaining()), most - count);
-        target.put(first, firstPieceOffset, take);
-        count += take;
-        firstPieceOffset += take;
-        if (firstPieceOffset == first.length) {
-          received.remove(0);
-          firstPieceOffset = 0;
-        }
-      }
-      receivedBytes -= count;
-      updateInterest();
-      return count;
-    }
-
-    @Override
-    public boolean atEnd() {
-      return ended && receivedBytes == 0;
-    }
-
-    @Override
-    public boolean isReset() {
-      return broken;
-    }
-
-    @Override
-    public void close() {
-      closing = true;
-      if (unsent.isEmpty() || broken) {
-        closeChannel();
-      }
-    }
-
-    @Override
-    public void reset() {
-      if (!closed && channel != null) {
-        try {
-          channel.setOption(StandardSocketOptions.SO_LINGER, 0);
-        } catch (IOException e) {
-          // It is closed already.
-        }
-      }
-      closeChannel();
-    }
-
-    private void closeChannel() {
-      if (!closed) {
-        closed = true;
-        if (channel != null) {
-          closeQuietly(channel);
-        }
-      }
-    }
-  }
 }
