--- a/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
+++ b/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
@@ -22,6 +22,7 @@
  */
 public final class DiscoveryEmulator {
 
+  private static final String FROM_PARAMETER = "from=";
   private static final long PING_MICROS = 2_000_000;
 
   /** A line of the list as it is told. */
@@ -93,6 +94,7 @@
     watches.clear();
   }
 
+  /** Refuses connections, and breaks those that are open, until it is up again. */
   public void setDown(boolean enabled) {
     down = enabled;
     if (enabled) {
@@ -144,7 +146,7 @@
         return;
       }
       bytes.position(bytes.limit());
-      int from = text.indexOf("from=");
+      int from = text.indexOf(FROM_PARAMETER);
       if (from < 0) {
         byte[] body = currentList().toString().getBytes(US_ASCII);
         send(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(US_ASCII));
@@ -154,7 +156,8 @@
         return;
       }
       send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(US_ASCII));
-      long known = Long.parseLong(text.substring(from + 5, text.indexOf(' ', from)));
+      long known =
+          Long.parseLong(text.substring(from + FROM_PARAMETER.length(), text.indexOf(' ', from)));
       watches.add(this);
       if (known == 0 || known > revision) {
         sendUpdate(List.copyOf(lines.values()), true);
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
@@ -18,10 +18,19 @@
 /** A box's side of a connection, on PostgreSQL's wire as far as the gateway speaks it. */
 public final class EmulatedHostConnection extends ConnectionHandler {
 
+  private static final long MICROS_PER_MILLI = 1_000;
+
+  /** A row whose length does not fit what follows. */
+  private static final byte[] MALFORMED_ROW = {'D', 0x7f, 1, 2, 3, 4, 5, 6};
+
+  /** One column named v; nothing else of it is looked at. */
+  private static final byte[] ROW_DESCRIPTION = ("\0\1v\0" + "\0".repeat(18)).getBytes(ISO_8859_1);
+
   private final HostEnvironment environment;
   private final ReplicaSetModel.Host host;
   private boolean started;
 
+  /** Serves a connection that was accepted for a host. */
   public EmulatedHostConnection(
       HostEnvironment environment, ReplicaSetModel.Host host, TransportConnection accepted) {
     this.environment = environment;
@@ -91,7 +100,7 @@
       return;
     }
     if (environment.corruptsAnswer(host)) {
-      send(new byte[] {'D', 0x7f, 1, 2, 3, 4, 5, 6});
+      send(MALFORMED_ROW);
       return;
     }
     reportRole(answer.primary());
@@ -111,7 +120,9 @@
     // A commit is told rounded up, a copy's position rounded down: neither may look better than it
     // is.
     long told =
-        query.write() ? (answer.positionMicros() + 999) / 1000 : answer.positionMicros() / 1000;
+        query.write()
+            ? (answer.positionMicros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI
+            : answer.positionMicros() / MICROS_PER_MILLI;
     if (query.write() || environment.sendsPositions()) {
       send(Message.parameterStatus("commit_clock", Long.toString(told)));
     }
@@ -131,12 +142,13 @@
 
   private void sendRow(String value, String tag) {
     byte[] text = value.getBytes(ISO_8859_1);
-    byte[] body = new byte[6 + text.length];
-    body[1] = 1;
-    body[4] = (byte) (text.length >> 8);
-    body[5] = (byte) text.length;
-    System.arraycopy(text, 0, body, 6, text.length);
-    send(new Message('T', ("\0\1v\0" + "\0".repeat(18)).getBytes(ISO_8859_1)).bytes());
+    byte[] body =
+        ByteBuffer.allocate(Short.BYTES + Integer.BYTES + text.length)
+            .putShort((short) 1) // columns
+            .putInt(text.length)
+            .put(text)
+            .array();
+    send(new Message('T', ROW_DESCRIPTION).bytes());
     send(new Message('D', body).bytes());
     send(new Message('C', (tag + "\0").getBytes(ISO_8859_1)).bytes());
     send(Message.readyForQuery());
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
@@ -31,6 +31,9 @@
  */
 public final class EmulatedReplicaSet implements AutoCloseable {
 
+  private static final long ELECTION_MICROS = 1_000_000;
+  private static final long HAND_OVER_MICROS = 500_000;
+  private static final double LATENESS_PERCENTILE = 99;
   private static final int DEFAULT_WAIT_MILLIS = 60_000;
   private static final int UNBOUNDED = 1 << 20;
 
@@ -210,8 +213,8 @@
         0,
         1,
         1,
-        1_000_000,
-        500_000,
+        ELECTION_MICROS,
+        HAND_OVER_MICROS,
         0,
         ReplicaSetParameters.Check.SILENT,
         0,
@@ -246,7 +249,7 @@
 
   /** How late its work was done because this machine was slow, in microseconds, 99 of 100 times. */
   public long latenessMicros() {
-    return transport.latenessMicros().getValueAtPercentile(99);
+    return transport.latenessMicros().getValueAtPercentile(LATENESS_PERCENTILE);
   }
 
   private void runOnTransport(Runnable task) {
@@ -332,7 +335,7 @@
     @Override
     public void applied(ReplicaSetModel.Host host, Effect effect, Query query, boolean repeated) {
       if (!repeated) {
-        effects.computeIfAbsent(effect.key(), k -> new AtomicLong()).incrementAndGet();
+        effects.computeIfAbsent(effect.key(), key -> new AtomicLong()).incrementAndGet();
       }
     }
 
--- a/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
@@ -62,6 +62,7 @@
     writable();
   }
 
+  /** Ends it at once, with a reset for the peer. */
   public final void reset() {
     if (!closed) {
       closed = true;
--- a/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
@@ -200,7 +200,7 @@
   @Test
   void answersEachRequestOfRemovedTenantOnce() throws Exception {
     EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
-    replicaSet.hosts().forEach(b -> b.setSilent(true));
+    replicaSet.hosts().forEach(host -> host.setSilent(true));
     start(tenant("airport", replicaSet));
     int idle = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
     Client read = new Client("airport", null);
@@ -373,7 +373,7 @@
 
   private static Set<String> firstLetters(EmulatedReplicaSet replicaSet) {
     return replicaSet.effects().keySet().stream()
-        .map(k -> k.substring(0, 1))
+        .map(key -> key.substring(0, 1))
         .collect(Collectors.toSet());
   }
 
--- a/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
@@ -45,7 +45,8 @@
     }
     List<String> same = VirtualExperiment.compare(directory.resolve("a"), directory.resolve("b"));
     assertEquals(6, same.size());
-    assertTrue(same.stream().allMatch(l -> l.endsWith("no more than chance")), same.toString());
+    assertTrue(
+        same.stream().allMatch(line -> line.endsWith("no more than chance")), same.toString());
   }
 
   /**
@@ -88,9 +89,9 @@
   @Test
   void rejectsUnknownFault() throws Exception {
     JsonNode scenario = TenantSpecCodec.parse("{\"faults\": [{\"kind\": \"FLOOD\"}]}".getBytes());
-    SpecException e =
+    SpecException failure =
         assertThrows(SpecException.class, () -> VirtualExperiment.scenario(scenario, "/levels/0"));
-    assertEquals("/levels/0/faults/0/kind", e.pointer());
+    assertEquals("/levels/0/faults/0/kind", failure.pointer());
   }
 
   /** Figures far apart differ beyond chance, and the interval of a mean lies around it. */
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
@@ -77,9 +77,9 @@
     long seed =
         LongStream.range(1, 500)
             .filter(
-                s ->
-                    Scenario.draw(s).faults().size() >= 5
-                        && Scenario.draw(s).faults().stream()
+                candidate ->
+                    Scenario.draw(candidate).faults().size() >= 5
+                        && Scenario.draw(candidate).faults().stream()
                                 .filter(fault -> fault.kind() == FaultKind.KILL_BOX)
                                 .count()
                             == 1)
