--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -39,13 +39,13 @@
 import shelffront.routing.RouterActions;
 
 /**
- * One tenant while it runs: its decision module, boxes, sessions and requests. Joins the client
- * side, the server side and discovery to the module, and carries out what that asks. All on the
- * loop thread.
+ * One running tenant: passes the events of its clients, backend connections and discovery to its
+ * {@link Router}, and carries out the actions that the router decides on. Runs on the thread of the
+ * tenant's event loop.
  *
- * <p>A tenant without clients sleeps: it has no connection, no watch and no timer, and its module
- * sees no events. What the module knows of sessions' writes stays; of boxes it knows nothing when
- * it wakes, and learns it anew.
+ * <p>A tenant without clients is suspended: it has no connection, no watch and no timer, and its
+ * router gets no events. The router keeps the positions of the sessions' last writes; what it knew
+ * of endpoints is dropped, and learnt again once the tenant is resumed.
  */
 public final class Tenant
     implements RouterActions,
@@ -53,16 +53,16 @@
         BackendConnections.Listener,
         DiscoveryClient.Listener {
 
-  /** When a client that found no room here may come again. */
-  private static final long BUSY_WAIT = 200_000;
+  /** Least Retry-After of a request beyond the tenant's bound of open requests or of its rate. */
+  private static final long BUSY_RETRY_AFTER_MICROS = 200_000;
 
-  private static final long DRAIN_CHECK = 20_000;
+  private static final long DRAIN_CHECK_INTERVAL_MICROS = 20_000;
 
-  /** After a watch on a pushed list broke: its agent is near and answers at no cost. */
-  private static final long AGENT_PAUSE = 100_000;
+  /** Delay before a failed watch of a pushed list is started again; its agent is near. */
+  private static final long WATCH_RETRY_DELAY_MICROS = 100_000;
 
-  /** Without a client for so long, a tenant of a shared gateway falls asleep. */
-  private static final long SLEEP_AFTER = 30_000_000;
+  /** A tenant of a shared gateway is suspended after this time without a client. */
+  private static final long SUSPEND_AFTER_MICROS = 30_000_000;
 
   private enum State {
     SUSPENDED,
@@ -81,31 +81,48 @@
   private TenantSpec spec;
   private State state = State.SUSPENDED;
   private Router router;
-  private BackendConnections servers;
+  private BackendConnections backends;
   private DiscoveryClient discovery;
-  private EndpointList endpoints; // the list last heard, before what administrators drained
-  private long
-      suspendedTimerAtMicros; // the time of the module's timer that came while it slept; 0: none
-  private Deadline wake;
-  private Deadline sleep;
-  private Runnable whenGone;
-  private boolean left; // nothing of it remains
-  private boolean predecessor; // another module served this tenant's sessions, and still does
-  private long
-      predecessorEndedAtMicros; // writes before this time may have gone through another module
-  private final Map<String, ClientRequest> exchanges = new HashMap<>();
+  private EndpointList endpoints; // as last listed; does not show what administrators drained
+
+  /** When the router's timer is due, for a tenant that resumes; 0 where none is set. */
+  private long suspendedTimerAtMicros;
+
+  private Deadline routerTimer;
+  private Deadline suspendDeadline;
+  private Runnable onRemoved;
+  private boolean removalComplete;
+
+  /** Another router of this tenant still has open requests, which may write. */
+  private boolean predecessorActive;
+
+  /** Writes before this time may have been sent by another router; 0 where there was none. */
+  private long predecessorEndedAtMicros;
+
+  /** By id; those that are not answered yet, or have an attempt without an outcome. */
+  private final Map<String, ClientRequest> openRequests = new HashMap<>();
+
   private final Set<ClientHandle> clients = new LinkedHashSet<>();
 
-  /** The sockets are those for hosts; shares is null for one that has the gateway to itself. */
+  /**
+   * A suspended tenant.
+   *
+   * @param hostQuotas connections to hosts, shared by all tenants
+   * @param tenantQuotas null for the only tenant of a gateway
+   */
   public Tenant(
-      Network network, TenantSpec spec, long seed, ConnectionQuotas sockets, TenantQuotas shares) {
+      Network network,
+      TenantSpec spec,
+      long seed,
+      ConnectionQuotas hostQuotas,
+      TenantQuotas tenantQuotas) {
     this.network = network;
     this.loop = network.loop();
     this.spec = spec;
     this.seed = seed;
-    this.hostConnectionQuotas = sockets;
-    this.quotas = shares;
-    quota = shares == null ? null : shares.register(spec.weight(), spec.classWeights());
+    this.hostConnectionQuotas = hostQuotas;
+    this.quotas = tenantQuotas;
+    quota = tenantQuotas == null ? null : tenantQuotas.register(spec.weight(), spec.classWeights());
     rateLimit =
         new TokenBucket(spec.bounds().requestsPerSecond(), spec.bounds().burst(), loop.nowMicros());
   }
@@ -115,25 +132,24 @@
   }
 
   /**
-   * Another module has served this tenant: until its work is done, and for what it wrote, reads
-   * must be covered.
+   * Another router has served this tenant. Until {@link #predecessorEnded}, session reads must see
+   * all writes up to now, since that router may still send some.
    */
   void awaitPredecessor() {
-    predecessor = true;
+    predecessorActive = true;
   }
 
   void predecessorEnded() {
-    predecessor = false;
+    predecessorActive = false;
     predecessorEndedAtMicros = loop.nowMicros();
-    if (left) {
-      whenGone.run();
+    if (removalComplete) {
+      onRemoved.run();
     }
   }
 
-  // ---- Life
-  // --------------------------------------------------------------------------------
+  // Lifecycle
 
-  /** Starts the module with the list as last known, or wakes it. */
+  /** Starts the router with the list as last known, or resumes it; no effect while it runs. */
   public void start() {
     if (state != State.SUSPENDED) {
       return;
@@ -142,7 +158,7 @@
     boolean first = router == null;
     if (first) {
       router = new RoutingEngine(this);
-      servers =
+      backends =
           new BackendConnections(
               network,
               spec.settings().limits(),
@@ -157,172 +173,177 @@
                 network, spec.discoveryAddress(), spec.endpoints().revision(), this);
       }
       endpoints = spec.endpoints();
-      servers.updateEndpoints(endpoints);
+      backends.updateEndpoints(endpoints);
       router.onStart(loop.nowMicros(), seed, spec.settings());
-      listen();
-      // In a turn of its own: the first connections to hosts would else be late before the loop
-      // looks at them.
-      network.post(() -> told(EndpointUpdateKind.CACHED, endpoints));
+      watchPushedEndpoints();
+      // Posted as a task of its own, so that the time that the start took does not count against
+      // the deadlines of the first connections to hosts.
+      network.post(() -> updateRouterEndpoints(EndpointUpdateKind.CACHED, endpoints));
       return;
     }
     if (discovery != null) {
       discovery.watchFromStart();
     } else {
-      told(EndpointUpdateKind.SNAPSHOT, endpoints);
+      updateRouterEndpoints(EndpointUpdateKind.SNAPSHOT, endpoints);
     }
     if (suspendedTimerAtMicros != 0) {
       setTimer("wake", suspendedTimerAtMicros);
     }
   }
 
-  /** Gives back what a tenant without clients needs not. */
+  /** Releases connections, watch and timer; postponed while a request is open. */
   private void suspend() {
-    sleep = null;
-    if (!exchanges.isEmpty()) {
-      sleep =
-          loop.scheduleAt(
-              loop.nowMicros() + SLEEP_AFTER, this::suspend); // what is still out ends before long
+    suspendDeadline = null;
+    if (!openRequests.isEmpty()) {
+      suspendDeadline = loop.scheduleAt(loop.nowMicros() + SUSPEND_AFTER_MICROS, this::suspend);
       return;
     }
-    // What was known of boxes will be old by then; an empty list leaves the module its sessions'
-    // marks.
+    // An empty list makes the router forget its endpoints, and keep its sessions' positions.
     router.onEndpoints(
         loop.nowMicros(), EndpointUpdateKind.SNAPSHOT, endpoints.revision(), List.of());
     state = State.SUSPENDED;
     if (discovery != null) {
       discovery.watch(false);
     }
-    servers.closeAll(CloseReason.IDLE);
-    if (wake != null) {
-      wake.cancel();
-      wake = null;
+    backends.closeAll(CloseReason.IDLE);
+    if (routerTimer != null) {
+      routerTimer.cancel();
+      routerTimer = null;
     }
   }
 
   /**
-   * Takes up a changed spec. What only a new module can take up is taken up by one, once this one's
-   * work is done.
+   * Applies a changed spec.
+   *
+   * @return false, with nothing changed, where only a new router can apply it
    */
   public boolean update(TenantSpec next) {
     if (router != null && !spec.canUpdateInPlaceTo(next)) {
       return false;
     }
-    boolean moved = discovery != null && !next.discoveryAddress().equals(spec.discoveryAddress());
-    boolean listed = next.discoveryAddress() == null && !next.endpoints().equals(spec.endpoints());
-    boolean drained = !next.drainedEndpoints().equals(spec.drainedEndpoints());
+    boolean discoveryMoved =
+        discovery != null && !next.discoveryAddress().equals(spec.discoveryAddress());
+    boolean listChanged =
+        next.discoveryAddress() == null && !next.endpoints().equals(spec.endpoints());
+    boolean drainedChanged = !next.drainedEndpoints().equals(spec.drainedEndpoints());
     spec = next;
     rateLimit.reconfigure(
         next.bounds().requestsPerSecond(), next.bounds().burst(), loop.nowMicros());
     network.budget().updateLimit(next.bounds().bufferBytes());
-    if (servers != null) {
-      servers.updateQuota(next.weight(), next.bounds().hostConnections());
+    if (backends != null) {
+      backends.updateQuota(next.weight(), next.bounds().hostConnections());
     }
     network.taskFlow().setWeight(next.weight());
     if (quota != null) {
       quotas.updateWeights(quota, next.weight(), next.classWeights());
     }
-    if (moved) {
+    if (discoveryMoved) {
       discovery.changeAddress(next.discoveryAddress());
     }
-    if (listed) {
+    if (listChanged) {
       endpoints = next.endpoints();
     }
-    if (router != null && state != State.SUSPENDED && (listed || drained)) {
-      servers.updateEndpoints(endpoints);
-      told(EndpointUpdateKind.SNAPSHOT, endpoints);
+    if (router != null && state != State.SUSPENDED && (listChanged || drainedChanged)) {
+      backends.updateEndpoints(endpoints);
+      updateRouterEndpoints(EndpointUpdateKind.SNAPSHOT, endpoints);
     }
     return true;
   }
 
   /**
-   * Takes the tenant out of service: new requests are refused at once, what was taken goes on for
-   * the grace, then the rest is answered too and nothing of it remains.
+   * Takes the tenant out of service: rejects new requests from now on, lets open ones go on for the
+   * grace period, then answers the rest and closes every connection.
+   *
+   * @param removedListener called once, when nothing of the tenant is left
    */
-  public void remove(long grace, Runnable then) {
+  public void remove(long graceMicros, Runnable removedListener) {
     if (state == State.DRAINING || state == State.REMOVED) {
       return;
     }
-    whenGone = then;
+    onRemoved = removedListener;
     if (router == null) {
       state = State.REMOVED;
-      gone();
+      completeRemoval();
       return;
     }
     state = State.DRAINING;
-    if (sleep != null) {
-      sleep.cancel();
+    if (suspendDeadline != null) {
+      suspendDeadline.cancel();
     }
-    List.copyOf(clients).forEach(this::dismissIdle);
-    long until = loop.nowMicros() + grace;
-    loop.scheduleAt(loop.nowMicros(), () -> removal(until));
+    List.copyOf(clients).forEach(this::closeIfIdle);
+    long deadlineMicros = loop.nowMicros() + graceMicros;
+    loop.scheduleAt(loop.nowMicros(), () -> continueRemoval(deadlineMicros));
   }
 
-  private void removal(long until) {
-    boolean over = exchanges.values().stream().allMatch(e -> e.answered);
-    if (!over && loop.nowMicros() < until) {
-      loop.scheduleAt(Math.min(until, loop.nowMicros() + DRAIN_CHECK), () -> removal(until));
+  private void continueRemoval(long deadlineMicros) {
+    boolean allAnswered = openRequests.values().stream().allMatch(open -> open.answered);
+    if (!allAnswered && loop.nowMicros() < deadlineMicros) {
+      loop.scheduleAt(
+          Math.min(deadlineMicros, loop.nowMicros() + DRAIN_CHECK_INTERVAL_MICROS),
+          () -> continueRemoval(deadlineMicros));
       return;
     }
     state = State.REMOVED;
-    for (ClientRequest exchange : List.copyOf(exchanges.values())) {
-      if (!exchange.answered) {
-        // The module is told that nobody waits, so that it calls off what is out and counts nothing
-        // more.
-        exchange.answered = true;
-        router.onClientDisconnected(loop.nowMicros(), exchange.id);
-        boolean harmless =
-            exchange.attempts.isEmpty()
-                || spec.settings().requestClasses().get(exchange.classIndex).isIdempotent();
-        finished(
-            harmless
+    for (ClientRequest request : List.copyOf(openRequests.values())) {
+      if (!request.answered) {
+        // The router then cancels the attempts that are out.
+        request.answered = true;
+        router.onClientDisconnected(loop.nowMicros(), request.id);
+        boolean harmlessToRepeat =
+            request.attempts.isEmpty()
+                || spec.settings().requestClasses().get(request.classIndex).isIdempotent();
+        sendAnswer(
+            harmlessToRepeat
                 ? ClientRequest.ResponseListener::onUnavailable
                 : ClientRequest.ResponseListener::onFailed,
-            exchange);
+            request);
       }
     }
-    List.copyOf(clients).forEach(c -> c.endWithError(removed(), CloseReason.TENANT_GONE));
+    List.copyOf(clients)
+        .forEach(client -> client.endWithError(removedException(), CloseReason.TENANT_GONE));
     close(CloseReason.TENANT_GONE);
-    exchanges.clear();
-    gone();
+    openRequests.clear();
+    completeRemoval();
   }
 
-  private void gone() {
+  private void completeRemoval() {
     if (quota != null) {
       quotas.unregister(quota);
     }
-    left = true;
-    if (!predecessor) { // else whoever comes after this one would not wait for the one before it
-      whenGone.run();
+    removalComplete = true;
+    // A successor must also wait for the predecessor of this one: see predecessorEnded.
+    if (!predecessorActive) {
+      onRemoved.run();
     }
   }
 
-  private static ProtocolException removed() {
+  private static ProtocolException removedException() {
     return new ProtocolException(SqlState.CANNOT_CONNECT_NOW, "the database is being removed");
   }
 
-  private void dismissIdle(ClientHandle client) {
+  private void closeIfIdle(ClientHandle client) {
     if (client.isIdle()) {
-      client.endWithError(removed(), CloseReason.TENANT_GONE);
+      client.endWithError(removedException(), CloseReason.TENANT_GONE);
     }
   }
 
-  /** Gives back every connection to hosts and discovery, and the module's timer. */
+  /** Closes every connection to hosts and discovery, and cancels the timers. */
   public void close(CloseReason reason) {
     if (discovery != null) {
       discovery.close(reason);
     }
-    if (servers != null) {
-      servers.closeAll(reason);
+    if (backends != null) {
+      backends.closeAll(reason);
     }
-    if (wake != null) {
-      wake.cancel();
+    if (routerTimer != null) {
+      routerTimer.cancel();
     }
-    if (sleep != null) {
-      sleep.cancel();
+    if (suspendDeadline != null) {
+      suspendDeadline.cancel();
     }
   }
 
-  /** Whether its module runs: it has clients, or finishes what they asked. */
+  /** Whether its router gets events: it is neither suspended nor removed. */
   private boolean isRunning() {
     return state == State.ACTIVE || state == State.DRAINING;
   }
@@ -332,27 +353,27 @@
     return clients.isEmpty();
   }
 
-  /** Whether nothing that was taken is open, answers and attempts alike. */
+  /** Whether every request was answered and every attempt has ended. */
   public boolean hasNoOpenRequests() {
-    return exchanges.isEmpty();
+    return openRequests.isEmpty();
   }
 
-  /** Discovery answers elsewhere from now on. */
+  /** Changes the address of discovery. */
   public void moveDiscovery(InetSocketAddress to) {
     discovery.changeAddress(to);
   }
 
-  /** What it uses now and what it has done since the start. */
+  /** Resources in use now, and counters since the start. */
   public Usage usage() {
     return new Usage(
         clients.size(),
-        exchanges.size(),
-        servers == null ? 0 : servers.openConnectionCount(),
+        openRequests.size(),
+        backends == null ? 0 : backends.openConnectionCount(),
         network.budget().held(),
         network.counters().values());
   }
 
-  /** Counts of the moment, and counters since the start. */
+  /** Resources in use at one moment, and counters since the start. */
   public record Usage(
       int clientConnections,
       int openRequests,
@@ -360,8 +381,7 @@
       long bufferBytes,
       Map<String, Long> counters) {}
 
-  // ---- From the client side
-  // --------------------------------------------------------------------------------
+  // Events of the frontend
 
   @Override
   public Network network() {
@@ -381,9 +401,9 @@
   @Override
   public void onClientConnected(ClientHandle client) {
     clients.add(client);
-    if (sleep != null) {
-      sleep.cancel();
-      sleep = null;
+    if (suspendDeadline != null) {
+      suspendDeadline.cancel();
+      suspendDeadline = null;
     }
     start();
   }
@@ -392,14 +412,14 @@
   public void onClientClosed(ClientHandle client) {
     clients.remove(client);
     if (clients.isEmpty() && quotas != null && state == State.ACTIVE) {
-      sleep = loop.scheduleAt(loop.nowMicros() + SLEEP_AFTER, this::suspend);
+      suspendDeadline = loop.scheduleAt(loop.nowMicros() + SUSPEND_AFTER_MICROS, this::suspend);
     }
   }
 
-  /** Whether it takes clients; throws what one that comes now is told. */
+  /** Throws the error that a new client is sent, where the tenant takes none. */
   void checkAdmission() throws ProtocolException {
     if (state == State.DRAINING || state == State.REMOVED) {
-      throw removed();
+      throw removedException();
     }
     if (clients.size() >= spec.bounds().clientConnections()) {
       throw new ProtocolException(
@@ -409,81 +429,86 @@
 
   /** Guards an open request against another one under its id. */
   @Override
-  public void validate(ClientRequest exchange) throws ProtocolException {
-    if (exchanges.containsKey(exchange.id)) {
+  public void validate(ClientRequest request) throws ProtocolException {
+    if (openRequests.containsKey(request.id)) {
       throw new ProtocolException(SqlState.DUPLICATE_OBJECT, "a request with this id is open");
     }
   }
 
   @Override
   public void handle(
-      ClientRequest exchange, String session, int group, long after, boolean repeat) {
+      ClientRequest request,
+      String session,
+      int replicaSet,
+      long requiredPositionMicros,
+      boolean clientRetry) {
     if (state == State.DRAINING || state == State.REMOVED) {
-      exchange.responseListener.onUnavailable();
+      request.responseListener.onUnavailable();
       return;
     }
-    long wait = rateLimit.waitMicros(loop.nowMicros());
-    if (wait > 0 || exchanges.size() >= spec.bounds().openRequests()) {
+    long waitMicros = rateLimit.waitMicros(loop.nowMicros());
+    if (waitMicros > 0 || openRequests.size() >= spec.bounds().openRequests()) {
       network.counters().add(Counters.Name.REFUSED_BY_LIMIT);
-      exchange.responseListener.onRejected(told(Math.max(wait, BUSY_WAIT)));
+      request.responseListener.onRejected(
+          permittedRetryAfterMicros(Math.max(waitMicros, BUSY_RETRY_AFTER_MICROS)));
       return;
     }
-    long later = quota == null ? 0 : quotas.admit(quota, exchange.classIndex, loop.nowMicros());
-    if (later > 0) {
+    long quotaWaitMicros =
+        quota == null ? 0 : quotas.admit(quota, request.classIndex, loop.nowMicros());
+    if (quotaWaitMicros > 0) {
       network.counters().add(Counters.Name.REFUSED_BY_SHARE);
-      exchange.responseListener.onRejected(told(later));
+      request.responseListener.onRejected(permittedRetryAfterMicros(quotaWaitMicros));
       return;
     }
     rateLimit.consume();
-    exchanges.put(exchange.id, exchange);
+    openRequests.put(request.id, request);
     router.onRequest(
         loop.nowMicros(),
         new Request(
-            exchange.id,
-            exchange.classIndex,
+            request.id,
+            request.classIndex,
             session,
-            group,
-            exchange.deadlineMicros - loop.nowMicros(),
-            Math.max(after, writtenBefore()),
-            repeat));
+            replicaSet,
+            request.deadlineMicros - loop.nowMicros(),
+            Math.max(requiredPositionMicros, predecessorPositionMicros()),
+            clientRetry));
   }
 
   /**
-   * Time of the last write that another module may have taken for any session; unknown where there
-   * was none.
+   * Position up to which another router may have written for any session; {@link Router#UNKNOWN}
+   * where there was none.
    */
-  private long writtenBefore() {
-    return predecessor
+  private long predecessorPositionMicros() {
+    return predecessorActive
         ? loop.nowMicros()
         : predecessorEndedAtMicros > 0 ? predecessorEndedAtMicros : Router.UNKNOWN;
   }
 
-  private long told(long wait) {
-    return spec.settings().limits().retryAfterMicros(wait);
+  private long permittedRetryAfterMicros(long waitMicros) {
+    return spec.settings().limits().retryAfterMicros(waitMicros);
   }
 
   @Override
-  public void onRequestAbandoned(ClientRequest exchange) {
-    if (exchanges.get(exchange.id) == exchange && !exchange.answered) {
-      exchange.answered = true;
-      router.onClientDisconnected(loop.nowMicros(), exchange.id);
-      finished(asker -> {}, exchange);
+  public void onRequestAbandoned(ClientRequest request) {
+    if (openRequests.get(request.id) == request && !request.answered) {
+      request.answered = true;
+      router.onClientDisconnected(loop.nowMicros(), request.id);
+      sendAnswer(listener -> {}, request);
     }
   }
 
-  /** The one place where an answer leaves; the request's place is free from here. */
-  private void finished(Consumer<ClientRequest.ResponseListener> answer, ClientRequest exchange) {
+  /** Sends the final answer and releases the request's place in the quota; all answers go here. */
+  private void sendAnswer(Consumer<ClientRequest.ResponseListener> answer, ClientRequest request) {
     if (quota != null) {
       quotas.release(quota);
     }
-    answer.accept(exchange.responseListener);
-    forget(exchange);
+    answer.accept(request.responseListener);
+    removeIfComplete(request);
   }
 
-  // ---- From the server side
-  // --------------------------------------------------------------------------------
+  // Events of the backend
 
-  /** The counter's name is published at exit and by the administration. */
+  /** The counter of an outcome; its name is logged at exit and shown by the administration. */
   private static Counters.Name attemptCounter(AttemptStatus status) {
     return switch (status) {
       case OK -> Counters.Name.ATTEMPTS_OK;
@@ -499,31 +524,29 @@
   }
 
   @Override
-  public void onAttemptEnded(BackendAttempt attempt, BackendResponse reply) {
-    ClientRequest exchange = attempt.request;
+  public void onAttemptEnded(BackendAttempt attempt, BackendResponse response) {
+    ClientRequest request = attempt.request;
     attempt.outstanding = false;
-    network.counters().add(attemptCounter(reply.status()));
-    if (reply.status() == AttemptStatus.OK && !exchange.answered) {
-      exchange.answered = true;
-      finished(asker -> asker.onServed(reply.messages()), exchange);
-    }
-    // From when the request went out: guards against taking the wait for a connection, which may be
-    // this program's
-    // own in its first seconds, for slowness of the host.
-    long took = loop.nowMicros() - attempt.sentAtMicros;
+    network.counters().add(attemptCounter(response.status()));
+    if (response.status() == AttemptStatus.OK && !request.answered) {
+      request.answered = true;
+      sendAnswer(listener -> listener.onServed(response.messages()), request);
+    }
+    // Counted from when the request was written: a wait for a connection says nothing of the host.
+    long elapsedMicros = loop.nowMicros() - attempt.sentAtMicros;
     router.onAttemptOutcome(
         loop.nowMicros(),
         new AttemptOutcome(
-            exchange.id,
+            request.id,
             attempt.number,
             attempt.endpointId,
-            reply.status(),
-            exchange.answered,
-            took,
-            reply.role(),
-            reply.positionMicros(),
-            reply.loadReport()));
-    forget(exchange);
+            response.status(),
+            request.answered,
+            elapsedMicros,
+            response.role(),
+            response.positionMicros(),
+            response.loadReport()));
+    removeIfComplete(request);
   }
 
   @Override
@@ -532,47 +555,49 @@
   }
 
   @Override
-  public void onHealthCheckEnded(String member, BackendResponse reply, long took) {
-    if (reply.status() != AttemptStatus.OK) {
+  public void onHealthCheckEnded(String endpointId, BackendResponse response, long elapsedMicros) {
+    if (response.status() != AttemptStatus.OK) {
       network.counters().add(Counters.Name.PROBES_FAILED);
     }
-    router.onHealthCheckResult(loop.nowMicros(), member, reply.status(), took, reply.loadReport());
+    router.onHealthCheckResult(
+        loop.nowMicros(), endpointId, response.status(), elapsedMicros, response.loadReport());
   }
 
-  /** A request is kept until its last attempt has ended: the module is owed every outcome. */
-  private void forget(ClientRequest exchange) {
-    if (exchange.answered && exchange.attempts.stream().noneMatch(a -> a.outstanding)) {
-      exchanges.remove(exchange.id, exchange);
+  /** Removes a request once its last attempt has ended: the router gets the outcome of each. */
+  private void removeIfComplete(ClientRequest request) {
+    if (request.answered && request.attempts.stream().noneMatch(attempt -> attempt.outstanding)) {
+      openRequests.remove(request.id, request);
     }
   }
 
-  // ---- From discovery
-  // --------------------------------------------------------------------------------
+  // Events of discovery
 
   @Override
   public void onEndpoints(EndpointList list) {
     endpoints = endpoints.apply(list);
-    servers.updateEndpoints(list);
-    told(list.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
+    backends.updateEndpoints(list);
+    updateRouterEndpoints(
+        list.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
   }
 
   /**
-   * Passes a list on to the module; what an administrator has drained is drained, whatever the list
-   * says.
+   * Passes a list on to the router, with the endpoints that an administrator has drained as
+   * draining, whatever the list says.
    */
-  private void told(EndpointUpdateKind kind, EndpointList list) {
+  private void updateRouterEndpoints(EndpointUpdateKind kind, EndpointList list) {
     Set<String> drained = new HashSet<>(spec.drainedEndpoints());
-    List<Endpoint> members =
+    List<Endpoint> reported =
         drained.isEmpty()
             ? list.endpoints()
             : list.endpoints().stream()
                 .map(
-                    m ->
-                        drained.contains(m.id()) && m.availability() == Availability.READY
-                            ? m.withAvailability(Availability.DRAINING)
-                            : m)
+                    endpoint ->
+                        drained.contains(endpoint.id())
+                                && endpoint.availability() == Availability.READY
+                            ? endpoint.withAvailability(Availability.DRAINING)
+                            : endpoint)
                 .toList();
-    router.onEndpoints(loop.nowMicros(), kind, list.revision(), members);
+    router.onEndpoints(loop.nowMicros(), kind, list.revision(), reported);
   }
 
   @Override
@@ -583,14 +608,15 @@
     if (spec.settings().endpointList().polled()) {
       router.onEndpoints(loop.nowMicros(), EndpointUpdateKind.FAILED, 0, List.of());
     } else {
-      loop.scheduleAt(loop.nowMicros() + AGENT_PAUSE, this::listen);
+      loop.scheduleAt(loop.nowMicros() + WATCH_RETRY_DELAY_MICROS, this::watchPushedEndpoints);
     }
   }
 
   /**
-   * Where lists are pushed the module asks for none: on sockets they come by a watch all the same.
+   * Watches a pushed list. The router asks only for lists that are polled; a pushed one comes by a
+   * watch too.
    */
-  private void listen() {
+  private void watchPushedEndpoints() {
     if (isRunning()
         && discovery != null
         && !spec.settings().endpointList().polled()
@@ -599,71 +625,70 @@
     }
   }
 
-  // ---- What the module asks for
-  // --------------------------------------------------------------------------------
+  // Actions of the router
 
   @Override
-  public void startAttempt(String requestId, String member, long timeout) {
-    ClientRequest exchange = exchanges.get(requestId);
-    BackendAttempt attempt = new BackendAttempt(exchange, member, loop.nowMicros());
-    exchange.attempts.add(attempt);
-    if (exchange.answered || loop.nowMicros() >= exchange.deadlineMicros) {
+  public void startAttempt(String requestId, String endpointId, long timeoutMicros) {
+    ClientRequest request = openRequests.get(requestId);
+    BackendAttempt attempt = new BackendAttempt(request, endpointId, loop.nowMicros());
+    request.attempts.add(attempt);
+    if (request.answered || loop.nowMicros() >= request.deadlineMicros) {
       network.post(() -> onAttemptEnded(attempt, BackendResponse.of(AttemptStatus.NOT_SENT)));
       return;
     }
     network.counters().add(Counters.Name.ATTEMPTS_SENT);
-    servers.startAttempt(attempt);
+    backends.startAttempt(attempt);
   }
 
   @Override
-  public void cancelAttempt(String requestId, int attempt) {
-    ClientRequest exchange = exchanges.get(requestId);
-    if (exchange != null && attempt < exchange.attempts.size()) {
-      servers.cancelAttempt(exchange.attempts.get(attempt));
+  public void cancelAttempt(String requestId, int attemptNumber) {
+    ClientRequest request = openRequests.get(requestId);
+    if (request != null && attemptNumber < request.attempts.size()) {
+      backends.cancelAttempt(request.attempts.get(attemptNumber));
     }
   }
 
   @Override
-  public void reject(String requestId, long retryAfter) {
-    end(requestId, asker -> asker.onRejected(retryAfter));
+  public void reject(String requestId, long retryAfterMicros) {
+    answerIfOpen(requestId, listener -> listener.onRejected(retryAfterMicros));
   }
 
   @Override
   public void fail(String requestId) {
-    end(requestId, ClientRequest.ResponseListener::onFailed);
+    answerIfOpen(requestId, ClientRequest.ResponseListener::onFailed);
   }
 
-  private void end(String requestId, Consumer<ClientRequest.ResponseListener> answer) {
-    ClientRequest exchange = exchanges.get(requestId);
-    if (exchange != null && !exchange.answered) {
-      exchange.answered = true;
-      finished(answer, exchange);
+  private void answerIfOpen(String requestId, Consumer<ClientRequest.ResponseListener> answer) {
+    ClientRequest request = openRequests.get(requestId);
+    if (request != null && !request.answered) {
+      request.answered = true;
+      sendAnswer(answer, request);
     }
   }
 
   /**
-   * Guards against connections that outlive a tenant: the module answers what a removal cut off
-   * with a probe.
+   * Ignored once the tenant is removed: the router checks the health of an endpoint whose
+   * connection the removal closed, and that connection would outlive the tenant.
    */
   @Override
-  public void checkHealth(String member) {
+  public void checkHealth(String endpointId) {
     if (isRunning()) {
-      servers.checkHealth(member);
+      backends.checkHealth(endpointId);
     }
   }
 
   @Override
-  public void setTimer(String name, long at) {
-    suspendedTimerAtMicros = at;
+  public void setTimer(String name, long atMicros) {
+    suspendedTimerAtMicros = atMicros;
     if (isRunning()) {
-      if (wake != null) {
-        wake.cancel();
+      if (routerTimer != null) {
+        routerTimer.cancel();
       }
-      wake =
+      routerTimer =
           loop.scheduleAt(
-              at,
+              atMicros,
               () -> {
-                wake = null;
+                routerTimer = null;
                 suspendedTimerAtMicros = 0;
                 router.onTimer(loop.nowMicros(), name);
               });
@@ -671,11 +696,10 @@
   }
 
   @Override
-  public void watchEndpoints(boolean on) {
-    // One that stands is not begun anew: a move to another address may have come between its
-    // failure and now.
-    if (discovery != null && isRunning() && !(on && discovery.isOpen())) {
-      discovery.watch(on);
+  public void watchEndpoints(boolean enabled) {
+    // A watch that is open is kept: discovery may have moved since the one that failed.
+    if (discovery != null && isRunning() && !(enabled && discovery.isOpen())) {
+      discovery.watch(enabled);
     }
   }
 
@@ -684,17 +708,15 @@
     discovery.fetchEndpoints();
   }
 
-  /**
-   * Gateways of this kind can't reach each other; the settings say so and the module never asks.
-   */
+  /** Not supported: the settings permit no peer messages, so the router never sends one. */
   @Override
-  public void sendToPeers(int peer, byte[] payload) {
+  public void sendToPeers(int gatewayIndex, byte[] payload) {
     throw new UnsupportedOperationException("gateways have no way to talk to each other");
   }
 
   @Override
-  public void closeIdleConnections(String member) {
-    servers.closeIdleConnections(member);
+  public void closeIdleConnections(String endpointId) {
+    backends.closeIdleConnections(endpointId);
   }
 
   @Override
