--- a/gateway/src/main/java/shelffront/backend/BackendCall.java
+++ b/gateway/src/main/java/shelffront/backend/BackendCall.java
@@ -25,10 +25,10 @@
 
   boolean finished;
 
-  BackendCall(String endpointId, BackendHost host, BackendAttempt attempt, long startedAt) {
+  BackendCall(String endpointId, BackendHost host, BackendAttempt attempt, long startedAtMicros) {
     this.endpointId = endpointId;
     this.host = host;
     this.attempt = attempt;
-    this.startedAtMicros = startedAt;
+    this.startedAtMicros = startedAtMicros;
   }
 }
--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -48,14 +48,16 @@
       Network network,
       AsynchronousSocketChannel channel,
       BackendHost host,
-      BackendConnections servers,
-      long openWithin) {
+      BackendConnections backends,
+      long connectTimeoutMicros) {
     super(network, "host", channel, Message.MAX_ROW_BYTES);
     this.host = host;
     address = host.address;
-    this.backend = servers;
+    this.backend = backends;
     this.openDeadline =
-        network.loop().scheduleAfter(openWithin, () -> close(CloseReason.CONNECT_TIMEOUT));
+        network
+            .loop()
+            .scheduleAfter(connectTimeoutMicros, () -> close(CloseReason.CONNECT_TIMEOUT));
   }
 
   /** Connects; may end it at once, so whoever counts it has done so before. */
@@ -83,8 +85,8 @@
     write(query);
   }
 
-  void closeWhenIdleAt(long time) {
-    idleDeadline = network.loop().scheduleAt(time, () -> close(CloseReason.IDLE));
+  void closeWhenIdleAt(long atMicros) {
+    idleDeadline = network.loop().scheduleAt(atMicros, () -> close(CloseReason.IDLE));
   }
 
   private static void cancel(Deadline deadline) {
@@ -194,9 +196,9 @@
   }
 
   private void finish(boolean surplus) {
-    BackendCall done = call;
+    BackendCall completedCall = call;
     call = null;
-    BackendResponse reply = response.toBackendResponse(done.attempt == null);
+    BackendResponse reply = response.toBackendResponse(completedCall.attempt == null);
     discardResponse();
     if (surplus) {
       close(CloseReason.SURPLUS);
@@ -204,7 +206,7 @@
       backend.onConnectionFree(
           this); // before the outcome, whose next send may want this connection
     }
-    backend.finishCall(done, reply);
+    backend.finishCall(completedCall, reply);
   }
 
   /**
@@ -216,18 +218,18 @@
   protected void onClosed(CloseReason reason) {
     openDeadline.cancel();
     cancel(idleDeadline);
-    BackendCall broken = call;
+    BackendCall interruptedCall = call;
     call = null;
     BackendResponse reply = null;
-    if (broken != null) {
-      boolean said =
+    if (interruptedCall != null) {
+      boolean outcomeKnown =
           response.isOutcomeKnown()
               && !messageIncomplete
               && !malformed
               && reason != CloseReason.NO_MEMORY;
       reply =
-          said
-              ? response.toBackendResponse(broken.attempt == null)
+          outcomeKnown
+              ? response.toBackendResponse(interruptedCall.attempt == null)
               : BackendResponse.of(
                   malformed
                       ? AttemptStatus.ERROR
@@ -235,8 +237,8 @@
     }
     discardResponse();
     backend.onConnectionClosed(this);
-    if (broken != null) {
-      backend.finishCall(broken, reply);
+    if (interruptedCall != null) {
+      backend.finishCall(interruptedCall, reply);
     }
   }
 
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -33,19 +33,18 @@
 public final class BackendConnections {
 
   /**
-   * Takes what comes back; called once for each attempt and probe, never from within the call that
-   * began it.
+   * Called once for each attempt and health check, and never from within the call that started it.
    */
   public interface Listener {
 
     /** An attempt has ended. */
-    void onAttemptEnded(BackendAttempt attempt, BackendResponse reply);
+    void onAttemptEnded(BackendAttempt attempt, BackendResponse response);
 
     /** Whether an attempt may still be written, now that a connection is there for it. */
     boolean mayStartAttempt(BackendAttempt attempt);
 
     /** A health check has ended. */
-    void onHealthCheckEnded(String endpointId, BackendResponse reply, long elapsedMicros);
+    void onHealthCheckEnded(String endpointId, BackendResponse response, long elapsedMicros);
   }
 
   /** The user and database of the startup message to hosts. */
@@ -60,16 +59,16 @@
 
   private final Network network;
   private final OperatingLimits limits;
-  private final ConnectionQuota sockets;
+  private final ConnectionQuota connectionQuota;
   final Login login;
   private final Listener listener;
   private final Map<String, BackendHost> hosts = new TreeMap<>();
 
-  /** In the order of their begin, so that closing all goes the same way each time. */
+  /** In the order in which they started, so that {@link #closeAll} is deterministic. */
   private final Map<BackendAttempt, BackendCall> calls = new LinkedHashMap<>();
 
   /** Another tenant waits for a socket, and no connection here was idle. */
-  private boolean owesConnection;
+  private boolean connectionReclaimed;
 
   /** Each connection takes one of the sockets, divided by weight and bounded, while it is open. */
   public BackendConnections(
@@ -77,15 +76,15 @@
       OperatingLimits limits,
       ConnectionQuotas sockets,
       double weight,
-      int mostSockets,
+      int maxConnections,
       Login login,
       Listener listener) {
     this.network = network;
     this.limits = limits;
-    this.sockets =
+    this.connectionQuota =
         sockets.register(
             weight,
-            mostSockets,
+            maxConnections,
             () -> network.post(this::onConnectionDemanded),
             () -> network.post(this::onConnectionAvailable));
     this.login = login;
@@ -121,7 +120,7 @@
     }
   }
 
-  /** Begins an attempt; its end is told by {@link Listener#onAttemptEnded}. */
+  /** Starts an attempt; {@link Listener#onAttemptEnded} reports its end. */
   public void startAttempt(BackendAttempt attempt) {
     BackendHost host = hosts.get(attempt.endpointId);
     BackendCall call =
@@ -134,7 +133,7 @@
     assignConnection(call);
   }
 
-  /** Begins a health check; its end is told by {@link Listener#onHealthCheckEnded}. */
+  /** Starts a health check; {@link Listener#onHealthCheckEnded} reports its end. */
   public void checkHealth(String endpointId) {
     BackendCall call =
         new BackendCall(endpointId, hosts.get(endpointId), null, network.loop().nowMicros());
@@ -147,7 +146,7 @@
     assignConnection(call);
   }
 
-  /** Calls the attempt off; its outcome follows unless it is over already. */
+  /** Cancels an attempt; its outcome follows, unless it has ended already. */
   public void cancelAttempt(BackendAttempt attempt) {
     BackendCall call = calls.get(attempt);
     if (call != null) {
@@ -156,14 +155,14 @@
     }
   }
 
-  /** Closes the connections to this endpoint that carry nothing. */
+  /** Closes the idle connections to this endpoint. */
   public void closeIdleConnections(String endpointId) {
     if (hosts.containsKey(endpointId)) {
       closeIdleConnections(hosts.get(endpointId), CloseReason.GIVEN_BACK);
     }
   }
 
-  /** Ends every connection and whatever waits for one; outcomes follow where any are owed. */
+  /** Closes every connection and ends every call that is open, with its outcome. */
   public void closeAll(CloseReason reason) {
     for (BackendHost host : hosts.values()) {
       List.copyOf(host.connections).forEach(connection -> connection.close(reason));
@@ -211,23 +210,23 @@
   }
 
   /**
-   * At the bound for sockets the call waits for a connection of its host, or for a socket, to come
-   * free.
+   * Opens a connection where the quota permits one; else the calls wait until a connection to their
+   * host is free or the quota has room.
    */
   private void openConnection(BackendHost host) {
-    Acquisition verdict = sockets.tryAcquire(false);
-    if (verdict != Acquisition.ACQUIRED && evictIdle()) {
-      verdict = sockets.tryAcquire(true);
+    Acquisition acquisition = connectionQuota.tryAcquire(false);
+    if (acquisition != Acquisition.ACQUIRED && evictIdle()) {
+      acquisition = connectionQuota.tryAcquire(true);
     }
-    if (verdict != Acquisition.ACQUIRED) {
+    if (acquisition != Acquisition.ACQUIRED) {
       return;
     }
     AsynchronousSocketChannel channel;
     try {
       channel = network.newChannel();
-    } catch (IOException call) {
-      network.log().println("no socket for " + host.id + ": " + call.getMessage());
-      sockets.release();
+    } catch (IOException failure) {
+      network.log().println("no socket for " + host.id + ": " + failure.getMessage());
+      connectionQuota.release();
       return;
     }
     host.openingCount++;
@@ -238,13 +237,13 @@
     connection.open();
   }
 
-  /** What another tenant is owed: an idle connection goes now, or the next that falls idle. */
+  /** Another tenant waits for a socket: closes an idle connection, or the next one that is idle. */
   private void onConnectionDemanded() {
-    owesConnection = sockets.excess() > 0 && !evictIdle();
+    connectionReclaimed = connectionQuota.excess() > 0 && !evictIdle();
   }
 
   private void onConnectionAvailable() {
-    sockets.acknowledgeAvailable();
+    connectionQuota.acknowledgeAvailable();
     for (BackendHost host : hosts.values()) {
       if (!openForWaiting(host)) {
         return;
@@ -252,7 +251,7 @@
     }
   }
 
-  /** As many connections as calls wait for; false where no socket is left for them. */
+  /** Opens as many connections as calls wait for; false where the quota has no room for all. */
   private boolean openForWaiting(BackendHost host) {
     while (host.openingCount < host.waitingCalls.size()) {
       int before = host.openingCount;
@@ -264,14 +263,14 @@
     return true;
   }
 
-  /** Its part of the sockets, which it shares with others, may change. */
-  public void updateQuota(double weight, int mostSockets) {
-    sockets.update(weight, mostSockets);
+  /** Changes the weight and the bound of the connection quota. */
+  public void updateQuota(double weight, int maxConnections) {
+    connectionQuota.update(weight, maxConnections);
   }
 
-  /** Sockets that are open to hosts. */
+  /** Connections to hosts that are open or being opened. */
   public int openConnectionCount() {
-    return sockets.inUse();
+    return connectionQuota.inUse();
   }
 
   private boolean evictIdle() {
@@ -290,7 +289,8 @@
   }
 
   /**
-   * The connection carries nothing now: it takes the next call or idles, for less than hosts allow.
+   * The connection has no call now: it takes the next one that waits, or idles for less time than
+   * hosts allow.
    */
   void onConnectionFree(BackendConnection connection) {
     BackendHost host = connection.host;
@@ -305,14 +305,14 @@
     BackendCall next = host.waitingCalls.poll();
     // What the choice of one that waited rested on may hold no longer.
     while (next != null && next.attempt != null && !listener.mayStartAttempt(next.attempt)) {
-      BackendCall late = next;
-      network.post(() -> finishCall(late, BackendResponse.of(AttemptStatus.NOT_SENT)));
+      BackendCall stale = next;
+      network.post(() -> finishCall(stale, BackendResponse.of(AttemptStatus.NOT_SENT)));
       next = host.waitingCalls.poll();
     }
     if (next != null) {
       sendOn(connection, next);
-    } else if (owesConnection && sockets.excess() > 0) {
-      owesConnection = false;
+    } else if (connectionReclaimed && connectionQuota.excess() > 0) {
+      connectionReclaimed = false;
       connection.close(CloseReason.GIVEN_BACK);
     } else if (hosts.get(host.id) != host) {
       connection.close(CloseReason.LEFT_LIST);
@@ -334,17 +334,18 @@
       return;
     }
     call.attempt.sentAtMicros = network.loop().nowMicros();
-    long left = call.attempt.request.deadlineMicros - network.loop().nowMicros();
+    long timeLeftMicros = call.attempt.request.deadlineMicros - network.loop().nowMicros();
     connection.begin(
         call,
         Message.query(
-            call.attempt.request.statement.withTimeToDeadlineMillis(Math.max(1, left / 1000))));
+            call.attempt.request.statement.withTimeToDeadlineMillis(
+                Math.max(1, timeLeftMicros / 1000))));
   }
 
-  /** A connection that ends while it opens takes the call that waited longest with it. */
+  /** A connection that fails while it is opened fails the call that has waited longest. */
   void onConnectionClosed(BackendConnection connection) {
     BackendHost host = connection.host;
-    sockets.release();
+    connectionQuota.release();
     host.connections.remove(connection);
     host.idleConnections.remove(connection);
     if (!connection.isReady()) {
@@ -376,7 +377,7 @@
     }
   }
 
-  void finishCall(BackendCall call, BackendResponse reply) {
+  void finishCall(BackendCall call, BackendResponse response) {
     if (call.finished) {
       return;
     }
@@ -388,10 +389,10 @@
     }
     if (call.attempt != null) {
       calls.remove(call.attempt);
-      listener.onAttemptEnded(call.attempt, reply);
+      listener.onAttemptEnded(call.attempt, response);
     } else {
       listener.onHealthCheckEnded(
-          call.endpointId, reply, network.loop().nowMicros() - call.startedAtMicros);
+          call.endpointId, response, network.loop().nowMicros() - call.startedAtMicros);
     }
   }
 }
