--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -19,13 +19,19 @@
 import shelffront.tenant.Tenant;
 import shelffront.tenant.TenantSpec;
 
-/** A listener with the tenants behind it: the single one of the platform's file, or many. */
+/**
+ * A listener and the tenants that it serves: the single one of the platform's file, or many.
+ *
+ * <p>Stops in order: {@link #drain} still serves clients that connect for a while, closes each
+ * connection once it is idle, and stops the loop when none is left. Runs on the loop thread.
+ */
 public final class Gateway {
 
   /**
-   * Connections arrive for 0.4 s after the order to stop; those that stay idle longer are closed.
+   * From the order to stop until idle connections are closed: new ones may arrive for 0.4 s, and
+   * carry requests.
    */
-  private static final long LAST_ARRIVALS_MICROS = 500_000;
+  private static final long LATE_ARRIVAL_WINDOW_MICROS = 500_000;
 
   private static final long DRAIN_CHECK_INTERVAL_MICROS = 20_000;
 
@@ -43,7 +49,7 @@
   private final BooleanSupplier backendsDrained;
   private final Runnable closeBackends;
   private final Tenant singleTenant; // null where there are many
-  private boolean listenerStopped; // takes no connections any more
+  private boolean listenerStopped;
 
   /** The single tenant of a platform's file, whatever user and database clients name. */
   public Gateway(Network network, GatewayConfig config) throws IOException {
@@ -82,34 +88,36 @@
   }
 
   /**
-   * Many tenants behind a door.
+   * Many tenants, each looked up by a client's startup message.
    *
-   * @param drained asked while it drains, until it says that nothing is open behind the door
-   * @param closing closes all that is behind the door
+   * @param drained whether no request of any tenant is open; asked repeatedly while it drains
+   * @param closeBackends closes the tenants' connections to hosts and discovery
    */
   public Gateway(
       Network network,
-      InetSocketAddress listen,
-      int sockets,
-      TenantLookup door,
+      InetSocketAddress listenAddress,
+      int maxSockets,
+      TenantLookup tenantLookup,
       BooleanSupplier drained,
-      Runnable closing)
+      Runnable closeBackends)
       throws IOException {
     this.network = network;
-    this.closeBackends = closing;
+    this.closeBackends = closeBackends;
     loop = network.loop();
     singleTenant = null;
-    clients = new FrontendConnections(network, listen, clientConnectionLimit(sockets), door);
+    clients =
+        new FrontendConnections(
+            network, listenAddress, clientConnectionLimit(maxSockets), tenantLookup);
     backendsDrained = drained;
   }
 
-  /** Of so many descriptors, those for connections to hosts. */
-  public static int hostConnectionLimit(int sockets) {
-    return (int) (sockets * HOST_SHARE);
+  /** How many of the gateway's sockets may be connections to hosts. */
+  public static int hostConnectionLimit(int maxSockets) {
+    return (int) (maxSockets * HOST_SHARE);
   }
 
-  private static int clientConnectionLimit(int sockets) {
-    return (int) (sockets * CLIENT_SHARE);
+  private static int clientConnectionLimit(int maxSockets) {
+    return (int) (maxSockets * CLIENT_SHARE);
   }
 
   private static TenantSpec singleTenantSpec(GatewayConfig config) {
@@ -129,7 +137,7 @@
         0);
   }
 
-  /** The listener's clients: those who have not named a tenant that lives on another loop. */
+  /** The clients on the listener's loop: all but those of tenants on another loop. */
   public FrontendConnections clients() {
     return clients;
   }
@@ -138,9 +146,9 @@
     return clients.address();
   }
 
-  /** Starts the module with the list as this gateway last had it, then takes clients in. */
+  /** Starts the single tenant with the endpoint list as last known, then accepts clients. */
   public void start() {
-    loop.updateClock(); // Loading took a while: time limits set here would else be over at once.
+    loop.updateClock(); // loading took a while, and would count against deadlines set here
     if (singleTenant != null) {
       singleTenant.start();
     }
@@ -148,9 +156,9 @@
   }
 
   /**
-   * Takes up a configuration that replaces the running one. Only discovery's address may change
-   * under way: the rest is told to the module and the sockets once, and the list that runs is newer
-   * than the file's.
+   * Applies a changed configuration to the single tenant. Only the address of discovery may change:
+   * other settings are read once, at the start, and the running endpoint list is newer than the
+   * file's.
    */
   public void reload(GatewayConfig next) {
     singleTenant.moveDiscovery(next.discoveryAddress());
@@ -164,27 +172,30 @@
                     : "; other settings hold from the next start"));
   }
 
-  /** Finishes what was taken and what still comes in, then stops the loop. */
+  /**
+   * Stops the gateway in order. New connections are accepted until all are closed and no request is
+   * open; then the listener closes and the loop stops. This takes as long as it takes: the caller
+   * bounds its own wait.
+   */
   public void drain() {
     network.log().println("stopping");
-    loop.scheduleAt(loop.nowMicros() + LAST_ARRIVALS_MICROS, this::stopWhenDone);
+    loop.scheduleAt(loop.nowMicros() + LATE_ARRIVAL_WINDOW_MICROS, this::stopWhenDone);
   }
 
   /**
-   * Guards against a connection that says nothing, or comes last of all, holding up the end until
-   * SIGKILL.
+   * Closes idle connections, and stops once none is left and no request is open. Until then it
+   * repeats, so that clients that connect late or send nothing do not hold up the stop.
    */
   private void stopWhenDone() {
     clients.drain();
-    // Asked each time: what lives on other loops drains by being asked, and until then is not empty
-    // here.
+    // Asked in every pass: the question is also what makes the other loops drain.
     boolean drained = backendsDrained.getAsBoolean();
     if (!clients.isEmpty() || !drained) {
       loop.scheduleAt(loop.nowMicros() + DRAIN_CHECK_INTERVAL_MICROS, this::stopWhenDone);
       return;
     }
     if (!listenerStopped) {
-      // A connection may have been accepted since the last turn: it is served before the end.
+      // A connection may have been accepted meanwhile: it is served before the end.
       listenerStopped = true;
       clients.stopAccepting(this::stopWhenDone);
       return;
@@ -194,7 +205,7 @@
     loop.stop();
   }
 
-  /** Gives back every socket; on the loop thread, or after it has ended. */
+  /** Closes every socket at once; on the loop thread, or after it has ended. */
   public void close() {
     clients.close();
     closeBackends.run();
--- a/gateway/src/main/java/shelffront/net/ArrivalTimes.java
+++ b/gateway/src/main/java/shelffront/net/ArrivalTimes.java
@@ -15,24 +15,24 @@
   static final int MAX_READS = 64;
 
   /** One read: the offset behind its last byte, and when it was made. */
-  private record Read(long endOffset, long time) {}
+  private record Read(long endOffset, long atMicros) {}
 
   private final ArrayDeque<Read> reads = new ArrayDeque<>(2);
   private long endOffset;
 
   /** The next bytes of the stream were read at this time. */
-  void read(int count, long time) {
+  void read(int count, long atMicros) {
     if (reads.size() == MAX_READS) {
       mergeNeighbours();
     }
     endOffset += count;
-    reads.addLast(new Read(endOffset, time));
+    reads.addLast(new Read(endOffset, atMicros));
   }
 
   private void mergeNeighbours() {
     for (int pairs = reads.size() / 2; pairs > 0; pairs--) {
-      long time = reads.removeFirst().time();
-      reads.addLast(new Read(reads.removeFirst().endOffset(), time));
+      long atMicros = reads.removeFirst().atMicros();
+      reads.addLast(new Read(reads.removeFirst().endOffset(), atMicros));
     }
   }
 
@@ -49,6 +49,6 @@
     while (reads.peekFirst().endOffset() < offset) {
       reads.removeFirst();
     }
-    return reads.peekFirst().time();
+    return reads.peekFirst().atMicros();
   }
 }
--- a/gateway/src/main/java/shelffront/net/EventLoop.java
+++ b/gateway/src/main/java/shelffront/net/EventLoop.java
@@ -11,21 +11,21 @@
 import shelffront.quota.DeficitRoundRobin.Flow;
 
 /**
- * The one thread that owns all state. Completion handlers only {@link #post} what they got; each
- * turn takes what was posted, sweeps the deadlines that are due, then flushes the connections that
- * were written to.
+ * A single-threaded event loop; whatever belongs to it is used on its thread only. Other threads
+ * only {@link #post} tasks. Each turn runs the posted tasks, then the deadlines that are due, then
+ * flushes the connections that were written to. Times are Unix microseconds.
  */
 public final class EventLoop {
 
-  /** A task with its time; cancelled by whoever set it when it is no longer needed. */
+  /** A scheduled task, which runs once unless it is cancelled before. */
   public final class Deadline {
 
     private final long atMicros;
     private final long sequence = nextDeadlineSequence++;
     private final Runnable task;
 
-    private Deadline(long at, Runnable task) {
-      this.atMicros = at;
+    private Deadline(long atMicros, Runnable task) {
+      this.atMicros = atMicros;
       this.task = task;
     }
 
@@ -34,15 +34,15 @@
     }
   }
 
-  /** Results taken before deadlines get their turn, so that a flood of input can't starve them. */
+  /** Tasks that run before due deadlines do, so that a flood of input can't starve those. */
   private static final int MAX_TASKS_PER_TURN = 256;
 
-  /** Microseconds that a flow of weight 1 may use before the next one has its turn. */
+  /** Time that a flow of weight 1 may use before the next flow is served. */
   private static final long QUANTUM_MICROS = 200;
 
   private record PostedTask(Flow<Runnable> flow, Runnable task) {}
 
-  /** Bounded by what can be out: a read and a write for each connection, and one accept. */
+  /** Bounded by the outstanding operations: a read and a write per connection, and one accept. */
   private final LinkedBlockingQueue<PostedTask> postedTasks = new LinkedBlockingQueue<>();
 
   private final DeficitRoundRobin<Runnable> readyTasks = new DeficitRoundRobin<>(QUANTUM_MICROS);
@@ -59,26 +59,24 @@
   private boolean stopped;
   private volatile long busyMicros;
 
-  /** The clock gives Unix microseconds; it may step back, the time seen here never does. */
+  /** The clock gives Unix microseconds and may step back; {@link #nowMicros} never does. */
   public EventLoop(LongSupplier clock, Counters counters) {
     this.clock = clock;
     this.counters = counters;
     nowMicros = clock.getAsLong();
   }
 
-  /**
-   * Hands a result to the loop thread; the two ways to post are all that other threads may call.
-   */
-  public void post(Runnable result) {
-    post(sharedFlow, result);
+  /** Has the loop thread run a task, in the flow that belongs to no tenant. Any thread may call. */
+  public void post(Runnable task) {
+    post(sharedFlow, task);
   }
 
   /**
-   * Flows have their turns by deficit round robin over the time they use, so that none can keep it
-   * from others.
+   * Has the loop thread run a task of a flow. Flows share the thread's time by deficit round robin,
+   * so that none starves another. Any thread may call.
    */
-  public void post(Flow<Runnable> flow, Runnable result) {
-    postedTasks.add(new PostedTask(flow, result));
+  public void post(Flow<Runnable> flow, Runnable task) {
+    postedTasks.add(new PostedTask(flow, task));
   }
 
   /** The flow of what belongs to no tenant. */
@@ -86,7 +84,7 @@
     return sharedFlow;
   }
 
-  /** Results that were posted and not taken yet. Any thread may ask. */
+  /** Tasks that were posted and not run yet. Any thread may ask. */
   public int queuedTaskCount() {
     return postedTasks.size();
   }
@@ -100,20 +98,20 @@
     return nowMicros;
   }
 
-  /** Runs the task on the loop thread in the first turn at or after this time. */
-  public Deadline scheduleAt(long time, Runnable task) {
-    Deadline deadline = new Deadline(time, task);
+  /** Runs the task in the first turn at or after this time. On the loop thread. */
+  public Deadline scheduleAt(long atMicros, Runnable task) {
+    Deadline deadline = new Deadline(atMicros, task);
     deadlines.add(deadline);
     return deadline;
   }
 
   /**
-   * Counts from the clock as it is now: the turn's own time is old where what came before took
-   * long.
+   * Runs the task after a delay from the clock's present time, not from that of the running task,
+   * which may have begun long ago. On the loop thread.
    */
-  public Deadline scheduleAfter(long delay, Runnable task) {
+  public Deadline scheduleAfter(long delayMicros, Runnable task) {
     updateClock();
-    return scheduleAt(nowMicros + delay, task);
+    return scheduleAt(nowMicros + delayMicros, task);
   }
 
   void flushLater(Connection connection) {
@@ -138,12 +136,12 @@
     }
   }
 
-  /** Takes a turn with what is there, without waiting: for whoever keeps the time himself. */
+  /** Runs one turn without waiting, for a caller with a virtual clock. */
   public void runTurn() {
     runTurn(postedTasks.poll());
   }
 
-  /** Whether a turn now would have anything to do; false once it is stopped. */
+  /** Whether a task or a deadline is due; false once it is stopped. */
   public boolean isReady() {
     return !stopped
         && (!readyTasks.isEmpty() || !postedTasks.isEmpty() || microsUntilNextDeadline() == 0);
@@ -161,15 +159,15 @@
   private void runTurn(PostedTask first) {
     distributeToFlows(first);
     updateClock();
-    long began = nowMicros;
-    Runnable result = readyTasks.next();
-    for (int i = 0; result != null; i++) {
-      long from = nowMicros;
-      runGuarded(result);
+    long turnStartMicros = nowMicros;
+    Runnable task = readyTasks.next();
+    for (int i = 0; task != null; i++) {
+      long taskStartMicros = nowMicros;
+      runGuarded(task);
       updateClock();
-      readyTasks.charge(nowMicros - from);
+      readyTasks.charge(nowMicros - taskStartMicros);
       distributeToFlows(postedTasks.poll());
-      result = i < MAX_TASKS_PER_TURN ? readyTasks.next() : null;
+      task = i < MAX_TASKS_PER_TURN ? readyTasks.next() : null;
     }
     while (!deadlines.isEmpty() && deadlines.first().atMicros <= nowMicros) {
       runGuarded(deadlines.pollFirst().task);
@@ -180,15 +178,15 @@
       runGuarded(connection::flush);
     }
     updateClock();
-    busyMicros += nowMicros - began;
+    busyMicros += nowMicros - turnStartMicros;
   }
 
-  /** Microseconds that it has worked and not waited, as of its last turn. Any thread may ask. */
+  /** Time spent running tasks and not waiting, as of its last turn. Any thread may ask. */
   public long busyMicros() {
     return busyMicros;
   }
 
-  /** Puts what has come into its flows. */
+  /** Moves posted tasks to the queues of their flows. */
   private void distributeToFlows(PostedTask result) {
     for (PostedTask each = result; each != null; each = postedTasks.poll()) {
       readyTasks.add(each.flow(), each.task());
@@ -201,14 +199,12 @@
         : Math.max(0, deadlines.first().atMicros - nowMicros);
   }
 
-  /**
-   * Looks at the clock: once for each result, and where a start took long before the first turn.
-   */
+  /** Reads the clock: after each task, and after a long start before the first turn. */
   public void updateClock() {
     nowMicros = Math.max(nowMicros, clock.getAsLong());
   }
 
-  /** Guards against one faulty turn ending the program and with it every request that it holds. */
+  /** Counts and prints an exception of a task, so that it does not end the loop. */
   private void runGuarded(Runnable task) {
     try {
       task.run();
--- a/gateway/src/main/java/shelffront/net/ResourceBudget.java
+++ b/gateway/src/main/java/shelffront/net/ResourceBudget.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Something counted that those who share it may hold only so much of: bytes of buffers, sockets.
- * What is taken must be given back. A budget may be a part of a greater one, and then counts in
- * both. Any thread may call: several event loops share the greatest.
+ * A limit on a counted resource, such as bytes of buffers. What is acquired must be released. A
+ * budget may have a parent, and then what it holds counts in both. Any thread may call: event loops
+ * share a parent.
  */
 public final class ResourceBudget {
 
@@ -13,25 +13,25 @@
   private final AtomicLong held = new AtomicLong();
   private volatile long limit;
 
-  public ResourceBudget(long most) {
-    this(null, most);
+  public ResourceBudget(long limit) {
+    this(null, limit);
   }
 
-  /** A part of another; what is taken here is taken there too. */
-  public ResourceBudget(ResourceBudget whole, long most) {
-    this.parent = whole;
-    this.limit = most;
+  /** A child of another budget: what is acquired here is acquired there too. */
+  public ResourceBudget(ResourceBudget parent, long limit) {
+    this.parent = parent;
+    this.limit = limit;
   }
 
   /**
-   * Changes the bound; what is held beyond it is not taken away, but nothing more is given until it
-   * is under it.
+   * Changes the limit. What is held beyond it is kept, and nothing more is given until enough was
+   * released.
    */
-  public void updateLimit(long newMost) {
-    limit = newMost;
+  public void updateLimit(long newLimit) {
+    limit = newLimit;
   }
 
-  /** Takes the amount from this budget and its parents, or nothing; false where one is short. */
+  /** Acquires the amount here and in the parents, or nothing; false where a limit is exceeded. */
   public boolean tryAcquire(long amount) {
     long before = held.get();
     while (amount <= limit - before && !held.compareAndSet(before, before + amount)) {
@@ -47,7 +47,7 @@
     return true;
   }
 
-  /** Returns what {@link #tryAcquire} took. */
+  /** Releases what {@link #tryAcquire} acquired. */
   public void release(long amount) {
     held.addAndGet(-amount);
     if (parent != null) {
