--- a/core/src/main/java/shelffront/fleet/SlowStartBudget.java
+++ b/core/src/main/java/shelffront/fleet/SlowStartBudget.java
@@ -10,25 +10,27 @@
  * <p>A warming endpoint may have half the overload factor of what a warm one gets from this
  * gateway, times its capacity fraction. Every gateway keeps to that, so the fleet keeps to half the
  * factor of what it usually sends an endpoint, whatever the number of gateways and however unevenly
- * they are used. No gateway has a least share: each request makes one draw, so that a hundred
- * gateways with a request a minute add up as one with a hundred.
+ * they are used. No gateway has a minimum budget: each request is admitted with a probability, so
+ * that a hundred gateways with a request a minute add up as one with a hundred.
  *
- * <p>Requests that need the primary have no other endpoint and come out of its budget first; what
- * they leave is for reads. All endpoints of a set share one draw: each has an arc of one circle as
- * long as its share, laid end to end, and a request may go to the endpoint in whose arc its draw
- * falls. Each gets its share as with a draw of its own, and a request meets none of them only where
- * the shares of all leave part of the circle free.
+ * <p>Requests that need the primary can go nowhere else, so they use its budget first and reads get
+ * the rest. For reads, a request is hashed to a point of the unit interval, and each warming
+ * endpoint of the set owns a subinterval as long as the fraction of the reads that its budget
+ * covers. The subintervals are laid end to end and wrap around at 1; a request may go to the
+ * endpoint in whose subinterval its point lies. So each endpoint gets its fraction, and a request
+ * is refused by all of them only where their subintervals leave a gap.
  *
- * <p>All counts are of the last {@link #WINDOW_SECONDS}, by this gateway. With m others on the
- * mean, Poisson, the mean of m / (others + 1) is 1 - e^-m: a request that counts itself keeps the
- * fleet's sum to the budget for any m. Times are microseconds. Not safe for use by several threads.
+ * <p>All counts are of the last {@link #WINDOW_SECONDS}, by this gateway. Where the number of other
+ * requests is Poisson distributed with mean m, the mean of m / (others + 1) is 1 - e^-m, which is
+ * below 1: since a request counts itself, the fleet stays within the budget for any m. Times are
+ * microseconds. Not safe for use by several threads.
  */
 public final class SlowStartBudget {
 
   /** Time over which usual traffic is counted. */
   public static final double WINDOW_SECONDS = 20;
 
-  /** The budget is the part of the overload factor that stays below it on the safe side. */
+  /** Half the overload factor is used, so that the fleet stays well below it. */
   private static final double SAFETY_DIVISOR = 2;
 
   /** Spreads the few bits of a string's hash over a seed: 2^64 over the golden ratio. */
@@ -62,11 +64,12 @@
   }
 
   /**
-   * What an endpoint may have, as a number of requests in the window. A primary bears, when it is
-   * warm, what needs the primary, be that more than what endpoints get on the mean.
+   * How many requests of the window an endpoint may be sent. For a primary this counts from what a
+   * warm one gets: the requests that need it, where those are more than an average endpoint gets.
    *
    * @param capacityFraction fraction of its capacity that the endpoint has now
-   * @param usualSends what a warm endpoint of its size gets here on the mean, in the window
+   * @param usualSends what a warm endpoint of its capacity is sent by this gateway, on average, in
+   *     the window
    */
   public double budget(
       long nowMicros,
@@ -81,11 +84,12 @@
   }
 
   /**
-   * Whether a warming endpoint's budget covers this request. Without a known primary what needs it
-   * is tried on replicas, and counts as reads do.
+   * Whether a warming endpoint's budget covers this request. While no primary is known, requests
+   * that need it are tried on replicas and count as reads.
    *
-   * @param toPrimary whether the endpoint is the primary; its arc is the last of its set
-   * @param budgetsBefore the budgets of the warming endpoints whose arcs come before, together
+   * @param toPrimary whether the endpoint is the primary; its subinterval is the last of its set
+   * @param budgetsBefore sum of the budgets of the warming endpoints whose subintervals come before
+   * @param budget of the endpoint, by {@link #budget}
    */
   public boolean admits(
       long nowMicros,
@@ -95,23 +99,23 @@
       boolean primaryKnown,
       double budgetsBefore,
       double budget) {
-    double owedToPrimary = primaryDemand.count(nowMicros);
+    double primaryRequests = primaryDemand.count(nowMicros);
     if (toPrimary && requiresPrimary) {
-      return draw(requestId) < budget / Math.max(1, owedToPrimary);
+      return hashToUnitInterval(requestId) < budget / Math.max(1, primaryRequests);
     }
-    double demand = Math.max(1, readDemand.count(nowMicros) + (primaryKnown ? 0 : owedToPrimary));
-    double budgetForReads = toPrimary ? budget - owedToPrimary : budget;
-    double offset = (draw(requestId) - budgetsBefore / demand) % 1;
-    double offsetOnCircle = offset < 0 ? offset + 1 : offset;
-    return offsetOnCircle < budgetForReads / demand;
+    double reads = Math.max(1, readDemand.count(nowMicros) + (primaryKnown ? 0 : primaryRequests));
+    double budgetForReads = toPrimary ? budget - primaryRequests : budget;
+    double offset = (hashToUnitInterval(requestId) - budgetsBefore / reads) % 1;
+    double wrappedOffset = offset < 0 ? offset + 1 : offset;
+    return wrappedOffset < budgetForReads / reads;
   }
 
-  /** Evenly spread over 0 to 1, and the same whenever the request is looked at. */
-  private static double draw(String requestId) {
+  /** The request's point of the unit interval: uniformly distributed, and the same at each call. */
+  private static double hashToUnitInterval(String requestId) {
     return new SplittableRandom(requestId.hashCode() * SEED_MULTIPLIER).nextDouble();
   }
 
-  /** Recent requests in the window: by the long count, or by the short one where it says more. */
+  /** Requests in the window: the long-term count, or the short-term rate where that gives more. */
   private static final class Demand {
 
     private final DecayingAverage steady = new DecayingAverage(WINDOW_SECONDS);
