--- a/gateway/src/main/java/shelffront/admin/AdminServer.java
+++ b/gateway/src/main/java/shelffront/admin/AdminServer.java
@@ -40,61 +40,57 @@
  */
 public final class AdminServer implements AutoCloseable {
 
-  private static final int GREATEST_BODY = 1 << 20;
-  private static final int THREADS = 24;
-  private static final int WAITING = 64;
-  private static final int MOST_POLLS = 16;
-  private static final int MOST_POLLS_OF_ONE = 4;
-  private static final long LONGEST_POLL_MS = 60_000;
-  private static final int MOST_ANSWERS_KEPT = 1000;
-  private static final long LONGEST_OVERLAP_MS = 30L * 24 * 3600 * 1000;
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final int WORKER_THREADS = 24;
+  private static final int MAX_QUEUED_CALLS = 64;
+  private static final int MAX_POLLS = 16;
+  private static final int MAX_POLLS_PER_TOKEN = 4;
+  private static final long MAX_POLL_MILLIS = 60_000;
+  private static final int MAX_CACHED_RESPONSES = 1000;
+  private static final long MAX_OVERLAP_MILLIS = 30L * 24 * 3600 * 1000;
 
-  /**
-   * Seconds in which a request must have been sent and its answer been taken: slow ones are cut
-   * off.
-   */
-  private static final String MOST_SECONDS = "10";
+  /** Within this time a client must have sent its request, else its connection is closed. */
+  private static final String REQUEST_TIMEOUT_SECONDS = "10";
 
-  /** An answer that a POST with an Idempotency-Key had, and what it was asked. */
-  private record Kept(String asked, AdminResponse answer) {}
+  /** The response to a POST with an Idempotency-Key, and a fingerprint of its path and body. */
+  private record CachedResponse(String fingerprint, AdminResponse response) {}
 
   private final HttpServer server;
   private final ThreadPoolExecutor threads;
   private final DocumentStore store;
-  private final TenantAdministration tenancy;
+  private final TenantAdministration administration;
   private final AdminTokens tokens;
   private final FleetResource fleet;
   private final EventLog log;
-  private final Semaphore polls = new Semaphore(MOST_POLLS);
-  private final Map<String, Integer> pollsOf =
-      new ConcurrentHashMap<>(); // those that wait, by token
-  private final Map<String, Kept> kept = new LinkedHashMap<>();
+  private final Semaphore polls = new Semaphore(MAX_POLLS);
+  private final Map<String, Integer> pollCountByToken = new ConcurrentHashMap<>();
+  private final Map<String, CachedResponse> responsesByKey = new LinkedHashMap<>();
 
   public AdminServer(
       InetSocketAddress listen,
       DocumentStore store,
-      TenantAdministration tenancy,
+      TenantAdministration administration,
       AdminTokens tokens,
       FleetResource fleet,
       EventLog log)
       throws IOException {
-    System.setProperty("sun.net.httpserver.maxReqTime", MOST_SECONDS);
+    System.setProperty("sun.net.httpserver.maxReqTime", REQUEST_TIMEOUT_SECONDS);
     System.setProperty("sun.net.httpserver.maxRspTime", "90");
     System.setProperty(
         "sun.net.httpserver.nodelay", "true"); // else each answer waits 40 ms for an ACK
     this.store = store;
-    this.tenancy = tenancy;
+    this.administration = administration;
     this.tokens = tokens;
     this.fleet = fleet;
     this.log = log;
     server = HttpServer.create(listen, 64);
     threads =
         new ThreadPoolExecutor(
-            THREADS,
-            THREADS,
+            WORKER_THREADS,
+            WORKER_THREADS,
             60,
             TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(WAITING),
+            new ArrayBlockingQueue<>(MAX_QUEUED_CALLS),
             task -> {
               Thread thread = new Thread(task, "admin");
               thread.setDaemon(true);
@@ -121,18 +117,18 @@
 
   private void handle(HttpExchange exchange) throws IOException {
     try (exchange) {
-      AdminResponse answer;
+      AdminResponse response;
       try {
-        answer = route(exchange);
+        response = route(exchange);
       } catch (ProblemException e) {
         Map<String, String> headers =
             e.status() == 401
                 ? Map.of("WWW-Authenticate", "Bearer")
                 : e.status() == 429 ? Map.of("Retry-After", "1") : Map.of();
-        answer = new AdminResponse(e.status(), e.body(), headers);
+        response = new AdminResponse(e.status(), e.body(), headers);
       } catch (RuntimeException e) {
         log.println("admin fault " + e);
-        answer =
+        response =
             AdminResponse.of(
                 500, new ProblemException(500, "Fault", "the request has failed").body());
       } catch (InterruptedException e) {
@@ -143,29 +139,29 @@
           .getResponseHeaders()
           .set(
               "Content-Type",
-              answer.status() >= 400 ? "application/problem+json" : "application/json");
+              response.status() >= 400 ? "application/problem+json" : "application/json");
       exchange.getResponseHeaders().set("Cache-Control", "no-store");
-      answer.headers().forEach(exchange.getResponseHeaders()::set);
+      response.headers().forEach(exchange.getResponseHeaders()::set);
       byte[] body =
-          answer.body() == null
+          response.body() == null
               ? new byte[0]
-              : TenantSpecCodec.JSON.writeValueAsBytes(answer.body());
-      exchange.sendResponseHeaders(answer.status(), body.length == 0 ? -1 : body.length);
+              : TenantSpecCodec.JSON.writeValueAsBytes(response.body());
+      exchange.sendResponseHeaders(response.status(), body.length == 0 ? -1 : body.length);
       exchange.getResponseBody().write(body);
     }
   }
 
   private AdminResponse route(HttpExchange exchange)
       throws ProblemException, IOException, InterruptedException {
-    Caller caller = caller(exchange);
-    byte[] body = exchange.getRequestBody().readNBytes(GREATEST_BODY + 1);
-    if (body.length > GREATEST_BODY) {
-      throw new ProblemException(413, "Too large", "a body may have " + GREATEST_BODY + " bytes");
+    Caller caller = authenticate(exchange);
+    byte[] body = exchange.getRequestBody().readNBytes(MAX_BODY_BYTES + 1);
+    if (body.length > MAX_BODY_BYTES) {
+      throw new ProblemException(413, "Too large", "a body may have " + MAX_BODY_BYTES + " bytes");
     }
     String path = exchange.getRequestURI().getRawPath();
     String[] parts = path.split("/", -1);
     for (int i = 1; i < parts.length; i++) {
-      // An encoded slash or dot is no name here, so that no path means anything but what it says.
+      // Also rejects encoded slashes and dots, so that a path has one meaning only.
       if (!parts[i].matches(TenantSpecCodec.NAME)) {
         throw ProblemException.notFound();
       }
@@ -176,44 +172,45 @@
     String method = exchange.getRequestMethod();
     String key = exchange.getRequestHeaders().getFirst("Idempotency-Key");
     if (!method.equals("POST") || key == null) {
-      return call(exchange, caller, method, parts, body);
+      return dispatch(exchange, caller, method, parts, body);
     }
     if (!key.matches("[ -~]{1,200}")) {
       throw new ProblemException(
           400, "Bad request", "Idempotency-Key is 1 to 200 printable characters");
     }
-    String asked = path + " " + Arrays.toString(ApiKeys.hash(body));
-    synchronized (kept) { // one at a time: the second of two with one key finds the first's answer
-      Kept before = kept.get(caller.token() + " " + key);
-      if (before == null) {
-        AdminResponse answer = call(exchange, caller, method, parts, body);
-        kept.put(caller.token() + " " + key, new Kept(asked, answer));
-        if (kept.size() > MOST_ANSWERS_KEPT) {
-          kept.remove(kept.keySet().iterator().next());
+    String fingerprint = path + " " + Arrays.toString(ApiKeys.hash(body));
+    // One call at a time: of two calls with the same key the second finds the first one's response.
+    synchronized (responsesByKey) {
+      CachedResponse cached = responsesByKey.get(caller.token() + " " + key);
+      if (cached == null) {
+        AdminResponse response = dispatch(exchange, caller, method, parts, body);
+        responsesByKey.put(caller.token() + " " + key, new CachedResponse(fingerprint, response));
+        if (responsesByKey.size() > MAX_CACHED_RESPONSES) {
+          responsesByKey.remove(responsesByKey.keySet().iterator().next());
         }
-        return answer;
+        return response;
       }
-      if (!before.asked().equals(asked)) {
+      if (!cached.fingerprint().equals(fingerprint)) {
         throw new ProblemException(
             422, "Key used before", "this Idempotency-Key came with another request");
       }
-      return before.answer();
+      return cached.response();
     }
   }
 
-  private Caller caller(HttpExchange exchange) throws ProblemException {
-    String given = exchange.getRequestHeaders().getFirst("Authorization");
+  private Caller authenticate(HttpExchange exchange) throws ProblemException {
+    String authorization = exchange.getRequestHeaders().getFirst("Authorization");
     Caller caller =
-        given == null || !given.startsWith("Bearer ")
+        authorization == null || !authorization.startsWith("Bearer ")
             ? null
-            : tokens.authenticate(given.substring(7));
+            : tokens.authenticate(authorization.substring(7));
     if (caller == null) {
       throw new ProblemException(401, "Not authorized", "a valid token is needed");
     }
     return caller;
   }
 
-  private AdminResponse call(
+  private AdminResponse dispatch(
       HttpExchange exchange, Caller caller, String method, String[] parts, byte[] body)
       throws ProblemException, InterruptedException {
     try {
@@ -228,27 +225,27 @@
           return tenant(exchange, caller, method, parts, body);
         }
         case "audit" -> {
-          only(method, "GET");
-          return audit(caller, query(exchange));
+          requireMethod(method, "GET");
+          return audit(caller, queryParameters(exchange));
         }
         case "changes" -> {
-          only(method, "GET");
-          return changes(caller, query(exchange));
+          requireMethod(method, "GET");
+          return changes(caller, queryParameters(exchange));
         }
         case "tokens" -> {
           return token(caller, method, parts, body);
         }
         case "export" -> {
-          only(method, "GET");
-          operator(caller);
+          requireMethod(method, "GET");
+          requireOperator(caller);
           return AdminResponse.of(200, store.export());
         }
         case "subjects" -> {
-          operator(caller);
+          requireOperator(caller);
           return fleet.subjects(method, parts, body);
         }
         case "distribution" -> {
-          operator(caller);
+          requireOperator(caller);
           return fleet.distribution(method, parts);
         }
         default -> throw ProblemException.notFound();
@@ -270,28 +267,31 @@
           "Changed meanwhile",
           "it is not at the revision of If-Match",
           null,
-          present == null ? null : shown(present));
+          present == null ? null : toJson(present));
     }
   }
 
-  // ---- Tenants
-  // --------------------------------------------------------------------------------
+  // Tenants
 
   private AdminResponse tenants(Caller caller, String method, byte[] body)
       throws ProblemException, SpecException, ConflictException, OperatorException {
     if (method.equals("POST")) {
-      operator(caller);
+      requireOperator(caller);
       JsonNode document = TenantSpecCodec.parse(body);
       String id = document.path("id").asText();
-      if (tenancy.get(id) != null) {
+      if (administration.get(id) != null) {
         throw new ProblemException(409, "Exists", "there is a tenant of this name", "/id", null);
       }
-      return written(201, id, tenancy.put(id, 0, document, caller.token(), "create"), document);
+      return writtenResponse(
+          201, id, administration.put(id, 0, document, caller.token(), "create"), document);
     }
-    only(method, "GET");
+    requireMethod(method, "GET");
     ArrayNode list = TenantSpecCodec.JSON.createArrayNode();
-    tenancy.all().stream().filter(e -> caller.maySee(e.name())).forEach(e -> list.add(shown(e)));
-    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", tenancy.revision());
+    administration.all().stream()
+        .filter(entry -> caller.maySee(entry.name()))
+        .forEach(entry -> list.add(toJson(entry)));
+    ObjectNode answer =
+        TenantSpecCodec.JSON.createObjectNode().put("revision", administration.revision());
     answer.set("tenants", list);
     return AdminResponse.of(200, answer);
   }
@@ -304,7 +304,7 @@
           OperatorException,
           InterruptedException {
     String id = parts[3];
-    Entry entry = tenancy.get(id);
+    Entry entry = administration.get(id);
     boolean create = method.equals("PUT") && parts.length == 4 && caller.isOperator();
     if (entry == null && !create) {
       throw ProblemException.notFound();
@@ -312,39 +312,41 @@
     if (parts.length == 4) {
       switch (method) {
         case "GET" -> {
-          return new AdminResponse(200, shown(entry), Map.of("ETag", tag(entry.revision())));
+          return new AdminResponse(200, toJson(entry), Map.of("ETag", entityTag(entry.revision())));
         }
         case "PUT" -> {
-          long expected = expected(exchange, entry);
+          long expectedRevision = expectedRevision(exchange, entry);
           JsonNode document = TenantSpecCodec.parse(body);
           if (!caller.isOperator()) {
-            sameBounds(entry.document(), document);
+            requireSameBounds(entry.document(), document);
           }
-          long revision = tenancy.put(id, expected, document, caller.token(), "change");
-          return written(entry == null ? 201 : 200, id, revision, document);
+          long revision =
+              administration.put(id, expectedRevision, document, caller.token(), "change");
+          return writtenResponse(entry == null ? 201 : 200, id, revision, document);
         }
         case "DELETE" -> {
-          operator(caller);
-          long revision = tenancy.remove(id, expected(exchange, entry), caller.token());
+          requireOperator(caller);
+          long revision =
+              administration.remove(id, expectedRevision(exchange, entry), caller.token());
           return AdminResponse.of(
               202, TenantSpecCodec.JSON.createObjectNode().put("id", id).put("revision", revision));
         }
-        default -> throw noMethod();
+        default -> throw methodNotAllowed();
       }
     }
     if (parts.length == 5 && parts[4].equals("boxes")) {
-      only(method, "GET");
-      return boxes(entry);
+      requireMethod(method, "GET");
+      return endpoints(entry);
     }
     if (parts.length == 5 && parts[4].equals("usage")) {
-      only(method, "GET");
+      requireMethod(method, "GET");
       return usage(id);
     }
     if (parts.length == 7 && parts[4].equals("boxes") && parts[6].equals("drain")) {
       if (!method.equals("POST") && !method.equals("DELETE")) {
-        throw noMethod();
+        throw methodNotAllowed();
       }
-      long revision = tenancy.drain(id, parts[5], method.equals("POST"), caller.token());
+      long revision = administration.drain(id, parts[5], method.equals("POST"), caller.token());
       return AdminResponse.of(
           200,
           TenantSpecCodec.JSON
@@ -359,12 +361,14 @@
     throw ProblemException.notFound();
   }
 
-  /** Clients' keys: listed by their names, made here and shown once, ended. */
+  /**
+   * Lists, creates and revokes the keys of a tenant's clients; a key is shown once, at creation.
+   */
   private AdminResponse keys(Entry entry, Caller caller, String method, String[] parts, byte[] body)
       throws ProblemException, SpecException, ConflictException, OperatorException {
     if (parts.length == 6) {
-      only(method, "DELETE");
-      long revision = tenancy.revokeKey(entry.name(), parts[5], caller.token());
+      requireMethod(method, "DELETE");
+      long revision = administration.revokeKey(entry.name(), parts[5], caller.token());
       if (revision == 0) {
         throw ProblemException.notFound();
       }
@@ -378,36 +382,36 @@
         throw new ProblemException(
             422, "Not a valid document", "a user of 1 to 63 characters is needed", "/user", null);
       }
-      TenantAdministration.CreatedKey made =
-          tenancy.createKey(entry.name(), user.asText(), caller.token());
-      if (made == null) {
+      TenantAdministration.CreatedKey created =
+          administration.createKey(entry.name(), user.asText(), caller.token());
+      if (created == null) {
         throw ProblemException.notFound();
       }
       return AdminResponse.of(
           201,
           TenantSpecCodec.JSON
               .createObjectNode()
-              .put("id", made.id())
+              .put("id", created.id())
               .put("user", user.asText())
-              .put("key", made.key())
-              .put("revision", made.revision()));
+              .put("key", created.key())
+              .put("revision", created.revision()));
     }
-    only(method, "GET");
+    requireMethod(method, "GET");
     ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
     ArrayNode list = answer.putArray("keys");
     entry
         .document()
         .path("credentials")
         .forEach(
-            c ->
+            credential ->
                 list.addObject()
-                    .put("id", TenantAdministration.keyId(c.path("sha256").asText()))
-                    .put("user", c.path("user").asText()));
+                    .put("id", TenantAdministration.keyId(credential.path("sha256").asText()))
+                    .put("user", credential.path("user").asText()));
     return AdminResponse.of(200, answer);
   }
 
-  /** The revision that If-Match names; 0 by "If-None-Match: *" for one that is to be new. */
-  private static long expected(HttpExchange exchange, Entry entry) throws ProblemException {
+  /** The revision that If-Match names; 0 for a new tenant, by "If-None-Match: *". */
+  private static long expectedRevision(HttpExchange exchange, Entry entry) throws ProblemException {
     String match = exchange.getRequestHeaders().getFirst("If-Match");
     if (match == null
         && entry == null
@@ -424,13 +428,13 @@
           "Changed meanwhile",
           "If-Match names no revision",
           null,
-          entry == null ? null : shown(entry));
+          entry == null ? null : toJson(entry));
     }
     return Long.parseLong(match.substring(1, match.length() - 1));
   }
 
-  /** What a tenant has of the gateway is the operators' to give. */
-  private static void sameBounds(JsonNode before, JsonNode after) throws ProblemException {
+  /** Throws where a change that is not an operator's changes the tenant's weight or limits. */
+  private static void requireSameBounds(JsonNode before, JsonNode after) throws ProblemException {
     for (String field : new String[] {"weight", "limits"}) {
       if (!before.path(field).equals(after.path(field))) {
         throw new ProblemException(
@@ -439,22 +443,23 @@
     }
   }
 
-  private static AdminResponse written(int status, String id, long revision, JsonNode document) {
+  private static AdminResponse writtenResponse(
+      int status, String id, long revision, JsonNode document) {
     return new AdminResponse(
-        status, shown(new Entry(id, revision, document)), Map.of("ETag", tag(revision)));
+        status, toJson(new Entry(id, revision, document)), Map.of("ETag", entityTag(revision)));
   }
 
-  private static ObjectNode shown(Entry entry) {
-    ObjectNode shown = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
-    shown.set("tenant", entry.document());
-    return shown;
+  private static ObjectNode toJson(Entry entry) {
+    ObjectNode json = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
+    json.set("tenant", entry.document());
+    return json;
   }
 
-  private static String tag(long revision) {
+  private static String entityTag(long revision) {
     return "\"" + revision + "\"";
   }
 
-  private static AdminResponse boxes(Entry entry) {
+  private static AdminResponse endpoints(Entry entry) {
     ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
     JsonNode boxes = entry.document().path("boxes");
     answer.set(
@@ -463,7 +468,7 @@
             ? boxes.path("discovery")
             : TenantSpecCodec.JSON.getNodeFactory().textNode("list"));
     ArrayNode list = answer.putArray("boxes");
-    boxes.path("list").forEach(b -> list.add(b.deepCopy()));
+    boxes.path("list").forEach(endpoint -> list.add(endpoint.deepCopy()));
     answer.set(
         "drained",
         entry.document().has("drained")
@@ -475,7 +480,7 @@
   private AdminResponse usage(String id) throws ProblemException, InterruptedException {
     Tenant.Usage usage;
     try {
-      usage = tenancy.usage(id).get(5, TimeUnit.SECONDS);
+      usage = administration.usage(id).get(5, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new ProblemException(503, "Busy", "the gateway did not say in time");
     }
@@ -495,93 +500,97 @@
     return AdminResponse.of(200, answer);
   }
 
-  // ---- The rest
-  // --------------------------------------------------------------------------------
+  // Audit log, changes and tokens
 
   private AdminResponse audit(Caller caller, Map<String, String> query) throws ProblemException {
     ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", store.revision());
     ArrayNode list = answer.putArray("entries");
-    store.auditEntries(number(query, "after", 0), 1000).stream()
-        .filter(a -> caller.isOperator() || a.kind() == Kind.TENANT && caller.maySee(a.name()))
-        .forEach(a -> list.add(shown(a)));
+    store.auditEntries(numberParameter(query, "after", 0), 1000).stream()
+        .filter(
+            entry ->
+                caller.isOperator() || entry.kind() == Kind.TENANT && caller.maySee(entry.name()))
+        .forEach(entry -> list.add(toJson(entry)));
     return AdminResponse.of(200, answer);
   }
 
-  private static ObjectNode shown(AuditEntry a) {
+  private static ObjectNode toJson(AuditEntry entry) {
     return TenantSpecCodec.JSON
         .createObjectNode()
-        .put("revision", a.revision())
-        .put("before", a.previousRevision())
-        .put("at", a.atMillis())
-        .put("who", a.actor())
-        .put("what", a.action())
-        .put("kind", a.kind().name().toLowerCase(Locale.ROOT))
-        .put("name", a.name());
+        .put("revision", entry.revision())
+        .put("before", entry.previousRevision())
+        .put("at", entry.atMillis())
+        .put("who", entry.actor())
+        .put("what", entry.action())
+        .put("kind", entry.kind().name().toLowerCase(Locale.ROOT))
+        .put("name", entry.name());
   }
 
   private AdminResponse changes(Caller caller, Map<String, String> query)
       throws ProblemException, InterruptedException {
-    long after = number(query, "after", 0);
+    long after = numberParameter(query, "after", 0);
     String wait = query.getOrDefault("wait", "0s");
     if (!wait.matches("[0-9]{1,4}(ms|s)")) {
       throw new ProblemException(400, "Bad request", "wait is a number of s or ms");
     }
-    long millis =
+    long waitMillis =
         wait.endsWith("ms")
             ? Long.parseLong(wait.substring(0, wait.length() - 2))
             : 1000 * Long.parseLong(wait.substring(0, wait.length() - 1));
-    boolean mayWait = pollsOf.merge(caller.token(), 1, Integer::sum) <= MOST_POLLS_OF_ONE;
+    boolean mayWait =
+        pollCountByToken.merge(caller.token(), 1, Integer::sum) <= MAX_POLLS_PER_TOKEN;
     if (!mayWait || !polls.tryAcquire()) {
-      pollEnds(caller);
+      endPoll(caller);
       throw new ProblemException(
           429,
           "Too many polls",
           "at most "
-              + MOST_POLLS_OF_ONE
+              + MAX_POLLS_PER_TOKEN
               + " of one token may wait at a time,"
               + " and "
-              + MOST_POLLS
+              + MAX_POLLS
               + " of all");
     }
     try {
       ObjectNode answer = TenantSpecCodec.JSON.createObjectNode();
       ArrayNode list = answer.putArray("changes");
-      for (AuditEntry a :
-          tenancy.changes(after, Math.min(LONGEST_POLL_MS, millis), caller.tenant())) {
+      for (AuditEntry entry :
+          administration.changes(after, Math.min(MAX_POLL_MILLIS, waitMillis), caller.tenant())) {
         ObjectNode change =
             list.addObject()
-                .put("revision", a.revision())
-                .put("id", a.name())
-                .put("what", a.action());
-        long at = tenancy.inForceAtMillis(a.revision());
-        if (at > 0) {
-          change.put("inForce", at);
+                .put("revision", entry.revision())
+                .put("id", entry.name())
+                .put("what", entry.action());
+        long inForceAtMillis = administration.inForceAtMillis(entry.revision());
+        if (inForceAtMillis > 0) {
+          change.put("inForce", inForceAtMillis);
         }
       }
       return AdminResponse.of(200, answer);
     } finally {
       polls.release();
-      pollEnds(caller);
+      endPoll(caller);
     }
   }
 
-  private void pollEnds(Caller caller) {
-    pollsOf.computeIfPresent(caller.token(), (token, count) -> count == 1 ? null : count - 1);
+  private void endPoll(Caller caller) {
+    pollCountByToken.computeIfPresent(
+        caller.token(), (token, count) -> count == 1 ? null : count - 1);
   }
 
   private AdminResponse token(Caller caller, String method, String[] parts, byte[] body)
       throws ProblemException, SpecException, ConflictException, OperatorException {
-    operator(caller);
+    requireOperator(caller);
     if (parts.length == 3 && method.equals("POST")) {
       JsonNode asked = TenantSpecCodec.parse(body);
       JsonNode tenant = asked.path("tenant");
       if (!tenant.isMissingNode()
           && !tenant.isNull()
-          && (!tenant.isTextual() || tenancy.get(tenant.asText()) == null)) {
+          && (!tenant.isTextual() || administration.get(tenant.asText()) == null)) {
         throw new ProblemException(
             422, "Not a valid document", "there is no such tenant", "/tenant", null);
       }
-      return AdminResponse.of(201, secret(tokens.create(tenant.asText(null), caller.token())));
+      return AdminResponse.of(
+          201, createdToken(tokens.create(tenant.asText(null), caller.token())));
     }
     if (parts.length == 5 && parts[4].equals("rotate") && method.equals("POST")) {
       long overlap =
@@ -590,11 +599,11 @@
               : TenantSpecCodec.parse(body).path("overlapSeconds").asLong(0) * 1000;
       String rotated =
           tokens.rotate(
-              parts[3], Math.max(0, Math.min(LONGEST_OVERLAP_MS, overlap)), caller.token());
+              parts[3], Math.max(0, Math.min(MAX_OVERLAP_MILLIS, overlap)), caller.token());
       if (rotated == null) {
         throw ProblemException.notFound();
       }
-      return AdminResponse.of(200, secret(rotated));
+      return AdminResponse.of(200, createdToken(rotated));
     }
     if (parts.length == 4 && method.equals("DELETE")) {
       if (!tokens.revoke(parts[3], caller.token())) {
@@ -602,34 +611,34 @@
       }
       return AdminResponse.of(204, null);
     }
-    throw parts.length > 5 ? ProblemException.notFound() : noMethod();
+    throw parts.length > 5 ? ProblemException.notFound() : methodNotAllowed();
   }
 
-  private static ObjectNode secret(String token) {
+  private static ObjectNode createdToken(String token) {
     return TenantSpecCodec.JSON
         .createObjectNode()
         .put("id", token.substring(0, token.indexOf('.')))
         .put("token", token);
   }
 
-  /** To a tenant's administrator, what is the operators' does not exist. */
-  private static void operator(Caller caller) throws ProblemException {
+  /** Throws "not found" for others, who must not learn of what only operators may call. */
+  private static void requireOperator(Caller caller) throws ProblemException {
     if (!caller.isOperator()) {
       throw ProblemException.notFound();
     }
   }
 
-  static void only(String method, String allowed) throws ProblemException {
+  static void requireMethod(String method, String allowed) throws ProblemException {
     if (!method.equals(allowed)) {
-      throw noMethod();
+      throw methodNotAllowed();
     }
   }
 
-  static ProblemException noMethod() {
+  static ProblemException methodNotAllowed() {
     return new ProblemException(405, "Method not allowed", "this path does not take this method");
   }
 
-  private static Map<String, String> query(HttpExchange exchange) {
+  private static Map<String, String> queryParameters(HttpExchange exchange) {
     Map<String, String> values = new HashMap<>();
     String raw = exchange.getRequestURI().getRawQuery();
     if (raw != null) {
@@ -643,12 +652,12 @@
     return values;
   }
 
-  private static long number(Map<String, String> query, String name, long absent)
+  private static long numberParameter(Map<String, String> query, String name, long defaultValue)
       throws ProblemException {
     String value = query.get(name);
     if (value != null && !value.matches("[0-9]{1,18}")) {
       throw new ProblemException(400, "Bad request", name + " is not a number");
     }
-    return value == null ? absent : Long.parseLong(value);
+    return value == null ? defaultValue : Long.parseLong(value);
   }
 }
--- a/gateway/src/main/java/shelffront/admin/FleetResource.java
+++ b/gateway/src/main/java/shelffront/admin/FleetResource.java
@@ -48,7 +48,7 @@
       }
       stages.requestStage(parts[3], target.asText());
     } else {
-      AdminServer.only(method, "GET");
+      AdminServer.requireMethod(method, "GET");
     }
     ArrayNode list = TenantSpecCodec.JSON.createArrayNode();
     for (RolloutCoordinator.SubjectStatus s : stages.status(parts.length == 4 ? parts[3] : null)) {
@@ -75,14 +75,14 @@
       throw ProblemException.notFound();
     }
     if (parts.length == 4 && parts[3].equals("incarnation")) {
-      AdminServer.only(method, "POST");
+      AdminServer.requireMethod(method, "POST");
       return AdminResponse.of(
           200, put(TenantSpecCodec.JSON.createObjectNode(), distribution.beginIncarnation()));
     }
     if (parts.length != 3) {
       throw ProblemException.notFound();
     }
-    AdminServer.only(method, "GET");
+    AdminServer.requireMethod(method, "GET");
     SubscribedRecords.Status status = distribution.status();
     ObjectNode answer =
         TenantSpecCodec.JSON
