--- a/gateway/src/main/java/shelffront/backend/LoadReportParser.java
+++ b/gateway/src/main/java/shelffront/backend/LoadReportParser.java
@@ -25,10 +25,7 @@
 
   private LoadReportParser() {}
 
-  /**
-   * The figures that the module uses; null where the text is no report, for then none of it can be
-   * relied on.
-   */
+  /** Parses a load report; null where any part of the text is malformed. */
   static LoadReport read(String text) {
     if (text == null || text.length() > MAX_LENGTH) {
       return null;
@@ -41,18 +38,15 @@
         return null;
       }
       if (field.group(1).equals("x0")) {
-        // Rounded down: a replica taken for further than it is could serve a stale read.
+        // Rounded down: a position too high could make a replica serve a stale read.
         position = new BigDecimal(field.group(2)).movePointRight(MICROS_DECIMALS).longValue();
       } else if (field.group(1).equals("x1")) {
         role = Double.parseDouble(field.group(2)) >= 0.5 ? Role.PRIMARY : Role.REPLICA;
       }
     }
     if (position == 0) {
-      // A Unix time of 0 is this protocol's "none" (as in up_since_ms): a host that has made no
-      // report yet
-      // answers a probe with zeros. Taken as figures, they made every replica look 56 years behind
-      // and the
-      // primary a replica, and a gateway with little traffic heard nothing better for seconds.
+      // A Unix time of 0 means "none" in this protocol: a host that has made no report yet answers
+      // a health check with zeros, which tell neither its position nor its role.
       return new LoadReport(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1);
     }
     return new LoadReport(position, role, -1, -1, -1);
--- a/gateway/src/main/java/shelffront/store/DocumentStore.java
+++ b/gateway/src/main/java/shelffront/store/DocumentStore.java
@@ -16,10 +16,13 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * What administrators have set: documents by kind and name, each with the revision of its last
- * change, and an audit entry for each change. Revisions are one growing number for the whole store.
- * In a file (H2's MVStore), or in memory only. A change is made by one commit and is on disk when
- * its method returns. Any thread may call; calls take turns.
+ * Stores what administrators have set: documents by kind and name, each with the revision of its
+ * last change, and an audit entry for each change. Revisions are one increasing sequence for the
+ * whole store. Kept in a file (H2's MVStore), or in memory only.
+ *
+ * <p>A change is one commit, and is on disk when its method returns. Where the commit fails, the
+ * change is rolled back and the method throws an {@link MVStoreException}. Any thread may call;
+ * calls are serialized.
  */
 public final class DocumentStore implements AutoCloseable {
 
@@ -83,15 +86,16 @@
   }
 
   /**
-   * Opens a file, or begins one. One whose last write was cut opens at the last change that was
-   * answered; one that is damaged beyond that, or is something else, is refused and left as it is.
+   * Opens a store, or creates one. A file whose last write is incomplete opens at the last
+   * committed change. One that is damaged beyond that, or is no store, is left as it is.
+   *
+   * @throws IOException where the file can't be opened as a store
    */
   public static DocumentStore open(Path file) throws IOException {
     boolean exists = Files.exists(file) && Files.size(file) > 0;
     try {
       if (exists) {
-        // Looked at first without the right to write: what can't be read must not be written to
-        // either.
+        // Read through first, and read-only: a file that can't be read must not be written to.
         try (MVStore readOnlyStore =
             new MVStore.Builder().fileName(file.toString()).readOnly().open()) {
           if (!readOnlyStore.hasMap("about")
@@ -143,10 +147,15 @@
   }
 
   /**
-   * Puts a document in place of the one at a revision, 0 for none; null takes it away. Gives the
-   * new revision.
+   * Replaces a document.
    *
-   * @param actor for the audit entry, as is {@code what}
+   * @param expected the revision that it must have now; 0 where there must be none
+   * @param document null removes it
+   * @param actor who changes it, for the audit entry
+   * @param action what is done, for the audit entry
+   * @param atMillis time of the audit entry, in Unix milliseconds
+   * @return the new revision
+   * @throws ConflictException where it has another revision; nothing was changed
    */
   public synchronized long put(
       Kind kind,
@@ -183,7 +192,7 @@
     return revision;
   }
 
-  /** Changes after a revision, oldest first, at most so many. */
+  /** Audit entries after a revision, oldest first, up to a limit. */
   public synchronized List<AuditEntry> auditEntries(long after, int limit) {
     List<AuditEntry> found = new ArrayList<>();
     for (var keys = auditEntries.keyIterator(after + 1); keys.hasNext() && found.size() < limit; ) {
@@ -213,8 +222,10 @@
   }
 
   /**
-   * Puts in all that an export holds, in place of what has the same name; each is a change of its
+   * Imports all documents of an export, replacing those of the same names; each is a change of its
    * own.
+   *
+   * @return how many documents were imported
    */
   public synchronized int importAll(JsonNode exported, String actor, long atMillis)
       throws IOException {
@@ -249,7 +260,8 @@
   }
 
   /**
-   * What could not be written whole is taken back, so that what is read here is what is on disk.
+   * Writes the pending changes to disk; rolls them back where that fails, so that reads never see
+   * what is not on disk.
    */
   private void commit() {
     try {
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -145,8 +145,7 @@
     List.copyOf(draining.keySet()).forEach(tenant -> tenant.close(reason));
   }
 
-  // ---- The door
-  // --------------------------------------------------------------------------------
+  // Lookup and authentication of clients
 
   /**
    * The tenant that a startup message names: its database, or, as PostgreSQL has it, the user where
@@ -161,7 +160,7 @@
     return tenants.get(nameIn(startup));
   }
 
-  /** Only of those who admit everybody can anything be learnt without a key. */
+  /** Also true for unknown names: without a key a client learns only of tenants open to all. */
   @Override
   public boolean requiresPassword(Map<String, String> startup) {
     Tenant tenant = tenantOf(startup);
@@ -188,7 +187,8 @@
         tenant == null ? List.<TenantSpec.Credential>of() : tenant.spec().credentials()) {
       known |= credential.user().equals(user) && ApiKeys.matches(credential.keyHash(), password);
     }
-    // A name that nobody has costs a comparison too, and is answered in the same words.
+    // An unknown name costs a comparison too and gets the same error, so that it can't be told from
+    // a known one.
     if (tenant == null && ApiKeys.matches(HASH_OF_NO_KEY, password) || !known) {
       throw unknownDatabase();
     }
