--- a/core/src/main/java/shelffront/decision/AttemptOutcomes.java
+++ b/core/src/main/java/shelffront/decision/AttemptOutcomes.java
@@ -2,7 +2,7 @@
 
 import shelffront.routing.AttemptOutcome;
 
-/** What the end of an attempt says of its endpoint's health and load. */
+/** Updates an endpoint's health and load by the outcomes of its attempts. */
 record AttemptOutcomes(
     RoutingState state,
     ReplicaPositions positions,
@@ -14,7 +14,7 @@
   /** Weight of one service time in the typical one of its class. */
   private static final double TYPICAL_SERVICE_SMOOTHING = 0.03;
 
-  /** Typical service times that one service time counts at most. */
+  /** One service time counts as this many typical ones at most. */
   private static final double MAX_TYPICAL_SERVICE_TIMES = 4;
 
   /** Takes in the outcome of an attempt that is no longer out. */
--- a/core/src/main/java/shelffront/decision/AttemptSender.java
+++ b/core/src/main/java/shelffront/decision/AttemptSender.java
@@ -3,7 +3,7 @@
 /**
  * Starts attempts.
  *
- * <p>Invariant: the only way out for attempts; every rule is checked before.
+ * <p>Invariant: every attempt is started here, after all rules were checked.
  */
 record AttemptSender(RoutingState state, AttemptAdmission admission) {
 
--- a/core/src/main/java/shelffront/decision/ConnectionFailures.java
+++ b/core/src/main/java/shelffront/decision/ConnectionFailures.java
@@ -6,20 +6,20 @@
 import shelffront.routing.AttemptStatus;
 
 /**
- * What broken and refused connections say of an endpoint: little, for one that works loses
- * connections too.
+ * Judges an endpoint by its broken and refused connections. One or two prove nothing, since a
+ * healthy endpoint loses connections too.
  *
- * <p>Invariant: an endpoint is health-checked after each, and ejected for a moment from the third
- * in a row on, or where setting one up took too long.
+ * <p>Invariant: an endpoint is health-checked after each failure, and ejected shortly from the
+ * third in a row on, or where a connection took too long to set up.
  */
 record ConnectionFailures(
     RoutingState state, EndpointEjection ejection, HealthChecker healthChecker) {
 
-  /** Lost connections in a row that tell nothing of an endpoint. */
+  /** Connection failures in a row that prove nothing. */
   private static final int MAX_TOLERATED = 2;
 
-  /** How long connections are taken to be scarce or expensive after one that was not set up. */
-  private static final long MEMORY_MICROS = 20_000_000;
+  /** How long connections count as scarce or expensive after one could not be set up. */
+  private static final long CONNECTION_PRESSURE_MICROS = 20_000_000;
 
   /**
    * An attempt's connection broke or was not set up. Where it was refused at once, the endpoint's
@@ -31,11 +31,12 @@
     boolean neverConnected = outcome.status() == AttemptStatus.CONNECT_FAILED;
     boolean expensive = neverConnected && isExpensive(outcome.elapsedMicros());
     if (expensive) {
-      state.connectionsExpensiveUntilMicros = state.nowMicros + MEMORY_MICROS;
+      state.connectionsExpensiveUntilMicros = state.nowMicros + CONNECTION_PRESSURE_MICROS;
     }
     if (expensive || exceedsTolerance(endpoint)) {
       boolean scarce = neverConnected && !expensive;
-      endpoint.connectionsScarceUntilMicros = scarce ? state.nowMicros + MEMORY_MICROS : UNKNOWN;
+      endpoint.connectionsScarceUntilMicros =
+          scarce ? state.nowMicros + CONNECTION_PRESSURE_MICROS : UNKNOWN;
       ejection.ejectShortly(endpoint, "does not accept connections");
     }
     if (!endpoint.healthCheckOut) {
--- a/core/src/main/java/shelffront/decision/EndpointEjection.java
+++ b/core/src/main/java/shelffront/decision/EndpointEjection.java
@@ -3,9 +3,10 @@
 import static shelffront.routing.Router.UNKNOWN;
 
 /**
- * For how long an endpoint is ejected, and when it is used again.
+ * Ejects endpoints, which are not used for a time then, and readmits them.
  *
- * <p>Invariant: ejections grow with their number in a row, and an answer ends them at once.
+ * <p>Invariant: the duration doubles with each ejection in a row, up to a bound; an answer of the
+ * endpoint ends its ejection at once.
  */
 record EndpointEjection(RoutingState state) {
 
@@ -29,7 +30,7 @@
     ejectShortly(endpoint, reason);
   }
 
-  /** Ejects an endpoint for a moment that doubles with each ejection in a row. */
+  /** Ejects an endpoint for a short time, which doubles with each ejection in a row. */
   void ejectShortly(EndpointState endpoint, String reason) {
     long ejectionMicros =
         backoffMicros(
@@ -48,7 +49,7 @@
     return Math.min(MAX_EJECTION_MICROS, firstMicros << Math.min(maxDoublings, ejections));
   }
 
-  /** An answer proves that the endpoint works: it is used again as if nothing had been. */
+  /** An answer proves that the endpoint works: ends its ejection, probation and failure counts. */
   void readmit(EndpointState endpoint) {
     endpoint.lastResponseAtMicros = state.nowMicros;
     endpoint.consecutiveEjections = 0;
--- a/core/src/main/java/shelffront/decision/EndpointSelector.java
+++ b/core/src/main/java/shelffront/decision/EndpointSelector.java
@@ -41,7 +41,10 @@
     return suitability.suits(primary, request, 1) ? primary : null;
   }
 
-  /** A read that takes any data waits for nothing; nor does one that a replica sent back. */
+  /**
+   * Whether a read may use the primary: at once where any data will do or a replica rejected it,
+   * else after {@link #MAX_REPLICA_WAIT_MICROS}.
+   */
   private boolean mayFallBackToPrimary(PendingRequest request) {
     return request.rejectedByReplica
         || state.nowMicros >= request.arrivedAtMicros + MAX_REPLICA_WAIT_MICROS
--- a/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
+++ b/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
@@ -3,7 +3,7 @@
 import shelffront.routing.AttemptStatus;
 import shelffront.routing.LoadReport;
 
-/** What the end of a health check says of an endpoint. */
+/** Updates an endpoint's health, position and role by the outcomes of its health checks. */
 record HealthCheckOutcomes(
     RoutingState state,
     ReplicaPositions positions,
@@ -11,9 +11,10 @@
     ConnectionFailures connectionFailures) {
 
   /**
-   * Takes in the end of a health check. An answered one ends an ejection that a failed one began,
-   * and otherwise the probation once the ejection is over: else a lone gateway could never send a
-   * non-idempotent write there. A failed one ejects the endpoint for a moment.
+   * Records the outcome of a health check. A success ends an ejection that a failed check began. An
+   * ejection for another reason stays; once that is over, a success ends the probation, since a
+   * lone gateway could otherwise never send the endpoint a non-idempotent write. A failure ejects
+   * the endpoint for a short time.
    */
   void record(EndpointState endpoint, AttemptStatus status, LoadReport loadReport) {
     boolean answered = status == AttemptStatus.OK;
--- a/core/src/main/java/shelffront/decision/LoadShedder.java
+++ b/core/src/main/java/shelffront/decision/LoadShedder.java
@@ -5,8 +5,8 @@
 /**
  * When a request can no longer be answered in time, and how it ends then.
  *
- * <p>Invariant: the only way out for final answers that the module gives. A request is rejected
- * only where repeating it does no harm; otherwise it fails.
+ * <p>Invariant: every final answer that the module gives is given here. A request is rejected only
+ * where repeating it does no harm; otherwise it fails.
  */
 record LoadShedder(RoutingState state, RetryPolicy retryPolicy, RequestCompletion completion) {
 
@@ -55,20 +55,20 @@
       return;
     }
     completion.complete(request);
-    if (isHarmlessToRepeat(request)) {
+    if (isSafeToRepeat(request)) {
       state.actions.reject(request.request.id(), retryAfterMicros(request.replicaSet));
     } else {
       state.actions.fail(request.request.id());
     }
   }
 
-  private static boolean isHarmlessToRepeat(PendingRequest request) {
+  private static boolean isSafeToRepeat(PendingRequest request) {
     return request.requestClass.isIdempotent()
         || request.firstPossiblyExecuted() == null
         || request.requestClass.isDeduplicatedWithin(DeduplicationScope.ALL);
   }
 
-  /** The usual length of what is in the way, within what the site permits. */
+  /** The expected duration of the election or overload, within what the site permits. */
   private long retryAfterMicros(ReplicaSet replicaSet) {
     return state
         .settings
--- a/core/src/main/java/shelffront/decision/PendingRequest.java
+++ b/core/src/main/java/shelffront/decision/PendingRequest.java
@@ -7,7 +7,7 @@
 import shelffront.routing.RequestClass;
 
 /**
- * A request that still owes its final answer, and the attempts made for it.
+ * A request that awaits its final answer, and the attempts made for it.
  *
  * <p>Invariants: {@link #open} turns false once, when the request gets its final answer or its
  * client goes away; {@link #queue} is null unless the request waits in that queue.
@@ -30,7 +30,7 @@
   boolean open = true;
   LinkedHashSet<PendingRequest> queue;
 
-  /** A replica sent the read back as unsuitable: it need not wait for another one. */
+  /** A replica rejected the read as unsuitable: it may use the primary without a wait. */
   boolean rejectedByReplica;
 
   PendingRequest(
--- a/core/src/main/java/shelffront/decision/ReplicaSet.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSet.java
@@ -28,7 +28,10 @@
   /** Time for which the newest message about the primary's role holds. */
   long primaryKnownAtMicros = UNKNOWN;
 
-  /** Id of the endpoint that the search for the primary tried last; empty before the first. */
+  /**
+   * Id of the endpoint that the search for the primary tried last, or that lost the role; the
+   * search goes on behind it. Empty before the first.
+   */
   String lastSearchedId = "";
 
   /** The write that searches for the primary. */
--- a/core/src/main/java/shelffront/decision/RoutingState.java
+++ b/core/src/main/java/shelffront/decision/RoutingState.java
@@ -23,7 +23,7 @@
 
   private static final int MAX_REMEMBERED_SESSIONS = 20_000;
 
-  /** More log lines than one in this time are dropped. */
+  /** At most one log line in this time is written; others are dropped. */
   private static final long LOG_INTERVAL_MICROS = 200_000;
 
   private static final double MIN_OVERLOAD_WINDOW_SECONDS = 0.001;
@@ -53,10 +53,10 @@
 
   HealthCheckBudget healthCheckBudget;
 
-  /** Attempts of late to a warm endpoint of capacity 1, on the mean. */
+  /** Recent attempts to a warm endpoint of capacity 1, on average. */
   double warmEndpointSends;
 
-  /** Until then setting up a connection is taken to last too long. */
+  /** Until then setting up a connection is expected to take too long. */
   long connectionsExpensiveUntilMicros = UNKNOWN;
 
   private long loggedAtMicros = UNKNOWN;
@@ -89,7 +89,7 @@
         number, absent -> new ReplicaSet(typicalServiceMicros.length, overloadSeconds));
   }
 
-  /** Writes a line to the log unless one was written a moment ago. */
+  /** Writes a line to the log; drops it within {@link #LOG_INTERVAL_MICROS} of the last one. */
   void note(String text) {
     if (nowMicros - loggedAtMicros > LOG_INTERVAL_MICROS) {
       loggedAtMicros = nowMicros;
