--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -243,9 +243,8 @@
    * Tenants that a client names, and that are not here, are looked up by this; those unused for
    * long are forgotten.
    */
-  void lookUpWith(
-      Function<String, CompletableFuture<Boolean>> tenantFinder, Consumer<String> forgetter) {
-    tenantFinder = tenantFinder;
+  void lookUpWith(Function<String, CompletableFuture<Boolean>> finder, Consumer<String> forgetter) {
+    tenantFinder = finder;
     tenantForgetter = forgetter;
     firstNetwork.loop().post(this::forgetUnused);
   }
--- a/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
+++ b/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
@@ -60,8 +60,8 @@
   }
 
   /** Listens at another address too; throws where that can't be had. */
-  public void listen(InetSocketAddress address) throws IOException {
-    transport.listen(address, connection -> down ? null : new WatchConnection(connection));
+  public void listen(InetSocketAddress listenAddress) throws IOException {
+    transport.listen(listenAddress, connection -> down ? null : new WatchConnection(connection));
   }
 
   public InetSocketAddress address() {
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
@@ -326,8 +326,8 @@
   private final class EffectCounter implements ReplicaSetModel.Observer {
 
     @Override
-    public void executionStarted(ReplicaSetModel.Host model, Query query) {
-      Host host = hosts.get(model.id());
+    public void executionStarted(ReplicaSetModel.Host modelHost, Query query) {
+      Host host = hosts.get(modelHost.id());
       host.lastStartNanos = System.nanoTime();
       host.startedCount.incrementAndGet();
     }
--- a/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
@@ -78,9 +78,9 @@
     }
 
     /** The gateway with another configuration. */
-    public Gateway withConfig(GatewayConfig config) {
+    public Gateway withConfig(GatewayConfig changedConfig) {
       try {
-        return new Gateway(network, config);
+        return new Gateway(network, changedConfig);
       } catch (IOException e) {
         throw new IllegalStateException("the virtual network takes every listener", e);
       }
