--- a/gateway/src/main/java/shelffront/tenant/ApiKeys.java
+++ b/gateway/src/main/java/shelffront/tenant/ApiKeys.java
@@ -19,12 +19,14 @@
 
   private ApiKeys() {}
 
+  /** Makes a key, as text that is safe in URLs. */
   public static String generate() {
     byte[] bytes = new byte[BYTES];
     RANDOM.nextBytes(bytes);
     return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
   }
 
+  /** The hash that is kept of a key. */
   public static byte[] hash(byte[] key) {
     try {
       return MessageDigest.getInstance("SHA-256").digest(key);
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -16,9 +16,9 @@
 import shelffront.quota.TenantQuotas;
 
 /**
- * The tenants of a gateway by their names, and the door by which clients find theirs: the database
- * of the startup message. What all use is divided among them by {@link TenantQuotas}. On the loop
- * thread.
+ * The tenants of one event loop by their names, and the lookup by which clients find theirs: the
+ * database of the startup message. What all use is divided among them by {@link TenantQuotas}. On
+ * the loop thread.
  */
 public final class TenantRegistry implements TenantLookup {
 
@@ -37,11 +37,17 @@
 
   private long seed;
 
+  /**
+   * Makes a registry without tenants.
+   *
+   * @param hostConnectionQuotas divides the connections to hosts
+   * @param seed of the first tenant's router; those after it count on from there
+   */
   public TenantRegistry(
-      Network network, TenantQuotas shares, ConnectionQuotas hostSockets, long seed) {
+      Network network, TenantQuotas quotas, ConnectionQuotas hostConnectionQuotas, long seed) {
     this.network = network;
-    this.quotas = shares;
-    this.hostConnectionQuotas = hostSockets;
+    this.quotas = quotas;
+    this.hostConnectionQuotas = hostConnectionQuotas;
     this.seed = seed;
   }
 
@@ -140,12 +146,13 @@
         && draining.keySet().stream().allMatch(Tenant::hasNoOpenRequests);
   }
 
+  /** Closes all tenants, those that are being removed among them. */
   public void close(CloseReason reason) {
     tenants.values().forEach(tenant -> tenant.close(reason));
     List.copyOf(draining.keySet()).forEach(tenant -> tenant.close(reason));
   }
 
-  // Lookup and authentication of clients
+  // ---- Lookup for clients
 
   /**
    * The tenant that a startup message names: its database, or, as PostgreSQL has it, the user where
@@ -160,7 +167,7 @@
     return tenants.get(nameIn(startup));
   }
 
-  /** Also true for unknown names: without a key a client learns only of tenants open to all. */
+  /** Only of those who admit everybody can anything be learnt without a key. */
   @Override
   public boolean requiresPassword(Map<String, String> startup) {
     Tenant tenant = tenantOf(startup);
@@ -187,8 +194,7 @@
         tenant == null ? List.<TenantSpec.Credential>of() : tenant.spec().credentials()) {
       known |= credential.user().equals(user) && ApiKeys.matches(credential.keyHash(), password);
     }
-    // An unknown name costs a comparison too and gets the same error, so that it can't be told from
-    // a known one.
+    // A name that nobody has costs a comparison too, and is answered in the same words.
     if (tenant == null && ApiKeys.matches(HASH_OF_NO_KEY, password) || !known) {
       throw unknownDatabase();
     }
--- /dev/null
+++ b/gateway/src/main/java/shelffront/tenant/TenantRouting.java
@@ -0,0 +1,259 @@
+package shelffront.tenant;
+
+import shelffront.backend.BackendConnections;
+import shelffront.backend.BackendResponse;
+import shelffront.decision.RoutingEngine;
+import shelffront.net.CloseReason;
+import shelffront.net.Counters;
+import shelffront.net.EventLoop.Deadline;
+import shelffront.quota.ConnectionQuotas;
+import shelffront.request.BackendAttempt;
+import shelffront.request.ClientRequest;
+import shelffront.routing.AttemptOutcome;
+import shelffront.routing.AttemptStatus;
+import shelffront.routing.Request;
+import shelffront.routing.Router;
+import shelffront.routing.RouterActions;
+
+/**
+ * The router of one tenant with what it acts upon: carries out the router's actions on the
+ * connections to hosts, and reports their events to it. Owns the router, the connections, the
+ * endpoint list and the router's one timer; made with the tenant's first client and kept while it
+ * is suspended. On the loop thread.
+ */
+final class TenantRouting implements RouterActions, BackendConnections.Listener {
+
+  private final TenantContext context;
+  private final OpenRequests requests;
+  private final Router router;
+  private final BackendConnections backends;
+  private final TenantEndpoints endpoints;
+  private Deadline timer;
+  private long timerAtMicros; // kept while the tenant is suspended; 0: none
+
+  TenantRouting(
+      TenantContext context, OpenRequests requests, ConnectionQuotas hostConnectionQuotas) {
+    this.context = context;
+    this.requests = requests;
+    TenantSpec spec = context.spec();
+    router = new RoutingEngine(this);
+    backends =
+        new BackendConnections(
+            context.network(),
+            spec.settings().limits(),
+            hostConnectionQuotas,
+            spec.weight(),
+            spec.bounds().hostConnections(),
+            spec.login(),
+            this);
+    endpoints = new TenantEndpoints(context, router, backends);
+  }
+
+  TenantEndpoints endpoints() {
+    return endpoints;
+  }
+
+  // ---- Life
+
+  void start(long seed) {
+    endpoints.start();
+    router.onStart(context.nowMicros(), seed, context.spec().settings());
+    endpoints.watchPushedList();
+    endpoints.postCachedList();
+  }
+
+  void resume() {
+    endpoints.resume();
+    if (timerAtMicros != 0) {
+      setTimer("wake", timerAtMicros);
+    }
+  }
+
+  /** Gives back what a suspended tenant doesn't need. */
+  void suspend() {
+    endpoints.stopWatch();
+    backends.closeAll(CloseReason.IDLE);
+    if (timer != null) {
+      timer.cancel();
+      timer = null;
+    }
+  }
+
+  /** Gives back every connection to hosts and discovery, and the timer. */
+  void close(CloseReason reason) {
+    endpoints.close(reason);
+    backends.closeAll(reason);
+    if (timer != null) {
+      timer.cancel();
+    }
+  }
+
+  void updateQuota(TenantSpec spec) {
+    backends.updateQuota(spec.weight(), spec.bounds().hostConnections());
+  }
+
+  int openHostConnections() {
+    return backends.openConnectionCount();
+  }
+
+  // ---- From clients
+
+  void onRequest(Request request) {
+    router.onRequest(context.nowMicros(), request);
+  }
+
+  void onClientDisconnected(String requestId) {
+    router.onClientDisconnected(context.nowMicros(), requestId);
+  }
+
+  // ---- From hosts
+
+  @Override
+  public void onAttemptEnded(BackendAttempt attempt, BackendResponse response) {
+    ClientRequest request = attempt.request;
+    attempt.outstanding = false;
+    context.network().counters().add(attemptCounter(response.status()));
+    if (response.status() == AttemptStatus.OK && !request.answered) {
+      request.answered = true;
+      requests.complete(request, listener -> listener.onServed(response.messages()));
+    }
+    // From when the request went out: guards against taking the wait for a connection, which may be
+    // this program's own in its first seconds, for slowness of the host.
+    long elapsedMicros = context.nowMicros() - attempt.sentAtMicros;
+    router.onAttemptOutcome(
+        context.nowMicros(),
+        new AttemptOutcome(
+            request.id,
+            attempt.number,
+            attempt.endpointId,
+            response.status(),
+            request.answered,
+            elapsedMicros,
+            response.role(),
+            response.positionMicros(),
+            response.loadReport()));
+    requests.removeIfFinished(request);
+  }
+
+  /** The counter's name is published at exit and by the administration. */
+  private static Counters.Name attemptCounter(AttemptStatus status) {
+    return switch (status) {
+      case OK -> Counters.Name.ATTEMPTS_OK;
+      case ERROR -> Counters.Name.ATTEMPTS_ERROR;
+      case CAPACITY_EXCEEDED -> Counters.Name.ATTEMPTS_FULL;
+      case TIMEOUT -> Counters.Name.ATTEMPTS_TIMEOUT;
+      case CONNECT_FAILED -> Counters.Name.ATTEMPTS_CONNECT_FAILED;
+      case RESET -> Counters.Name.ATTEMPTS_RESET;
+      case CANCELLED -> Counters.Name.ATTEMPTS_CANCELLED;
+      case NOT_SENT -> Counters.Name.ATTEMPTS_NOT_SENT;
+      case REPLICA_UNSUITABLE -> Counters.Name.ATTEMPTS_MISS;
+    };
+  }
+
+  @Override
+  public boolean mayStartAttempt(BackendAttempt attempt) {
+    return router.mayStartAttempt(context.nowMicros(), attempt.request.id, attempt.number);
+  }
+
+  @Override
+  public void onHealthCheckEnded(String endpointId, BackendResponse response, long elapsedMicros) {
+    if (response.status() != AttemptStatus.OK) {
+      context.network().counters().add(Counters.Name.PROBES_FAILED);
+    }
+    router.onHealthCheckResult(
+        context.nowMicros(), endpointId, response.status(), elapsedMicros, response.loadReport());
+  }
+
+  // ---- What the router asks for
+
+  @Override
+  public void startAttempt(String requestId, String endpointId, long timeoutMicros) {
+    ClientRequest request = requests.get(requestId);
+    BackendAttempt attempt = new BackendAttempt(request, endpointId, context.nowMicros());
+    request.attempts.add(attempt);
+    if (request.answered || context.nowMicros() >= request.deadlineMicros) {
+      context
+          .network()
+          .post(() -> onAttemptEnded(attempt, BackendResponse.of(AttemptStatus.NOT_SENT)));
+      return;
+    }
+    context.network().counters().add(Counters.Name.ATTEMPTS_SENT);
+    backends.startAttempt(attempt);
+  }
+
+  @Override
+  public void cancelAttempt(String requestId, int attemptNumber) {
+    ClientRequest request = requests.get(requestId);
+    if (request != null && attemptNumber < request.attempts.size()) {
+      backends.cancelAttempt(request.attempts.get(attemptNumber));
+    }
+  }
+
+  @Override
+  public void reject(String requestId, long retryAfterMicros) {
+    requests.answer(requestId, listener -> listener.onRejected(retryAfterMicros));
+  }
+
+  @Override
+  public void fail(String requestId) {
+    requests.answer(requestId, ClientRequest.ResponseListener::onFailed);
+  }
+
+  /**
+   * Does nothing for a tenant that is not running: the router answers what a removal cut off with a
+   * health check, whose connection would outlive the tenant.
+   */
+  @Override
+  public void checkHealth(String endpointId) {
+    if (context.state().isRunning()) {
+      backends.checkHealth(endpointId);
+    }
+  }
+
+  @Override
+  public void setTimer(String name, long atMicros) {
+    timerAtMicros = atMicros;
+    if (!context.state().isRunning()) {
+      return;
+    }
+    if (timer != null) {
+      timer.cancel();
+    }
+    timer = context.loop().scheduleAt(atMicros, () -> onTimer(name));
+  }
+
+  private void onTimer(String name) {
+    timer = null;
+    timerAtMicros = 0;
+    router.onTimer(context.nowMicros(), name);
+  }
+
+  @Override
+  public void watchEndpoints(boolean enabled) {
+    endpoints.watch(enabled);
+  }
+
+  @Override
+  public void fetchEndpoints() {
+    endpoints.fetch();
+  }
+
+  /**
+   * Gateways of this kind can't reach each other; the settings say so and the router never asks.
+   */
+  @Override
+  public void sendToPeers(int peer, byte[] payload) {
+    throw new UnsupportedOperationException("gateways have no way to talk to each other");
+  }
+
+  @Override
+  public void closeIdleConnections(String endpointId) {
+    backends.closeIdleConnections(endpointId);
+  }
+
+  @Override
+  public void log(String text) {
+    String tenantId = context.network().tenantId();
+    context.network().log().println("module " + (tenantId.isEmpty() ? "" : tenantId + " ") + text);
+  }
+}
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -29,24 +29,13 @@
 import shelffront.config.GatewayConfig;
 import shelffront.config.MalformedInputException;
 import shelffront.routing.Availability;
-import shelffront.routing.Consistency;
-import shelffront.routing.ConsistencySettings;
-import shelffront.routing.DeduplicationScope;
 import shelffront.routing.Endpoint;
-import shelffront.routing.EndpointListSettings;
-import shelffront.routing.GatewayIdentity;
-import shelffront.routing.Idempotency;
-import shelffront.routing.LagCheck;
-import shelffront.routing.ListedRoles;
-import shelffront.routing.LoadReportSource;
-import shelffront.routing.OperatingLimits;
 import shelffront.routing.RequestClass;
-import shelffront.routing.RoutingSettings;
-import shelffront.routing.SafetyRules;
 
 /**
  * Reads a tenant from JSON: checked against the schema {@code tenant.schema.json}, then for what no
- * schema says.
+ * schema says. The field names are those that administrators write; {@code docs/GLOSSARY.md} maps
+ * them to the terms of the code. Any thread may call.
  */
 public final class TenantSpecCodec {
 
@@ -57,6 +46,7 @@
 
     private final String pointer;
 
+    /** The pointer is empty where the fault is the document itself. */
     public SpecException(String pointer, String reason) {
       super(reason);
       this.pointer = pointer;
@@ -77,7 +67,17 @@
   public static final String NAME = "[a-zA-Z0-9][a-zA-Z0-9_.-]{0,63}";
 
   private static final JsonSchema SCHEMA = schema();
-  private static final long MS = 1000;
+  private static final long MICROS_PER_MILLI = 1000;
+
+  /** A burst is what the rate gives in a fifth of a second, if nothing else is set. */
+  private static final double DEFAULT_BURSTS_PER_SECOND = 5;
+
+  private static final int DEFAULT_OPEN_REQUESTS = 200;
+  private static final int DEFAULT_CLIENT_CONNECTIONS = 100;
+  private static final int DEFAULT_HOST_CONNECTIONS = 64;
+  private static final long DEFAULT_BUFFER_BYTES = 8L << 20;
+  private static final long DEFAULT_GRACE_MILLIS = 5000;
+  private static final String DEFAULT_USER = "shelffront";
 
   private TenantSpecCodec() {}
 
@@ -93,6 +93,7 @@
     }
   }
 
+  /** Parses a document that has to be a JSON object. */
   public static JsonNode parse(byte[] text) throws SpecException {
     try {
       JsonNode document = JSON.readTree(text);
@@ -123,173 +124,127 @@
 
   /** Throws with the first fault, by the order of pointers. */
   public static TenantSpec read(JsonNode document) throws SpecException {
+    validate(document);
+    List<RequestClass> classes = readClasses(document.path("classes"));
+    double[] classWeights = readClassWeights(document.path("classes"));
+    JsonNode hosts = document.path("hosts");
+    JsonNode endpoints = document.path("boxes");
+    String id = document.path("id").asText();
+    return new TenantSpec(
+        id,
+        document.path("weight").asDouble(1),
+        classWeights,
+        readBounds(document.path("limits")),
+        TenantRoutingSettings.read(classes, hosts, endpoints.has("discovery")),
+        new Login(hosts.path("user").asText(DEFAULT_USER), hosts.path("database").asText(id)),
+        readEndpointSource(endpoints),
+        readDrainedEndpoints(document.path("drained")),
+        readCredentials(document.path("credentials")),
+        document.path("graceMs").asLong(DEFAULT_GRACE_MILLIS) * MICROS_PER_MILLI);
+  }
+
+  private static void validate(JsonNode document) throws SpecException {
     ValidationMessage fault =
         SCHEMA.validate(document).stream()
-            .min(Comparator.comparing(m -> m.getInstanceLocation().toString()))
+            .min(Comparator.comparing(message -> message.getInstanceLocation().toString()))
             .orElse(null);
     if (fault != null) {
       throw new SpecException(fault.getInstanceLocation().toString(), fault.getError());
     }
+  }
+
+  private static List<RequestClass> readClasses(JsonNode entries) throws SpecException {
     List<RequestClass> classes = new ArrayList<>();
-    List<Double> shares = new ArrayList<>();
     Set<String> names = new HashSet<>();
-    for (JsonNode c : document.path("classes")) {
-      String at = "/classes/" + classes.size();
-      if (!names.add(c.path("name").asText())) {
-        throw new SpecException(at + "/name", "two classes have this name");
+    for (JsonNode entry : entries) {
+      String pointer = "/classes/" + classes.size();
+      if (!names.add(entry.path("name").asText())) {
+        throw new SpecException(pointer + "/name", "two classes have this name");
       }
-      classes.add(classSettings(c, at));
-      if (c.has("share")) {
-        shares.add(c.path("share").asDouble());
+      classes.add(RequestClassCodec.read(entry, pointer));
+    }
+    return classes;
+  }
+
+  private static double[] readClassWeights(JsonNode classes) throws SpecException {
+    List<Double> weights = new ArrayList<>();
+    for (JsonNode entry : classes) {
+      if (entry.has("share")) {
+        weights.add(entry.path("share").asDouble());
       }
     }
-    if (!shares.isEmpty() && shares.size() != classes.size()) {
+    if (!weights.isEmpty() && weights.size() != classes.size()) {
       throw new SpecException("/classes", "either all classes have a share or none");
     }
-    JsonNode limits = document.path("limits");
-    double rate = limits.path("requestsPerSecond").asDouble(0);
-    TenantSpec.Bounds bounds =
-        new TenantSpec.Bounds(
-            rate,
-            limits.path("burst").asDouble(Math.max(1, rate / 5)),
-            limits.path("openRequests").asInt(200),
-            limits.path("clientConnections").asInt(100),
-            limits.path("hostConnections").asInt(64),
-            limits.path("bufferBytes").asLong(8L << 20));
-    JsonNode hosts = document.path("hosts");
-    JsonNode boxes = document.path("boxes");
-    String id = document.path("id").asText();
-    Set<String> drained = new HashSet<>();
-    document.path("drained").forEach(d -> drained.add(d.asText()));
-    List<TenantSpec.Credential> credentials = new ArrayList<>();
-    document
-        .path("credentials")
-        .forEach(
-            c ->
-                credentials.add(
-                    new TenantSpec.Credential(
-                        c.path("user").asText(),
-                        HexFormat.of().parseHex(c.path("sha256").asText()))));
-    return new TenantSpec(
-        id,
-        document.path("weight").asDouble(1),
-        shares.stream().mapToDouble(s -> s).toArray(),
-        bounds,
-        settings(classes, hosts, boxes.has("discovery")),
-        new Login(hosts.path("user").asText("shelffront"), hosts.path("database").asText(id)),
-        new TenantSpec.EndpointSource(
-            boxes.has("discovery")
-                ? address(boxes.path("discovery").asText(), "/boxes/discovery")
-                : null,
-            boxes.has("list") ? list(boxes.path("list")) : EndpointList.empty()),
-        Set.copyOf(drained),
-        List.copyOf(credentials),
-        document.path("graceMs").asLong(5000) * MS);
+    return weights.stream().mapToDouble(weight -> weight).toArray();
   }
 
-  private static RequestClass classSettings(JsonNode c, String at) throws SpecException {
-    Consistency read = consistency(c.path("read").asText());
-    String effect = c.path("effect").asText(read == Consistency.WRITE ? "once" : "repeatable");
-    long giveUp = c.path("giveUpMs").asLong() * MS;
-    long aim = c.path("aimMs").asLong(giveUp / MS) * MS;
-    if (aim > giveUp) {
-      throw new SpecException(at + "/aimMs", "is later than giveUpMs");
-    }
-    if (read == Consistency.WRITE && effect.equals("repeatable")) {
-      throw new SpecException(at + "/effect", "a write can't be repeated without a key");
-    }
-    if (read != Consistency.WRITE && !effect.equals("repeatable")) {
-      throw new SpecException(at + "/effect", "a read can always be repeated");
-    }
-    return new RequestClass(
-        c.path("name").asText(),
-        aim,
-        giveUp,
-        c.path("worth").asDouble(1),
-        c.path("lateShare").asDouble(0),
-        idempotency(effect),
-        DeduplicationScope.REPLICA_SET,
-        c.path("windowMs").asLong(0) * MS,
-        read,
-        c.path("boundMs").asLong(0) * MS);
+  private static TenantSpec.Bounds readBounds(JsonNode limits) {
+    double requestsPerSecond = limits.path("requestsPerSecond").asDouble(0);
+    double defaultBurst = Math.max(1, requestsPerSecond / DEFAULT_BURSTS_PER_SECOND);
+    return new TenantSpec.Bounds(
+        requestsPerSecond,
+        limits.path("burst").asDouble(defaultBurst),
+        limits.path("openRequests").asInt(DEFAULT_OPEN_REQUESTS),
+        limits.path("clientConnections").asInt(DEFAULT_CLIENT_CONNECTIONS),
+        limits.path("hostConnections").asInt(DEFAULT_HOST_CONNECTIONS),
+        limits.path("bufferBytes").asLong(DEFAULT_BUFFER_BYTES));
   }
 
-  /** The schema admits these words alone. */
-  private static Consistency consistency(String read) {
-    return switch (read) {
-      case "write" -> Consistency.WRITE;
-      case "fresh" -> Consistency.STRONG;
-      case "session" -> Consistency.SESSION;
-      case "bounded" -> Consistency.BOUNDED_STALENESS;
-      case "any" -> Consistency.EVENTUAL;
-      default -> throw new IllegalArgumentException("unknown kind of read: " + read);
-    };
+  private static Set<String> readDrainedEndpoints(JsonNode ids) {
+    Set<String> drained = new HashSet<>();
+    ids.forEach(id -> drained.add(id.asText()));
+    return Set.copyOf(drained);
   }
 
-  /** The schema admits these words alone. */
-  private static Idempotency idempotency(String effect) {
-    return switch (effect) {
-      case "repeatable" -> Idempotency.IDEMPOTENT;
-      case "keyed" -> Idempotency.IDEMPOTENCY_KEY;
-      case "once" -> Idempotency.NON_IDEMPOTENT;
-      default -> throw new IllegalArgumentException("unknown effect: " + effect);
-    };
+  private static List<TenantSpec.Credential> readCredentials(JsonNode entries) {
+    List<TenantSpec.Credential> credentials = new ArrayList<>();
+    for (JsonNode entry : entries) {
+      byte[] keyHash = HexFormat.of().parseHex(entry.path("sha256").asText());
+      credentials.add(new TenantSpec.Credential(entry.path("user").asText(), keyHash));
+    }
+    return List.copyOf(credentials);
   }
 
-  private static RoutingSettings settings(
-      List<RequestClass> classes, JsonNode hosts, boolean asked) {
-    LagCheck check =
-        switch (hosts.path("check").asText("wait")) {
-          case "silent" -> LagCheck.NONE;
-          case "refuse" -> LagCheck.REJECT;
-          default -> LagCheck.WAIT;
-        };
-    return new RoutingSettings(
-        new GatewayIdentity(0, hosts.path("gateways").asInt(1), ""),
-        MS,
-        List.copyOf(classes),
-        new ConsistencySettings(check, hosts.path("patienceMs").asLong(100) * MS, false, false),
-        new EndpointListSettings(asked ? ListedRoles.LATE : ListedRoles.AT_START, asked),
-        LoadReportSource.HEALTH_CHECKS,
-        new SafetyRules(2_000 * MS, 0.21, 18_000 * MS, 4, 2_000 * MS, false, 10_000 * MS, 20 * MS),
-        new OperatingLimits(
-            hosts.path("attempts").asInt(8),
-            2_000 * MS,
-            true,
-            true,
-            false,
-            true,
-            false,
-            hosts.path("connectTimeoutMs").asLong(250) * MS,
-            hosts.path("idleMs").asLong(30_000) * MS),
-        0,
-        0);
+  private static TenantSpec.EndpointSource readEndpointSource(JsonNode source)
+      throws SpecException {
+    InetSocketAddress discoveryAddress =
+        source.has("discovery")
+            ? readAddress(source.path("discovery").asText(), "/boxes/discovery")
+            : null;
+    EndpointList endpoints =
+        source.has("list") ? readEndpoints(source.path("list")) : EndpointList.empty();
+    return new TenantSpec.EndpointSource(discoveryAddress, endpoints);
   }
 
-  private static EndpointList list(JsonNode entries) throws SpecException {
-    List<Endpoint> members = new ArrayList<>();
+  private static EndpointList readEndpoints(JsonNode entries) throws SpecException {
+    List<Endpoint> endpoints = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
-    for (JsonNode b : entries) {
-      String at = "/boxes/list/" + members.size();
-      String id = b.path("id").asText();
-      if (addresses.put(id, address(b.path("address").asText(), at + "/address")) != null) {
-        throw new SpecException(at + "/id", "two boxes have this id");
+    for (JsonNode entry : entries) {
+      String pointer = "/boxes/list/" + endpoints.size();
+      String id = entry.path("id").asText();
+      InetSocketAddress address = readAddress(entry.path("address").asText(), pointer + "/address");
+      if (addresses.put(id, address) != null) {
+        throw new SpecException(pointer + "/id", "two boxes have this id");
       }
-      members.add(
-          new Endpoint(
-              id,
-              b.path("kind").asText(""),
-              b.path("zone").asText(""),
-              b.path("group").asInt(0),
-              b.path("size").asDouble(1),
-              0,
-              b.path("role").asText().equals("primary"),
-              Availability.READY));
+      endpoints.add(readEndpoint(id, entry));
     }
-    return new EndpointList(0, true, List.copyOf(members), Map.copyOf(addresses));
+    return new EndpointList(0, true, List.copyOf(endpoints), Map.copyOf(addresses));
+  }
+
+  private static Endpoint readEndpoint(String id, JsonNode entry) {
+    return new Endpoint(
+        id,
+        entry.path("kind").asText(""),
+        entry.path("zone").asText(""),
+        entry.path("group").asInt(0),
+        entry.path("size").asDouble(1),
+        0,
+        entry.path("role").asText().equals("primary"),
+        Availability.READY);
   }
 
-  private static InetSocketAddress address(String text, String pointer) throws SpecException {
+  private static InetSocketAddress readAddress(String text, String pointer) throws SpecException {
     try {
       return GatewayConfig.parseAddress(text);
     } catch (MalformedInputException | IllegalArgumentException e) {
