--- /dev/null
+++ b/gateway/src/main/java/shelffront/admin/AdminRequest.java
@@ -0,0 +1,76 @@
+package shelffront.admin;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.sun.net.httpserver.Headers;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import shelffront.admin.AdminTokens.Caller;
+import shelffront.tenant.TenantSpecCodec;
+import shelffront.tenant.TenantSpecCodec.SpecException;
+
+/**
+ * An authenticated request.
+ *
+ * @param path the segments after {@code /v1/}, the resource's name first
+ * @param query the raw query; null where there is none
+ */
+record AdminRequest(
+    Caller caller, String method, List<String> path, String query, Headers headers, byte[] body) {
+
+  static final String GET = "GET";
+  static final String POST = "POST";
+  static final String PUT = "PUT";
+  static final String DELETE = "DELETE";
+
+  boolean isMethod(String name) {
+    return method.equals(name);
+  }
+
+  void requireMethod(String allowed) throws ProblemException {
+    if (!method.equals(allowed)) {
+      throw ProblemException.methodNotAllowed();
+    }
+  }
+
+  /** To a tenant's administrator, what is the operators' does not exist. */
+  void requireOperator() throws ProblemException {
+    if (!caller.isOperator()) {
+      throw ProblemException.notFound();
+    }
+  }
+
+  /** The first value of a header; null where there is none. */
+  String header(String name) {
+    return headers.getFirst(name);
+  }
+
+  JsonNode document() throws SpecException {
+    return TenantSpecCodec.parse(body);
+  }
+
+  String queryText(String name, String absent) {
+    return queryValues().getOrDefault(name, absent);
+  }
+
+  long queryNumber(String name, long absent) throws ProblemException {
+    String value = queryValues().get(name);
+    if (value != null && !value.matches("[0-9]{1,18}")) {
+      throw ProblemException.badRequest(name + " is not a number");
+    }
+    return value == null ? absent : Long.parseLong(value);
+  }
+
+  private Map<String, String> queryValues() {
+    Map<String, String> values = new HashMap<>();
+    if (query != null) {
+      for (String part : query.split("&")) {
+        int equals = part.indexOf('=');
+        if (equals > 0) {
+          values.put(part.substring(0, equals), part.substring(equals + 1));
+        }
+      }
+    }
+    return values;
+  }
+}
--- a/gateway/src/main/java/shelffront/admin/FleetResource.java
+++ b/gateway/src/main/java/shelffront/admin/FleetResource.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
 import shelffront.controlplane.SubscribedRecords;
 import shelffront.coordination.OperatorException;
 import shelffront.distribution.Version;
@@ -25,64 +26,69 @@
     Version beginIncarnation() throws OperatorException;
   }
 
-  private final RolloutCoordinator stages;
+  private final RolloutCoordinator rollouts;
   private final Distribution distribution;
 
   /** Each is null where the gateway has no part in it. */
-  public FleetResource(RolloutCoordinator stages, Distribution distribution) {
-    this.stages = stages;
+  public FleetResource(RolloutCoordinator rollouts, Distribution distribution) {
+    this.rollouts = rollouts;
     this.distribution = distribution;
   }
 
   /** What the fleet changes stage by stage: shown, and sent to another stage. */
-  AdminResponse subjects(String method, String[] parts, byte[] body)
+  AdminResponse subjects(AdminRequest request)
       throws ProblemException, SpecException, OperatorException {
-    if (stages == null || parts.length > 4) {
+    request.requireOperator();
+    List<String> path = request.path();
+    if (rollouts == null || path.size() > 2) {
       throw ProblemException.notFound();
     }
-    if (parts.length == 4 && method.equals("PUT")) {
-      JsonNode target = TenantSpecCodec.parse(body).path("target");
+    String subject = path.size() == 2 ? path.get(1) : null; // null: all
+    if (subject != null && request.isMethod(AdminRequest.PUT)) {
+      JsonNode target = request.document().path("target");
       if (!target.isTextual()) {
-        throw new ProblemException(
-            422, "Not a valid document", "a stage is needed", "/target", null);
+        throw ProblemException.invalidField("/target", "a stage is needed");
       }
-      stages.requestStage(parts[3], target.asText());
+      rollouts.requestStage(subject, target.asText());
     } else {
-      AdminServer.requireMethod(method, "GET");
+      request.requireMethod(AdminRequest.GET);
     }
     ArrayNode list = TenantSpecCodec.JSON.createArrayNode();
-    for (RolloutCoordinator.SubjectStatus s : stages.status(parts.length == 4 ? parts[3] : null)) {
+    for (RolloutCoordinator.SubjectStatus status : rollouts.status(subject)) {
       ArrayNode waits =
           list.addObject()
-              .put("subject", s.subject())
-              .put("stage", s.stage())
-              .put("target", s.target())
-              .put("epoch", s.epoch())
-              .put("inForceHere", s.stageInForceHere())
-              .put("owner", s.isLeader())
+              .put("subject", status.subject())
+              .put("stage", status.stage())
+              .put("target", status.target())
+              .put("epoch", status.epoch())
+              .put("inForceHere", status.stageInForceHere())
+              .put("owner", status.isLeader())
               .putArray("waitsFor");
-      s.blockingMembers().forEach(waits::add);
+      status.blockingMembers().forEach(waits::add);
     }
-    return AdminResponse.of(200, TenantSpecCodec.JSON.createObjectNode().set("subjects", list));
+    return AdminResponse.of(
+        HttpStatus.OK, TenantSpecCodec.JSON.createObjectNode().set("subjects", list));
   }
 
   /**
    * How current this gateway's view is; and the order to take what the engine holds for the truth.
    */
-  AdminResponse distribution(String method, String[] parts)
-      throws ProblemException, OperatorException {
+  AdminResponse distribution(AdminRequest request) throws ProblemException, OperatorException {
+    request.requireOperator();
+    List<String> path = request.path();
     if (distribution == null) {
       throw ProblemException.notFound();
     }
-    if (parts.length == 4 && parts[3].equals("incarnation")) {
-      AdminServer.requireMethod(method, "POST");
+    if (path.size() == 2 && path.get(1).equals("incarnation")) {
+      request.requireMethod(AdminRequest.POST);
       return AdminResponse.of(
-          200, put(TenantSpecCodec.JSON.createObjectNode(), distribution.beginIncarnation()));
+          HttpStatus.OK,
+          put(TenantSpecCodec.JSON.createObjectNode(), distribution.beginIncarnation()));
     }
-    if (parts.length != 3) {
+    if (path.size() != 1) {
       throw ProblemException.notFound();
     }
-    AdminServer.requireMethod(method, "GET");
+    request.requireMethod(AdminRequest.GET);
     SubscribedRecords.Status status = distribution.status();
     ObjectNode answer =
         TenantSpecCodec.JSON
@@ -97,7 +103,7 @@
     if (status.errorCode() != null) {
       answer.put("error", status.errorCode()).put("advice", status.advice());
     }
-    return AdminResponse.of(200, answer);
+    return AdminResponse.of(HttpStatus.OK, answer);
   }
 
   private static ObjectNode put(ObjectNode answer, Version version) {
--- /dev/null
+++ b/gateway/src/main/java/shelffront/admin/TenantJson.java
@@ -0,0 +1,34 @@
+package shelffront.admin;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Map;
+import shelffront.store.DocumentStore.Entry;
+import shelffront.tenant.TenantSpecCodec;
+
+/** Tenants' documents as the administration shows them. */
+final class TenantJson {
+
+  private TenantJson() {}
+
+  static ObjectNode of(Entry entry) {
+    ObjectNode json = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
+    json.set("tenant", entry.document());
+    return json;
+  }
+
+  /** The answer with a tenant and its entity tag. */
+  static AdminResponse response(int status, Entry entry) {
+    Map<String, String> headers = Map.of("ETag", "\"" + entry.revision() + "\"");
+    return new AdminResponse(status, of(entry), headers);
+  }
+
+  static AdminResponse response(int status, String id, long revision, JsonNode document) {
+    return response(status, new Entry(id, revision, document));
+  }
+
+  /** The answer that names what was changed and the revision of the change. */
+  static ObjectNode changed(String id, long revision) {
+    return TenantSpecCodec.JSON.createObjectNode().put("id", id).put("revision", revision);
+  }
+}
--- /dev/null
+++ b/gateway/src/main/java/shelffront/admin/UsageResource.java
@@ -0,0 +1,55 @@
+package shelffront.admin;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Locale;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import shelffront.store.DocumentStore.Entry;
+import shelffront.tenant.Tenant;
+import shelffront.tenant.TenantSpecCodec;
+
+/** {@code /v1/tenants/ID/usage}: what a tenant uses now and has done, as its event loop says. */
+final class UsageResource {
+
+  private static final int PATH_LENGTH = 3;
+  private static final long TIMEOUT_SECONDS = 5;
+
+  private final TenantAdministration administration;
+
+  UsageResource(TenantAdministration administration) {
+    this.administration = administration;
+  }
+
+  AdminResponse handle(AdminRequest request, Entry entry)
+      throws ProblemException, InterruptedException {
+    if (request.path().size() != PATH_LENGTH) {
+      throw ProblemException.notFound();
+    }
+    request.requireMethod(AdminRequest.GET);
+    Tenant.Usage usage = usage(entry.name());
+    if (usage == null) {
+      throw ProblemException.notFound();
+    }
+    ObjectNode answer =
+        TenantSpecCodec.JSON
+            .createObjectNode()
+            .put("id", entry.name())
+            .put("clientConnections", usage.clientConnections())
+            .put("openRequests", usage.openRequests())
+            .put("hostConnections", usage.hostConnections())
+            .put("bufferBytes", usage.bufferBytes());
+    ObjectNode counters = answer.putObject("counters");
+    usage.counters().forEach((name, value) -> counters.put(name.toLowerCase(Locale.ROOT), value));
+    return AdminResponse.of(HttpStatus.OK, answer);
+  }
+
+  private Tenant.Usage usage(String tenantId) throws ProblemException, InterruptedException {
+    try {
+      return administration.usage(tenantId).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    } catch (ExecutionException | TimeoutException e) {
+      throw new ProblemException(
+          HttpStatus.SERVICE_UNAVAILABLE, "Busy", "the gateway did not say in time");
+    }
+  }
+}
