--- a/core/src/main/java/shelffront/quota/MaxMinFairness.java
+++ b/core/src/main/java/shelffront/quota/MaxMinFairness.java
@@ -10,32 +10,34 @@
   private MaxMinFairness() {}
 
   /**
-   * Divides a capacity. All figures are in one unit, none negative, weights above 0; the arrays are
-   * of one length. The parts add up to the capacity or to the sum of the demands, whichever is
-   * less.
+   * Divides a capacity. Capacity and demands are in one unit and not negative; weights are above 0;
+   * both arrays have the same length.
+   *
+   * @return the allocation of each; together the capacity or the sum of the demands, whichever is
+   *     less
    */
   public static double[] divide(double capacity, double[] weights, double[] demands) {
-    double[] parts = new double[weights.length];
+    double[] allocations = new double[weights.length];
     boolean[] satisfied = new boolean[weights.length];
     double remaining = capacity;
     int unsatisfied = weights.length;
     while (unsatisfied > 0 && remaining > 0) {
       double perWeight = remaining / weightOfUnsatisfied(weights, satisfied);
-      int before = unsatisfied;
+      int unsatisfiedBefore = unsatisfied;
       for (int i = 0; i < weights.length; i++) {
         if (!satisfied[i] && demands[i] <= perWeight * weights[i]) {
           satisfied[i] = true;
-          parts[i] = demands[i];
+          allocations[i] = demands[i];
           remaining -= demands[i];
           unsatisfied--;
         }
       }
-      if (unsatisfied == before) {
-        divideByWeight(perWeight, weights, satisfied, parts);
-        return parts;
+      if (unsatisfied == unsatisfiedBefore) {
+        divideByWeight(perWeight, weights, satisfied, allocations);
+        return allocations;
       }
     }
-    return parts;
+    return allocations;
   }
 
   private static double weightOfUnsatisfied(double[] weights, boolean[] satisfied) {
@@ -46,11 +48,11 @@
     return sum;
   }
 
-  /** All that remain want more than their part: each gets its part by weight. */
+  /** All that remain demand more than their share by weight: each is allocated that share. */
   private static void divideByWeight(
-      double perWeight, double[] weights, boolean[] satisfied, double[] parts) {
+      double perWeight, double[] weights, boolean[] satisfied, double[] allocations) {
     for (int i = 0; i < weights.length; i++) {
-      parts[i] = satisfied[i] ? parts[i] : perWeight * weights[i];
+      allocations[i] = satisfied[i] ? allocations[i] : perWeight * weights[i];
     }
   }
 }
--- a/core/src/main/java/shelffront/quota/RateDivision.java
+++ b/core/src/main/java/shelffront/quota/RateDivision.java
@@ -5,8 +5,8 @@
 import java.util.stream.DoubleStream;
 
 /**
- * Divides a rate among quotas by weight and demand, and sets their rate limits to the parts. What
- * nobody asks for is lent by weight, so that a burst finds it. Has no state.
+ * Divides a rate among quotas by weight and demand, and sets their rate limits to the results. What
+ * no demand covers is added by weight, so that a burst is admitted. Has no state.
  */
 final class RateDivision {
 
@@ -35,15 +35,15 @@
                 quotas.stream().mapToDouble(Quota::demandPerSecond),
                 PublishedDemand.demandsOf(others))
             .toArray();
-    double[] parts = MaxMinFairness.divide(perSecond, weights, demands);
-    double spare = perSecond - Arrays.stream(parts).sum();
+    double[] allocations = MaxMinFairness.divide(perSecond, weights, demands);
+    double sparePerSecond = perSecond - Arrays.stream(allocations).sum();
     double totalWeight = Arrays.stream(weights).sum();
     for (int i = 0; i < quotas.size(); i++) {
-      // Its own part is open to it at any time, lent or not: whoever borrowed it gets less after
-      // this window.
-      double ownPart = perSecond * weights[i] / totalWeight;
-      double partWithSpare = parts[i] + spare * weights[i] / totalWeight;
-      grant(quotas.get(i), Math.max(ownPart, partWithSpare), nowMicros);
+      // Its share by weight is always granted, though others may use it in this window: they are
+      // granted less in the next one.
+      double guaranteedPerSecond = perSecond * weights[i] / totalWeight;
+      double allocatedPerSecond = allocations[i] + sparePerSecond * weights[i] / totalWeight;
+      grant(quotas.get(i), Math.max(guaranteedPerSecond, allocatedPerSecond), nowMicros);
     }
   }
 
