--- a/gateway/src/main/java/shelffront/admin/AdminTokens.java
+++ b/gateway/src/main/java/shelffront/admin/AdminTokens.java
@@ -70,19 +70,20 @@
     if (entry == null) {
       return null;
     }
-    long now = clock.getAsLong();
+    long nowMillis = clock.getAsLong();
     String secret = ApiKeys.generate();
     ObjectNode document = entry.document().deepCopy();
     ArrayNode hashes = TenantSpecCodec.JSON.createArrayNode();
     addHash(hashes, secret);
     for (JsonNode hash : entry.document().path("hashes")) {
-      long until = Math.min(hash.path("until").asLong(Long.MAX_VALUE), now + overlapMillis);
-      if (until > now) {
-        hashes.add(((ObjectNode) hash.deepCopy()).put("until", until));
+      long untilMillis =
+          Math.min(hash.path("until").asLong(Long.MAX_VALUE), nowMillis + overlapMillis);
+      if (untilMillis > nowMillis) {
+        hashes.add(((ObjectNode) hash.deepCopy()).put("until", untilMillis));
       }
     }
     document.set("hashes", hashes);
-    store.put(Kind.TOKEN, name, entry.revision(), document, actor, "rotate token", now);
+    store.put(Kind.TOKEN, name, entry.revision(), document, actor, "rotate token", nowMillis);
     return name + "." + secret;
   }
 
--- a/gateway/src/main/java/shelffront/admin/TenantAdministration.java
+++ b/gateway/src/main/java/shelffront/admin/TenantAdministration.java
@@ -117,7 +117,7 @@
    * Drains a box of a tenant or ends its drain; gives the tenant's revision, 0 where there is no
    * such tenant.
    */
-  public long drain(String id, String endpointId, boolean on, String actor)
+  public long drain(String id, String endpointId, boolean drain, String actor)
       throws SpecException, ConflictException, OperatorException {
     synchronized (this) {
       Entry entry = get(id);
@@ -126,13 +126,13 @@
       }
       TreeSet<String> drained = new TreeSet<>();
       entry.document().path("drained").forEach(endpoint -> drained.add(endpoint.asText()));
-      if (on ? !drained.add(endpointId) : !drained.remove(endpointId)) {
+      if (drain ? !drained.add(endpointId) : !drained.remove(endpointId)) {
         return entry.revision();
       }
       ObjectNode next = entry.document().deepCopy();
       ArrayNode list = next.putArray("drained");
       drained.forEach(list::add);
-      return put(id, entry.revision(), next, actor, (on ? "drain " : "undrain ") + endpointId);
+      return put(id, entry.revision(), next, actor, (drain ? "drain " : "undrain ") + endpointId);
     }
   }
 
@@ -166,13 +166,13 @@
       Entry entry = get(tenant);
       ObjectNode next = entry == null ? null : entry.document().deepCopy();
       ArrayNode kept = TenantSpecCodec.JSON.createArrayNode();
-      JsonNode before = next == null ? kept : next.path("credentials");
-      for (JsonNode credential : before) {
+      JsonNode credentials = next == null ? kept : next.path("credentials");
+      for (JsonNode credential : credentials) {
         if (!keyId(credential.path("sha256").asText()).equals(key)) {
           kept.add(credential);
         }
       }
-      if (kept.size() == before.size()) {
+      if (kept.size() == credentials.size()) {
         return 0;
       }
       // Without any credential a tenant admits everybody: the last key's end must not open it.
@@ -197,9 +197,9 @@
   /** Every change up to a revision is in force here, where changes come back distributed. */
   public void recordInForceUpTo(long revision) {
     long atMicros = clock.getAsLong() * 1000;
-    for (AuditEntry made : documents.auditEntries(0, MAX_REMEMBERED_CHANGES)) {
-      if (made.revision() <= revision && inForceAtMillis(made.revision()) == 0) {
-        recordInForce(made.revision(), atMicros);
+    for (AuditEntry entry : documents.auditEntries(0, MAX_REMEMBERED_CHANGES)) {
+      if (entry.revision() <= revision && inForceAtMillis(entry.revision()) == 0) {
+        recordInForce(entry.revision(), atMicros);
       }
     }
   }
@@ -220,7 +220,7 @@
    */
   public List<AuditEntry> changes(long after, long waitMillis, String onlyTenant)
       throws InterruptedException {
-    long until = System.nanoTime() + waitMillis * 1_000_000;
+    long deadlineNanos = System.nanoTime() + waitMillis * 1_000_000;
     synchronized (inForceAtMillis) {
       while (true) {
         List<AuditEntry> found =
@@ -230,12 +230,12 @@
                         change.kind() == Kind.TENANT
                             && (onlyTenant == null || change.name().equals(onlyTenant)))
                 .toList();
-        long left = (until - System.nanoTime()) / 1_000_000;
-        if (left <= 0
+        long leftMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
+        if (leftMillis <= 0
             || found.stream().anyMatch(change -> inForceAtMillis(change.revision()) > 0)) {
           return found;
         }
-        inForceAtMillis.wait(left);
+        inForceAtMillis.wait(leftMillis);
       }
     }
   }
--- a/gateway/src/main/java/shelffront/controlplane/LastKnownGoodCache.java
+++ b/gateway/src/main/java/shelffront/controlplane/LastKnownGoodCache.java
@@ -11,8 +11,9 @@
 
 /**
  * Keeps the last known good on disk, where the settings name a file; else does nothing. Changes
- * that come within a short time are written at once. A file that can't be read or written is
- * logged, and the gateway goes on without.
+ * within a short time are written together. A file that can't be read or written is logged, and the
+ * gateway goes on without; a failed write is tried again with the next change, or by {@link
+ * #writeNow}.
  *
  * <p>Threads: any may call; the file is written on the timer's and by {@link #writeNow}.
  */
@@ -20,7 +21,7 @@
 
   private static final long WRITE_DELAY_MILLIS = 200;
 
-  private final LastKnownGood file; // null where there is no disk
+  private final LastKnownGood file; // null where the settings name none
   private final Supplier<LastKnownGood.Contents> contents;
   private final ScheduledExecutorService timer;
   private final EventLog log;
@@ -43,7 +44,7 @@
     this.log = log;
   }
 
-  /** What an earlier run had in force; null where nothing can be had. */
+  /** What an earlier run had in force; null where there is no file or it can't be read. */
   LastKnownGood.Contents read() {
     if (file == null) {
       return null;
