--- a/core/src/main/java/shelffront/rollout/LeaseTimings.java
+++ b/core/src/main/java/shelffront/rollout/LeaseTimings.java
@@ -14,6 +14,8 @@
 public record LeaseTimings(
     long leaseMicros, long operationMicros, double clockDrift, long suspectAfterMicros) {
 
+  private static final int RETRIES_PER_RENEWAL = 4;
+
   private static final int RENEWALS_PER_LEASE = 3;
 
   /** Throws where nothing sensible follows from the figures. */
@@ -41,4 +43,9 @@
   public long renewIntervalMicros() {
     return leaseMicros / RENEWALS_PER_LEASE;
   }
+
+  /** How long a call of the coordination store that failed waits until it is made again. */
+  public long retryIntervalMicros() {
+    return renewIntervalMicros() / RETRIES_PER_RENEWAL;
+  }
 }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
@@ -26,9 +26,6 @@
  */
 final class LeaseKeeper implements Runnable {
 
-  /** After a failure it tries again within this part of the time between renewals. */
-  private static final int RETRIES_PER_RENEWAL = 4;
-
   private final List<Subject> subjects;
   private final LeaseTimings timings;
   private final RolloutStore store;
@@ -86,8 +83,7 @@
       }
     } catch (CoordinationException e) {
       errors.report(subject.name(), e);
-      wakeAtMicros =
-          MonotonicClock.nowMicros() + timings.renewIntervalMicros() / RETRIES_PER_RENEWAL;
+      wakeAtMicros = MonotonicClock.nowMicros() + timings.retryIntervalMicros();
     }
     synchronized (this) {
       publish(subject);
--- a/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
@@ -12,9 +12,6 @@
 
   private static final String ERROR_SOURCE = "watch";
 
-  /** After a failure it tries again within this part of the time between renewals. */
-  private static final int RETRIES_PER_RENEWAL = 4;
-
   private final List<LeaseKeeper> keepers;
   private final LeadershipLoop leadership;
   private final LeaseTimings timings;
@@ -69,7 +66,6 @@
   }
 
   private synchronized void pauseAfterFailure() {
-    threads.pause(
-        this, MonotonicClock.nowMicros() + timings.renewIntervalMicros() / RETRIES_PER_RENEWAL);
+    threads.pause(this, MonotonicClock.nowMicros() + timings.retryIntervalMicros());
   }
 }
