--- a/core/src/main/java/shelffront/routing/AttemptOutcome.java
+++ b/core/src/main/java/shelffront/routing/AttemptOutcome.java
@@ -1,14 +1,14 @@
 package shelffront.routing;
 
 /**
- * How an attempt ended.
+ * The outcome of an attempt.
  *
  * @param attemptNumber number of the attempt within its request, from 0
- * @param requestCompleted whether the client has had its final answer
- * @param elapsedMicros from sending to the end
- * @param role what the response told of its host's role
- * @param positionMicros position that the response told, or {@link Router#UNKNOWN}
- * @param loadReport what the response reported of its host; null when nothing
+ * @param requestCompleted whether the client has already received its final response
+ * @param elapsedMicros time from sending the attempt to its end
+ * @param role role of the host as stated in the response
+ * @param positionMicros position of the host as stated in the response, or {@link Router#UNKNOWN}
+ * @param loadReport load report carried by the response; null if it carried none
  */
 public record AttemptOutcome(
     String requestId,
--- a/core/src/main/java/shelffront/routing/AttemptStatus.java
+++ b/core/src/main/java/shelffront/routing/AttemptStatus.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** How an attempt or a health check ended. */
+/** Final status of an attempt or a health check. */
 public enum AttemptStatus {
   OK(false),
   ERROR(false),
@@ -12,7 +12,7 @@
   NOT_SENT(true),
   REPLICA_UNSUITABLE(true);
 
-  /** True when this outcome proves that the request never ran. */
+  /** Whether this status guarantees that the host did not execute the request. */
   public final boolean provesNotExecuted;
 
   AttemptStatus(boolean provesNotExecuted) {
--- a/core/src/main/java/shelffront/routing/Availability.java
+++ b/core/src/main/java/shelffront/routing/Availability.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** State of an endpoint in the endpoint list. */
+/** Availability of an endpoint according to the endpoint list. */
 public enum Availability {
   READY,
   DRAINING,
--- a/core/src/main/java/shelffront/routing/Consistency.java
+++ b/core/src/main/java/shelffront/routing/Consistency.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** What the host of a request class must have applied. */
+/** Consistency that requests of a class require: which commits the host must have applied. */
 public enum Consistency {
   WRITE,
   STRONG,
--- a/core/src/main/java/shelffront/routing/ConsistencySettings.java
+++ b/core/src/main/java/shelffront/routing/ConsistencySettings.java
@@ -1,12 +1,13 @@
 package shelffront.routing;
 
 /**
- * How hosts, responses and clients take part in keeping reads consistent.
+ * How hosts, responses and clients support consistent reads.
  *
- * @param lagCheck what a replica does with a read that it is too far behind for
- * @param lagWaitMicros how long a replica waits for what it lacks, with {@link LagCheck#WAIT}
- * @param responsesCarryPosition whether a response tells the position of its host
- * @param clientsCarryPosition whether a client sends the position of its session's last write
+ * @param lagCheck how a replica handles a read whose required position it has not reached
+ * @param lagWaitMicros how long a replica waits to reach the required position, with {@link
+ *     LagCheck#WAIT}
+ * @param responsesCarryPosition whether a response states the position of its host
+ * @param clientsCarryPosition whether a request carries the position of its session's last write
  */
 public record ConsistencySettings(
     LagCheck lagCheck,
--- a/core/src/main/java/shelffront/routing/DeduplicationScope.java
+++ b/core/src/main/java/shelffront/routing/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** The hosts that discard repeats of a request with an idempotency key. */
+/** The hosts among which repeats of a request with an idempotency key are discarded. */
 public enum DeduplicationScope {
   ALL,
   ZONE,
--- a/core/src/main/java/shelffront/routing/Endpoint.java
+++ b/core/src/main/java/shelffront/routing/Endpoint.java
@@ -3,11 +3,11 @@
 /**
  * An entry of the endpoint list.
  *
- * @param kind kind of machine, as the list names it
- * @param replicaSet number of the replica set whose data the endpoint holds
+ * @param kind machine type as named in the endpoint list
+ * @param replicaSet number of the replica set that the endpoint belongs to
  * @param capacityHint capacity relative to other endpoints
- * @param startedAtMicros when it started; 0 when it has been up for long
- * @param listedAsPrimary whether the list names it as its set's primary
+ * @param startedAtMicros start time of the endpoint; 0 if it has been up long enough to be warm
+ * @param listedAsPrimary whether the endpoint list names it as the primary of its replica set
  */
 public record Endpoint(
     String id,
@@ -19,7 +19,7 @@
     boolean listedAsPrimary,
     Availability availability) {
 
-  /** The same entry with another availability. */
+  /** Returns a copy of this entry with the given availability. */
   public Endpoint withAvailability(Availability other) {
     return new Endpoint(
         id, kind, zone, replicaSet, capacityHint, startedAtMicros, listedAsPrimary, other);
--- a/core/src/main/java/shelffront/routing/EndpointListSettings.java
+++ b/core/src/main/java/shelffront/routing/EndpointListSettings.java
@@ -1,9 +1,9 @@
 package shelffront.routing;
 
 /**
- * Where the endpoint list comes from and what it tells.
+ * How the gateway obtains the endpoint list and how far the list reflects roles.
  *
- * @param listedRoles how the list follows changes of roles
- * @param polled whether the gateway has to ask for the list; otherwise updates are pushed
+ * @param listedRoles how the list reflects role changes
+ * @param polled whether the gateway polls the list; otherwise updates are pushed
  */
 public record EndpointListSettings(ListedRoles listedRoles, boolean polled) {}
--- a/core/src/main/java/shelffront/routing/GatewayIdentity.java
+++ b/core/src/main/java/shelffront/routing/GatewayIdentity.java
@@ -1,10 +1,10 @@
 package shelffront.routing;
 
 /**
- * Which gateway of its fleet a routing module runs in.
+ * Identifies the gateway of a fleet that a decision module runs in.
  *
- * @param gatewayIndex position of this gateway among all of the fleet, from 0
+ * @param gatewayIndex index of this gateway within the fleet, from 0
  * @param gatewayCount number of gateways in the fleet
- * @param zone availability zone that this gateway runs in
+ * @param zone availability zone of this gateway
  */
 public record GatewayIdentity(int gatewayIndex, int gatewayCount, String zone) {}
--- a/core/src/main/java/shelffront/routing/Idempotency.java
+++ b/core/src/main/java/shelffront/routing/Idempotency.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** Whether a request may run more than once. */
+/** Whether a request may be executed more than once. */
 public enum Idempotency {
   IDEMPOTENT,
   IDEMPOTENCY_KEY,
--- a/core/src/main/java/shelffront/routing/LagCheck.java
+++ b/core/src/main/java/shelffront/routing/LagCheck.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** What a host does with a read that it is too far behind for. */
+/** How a host handles a read whose required position it has not reached. */
 public enum LagCheck {
   NONE,
   REJECT,
--- a/core/src/main/java/shelffront/routing/ListedRoles.java
+++ b/core/src/main/java/shelffront/routing/ListedRoles.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** How the endpoint list follows changes of roles. */
+/** How the endpoint list reflects role changes. */
 public enum ListedRoles {
   NONE,
   AT_START,
--- a/core/src/main/java/shelffront/routing/LoadReport.java
+++ b/core/src/main/java/shelffront/routing/LoadReport.java
@@ -1,5 +1,8 @@
 package shelffront.routing;
 
-/** A host's report about itself; negative figures and {@link Router#UNKNOWN} were not given. */
+/**
+ * Load and replication state that a host reports; negative figures and {@link Router#UNKNOWN} mean
+ * that the host did not report the value.
+ */
 public record LoadReport(
     long positionMicros, Role role, double outstanding, double queued, double utilization) {}
--- a/core/src/main/java/shelffront/routing/LoadReportSource.java
+++ b/core/src/main/java/shelffront/routing/LoadReportSource.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** Where hosts' load reports arrive. */
+/** Messages that carry the load reports of hosts. */
 public enum LoadReportSource {
   NONE,
   RESPONSES,
--- a/core/src/main/java/shelffront/routing/OperatingLimits.java
+++ b/core/src/main/java/shelffront/routing/OperatingLimits.java
@@ -1,17 +1,17 @@
 package shelffront.routing;
 
 /**
- * What the site permits.
+ * Operations that the operator permits, and their limits.
  *
- * @param maxAttempts attempts of one request
- * @param maxRetryAfterMicros greatest Retry-After of a rejection
+ * @param maxAttempts maximum number of attempts of one request
+ * @param maxRetryAfterMicros maximum Retry-After of a rejection
  * @param retryAfterAllowed whether a rejection may carry a Retry-After at all
  * @param cancellationAllowed whether attempts may be cancelled
- * @param hedgingAllowed whether a request may have two attempts out at a time
- * @param healthChecksAllowed whether endpoints may be asked for load reports
- * @param peerMessagesAllowed whether gateways may send each other messages
- * @param connectTimeoutMicros a connection that takes longer to set up fails
- * @param connectionIdleMicros how long a host keeps an idle connection
+ * @param hedgingAllowed whether a request may have two attempts in flight at once
+ * @param healthChecksAllowed whether health checks may be sent to endpoints
+ * @param peerMessagesAllowed whether gateways may send messages to each other
+ * @param connectTimeoutMicros time after which an unfinished connection attempt fails
+ * @param connectionIdleMicros time after which a host closes an idle connection
  */
 public record OperatingLimits(
     int maxAttempts,
@@ -25,7 +25,8 @@
     long connectionIdleMicros) {
 
   /**
-   * The Retry-After that a rejection may carry; 0, which is no advice, where the site permits none.
+   * Returns the Retry-After for a rejection: the wanted value capped at the maximum, or 0 (no
+   * Retry-After) if the operator does not permit it.
    */
   public long retryAfterMicros(long wantedMicros) {
     return retryAfterAllowed ? Math.min(maxRetryAfterMicros, wantedMicros) : 0;
--- a/core/src/main/java/shelffront/routing/Request.java
+++ b/core/src/main/java/shelffront/routing/Request.java
@@ -1,15 +1,16 @@
 package shelffront.routing;
 
 /**
- * One statement of a client, until its one final answer.
+ * One statement of a client, from its arrival to its single final response.
  *
- * @param classIndex place of its class in {@link RoutingSettings#requestClasses}
- * @param sessionId session whose writes a read must see; null outside of sessions
- * @param replicaSet number of the replica set that holds its data
- * @param timeToDeadlineMicros time until the client gives up
- * @param requiredPositionMicros carried position of the session's last write, or {@link
- *     Router#UNKNOWN}
- * @param clientRetry whether the client sent the same request before
+ * @param classIndex index of its request class in {@link RoutingSettings#requestClasses}
+ * @param sessionId session whose writes a read must see; null if the request belongs to no session
+ * @param replicaSet number of the replica set that holds the data of the request
+ * @param timeToDeadlineMicros time from arrival to the deadline, after which the client stops
+ *     waiting
+ * @param requiredPositionMicros position of the session's last write as sent by the client, or
+ *     {@link Router#UNKNOWN}
+ * @param clientRetry whether the client has already sent the same request
  */
 public record Request(
     String id,
--- a/core/src/main/java/shelffront/routing/RequestClass.java
+++ b/core/src/main/java/shelffront/routing/RequestClass.java
@@ -1,15 +1,16 @@
 package shelffront.routing;
 
 /**
- * What requests of one kind need and are worth.
+ * Limits, consistency and value that all requests of one kind share.
  *
- * @param latencyObjectiveMicros an answer within this time earns the full value
- * @param deadlineMicros how long a client waits in all
- * @param priorityWeight value of an answer in time, relative to other classes
- * @param lateValueFraction part of that value which an answer after the objective keeps
- * @param deduplicationScope hosts that discard repeats; counts with an idempotency key only
- * @param deduplicationWindowMicros how long they do so, from the first attempt on
- * @param maxStalenessMicros greatest age of data, for {@link Consistency#BOUNDED_STALENESS}
+ * @param latencyObjectiveMicros time within which a response earns its full value
+ * @param deadlineMicros time from arrival after which the client stops waiting
+ * @param priorityWeight value of a timely response, relative to other classes
+ * @param lateValueFraction fraction of that value that a response after the objective still earns
+ * @param deduplicationScope hosts among which repeats are discarded; only used with an idempotency
+ *     key
+ * @param deduplicationWindowMicros time from the first attempt during which repeats are discarded
+ * @param maxStalenessMicros maximum age of the data read, for {@link Consistency#BOUNDED_STALENESS}
  */
 public record RequestClass(
     String name,
@@ -23,27 +24,27 @@
     Consistency consistency,
     long maxStalenessMicros) {
 
-  /** Whether it may run any number of times. */
+  /** Whether a request may be executed any number of times. */
   public boolean isIdempotent() {
     return idempotency == Idempotency.IDEMPOTENT;
   }
 
-  /** Whether it may run once at most. */
+  /** Whether a request may be executed at most once. */
   public boolean isNonIdempotent() {
     return idempotency == Idempotency.NON_IDEMPOTENT;
   }
 
-  /** Whether the hosts of a scope discard repeats of a request of this class. */
+  /** Whether repeats of a request of this class are discarded within exactly the given scope. */
   public boolean isDeduplicatedWithin(DeduplicationScope scope) {
     return idempotency == Idempotency.IDEMPOTENCY_KEY && deduplicationScope == scope;
   }
 
-  /** Whether it changes data. */
+  /** Whether requests of this class change data. */
   public boolean isWrite() {
     return consistency == Consistency.WRITE;
   }
 
-  /** Whether only the primary may answer it. */
+  /** Whether only the primary may serve requests of this class. */
   public boolean requiresPrimary() {
     return consistency == Consistency.WRITE || consistency == Consistency.STRONG;
   }
--- a/core/src/main/java/shelffront/routing/Role.java
+++ b/core/src/main/java/shelffront/routing/Role.java
@@ -1,6 +1,6 @@
 package shelffront.routing;
 
-/** Role of a host in its replica set, as far as a message told. */
+/** Role of a host in its replica set; {@code UNKNOWN} if a message did not state it. */
 public enum Role {
   UNKNOWN,
   PRIMARY,
--- a/core/src/main/java/shelffront/routing/Router.java
+++ b/core/src/main/java/shelffront/routing/Router.java
@@ -3,53 +3,60 @@
 import java.util.List;
 
 /**
- * The interface of the decision module: the events that an embedding proxy reports. The actions
- * that the proxy carries out in turn are {@link RouterActions}.
+ * Events that an embedding proxy reports to the decision module. The proxy carries out the
+ * resulting actions through {@link RouterActions}.
  *
- * <p>All times are microseconds on one clock that never moves backwards, passed in with each event.
- * Positions are times on the same clock: an endpoint at position {@code p} has applied every commit
- * up to {@code p}. The module keeps no clock, thread or random source of its own, so the same
- * events always give the same actions. All methods are called on one thread.
+ * <p>All times are microseconds on one monotonic clock and are passed in with each event. Positions
+ * are times on the same clock: an endpoint at position {@code p} has applied every commit up to
+ * {@code p}. The module has no clock, thread or unseeded random source of its own, so the same
+ * events always produce the same actions. All methods are called on one thread.
  */
 public interface Router {
 
   /**
-   * A time or position that was not given, long before any other; far enough from the limits to
-   * subtract.
+   * An unknown time or position. It is earlier than every valid value, and far enough from the
+   * limits of {@code long} that differences do not overflow.
    */
   long UNKNOWN = Long.MIN_VALUE / 4;
 
-  /** First event; called once. The seed determines every random choice. */
+  /**
+   * Starts the module. Called exactly once, before any other method; the seed determines every
+   * random choice.
+   */
   void onStart(long nowMicros, long seed, RoutingSettings settings);
 
   /**
-   * An update of the endpoint list, or the failure to get one.
+   * Reports an update of the endpoint list, or a failure to obtain one.
    *
-   * @param version of the list; grows with each update
-   * @param endpoints the changed endpoints of a {@link EndpointUpdateKind#DELTA}, else all; empty
-   *     after a failure
+   * @param version version of the list; increases with each update
+   * @param endpoints the changed endpoints for {@link EndpointUpdateKind#DELTA}, otherwise all
+   *     endpoints; empty after a failure
    */
   void onEndpoints(long nowMicros, EndpointUpdateKind kind, long version, List<Endpoint> endpoints);
 
-  /** A client sent a request; it gets exactly one final answer. */
+  /**
+   * Reports a request of a client. The module completes it with exactly one final response, unless
+   * the client disconnects.
+   */
   void onRequest(long nowMicros, Request request);
 
-  /** An attempt ended; its request may have been completed before. */
+  /** Reports the end of an attempt; its request may already have been completed. */
   void onAttemptOutcome(long nowMicros, AttemptOutcome outcome);
 
   /**
-   * Whether an attempt may be written now that a connection is there for it: while it waited its
-   * client may have gone, its endpoint may have begun to drain, lost its role or become too old,
-   * the window for repeats may have ended. Where not, it ends as {@link AttemptStatus#NOT_SENT},
-   * and its request, if it is open, is looked at again.
+   * Whether an attempt may still be sent once a connection is available. While the attempt waited
+   * for the connection, its client may have disconnected, its endpoint may have started to drain,
+   * lost its role or become too stale, or the deduplication window may have ended. If the result is
+   * false, the attempt ends with {@link AttemptStatus#NOT_SENT}, and its request is scheduled again
+   * if it is still open.
    */
   boolean mayStartAttempt(long nowMicros, String requestId, int attemptNumber);
 
   /**
-   * A health check ended.
+   * Reports the end of a health check.
    *
-   * @param elapsedMicros from sending the check to its end
-   * @param loadReport what the endpoint reported; null when it did not
+   * @param elapsedMicros time from sending the health check to its end
+   * @param loadReport load report of the endpoint; null if it sent none
    */
   void onHealthCheckResult(
       long nowMicros,
@@ -58,12 +65,12 @@
       long elapsedMicros,
       LoadReport loadReport);
 
-  /** Another gateway of the fleet sent a message. */
+  /** Reports a message from another gateway of the fleet. */
   void onPeerMessage(long nowMicros, int gatewayIndex, byte[] payload);
 
-  /** A timer that was set by {@link RouterActions#setTimer} is due. */
+  /** Reports that a timer set by {@link RouterActions#setTimer} is due. */
   void onTimer(long nowMicros, String timerName);
 
-  /** The client of an open request went away; the request needs no answer any more. */
+  /** Reports that the client of an open request disconnected; the request needs no response. */
   void onClientDisconnected(long nowMicros, String requestId);
 }
--- a/core/src/main/java/shelffront/routing/RoutingSettings.java
+++ b/core/src/main/java/shelffront/routing/RoutingSettings.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * Everything that a routing module is told at its start.
+ * Settings of a decision module, passed to {@link Router#onStart}.
  *
- * @param gateway which gateway of the fleet the module runs in
- * @param tickMicros shortest time between two events
- * @param requestClasses the request classes; {@link Request#classIndex} counts from 0 in this list
- * @param consistency how reads are kept consistent
- * @param endpointList where the endpoint list comes from
- * @param loadReportSource where hosts' load reports arrive
- * @param safetyRules figures of the rules that no attempt may break
- * @param limits what the site permits
- * @param crossZoneCost cost of an attempt that crosses zones, for each first attempt
- * @param healthCheckCost cost of a health check, for each first attempt
+ * @param gateway identity of the gateway that the module runs in
+ * @param tickMicros resolution of the clock: the shortest time between two events at different
+ *     times
+ * @param requestClasses request classes; {@link Request#classIndex} is an index into this list
+ * @param consistency how hosts, responses and clients support consistent reads
+ * @param endpointList how the gateway obtains the endpoint list
+ * @param loadReportSource messages that carry the load reports of hosts
+ * @param safetyRules limits that every attempt must observe
+ * @param limits operations that the operator permits
+ * @param crossZoneCost cost of one cross-zone attempt per first attempt
+ * @param healthCheckCost cost of one health check per first attempt
  */
 public record RoutingSettings(
     GatewayIdentity gateway,
--- a/core/src/main/java/shelffront/routing/SafetyRules.java
+++ b/core/src/main/java/shelffront/routing/SafetyRules.java
@@ -1,16 +1,18 @@
 package shelffront.routing;
 
 /**
- * Figures of the rules that no attempt may break.
+ * Limits that every attempt must observe.
  *
- * @param drainGraceMicros time within which attempts at a draining or removed endpoint must end
- * @param slowStartInitialCapacity fraction of its capacity that an endpoint starts with
- * @param slowStartDurationMicros age at which it has all of its capacity
- * @param overloadFactor multiple of its capacity that a warming endpoint does not survive
- * @param overloadWindowMicros time within which that multiple counts
- * @param removalIsAdvisory whether an endpoint that the list no longer names may still be up
- * @param pollIntervalMicros time after which a gateway that has not polled the list counts as told
- * @param responseSlackMicros how far past its deadline a final answer still counts
+ * @param drainGraceMicros time within which attempts to a draining or removed endpoint must end
+ * @param slowStartInitialCapacity fraction of its capacity that an endpoint has at its start
+ * @param slowStartDurationMicros age at which an endpoint has its full capacity
+ * @param overloadFactor multiple of its current capacity at which a warming endpoint fails
+ * @param overloadWindowMicros time window over which that multiple is measured
+ * @param removalIsAdvisory whether an endpoint that is no longer in the list may still be up
+ * @param pollIntervalMicros time after which a gateway that has not polled the list is treated as
+ *     if it had received the latest version
+ * @param responseSlackMicros time after its deadline during which a final response is still
+ *     accepted
  */
 public record SafetyRules(
     long drainGraceMicros,
