--- a/core/src/main/java/shelffront/consistency/ReplicationProgress.java
+++ b/core/src/main/java/shelffront/consistency/ReplicationProgress.java
@@ -3,39 +3,41 @@
 import static shelffront.routing.Router.UNKNOWN;
 
 /**
- * How far a replica has applied the log, as known from its reports and answers. Times and positions
- * are microseconds on one clock.
+ * Tracks how far a replica has applied the replication log, based on its load reports and
+ * responses. Times and positions are microseconds on one clock.
  *
- * <p>Invariants: the position never moves back, and never lies ahead of the clock. Not safe for use
- * by several threads.
+ * <p>Invariants: the position never decreases and is never ahead of the clock. Not thread-safe.
  */
 public final class ReplicationProgress {
 
   /**
-   * After this time a replica is health-checked again if reads want it, and one that rejected a
-   * read is tried again.
+   * Time after which a replica is health-checked again if reads need it, and after which a replica
+   * that rejected a read is tried again.
    */
   public static final long STALE_AFTER_MICROS = 200_000;
 
-  /** How long a replica that checks its lag is trusted to keep the pace it had. */
+  /** Time after a report during which the lag of a replica is assumed to be unchanged. */
   private static final long MAX_EXTRAPOLATION_MICROS = 20_000_000;
 
-  /** Least time between two health checks. */
+  /** Minimum time between two health checks. */
   private static final long MIN_CHECK_INTERVAL_MICROS = STALE_AFTER_MICROS / 2;
 
-  /** Part of its lag, as a divisor, after which a lagging replica is checked again. */
+  /** Ratio of the lag of a replica to the interval of its health checks. */
   private static final int LAG_PER_CHECK_INTERVAL = 4;
 
   private long positionMicros = UNKNOWN;
   private long reportedAtMicros = UNKNOWN;
   private long rejectedReadAtMicros = UNKNOWN;
 
-  /** When the position was reported that is known now; {@code UNKNOWN} before the first. */
+  /** Time at which the current position was reported; {@code UNKNOWN} before the first report. */
   public long lastReportedAt() {
     return reportedAtMicros;
   }
 
-  /** Takes in a position reported now; one that lies ahead of the clock tells nothing. */
+  /**
+   * Records a position that was reported now. A position ahead of the clock, or not ahead of the
+   * known one, is ignored.
+   */
   public void advance(long nowMicros, long reportedMicros) {
     if (reportedMicros <= nowMicros && reportedMicros > positionMicros) {
       positionMicros = reportedMicros;
@@ -43,14 +45,14 @@
     }
   }
 
-  /** The replica rejected a read as too recent. */
+  /** Records that the replica rejected a read because it had not reached the required position. */
   public void recordRejectedRead(long nowMicros) {
     rejectedReadAtMicros = nowMicros;
   }
 
   /**
-   * The replica answered a read that required this position when it was sent. The lag that was last
-   * reported is kept, so that its pace is not taken to be better than that.
+   * Records that the replica served a read which required this position when it was sent. The last
+   * reported lag is kept, so that extrapolation never assumes a smaller lag than that.
    */
   public void recordProvenPosition(long sentAtMicros, long requiredMicros) {
     if (requiredMicros > positionMicros) {
@@ -60,17 +62,19 @@
     }
   }
 
-  /** Whether it is known to have applied a position. */
+  /** Whether the replica is known to have applied the position. */
   public boolean hasApplied(long requiredMicros) {
     return positionMicros >= requiredMicros;
   }
 
   /**
-   * Whether it may be trusted to have applied a position. The record trails reality: a replica that
-   * checks its lag is taken to have kept the pace it had when last reported; a read that it
-   * rejected disproves that until the next report.
+   * Whether the replica can be assumed to have applied the position; only for replicas that check
+   * their own lag. The known position is older than the actual one, so the lag is assumed to be
+   * unchanged since the last report. A rejected read disproves this assumption until the next
+   * report, or until {@link #STALE_AFTER_MICROS} have passed.
    *
-   * @param toleratedLagMicros how long the replica waits for what it lacks before it rejects
+   * @param toleratedLagMicros additional lag that the replica makes up by waiting before it rejects
+   *     a read
    */
   public boolean mayHaveApplied(long nowMicros, long requiredMicros, long toleratedLagMicros) {
     return hasApplied(requiredMicros)
@@ -87,11 +91,11 @@
   }
 
   /**
-   * Whether a health check may tell something new.
+   * Whether a health check may yield new information.
    *
-   * @param checkedAtMicros when the last one was sent
-   * @param livenessWanted whether the question is if the host lives, so that what was reported of
-   *     its position does not count
+   * @param checkedAtMicros time at which the last health check was sent
+   * @param livenessWanted whether the health check is to find out if the host is up, in which case
+   *     recent position reports do not make the check unnecessary
    */
   public boolean isHealthCheckDue(long nowMicros, long checkedAtMicros, boolean livenessWanted) {
     if (livenessWanted) {
@@ -101,8 +105,9 @@
   }
 
   /**
-   * Time after the last report or health check from which another may tell something new: a replica
-   * that was far behind is so for a while, for it catches up no faster than it applies.
+   * Time after the last report or health check before another one may yield new information. A
+   * replica that is far behind stays behind for some time, because it catches up no faster than it
+   * applies the log.
    */
   public long healthCheckIntervalMicros() {
     long lagMicros = positionMicros == UNKNOWN ? 0 : reportedAtMicros - positionMicros;
--- a/core/src/main/java/shelffront/consistency/SessionPositions.java
+++ b/core/src/main/java/shelffront/consistency/SessionPositions.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * The positions of the last writes that this gateway saw of sessions.
+ * Positions of the last write of each session, as observed by this gateway.
  *
- * <p>Invariants: a bounded number of sessions is remembered one by one; the oldest beyond it are
- * folded into one floor for their replica set, so that a read may be asked for too much, but never
- * for too little. Not safe for use by several threads.
+ * <p>Invariants: a bounded number of sessions is stored individually. Beyond that bound, the oldest
+ * sessions are merged into one minimum position for their replica set, so the position required of
+ * a read may be higher than necessary, but never lower. Not thread-safe.
  */
 public final class SessionPositions {
 
@@ -26,12 +26,19 @@
   private final LinkedHashMap<String, LastWrite> lastWrites = new LinkedHashMap<>();
   private final Map<Integer, Long> floors = new HashMap<>();
 
-  /** Remembers so many sessions one by one. */
+  /**
+   * Creates an empty store.
+   *
+   * @param maxSessions number of sessions that are stored individually
+   */
   public SessionPositions(int maxSessions) {
     this.maxSessions = maxSessions;
   }
 
-  /** A write of the session was committed at the position; an earlier one changes nothing. */
+  /**
+   * Records that a write of the session was committed at the position; a position before the
+   * recorded one is ignored.
+   */
   public void recordWrite(String sessionId, int replicaSet, long positionMicros) {
     lastWrites.merge(sessionId, new LastWrite(replicaSet, positionMicros), LastWrite::later);
     if (lastWrites.size() > maxSessions) {
@@ -47,8 +54,8 @@
   }
 
   /**
-   * Position that a read of the session must see; {@code UNKNOWN} where none of its writes was seen
-   * and none of its replica set was folded.
+   * Position that a read of the session must see; {@code UNKNOWN} if no write of the session was
+   * observed and no session of the replica set was merged.
    */
   public long requiredPosition(String sessionId, int replicaSet) {
     LastWrite lastWrite = lastWrites.get(sessionId);
--- a/core/src/main/java/shelffront/consistency/package-info.java
+++ b/core/src/main/java/shelffront/consistency/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is known of positions in the replication log: how far a replica has applied it, and which
- * position a session's reads require.
+ * Positions in the replication log: how far each replica has applied it, and which position the
+ * reads of a session require.
  */
 package shelffront.consistency;
