--- a/core/src/main/java/shelffront/statistics/ConcurrencyLimit.java
+++ b/core/src/main/java/shelffront/statistics/ConcurrencyLimit.java
@@ -1,38 +1,41 @@
 package shelffront.statistics;
 
 /**
- * How many requests an endpoint may have at a time. The limit grows with answers that come as they
- * should and is cut by those that don't.
+ * Adaptive limit on the requests that an endpoint has in flight. The limit increases with timely
+ * responses and decreases with late or missing ones.
  *
- * <p>Invariants: it is cut once at most within a latency, and stays between {@link #MIN} and {@link
- * #MAX}. A limit under one spaces requests out instead. Not safe for use by several threads.
+ * <p>Invariants: the limit is decreased at most once per latency and stays between {@link #MIN} and
+ * {@link #MAX}. A limit below 1 sets a minimum interval between requests instead. Not thread-safe.
  */
 public final class ConcurrencyLimit {
 
   private static final double MAX = 200;
   private static final double MIN = 0.05;
 
-  /** Part of the limit that has to be in use for an answer to let it grow. */
+  /** Fraction of the limit that must be in use for a response to increase it. */
   private static final double MIN_UTILIZATION_TO_GROW = 0.7;
 
-  /** Growth for one answer at most. */
+  /** Maximum increase per response. */
   private static final double MAX_INCREASE = 0.2;
 
   private double limit;
   private double decreasedAtMicros = Double.NEGATIVE_INFINITY;
 
-  /** Sets the first limit; one that was set before keeps what it has learned. */
+  /**
+   * Sets the initial limit; has no effect if a limit is already set, so that its adaptation is
+   * kept.
+   */
   public void initialize(double initialLimit) {
     limit = limit > 0 ? limit : initialLimit;
   }
 
   /**
-   * Whether one more request has room.
+   * Whether one more request may be sent.
    *
-   * @param fraction part of the limit that counts now, 0 to 1
-   * @param outstanding requests that are out
-   * @param lastSentAtMicros when the last one was sent
-   * @param latencyMicros typical time to an answer
+   * @param fraction fraction of the limit that is available now, 0 to 1
+   * @param outstanding requests in flight
+   * @param lastSentAtMicros time at which the last request was sent
+   * @param latencyMicros typical latency of a response
    */
   public boolean hasCapacity(
       long nowMicros,
@@ -45,14 +48,18 @@
         && (available >= 1 || nowMicros > lastSentAtMicros + latencyMicros / available);
   }
 
-  /** An answer came as it should while so many were out. */
+  /**
+   * Increases the limit after a timely response, if enough of it was in use.
+   *
+   * @param outstanding requests that are still in flight
+   */
   public void increase(int outstanding) {
     if (outstanding + 1 >= limit * MIN_UTILIZATION_TO_GROW) {
       limit = Math.min(MAX, limit + Math.min(MAX_INCREASE, 1 / limit));
     }
   }
 
-  /** Answers are late, or none came: multiplies the limit by the factor. */
+  /** Multiplies the limit by the factor, because responses are late or missing. */
   public void decrease(long nowMicros, double latencyMicros, double factor) {
     if (nowMicros - decreasedAtMicros > latencyMicros) {
       decreasedAtMicros = nowMicros;
@@ -60,7 +67,10 @@
     }
   }
 
-  /** The endpoint is ejected: afterwards it begins with half the limit, and with one at least. */
+  /**
+   * Halves the limit for an endpoint that is ejected, so that it restarts with half its limit, and
+   * with at least 1.
+   */
   public void halve() {
     limit = Math.max(1, limit / 2);
   }
--- a/core/src/main/java/shelffront/statistics/DecayingAverage.java
+++ b/core/src/main/java/shelffront/statistics/DecayingAverage.java
@@ -1,10 +1,10 @@
 package shelffront.statistics;
 
 /**
- * Recent events, each worth less the longer ago it was: their count and the mean of their values.
+ * Exponentially decaying count of events and mean of their values.
  *
- * <p>An event's weight falls to 1/e in {@link #decaySeconds}. Times are microseconds and must not
- * step back. Not safe for use by several threads.
+ * <p>The weight of an event falls to 1/e within {@link #decaySeconds}. Times are microseconds and
+ * must not decrease. Not thread-safe.
  */
 public final class DecayingAverage {
 
@@ -15,28 +15,28 @@
   private double sum;
   private long updatedAtMicros;
 
-  /** Starts without events. */
+  /** Creates an average without events. */
   public DecayingAverage(double decaySeconds) {
     this.decaySeconds = decaySeconds;
   }
 
-  /** Number of recent events, the older ones in part. */
+  /** Decayed number of events: older events count for less than 1. */
   public double count(long nowMicros) {
     return count * remainingWeight(nowMicros);
   }
 
   /**
-   * The mean of the values.
+   * Returns the decayed mean of the values.
    *
-   * @param prior value that is assumed where events are few
-   * @param priorWeight number of events that the prior counts for
+   * @param prior value assumed while there are few events
+   * @param priorWeight number of events that the prior is equivalent to
    */
   public double mean(long nowMicros, double prior, double priorWeight) {
     double remaining = remainingWeight(nowMicros);
     return (sum * remaining + prior * priorWeight) / (count * remaining + priorWeight);
   }
 
-  /** Takes in one event. */
+  /** Records one event. */
   public void record(long nowMicros, double value) {
     double remaining = remainingWeight(nowMicros);
     sum = sum * remaining + value;
--- a/core/src/main/java/shelffront/statistics/LatencyStatistics.java
+++ b/core/src/main/java/shelffront/statistics/LatencyStatistics.java
@@ -1,11 +1,10 @@
 package shelffront.statistics;
 
 /**
- * The smoothed latency of an endpoint, and the same over the latency objective that each answer
- * had.
+ * Smoothed latency of an endpoint, and smoothed ratio of latency to latency objective.
  *
- * <p>A new answer counts for 15 % at least, and for more the longer ago the last one was. Times are
- * microseconds. Not safe for use by several threads.
+ * <p>A new sample has a weight of at least 15 %, and more the longer ago the previous sample was.
+ * Times are microseconds. Not thread-safe.
  */
 public final class LatencyStatistics {
 
@@ -17,9 +16,9 @@
   private double recordedAtMicros = Double.NEGATIVE_INFINITY;
 
   /**
-   * Starts with what is assumed before the first answer.
+   * Creates statistics with the values assumed before the first sample.
    *
-   * @param decayMicros time in which the weight of what was known falls to 1/e
+   * @param decayMicros time within which the weight of earlier samples falls to 1/e
    */
   public LatencyStatistics(
       double decayMicros, double initialLatencyMicros, double initialLatencyOverObjective) {
@@ -28,7 +27,7 @@
     this.latencyOverObjective = initialLatencyOverObjective;
   }
 
-  /** Takes in the latency of an answer, or how long one was waited for. */
+  /** Records the latency of a response, or the time spent waiting for one that did not arrive. */
   public void record(long nowMicros, double observedMicros, long objectiveMicros) {
     double weight =
         Math.max(MIN_WEIGHT, 1 - Math.exp((recordedAtMicros - nowMicros) / decayMicros));
--- a/core/src/main/java/shelffront/statistics/package-info.java
+++ b/core/src/main/java/shelffront/statistics/package-info.java
@@ -1,2 +1,2 @@
-/** Estimates of rates, latencies and limits from single observations, in constant memory. */
+/** Estimates of rates, latencies and limits from individual samples, in constant memory. */
 package shelffront.statistics;
--- a/core/src/main/java/shelffront/time/TimerQueue.java
+++ b/core/src/main/java/shelffront/time/TimerQueue.java
@@ -6,12 +6,12 @@
 import java.util.function.LongConsumer;
 
 /**
- * Many timers on a single alarm that somebody else keeps. Times are microseconds; the caller passes
- * the present in.
+ * Multiplexes many timers onto a single wake-up timer of the caller. Times are microseconds; the
+ * caller passes in the current time.
  *
- * <p>Invariants: tasks run in the order of their times and, at the same time, in the order in which
- * they were scheduled; while there are any, the alarm is set for the first or earlier. Not safe for
- * use by several threads; a task may schedule others.
+ * <p>Invariants: tasks run in the order of their times; tasks with the same time run in the order
+ * in which they were scheduled. While tasks are scheduled, the wake-up is set to the time of the
+ * first task or earlier. Not thread-safe; a task may schedule other tasks.
  */
 public final class TimerQueue {
 
@@ -25,20 +25,25 @@
   private long alarmAtMicros = Long.MAX_VALUE;
 
   /**
-   * The alarm is told each time that is earlier than those it was told since the last {@link
-   * #runDue}.
+   * Creates an empty queue.
+   *
+   * @param alarm sets the wake-up timer; called with each time that is earlier than all times
+   *     passed since the last {@link #runDue}
    */
   public TimerQueue(LongConsumer alarm) {
     this.alarm = alarm;
   }
 
-  /** Runs the task at a time; {@link #removeCancelled} drops it once it is no longer wanted. */
+  /** Schedules a task; {@link #removeCancelled} drops it once {@code wanted} returns false. */
   public void schedule(long atMicros, BooleanSupplier wanted, Runnable task) {
     timers.add(new Timer(atMicros, nextSequence++, wanted, task));
     setAlarm();
   }
 
-  /** Runs what is due; to be called when the alarm goes off, and harmless at other times. */
+  /**
+   * Runs the tasks that are due. To be called at the wake-up time; a call at any other time is
+   * allowed.
+   */
   public void runDue(long nowMicros) {
     if (nowMicros >= alarmAtMicros) {
       alarmAtMicros = Long.MAX_VALUE;
@@ -56,12 +61,12 @@
     }
   }
 
-  /** Drops timers that nobody wants any more; takes time in proportion to {@link #size}. */
+  /** Drops the timers of tasks that are no longer wanted, in time proportional to {@link #size}. */
   public void removeCancelled() {
     timers.removeIf(timer -> !timer.wanted().getAsBoolean());
   }
 
-  /** Number of timers that have not run, those no longer wanted included. */
+  /** Number of timers that have not run, including those of tasks that are no longer wanted. */
   public int size() {
     return timers.size();
   }
--- a/core/src/main/java/shelffront/time/package-info.java
+++ b/core/src/main/java/shelffront/time/package-info.java
@@ -1,2 +1,2 @@
-/** Timers for code that keeps no clock of its own. */
+/** Timers for code that has no clock of its own. */
 package shelffront.time;
