--- a/core/src/main/java/shelffront/fleet/EndpointSubsetting.java
+++ b/core/src/main/java/shelffront/fleet/EndpointSubsetting.java
@@ -7,41 +7,47 @@
 import java.util.function.IntPredicate;
 
 /**
- * Which endpoints of a replica set each gateway of a fleet prefers, so that a hundred gateways
- * don't all hold connections to, and check, every host (deterministic subsetting: <i>Site
+ * Selects the endpoints of a replica set that each gateway of a fleet prefers, so that a hundred
+ * gateways do not all connect to and health-check every host (deterministic subsetting: <i>Site
  * Reliability Engineering</i>, ch. 20).
  *
- * <p>A pure function of the names of the gateways and endpoints: gateways that see the same names
- * agree without a message. Every known gateway, up or not, takes the endpoints that rank highest
- * for it by rendezvous hashing (Thaler and Ravishankar, 1998), which keeps most choices as
- * endpoints come and go. Chance alone would leave some endpoints with too many gateways: single
- * choices, those that cost least rank, are moved until the counts of any two endpoints differ by
- * one at most. From there a gateway that stops takes only its own choices away. Where too many of
- * one endpoint's have stopped, choices of those that are up are moved likewise until every endpoint
- * is within a twentieth of the mean, or one gateway if that is more.
+ * <p>The selection is a pure function of the names of the gateways and endpoints, so gateways that
+ * know the same names agree without exchanging messages. Each known gateway, whether up or down, is
+ * first assigned the endpoints with the highest rendezvous hashes (Thaler and Ravishankar, 1998),
+ * which keeps most assignments when endpoints are added or removed. Hashing alone would assign too
+ * many gateways to some endpoints, so single assignments are moved, those that lose the least rank
+ * first, until the gateway counts of any two endpoints differ by at most one. A gateway that stops
+ * then removes only its own assignments. If too many gateways of one endpoint have stopped,
+ * assignments of the gateways that are up are moved in the same way until the count of every
+ * endpoint is within 5 % of the mean, or within one gateway if that is more.
  *
- * <p>So a restart moves next to nothing, and only a gateway that is new, or is known no longer,
- * moves choices of others.
+ * <p>As a result, the restart of a gateway moves very few assignments of other gateways; a larger
+ * change occurs only when a gateway is added to or removed from the known names.
  *
- * <p>A preference and no rule: freshness, roles and health are judged first, by others.
+ * <p>A subset is a preference, not a constraint: callers check freshness, roles and health first.
  */
 public final class EndpointSubsetting {
 
-  /** With fewer gateways for each endpoint their uneven traffic would show in its load. */
+  /**
+   * With fewer gateways per endpoint, the uneven traffic of gateways would make the load of
+   * endpoints uneven.
+   */
   static final int MIN_GATEWAYS_PER_ENDPOINT = 16;
 
-  /** With one, each of its pauses would send all its gateways elsewhere at once. */
+  /**
+   * With a single endpoint, each pause of that endpoint would redirect all of its gateways at once.
+   */
   static final int MIN_SUBSET_SIZE = 2;
 
   /**
-   * Part of the mean that an endpoint's count may be off it while gateways are down. Less would
-   * move more choices.
+   * Maximum deviation of the gateway count of an endpoint from the mean, as a fraction of the mean,
+   * while gateways are down. A smaller value would move more assignments.
    */
   static final double MAX_IMBALANCE = 0.05;
 
   private EndpointSubsetting() {}
 
-  /** How many of so many endpoints each gateway prefers: all of them in a small fleet. */
+  /** Number of endpoints that each gateway prefers; all of them in a small fleet. */
   public static int size(int gatewayCount, int endpointCount) {
     int wanted =
         (int)
@@ -50,14 +56,14 @@
     return Math.min(endpointCount, Math.max(MIN_SUBSET_SIZE, wanted));
   }
 
-  /** Whether every gateway of a fleet of so many prefers all endpoints. */
+  /** Whether a fleet is so small that every gateway prefers all endpoints. */
   public static boolean coversAllEndpoints(int gatewayCount) {
     return gatewayCount <= MIN_GATEWAYS_PER_ENDPOINT;
   }
 
   /**
-   * The endpoints that one gateway of a fleet prefers where nothing is known of the others but
-   * their number.
+   * Returns the endpoints that one gateway prefers if only the number of gateways in the fleet is
+   * known, not their names.
    */
   public static List<String> subsets(
       int gatewayIndex, int gatewayCount, Collection<String> endpointIds) {
@@ -74,13 +80,14 @@
   }
 
   /**
-   * The endpoints that each gateway prefers, by the gateway's place among the known ones; each list
-   * is in the order of the endpoints' ids, and empty for a gateway that is down.
+   * Returns the endpoints that each gateway prefers, in the order of {@code gatewayNames}. Each
+   * list is sorted by endpoint id and is empty for a gateway that is down.
    *
-   * @param gatewayNames the names of all gateways of the fleet, in any order that all share
-   * @param isUp whether the gateway at this place is taken to be up
-   * @param endpointIds the ids of all endpoints, in any order
-   * @param size of each subset, from 0; all endpoints where there are fewer
+   * @param gatewayNames names of all known gateways of the fleet, in an order that all gateways
+   *     share
+   * @param isUp whether the gateway at this index is considered to be up
+   * @param endpointIds ids of all endpoints, in any order
+   * @param size size of each subset, 0 or more; all endpoints if there are fewer
    */
   public static List<List<String>> subsets(
       List<String> gatewayNames, IntPredicate isUp, Collection<String> endpointIds, int size) {
--- a/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
+++ b/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
@@ -1,25 +1,26 @@
 package shelffront.fleet;
 
 /**
- * How many health checks one gateway may send that no event calls for.
+ * Limits the health checks that one gateway sends on its own initiative.
  *
- * <p>Invariants: the budget grows with the requests that the gateway takes, so the fleet's checks
- * grow with its traffic and not with its number of gateways; neither a start of all gateways at
- * once nor the end of a quiet hour sets free more than {@link #FLEET_BURST} of them. Not safe for
- * use by several threads.
+ * <p>Invariants: the budget grows with the requests that the gateway receives, so the health checks
+ * of the fleet grow with its traffic and not with its number of gateways. Neither a simultaneous
+ * start of all gateways nor the end of an idle period releases more than {@link #FLEET_BURST}
+ * health checks, unless the fleet has so many gateways that {@link #MIN_BURST} for each gateway
+ * exceeds that. Not thread-safe.
  */
 public final class HealthCheckBudget {
 
-  /** Health checks that all gateways together may have saved up. */
+  /** Maximum number of unused health checks that all gateways together accumulate. */
   static final double FLEET_BURST = 400;
 
-  /** The part of one gateway in a small fleet. */
+  /** Maximum burst of one gateway, which applies in a small fleet. */
   static final double MAX_BURST = 20;
 
-  /** The part of one gateway in a fleet of any size. */
+  /** Minimum burst of one gateway in a fleet of any size. */
   static final double MIN_BURST = 2;
 
-  /** Most points of service that a request may cost in health checks. */
+  /** Maximum cost of health checks per request, in service points. */
   static final double MAX_COST_PER_REQUEST = 0.01;
 
   private final double checksPerRequest;
@@ -27,10 +28,10 @@
   private double available;
 
   /**
-   * Starts with a whole burst.
+   * Creates a budget with a full burst available.
    *
-   * @param healthCheckCost points of service that a health check for each request costs; 0 where
-   *     they are free
+   * @param healthCheckCost cost, in service points, of one health check per request; 0 if health
+   *     checks are free
    */
   public HealthCheckBudget(double healthCheckCost, int gatewayCount) {
     checksPerRequest = Math.min(1, MAX_COST_PER_REQUEST / healthCheckCost);
@@ -38,12 +39,12 @@
     available = burst;
   }
 
-  /** A request came. */
+  /** Records that the gateway received a request. */
   public void recordRequest() {
     available = Math.min(burst, available + checksPerRequest);
   }
 
-  /** Takes a health check from the budget; false where none is left. */
+  /** Takes one health check from the budget; returns false if none is left. */
   public boolean tryAcquire() {
     if (available < 1) {
       return false;
--- a/core/src/main/java/shelffront/fleet/SlowStartBudget.java
+++ b/core/src/main/java/shelffront/fleet/SlowStartBudget.java
@@ -4,57 +4,63 @@
 import shelffront.statistics.DecayingAverage;
 
 /**
- * One gateway's part of what the warming endpoints of a replica set may be sent, each gateway
- * acting alone.
+ * Limits the requests that one gateway sends to the warming endpoints of a replica set. Each
+ * gateway applies its budget independently.
  *
- * <p>A warming endpoint may have half the overload factor of what a warm one gets from this
- * gateway, times its capacity fraction. Every gateway keeps to that, so the fleet keeps to half the
- * factor of what it usually sends an endpoint, whatever the number of gateways and however unevenly
- * they are used. No gateway has a minimum budget: each request is admitted with a probability, so
- * that a hundred gateways with a request a minute add up as one with a hundred.
+ * <p>A warming endpoint may get half the overload factor times its capacity fraction times the
+ * requests that a warm endpoint gets from this gateway. As every gateway observes this limit, the
+ * fleet sends at most half the overload factor of what it usually sends to an endpoint, regardless
+ * of the number of gateways and of how unevenly they are used. No gateway has a minimum budget:
+ * each request is admitted with a probability, so a hundred gateways with one request per minute
+ * send as much as one gateway with a hundred requests per minute.
  *
- * <p>Requests that need the primary can go nowhere else, so they use its budget first and reads get
- * the rest. For reads, a request is hashed to a point of the unit interval, and each warming
- * endpoint of the set owns a subinterval as long as the fraction of the reads that its budget
- * covers. The subintervals are laid end to end and wrap around at 1; a request may go to the
- * endpoint in whose subinterval its point lies. So each endpoint gets its fraction, and a request
- * is refused by all of them only where their subintervals leave a gap.
+ * <p>Requests that need the primary cannot go elsewhere, so they use its budget first and reads get
+ * the rest. A read is hashed to a point of the unit interval, and each warming endpoint of the
+ * replica set owns a subinterval whose length is the fraction of the reads that its budget covers.
+ * The subintervals are laid end to end and wrap around at 1; a read may go to the endpoint whose
+ * subinterval contains its point. Each endpoint thus gets its fraction, and a read is refused by
+ * all endpoints only if its point lies in a gap between the subintervals.
  *
- * <p>All counts are of the last {@link #WINDOW_SECONDS}, by this gateway. Where the number of other
+ * <p>All counts cover the last {@link #WINDOW_SECONDS} on this gateway. If the number of other
  * requests is Poisson distributed with mean m, the mean of m / (others + 1) is 1 - e^-m, which is
- * below 1: since a request counts itself, the fleet stays within the budget for any m. Times are
- * microseconds. Not safe for use by several threads.
+ * below 1. Each request counts itself, so the fleet stays within the budget for any m. Times are
+ * microseconds. Not thread-safe.
  */
 public final class SlowStartBudget {
 
-  /** Time over which usual traffic is counted. */
+  /** Time constant over which regular traffic is counted. */
   public static final double WINDOW_SECONDS = 20;
 
-  /** Half the overload factor is used, so that the fleet stays well below it. */
+  /** Only half the overload factor is used, so that the fleet stays well below it. */
   private static final double SAFETY_DIVISOR = 2;
 
-  /** Spreads the few bits of a string's hash over a seed: 2^64 over the golden ratio. */
+  /** Spreads the 32 bits of a string hash over a 64-bit seed: 2^64 divided by the golden ratio. */
   private static final long SEED_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
   private final Demand primaryDemand;
   private final Demand readDemand;
 
-  /** Starts without requests; a jump of demand within the overload window counts at once. */
+  /**
+   * Creates a budget without requests.
+   *
+   * @param overloadWindowSeconds time constant of the short-term rate, by which a sudden increase
+   *     in demand takes effect at once
+   */
   public SlowStartBudget(double overloadWindowSeconds) {
     primaryDemand = new Demand(overloadWindowSeconds);
     readDemand = new Demand(overloadWindowSeconds);
   }
 
-  /** Takes in a request of the replica set, once, when it arrives. */
+  /** Records a request of the replica set; to be called once per request, when it arrives. */
   public void recordRequest(long nowMicros, boolean requiresPrimary) {
     (requiresPrimary ? primaryDemand : readDemand).record(nowMicros);
   }
 
   /**
-   * The fraction of its capacity that an endpoint has at least, 0 to 1, by its age.
+   * Returns the minimum fraction of its capacity, 0 to 1, that an endpoint of the given age has.
    *
-   * @param initialFraction at age 0
-   * @param durationMicros age at which it has all
+   * @param initialFraction fraction at age 0
+   * @param durationMicros age at which the endpoint has its full capacity
    */
   public static double capacityFraction(
       long ageMicros, double initialFraction, long durationMicros) {
@@ -64,12 +70,13 @@
   }
 
   /**
-   * How many requests of the window an endpoint may be sent. For a primary this counts from what a
-   * warm one gets: the requests that need it, where those are more than an average endpoint gets.
+   * Returns the number of requests per window that may be sent to an endpoint. The budget of a
+   * primary is based on what a warm primary gets: the requests that need the primary, if these are
+   * more than an average endpoint gets.
    *
-   * @param capacityFraction fraction of its capacity that the endpoint has now
-   * @param usualSends what a warm endpoint of its capacity is sent by this gateway, on average, in
-   *     the window
+   * @param capacityFraction current fraction of its capacity that the endpoint has
+   * @param usualSends requests per window that this gateway sends, on average, to a warm endpoint
+   *     of the same capacity
    */
   public double budget(
       long nowMicros,
@@ -84,12 +91,13 @@
   }
 
   /**
-   * Whether a warming endpoint's budget covers this request. While no primary is known, requests
-   * that need it are tried on replicas and count as reads.
+   * Whether the budget of a warming endpoint covers this request. While no primary is known,
+   * requests that need the primary are tried on replicas and count as reads.
    *
-   * @param toPrimary whether the endpoint is the primary; its subinterval is the last of its set
+   * @param toPrimary whether the endpoint is the primary, whose subinterval is the last of its
+   *     replica set
    * @param budgetsBefore sum of the budgets of the warming endpoints whose subintervals come before
-   * @param budget of the endpoint, by {@link #budget}
+   * @param budget budget of the endpoint, as returned by {@link #budget}
    */
   public boolean admits(
       long nowMicros,
@@ -110,12 +118,15 @@
     return wrappedOffset < budgetForReads / reads;
   }
 
-  /** The request's point of the unit interval: uniformly distributed, and the same at each call. */
+  /**
+   * Maps a request to a point of the unit interval: uniformly distributed, and the same at each
+   * call.
+   */
   private static double hashToUnitInterval(String requestId) {
     return new SplittableRandom(requestId.hashCode() * SEED_MULTIPLIER).nextDouble();
   }
 
-  /** Requests in the window: the long-term count, or the short-term rate where that gives more. */
+  /** Requests per window: the long-term count, or the short-term rate if that is higher. */
   private static final class Demand {
 
     private final DecayingAverage steady = new DecayingAverage(WINDOW_SECONDS);
--- a/core/src/main/java/shelffront/fleet/SubsetAssignment.java
+++ b/core/src/main/java/shelffront/fleet/SubsetAssignment.java
@@ -6,22 +6,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Which gateways are assigned to which endpoints, and how that is balanced.
+ * Assigns endpoints to gateways and balances the number of gateways per endpoint. Not thread-safe.
  *
- * <p>Invariant: balancing moves single choices of a gateway from one endpoint to another, so that
+ * <p>Invariant: balancing moves single assignments of a gateway from one endpoint to another, so
  * the size of its subset stays the same.
  */
 final class SubsetAssignment {
 
   private final List<String> endpointIds;
 
-  /** By gateway and endpoint: 0 to 1, the same everywhere, and evenly spread. */
+  /** Rank by gateway and endpoint: uniformly distributed in 0 to 1, and equal on all gateways. */
   private final double[][] ranks;
 
-  /** By gateway and endpoint. */
+  /** Whether an endpoint is assigned to a gateway, by gateway and endpoint. */
   private final boolean[][] assigned;
 
-  /** Assigns to each gateway so many of the endpoints, those that rank highest for it. */
+  /** Assigns to each gateway the {@code size} endpoints that rank highest for it. */
   SubsetAssignment(List<String> gatewayNames, List<String> endpointIds, int size) {
     this.endpointIds = endpointIds;
     ranks = new double[gatewayNames.size()][endpointIds.size()];
@@ -53,12 +53,12 @@
     }
   }
 
-  /** Takes all endpoints from a gateway. */
+  /** Removes all assignments of a gateway. */
   void clear(int gateway) {
     Arrays.fill(assigned[gateway], false);
   }
 
-  /** The ids of a gateway's endpoints, in their order. */
+  /** Returns the ids of the endpoints assigned to a gateway, in the order of the endpoints. */
   List<String> subset(int gateway) {
     List<String> subset = new ArrayList<>();
     for (int endpoint = 0; endpoint < endpointIds.size(); endpoint++) {
@@ -69,14 +69,17 @@
     return subset;
   }
 
-  /** Moves choices until each endpoint's count is the mean, rounded up or down. */
+  /** Moves assignments until the gateway count of each endpoint is the mean, rounded up or down. */
   void balance() {
     int[] counts = counts();
     double mean = mean(counts);
     moveUntilWithin(counts, (int) Math.floor(mean), (int) Math.ceil(mean));
   }
 
-  /** Moves choices until no endpoint's count is off the mean by more than a part of it, or one. */
+  /**
+   * Moves assignments until the gateway count of each endpoint deviates from the mean by at most
+   * the given fraction of it, or by one gateway if that is more.
+   */
   void balanceWithin(double maxImbalance) {
     int[] counts = counts();
     double mean = mean(counts);
@@ -109,8 +112,8 @@
   private record Move(int gateway, int from, int to) {}
 
   /**
-   * Moves the one choice that costs least rank from an endpoint whose count is above the bound to
-   * one whose count is below it; false where there is none.
+   * Moves the one assignment that loses the least rank from an endpoint whose count is above the
+   * bound to an endpoint whose count is below it; returns false if there is no such assignment.
    */
   private boolean moveAcross(int[] counts, int bound) {
     Move move = cheapestMove(counts, bound);
--- a/core/src/main/java/shelffront/fleet/package-info.java
+++ b/core/src/main/java/shelffront/fleet/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What one gateway may do so that a fleet of them adds up, without messages between gateways:
- * subsets of endpoints, budgets for endpoints that start, budgets for health checks.
+ * Limits that each gateway applies on its own so that the load of the whole fleet stays bounded
+ * without messages between gateways: endpoint subsets, budgets for warming endpoints, and budgets
+ * for health checks.
  */
 package shelffront.fleet;
