--- a/core/src/main/java/shelffront/quota/Acquisition.java
+++ b/core/src/main/java/shelffront/quota/Acquisition.java
@@ -1,11 +1,17 @@
 package shelffront.quota;
 
-/** What came of asking a {@link ConnectionQuota} for a connection. */
+/** Result of {@link ConnectionQuota#tryAcquire}. */
 public enum Acquisition {
-  /** It holds one more. */
+  /** The tenant holds one more connection. */
   ACQUIRED,
-  /** It holds all that its own bound allows, or it has its part and what may be lent is used up. */
+  /**
+   * The tenant holds its maximum number of connections; or it holds its fair share and all lendable
+   * connections are in use; or no other tenant exceeds its fair share.
+   */
   REJECTED,
-  /** Others hold what is its own; it is notified when one has been released. */
+  /**
+   * Other tenants hold part of the fair share of this tenant; it is notified when a connection is
+   * released.
+   */
   PENDING
 }
--- a/core/src/main/java/shelffront/quota/ConnectionQuota.java
+++ b/core/src/main/java/shelffront/quota/ConnectionQuota.java
@@ -3,14 +3,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One tenant's quota of connections; {@link ConnectionQuotas} gives it out. Its part is its weight
- * among those that hold or wait for a connection, and one at least.
+ * The connection quota of one tenant, created by {@link ConnectionQuotas}. Its fair share is the
+ * total divided by weight among the tenants that hold or wait for a connection, and at least one
+ * connection.
  *
- * <p>Threads: the tenant's own thread calls; others only read the counts and call the callbacks.
+ * <p>Threads: methods are called on the thread of the tenant. Other threads only read the counts
+ * and run the callbacks.
  */
 public final class ConnectionQuota {
 
-  /** Weights are summed in thousandths: whole numbers give the same sum in any order. */
+  /**
+   * Weights are summed in thousandths, as integers, so that the sum does not depend on the order of
+   * the updates.
+   */
   private static final double UNITS_PER_WEIGHT = 1000;
 
   private final ConnectionQuotas shared;
@@ -20,7 +25,7 @@
   private volatile long weightUnits;
   private volatile int maxConnections;
   private boolean waiting;
-  private volatile boolean counted; // its weight is in the shared sum
+  private volatile boolean counted; // whether the total weight includes this quota
 
   ConnectionQuota(
       ConnectionQuotas shared,
@@ -39,7 +44,9 @@
     return Math.max(1, Math.round(weight * UNITS_PER_WEIGHT));
   }
 
-  /** Changes the figures; what is held beyond them is not taken away at once. */
+  /**
+   * Changes weight and maximum. Connections held beyond the new values are not reclaimed at once.
+   */
   public void update(double weight, int newMaxConnections) {
     long newUnits = units(weight);
     if (counted) {
@@ -50,9 +57,10 @@
   }
 
   /**
-   * Asks for a connection.
+   * Tries to acquire a connection.
    *
-   * @param replacing whether one has just been released for this; its part is not asked after then
+   * @param replacing whether the tenant has just released a connection in exchange, in which case
+   *     its fair share is not checked
    */
   public Acquisition tryAcquire(boolean replacing) {
     int held = inUse.get();
@@ -66,7 +74,7 @@
     return Acquisition.ACQUIRED;
   }
 
-  /** Has its weight counted while it holds or waits for a connection. */
+  /** Includes the weight in the total while the tenant holds or waits for a connection. */
   private void updateCounted() {
     if (counted != (waiting || inUse.get() > 0)) {
       counted = !counted;
@@ -75,11 +83,14 @@
     shared.setHolding(this, inUse.get() > 0);
   }
 
-  /** Asks the one furthest beyond its part for a connection; false where nobody is beyond. */
+  /**
+   * Asks the tenant furthest above its fair share to release a connection; returns false if no
+   * tenant is above its fair share.
+   */
   private boolean reclaimFromFurthest() {
     boolean wasWaiting = waiting;
     waiting = true;
-    updateCounted(); // its weight makes the others' parts smaller
+    updateCounted(); // adds this weight, which reduces the fair shares of the others
     ConnectionQuota furthest = shared.furthestBeyondPart();
     if (furthest == null) {
       waiting = wasWaiting;
@@ -93,7 +104,7 @@
     return true;
   }
 
-  /** Releases a connection, and notifies the first that waits for one. */
+  /** Releases a connection and notifies the first tenant that waits for one. */
   public void release() {
     inUse.decrementAndGet();
     updateCounted();
@@ -105,18 +116,22 @@
     oneAvailable.run();
   }
 
-  /** To be called by its own thread once {@code oneAvailable} has reached it. */
+  /**
+   * To be called on the thread of the tenant once {@code oneAvailable} has been delivered there.
+   */
   public void acknowledgeAvailable() {
     waiting = false;
     updateCounted();
   }
 
-  /** How many it holds beyond its part; 0 or less where it holds no more than that. */
+  /**
+   * Number of connections held above the fair share; 0 or less if the tenant does not exceed it.
+   */
   public int excess() {
     return inUse.get() - part();
   }
 
-  /** Connections that it holds now. */
+  /** Number of connections held now. */
   public int inUse() {
     return inUse.get();
   }
--- a/core/src/main/java/shelffront/quota/ConnectionQuotas.java
+++ b/core/src/main/java/shelffront/quota/ConnectionQuotas.java
@@ -7,45 +7,52 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Divides what is held for long, such as sockets, among tenants by weight.
+ * Divides resources that are held for a long time, such as sockets, among tenants by weight.
  *
- * <p>Invariants: never more are held than the total. Division is work conserving: what others leave
- * may be held too, up to a fraction of all; the rest is kept for those below their own part. Where
- * that is used up, the tenant furthest beyond its part is asked to release one, and whoever waits
- * is notified when one has come free. Only those that hold or wait for something count for the
- * parts.
+ * <p>Invariants: the connections held never exceed the total. The division is work-conserving: a
+ * tenant may exceed its fair share while the connections in use are below a fraction of the total;
+ * the rest is reserved for tenants below their fair share. When a tenant below its fair share finds
+ * none left, the tenant furthest above its fair share is asked to release a connection, and the
+ * waiting tenant is notified when one is released. Fair shares are computed among the tenants that
+ * hold or wait for a connection.
  *
- * <p>Threads: any may call, and nothing waits. Both callbacks are run by whichever thread releases
- * or acquires, so they may only post to the tenant's own.
+ * <p>Threads: thread-safe and non-blocking. Both callbacks run on the thread that releases or
+ * acquires, so they may only post a task to the thread of their own tenant.
  */
 public final class ConnectionQuotas {
 
-  /** Part of all that holders may fill beyond their own parts. */
+  /** Fraction of the total up to which tenants may exceed their fair shares. */
   private static final double LENDABLE_FRACTION = 0.75;
 
   private final int total;
   private final AtomicInteger inUse = new AtomicInteger();
-  private final AtomicLong weightUnits = new AtomicLong(); // of those that hold or wait
+
+  /** Total weight of the tenants that hold or wait for a connection. */
+  private final AtomicLong weightUnits = new AtomicLong();
+
   private final Set<ConnectionQuota> holders = ConcurrentHashMap.newKeySet();
   private final ConcurrentLinkedQueue<ConnectionQuota> waiting = new ConcurrentLinkedQueue<>();
 
-  /** So many for all together. */
+  /** Creates quotas for a total number of connections of all tenants. */
   public ConnectionQuotas(int total) {
     this.total = total;
   }
 
   /**
-   * Gives a new tenant its quota; its weight is above 0.
+   * Creates the quota of a new tenant.
    *
-   * @param reclaimOne asks it to release one, soon, if it can
-   * @param oneAvailable notifies it that one has come free after {@link Acquisition#PENDING}
+   * @param weight weight of the tenant, above 0
+   * @param maxConnections maximum number of connections of the tenant
+   * @param reclaimOne asks the tenant to release a connection as soon as it can
+   * @param oneAvailable notifies the tenant, after {@link Acquisition#PENDING}, that a connection
+   *     has been released
    */
   public ConnectionQuota register(
       double weight, int maxConnections, Runnable reclaimOne, Runnable oneAvailable) {
     return new ConnectionQuota(this, weight, maxConnections, reclaimOne, oneAvailable);
   }
 
-  /** Held by all. */
+  /** Number of connections held by all tenants. */
   public int inUse() {
     return inUse.get();
   }
@@ -70,7 +77,10 @@
     }
   }
 
-  /** Takes one; beyond a tenant's own part only while enough is left for the others. */
+  /**
+   * Takes a connection, up to the total for a tenant within its fair share, otherwise up to the
+   * lendable fraction of the total.
+   */
   boolean tryTake(boolean own) {
     double bound = own ? total : total * LENDABLE_FRACTION;
     int taken = inUse.get();
@@ -84,7 +94,7 @@
     inUse.decrementAndGet();
   }
 
-  /** The holder furthest beyond its part; null where nobody is beyond. */
+  /** Returns the quota furthest above its fair share, or null if none is above it. */
   ConnectionQuota furthestBeyondPart() {
     ConnectionQuota furthest = null;
     for (ConnectionQuota holder : holders) {
--- a/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
+++ b/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
@@ -3,26 +3,24 @@
 import java.util.ArrayDeque;
 
 /**
- * Deficit round robin (Shreedhar and Varghese, 1996) over flows whose items' costs are known only
- * once they are done: a flow whose credit is used up waits until it has had its rounds.
+ * Deficit round robin (Shreedhar and Varghese, 1996) over flows whose item costs are known only
+ * after processing. A flow without credit is skipped until it has gained credit again, by one
+ * quantum times its weight per round.
  *
- * <p>Invariants: items of one flow keep their order, and a flow that is alone is never held back.
- * Threads: belongs to one.
+ * <p>Invariants: the items of a flow keep their order, and a flow is never delayed while no other
+ * flow has items. Not thread-safe.
  *
- * @param <T> the items
+ * @param <T> type of the items
  */
 public final class DeficitRoundRobin<T> {
 
-  /**
-   * The most that a flow may owe, in rounds of its own: bounds how long it waits for what its items
-   * cost.
-   */
+  /** Maximum debt of a flow, in rounds. Bounds how long a flow is skipped after expensive items. */
   private static final long MAX_DEBT_ROUNDS = 64;
 
   /**
-   * One that takes its turn: items that wait, and its credit.
+   * A flow: its queued items and its credit.
    *
-   * @param <T> the items
+   * @param <T> type of the items
    */
   public static final class Flow<T> {
 
@@ -35,7 +33,7 @@
       this.weight = weight;
     }
 
-    /** Above 0. */
+    /** Sets the weight, which is above 0. */
     public void setWeight(double newWeight) {
       weight = newWeight;
     }
@@ -46,12 +44,16 @@
   private Flow<T> current;
   private int waitingItems; // of all flows
 
-  /** The quantum is the cost that a flow of weight 1 may run up in a round. */
+  /**
+   * Creates a scheduler without flows.
+   *
+   * @param quantum cost that a flow of weight 1 may incur per round
+   */
   public DeficitRoundRobin(long quantum) {
     this.quantum = quantum;
   }
 
-  /** Puts an item behind those of its flow. A flow saves up no credit while it is idle. */
+  /** Appends an item to its flow. A flow accumulates no credit while it is idle. */
   public void add(Flow<T> flow, T item) {
     flow.waiting.add(item);
     waitingItems++;
@@ -62,7 +64,10 @@
     }
   }
 
-  /** The next item, whose cost is to be given to {@link #charge}; null where none waits. */
+  /**
+   * Returns the next item, whose cost the caller then passes to {@link #charge}; null if no item is
+   * queued.
+   */
   public T next() {
     while (!ring.isEmpty()) {
       Flow<T> flow = ring.peek();
@@ -81,7 +86,7 @@
     return null;
   }
 
-  /** What the item given last has cost, in the unit of the quantum. */
+  /** Charges the flow of the item returned last with its cost, in the unit of the quantum. */
   public void charge(long cost) {
     double leastCredit = -quantum * MAX_DEBT_ROUNDS * current.weight;
     current.credit = Math.max(leastCredit, current.credit - Math.max(1, cost));
--- a/core/src/main/java/shelffront/quota/EventLoopPlacement.java
+++ b/core/src/main/java/shelffront/quota/EventLoopPlacement.java
@@ -1,31 +1,32 @@
 package shelffront.quota;
 
 /**
- * Decides on which of several event loops a tenant lives. It is chosen when the tenant resumes and
- * has nothing open: then a migration costs only what its decision module had learnt.
+ * Assigns tenants to event loops. The loop is chosen again when a tenant resumes without open
+ * connections or requests, because a migration then costs only the state learned by its decision
+ * module.
  *
- * <p>A loop's load is the part of its time that it has been busy of late, plus what is expected of
- * tenants that resumed on it since and do not show in that yet. Times are microseconds and never
- * step back. Threads: the caller's; it has to be one at a time.
+ * <p>The load of a loop is the fraction of recent time during which it was busy, plus the expected
+ * load of tenants that resumed on it and are not yet reflected in that fraction. Times are
+ * microseconds and never decrease. Not thread-safe; callers need mutual exclusion.
  */
 public final class EventLoopPlacement {
 
-  /** Over how long a loop's load is judged. */
+  /** Time constant of the decaying average of the load of a loop. */
   public static final long LOAD_MEMORY_MICROS = 1_000_000;
 
-  /** A tenant stays where it was unless its loop is busier by this than the least loaded one. */
+  /** Load difference to the least loaded loop above which a resuming tenant migrates. */
   private static final double MIGRATION_THRESHOLD = 0.2;
 
-  /** Load expected of a tenant of weight 1 that has just resumed. */
+  /** Expected load of a tenant of weight 1 that has just resumed. */
   private static final double EXPECTED_LOAD_PER_WEIGHT = 0.02;
 
   private final double[] busyFraction;
   private final double[] expectedLoad;
-  private final long[] busyMicros; // since each loop's start, as last recorded
+  private final long[] busyMicros; // busy time since the start of each loop, as last recorded
   private final double[] weights;
   private long recordedAtMicros;
 
-  /** The load is 0 at first. */
+  /** Creates a placement in which every loop has a load of 0. */
   public EventLoopPlacement(int loops, long nowMicros) {
     busyFraction = new double[loops];
     expectedLoad = new double[loops];
@@ -34,7 +35,7 @@
     recordedAtMicros = nowMicros;
   }
 
-  /** Takes in how long each loop has been busy since its start. */
+  /** Records the time that each loop has been busy since its start. */
   public void recordBusyTime(long[] busyMicrosSoFar, long nowMicros) {
     long passedMicros = nowMicros - recordedAtMicros;
     if (passedMicros <= 0) {
@@ -52,8 +53,8 @@
   }
 
   /**
-   * Where a new tenant is to live: on the loop with the least weight, for it may never become
-   * active.
+   * Assigns a new tenant to the loop with the least total weight, because the tenant may never
+   * become active; returns the loop.
    */
   public int placeNew(double weight) {
     int chosen = 0;
@@ -64,12 +65,15 @@
     return chosen;
   }
 
-  /** A tenant of a weight no longer lives there. */
+  /** Removes a tenant of the given weight from a loop. */
   public void remove(int loop, double weight) {
     weights[loop] -= weight;
   }
 
-  /** Where a tenant that resumes is to live, which has lived on a loop and has nothing open. */
+  /**
+   * Assigns a tenant that resumes, and has no open connections or requests, to its current loop or
+   * to a less loaded one; returns the loop.
+   */
   public int placeResumed(int currentLoop, double weight) {
     int leastLoaded = leastLoadedPreferring(currentLoop);
     int chosen = isWorthMigrating(currentLoop, leastLoaded) ? leastLoaded : currentLoop;
--- a/core/src/main/java/shelffront/quota/MaxMinFairness.java
+++ b/core/src/main/java/shelffront/quota/MaxMinFairness.java
@@ -1,20 +1,19 @@
 package shelffront.quota;
 
 /**
- * Weighted max-min fairness by water-filling (Bertsekas and Gallager, Data Networks, 6.5.2): nobody
- * gets more than it asks for, and what one leaves is divided among those that want more, by their
- * weights. Has no state.
+ * Weighted max-min fairness by water-filling (Bertsekas and Gallager, Data Networks, 6.5.2): no
+ * allocation exceeds its demand, and capacity that is left over is divided by weight among the
+ * unsatisfied demands. Stateless.
  */
 public final class MaxMinFairness {
 
   private MaxMinFairness() {}
 
   /**
-   * Divides a capacity. Capacity and demands are in one unit and not negative; weights are above 0;
-   * both arrays have the same length.
+   * Divides a capacity. Capacity and demands have the same unit and are not negative; weights are
+   * above 0; both arrays have the same length.
    *
-   * @return the allocation of each; together the capacity or the sum of the demands, whichever is
-   *     less
+   * @return the allocations; their sum is the capacity or the sum of the demands, whichever is less
    */
   public static double[] divide(double capacity, double[] weights, double[] demands) {
     double[] allocations = new double[weights.length];
@@ -48,7 +47,7 @@
     return sum;
   }
 
-  /** All that remain demand more than their share by weight: each is allocated that share. */
+  /** Every remaining demand exceeds its share by weight, so each is allocated that share. */
   private static void divideByWeight(
       double perWeight, double[] weights, boolean[] satisfied, double[] allocations) {
     for (int i = 0; i < weights.length; i++) {
--- a/core/src/main/java/shelffront/quota/PublishedDemand.java
+++ b/core/src/main/java/shelffront/quota/PublishedDemand.java
@@ -5,12 +5,12 @@
 import java.util.stream.DoubleStream;
 
 /**
- * What the tenants of one event loop asked for when it last divided the rate; other loops count it
- * beside their own tenants. Immutable by convention: nobody writes to the arrays.
+ * Demand of the tenants of one event loop at its last division of the rate. Other loops include it
+ * in their own divisions. Immutable by convention: the arrays are never modified.
  *
- * @param atMicros when it was published
- * @param weights of the tenants that ask
- * @param demands requests a second of the same tenants, in the same order
+ * @param atMicros time of publication
+ * @param weights weights of the active tenants
+ * @param demands demands of the same tenants in requests per second, in the same order
  */
 record PublishedDemand(long atMicros, double[] weights, double[] demands) {
 
--- a/core/src/main/java/shelffront/quota/Quota.java
+++ b/core/src/main/java/shelffront/quota/Quota.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * The quota of one tenant, or of one class of a tenant: its weight, what it asks for, the rate that
- * it was granted, and how many of its requests are open. {@link TenantQuotas} gives it out and is
- * the only one that changes it.
+ * The quota of one tenant, or of one request class of a tenant: its weight, its demand, the rate
+ * granted to it, and the number of its open requests. Created and modified only by {@link
+ * TenantQuotas}.
  *
- * <p>Threads: belongs to the event loop on which its tenant lives.
+ * <p>Threads: belongs to the event loop of its tenant.
  */
 public final class Quota {
 
@@ -26,7 +26,7 @@
     setWeights(weight, classWeights);
   }
 
-  /** Keeps what classes have asked for, unless their number changes. */
+  /** Keeps the demands of the classes, unless the number of classes changes. */
   void setWeights(double newWeight, double[] classWeights) {
     weight = newWeight;
     if (classWeights == null || classWeights.length == 0) {
@@ -55,7 +55,7 @@
     return classQuotas;
   }
 
-  /** The quota of a class; null where the tenant's classes have none. */
+  /** Returns the quota of a class; null if the classes of the tenant have no quotas. */
   Quota classQuota(int classIndex) {
     return hasClassQuotas() ? classQuotas[classIndex] : null;
   }
@@ -64,7 +64,7 @@
     return rateLimit;
   }
 
-  /** Requests a second that it asked for of late. */
+  /** Recent demand in requests per second, whether admitted or not. */
   double demandPerSecond() {
     return demandPerSecond;
   }
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Ends a window. The demand is the greater of the last window's rate and the mean with the demand
-   * before: a tenant whose demand grows is not held back by its past.
+   * Ends a window. The new demand is the rate of the last window, or the mean of that rate and the
+   * previous demand if that is higher, so that an increase takes full effect at once.
    */
   void endWindow(double seconds) {
     double lastWindowPerSecond = requestsInWindow / seconds;
@@ -84,7 +84,7 @@
     requestsInWindow = 0;
   }
 
-  /** Whether it is among those that the rate is divided among. */
+  /** Whether the quota takes part in the division of the rate. */
   boolean isActive() {
     return active;
   }
@@ -98,7 +98,9 @@
     active = false;
   }
 
-  /** Whether it asked for nothing for more windows than these and has no open request. */
+  /**
+   * Whether there was no request for more than the given number of windows and no request is open.
+   */
   boolean isIdleLongerThan(int windows) {
     return idleWindows > windows && openRequests == 0;
   }
--- a/core/src/main/java/shelffront/quota/RateDivision.java
+++ b/core/src/main/java/shelffront/quota/RateDivision.java
@@ -5,12 +5,12 @@
 import java.util.stream.DoubleStream;
 
 /**
- * Divides a rate among quotas by weight and demand, and sets their rate limits to the results. What
- * no demand covers is added by weight, so that a burst is admitted. Has no state.
+ * Divides a rate among quotas by weight and demand, and sets their rate limits accordingly. Any
+ * rate beyond the demands is distributed by weight, so that bursts are admitted. Stateless.
  */
 final class RateDivision {
 
-  /** Windows' worth of requests that may come at once. */
+  /** Burst of a rate limit, in windows of its rate. */
   private static final double BURST_WINDOWS = 2;
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -20,9 +20,10 @@
   /**
    * Divides a rate among quotas.
    *
-   * @param perSecond the rate that is divided
-   * @param quotas those that get a part of it here
-   * @param others the demand of other loops: it takes part in the division, and is granted there
+   * @param perSecond rate to divide, in requests per second
+   * @param quotas quotas of this loop, whose rate limits are set
+   * @param others demand of the other loops, which takes part in the division and is granted by
+   *     those loops
    */
   static void divide(
       double perSecond, List<Quota> quotas, List<PublishedDemand> others, long nowMicros) {
@@ -39,15 +40,15 @@
     double sparePerSecond = perSecond - Arrays.stream(allocations).sum();
     double totalWeight = Arrays.stream(weights).sum();
     for (int i = 0; i < quotas.size(); i++) {
-      // Its share by weight is always granted, though others may use it in this window: they are
-      // granted less in the next one.
+      // The share by weight is always granted, even if other quotas use it in this window; they
+      // are granted less in the next window.
       double guaranteedPerSecond = perSecond * weights[i] / totalWeight;
       double allocatedPerSecond = allocations[i] + sparePerSecond * weights[i] / totalWeight;
       grant(quotas.get(i), Math.max(guaranteedPerSecond, allocatedPerSecond), nowMicros);
     }
   }
 
-  /** Sets a quota's rate, and its burst to as many windows' worth of it. */
+  /** Sets the rate of a quota, and its burst to {@link #BURST_WINDOWS} windows of that rate. */
   static void grant(Quota quota, double perSecond, long nowMicros) {
     double burst = perSecond * BURST_WINDOWS * TenantQuotas.WINDOW_MICROS / MICROS_PER_SECOND;
     quota.rateLimit().reconfigure(perSecond, burst, nowMicros);
--- a/core/src/main/java/shelffront/quota/SharedCapacity.java
+++ b/core/src/main/java/shelffront/quota/SharedCapacity.java
@@ -6,18 +6,17 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * The capacity that the event loops of one gateway share: a rate of requests, places for open
- * requests, and the demand that each loop has published. Never more places are taken than there
- * are.
+ * Capacity that the event loops of one gateway share: a request rate, slots for open requests, and
+ * the demand that each loop has published. The slots taken never exceed their number.
  *
- * <p>Threads: any loop may call; the counts are atomic and nothing waits. Each loop writes its own
- * published demand only.
+ * <p>Threads: thread-safe and non-blocking. Each loop writes only its own published demand.
  */
 public final class SharedCapacity {
 
   /**
-   * Windows after which another loop's published demand no longer counts. A loop publishes in every
-   * window in which it is asked, so an older one belongs to a loop without demand.
+   * Number of windows after which the published demand of another loop is ignored. A loop publishes
+   * in every window in which it receives requests, so older demand belongs to a loop without
+   * requests.
    */
   private static final int STALE_AFTER_WINDOWS = 3;
 
@@ -27,11 +26,11 @@
   private final AtomicReferenceArray<PublishedDemand> publishedDemands;
 
   /**
-   * The capacity of a whole gateway.
+   * Creates the capacity of one gateway.
    *
-   * @param requestsPerSecond of all loops together; 0 for no bound
-   * @param maxOpenRequests requests that may be open at a time, of all loops together
-   * @param loops how many event loops share it
+   * @param requestsPerSecond request rate of all loops together; 0 for no limit
+   * @param maxOpenRequests maximum number of open requests of all loops together
+   * @param loops number of event loops that share the capacity
    */
   public SharedCapacity(double requestsPerSecond, int maxOpenRequests, int loops) {
     this.requestsPerSecond = requestsPerSecond;
@@ -39,7 +38,7 @@
     publishedDemands = new AtomicReferenceArray<>(loops);
   }
 
-  /** Requests that hold a place now, of all tenants of all loops. */
+  /** Number of open requests of all tenants of all loops. */
   public int openRequests() {
     return openRequests.get();
   }
@@ -52,7 +51,9 @@
     return maxOpenRequests;
   }
 
-  /** Takes a place where fewer than the bound are taken; false, and nothing is taken, elsewhere. */
+  /**
+   * Takes a slot if fewer slots than the bound are taken; otherwise takes none and returns false.
+   */
   boolean tryTakePlace(double bound) {
     int taken = openRequests.get();
     while (taken < bound && !openRequests.compareAndSet(taken, taken + 1)) {
@@ -65,12 +66,14 @@
     openRequests.decrementAndGet();
   }
 
-  /** Replaces what this loop published before. */
+  /** Publishes the demand of a loop, replacing its previous one. */
   void publish(int loop, PublishedDemand demand) {
     publishedDemands.set(loop, demand);
   }
 
-  /** What the other loops published within the last windows. */
+  /**
+   * Returns the demands of the other loops that are not older than {@link #STALE_AFTER_WINDOWS}.
+   */
   List<PublishedDemand> currentDemandsOfOthers(int loop, long nowMicros) {
     List<PublishedDemand> current = new ArrayList<>();
     for (int other = 0; other < publishedDemands.length(); other++) {
--- a/core/src/main/java/shelffront/quota/TenantQuotas.java
+++ b/core/src/main/java/shelffront/quota/TenantQuotas.java
@@ -5,39 +5,42 @@
 import java.util.List;
 
 /**
- * Admits tenants' requests by weight: divides the requests a second that a gateway can take, and
- * the places for requests that are open at a time.
+ * Admits the requests of tenants: divides the request rate of a gateway, and its slots for open
+ * requests, among tenants by weight.
  *
- * <p>Invariants: an admitted request holds a place until {@link #release}. Division is work
- * conserving: what one tenant leaves idle others use. A tenant has its own rate back within {@link
- * #WINDOW_MICROS}, and its own places as fast as others' open requests end. Where a tenant gives
- * its classes weights, its own rate is divided again in the same way. Tenants that ask for nothing
- * cost nothing: the rate is divided at the first request after a window has passed, and only among
- * those that asked of late.
+ * <p>Invariants: an admitted request holds a slot until {@link #release}. The division is
+ * work-conserving: capacity that one tenant leaves idle is available to others. A tenant regains
+ * its own rate within {@link #WINDOW_MICROS}, and its own slots as the open requests of others end.
+ * If a tenant assigns weights to its request classes, its rate is divided among them in the same
+ * way. Idle tenants cost nothing: the rate is divided at the first request after the end of a
+ * window, and only among tenants with recent requests.
  *
- * <p>Threads: belongs to one event loop. The loops of a gateway have one {@link SharedCapacity}.
- * Each publishes there what its tenants ask for whenever it divides, counts what the others
- * published, and takes its own tenants' parts. So all come to the same division, one window late at
- * most, and none waits for another. Times are microseconds and never step back.
+ * <p>Threads: belongs to one event loop. The loops of a gateway share one {@link SharedCapacity}.
+ * At each division, a loop publishes the demand of its tenants, includes the demand published by
+ * the other loops, and grants its own tenants their shares. All loops thus arrive at the same
+ * division, at most one window late, without waiting for each other. Times are microseconds and
+ * never decrease.
  */
 public final class TenantQuotas {
 
   /**
-   * The rate is divided anew this often; the time within which a change of demand or weight takes
-   * effect.
+   * Interval between divisions of the rate: the time within which a change of demand or weight
+   * takes effect.
    */
   public static final long WINDOW_MICROS = 100_000;
 
-  /** Windows without a request after which a tenant no longer takes part in the division. */
+  /**
+   * Number of windows without a request after which a tenant no longer takes part in the division.
+   */
   private static final int MAX_IDLE_WINDOWS = 20;
 
   /**
-   * Part of all places that requests beyond their tenants' own places may fill; the rest is kept
-   * for tenants that are below theirs.
+   * Fraction of all slots up to which tenants may exceed their own slots; the rest is reserved for
+   * tenants that do not use all of their own.
    */
   private static final double LENDABLE_FRACTION = 0.75;
 
-  /** Demand is taken over so many windows at most, after a time without requests. */
+  /** Maximum number of windows over which demand is measured after a period without requests. */
   private static final long MAX_WINDOWS_COUNTED = 10;
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -45,22 +48,26 @@
   private final SharedCapacity capacity;
   private final int loop;
   private final List<Quota> activeQuotas = new ArrayList<>();
-  private double activeWeight; // of activeQuotas
+  private double activeWeight; // sum over activeQuotas
   private double weightOfOtherLoops;
   private long windowStartMicros;
   private boolean weightsChanged; // since the rate was last divided
 
   /**
-   * Of the only loop of a gateway.
+   * Creates the quotas of a gateway with a single event loop.
    *
-   * @param requestsPerSecond 0 for no bound
-   * @param maxOpenRequests of all tenants together
+   * @param requestsPerSecond request rate of the gateway; 0 for no limit
+   * @param maxOpenRequests maximum number of open requests of all tenants together
    */
   public TenantQuotas(double requestsPerSecond, int maxOpenRequests, long nowMicros) {
     this(new SharedCapacity(requestsPerSecond, maxOpenRequests, 1), 0, nowMicros);
   }
 
-  /** Of one loop of several, by its number from 0. */
+  /**
+   * Creates the quotas of one of several event loops.
+   *
+   * @param loop index of the loop, from 0
+   */
   public TenantQuotas(SharedCapacity capacity, int loop, long nowMicros) {
     this.capacity = capacity;
     this.loop = loop;
@@ -68,21 +75,25 @@
   }
 
   /**
-   * Gives a new tenant its quota. Weights are above 0; one for each class, or null where its
-   * classes have none.
+   * Creates the quota of a new tenant.
+   *
+   * @param weight weight of the tenant, above 0
+   * @param classWeights weight of each request class, above 0; null if the classes have no quotas
    */
   public Quota register(double weight, double[] classWeights) {
     return new Quota(weight, classWeights);
   }
 
-  /** Changes a tenant's weights; both follow with the next request. */
+  /** Changes the weights of a tenant and of its classes; they take effect at the next request. */
   public void updateWeights(Quota quota, double weight, double[] classWeights) {
     activeWeight += quota.isActive() ? weight - quota.weight() : 0;
     quota.setWeights(weight, classWeights);
     weightsChanged = true;
   }
 
-  /** Takes a tenant out of the division; its open requests still end by {@link #release}. */
+  /**
+   * Removes a tenant from the division. Its open requests must still be ended by {@link #release}.
+   */
   public void unregister(Quota quota) {
     if (activeQuotas.remove(quota)) {
       quota.deactivate();
@@ -91,9 +102,10 @@
   }
 
   /**
-   * Admits a request, which then holds a place until {@link #release}, or rejects it.
+   * Admits a request, which then holds a slot until {@link #release}, or rejects it.
    *
-   * @return 0 where it is admitted; else the microseconds after which a retry is worth it
+   * @return 0 if the request is admitted; otherwise the time in microseconds after which a retry
+   *     may be admitted
    */
   public long admit(Quota quota, int classIndex, long nowMicros) {
     if (!quota.isActive()) {
@@ -120,18 +132,21 @@
     return 0;
   }
 
-  /** Ends an admitted request: it has had its answer. */
+  /** Ends an admitted request, whose final response has been sent. */
   public void release(Quota quota) {
     quota.countClosed();
     capacity.releasePlace();
   }
 
-  /** Requests that hold a place now, of all tenants of all loops. */
+  /** Number of open requests of all tenants of all loops. */
   public int openRequests() {
     return capacity.openRequests();
   }
 
-  /** Gives a tenant its own rate at once; others give it back when the rate is next divided. */
+  /**
+   * Grants a tenant its share of the rate at once; the rates of the others are reduced at the next
+   * division.
+   */
   private void activate(Quota quota, long nowMicros) {
     quota.activate();
     activeQuotas.add(quota);
@@ -141,21 +156,21 @@
     RateDivision.grant(quota, perSecond, nowMicros);
   }
 
-  /** Microseconds until both rate limits allow a request; 0 if now. */
+  /** Time in microseconds until both rate limits allow a request; 0 if they allow it now. */
   private static long waitMicros(Quota quota, Quota classQuota, long nowMicros) {
     long classWaitMicros = classQuota == null ? 0 : classQuota.rateLimit().waitMicros(nowMicros);
     return Math.max(quota.rateLimit().waitMicros(nowMicros), classWaitMicros);
   }
 
-  /** Places that may be taken in all while this tenant takes one more. */
+  /** Bound on the slots taken by all tenants below which this tenant may take one more. */
   private double maxPlacesFor(Quota quota) {
     int places = capacity.maxOpenRequests();
     return quota.openRequests() >= ownPlaces(quota) ? places * LENDABLE_FRACTION : places;
   }
 
   /**
-   * Places that are a tenant's own, by its weight among those that ask. One that asks alone leaves
-   * some all the same, for whoever comes next.
+   * Number of slots that belong to a tenant, by its weight among the active tenants. A tenant that
+   * is active alone still leaves some slots for the next one.
    */
   private double ownPlaces(Quota quota) {
     int places = capacity.maxOpenRequests();
@@ -163,7 +178,7 @@
     return Math.max(1, Math.min(places * LENDABLE_FRACTION, byWeight));
   }
 
-  /** Ends the window: counts demand, publishes it, and grants each active tenant its rate. */
+  /** Ends the window: measures demand, publishes it, and grants each active tenant its rate. */
   private void divideRate(long nowMicros) {
     double seconds = countedWindowMicros(nowMicros) / MICROS_PER_SECOND;
     windowStartMicros = nowMicros;
@@ -182,8 +197,8 @@
   }
 
   /**
-   * Over how long the requests of the window are counted. After a time without requests the count
-   * says little of it, so it is bounded; and it is one window at least.
+   * Time over which the demand of the window is measured: at least one window, and bounded, because
+   * the request count says little about a long period without requests.
    */
   private long countedWindowMicros(long nowMicros) {
     return Math.min(
--- a/core/src/main/java/shelffront/quota/TokenBucket.java
+++ b/core/src/main/java/shelffront/quota/TokenBucket.java
@@ -1,10 +1,10 @@
 package shelffront.quota;
 
 /**
- * A token bucket: a rate, and a burst that may come at once after a rest.
+ * A token bucket: a rate limit that allows a burst after an idle period.
  *
- * <p>Invariant: it never holds more tokens than its burst. Times are microseconds and never step
- * back. Threads: belongs to its owner's.
+ * <p>Invariant: the bucket never holds more tokens than its burst. Times are microseconds and never
+ * decrease. Not thread-safe.
  */
 public final class TokenBucket {
 
@@ -15,13 +15,13 @@
   private double tokens;
   private long filledAtMicros;
 
-  /** A rate of 0 or less is no limit. The bucket begins full; its burst is 1 at least. */
+  /** Creates a full bucket. A rate of 0 or less means no limit; a burst below 1 is raised to 1. */
   public TokenBucket(double perSecond, double burst, long nowMicros) {
     reconfigure(perSecond, burst, nowMicros);
     tokens = this.burst;
   }
 
-  /** Changes the figures; tokens that were saved up stay, as far as the new burst allows. */
+  /** Changes rate and burst. Accumulated tokens are kept, up to the new burst. */
   public void reconfigure(double perSecond, double newBurst, long nowMicros) {
     fill(nowMicros);
     perMicro = perSecond / MICROS_PER_SECOND;
@@ -29,7 +29,7 @@
     tokens = Math.min(tokens, burst);
   }
 
-  /** The rate; 0 or less is no limit. */
+  /** The rate in tokens per second; 0 or less means no limit. */
   public double perSecond() {
     return perMicro * MICROS_PER_SECOND;
   }
@@ -40,7 +40,9 @@
     filledAtMicros = Math.max(filledAtMicros, nowMicros);
   }
 
-  /** Microseconds until a token may be consumed; 0 if now. Consumes nothing. */
+  /**
+   * Time in microseconds until a token is available; 0 if one is available now. Consumes no token.
+   */
   public long waitMicros(long nowMicros) {
     if (perMicro <= 0) {
       return 0;
@@ -49,7 +51,7 @@
     return tokens >= 1 ? 0 : (long) Math.ceil((1 - tokens) / perMicro);
   }
 
-  /** Consumes one token; to be called after {@link #waitMicros} gave 0. */
+  /** Consumes one token; to be called only after {@link #waitMicros} has returned 0. */
   public void consume() {
     tokens -= perMicro > 0 ? 1 : 0;
   }
