--- a/core/src/test/java/shelffront/ArchitectureTest.java
+++ b/core/src/test/java/shelffront/ArchitectureTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.Future;
 
 /**
- * Holds what makes the deciders replayable: nothing in core touches the world or keeps time of its
- * own.
+ * Enforces the rules that make decisions reproducible: code in core performs no input or output and
+ * has no clock of its own.
  */
 @AnalyzeClasses(packages = "shelffront", importOptions = DoNotIncludeTests.class)
 class ArchitectureTest {
@@ -34,8 +34,8 @@
               "sun..");
 
   /**
-   * What several loops share is held without waiting; everything else in core belongs to one
-   * thread.
+   * Only the quota package has state shared by event loops, which it accesses without blocking; all
+   * other code in core belongs to one thread.
    */
   @ArchTest
   static final ArchRule ONE_THREAD =
@@ -74,7 +74,7 @@
           .dependOnClassesThat()
           .areAssignableTo(Thread.class);
 
-  /** An unseeded source would make the same events give different actions. */
+  /** With an unseeded random source, the same events would produce different actions. */
   @ArchTest
   static final ArchRule NO_UNSEEDED_CHANCE =
       noClasses()
--- a/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
+++ b/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What is believed of a replica's place in the log, on both sides of each boundary. */
+/** Tests the known and the assumed position of a replica on both sides of each boundary. */
 class ReplicationProgressTest {
 
   private static final long MS = 1000;
@@ -40,9 +40,11 @@
     assertFalse(progress.mayHaveApplied(NOW + 300 * MS, NOW + 200 * MS + 1, 0));
     assertTrue(
         progress.mayHaveApplied(NOW + 300 * MS, NOW + 250 * MS, 50 * MS),
-        "it waits for what it lacks");
-    assertFalse(progress.mayHaveApplied(NOW + 21_000 * MS, NOW + 1_000 * MS, 0), "not for ever");
-    assertFalse(progress.hasApplied(NOW - 50 * MS), "which is no knowledge");
+        "a replica that waits may lag by another 50 ms");
+    assertFalse(
+        progress.mayHaveApplied(NOW + 21_000 * MS, NOW + 1_000 * MS, 0),
+        "a report is extrapolated for 20 s at most");
+    assertFalse(progress.hasApplied(NOW - 50 * MS), "an assumed position is not a known one");
   }
 
   @Test
@@ -60,17 +62,20 @@
     progress.recordProvenPosition(NOW + 500 * MS, NOW + 300 * MS);
     assertTrue(progress.hasApplied(NOW + 300 * MS));
     assertEquals(
-        NOW + 400 * MS, progress.lastReportedAt(), "at its lag of 100 ms it was there then");
+        NOW + 400 * MS,
+        progress.lastReportedAt(),
+        "with a lag of 100 ms it reached the position then");
     progress.recordProvenPosition(NOW + 600 * MS, NOW + 200 * MS);
     assertEquals(
-        NOW + 400 * MS, progress.lastReportedAt(), "one that needed less proves nothing new");
+        NOW + 400 * MS, progress.lastReportedAt(), "a lower required position proves nothing new");
     ReplicationProgress first = new ReplicationProgress();
     first.recordProvenPosition(NOW, NOW - 500 * MS);
     assertTrue(first.hasApplied(NOW - 500 * MS));
   }
 
   /**
-   * One that starts from an old copy was asked again every 100 ms, by every gateway, for seconds.
+   * Guards against repeated health checks of a replica that starts from an old copy: every gateway
+   * checked it every 100 ms for seconds.
    */
   @Test
   void checksLaterTheFurtherBehindAReplicaIs() {
--- a/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
+++ b/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** What all gateways choose adds up, whatever the number of gateways and hosts. */
+/** Tests that subsets are balanced across the fleet for any number of gateways and hosts. */
 class EndpointSubsettingTest {
 
   private static List<String> names(String kind, int from, int count) {
@@ -60,14 +60,14 @@
     double mean = gateways * (double) Math.min(size, hosts) / hosts;
     for (String host : names("s-", 0, hosts)) {
       double off = Math.abs(load.getOrDefault(host, 0L) - mean);
-      assertTrue(off <= 1, host + " has " + load.get(host) + " where the mean is " + mean);
+      assertTrue(off <= 1, host + " has " + load.get(host) + " gateways, mean " + mean);
     }
     for (List<String> own : all) {
       assertEquals(Math.min(size, hosts), new HashSet<>(own).size());
     }
   }
 
-  /** A thousand, as the greatest fleet, and the least. */
+  /** Covers the largest fleet, of a thousand gateways, and the smallest ones. */
   @Test
   void assignsFleetsOfOneTwoAndAThousand() {
     assertEquals(
@@ -98,7 +98,7 @@
         load.values().stream().allMatch(count -> count >= 24 && count <= 26), load.toString());
   }
 
-  /** What an order of names by which gateways happened to be heard of must not change. */
+  /** The order in which a gateway learns of the endpoints must not change the result. */
   @Test
   void givesTheSameForEndpointsInAnyOrder() {
     List<String> hosts = names("s-", 0, 6);
@@ -111,8 +111,10 @@
   }
 
   /**
-   * Pairs that are gone after one more gateway stopped, over its own, on the mean; a part of them
-   * is down before.
+   * Mean number of gateway-host pairs that disappear when one more gateway stops, relative to the
+   * pairs of that gateway.
+   *
+   * @param down fraction of the gateways that are already down
    */
   private static double churn(int gateways, int hosts, double down) {
     int size = EndpointSubsetting.size(gateways, hosts);
@@ -148,7 +150,7 @@
     }
   }
 
-  /** What is left of a fleet shares its hosts as evenly as the whole did. */
+  /** The gateways that remain up are balanced across the hosts as evenly as the whole fleet. */
   @Property(tries = 100, seed = "2027")
   void keepsRemainingFleetNearTheMean(
       @ForAll @IntRange(min = 2, max = 200) int gateways,
@@ -172,7 +174,7 @@
       double off = Math.abs(load.getOrDefault(host, 0L) - mean);
       assertTrue(
           off <= Math.max(1, mean * EndpointSubsetting.MAX_IMBALANCE),
-          host + " has " + load.get(host) + ", mean " + mean);
+          host + " has " + load.get(host) + " gateways, mean " + mean);
     }
   }
 
--- a/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a fleet spends on health checks follows its traffic, not its size. */
+/** Tests that the health checks of a fleet grow with its traffic and not with its size. */
 class HealthCheckBudgetTest {
 
   private static int spent(HealthCheckBudget budget, int requests) {
@@ -27,18 +27,21 @@
         probes += spent(new HealthCheckBudget(0.08, gateways), 0);
       }
       assertTrue(
-          probes <= HealthCheckBudget.FLEET_BURST && probes >= 200, probes + " by " + gateways);
+          probes <= HealthCheckBudget.FLEET_BURST && probes >= 200,
+          probes + " health checks by " + gateways + " gateways");
     }
   }
 
   @Test
   void limitsCostOfARequest() {
-    // A health check for each request costs 0.08 points, so one for eight requests costs a
-    // hundredth.
+    // One health check per request costs 0.08 points, so one per eight requests costs 0.01.
     assertEquals(20 + 125, spent(new HealthCheckBudget(0.08, 1), 1000), 1);
     assertEquals(20 + 1000, spent(new HealthCheckBudget(0.01, 1), 1000), 1);
     assertEquals(
-        20 + 1000, spent(new HealthCheckBudget(0, 1), 1000), 1, "free: still one a request");
+        20 + 1000,
+        spent(new HealthCheckBudget(0, 1), 1000),
+        1,
+        "free health checks are still limited to one per request");
   }
 
   @Test
--- a/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
@@ -16,8 +16,8 @@
 import shelffront.statistics.DecayingAverage;
 
 /**
- * A fleet of gateways, each acting alone, before hosts that started of late; seeds make every run
- * the same.
+ * Tests that the independent budgets of gateways bound the load of warming hosts. All random
+ * choices are seeded, so every run is the same.
  */
 class SlowStartBudgetTest {
 
@@ -26,8 +26,10 @@
   private record Asked(SlowStartBudget budget, long now) {}
 
   /**
-   * Traffic of a gateway for 60 s: this many requests a second on the mean, a part of which needs
-   * the primary.
+   * Simulates Poisson traffic of one gateway for 60 s.
+   *
+   * @param rate mean requests per second
+   * @param owedShare fraction of the requests that need the primary
    */
   private static Asked traffic(SplittableRandom random, double rate, double owedShare) {
     SlowStartBudget budget = new SlowStartBudget(2);
@@ -43,11 +45,9 @@
 
   @Test
   void measuresWritesAgainstWritesAlone() {
-    // 6 in 100 requests write. A host of five at a third of its capacity may have two thirds of
-    // what a warm one
-    // gets, ten times the writes: none of them may be turned away for what the reads of its replica
-    // set
-    // would add.
+    // 6 % of the requests are writes. One of five hosts, at a third of its capacity, may get two
+    // thirds of what a warm host gets, which is ten times the writes: no write may be refused
+    // because of the reads of the replica set.
     Asked asked = traffic(new SplittableRandom(1), 10, 0.06);
     double budget = asked.budget.budget(asked.now, 0.33, 4, 40, false);
     int admitted = 0;
@@ -61,20 +61,20 @@
   void givesReadsOnlyWhatAPrimarysWritesLeave() {
     Asked asked = traffic(new SplittableRandom(2), 10, 0.5);
     double budget =
-        asked.budget.budget(
-            asked.now, 0.25, 4, 200, false); // the count of writes, 100 in the window
+        asked.budget.budget(asked.now, 0.25, 4, 200, false); // equals the writes: 100 in the window
     int reads = 0;
     for (int i = 0; i < 1_000; i++) {
       reads += asked.budget.admits(asked.now, "r" + i, false, true, true, 0, budget) ? 1 : 0;
     }
-    assertTrue(reads < 200, reads + " of 1000 reads on top of as many writes as it may have");
+    assertTrue(
+        reads < 200, reads + " of 1000 reads admitted although the writes use up the budget");
   }
 
   @Test
   void measuresPrimaryByWhatItUsuallyBears() {
-    // Half of all requests write, 100 in the window; a warm host of eight gets 25. At a quarter of
-    // its capacity
-    // and a multiple of 4 the primary may have half of its writes, not an eighth.
+    // Half of the requests are writes, 100 in the window; each of eight warm hosts gets 25. At a
+    // quarter of its capacity and an overload factor of 4, the primary may get half of its writes,
+    // not an eighth.
     Asked asked = traffic(new SplittableRandom(7), 10, 0.5);
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
@@ -90,15 +90,14 @@
               ? 1
               : 0;
     }
-    assertTrue(admitted > 450 && admitted < 550, admitted + " of 1000 writes");
-    assertTrue(asked.budget.budget(asked.now, 0.25, 4, 25, false) < 15, "a replica may not");
+    assertTrue(admitted > 450 && admitted < 550, admitted + " of 1000 writes admitted");
+    assertTrue(asked.budget.budget(asked.now, 0.25, 4, 25, false) < 15, "budget of a replica");
   }
 
   @Test
   void sharesOneDrawAmongEndpointsOfAReplicaSet() {
-    // Five warming hosts, each with a budget of a fifth of what is asked: each request meets
-    // exactly
-    // one of them.
+    // Five warming hosts, each with a budget of a fifth of the requests: each request is admitted
+    // by exactly one host.
     Asked asked = traffic(new SplittableRandom(3), 10, 0);
     double budget = 200 / 5.0;
     int met = 0;
@@ -116,10 +115,11 @@
       twice += hosts > 1 ? 1 : 0;
     }
     assertTrue(
-        met > 9_000, met + " of 10000 met a host; draws apart would let a third of them meet none");
-    assertTrue(twice < 1_000, twice + " met two");
+        met > 9_000,
+        met + " of 10000 admitted by a host; independent draws would leave a third without a host");
+    assertTrue(twice < 1_000, twice + " admitted by two hosts");
     for (int count : each) {
-      assertTrue(count > 1_500 && count < 2_500, count + " to one host");
+      assertTrue(count > 1_500 && count < 2_500, count + " admitted by one host");
     }
   }
 
@@ -132,13 +132,11 @@
       known += asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
       unknown += asked.budget.admits(asked.now, "r" + i, false, false, false, 0, 20) ? 1 : 0;
     }
-    assertTrue(unknown < known * 0.7, unknown + " against " + known);
+    assertTrue(
+        unknown < known * 0.7, unknown + " admitted without a primary, " + known + " with one");
   }
 
-  /**
-   * Whatever the number of gateways and their traffic, together they keep near the budget of the
-   * whole.
-   */
+  /** For any number of gateways and any traffic, the fleet as a whole stays near its budget. */
   @Property(tries = 40, seed = "2026")
   void keepsFleetNearItsBudget(
       @ForAll @IntRange(min = 1, max = 200) int gateways,
@@ -148,14 +146,14 @@
     double each =
         rate
             * SlowStartBudget.WINDOW_SECONDS
-            / 4; // what a warm host of four gets from each gateway
+            / 4; // requests per window from each gateway to each of four warm hosts
     double sent = 0;
     double mayHave = 0;
     int rounds = Math.max(1, 400 / gateways);
     for (int gateway = 0; gateway < gateways * rounds; gateway++) {
       Asked asked = traffic(random, rate, 0);
       double budget = asked.budget.budget(asked.now, warmth, 2, each, false);
-      // The requests of the next moment, each of which counts itself.
+      // The request to admit, which counts itself.
       asked.budget.recordRequest(asked.now, false);
       int admitted = 0;
       for (int i = 0; i < 50; i++) {
@@ -167,18 +165,19 @@
       sent += admitted / 50.0 * rate * SlowStartBudget.WINDOW_SECONDS;
       mayHave += budget;
     }
-    assertTrue(sent <= mayHave * 1.1, sent + " sent where " + mayHave + " may be");
+    assertTrue(sent <= mayHave * 1.1, sent + " sent, budget " + mayHave);
   }
 
   /**
-   * A fleet before a set of five hosts, some of which started together. Traffic is uneven: a tenth
-   * of the gateways has half of it. Gateways restart, each every 40 s on the mean, and then know of
-   * no traffic at all.
+   * Simulates a fleet and a replica set of five hosts, some of which start at the same time.
+   * Traffic is uneven: a tenth of the gateways gets half of it. Each gateway restarts every 40 s on
+   * average and then has no traffic counts.
    *
-   * @param capacity requests a second that a warm host bears
-   * @param use what it gets of that
-   * @param times what the budget is made larger by; 1 as it is
-   * @param least what each gateway counts a warm host to get at least, in the window; 0 as it is
+   * @param capacity requests per second that a warm host can serve
+   * @param use fraction of that capacity that is used
+   * @param times factor applied to the budget; 1 for the production budget
+   * @param least minimum of the requests per window that each gateway counts for a warm host; 0 for
+   *     the production budget
    */
   private record Fleet(
       int gateways,
@@ -197,7 +196,10 @@
       return MULTIPLE * warmth * capacity * FALL_SECONDS;
     }
 
-    /** The most that the first warming host gets in an overload window of a play of 200 s. */
+    /**
+     * Maximum number of requests that the first warming host gets in any overload window of a
+     * simulation of 200 s.
+     */
     int worst() {
       List<Double> sends = new ArrayList<>();
       SplittableRandom random =
@@ -227,7 +229,7 @@
       return most;
     }
 
-    /** The same over what may be put to chance. */
+    /** The maximum relative to the bound that allows for random variation. */
     double worstOverBound() {
       return worst() / (allowedRequests() + 2 * Math.sqrt(allowedRequests()) + 2);
     }
@@ -235,7 +237,8 @@
     private void sends(int gateway, double perSecond, SplittableRandom random, List<Double> sends) {
       SlowStartBudget budget = new SlowStartBudget(FALL_SECONDS);
       DecayingAverage warm =
-          new DecayingAverage(SlowStartBudget.WINDOW_SECONDS); // sends to a warm host of the set
+          new DecayingAverage(
+              SlowStartBudget.WINDOW_SECONDS); // sends to a warm host of the replica set
       double at = 0;
       double gap;
       while ((at += gap = -Math.log(1 - random.nextDouble()) / perSecond) < 220) {
@@ -264,15 +267,17 @@
   }
 
   /**
-   * The operators' bound: of N calls that the settings allow a warming host in the overload window,
-   * ramp included, it falls beyond N + 2 x root of N + 2, from all gateways together.
+   * Checks the bound at which a warming host fails: if the settings allow it N requests in the
+   * overload window, including the slow-start ramp, it fails beyond N + 2 * sqrt(N) + 2 requests
+   * from all gateways together.
    *
-   * <p>What it gets is the sum of many rare choices, so nearly Poisson, with the mean N / 2 x use:
-   * the budget is half the overload factor of what a warm host gets, and that is use x its
-   * capacity. The chance of more than the bound in one overload window at full use is 1.4e-5 for N
-   * = 1, 8.3e-5 for N = 2, 8e-6 for N = 4, 1.4e-6 for N = 10, 3e-9 for N = 30; at three quarters,
-   * near the most that the operators' days ask for outside overload, a fifth of that or less. With
-   * a budget four times as large it is then 0.04, 0.18, 0.64 and 0.99 for N = 4, 10, 30 and 100.
+   * <p>The requests of the host are the sum of many independent choices of low probability, so they
+   * are approximately Poisson distributed with mean N / 2 * utilization: the budget is half the
+   * overload factor of what a warm host gets, which is utilization * capacity. At full utilization,
+   * the probability of exceeding the bound in one overload window is 1.4e-5 for N = 1, 8.3e-5 for N
+   * = 2, 8e-6 for N = 4, 1.4e-6 for N = 10 and 3e-9 for N = 30. At a utilization of 0.75, close to
+   * the maximum of the operators' scenarios outside overload, it is a fifth of that or less; with a
+   * budget four times as large it is then 0.04, 0.18, 0.64 and 0.99 for N = 4, 10, 30 and 100.
    */
   @Test
   void keepsFleetUnderTheBoundOfChance() {
@@ -283,14 +288,15 @@
             Fleet fleet = new Fleet(gateways, capacity, 0.75, warmth, cold, 1, 0);
             double worst = fleet.worstOverBound();
             assertTrue(
-                worst <= 1, fleet + " came to " + worst + " of the bound in its worst fall time");
-            // At full load six in an overload window for N = 1.5 are seen, as the figures above let
-            // expect.
+                worst <= 1,
+                fleet + " reached " + worst + " of the bound in its worst overload window");
+            // At full utilization, six requests in an overload window occur for N = 1.5, as the
+            // probabilities above predict.
             Fleet full = new Fleet(gateways, capacity, 1, warmth, cold, 1, 0);
             assertTrue(
                 full.worst()
                     < 0.9 * (full.allowedRequests() + 3 * Math.sqrt(full.allowedRequests()) + 3),
-                full + " came to " + full.worst() + " in its worst fall time");
+                full + " reached " + full.worst() + " requests in its worst overload window");
           }
         }
       }
@@ -303,11 +309,11 @@
       Fleet fleet = new Fleet(gateways, 10, 0.75, 0.18, 1, 4, 0);
       assertTrue(
           fleet.worstOverBound() > 1,
-          fleet + " kept to " + fleet.worstOverBound() + " of the bound");
+          fleet + " stayed at " + fleet.worstOverBound() + " of the bound");
     }
     assertTrue(
         new Fleet(100, 10, 1, 0.18, 1, 1, 10).worstOverBound() > 1,
-        "a least share for each gateway does too");
+        "a minimum budget per gateway exceeds the bound too");
   }
 
   @Test
@@ -324,7 +330,7 @@
     for (int i = 0; i < 1_000; i++) {
       after += asked.budget.admits(asked.now + SECOND, "r" + i, false, false, true, 0, 20) ? 1 : 0;
     }
-    assertTrue(after * 3 < before, before + " of 1000 before, " + after + " after");
+    assertTrue(after * 3 < before, before + " of 1000 admitted before, " + after + " after");
   }
 
   @Test
@@ -333,13 +339,13 @@
     assertEquals(
         0.2,
         SlowStartBudget.capacityFraction(-SECOND, 0.2, 10 * SECOND),
-        "started in the future by the list");
+        "start time in the future according to the list");
     assertEquals(0.6, SlowStartBudget.capacityFraction(5 * SECOND, 0.2, 10 * SECOND), 1e-9);
     assertEquals(1, SlowStartBudget.capacityFraction(10 * SECOND, 0.2, 10 * SECOND));
     assertEquals(
         1,
         SlowStartBudget.capacityFraction(0, 0.2, 0),
-        "nothing is cold where the rule gives no time");
+        "a slow start of 0 s gives full capacity at once");
   }
 
   @Test
@@ -351,6 +357,6 @@
     }
     assertFalse(
         asked.budget.admits(asked.now, "r", false, false, true, 0, 0),
-        "without a budget nothing goes");
+        "a budget of 0 admits nothing");
   }
 }
--- a/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Forty sockets for tenants who open, keep and close them. */
+/** Tests the division of forty connections among tenants that acquire, hold and release them. */
 class ConnectionQuotasTest {
 
   private final ConnectionQuotas quotas = new ConnectionQuotas(40);
@@ -17,7 +17,7 @@
 
   private ConnectionQuota join(String name, double weight, int most) {
     return quotas.register(
-        weight, most, () -> said.add(name + " asked"), () -> said.add(name + " told"));
+        weight, most, () -> said.add(name + " reclaim"), () -> said.add(name + " available"));
   }
 
   private static int fill(ConnectionQuota who) {
@@ -29,26 +29,26 @@
   }
 
   @Test
-  void oneAloneHasAllAndNotMore() {
+  void singleTenantAcquiresTheTotalAndNoMore() {
     assertEquals(40, fill(join("a", 1, 100)));
     assertEquals(40, quotas.inUse());
   }
 
   @Test
-  void aTenantsOwnBoundHolds() {
+  void tenantIsLimitedByItsOwnMaximum() {
     assertEquals(7, fill(join("a", 1, 7)));
   }
 
   @Test
-  void whoeverComesSecondHasItsPartThoughTheFirstTookAll() {
+  void secondTenantReclaimsItsFairShareAfterTheFirstAcquiredAll() {
     ConnectionQuota first = join("first", 1, 100);
     ConnectionQuota second = join("second", 1, 100);
     fill(first);
     assertEquals(Acquisition.PENDING, second.tryAcquire(false));
     assertEquals(Acquisition.PENDING, second.tryAcquire(false));
-    assertEquals(List.of("first asked", "first asked"), said);
+    assertEquals(List.of("first reclaim", "first reclaim"), said);
     first.release();
-    assertEquals("second told", said.get(2));
+    assertEquals("second available", said.get(2));
     second.acknowledgeAvailable();
     assertEquals(Acquisition.ACQUIRED, second.tryAcquire(false));
     while (first.excess() > 0) {
@@ -57,12 +57,14 @@
     assertEquals(20, second.inUse() + fill(second));
     assertEquals(20, first.inUse());
     assertEquals(
-        Acquisition.REJECTED, second.tryAcquire(false), "it has its part, and all are held");
+        Acquisition.REJECTED,
+        second.tryAcquire(false),
+        "it holds its fair share and all connections are in use");
   }
 
-  /** What is lent stops short of all: whoever holds less than its part finds some at once. */
+  /** Lending is bounded, so a tenant below its fair share finds connections at once. */
   @Test
-  void beyondItsPartATenantLeavesSomeForOthers() {
+  void tenantAboveItsFairShareLeavesConnectionsForOthers() {
     ConnectionQuota small = join("small", 1, 100);
     ConnectionQuota large = join("large", 1, 100);
     small.tryAcquire(false);
@@ -71,7 +73,7 @@
   }
 
   @Test
-  void partsFollowWeightsAndTheirChange() {
+  void fairSharesFollowWeightChanges() {
     ConnectionQuota one = join("one", 1, 100);
     ConnectionQuota three = join("three", 3, 100);
     one.tryAcquire(false);
@@ -83,7 +85,7 @@
   }
 
   @Test
-  void oneGivenBackForAnotherIsNotLostToTheBound() {
+  void replacementIsAcquiredAboveTheLendableFraction() {
     ConnectionQuota first = join("a", 1, 100);
     ConnectionQuota second = join("b", 1, 100);
     second.tryAcquire(false);
@@ -94,11 +96,11 @@
   }
 
   /**
-   * From four threads at once, by seed: never more than all, and at the end none is held or
-   * counted.
+   * Four threads with seeded choices never exceed the total; at the end, no connection is held and
+   * no weight is counted.
    */
   @Test
-  void fromSeveralThreadsTheSumsHold() throws Exception {
+  void countsStayConsistentAcrossThreads() throws Exception {
     CountDownLatch done = new CountDownLatch(4);
     boolean[] over = new boolean[4];
     List<ConnectionQuota> all = new ArrayList<>();
@@ -126,10 +128,11 @@
     }
     done.await();
     for (boolean each : over) {
-      assertTrue(!each, "more were held than there are");
+      assertTrue(!each, "connections held exceeded the total");
     }
     assertEquals(0, quotas.inUse());
     all.forEach(ConnectionQuota::acknowledgeAvailable);
-    assertEquals(40, fill(join("last", 1, 100)), "no weight of the others is left");
+    assertEquals(
+        40, fill(join("last", 1, 100)), "the weights of the other tenants are no longer counted");
   }
 }
--- a/core/src/test/java/shelffront/quota/DeficitRoundRobinTest.java
+++ b/core/src/test/java/shelffront/quota/DeficitRoundRobinTest.java
@@ -15,7 +15,7 @@
 class DeficitRoundRobinTest {
 
   @Test
-  void aFloodedFlowDoesNotHoldUpAnother() {
+  void floodedFlowDoesNotDelayAnotherFlow() {
     DeficitRoundRobin<String> rounds = new DeficitRoundRobin<>(100);
     Flow<String> flood = new Flow<>(1);
     Flow<String> calm = new Flow<>(1);
@@ -28,11 +28,11 @@
       rounds.charge(30);
       before++;
     }
-    assertTrue(before <= 4, before + " came first");
+    assertTrue(before <= 4, before + " items of the flooded flow came first");
   }
 
   @Test
-  void itemsOfOneFlowKeepTheirOrderAndAreAllGiven() {
+  void returnsAllItemsOfAFlowInOrder() {
     DeficitRoundRobin<Integer> rounds = new DeficitRoundRobin<>(10);
     Flow<Integer> one = new Flow<>(0.5);
     for (int i = 0; i < 100; i++) {
@@ -46,9 +46,9 @@
     assertTrue(rounds.isEmpty());
   }
 
-  /** Two flows that always wait get what their weights say, whatever their items cost. */
+  /** Two backlogged flows are served in proportion to their weights, for any item costs. */
   @Property(tries = 200, seed = "2026")
-  void costFollowsWeights(
+  void dividesCostByWeight(
       @ForAll @IntRange(min = 1, max = 8) int weight,
       @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 1, max = 500) Integer> costs) {
     DeficitRoundRobin<Integer> rounds = new DeficitRoundRobin<>(100);
--- a/core/src/test/java/shelffront/quota/EventLoopPlacementTest.java
+++ b/core/src/test/java/shelffront/quota/EventLoopPlacementTest.java
@@ -11,7 +11,7 @@
   private final EventLoopPlacement placement = new EventLoopPlacement(3, 0);
 
   @Test
-  void newTenantsAreSpreadByWeight() {
+  void spreadsNewTenantsByWeight() {
     assertEquals(0, placement.placeNew(4));
     assertEquals(1, placement.placeNew(1));
     assertEquals(2, placement.placeNew(1));
@@ -21,23 +21,23 @@
   }
 
   @Test
-  void oneThatWakesLeavesALoopThatWorksMuchMore() {
+  void resumedTenantLeavesAMuchBusierLoop() {
     placement.recordBusyTime(new long[] {900_000, 100_000, 300_000}, SECOND);
     assertEquals(1, placement.placeResumed(0, 1));
   }
 
   @Test
-  void oneThatWakesStaysWhereTheDifferenceIsSmall() {
+  void resumedTenantStaysIfTheDifferenceIsSmall() {
     placement.recordBusyTime(new long[] {300_000, 100_000, 200_000}, SECOND);
     assertEquals(0, placement.placeResumed(0, 1));
   }
 
   /**
-   * A hundred that wake in one moment are not all sent to the loop that was the least loaded
-   * before.
+   * A hundred tenants that resume at the same time are not all placed on the loop that was least
+   * loaded before.
    */
   @Test
-  void thoseThatWakeTogetherAreSpread() {
+  void spreadsTenantsThatResumeTogether() {
     placement.recordBusyTime(new long[] {SECOND, 0, 0}, SECOND);
     int[] sent = new int[3];
     for (int i = 0; i < 100; i++) {
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void whatWasExpectedFades() {
+  void expectedLoadDecays() {
     for (int i = 0; i < 20; i++) {
       placement.placeResumed(0, 1);
     }
@@ -58,9 +58,9 @@
     assertEquals(0, placement.placeResumed(0, 1));
   }
 
-  /** A clock that stands still, and a count that seems to go back, change nothing for the worse. */
+  /** A repeated timestamp and a decreasing busy time do not distort the load. */
   @Test
-  void oddFiguresAreTakenCalmly() {
+  void toleratesRepeatedTimestampsAndDecreasingBusyTime() {
     placement.recordBusyTime(new long[] {500_000, 0, 0}, SECOND);
     placement.recordBusyTime(new long[] {0, 0, 0}, SECOND);
     placement.recordBusyTime(new long[] {0, 0, 0}, 2 * SECOND);
--- a/core/src/test/java/shelffront/quota/MaxMinFairnessTest.java
+++ b/core/src/test/java/shelffront/quota/MaxMinFairnessTest.java
@@ -12,11 +12,11 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** That nobody gets more than it asks for, and that nothing is left that somebody wants. */
+/** Tests that no allocation exceeds its demand and that no demanded capacity is left over. */
 class MaxMinFairnessTest {
 
   @Test
-  void whatOneLeavesGoesToTheOthersByWeight() {
+  void dividesUnusedCapacityByWeight() {
     assertArrayEquals(
         new double[] {10, 30, 60},
         MaxMinFairness.divide(100, new double[] {1, 1, 2}, new double[] {10, 1000, 1000}),
@@ -24,7 +24,7 @@
   }
 
   @Property(seed = "2026")
-  void isFairAndLeavesNothingThatIsWanted(
+  void isFairAndAllocatesAllDemandedCapacity(
       @ForAll @DoubleRange(min = 0.01, max = 1e6) double capacity,
       @ForAll @Size(min = 1, max = 12) List<@DoubleRange(min = 0.01, max = 100) Double> weights,
       @ForAll @Size(12) List<@DoubleRange(min = 0, max = 1e6) Double> demands) {
@@ -37,7 +37,7 @@
     for (int i = 0; i < weight.length; i++) {
       assertTrue(parts[i] <= demand[i] + slack);
       for (int j = 0; j < weight.length; j++) {
-        // One that has less than it wants has no less for its weight than anybody.
+        // An unsatisfied demand gets no less per weight than any other.
         assertTrue(
             parts[i] >= demand[i] - slack
                 || parts[i] / weight[i] >= parts[j] / weight[j] - slack * 100);
--- a/core/src/test/java/shelffront/quota/TenantQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/TenantQuotasTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayDeque;
 import org.junit.jupiter.api.Test;
 
-/** A gateway of 1,000 requests a second; each admitted one ends 10 ms later. */
+/** Tests a gateway with 1,000 requests per second; each admitted request ends after 10 ms. */
 class TenantQuotasTest {
 
   private static final long SECOND_MICROS = 1_000_000;
@@ -15,16 +15,19 @@
   private long now = 5 * SECOND_MICROS;
   private final TenantQuotas quotas = new TenantQuotas(1000, 100, now);
 
-  /** A request that was admitted: which tenant's, and when it ends. */
+  /** An admitted request: the index of its tenant and the time at which it ends. */
   private record OpenRequest(int tenant, long endsAtMicros) {}
 
-  /** Tenants of one loop; see {@link #runOnLoops}. */
+  /** Runs tenants on a single event loop; see {@link #runOnLoops}. */
   private double[] run(Quota[] tenants, double[] rates, long durationMicros) {
     int[] loopOf = new int[tenants.length];
     return runOnLoops(new TenantQuotas[] {quotas}, tenants, loopOf, rates, durationMicros);
   }
 
-  /** Each asks evenly at its rate for the given time; gives what each was admitted a second. */
+  /**
+   * Sends evenly spaced requests of each tenant at its rate; returns the admitted requests per
+   * second of each tenant.
+   */
   private double[] runOnLoops(
       TenantQuotas[] loops, Quota[] tenants, int[] loopOf, double[] rates, long durationMicros) {
     double[] admitted = new double[tenants.length];
@@ -52,7 +55,7 @@
   }
 
   @Test
-  void aTenantThatAsksAloneGetsTheWholeRate() {
+  void onlyActiveTenantGetsTheWholeRate() {
     Quota quota = quotas.register(1, null);
     quotas.register(9, null);
     run(new Quota[] {quota}, new double[] {5000}, SECOND_MICROS);
@@ -60,7 +63,7 @@
   }
 
   @Test
-  void floodingTenantsAreAdmittedByWeight() {
+  void admitsFloodingTenantsByWeight() {
     Quota[] three = {quotas.register(1, null), quotas.register(2, null), quotas.register(4, null)};
     run(three, new double[] {4000, 4000, 4000}, SECOND_MICROS);
     double[] got = run(three, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
@@ -70,7 +73,7 @@
   }
 
   @Test
-  void aTenantWithinItsQuotaIsAdmittedWhileAnotherFloods() {
+  void admitsTenantWithinItsQuotaWhileAnotherFloods() {
     Quota[] two = {quotas.register(1, null), quotas.register(1, null)};
     run(two, new double[] {400, 5000}, SECOND_MICROS);
     double[] got = run(two, new double[] {400, 5000}, SECOND_MICROS);
@@ -78,16 +81,16 @@
     assertEquals(600, got[1], 30);
   }
 
-  /** The stated time: one window, in which it has its own part already. */
+  /** The specified limit is one window; the tenant has its own rate already within that window. */
   @Test
-  void aTenantThatReturnsHasItsOwnRateAtOnce() {
+  void returningTenantHasItsOwnRateAtOnce() {
     Quota[] two = {quotas.register(1, null), quotas.register(1, null)};
     run(two, new double[] {0, 5000}, 5 * SECOND_MICROS);
     assertEquals(400, run(two, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW_MICROS)[0], 20);
   }
 
   @Test
-  void aReducedWeightTakesEffectWithinAWindow() {
+  void reducedWeightTakesEffectWithinAWindow() {
     Quota[] two = {quotas.register(9, null), quotas.register(1, null)};
     run(two, new double[] {5000, 5000}, SECOND_MICROS);
     assertEquals(100, run(two, new double[] {5000, 5000}, SECOND_MICROS)[1], 10);
@@ -97,7 +100,7 @@
   }
 
   @Test
-  void classesOfATenantDivideItsRateByWeight() {
+  void dividesRateOfATenantAmongClassesByWeight() {
     Quota quota = quotas.register(1, new double[] {1, 3});
     double[] admitted = new double[2];
     for (int turn = 0; turn < 20_000; turn++, now += 100) {
@@ -113,7 +116,7 @@
   }
 
   @Test
-  void placesBeyondATenantsOwnLeaveRoomForOthers() {
+  void tenantAboveItsOwnSlotsLeavesSlotsForOthers() {
     TenantQuotas places = new TenantQuotas(0, 100, now);
     Quota quota = places.register(1, null);
     Quota other = places.register(1, null);
@@ -132,11 +135,11 @@
     }
     assertTrue(
         places.admit(other, 0, now) == 0 && places.admit(quota, 0, now) > 0,
-        "b is under its own half, a is not");
+        "the second tenant is below its own half, the first is not");
     assertEquals(81, places.openRequests());
   }
 
-  /** 2,000 tenants that rest cost a busy one nothing: they are not among those who ask. */
+  /** 2,000 idle tenants do not reduce the rate of an active tenant. */
   @Test
   void idleTenantsTakeNoPartInTheDivision() {
     for (int i = 0; i < 2000; i++) {
@@ -151,10 +154,11 @@
   }
 
   /**
-   * Tenants of two loops that all flood: together no more than the rate, and each by its weight.
+   * Flooding tenants on two loops together get no more than the rate, each in proportion to its
+   * weight.
    */
   @Test
-  void tenantsOfSeveralLoopsDivideTheWholeRateByWeight() {
+  void dividesRateAmongTenantsOfSeveralLoopsByWeight() {
     SharedCapacity common = new SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
     Quota[] who = {
@@ -166,12 +170,12 @@
     assertEquals(250, got[0], 15);
     assertEquals(250, got[1], 15);
     assertEquals(500, got[2], 30);
-    assertEquals(0, common.openRequests(), "places");
+    assertEquals(0, common.openRequests(), "open requests");
   }
 
-  /** What one loop's tenants leave idle the other's use, and give back within two windows. */
+  /** Rate left idle by the tenants of one loop is used by the other and returned in two windows. */
   @Test
-  void rateThatOneLoopLeavesIdleIsUsedByAnother() {
+  void idleRateOfOneLoopIsUsedByAnother() {
     SharedCapacity common = new SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
     Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
@@ -186,9 +190,9 @@
     assertEquals(500, got[1], 25);
   }
 
-  /** A loop whose tenants are no longer asked keeps nothing of the rate for them. */
+  /** A loop whose tenants receive no more requests reserves no rate for them. */
   @Test
-  void aLoopWithoutRequestsReservesNoRate() {
+  void loopWithoutRequestsReservesNoRate() {
     SharedCapacity common = new SharedCapacity(1000, 100, 2);
     TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
     Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
--- a/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
+++ b/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A window grows by what is answered well, and is cut once in an answer time. */
+/** Tests that the limit increases with timely responses and decreases once per latency. */
 class ConcurrencyLimitTest {
 
   private static final long TOOK = 100_000;
@@ -22,7 +22,7 @@
     limit.initialize(50);
     assertTrue(hasCapacity(1));
     assertFalse(hasCapacity(2));
-    assertFalse(limit.hasCapacity(1_000_000, 0.5, 1, 0, TOOK), "a part of it");
+    assertFalse(limit.hasCapacity(1_000_000, 0.5, 1, 0, TOOK), "half of the limit is available");
   }
 
   @Test
@@ -31,7 +31,7 @@
     for (int i = 0; i < 100; i++) {
       limit.increase(0);
     }
-    assertFalse(hasCapacity(4), "one that is not used does not grow");
+    assertFalse(hasCapacity(4), "an unused limit does not increase");
     for (int i = 0; i < 100_000; i++) {
       limit.increase(300);
     }
@@ -58,8 +58,9 @@
     for (int i = 1; i < 100; i++) {
       limit.decrease(i * 2 * TOOK, TOOK, 0.5);
     }
-    assertTrue(limit.hasCapacity(40 * TOOK, 1, 0, 0, TOOK), "never shut for ever");
+    assertTrue(
+        limit.hasCapacity(40 * TOOK, 1, 0, 0, TOOK), "the minimum limit still admits requests");
     limit.halve();
-    assertTrue(limit.hasCapacity(1, 1, 0, 0, TOOK), "back from a ban it begins with one");
+    assertTrue(limit.hasCapacity(1, 1, 0, 0, TOOK), "a limit halved by an ejection is at least 1");
   }
 }
