--- a/core/src/main/java/shelffront/quota/ConnectionQuota.java
+++ b/core/src/main/java/shelffront/quota/ConnectionQuota.java
@@ -18,24 +18,24 @@
    */
   private static final double UNITS_PER_WEIGHT = 1000;
 
-  private final ConnectionQuotas shared;
-  private final Runnable reclaimOne;
-  private final Runnable oneAvailable;
+  private final ConnectionQuotas quotas;
+  private final Runnable reclaimCallback;
+  private final Runnable availableCallback;
   private final AtomicInteger inUse = new AtomicInteger();
   private volatile long weightUnits;
   private volatile int maxConnections;
   private boolean waiting;
-  private volatile boolean counted; // whether the total weight includes this quota
+  private volatile boolean weightCounted; // whether the total weight includes this quota
 
   ConnectionQuota(
-      ConnectionQuotas shared,
+      ConnectionQuotas quotas,
       double weight,
       int maxConnections,
-      Runnable reclaimOne,
-      Runnable oneAvailable) {
-    this.shared = shared;
-    this.reclaimOne = reclaimOne;
-    this.oneAvailable = oneAvailable;
+      Runnable reclaimCallback,
+      Runnable availableCallback) {
+    this.quotas = quotas;
+    this.reclaimCallback = reclaimCallback;
+    this.availableCallback = availableCallback;
     this.maxConnections = maxConnections;
     weightUnits = units(weight);
   }
@@ -49,8 +49,8 @@
    */
   public void update(double weight, int newMaxConnections) {
     long newUnits = units(weight);
-    if (counted) {
-      shared.addWeight(newUnits - weightUnits);
+    if (weightCounted) {
+      quotas.addWeight(newUnits - weightUnits);
     }
     weightUnits = newUnits;
     maxConnections = newMaxConnections;
@@ -64,71 +64,72 @@
    */
   public Acquisition tryAcquire(boolean replacing) {
     int held = inUse.get();
-    boolean withinPart = held < part();
-    if (held >= maxConnections || !shared.tryTake(withinPart || replacing)) {
-      boolean isOwed = held < maxConnections && withinPart && reclaimFromFurthest();
-      return isOwed ? Acquisition.PENDING : Acquisition.REJECTED;
+    boolean withinFairShare = held < fairShare();
+    if (held >= maxConnections || !quotas.tryTakeOne(withinFairShare || replacing)) {
+      boolean canReclaim = held < maxConnections && withinFairShare && requestReclaim();
+      return canReclaim ? Acquisition.PENDING : Acquisition.REJECTED;
     }
     inUse.incrementAndGet();
-    updateCounted();
+    updateWeightCounted();
     return Acquisition.ACQUIRED;
   }
 
   /** Includes the weight in the total while the tenant holds or waits for a connection. */
-  private void updateCounted() {
-    if (counted != (waiting || inUse.get() > 0)) {
-      counted = !counted;
-      shared.addWeight(counted ? weightUnits : -weightUnits);
+  private void updateWeightCounted() {
+    if (weightCounted != (waiting || inUse.get() > 0)) {
+      weightCounted = !weightCounted;
+      quotas.addWeight(weightCounted ? weightUnits : -weightUnits);
     }
-    shared.setHolding(this, inUse.get() > 0);
+    quotas.setHolding(this, inUse.get() > 0);
   }
 
   /**
    * Asks the tenant furthest above its fair share to release a connection; returns false if no
    * tenant is above its fair share.
    */
-  private boolean reclaimFromFurthest() {
+  private boolean requestReclaim() {
     boolean wasWaiting = waiting;
     waiting = true;
-    updateCounted(); // adds this weight, which reduces the fair shares of the others
-    ConnectionQuota furthest = shared.furthestBeyondPart();
+    updateWeightCounted(); // adds this weight, which reduces the fair shares of the others
+    ConnectionQuota furthest = quotas.furthestAboveFairShare();
     if (furthest == null) {
       waiting = wasWaiting;
-      updateCounted();
+      updateWeightCounted();
       return false;
     }
     if (!wasWaiting) {
-      shared.enqueue(this);
+      quotas.enqueue(this);
     }
-    furthest.reclaimOne.run();
+    furthest.reclaimCallback.run();
     return true;
   }
 
   /** Releases a connection and notifies the first tenant that waits for one. */
   public void release() {
     inUse.decrementAndGet();
-    updateCounted();
-    shared.giveBack();
-    shared.notifyNext();
+    updateWeightCounted();
+    quotas.returnOne();
+    quotas.notifyNext();
   }
 
   void notifyAvailable() {
-    oneAvailable.run();
+    availableCallback.run();
   }
 
   /**
-   * To be called on the thread of the tenant once {@code oneAvailable} has been delivered there.
+   * To be called on the thread of the tenant once {@code availableCallback} has been delivered
+   * there.
    */
   public void acknowledgeAvailable() {
     waiting = false;
-    updateCounted();
+    updateWeightCounted();
   }
 
   /**
    * Number of connections held above the fair share; 0 or less if the tenant does not exceed it.
    */
   public int excess() {
-    return inUse.get() - part();
+    return inUse.get() - fairShare();
   }
 
   /** Number of connections held now. */
@@ -136,8 +137,8 @@
     return inUse.get();
   }
 
-  private int part() {
-    long allUnits = shared.weightUnits() + (counted ? 0 : weightUnits);
-    return (int) Math.max(1, shared.total() * weightUnits / Math.max(weightUnits, allUnits));
+  private int fairShare() {
+    long totalUnits = quotas.weightUnits() + (weightCounted ? 0 : weightUnits);
+    return (int) Math.max(1, quotas.total() * weightUnits / Math.max(weightUnits, totalUnits));
   }
 }
--- a/core/src/main/java/shelffront/quota/ConnectionQuotas.java
+++ b/core/src/main/java/shelffront/quota/ConnectionQuotas.java
@@ -43,13 +43,13 @@
    *
    * @param weight weight of the tenant, above 0
    * @param maxConnections maximum number of connections of the tenant
-   * @param reclaimOne asks the tenant to release a connection as soon as it can
-   * @param oneAvailable notifies the tenant, after {@link Acquisition#PENDING}, that a connection
-   *     has been released
+   * @param reclaimCallback asks the tenant to release a connection as soon as it can
+   * @param availableCallback notifies the tenant, after {@link Acquisition#PENDING}, that a
+   *     connection has been released
    */
   public ConnectionQuota register(
-      double weight, int maxConnections, Runnable reclaimOne, Runnable oneAvailable) {
-    return new ConnectionQuota(this, weight, maxConnections, reclaimOne, oneAvailable);
+      double weight, int maxConnections, Runnable reclaimCallback, Runnable availableCallback) {
+    return new ConnectionQuota(this, weight, maxConnections, reclaimCallback, availableCallback);
   }
 
   /** Number of connections held by all tenants. */
@@ -81,8 +81,8 @@
    * Takes a connection, up to the total for a tenant within its fair share, otherwise up to the
    * lendable fraction of the total.
    */
-  boolean tryTake(boolean own) {
-    double bound = own ? total : total * LENDABLE_FRACTION;
+  boolean tryTakeOne(boolean withinFairShare) {
+    double bound = withinFairShare ? total : total * LENDABLE_FRACTION;
     int taken = inUse.get();
     while (taken < bound && !inUse.compareAndSet(taken, taken + 1)) {
       taken = inUse.get();
@@ -90,12 +90,12 @@
     return taken < bound;
   }
 
-  void giveBack() {
+  void returnOne() {
     inUse.decrementAndGet();
   }
 
   /** Returns the quota furthest above its fair share, or null if none is above it. */
-  ConnectionQuota furthestBeyondPart() {
+  ConnectionQuota furthestAboveFairShare() {
     ConnectionQuota furthest = null;
     for (ConnectionQuota holder : holders) {
       int furthestExcess = furthest == null ? 0 : furthest.excess();
