--- a/core/src/main/java/shelffront/quota/SharedCapacity.java
+++ b/core/src/main/java/shelffront/quota/SharedCapacity.java
@@ -30,12 +30,12 @@
    *
    * @param requestsPerSecond request rate of all loops together; 0 for no limit
    * @param maxOpenRequests maximum number of open requests of all loops together
-   * @param loops number of event loops that share the capacity
+   * @param loopCount number of event loops that share the capacity
    */
-  public SharedCapacity(double requestsPerSecond, int maxOpenRequests, int loops) {
+  public SharedCapacity(double requestsPerSecond, int maxOpenRequests, int loopCount) {
     this.requestsPerSecond = requestsPerSecond;
     this.maxOpenRequests = maxOpenRequests;
-    publishedDemands = new AtomicReferenceArray<>(loops);
+    publishedDemands = new AtomicReferenceArray<>(loopCount);
   }
 
   /** Number of open requests of all tenants of all loops. */
@@ -54,7 +54,7 @@
   /**
    * Takes a slot if fewer slots than the bound are taken; otherwise takes none and returns false.
    */
-  boolean tryTakePlace(double bound) {
+  boolean tryTakeSlot(double bound) {
     int taken = openRequests.get();
     while (taken < bound && !openRequests.compareAndSet(taken, taken + 1)) {
       taken = openRequests.get();
@@ -62,7 +62,7 @@
     return taken < bound;
   }
 
-  void releasePlace() {
+  void releaseSlot() {
     openRequests.decrementAndGet();
   }
 
@@ -74,18 +74,18 @@
   /**
    * Returns the demands of the other loops that are not older than {@link #STALE_AFTER_WINDOWS}.
    */
-  List<PublishedDemand> currentDemandsOfOthers(int loop, long nowMicros) {
+  List<PublishedDemand> recentDemandsOfOtherLoops(int loop, long nowMicros) {
     List<PublishedDemand> current = new ArrayList<>();
     for (int other = 0; other < publishedDemands.length(); other++) {
       PublishedDemand demand = publishedDemands.get(other);
-      if (other != loop && demand != null && isCurrent(demand, nowMicros)) {
+      if (other != loop && demand != null && isRecent(demand, nowMicros)) {
         current.add(demand);
       }
     }
     return current;
   }
 
-  private static boolean isCurrent(PublishedDemand demand, long nowMicros) {
+  private static boolean isRecent(PublishedDemand demand, long nowMicros) {
     return nowMicros - demand.atMicros() < STALE_AFTER_WINDOWS * TenantQuotas.WINDOW_MICROS;
   }
 }
--- a/core/src/main/java/shelffront/quota/TenantQuotas.java
+++ b/core/src/main/java/shelffront/quota/TenantQuotas.java
@@ -121,7 +121,7 @@
       classQuota.countRequest();
     }
     long waitMicros = waitMicros(quota, classQuota, nowMicros);
-    if (waitMicros > 0 || !capacity.tryTakePlace(maxPlacesFor(quota))) {
+    if (waitMicros > 0 || !capacity.tryTakeSlot(maxSlotsFor(quota))) {
       return Math.max(waitMicros, WINDOW_MICROS);
     }
     quota.rateLimit().consume();
@@ -135,7 +135,7 @@
   /** Ends an admitted request, whose final response has been sent. */
   public void release(Quota quota) {
     quota.countClosed();
-    capacity.releasePlace();
+    capacity.releaseSlot();
   }
 
   /** Number of open requests of all tenants of all loops. */
@@ -163,19 +163,19 @@
   }
 
   /** Bound on the slots taken by all tenants below which this tenant may take one more. */
-  private double maxPlacesFor(Quota quota) {
-    int places = capacity.maxOpenRequests();
-    return quota.openRequests() >= ownPlaces(quota) ? places * LENDABLE_FRACTION : places;
+  private double maxSlotsFor(Quota quota) {
+    int slots = capacity.maxOpenRequests();
+    return quota.openRequests() >= ownSlots(quota) ? slots * LENDABLE_FRACTION : slots;
   }
 
   /**
    * Number of slots that belong to a tenant, by its weight among the active tenants. A tenant that
    * is active alone still leaves some slots for the next one.
    */
-  private double ownPlaces(Quota quota) {
-    int places = capacity.maxOpenRequests();
-    double byWeight = Math.floor(places * quota.weight() / (activeWeight + weightOfOtherLoops));
-    return Math.max(1, Math.min(places * LENDABLE_FRACTION, byWeight));
+  private double ownSlots(Quota quota) {
+    int slots = capacity.maxOpenRequests();
+    double byWeight = Math.floor(slots * quota.weight() / (activeWeight + weightOfOtherLoops));
+    return Math.max(1, Math.min(slots * LENDABLE_FRACTION, byWeight));
   }
 
   /** Ends the window: measures demand, publishes it, and grants each active tenant its rate. */
@@ -186,7 +186,7 @@
     deactivateIdle();
     activeWeight = activeQuotas.stream().mapToDouble(Quota::weight).sum();
     capacity.publish(loop, PublishedDemand.of(activeQuotas, nowMicros));
-    List<PublishedDemand> others = capacity.currentDemandsOfOthers(loop, nowMicros);
+    List<PublishedDemand> others = capacity.recentDemandsOfOtherLoops(loop, nowMicros);
     weightOfOtherLoops = PublishedDemand.weightsOf(others).sum();
     if (capacity.requestsPerSecond() > 0) {
       RateDivision.divide(capacity.requestsPerSecond(), activeQuotas, others, nowMicros);
