--- a/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
+++ b/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
@@ -24,10 +24,10 @@
    */
   public static final class Flow<T> {
 
-    private final ArrayDeque<T> waiting = new ArrayDeque<>();
+    private final ArrayDeque<T> queue = new ArrayDeque<>();
     private double weight;
     private double credit;
-    private boolean inRing;
+    private boolean active;
 
     public Flow(double weight) {
       this.weight = weight;
@@ -40,9 +40,9 @@
   }
 
   private final long quantum;
-  private final ArrayDeque<Flow<T>> ring = new ArrayDeque<>();
+  private final ArrayDeque<Flow<T>> activeFlows = new ArrayDeque<>();
   private Flow<T> current;
-  private int waitingItems; // of all flows
+  private int queuedItems; // of all flows
 
   /**
    * Creates a scheduler without flows.
@@ -55,12 +55,12 @@
 
   /** Appends an item to its flow. A flow accumulates no credit while it is idle. */
   public void add(Flow<T> flow, T item) {
-    flow.waiting.add(item);
-    waitingItems++;
-    if (!flow.inRing) {
-      flow.inRing = true;
+    flow.queue.add(item);
+    queuedItems++;
+    if (!flow.active) {
+      flow.active = true;
       flow.credit = Math.min(flow.credit, 0) + quantum * flow.weight;
-      ring.add(flow);
+      activeFlows.add(flow);
     }
   }
 
@@ -69,18 +69,18 @@
    * queued.
    */
   public T next() {
-    while (!ring.isEmpty()) {
-      Flow<T> flow = ring.peek();
-      if (flow.waiting.isEmpty()) {
-        ring.poll();
-        flow.inRing = false;
-      } else if (flow.credit <= 0 && ring.size() > 1) {
+    while (!activeFlows.isEmpty()) {
+      Flow<T> flow = activeFlows.peek();
+      if (flow.queue.isEmpty()) {
+        activeFlows.poll();
+        flow.active = false;
+      } else if (flow.credit <= 0 && activeFlows.size() > 1) {
         flow.credit += quantum * flow.weight;
-        ring.add(ring.poll());
+        activeFlows.add(activeFlows.poll());
       } else {
         current = flow;
-        waitingItems--;
-        return flow.waiting.poll();
+        queuedItems--;
+        return flow.queue.poll();
       }
     }
     return null;
@@ -88,11 +88,11 @@
 
   /** Charges the flow of the item returned last with its cost, in the unit of the quantum. */
   public void charge(long cost) {
-    double leastCredit = -quantum * MAX_DEBT_ROUNDS * current.weight;
-    current.credit = Math.max(leastCredit, current.credit - Math.max(1, cost));
+    double minCredit = -quantum * MAX_DEBT_ROUNDS * current.weight;
+    current.credit = Math.max(minCredit, current.credit - Math.max(1, cost));
   }
 
   public boolean isEmpty() {
-    return waitingItems == 0;
+    return queuedItems == 0;
   }
 }
--- a/core/src/main/java/shelffront/quota/EventLoopPlacement.java
+++ b/core/src/main/java/shelffront/quota/EventLoopPlacement.java
@@ -12,7 +12,7 @@
 public final class EventLoopPlacement {
 
   /** Time constant of the decaying average of the load of a loop. */
-  public static final long LOAD_MEMORY_MICROS = 1_000_000;
+  public static final long LOAD_TIME_CONSTANT_MICROS = 1_000_000;
 
   /** Load difference to the least loaded loop above which a resuming tenant migrates. */
   private static final double MIGRATION_THRESHOLD = 0.2;
@@ -23,28 +23,28 @@
   private final double[] busyFraction;
   private final double[] expectedLoad;
   private final long[] busyMicros; // busy time since the start of each loop, as last recorded
-  private final double[] weights;
+  private final double[] totalWeights;
   private long recordedAtMicros;
 
   /** Creates a placement in which every loop has a load of 0. */
-  public EventLoopPlacement(int loops, long nowMicros) {
-    busyFraction = new double[loops];
-    expectedLoad = new double[loops];
-    busyMicros = new long[loops];
-    weights = new double[loops];
+  public EventLoopPlacement(int loopCount, long nowMicros) {
+    busyFraction = new double[loopCount];
+    expectedLoad = new double[loopCount];
+    busyMicros = new long[loopCount];
+    totalWeights = new double[loopCount];
     recordedAtMicros = nowMicros;
   }
 
   /** Records the time that each loop has been busy since its start. */
   public void recordBusyTime(long[] busyMicrosSoFar, long nowMicros) {
-    long passedMicros = nowMicros - recordedAtMicros;
-    if (passedMicros <= 0) {
+    long elapsedMicros = nowMicros - recordedAtMicros;
+    if (elapsedMicros <= 0) {
       return;
     }
-    double decay = Math.exp(-(double) passedMicros / LOAD_MEMORY_MICROS);
+    double decay = Math.exp(-(double) elapsedMicros / LOAD_TIME_CONSTANT_MICROS);
     for (int i = 0; i < busyFraction.length; i++) {
       double recentFraction =
-          Math.min(1, Math.max(0, busyMicrosSoFar[i] - busyMicros[i]) / (double) passedMicros);
+          Math.min(1, Math.max(0, busyMicrosSoFar[i] - busyMicros[i]) / (double) elapsedMicros);
       busyFraction[i] = busyFraction[i] * decay + recentFraction * (1 - decay);
       expectedLoad[i] *= decay;
       busyMicros[i] = busyMicrosSoFar[i];
@@ -58,16 +58,16 @@
    */
   public int placeNew(double weight) {
     int chosen = 0;
-    for (int i = 1; i < weights.length; i++) {
-      chosen = weights[i] < weights[chosen] ? i : chosen;
+    for (int i = 1; i < totalWeights.length; i++) {
+      chosen = totalWeights[i] < totalWeights[chosen] ? i : chosen;
     }
-    weights[chosen] += weight;
+    totalWeights[chosen] += weight;
     return chosen;
   }
 
   /** Removes a tenant of the given weight from a loop. */
   public void remove(int loop, double weight) {
-    weights[loop] -= weight;
+    totalWeights[loop] -= weight;
   }
 
   /**
@@ -76,9 +76,9 @@
    */
   public int placeResumed(int currentLoop, double weight) {
     int leastLoaded = leastLoadedPreferring(currentLoop);
-    int chosen = isWorthMigrating(currentLoop, leastLoaded) ? leastLoaded : currentLoop;
-    weights[currentLoop] -= weight;
-    weights[chosen] += weight;
+    int chosen = shouldMigrate(currentLoop, leastLoaded) ? leastLoaded : currentLoop;
+    totalWeights[currentLoop] -= weight;
+    totalWeights[chosen] += weight;
     expectedLoad[chosen] += EXPECTED_LOAD_PER_WEIGHT * weight;
     return chosen;
   }
@@ -91,7 +91,7 @@
     return least;
   }
 
-  private boolean isWorthMigrating(int from, int to) {
+  private boolean shouldMigrate(int from, int to) {
     return busyFraction[from] + expectedLoad[from] - busyFraction[to] - expectedLoad[to]
         > MIGRATION_THRESHOLD;
   }
