--- a/core/src/main/java/shelffront/time/TimerQueue.java
+++ b/core/src/main/java/shelffront/time/TimerQueue.java
@@ -15,29 +15,29 @@
  */
 public final class TimerQueue {
 
-  private record Timer(long atMicros, long sequence, BooleanSupplier wanted, Runnable task) {}
+  private record Timer(long atMicros, long sequence, BooleanSupplier isActive, Runnable task) {}
 
-  private final LongConsumer alarm;
+  private final LongConsumer wakeUpTimer;
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
           Comparator.comparingLong(Timer::atMicros).thenComparingLong(Timer::sequence));
   private long nextSequence;
-  private long alarmAtMicros = Long.MAX_VALUE;
+  private long wakeUpAtMicros = Long.MAX_VALUE;
 
   /**
    * Creates an empty queue.
    *
-   * @param alarm sets the wake-up timer; called with each time that is earlier than all times
+   * @param wakeUpTimer sets the wake-up timer; called with each time that is earlier than all times
    *     passed since the last {@link #runDue}
    */
-  public TimerQueue(LongConsumer alarm) {
-    this.alarm = alarm;
+  public TimerQueue(LongConsumer wakeUpTimer) {
+    this.wakeUpTimer = wakeUpTimer;
   }
 
-  /** Schedules a task; {@link #removeCancelled} drops it once {@code wanted} returns false. */
-  public void schedule(long atMicros, BooleanSupplier wanted, Runnable task) {
-    timers.add(new Timer(atMicros, nextSequence++, wanted, task));
-    setAlarm();
+  /** Schedules a task; {@link #removeCancelled} drops it once {@code isActive} returns false. */
+  public void schedule(long atMicros, BooleanSupplier isActive, Runnable task) {
+    timers.add(new Timer(atMicros, nextSequence++, isActive, task));
+    updateWakeUp();
   }
 
   /**
@@ -45,28 +45,28 @@
    * allowed.
    */
   public void runDue(long nowMicros) {
-    if (nowMicros >= alarmAtMicros) {
-      alarmAtMicros = Long.MAX_VALUE;
+    if (nowMicros >= wakeUpAtMicros) {
+      wakeUpAtMicros = Long.MAX_VALUE;
     }
     while (!timers.isEmpty() && timers.peek().atMicros() <= nowMicros) {
       timers.poll().task().run();
     }
-    setAlarm();
+    updateWakeUp();
   }
 
-  private void setAlarm() {
-    if (!timers.isEmpty() && timers.peek().atMicros() < alarmAtMicros) {
-      alarmAtMicros = timers.peek().atMicros();
-      alarm.accept(alarmAtMicros);
+  private void updateWakeUp() {
+    if (!timers.isEmpty() && timers.peek().atMicros() < wakeUpAtMicros) {
+      wakeUpAtMicros = timers.peek().atMicros();
+      wakeUpTimer.accept(wakeUpAtMicros);
     }
   }
 
-  /** Drops the timers of tasks that are no longer wanted, in time proportional to {@link #size}. */
+  /** Drops the timers of tasks that are no longer active, in time proportional to {@link #size}. */
   public void removeCancelled() {
-    timers.removeIf(timer -> !timer.wanted().getAsBoolean());
+    timers.removeIf(timer -> !timer.isActive().getAsBoolean());
   }
 
-  /** Number of timers that have not run, including those of tasks that are no longer wanted. */
+  /** Number of timers that have not run, including those of tasks that are no longer active. */
   public int size() {
     return timers.size();
   }
