--- a/core/src/main/java/shelffront/fleet/SlowStartBudget.java
+++ b/core/src/main/java/shelffront/fleet/SlowStartBudget.java
@@ -32,7 +32,7 @@
   public static final double WINDOW_SECONDS = 20;
 
   /** Only half the overload factor is used, so that the fleet stays well below it. */
-  private static final double SAFETY_DIVISOR = 2;
+  private static final double OVERLOAD_FACTOR_DIVISOR = 2;
 
   /** Spreads the 32 bits of a string hash over a 64-bit seed: 2^64 divided by the golden ratio. */
   private static final long SEED_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -86,7 +86,7 @@
       boolean primary) {
     return capacityFraction
         * overloadFactor
-        / SAFETY_DIVISOR
+        / OVERLOAD_FACTOR_DIVISOR
         * (primary ? Math.max(usualSends, primaryDemand.count(nowMicros)) : usualSends);
   }
 
@@ -129,21 +129,22 @@
   /** Requests per window: the long-term count, or the short-term rate if that is higher. */
   private static final class Demand {
 
-    private final DecayingAverage steady = new DecayingAverage(WINDOW_SECONDS);
-    private final DecayingAverage sudden;
+    private final DecayingAverage longTerm = new DecayingAverage(WINDOW_SECONDS);
+    private final DecayingAverage shortTerm;
 
     Demand(double overloadWindowSeconds) {
-      sudden = new DecayingAverage(overloadWindowSeconds);
+      shortTerm = new DecayingAverage(overloadWindowSeconds);
     }
 
     void record(long nowMicros) {
-      steady.record(nowMicros, 1);
-      sudden.record(nowMicros, 1);
+      longTerm.record(nowMicros, 1);
+      shortTerm.record(nowMicros, 1);
     }
 
     double count(long nowMicros) {
-      double suddenCount = (sudden.count(nowMicros) - 1) * WINDOW_SECONDS / sudden.decaySeconds;
-      return Math.max(steady.count(nowMicros), suddenCount);
+      double shortTermCount =
+          (shortTerm.count(nowMicros) - 1) * WINDOW_SECONDS / shortTerm.decaySeconds;
+      return Math.max(longTerm.count(nowMicros), shortTermCount);
     }
   }
 }
