--- a/core/src/main/java/shelffront/consistency/ReplicationProgress.java
+++ b/core/src/main/java/shelffront/consistency/ReplicationProgress.java
@@ -23,14 +23,14 @@
   private static final long MIN_CHECK_INTERVAL_MICROS = STALE_AFTER_MICROS / 2;
 
   /** Ratio of the lag of a replica to the interval of its health checks. */
-  private static final int LAG_PER_CHECK_INTERVAL = 4;
+  private static final int LAG_TO_CHECK_INTERVAL_RATIO = 4;
 
   private long positionMicros = UNKNOWN;
   private long reportedAtMicros = UNKNOWN;
   private long rejectedReadAtMicros = UNKNOWN;
 
   /** Time at which the current position was reported; {@code UNKNOWN} before the first report. */
-  public long lastReportedAt() {
+  public long lastReportedAtMicros() {
     return reportedAtMicros;
   }
 
@@ -79,13 +79,13 @@
   public boolean mayHaveApplied(long nowMicros, long requiredMicros, long toleratedLagMicros) {
     return hasApplied(requiredMicros)
         || positionMicros != UNKNOWN
-            && !isPaceDisproved(nowMicros)
+            && !isExtrapolationDisproved(nowMicros)
             && reportedAtMicros > nowMicros - MAX_EXTRAPOLATION_MICROS
             && positionMicros + (nowMicros - reportedAtMicros) + toleratedLagMicros
                 >= requiredMicros;
   }
 
-  private boolean isPaceDisproved(long nowMicros) {
+  private boolean isExtrapolationDisproved(long nowMicros) {
     return rejectedReadAtMicros >= reportedAtMicros
         && rejectedReadAtMicros > nowMicros - STALE_AFTER_MICROS;
   }
@@ -111,6 +111,6 @@
    */
   public long healthCheckIntervalMicros() {
     long lagMicros = positionMicros == UNKNOWN ? 0 : reportedAtMicros - positionMicros;
-    return Math.max(MIN_CHECK_INTERVAL_MICROS, lagMicros / LAG_PER_CHECK_INTERVAL);
+    return Math.max(MIN_CHECK_INTERVAL_MICROS, lagMicros / LAG_TO_CHECK_INTERVAL_RATIO);
   }
 }
--- a/core/src/main/java/shelffront/consistency/SessionPositions.java
+++ b/core/src/main/java/shelffront/consistency/SessionPositions.java
@@ -47,9 +47,9 @@
   }
 
   private void foldOldest() {
-    var eldest = lastWrites.entrySet().iterator();
-    LastWrite folded = eldest.next().getValue();
-    eldest.remove();
+    var oldest = lastWrites.entrySet().iterator();
+    LastWrite folded = oldest.next().getValue();
+    oldest.remove();
     floors.merge(folded.replicaSet, folded.positionMicros, Math::max);
   }
 
--- a/core/src/main/java/shelffront/statistics/ConcurrencyLimit.java
+++ b/core/src/main/java/shelffront/statistics/ConcurrencyLimit.java
@@ -4,19 +4,20 @@
  * Adaptive limit on the requests that an endpoint has in flight. The limit increases with timely
  * responses and decreases with late or missing ones.
  *
- * <p>Invariants: the limit is decreased at most once per latency and stays between {@link #MIN} and
- * {@link #MAX}. A limit below 1 sets a minimum interval between requests instead. Not thread-safe.
+ * <p>Invariants: the limit is decreased at most once per latency and stays between {@link
+ * #MIN_REQUESTS} and {@link #MAX_REQUESTS}. A limit below 1 sets a minimum interval between
+ * requests instead. Not thread-safe.
  */
 public final class ConcurrencyLimit {
 
-  private static final double MAX = 200;
-  private static final double MIN = 0.05;
+  private static final double MAX_REQUESTS = 200;
+  private static final double MIN_REQUESTS = 0.05;
 
   /** Fraction of the limit that must be in use for a response to increase it. */
   private static final double MIN_UTILIZATION_TO_GROW = 0.7;
 
   /** Maximum increase per response. */
-  private static final double MAX_INCREASE = 0.2;
+  private static final double MAX_INCREASE_REQUESTS = 0.2;
 
   private double limit;
   private double decreasedAtMicros = Double.NEGATIVE_INFINITY;
@@ -55,7 +56,7 @@
    */
   public void increase(int outstanding) {
     if (outstanding + 1 >= limit * MIN_UTILIZATION_TO_GROW) {
-      limit = Math.min(MAX, limit + Math.min(MAX_INCREASE, 1 / limit));
+      limit = Math.min(MAX_REQUESTS, limit + Math.min(MAX_INCREASE_REQUESTS, 1 / limit));
     }
   }
 
@@ -63,7 +64,7 @@
   public void decrease(long nowMicros, double latencyMicros, double factor) {
     if (nowMicros - decreasedAtMicros > latencyMicros) {
       decreasedAtMicros = nowMicros;
-      limit = Math.max(MIN, limit * factor);
+      limit = Math.max(MIN_REQUESTS, limit * factor);
     }
   }
 
--- a/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
+++ b/core/src/test/java/shelffront/consistency/ReplicationProgressTest.java
@@ -63,11 +63,13 @@
     assertTrue(progress.hasApplied(NOW + 300 * MS));
     assertEquals(
         NOW + 400 * MS,
-        progress.lastReportedAt(),
+        progress.lastReportedAtMicros(),
         "with a lag of 100 ms it reached the position then");
     progress.recordProvenPosition(NOW + 600 * MS, NOW + 200 * MS);
     assertEquals(
-        NOW + 400 * MS, progress.lastReportedAt(), "a lower required position proves nothing new");
+        NOW + 400 * MS,
+        progress.lastReportedAtMicros(),
+        "a lower required position proves nothing new");
     ReplicationProgress first = new ReplicationProgress();
     first.recordProvenPosition(NOW, NOW - 500 * MS);
     assertTrue(first.hasApplied(NOW - 500 * MS));
