--- a/core/src/test/java/shelffront/ArchitectureTest.java
+++ b/core/src/test/java/shelffront/ArchitectureTest.java
@@ -38,7 +38,7 @@
    * other code in core belongs to one thread.
    */
   @ArchTest
-  static final ArchRule ONE_THREAD =
+  static final ArchRule NO_CONCURRENCY_OUTSIDE_QUOTA =
       noClasses()
           .that()
           .resideOutsideOfPackage("shelffront.quota")
@@ -47,7 +47,7 @@
           .resideInAnyPackage("java.util.concurrent..");
 
   @ArchTest
-  static final ArchRule NO_WAITING =
+  static final ArchRule NO_BLOCKING =
       noClasses()
           .should()
           .dependOnClassesThat()
@@ -64,7 +64,7 @@
           .callMethod(Object.class, "notifyAll");
 
   @ArchTest
-  static final ArchRule NO_CLOCK_AND_NO_THREAD =
+  static final ArchRule NO_CLOCK_AND_NO_THREADS =
       noClasses()
           .should()
           .callMethod(System.class, "nanoTime")
@@ -76,7 +76,7 @@
 
   /** With an unseeded random source, the same events would produce different actions. */
   @ArchTest
-  static final ArchRule NO_UNSEEDED_CHANCE =
+  static final ArchRule NO_UNSEEDED_RANDOMNESS =
       noClasses()
           .should()
           .callConstructor(java.util.Random.class)
--- a/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
+++ b/core/src/test/java/shelffront/fleet/EndpointSubsettingTest.java
@@ -35,10 +35,10 @@
 
   private static Set<String> pairs(
       List<String> gateways, IntPredicate up, List<String> hosts, int size) {
-    List<List<String>> all = EndpointSubsetting.subsets(gateways, up, hosts, size);
+    List<List<String>> subsets = EndpointSubsetting.subsets(gateways, up, hosts, size);
     Set<String> pairs = new HashSet<>();
     for (int gateway = 0; gateway < gateways.size(); gateway++) {
-      for (String host : all.get(gateway)) {
+      for (String host : subsets.get(gateway)) {
         pairs.add(gateways.get(gateway) + " " + host);
       }
     }
@@ -50,19 +50,19 @@
       @ForAll @IntRange(min = 1, max = 300) int gateways,
       @ForAll @IntRange(min = 1, max = 12) int hosts,
       @ForAll @IntRange(min = 1, max = 12) int size) {
-    List<List<String>> all =
+    List<List<String>> subsets =
         EndpointSubsetting.subsets(
             names("n", 0, gateways), gateway -> true, names("s-", 0, hosts), size);
     Map<String, Long> load =
-        all.stream()
+        subsets.stream()
             .flatMap(List::stream)
             .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
     double mean = gateways * (double) Math.min(size, hosts) / hosts;
     for (String host : names("s-", 0, hosts)) {
-      double off = Math.abs(load.getOrDefault(host, 0L) - mean);
-      assertTrue(off <= 1, host + " has " + load.get(host) + " gateways, mean " + mean);
+      double deviation = Math.abs(load.getOrDefault(host, 0L) - mean);
+      assertTrue(deviation <= 1, host + " has " + load.get(host) + " gateways, mean " + mean);
     }
-    for (List<String> own : all) {
+    for (List<String> own : subsets) {
       assertEquals(Math.min(size, hosts), new HashSet<>(own).size());
     }
   }
@@ -87,10 +87,10 @@
             List.of("n0"), gateway -> true, List.of(), EndpointSubsetting.size(1, 0)));
     assertEquals(
         List.of(), EndpointSubsetting.subsets(List.of(), gateway -> true, names("s-", 0, 3), 2));
-    List<List<String>> all =
+    List<List<String>> subsets =
         EndpointSubsetting.subsets(names("n", 0, 1000), gateway -> true, names("s-", 0, 120), 3);
     Map<String, Long> load =
-        all.stream()
+        subsets.stream()
             .flatMap(List::stream)
             .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
     assertEquals(120, load.size());
@@ -102,11 +102,12 @@
   @Test
   void givesTheSameForEndpointsInAnyOrder() {
     List<String> hosts = names("s-", 0, 6);
-    List<List<String>> all =
+    List<List<String>> subsets =
         EndpointSubsetting.subsets(names("n", 0, 100), gateway -> true, hosts, 2);
     for (int seed = 0; seed < 10; seed++) {
       Collections.shuffle(hosts, new Random(seed));
-      assertEquals(all, EndpointSubsetting.subsets(names("n", 0, 100), gateway -> true, hosts, 2));
+      assertEquals(
+          subsets, EndpointSubsetting.subsets(names("n", 0, 100), gateway -> true, hosts, 2));
     }
   }
 
@@ -114,9 +115,9 @@
    * Mean number of gateway-host pairs that disappear when one more gateway stops, relative to the
    * pairs of that gateway.
    *
-   * @param down fraction of the gateways that are already down
+   * @param downFraction fraction of the gateways that are already down
    */
-  private static double churn(int gateways, int hosts, double down) {
+  private static double churn(int gateways, int hosts, double downFraction) {
     int size = EndpointSubsetting.size(gateways, hosts);
     List<String> fleet = names("n", 0, gateways);
     SplittableRandom random = new SplittableRandom(gateways * 31L + hosts);
@@ -125,18 +126,19 @@
     for (int i = 0; i < rounds; i++) {
       List<Integer> order = new ArrayList<>(IntStream.range(0, gateways).boxed().toList());
       Collections.shuffle(order, new Random(random.nextLong()));
-      Set<Integer> dead = new HashSet<>(order.subList(0, (int) (gateways * down)));
-      Set<String> gone =
-          pairs(fleet, gateway -> !dead.contains(gateway), names("s-", 0, hosts), size);
-      dead.add(order.get(gateways - 1));
-      gone.removeAll(pairs(fleet, gateway -> !dead.contains(gateway), names("s-", 0, hosts), size));
-      changed += gone.size();
+      Set<Integer> downGateways = new HashSet<>(order.subList(0, (int) (gateways * downFraction)));
+      Set<String> removedPairs =
+          pairs(fleet, gateway -> !downGateways.contains(gateway), names("s-", 0, hosts), size);
+      downGateways.add(order.get(gateways - 1));
+      removedPairs.removeAll(
+          pairs(fleet, gateway -> !downGateways.contains(gateway), names("s-", 0, hosts), size));
+      changed += removedPairs.size();
     }
     return changed / rounds / size;
   }
 
   @Test
-  void movesFewChoicesWhenAGatewayStops() {
+  void movesFewAssignmentsWhenAGatewayStops() {
     for (int gateways : new int[] {20, 60, 100, 300}) {
       for (int hosts : new int[] {4, 5, 6}) {
         String fleet = gateways + " gateways, " + hosts + " hosts: ";
@@ -158,10 +160,10 @@
       @ForAll @IntRange(min = 0, max = 9) int tenthsDown) {
     Random random = new Random(gateways * 100L + tenthsDown);
     boolean[] up = new boolean[gateways];
-    int left = 0;
+    int upCount = 0;
     for (int gateway = 0; gateway < gateways; gateway++) {
       up[gateway] = random.nextInt(10) >= tenthsDown;
-      left += up[gateway] ? 1 : 0;
+      upCount += up[gateway] ? 1 : 0;
     }
     Map<String, Long> load =
         EndpointSubsetting.subsets(
@@ -169,26 +171,27 @@
             .stream()
             .flatMap(List::stream)
             .collect(Collectors.groupingBy(Function.identity(), Collectors.counting()));
-    double mean = left * 2.0 / hosts;
+    double mean = upCount * 2.0 / hosts;
     for (String host : names("s-", 0, hosts)) {
-      double off = Math.abs(load.getOrDefault(host, 0L) - mean);
+      double deviation = Math.abs(load.getOrDefault(host, 0L) - mean);
       assertTrue(
-          off <= Math.max(1, mean * EndpointSubsetting.MAX_IMBALANCE),
+          deviation <= Math.max(1, mean * EndpointSubsetting.MAX_IMBALANCE),
           host + " has " + load.get(host) + " gateways, mean " + mean);
     }
   }
 
   @Test
-  void movesFewChoicesWhenAnEndpointIsReplaced() {
+  void movesFewAssignmentsWhenAnEndpointIsReplaced() {
     for (int gateways : new int[] {20, 60, 100, 300}) {
       List<String> old = names("s-", 0, 6);
       List<String> next = names("s-", 1, 6);
-      Set<String> gone = pairs(names("n", 0, gateways), old, 2);
-      int all = gone.size();
-      gone.removeAll(pairs(names("n", 0, gateways), next, 2));
-      gone.removeIf(pair -> pair.endsWith(" s-0"));
+      Set<String> removedPairs = pairs(names("n", 0, gateways), old, 2);
+      int pairCount = removedPairs.size();
+      removedPairs.removeAll(pairs(names("n", 0, gateways), next, 2));
+      removedPairs.removeIf(pair -> pair.endsWith(" s-0"));
       assertTrue(
-          gone.size() <= all * 0.25, gone.size() + " of " + all + " choices of other hosts moved");
+          removedPairs.size() <= pairCount * 0.25,
+          removedPairs.size() + " of " + pairCount + " assignments to other hosts moved");
     }
   }
 
--- a/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/HealthCheckBudgetTest.java
@@ -8,53 +8,53 @@
 /** Tests that the health checks of a fleet grow with its traffic and not with its size. */
 class HealthCheckBudgetTest {
 
-  private static int spent(HealthCheckBudget budget, int requests) {
-    int probes = 0;
+  private static int healthChecksFor(HealthCheckBudget budget, int requests) {
+    int healthChecks = 0;
     for (int i = 0; i <= requests; i++) {
       while (budget.tryAcquire()) {
-        probes++;
+        healthChecks++;
       }
       budget.recordRequest();
     }
-    return probes;
+    return healthChecks;
   }
 
   @Test
   void limitsStartOfAllGatewaysToOneBurst() {
     for (int gateways : new int[] {20, 60, 100, 200}) {
-      int probes = 0;
+      int healthChecks = 0;
       for (int gateway = 0; gateway < gateways; gateway++) {
-        probes += spent(new HealthCheckBudget(0.08, gateways), 0);
+        healthChecks += healthChecksFor(new HealthCheckBudget(0.08, gateways), 0);
       }
       assertTrue(
-          probes <= HealthCheckBudget.FLEET_BURST && probes >= 200,
-          probes + " health checks by " + gateways + " gateways");
+          healthChecks <= HealthCheckBudget.FLEET_BURST && healthChecks >= 200,
+          healthChecks + " health checks by " + gateways + " gateways");
     }
   }
 
   @Test
   void limitsCostOfARequest() {
     // One health check per request costs 0.08 points, so one per eight requests costs 0.01.
-    assertEquals(20 + 125, spent(new HealthCheckBudget(0.08, 1), 1000), 1);
-    assertEquals(20 + 1000, spent(new HealthCheckBudget(0.01, 1), 1000), 1);
+    assertEquals(20 + 125, healthChecksFor(new HealthCheckBudget(0.08, 1), 1000), 1);
+    assertEquals(20 + 1000, healthChecksFor(new HealthCheckBudget(0.01, 1), 1000), 1);
     assertEquals(
         20 + 1000,
-        spent(new HealthCheckBudget(0, 1), 1000),
+        healthChecksFor(new HealthCheckBudget(0, 1), 1000),
         1,
         "free health checks are still limited to one per request");
   }
 
   @Test
-  void boundsWhatIsSavedUp() {
+  void boundsAccumulatedHealthChecks() {
     HealthCheckBudget budget = new HealthCheckBudget(0.01, 100);
     for (int i = 0; i < 10_000; i++) {
       budget.recordRequest();
     }
-    assertEquals(4, spent(budget, 0));
+    assertEquals(4, healthChecksFor(budget, 0));
   }
 
   @Test
-  void leavesSomeToEveryGatewayOfTheGreatestFleet() {
-    assertEquals(2, spent(new HealthCheckBudget(0.08, 5_000), 0));
+  void leavesAMinimumToEveryGatewayOfALargeFleet() {
+    assertEquals(2, healthChecksFor(new HealthCheckBudget(0.08, 5_000), 0));
   }
 }
--- a/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
+++ b/core/src/test/java/shelffront/fleet/SlowStartBudgetTest.java
@@ -23,114 +23,117 @@
 
   private static final long SECOND = 1_000_000;
 
-  private record Asked(SlowStartBudget budget, long now) {}
+  private record Traffic(SlowStartBudget budget, long now) {}
 
   /**
    * Simulates Poisson traffic of one gateway for 60 s.
    *
    * @param rate mean requests per second
-   * @param owedShare fraction of the requests that need the primary
+   * @param primaryFraction fraction of the requests that need the primary
    */
-  private static Asked traffic(SplittableRandom random, double rate, double owedShare) {
+  private static Traffic traffic(SplittableRandom random, double rate, double primaryFraction) {
     SlowStartBudget budget = new SlowStartBudget(2);
     double now = 0;
     while (true) {
       now += -Math.log(1 - random.nextDouble()) / rate * SECOND;
       if (now > 60 * SECOND) {
-        return new Asked(budget, 60 * SECOND);
+        return new Traffic(budget, 60 * SECOND);
       }
-      budget.recordRequest((long) now, random.nextDouble() < owedShare);
+      budget.recordRequest((long) now, random.nextDouble() < primaryFraction);
     }
   }
 
   @Test
-  void measuresWritesAgainstWritesAlone() {
+  void doesNotCountReadsAgainstWrites() {
     // 6 % of the requests are writes. One of five hosts, at a third of its capacity, may get two
     // thirds of what a warm host gets, which is ten times the writes: no write may be refused
     // because of the reads of the replica set.
-    Asked asked = traffic(new SplittableRandom(1), 10, 0.06);
-    double budget = asked.budget.budget(asked.now, 0.33, 4, 40, false);
+    Traffic traffic = traffic(new SplittableRandom(1), 10, 0.06);
+    double budget = traffic.budget.budget(traffic.now, 0.33, 4, 40, false);
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
-      admitted += asked.budget.admits(asked.now, "w" + i, true, true, true, 0, budget) ? 1 : 0;
+      admitted += traffic.budget.admits(traffic.now, "w" + i, true, true, true, 0, budget) ? 1 : 0;
     }
     assertEquals(1_000, admitted);
   }
 
   @Test
-  void givesReadsOnlyWhatAPrimarysWritesLeave() {
-    Asked asked = traffic(new SplittableRandom(2), 10, 0.5);
+  void givesReadsTheBudgetThatWritesToThePrimaryLeave() {
+    Traffic traffic = traffic(new SplittableRandom(2), 10, 0.5);
     double budget =
-        asked.budget.budget(asked.now, 0.25, 4, 200, false); // equals the writes: 100 in the window
+        traffic.budget.budget(
+            traffic.now, 0.25, 4, 200, false); // equals the writes: 100 in the window
     int reads = 0;
     for (int i = 0; i < 1_000; i++) {
-      reads += asked.budget.admits(asked.now, "r" + i, false, true, true, 0, budget) ? 1 : 0;
+      reads += traffic.budget.admits(traffic.now, "r" + i, false, true, true, 0, budget) ? 1 : 0;
     }
     assertTrue(
         reads < 200, reads + " of 1000 reads admitted although the writes use up the budget");
   }
 
   @Test
-  void measuresPrimaryByWhatItUsuallyBears() {
+  void basesBudgetOfThePrimaryOnItsWrites() {
     // Half of the requests are writes, 100 in the window; each of eight warm hosts gets 25. At a
     // quarter of its capacity and an overload factor of 4, the primary may get half of its writes,
     // not an eighth.
-    Asked asked = traffic(new SplittableRandom(7), 10, 0.5);
+    Traffic traffic = traffic(new SplittableRandom(7), 10, 0.5);
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
       admitted +=
-          asked.budget.admits(
-                  asked.now,
+          traffic.budget.admits(
+                  traffic.now,
                   "w" + i,
                   true,
                   true,
                   true,
                   0,
-                  asked.budget.budget(asked.now, 0.25, 4, 25, true))
+                  traffic.budget.budget(traffic.now, 0.25, 4, 25, true))
               ? 1
               : 0;
     }
     assertTrue(admitted > 450 && admitted < 550, admitted + " of 1000 writes admitted");
-    assertTrue(asked.budget.budget(asked.now, 0.25, 4, 25, false) < 15, "budget of a replica");
+    assertTrue(traffic.budget.budget(traffic.now, 0.25, 4, 25, false) < 15, "budget of a replica");
   }
 
   @Test
-  void sharesOneDrawAmongEndpointsOfAReplicaSet() {
+  void dividesReadsAmongWarmingEndpointsOfAReplicaSet() {
     // Five warming hosts, each with a budget of a fifth of the requests: each request is admitted
     // by exactly one host.
-    Asked asked = traffic(new SplittableRandom(3), 10, 0);
+    Traffic traffic = traffic(new SplittableRandom(3), 10, 0);
     double budget = 200 / 5.0;
-    int met = 0;
-    int twice = 0;
-    int[] each = new int[5];
+    int admitted = 0;
+    int admittedTwice = 0;
+    int[] sendsPerHost = new int[5];
     for (int i = 0; i < 10_000; i++) {
       int hosts = 0;
       for (int host = 0; host < 5; host++) {
-        if (asked.budget.admits(asked.now, "r" + i, false, false, true, host * budget, budget)) {
+        if (traffic.budget.admits(
+            traffic.now, "r" + i, false, false, true, host * budget, budget)) {
           hosts++;
-          each[host]++;
+          sendsPerHost[host]++;
         }
       }
-      met += hosts > 0 ? 1 : 0;
-      twice += hosts > 1 ? 1 : 0;
+      admitted += hosts > 0 ? 1 : 0;
+      admittedTwice += hosts > 1 ? 1 : 0;
     }
     assertTrue(
-        met > 9_000,
-        met + " of 10000 admitted by a host; independent draws would leave a third without a host");
-    assertTrue(twice < 1_000, twice + " admitted by two hosts");
-    for (int count : each) {
+        admitted > 9_000,
+        admitted
+            + " of 10000 admitted by a host; independent draws would leave a third without a host");
+    assertTrue(admittedTwice < 1_000, admittedTwice + " admitted by two hosts");
+    for (int count : sendsPerHost) {
       assertTrue(count > 1_500 && count < 2_500, count + " admitted by one host");
     }
   }
 
   @Test
   void countsWritesAsReadsWithoutAPrimary() {
-    Asked asked = traffic(new SplittableRandom(4), 10, 0.5);
+    Traffic traffic = traffic(new SplittableRandom(4), 10, 0.5);
     int known = 0;
     int unknown = 0;
     for (int i = 0; i < 10_000; i++) {
-      known += asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
-      unknown += asked.budget.admits(asked.now, "r" + i, false, false, false, 0, 20) ? 1 : 0;
+      known += traffic.budget.admits(traffic.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
+      unknown += traffic.budget.admits(traffic.now, "r" + i, false, false, false, 0, 20) ? 1 : 0;
     }
     assertTrue(
         unknown < known * 0.7, unknown + " admitted without a primary, " + known + " with one");
@@ -141,31 +144,31 @@
   void keepsFleetNearItsBudget(
       @ForAll @IntRange(min = 1, max = 200) int gateways,
       @ForAll @DoubleRange(min = 0.05, max = 20) double rate,
-      @ForAll @DoubleRange(min = 0.2, max = 1) double warmth) {
+      @ForAll @DoubleRange(min = 0.2, max = 1) double capacityFraction) {
     SplittableRandom random = new SplittableRandom(gateways * 31L + (long) (rate * 1000));
-    double each =
+    double sendsPerHost =
         rate
             * SlowStartBudget.WINDOW_SECONDS
             / 4; // requests per window from each gateway to each of four warm hosts
     double sent = 0;
-    double mayHave = 0;
+    double budgetSum = 0;
     int rounds = Math.max(1, 400 / gateways);
     for (int gateway = 0; gateway < gateways * rounds; gateway++) {
-      Asked asked = traffic(random, rate, 0);
-      double budget = asked.budget.budget(asked.now, warmth, 2, each, false);
+      Traffic traffic = traffic(random, rate, 0);
+      double budget = traffic.budget.budget(traffic.now, capacityFraction, 2, sendsPerHost, false);
       // The request to admit, which counts itself.
-      asked.budget.recordRequest(asked.now, false);
+      traffic.budget.recordRequest(traffic.now, false);
       int admitted = 0;
       for (int i = 0; i < 50; i++) {
         admitted +=
-            asked.budget.admits(asked.now, gateway + "-" + i, false, false, true, 0, budget)
+            traffic.budget.admits(traffic.now, gateway + "-" + i, false, false, true, 0, budget)
                 ? 1
                 : 0;
       }
       sent += admitted / 50.0 * rate * SlowStartBudget.WINDOW_SECONDS;
-      mayHave += budget;
+      budgetSum += budget;
     }
-    assertTrue(sent <= mayHave * 1.1, sent + " sent, budget " + mayHave);
+    assertTrue(sent <= budgetSum * 1.1, sent + " sent, budget " + budgetSum);
   }
 
   /**
@@ -174,92 +177,103 @@
    * average and then has no traffic counts.
    *
    * @param capacity requests per second that a warm host can serve
-   * @param use fraction of that capacity that is used
-   * @param times factor applied to the budget; 1 for the production budget
-   * @param least minimum of the requests per window that each gateway counts for a warm host; 0 for
-   *     the production budget
+   * @param utilization fraction of that capacity that is used
+   * @param budgetFactor factor applied to the budget; 1 for the production budget
+   * @param minUsualSends minimum of the requests per window that each gateway counts for a warm
+   *     host; 0 for the production budget
    */
   private record Fleet(
       int gateways,
       double capacity,
-      double use,
-      double warmth,
-      int cold,
-      double times,
-      double least) {
+      double utilization,
+      double capacityFraction,
+      int warmingHosts,
+      double budgetFactor,
+      double minUsualSends) {
 
-    private static final double FALL_SECONDS = 2;
-    private static final double MULTIPLE = 3;
+    private static final double OVERLOAD_WINDOW_SECONDS = 2;
+    private static final double OVERLOAD_FACTOR = 3;
     private static final int HOSTS = 5;
 
     double allowedRequests() {
-      return MULTIPLE * warmth * capacity * FALL_SECONDS;
+      return OVERLOAD_FACTOR * capacityFraction * capacity * OVERLOAD_WINDOW_SECONDS;
     }
 
     /**
      * Maximum number of requests that the first warming host gets in any overload window of a
      * simulation of 200 s.
      */
-    int worst() {
+    int maxSendsInWindow() {
       List<Double> sends = new ArrayList<>();
       SplittableRandom random =
           new SplittableRandom(
-              Double.hashCode(capacity) * 31L + gateways * 1_000L + (long) (warmth * 100) + cold);
-      int busy = Math.max(1, gateways / 10);
+              Double.hashCode(capacity) * 31L
+                  + gateways * 1_000L
+                  + (long) (capacityFraction * 100)
+                  + warmingHosts);
+      int busyGateways = Math.max(1, gateways / 10);
       for (int gateway = 0; gateway < gateways; gateway++) {
-        double mean = capacity * use * HOSTS / gateways;
+        double mean = capacity * utilization * HOSTS / gateways;
         sends(
             gateway,
             gateways < 10
                 ? mean
-                : gateway < busy
-                    ? mean * gateways / busy / 2
-                    : mean * gateways / (gateways - busy) / 2,
+                : gateway < busyGateways
+                    ? mean * gateways / busyGateways / 2
+                    : mean * gateways / (gateways - busyGateways) / 2,
             random,
             sends);
       }
       Collections.sort(sends);
-      int most = 0;
+      int maxSends = 0;
       for (int first = 0, last = 0; last < sends.size(); last++) {
-        while (sends.get(last) - sends.get(first) > FALL_SECONDS) {
+        while (sends.get(last) - sends.get(first) > OVERLOAD_WINDOW_SECONDS) {
           first++;
         }
-        most = Math.max(most, last - first + 1);
+        maxSends = Math.max(maxSends, last - first + 1);
       }
-      return most;
+      return maxSends;
     }
 
     /** The maximum relative to the bound that allows for random variation. */
-    double worstOverBound() {
-      return worst() / (allowedRequests() + 2 * Math.sqrt(allowedRequests()) + 2);
+    double maxSendsOverBound() {
+      return maxSendsInWindow() / (allowedRequests() + 2 * Math.sqrt(allowedRequests()) + 2);
     }
 
     private void sends(int gateway, double perSecond, SplittableRandom random, List<Double> sends) {
-      SlowStartBudget budget = new SlowStartBudget(FALL_SECONDS);
+      SlowStartBudget budget = new SlowStartBudget(OVERLOAD_WINDOW_SECONDS);
       DecayingAverage warm =
           new DecayingAverage(
               SlowStartBudget.WINDOW_SECONDS); // sends to a warm host of the replica set
-      double at = 0;
-      double gap;
-      while ((at += gap = -Math.log(1 - random.nextDouble()) / perSecond) < 220) {
-        if (random.nextDouble() < 1 - Math.exp(-gap / 40)) {
-          budget = new SlowStartBudget(FALL_SECONDS);
+      double atSeconds = 0;
+      double gapSeconds;
+      while ((atSeconds += gapSeconds = -Math.log(1 - random.nextDouble()) / perSecond) < 220) {
+        if (random.nextDouble() < 1 - Math.exp(-gapSeconds / 40)) {
+          budget = new SlowStartBudget(OVERLOAD_WINDOW_SECONDS);
           warm = new DecayingAverage(SlowStartBudget.WINDOW_SECONDS);
         }
-        long now = (long) (at * SECOND);
+        long now = (long) (atSeconds * SECOND);
         budget.recordRequest(now, false);
-        double usual = Math.max(least, warm.count(now) + 1.0 / HOSTS);
-        double may = times * budget.budget(now, warmth, MULTIPLE, usual, false);
+        double usualSends = Math.max(minUsualSends, warm.count(now) + 1.0 / HOSTS);
+        double budgetPerHost =
+            budgetFactor * budget.budget(now, capacityFraction, OVERLOAD_FACTOR, usualSends, false);
         boolean admitted = false;
-        for (int host = 0; host < cold; host++) {
-          if (budget.admits(now, gateway + "-" + at, false, false, true, host * may, may)) {
+        for (int host = 0; host < warmingHosts; host++) {
+          if (budget.admits(
+              now,
+              gateway + "-" + atSeconds,
+              false,
+              false,
+              true,
+              host * budgetPerHost,
+              budgetPerHost)) {
             admitted = true;
-            if (host == 0 && at > 20) {
-              sends.add(at);
+            if (host == 0 && atSeconds > 20) {
+              sends.add(atSeconds);
             }
           }
         }
-        if (!admitted && random.nextInt(HOSTS - cold) == 0) {
+        if (!admitted && random.nextInt(HOSTS - warmingHosts) == 0) {
           warm.record(now, 1);
         }
       }
@@ -280,23 +294,29 @@
    * budget four times as large it is then 0.04, 0.18, 0.64 and 0.99 for N = 4, 10, 30 and 100.
    */
   @Test
-  void keepsFleetUnderTheBoundOfChance() {
+  void keepsFleetWithinTheFailureBound() {
     for (int gateways : new int[] {5, 20, 30, 100}) {
       for (double capacity : new double[] {0.5, 2, 10, 50}) {
-        for (double warmth : new double[] {0.18, 0.5, 0.9}) {
-          for (int cold : new int[] {1, 3}) {
-            Fleet fleet = new Fleet(gateways, capacity, 0.75, warmth, cold, 1, 0);
-            double worst = fleet.worstOverBound();
+        for (double capacityFraction : new double[] {0.18, 0.5, 0.9}) {
+          for (int warmingHosts : new int[] {1, 3}) {
+            Fleet fleet = new Fleet(gateways, capacity, 0.75, capacityFraction, warmingHosts, 1, 0);
+            double sendsOverBound = fleet.maxSendsOverBound();
             assertTrue(
-                worst <= 1,
-                fleet + " reached " + worst + " of the bound in its worst overload window");
+                sendsOverBound <= 1,
+                fleet
+                    + " reached "
+                    + sendsOverBound
+                    + " of the bound in its worst overload window");
             // At full utilization, six requests in an overload window occur for N = 1.5, as the
             // probabilities above predict.
-            Fleet full = new Fleet(gateways, capacity, 1, warmth, cold, 1, 0);
+            Fleet full = new Fleet(gateways, capacity, 1, capacityFraction, warmingHosts, 1, 0);
             assertTrue(
-                full.worst()
+                full.maxSendsInWindow()
                     < 0.9 * (full.allowedRequests() + 3 * Math.sqrt(full.allowedRequests()) + 3),
-                full + " reached " + full.worst() + " requests in its worst overload window");
+                full
+                    + " reached "
+                    + full.maxSendsInWindow()
+                    + " requests in its worst overload window");
           }
         }
       }
@@ -304,31 +324,32 @@
   }
 
   @Test
-  void exceedsTheBoundWithABudgetFourTimesTooLarge() {
+  void exceedsTheFailureBoundWithAFourfoldBudget() {
     for (int gateways : new int[] {5, 20, 30, 100}) {
       Fleet fleet = new Fleet(gateways, 10, 0.75, 0.18, 1, 4, 0);
       assertTrue(
-          fleet.worstOverBound() > 1,
-          fleet + " stayed at " + fleet.worstOverBound() + " of the bound");
+          fleet.maxSendsOverBound() > 1,
+          fleet + " stayed at " + fleet.maxSendsOverBound() + " of the bound");
     }
     assertTrue(
-        new Fleet(100, 10, 1, 0.18, 1, 1, 10).worstOverBound() > 1,
+        new Fleet(100, 10, 1, 0.18, 1, 1, 10).maxSendsOverBound() > 1,
         "a minimum budget per gateway exceeds the bound too");
   }
 
   @Test
-  void countsAJumpOfDemandAtOnce() {
-    Asked asked = traffic(new SplittableRandom(5), 2, 0);
+  void countsASuddenIncreaseInDemandAtOnce() {
+    Traffic traffic = traffic(new SplittableRandom(5), 2, 0);
     int before = 0;
     int after = 0;
     for (int i = 0; i < 1_000; i++) {
-      before += asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
+      before += traffic.budget.admits(traffic.now, "r" + i, false, false, true, 0, 20) ? 1 : 0;
     }
     for (int i = 0; i < 60; i++) {
-      asked.budget.recordRequest(asked.now + i * SECOND / 60, false);
+      traffic.budget.recordRequest(traffic.now + i * SECOND / 60, false);
     }
     for (int i = 0; i < 1_000; i++) {
-      after += asked.budget.admits(asked.now + SECOND, "r" + i, false, false, true, 0, 20) ? 1 : 0;
+      after +=
+          traffic.budget.admits(traffic.now + SECOND, "r" + i, false, false, true, 0, 20) ? 1 : 0;
     }
     assertTrue(after * 3 < before, before + " of 1000 admitted before, " + after + " after");
   }
@@ -349,14 +370,14 @@
   }
 
   @Test
-  void drawsTheSameForTheSameRequest() {
-    Asked asked = traffic(new SplittableRandom(6), 10, 0);
+  void admitsTheSameRequestConsistently() {
+    Traffic traffic = traffic(new SplittableRandom(6), 10, 0);
     for (int i = 0; i < 100; i++) {
-      boolean first = asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 50);
-      assertEquals(first, asked.budget.admits(asked.now, "r" + i, false, false, true, 0, 50));
+      boolean first = traffic.budget.admits(traffic.now, "r" + i, false, false, true, 0, 50);
+      assertEquals(first, traffic.budget.admits(traffic.now, "r" + i, false, false, true, 0, 50));
     }
     assertFalse(
-        asked.budget.admits(asked.now, "r", false, false, true, 0, 0),
+        traffic.budget.admits(traffic.now, "r", false, false, true, 0, 0),
         "a budget of 0 admits nothing");
   }
 }
--- a/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/ConnectionQuotasTest.java
@@ -13,42 +13,45 @@
 class ConnectionQuotasTest {
 
   private final ConnectionQuotas quotas = new ConnectionQuotas(40);
-  private final List<String> said = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
 
-  private ConnectionQuota join(String name, double weight, int most) {
+  private ConnectionQuota register(String name, double weight, int maxConnections) {
     return quotas.register(
-        weight, most, () -> said.add(name + " reclaim"), () -> said.add(name + " available"));
+        weight,
+        maxConnections,
+        () -> events.add(name + " reclaim"),
+        () -> events.add(name + " available"));
   }
 
-  private static int fill(ConnectionQuota who) {
-    int got = 0;
-    while (who.tryAcquire(false) == Acquisition.ACQUIRED) {
-      got++;
+  private static int fill(ConnectionQuota quota) {
+    int acquired = 0;
+    while (quota.tryAcquire(false) == Acquisition.ACQUIRED) {
+      acquired++;
     }
-    return got;
+    return acquired;
   }
 
   @Test
   void singleTenantAcquiresTheTotalAndNoMore() {
-    assertEquals(40, fill(join("a", 1, 100)));
+    assertEquals(40, fill(register("a", 1, 100)));
     assertEquals(40, quotas.inUse());
   }
 
   @Test
   void tenantIsLimitedByItsOwnMaximum() {
-    assertEquals(7, fill(join("a", 1, 7)));
+    assertEquals(7, fill(register("a", 1, 7)));
   }
 
   @Test
   void secondTenantReclaimsItsFairShareAfterTheFirstAcquiredAll() {
-    ConnectionQuota first = join("first", 1, 100);
-    ConnectionQuota second = join("second", 1, 100);
+    ConnectionQuota first = register("first", 1, 100);
+    ConnectionQuota second = register("second", 1, 100);
     fill(first);
     assertEquals(Acquisition.PENDING, second.tryAcquire(false));
     assertEquals(Acquisition.PENDING, second.tryAcquire(false));
-    assertEquals(List.of("first reclaim", "first reclaim"), said);
+    assertEquals(List.of("first reclaim", "first reclaim"), events);
     first.release();
-    assertEquals("second available", said.get(2));
+    assertEquals("second available", events.get(2));
     second.acknowledgeAvailable();
     assertEquals(Acquisition.ACQUIRED, second.tryAcquire(false));
     while (first.excess() > 0) {
@@ -65,8 +68,8 @@
   /** Lending is bounded, so a tenant below its fair share finds connections at once. */
   @Test
   void tenantAboveItsFairShareLeavesConnectionsForOthers() {
-    ConnectionQuota small = join("small", 1, 100);
-    ConnectionQuota large = join("large", 1, 100);
+    ConnectionQuota small = register("small", 1, 100);
+    ConnectionQuota large = register("large", 1, 100);
     small.tryAcquire(false);
     assertEquals(29, fill(large));
     assertEquals(10, fill(small));
@@ -74,8 +77,8 @@
 
   @Test
   void fairSharesFollowWeightChanges() {
-    ConnectionQuota one = join("one", 1, 100);
-    ConnectionQuota three = join("three", 3, 100);
+    ConnectionQuota one = register("one", 1, 100);
+    ConnectionQuota three = register("three", 3, 100);
     one.tryAcquire(false);
     three.tryAcquire(false);
     assertEquals(1 - 10, one.excess());
@@ -86,8 +89,8 @@
 
   @Test
   void replacementIsAcquiredAboveTheLendableFraction() {
-    ConnectionQuota first = join("a", 1, 100);
-    ConnectionQuota second = join("b", 1, 100);
+    ConnectionQuota first = register("a", 1, 100);
+    ConnectionQuota second = register("b", 1, 100);
     second.tryAcquire(false);
     fill(first);
     assertEquals(Acquisition.REJECTED, first.tryAcquire(false));
@@ -102,37 +105,39 @@
   @Test
   void countsStayConsistentAcrossThreads() throws Exception {
     CountDownLatch done = new CountDownLatch(4);
-    boolean[] over = new boolean[4];
+    boolean[] exceeded = new boolean[4];
     List<ConnectionQuota> all = new ArrayList<>();
     for (int tenant = 0; tenant < 4; tenant++) {
       int seed = tenant;
-      ConnectionQuota mine = quotas.register(1 + tenant, 30, () -> {}, () -> {});
-      all.add(mine);
+      ConnectionQuota quota = quotas.register(1 + tenant, 30, () -> {}, () -> {});
+      all.add(quota);
       new Thread(
               () -> {
                 Random random = new Random(seed);
                 for (int i = 0; i < 50_000; i++) {
                   if (random.nextBoolean()) {
-                    mine.tryAcquire(random.nextInt(10) == 0);
-                  } else if (mine.inUse() > 0) {
-                    mine.release();
+                    quota.tryAcquire(random.nextInt(10) == 0);
+                  } else if (quota.inUse() > 0) {
+                    quota.release();
                   }
-                  over[seed] |= quotas.inUse() > 40;
+                  exceeded[seed] |= quotas.inUse() > 40;
                 }
-                while (mine.inUse() > 0) {
-                  mine.release();
+                while (quota.inUse() > 0) {
+                  quota.release();
                 }
                 done.countDown();
               })
           .start();
     }
     done.await();
-    for (boolean each : over) {
+    for (boolean each : exceeded) {
       assertTrue(!each, "connections held exceeded the total");
     }
     assertEquals(0, quotas.inUse());
     all.forEach(ConnectionQuota::acknowledgeAvailable);
     assertEquals(
-        40, fill(join("last", 1, 100)), "the weights of the other tenants are no longer counted");
+        40,
+        fill(register("last", 1, 100)),
+        "the weights of the other tenants are no longer counted");
   }
 }
--- a/core/src/test/java/shelffront/quota/DeficitRoundRobinTest.java
+++ b/core/src/test/java/shelffront/quota/DeficitRoundRobinTest.java
@@ -16,16 +16,16 @@
 
   @Test
   void floodedFlowDoesNotDelayAnotherFlow() {
-    DeficitRoundRobin<String> rounds = new DeficitRoundRobin<>(100);
+    DeficitRoundRobin<String> scheduler = new DeficitRoundRobin<>(100);
     Flow<String> flood = new Flow<>(1);
-    Flow<String> calm = new Flow<>(1);
+    Flow<String> light = new Flow<>(1);
     for (int i = 0; i < 10_000; i++) {
-      rounds.add(flood, "flood");
+      scheduler.add(flood, "flood");
     }
-    rounds.add(calm, "calm");
+    scheduler.add(light, "light");
     int before = 0;
-    while (rounds.next().equals("flood")) {
-      rounds.charge(30);
+    while (scheduler.next().equals("flood")) {
+      scheduler.charge(30);
       before++;
     }
     assertTrue(before <= 4, before + " items of the flooded flow came first");
@@ -33,17 +33,17 @@
 
   @Test
   void returnsAllItemsOfAFlowInOrder() {
-    DeficitRoundRobin<Integer> rounds = new DeficitRoundRobin<>(10);
-    Flow<Integer> one = new Flow<>(0.5);
+    DeficitRoundRobin<Integer> scheduler = new DeficitRoundRobin<>(10);
+    Flow<Integer> flow = new Flow<>(0.5);
     for (int i = 0; i < 100; i++) {
-      rounds.add(one, i);
+      scheduler.add(flow, i);
     }
     for (int i = 0; i < 100; i++) {
-      assertEquals(i, rounds.next());
-      rounds.charge(1000);
+      assertEquals(i, scheduler.next());
+      scheduler.charge(1000);
     }
-    assertNull(rounds.next());
-    assertTrue(rounds.isEmpty());
+    assertNull(scheduler.next());
+    assertTrue(scheduler.isEmpty());
   }
 
   /** Two backlogged flows are served in proportion to their weights, for any item costs. */
@@ -51,16 +51,16 @@
   void dividesCostByWeight(
       @ForAll @IntRange(min = 1, max = 8) int weight,
       @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 1, max = 500) Integer> costs) {
-    DeficitRoundRobin<Integer> rounds = new DeficitRoundRobin<>(100);
+    DeficitRoundRobin<Integer> scheduler = new DeficitRoundRobin<>(100);
     List<Flow<Integer>> flows = List.of(new Flow<>(1), new Flow<>(weight));
-    flows.forEach(flow -> rounds.add(flow, flows.indexOf(flow)));
+    flows.forEach(flow -> scheduler.add(flow, flows.indexOf(flow)));
     double[] spent = new double[2];
     for (int i = 0; i < 20_000; i++) {
-      int who = rounds.next();
+      int flowIndex = scheduler.next();
       int cost = costs.get(i % costs.size());
-      rounds.charge(cost);
-      spent[who] += cost;
-      rounds.add(flows.get(who), who);
+      scheduler.charge(cost);
+      spent[flowIndex] += cost;
+      scheduler.add(flows.get(flowIndex), flowIndex);
     }
     assertEquals(weight, spent[1] / spent[0], 0.1 * weight);
   }
--- a/core/src/test/java/shelffront/quota/MaxMinFairnessTest.java
+++ b/core/src/test/java/shelffront/quota/MaxMinFairnessTest.java
@@ -30,17 +30,19 @@
       @ForAll @Size(12) List<@DoubleRange(min = 0, max = 1e6) Double> demands) {
     double[] weight = weights.stream().mapToDouble(value -> value).toArray();
     double[] demand = demands.stream().limit(weight.length).mapToDouble(value -> value).toArray();
-    double[] parts = MaxMinFairness.divide(capacity, weight, demand);
-    double slack = 1e-6 * (capacity + 1);
+    double[] allocations = MaxMinFairness.divide(capacity, weight, demand);
+    double tolerance = 1e-6 * (capacity + 1);
     assertEquals(
-        Math.min(capacity, Arrays.stream(demand).sum()), Arrays.stream(parts).sum(), slack);
+        Math.min(capacity, Arrays.stream(demand).sum()),
+        Arrays.stream(allocations).sum(),
+        tolerance);
     for (int i = 0; i < weight.length; i++) {
-      assertTrue(parts[i] <= demand[i] + slack);
+      assertTrue(allocations[i] <= demand[i] + tolerance);
       for (int j = 0; j < weight.length; j++) {
         // An unsatisfied demand gets no less per weight than any other.
         assertTrue(
-            parts[i] >= demand[i] - slack
-                || parts[i] / weight[i] >= parts[j] / weight[j] - slack * 100);
+            allocations[i] >= demand[i] - tolerance
+                || allocations[i] / weight[i] >= allocations[j] / weight[j] - tolerance * 100);
       }
     }
   }
--- a/core/src/test/java/shelffront/quota/TenantQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/TenantQuotasTest.java
@@ -64,39 +64,42 @@
 
   @Test
   void admitsFloodingTenantsByWeight() {
-    Quota[] three = {quotas.register(1, null), quotas.register(2, null), quotas.register(4, null)};
-    run(three, new double[] {4000, 4000, 4000}, SECOND_MICROS);
-    double[] got = run(three, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
-    assertEquals(1000.0 / 7, got[0], 0.05 * 1000 / 7);
-    assertEquals(2000.0 / 7, got[1], 0.05 * 2000 / 7);
-    assertEquals(4000.0 / 7, got[2], 0.05 * 4000 / 7);
+    Quota[] tenants = {
+      quotas.register(1, null), quotas.register(2, null), quotas.register(4, null)
+    };
+    run(tenants, new double[] {4000, 4000, 4000}, SECOND_MICROS);
+    double[] admitted = run(tenants, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
+    assertEquals(1000.0 / 7, admitted[0], 0.05 * 1000 / 7);
+    assertEquals(2000.0 / 7, admitted[1], 0.05 * 2000 / 7);
+    assertEquals(4000.0 / 7, admitted[2], 0.05 * 4000 / 7);
   }
 
   @Test
   void admitsTenantWithinItsQuotaWhileAnotherFloods() {
-    Quota[] two = {quotas.register(1, null), quotas.register(1, null)};
-    run(two, new double[] {400, 5000}, SECOND_MICROS);
-    double[] got = run(two, new double[] {400, 5000}, SECOND_MICROS);
-    assertEquals(400, got[0], 4);
-    assertEquals(600, got[1], 30);
+    Quota[] tenants = {quotas.register(1, null), quotas.register(1, null)};
+    run(tenants, new double[] {400, 5000}, SECOND_MICROS);
+    double[] admitted = run(tenants, new double[] {400, 5000}, SECOND_MICROS);
+    assertEquals(400, admitted[0], 4);
+    assertEquals(600, admitted[1], 30);
   }
 
   /** The specified limit is one window; the tenant has its own rate already within that window. */
   @Test
   void returningTenantHasItsOwnRateAtOnce() {
-    Quota[] two = {quotas.register(1, null), quotas.register(1, null)};
-    run(two, new double[] {0, 5000}, 5 * SECOND_MICROS);
-    assertEquals(400, run(two, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW_MICROS)[0], 20);
+    Quota[] tenants = {quotas.register(1, null), quotas.register(1, null)};
+    run(tenants, new double[] {0, 5000}, 5 * SECOND_MICROS);
+    assertEquals(
+        400, run(tenants, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW_MICROS)[0], 20);
   }
 
   @Test
   void reducedWeightTakesEffectWithinAWindow() {
-    Quota[] two = {quotas.register(9, null), quotas.register(1, null)};
-    run(two, new double[] {5000, 5000}, SECOND_MICROS);
-    assertEquals(100, run(two, new double[] {5000, 5000}, SECOND_MICROS)[1], 10);
-    quotas.updateWeights(two[0], 1, null);
-    run(two, new double[] {5000, 5000}, TenantQuotas.WINDOW_MICROS);
-    assertEquals(500, run(two, new double[] {5000, 5000}, SECOND_MICROS)[1], 25);
+    Quota[] tenants = {quotas.register(9, null), quotas.register(1, null)};
+    run(tenants, new double[] {5000, 5000}, SECOND_MICROS);
+    assertEquals(100, run(tenants, new double[] {5000, 5000}, SECOND_MICROS)[1], 10);
+    quotas.updateWeights(tenants[0], 1, null);
+    run(tenants, new double[] {5000, 5000}, TenantQuotas.WINDOW_MICROS);
+    assertEquals(500, run(tenants, new double[] {5000, 5000}, SECOND_MICROS)[1], 25);
   }
 
   @Test
@@ -117,26 +120,26 @@
 
   @Test
   void tenantAboveItsOwnSlotsLeavesSlotsForOthers() {
-    TenantQuotas places = new TenantQuotas(0, 100, now);
-    Quota quota = places.register(1, null);
-    Quota other = places.register(1, null);
+    TenantQuotas slotQuotas = new TenantQuotas(0, 100, now);
+    Quota quota = slotQuotas.register(1, null);
+    Quota other = slotQuotas.register(1, null);
     int held = 0;
-    while (places.admit(quota, 0, now) == 0) {
+    while (slotQuotas.admit(quota, 0, now) == 0) {
       held++;
     }
     assertEquals(75, held);
     int others = 0;
-    while (places.admit(other, 0, now) == 0) {
+    while (slotQuotas.admit(other, 0, now) == 0) {
       others++;
     }
     assertEquals(25, others);
     for (int i = 0; i < 20; i++) {
-      places.release(quota);
+      slotQuotas.release(quota);
     }
     assertTrue(
-        places.admit(other, 0, now) == 0 && places.admit(quota, 0, now) > 0,
+        slotQuotas.admit(other, 0, now) == 0 && slotQuotas.admit(quota, 0, now) > 0,
         "the second tenant is below its own half, the first is not");
-    assertEquals(81, places.openRequests());
+    assertEquals(81, slotQuotas.openRequests());
   }
 
   /** 2,000 idle tenants do not reduce the rate of an active tenant. */
@@ -159,47 +162,49 @@
    */
   @Test
   void dividesRateAmongTenantsOfSeveralLoopsByWeight() {
-    SharedCapacity common = new SharedCapacity(1000, 100, 2);
-    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    Quota[] who = {
+    SharedCapacity capacity = new SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(capacity, 0, now), new TenantQuotas(capacity, 1, now)};
+    Quota[] tenants = {
       loops[0].register(1, null), loops[1].register(1, null), loops[1].register(2, null)
     };
     int[] loopOf = {0, 1, 1};
-    double[] got = runOnLoops(loops, who, loopOf, new double[] {4000, 4000, 4000}, SECOND_MICROS);
-    got = runOnLoops(loops, who, loopOf, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
-    assertEquals(250, got[0], 15);
-    assertEquals(250, got[1], 15);
-    assertEquals(500, got[2], 30);
-    assertEquals(0, common.openRequests(), "open requests");
+    double[] admitted =
+        runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000, 4000}, SECOND_MICROS);
+    admitted =
+        runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
+    assertEquals(250, admitted[0], 15);
+    assertEquals(250, admitted[1], 15);
+    assertEquals(500, admitted[2], 30);
+    assertEquals(0, capacity.openRequests(), "open requests");
   }
 
   /** Rate left idle by the tenants of one loop is used by the other and returned in two windows. */
   @Test
   void idleRateOfOneLoopIsUsedByAnother() {
-    SharedCapacity common = new SharedCapacity(1000, 100, 2);
-    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
+    SharedCapacity capacity = new SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(capacity, 0, now), new TenantQuotas(capacity, 1, now)};
+    Quota[] tenants = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] loopOf = {0, 1};
-    runOnLoops(loops, who, loopOf, new double[] {100, 4000}, SECOND_MICROS);
-    double[] got = runOnLoops(loops, who, loopOf, new double[] {100, 4000}, SECOND_MICROS);
-    assertEquals(100, got[0], 4);
-    assertEquals(900, got[1], 45);
-    runOnLoops(loops, who, loopOf, new double[] {4000, 4000}, 2 * TenantQuotas.WINDOW_MICROS);
-    got = runOnLoops(loops, who, loopOf, new double[] {4000, 4000}, SECOND_MICROS);
-    assertEquals(500, got[0], 25);
-    assertEquals(500, got[1], 25);
+    runOnLoops(loops, tenants, loopOf, new double[] {100, 4000}, SECOND_MICROS);
+    double[] admitted = runOnLoops(loops, tenants, loopOf, new double[] {100, 4000}, SECOND_MICROS);
+    assertEquals(100, admitted[0], 4);
+    assertEquals(900, admitted[1], 45);
+    runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000}, 2 * TenantQuotas.WINDOW_MICROS);
+    admitted = runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000}, SECOND_MICROS);
+    assertEquals(500, admitted[0], 25);
+    assertEquals(500, admitted[1], 25);
   }
 
   /** A loop whose tenants receive no more requests reserves no rate for them. */
   @Test
   void loopWithoutRequestsReservesNoRate() {
-    SharedCapacity common = new SharedCapacity(1000, 100, 2);
-    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
+    SharedCapacity capacity = new SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(capacity, 0, now), new TenantQuotas(capacity, 1, now)};
+    Quota[] tenants = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] loopOf = {0, 1};
-    runOnLoops(loops, who, loopOf, new double[] {4000, 4000}, SECOND_MICROS);
-    runOnLoops(loops, who, loopOf, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW_MICROS);
+    runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000}, SECOND_MICROS);
+    runOnLoops(loops, tenants, loopOf, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW_MICROS);
     assertEquals(
-        1000, runOnLoops(loops, who, loopOf, new double[] {0, 4000}, SECOND_MICROS)[1], 50);
+        1000, runOnLoops(loops, tenants, loopOf, new double[] {0, 4000}, SECOND_MICROS)[1], 50);
   }
 }
--- a/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
+++ b/core/src/test/java/shelffront/statistics/ConcurrencyLimitTest.java
@@ -8,21 +8,22 @@
 /** Tests that the limit increases with timely responses and decreases once per latency. */
 class ConcurrencyLimitTest {
 
-  private static final long TOOK = 100_000;
+  private static final long LATENCY_MICROS = 100_000;
 
   private final ConcurrencyLimit limit = new ConcurrencyLimit();
 
-  private boolean hasCapacity(int out) {
-    return limit.hasCapacity(1_000_000, 1, out, 0, TOOK);
+  private boolean hasCapacity(int outstanding) {
+    return limit.hasCapacity(1_000_000, 1, outstanding, 0, LATENCY_MICROS);
   }
 
   @Test
-  void keepsWhatItLearnedWhenInitializedAgain() {
+  void keepsLimitWhenInitializedAgain() {
     limit.initialize(2);
     limit.initialize(50);
     assertTrue(hasCapacity(1));
     assertFalse(hasCapacity(2));
-    assertFalse(limit.hasCapacity(1_000_000, 0.5, 1, 0, TOOK), "half of the limit is available");
+    assertFalse(
+        limit.hasCapacity(1_000_000, 0.5, 1, 0, LATENCY_MICROS), "half of the limit is available");
   }
 
   @Test
@@ -42,25 +43,28 @@
   @Test
   void decreasesOnceWithinALatency() {
     limit.initialize(16);
-    limit.decrease(1_000_000, TOOK, 0.5);
-    limit.decrease(1_000_001, TOOK, 0.5);
+    limit.decrease(1_000_000, LATENCY_MICROS, 0.5);
+    limit.decrease(1_000_001, LATENCY_MICROS, 0.5);
     assertTrue(hasCapacity(7));
-    limit.decrease(1_000_000 + TOOK + 1, TOOK, 0.5);
+    limit.decrease(1_000_000 + LATENCY_MICROS + 1, LATENCY_MICROS, 0.5);
     assertFalse(hasCapacity(4));
   }
 
   @Test
   void spacesRequestsOutBelowOne() {
     limit.initialize(1);
-    limit.decrease(0, TOOK, 0.5);
-    assertFalse(limit.hasCapacity(2 * TOOK, 1, 0, 0, TOOK));
-    assertTrue(limit.hasCapacity(2 * TOOK + 1, 1, 0, 0, TOOK));
+    limit.decrease(0, LATENCY_MICROS, 0.5);
+    assertFalse(limit.hasCapacity(2 * LATENCY_MICROS, 1, 0, 0, LATENCY_MICROS));
+    assertTrue(limit.hasCapacity(2 * LATENCY_MICROS + 1, 1, 0, 0, LATENCY_MICROS));
     for (int i = 1; i < 100; i++) {
-      limit.decrease(i * 2 * TOOK, TOOK, 0.5);
+      limit.decrease(i * 2 * LATENCY_MICROS, LATENCY_MICROS, 0.5);
     }
     assertTrue(
-        limit.hasCapacity(40 * TOOK, 1, 0, 0, TOOK), "the minimum limit still admits requests");
+        limit.hasCapacity(40 * LATENCY_MICROS, 1, 0, 0, LATENCY_MICROS),
+        "the minimum limit still admits requests");
     limit.halve();
-    assertTrue(limit.hasCapacity(1, 1, 0, 0, TOOK), "a limit halved by an ejection is at least 1");
+    assertTrue(
+        limit.hasCapacity(1, 1, 0, 0, LATENCY_MICROS),
+        "a limit halved by an ejection is at least 1");
   }
 }
