--- a/core/src/main/java/shelffront/quota/ConnectionQuota.java
+++ b/core/src/main/java/shelffront/quota/ConnectionQuota.java
@@ -3,34 +3,39 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One tenant's quota of connections; {@link ConnectionQuotas} gives it out. Its part is its weight
- * among those that hold or wait for a connection, and one at least.
+ * The connection quota of one tenant, created by {@link ConnectionQuotas}. Its fair share is the
+ * total divided by weight among the tenants that hold or wait for a connection, and at least one
+ * connection.
  *
- * <p>Threads: the tenant's own thread calls; others only read the counts and call the callbacks.
+ * <p>Threads: methods are called on the thread of the tenant. Other threads only read the counts
+ * and run the callbacks.
  */
 public final class ConnectionQuota {
 
-  /** Weights are summed in thousandths: whole numbers give the same sum in any order. */
+  /**
+   * Weights are summed in thousandths, as integers, so that the sum does not depend on the order of
+   * the updates.
+   */
   private static final double UNITS_PER_WEIGHT = 1000;
 
-  private final ConnectionQuotas shared;
-  private final Runnable reclaimOne;
-  private final Runnable oneAvailable;
+  private final ConnectionQuotas quotas;
+  private final Runnable reclaimCallback;
+  private final Runnable availableCallback;
   private final AtomicInteger inUse = new AtomicInteger();
   private volatile long weightUnits;
   private volatile int maxConnections;
   private boolean waiting;
-  private volatile boolean counted; // its weight is in the shared sum
+  private volatile boolean weightCounted; // whether the total weight includes this quota
 
   ConnectionQuota(
-      ConnectionQuotas shared,
+      ConnectionQuotas quotas,
       double weight,
       int maxConnections,
-      Runnable reclaimOne,
-      Runnable oneAvailable) {
-    this.shared = shared;
-    this.reclaimOne = reclaimOne;
-    this.oneAvailable = oneAvailable;
+      Runnable reclaimCallback,
+      Runnable availableCallback) {
+    this.quotas = quotas;
+    this.reclaimCallback = reclaimCallback;
+    this.availableCallback = availableCallback;
     this.maxConnections = maxConnections;
     weightUnits = units(weight);
   }
@@ -39,90 +44,101 @@
     return Math.max(1, Math.round(weight * UNITS_PER_WEIGHT));
   }
 
-  /** Changes the figures; what is held beyond them is not taken away at once. */
+  /**
+   * Changes weight and maximum. Connections held beyond the new values are not reclaimed at once.
+   */
   public void update(double weight, int newMaxConnections) {
     long newUnits = units(weight);
-    if (counted) {
-      shared.addWeight(newUnits - weightUnits);
+    if (weightCounted) {
+      quotas.addWeight(newUnits - weightUnits);
     }
     weightUnits = newUnits;
     maxConnections = newMaxConnections;
   }
 
   /**
-   * Asks for a connection.
+   * Tries to acquire a connection.
    *
-   * @param replacing whether one has just been released for this; its part is not asked after then
+   * @param replacing whether the tenant has just released a connection in exchange, in which case
+   *     its fair share is not checked
    */
   public Acquisition tryAcquire(boolean replacing) {
     int held = inUse.get();
-    boolean withinPart = held < part();
-    if (held >= maxConnections || !shared.tryTake(withinPart || replacing)) {
-      boolean isOwed = held < maxConnections && withinPart && reclaimFromFurthest();
-      return isOwed ? Acquisition.PENDING : Acquisition.REJECTED;
+    boolean withinFairShare = held < fairShare();
+    if (held >= maxConnections || !quotas.tryTakeOne(withinFairShare || replacing)) {
+      boolean canReclaim = held < maxConnections && withinFairShare && requestReclaim();
+      return canReclaim ? Acquisition.PENDING : Acquisition.REJECTED;
     }
     inUse.incrementAndGet();
-    updateCounted();
+    updateWeightCounted();
     return Acquisition.ACQUIRED;
   }
 
-  /** Has its weight counted while it holds or waits for a connection. */
-  private void updateCounted() {
-    if (counted != (waiting || inUse.get() > 0)) {
-      counted = !counted;
-      shared.addWeight(counted ? weightUnits : -weightUnits);
+  /** Includes the weight in the total while the tenant holds or waits for a connection. */
+  private void updateWeightCounted() {
+    if (weightCounted != (waiting || inUse.get() > 0)) {
+      weightCounted = !weightCounted;
+      quotas.addWeight(weightCounted ? weightUnits : -weightUnits);
     }
-    shared.setHolding(this, inUse.get() > 0);
+    quotas.setHolding(this, inUse.get() > 0);
   }
 
-  /** Asks the one furthest beyond its part for a connection; false where nobody is beyond. */
-  private boolean reclaimFromFurthest() {
+  /**
+   * Asks the tenant furthest above its fair share to release a connection; returns false if no
+   * tenant is above its fair share.
+   */
+  private boolean requestReclaim() {
     boolean wasWaiting = waiting;
     waiting = true;
-    updateCounted(); // its weight makes the others' parts smaller
-    ConnectionQuota furthest = shared.furthestBeyondPart();
+    updateWeightCounted(); // adds this weight, which reduces the fair shares of the others
+    ConnectionQuota furthest = quotas.furthestAboveFairShare();
     if (furthest == null) {
       waiting = wasWaiting;
-      updateCounted();
+      updateWeightCounted();
       return false;
     }
     if (!wasWaiting) {
-      shared.enqueue(this);
+      quotas.enqueue(this);
     }
-    furthest.reclaimOne.run();
+    furthest.reclaimCallback.run();
     return true;
   }
 
-  /** Releases a connection, and notifies the first that waits for one. */
+  /** Releases a connection and notifies the first tenant that waits for one. */
   public void release() {
     inUse.decrementAndGet();
-    updateCounted();
-    shared.giveBack();
-    shared.notifyNext();
+    updateWeightCounted();
+    quotas.returnOne();
+    quotas.notifyNext();
   }
 
   void notifyAvailable() {
-    oneAvailable.run();
+    availableCallback.run();
   }
 
-  /** To be called by its own thread once {@code oneAvailable} has reached it. */
+  /**
+   * To be called on the thread of the tenant once {@code availableCallback} has been delivered
+   * there.
+   */
   public void acknowledgeAvailable() {
     waiting = false;
-    updateCounted();
+    updateWeightCounted();
   }
 
-  /** How many it holds beyond its part; 0 or less where it holds no more than that. */
+  /**
+   * Number of connections held above the fair share; 0 or less if the tenant does not exceed it.
+   */
   public int excess() {
-    return inUse.get() - part();
+    return inUse.get() - fairShare();
   }
 
-  /** Connections that it holds now. */
+  /** Number of connections held now. */
   public int inUse() {
     return inUse.get();
   }
 
-  private int part() {
-    long allUnits = shared.weightUnits() + (counted ? 0 : weightUnits);
-    return (int) Math.max(1, shared.total() * weightUnits / Math.max(weightUnits, allUnits));
+  private int fairShare() {
+    long totalUnits = quotas.weightUnits() + (weightCounted ? 0 : weightUnits);
+    return (int) Math.max(1, quotas.total() * weightUnits / Math.max(weightUnits, totalUnits));
   }
 }
--- a/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
+++ b/core/src/main/java/shelffront/quota/DeficitRoundRobin.java
@@ -3,91 +3,96 @@
 import java.util.ArrayDeque;
 
 /**
- * Deficit round robin (Shreedhar and Varghese, 1996) over flows whose items' costs are known only
- * once they are done: a flow whose credit is used up waits until it has had its rounds.
+ * Deficit round robin (Shreedhar and Varghese, 1996) over flows whose item costs are known only
+ * after processing. A flow without credit is skipped until it has gained credit again, by one
+ * quantum times its weight per round.
  *
- * <p>Invariants: items of one flow keep their order, and a flow that is alone is never held back.
- * Threads: belongs to one.
+ * <p>Invariants: the items of a flow keep their order, and a flow is never delayed while no other
+ * flow has items. Not thread-safe.
  *
- * @param <T> the items
+ * @param <T> type of the items
  */
 public final class DeficitRoundRobin<T> {
 
-  /**
-   * The most that a flow may owe, in rounds of its own: bounds how long it waits for what its items
-   * cost.
-   */
+  /** Maximum debt of a flow, in rounds. Bounds how long a flow is skipped after expensive items. */
   private static final long MAX_DEBT_ROUNDS = 64;
 
   /**
-   * One that takes its turn: items that wait, and its credit.
+   * A flow: its queued items and its credit.
    *
-   * @param <T> the items
+   * @param <T> type of the items
    */
   public static final class Flow<T> {
 
-    private final ArrayDeque<T> waiting = new ArrayDeque<>();
+    private final ArrayDeque<T> queue = new ArrayDeque<>();
     private double weight;
     private double credit;
-    private boolean inRing;
+    private boolean active;
 
     public Flow(double weight) {
       this.weight = weight;
     }
 
-    /** Above 0. */
+    /** Sets the weight, which is above 0. */
     public void setWeight(double newWeight) {
       weight = newWeight;
     }
   }
 
   private final long quantum;
-  private final ArrayDeque<Flow<T>> ring = new ArrayDeque<>();
+  private final ArrayDeque<Flow<T>> activeFlows = new ArrayDeque<>();
   private Flow<T> current;
-  private int waitingItems; // of all flows
+  private int queuedItems; // of all flows
 
-  /** The quantum is the cost that a flow of weight 1 may run up in a round. */
+  /**
+   * Creates a scheduler without flows.
+   *
+   * @param quantum cost that a flow of weight 1 may incur per round
+   */
   public DeficitRoundRobin(long quantum) {
     this.quantum = quantum;
   }
 
-  /** Puts an item behind those of its flow. A flow saves up no credit while it is idle. */
+  /** Appends an item to its flow. A flow accumulates no credit while it is idle. */
   public void add(Flow<T> flow, T item) {
-    flow.waiting.add(item);
-    waitingItems++;
-    if (!flow.inRing) {
-      flow.inRing = true;
+    flow.queue.add(item);
+    queuedItems++;
+    if (!flow.active) {
+      flow.active = true;
       flow.credit = Math.min(flow.credit, 0) + quantum * flow.weight;
-      ring.add(flow);
+      activeFlows.add(flow);
     }
   }
 
-  /** The next item, whose cost is to be given to {@link #charge}; null where none waits. */
+  /**
+   * Returns the next item, whose cost the caller then passes to {@link #charge}; null if no item is
+   * queued.
+   */
   public T next() {
-    while (!ring.isEmpty()) {
-      Flow<T> flow = ring.peek();
-      if (flow.waiting.isEmpty()) {
-        ring.poll();
-        flow.inRing = false;
-      } else if (flow.credit <= 0 && ring.size() > 1) {
+    while (!activeFlows.isEmpty()) {
+      Flow<T> flow = activeFlows.peek();
+      if (flow.queue.isEmpty()) {
+        activeFlows.poll();
+        flow.active = false;
+      } else if (flow.credit <= 0 && activeFlows.size() > 1) {
         flow.credit += quantum * flow.weight;
-        ring.add(ring.poll());
+        activeFlows.add(activeFlows.poll());
       } else {
         current = flow;
-        waitingItems--;
-        return flow.waiting.poll();
+        queuedItems--;
+        return flow.queue.poll();
       }
     }
     return null;
   }
 
-  /** What the item given last has cost, in the unit of the quantum. */
+  /** Charges the flow of the item returned last with its cost, in the unit of the quantum. */
   public void charge(long cost) {
-    double leastCredit = -quantum * MAX_DEBT_ROUNDS * current.weight;
-    current.credit = Math.max(leastCredit, current.credit - Math.max(1, cost));
+    double minCredit = -quantum * MAX_DEBT_ROUNDS * current.weight;
+    current.credit = Math.max(minCredit, current.credit - Math.max(1, cost));
   }
 
   public boolean isEmpty() {
-    return waitingItems == 0;
+    return queuedItems == 0;
   }
 }
--- a/core/src/test/java/shelffront/ArchitectureTest.java
+++ b/core/src/test/java/shelffront/ArchitectureTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.Future;
 
 /**
- * Holds what makes the deciders replayable: nothing in core touches the world or keeps time of its
- * own.
+ * Enforces the rules that make decisions reproducible: code in core performs no input or output and
+ * has no clock of its own.
  */
 @AnalyzeClasses(packages = "shelffront", importOptions = DoNotIncludeTests.class)
 class ArchitectureTest {
@@ -34,11 +34,11 @@
               "sun..");
 
   /**
-   * What several loops share is held without waiting; everything else in core belongs to one
-   * thread.
+   * Only the quota package has state shared by event loops, which it accesses without blocking; all
+   * other code in core belongs to one thread.
    */
   @ArchTest
-  static final ArchRule ONE_THREAD =
+  static final ArchRule NO_CONCURRENCY_OUTSIDE_QUOTA =
       noClasses()
           .that()
           .resideOutsideOfPackage("shelffront.quota")
@@ -47,7 +47,7 @@
           .resideInAnyPackage("java.util.concurrent..");
 
   @ArchTest
-  static final ArchRule NO_WAITING =
+  static final ArchRule NO_BLOCKING =
       noClasses()
           .should()
           .dependOnClassesThat()
@@ -64,7 +64,7 @@
           .callMethod(Object.class, "notifyAll");
 
   @ArchTest
-  static final ArchRule NO_CLOCK_AND_NO_THREAD =
+  static final ArchRule NO_CLOCK_AND_NO_THREADS =
       noClasses()
           .should()
           .callMethod(System.class, "nanoTime")
@@ -74,9 +74,9 @@
           .dependOnClassesThat()
           .areAssignableTo(Thread.class);
 
-  /** An unseeded source would make the same events give different actions. */
+  /** With an unseeded random source, the same events would produce different actions. */
   @ArchTest
-  static final ArchRule NO_UNSEEDED_CHANCE =
+  static final ArchRule NO_UNSEEDED_RANDOMNESS =
       noClasses()
           .should()
           .callConstructor(java.util.Random.class)
--- a/core/src/test/java/shelffront/quota/TenantQuotasTest.java
+++ b/core/src/test/java/shelffront/quota/TenantQuotasTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayDeque;
 import org.junit.jupiter.api.Test;
 
-/** A gateway of 1,000 requests a second; each admitted one ends 10 ms later. */
+/** Tests a gateway with 1,000 requests per second; each admitted request ends after 10 ms. */
 class TenantQuotasTest {
 
   private static final long SECOND_MICROS = 1_000_000;
@@ -15,16 +15,19 @@
   private long now = 5 * SECOND_MICROS;
   private final TenantQuotas quotas = new TenantQuotas(1000, 100, now);
 
-  /** A request that was admitted: which tenant's, and when it ends. */
+  /** An admitted request: the index of its tenant and the time at which it ends. */
   private record OpenRequest(int tenant, long endsAtMicros) {}
 
-  /** Tenants of one loop; see {@link #runOnLoops}. */
+  /** Runs tenants on a single event loop; see {@link #runOnLoops}. */
   private double[] run(Quota[] tenants, double[] rates, long durationMicros) {
     int[] loopOf = new int[tenants.length];
     return runOnLoops(new TenantQuotas[] {quotas}, tenants, loopOf, rates, durationMicros);
   }
 
-  /** Each asks evenly at its rate for the given time; gives what each was admitted a second. */
+  /**
+   * Sends evenly spaced requests of each tenant at its rate; returns the admitted requests per
+   * second of each tenant.
+   */
   private double[] runOnLoops(
       TenantQuotas[] loops, Quota[] tenants, int[] loopOf, double[] rates, long durationMicros) {
     double[] admitted = new double[tenants.length];
@@ -52,7 +55,7 @@
   }
 
   @Test
-  void aTenantThatAsksAloneGetsTheWholeRate() {
+  void onlyActiveTenantGetsTheWholeRate() {
     Quota quota = quotas.register(1, null);
     quotas.register(9, null);
     run(new Quota[] {quota}, new double[] {5000}, SECOND_MICROS);
@@ -60,44 +63,47 @@
   }
 
   @Test
-  void floodingTenantsAreAdmittedByWeight() {
-    Quota[] three = {quotas.register(1, null), quotas.register(2, null), quotas.register(4, null)};
-    run(three, new double[] {4000, 4000, 4000}, SECOND_MICROS);
-    double[] got = run(three, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
-    assertEquals(1000.0 / 7, got[0], 0.05 * 1000 / 7);
-    assertEquals(2000.0 / 7, got[1], 0.05 * 2000 / 7);
-    assertEquals(4000.0 / 7, got[2], 0.05 * 4000 / 7);
+  void admitsFloodingTenantsByWeight() {
+    Quota[] tenants = {
+      quotas.register(1, null), quotas.register(2, null), quotas.register(4, null)
+    };
+    run(tenants, new double[] {4000, 4000, 4000}, SECOND_MICROS);
+    double[] admitted = run(tenants, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
+    assertEquals(1000.0 / 7, admitted[0], 0.05 * 1000 / 7);
+    assertEquals(2000.0 / 7, admitted[1], 0.05 * 2000 / 7);
+    assertEquals(4000.0 / 7, admitted[2], 0.05 * 4000 / 7);
   }
 
   @Test
-  void aTenantWithinItsQuotaIsAdmittedWhileAnotherFloods() {
-    Quota[] two = {quotas.register(1, null), quotas.register(1, null)};
-    run(two, new double[] {400, 5000}, SECOND_MICROS);
-    double[] got = run(two, new double[] {400, 5000}, SECOND_MICROS);
-    assertEquals(400, got[0], 4);
-    assertEquals(600, got[1], 30);
+  void admitsTenantWithinItsQuotaWhileAnotherFloods() {
+    Quota[] tenants = {quotas.register(1, null), quotas.register(1, null)};
+    run(tenants, new double[] {400, 5000}, SECOND_MICROS);
+    double[] admitted = run(tenants, new double[] {400, 5000}, SECOND_MICROS);
+    assertEquals(400, admitted[0], 4);
+    assertEquals(600, admitted[1], 30);
   }
 
-  /** The stated time: one window, in which it has its own part already. */
+  /** The specified limit is one window; the tenant has its own rate already within that window. */
   @Test
-  void aTenantThatReturnsHasItsOwnRateAtOnce() {
-    Quota[] two = {quotas.register(1, null), quotas.register(1, null)};
-    run(two, new double[] {0, 5000}, 5 * SECOND_MICROS);
-    assertEquals(400, run(two, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW_MICROS)[0], 20);
+  void returningTenantHasItsOwnRateAtOnce() {
+    Quota[] tenants = {quotas.register(1, null), quotas.register(1, null)};
+    run(tenants, new double[] {0, 5000}, 5 * SECOND_MICROS);
+    assertEquals(
+        400, run(tenants, new double[] {400, 5000}, 2 * TenantQuotas.WINDOW_MICROS)[0], 20);
   }
 
   @Test
-  void aReducedWeightTakesEffectWithinAWindow() {
-    Quota[] two = {quotas.register(9, null), quotas.register(1, null)};
-    run(two, new double[] {5000, 5000}, SECOND_MICROS);
-    assertEquals(100, run(two, new double[] {5000, 5000}, SECOND_MICROS)[1], 10);
-    quotas.updateWeights(two[0], 1, null);
-    run(two, new double[] {5000, 5000}, TenantQuotas.WINDOW_MICROS);
-    assertEquals(500, run(two, new double[] {5000, 5000}, SECOND_MICROS)[1], 25);
+  void reducedWeightTakesEffectWithinAWindow() {
+    Quota[] tenants = {quotas.register(9, null), quotas.register(1, null)};
+    run(tenants, new double[] {5000, 5000}, SECOND_MICROS);
+    assertEquals(100, run(tenants, new double[] {5000, 5000}, SECOND_MICROS)[1], 10);
+    quotas.updateWeights(tenants[0], 1, null);
+    run(tenants, new double[] {5000, 5000}, TenantQuotas.WINDOW_MICROS);
+    assertEquals(500, run(tenants, new double[] {5000, 5000}, SECOND_MICROS)[1], 25);
   }
 
   @Test
-  void classesOfATenantDivideItsRateByWeight() {
+  void dividesRateOfATenantAmongClassesByWeight() {
     Quota quota = quotas.register(1, new double[] {1, 3});
     double[] admitted = new double[2];
     for (int turn = 0; turn < 20_000; turn++, now += 100) {
@@ -113,30 +119,30 @@
   }
 
   @Test
-  void placesBeyondATenantsOwnLeaveRoomForOthers() {
-    TenantQuotas places = new TenantQuotas(0, 100, now);
-    Quota quota = places.register(1, null);
-    Quota other = places.register(1, null);
+  void tenantAboveItsOwnSlotsLeavesSlotsForOthers() {
+    TenantQuotas slotQuotas = new TenantQuotas(0, 100, now);
+    Quota quota = slotQuotas.register(1, null);
+    Quota other = slotQuotas.register(1, null);
     int held = 0;
-    while (places.admit(quota, 0, now) == 0) {
+    while (slotQuotas.admit(quota, 0, now) == 0) {
       held++;
     }
     assertEquals(75, held);
     int others = 0;
-    while (places.admit(other, 0, now) == 0) {
+    while (slotQuotas.admit(other, 0, now) == 0) {
       others++;
     }
     assertEquals(25, others);
     for (int i = 0; i < 20; i++) {
-      places.release(quota);
+      slotQuotas.release(quota);
     }
     assertTrue(
-        places.admit(other, 0, now) == 0 && places.admit(quota, 0, now) > 0,
-        "b is under its own half, a is not");
-    assertEquals(81, places.openRequests());
+        slotQuotas.admit(other, 0, now) == 0 && slotQuotas.admit(quota, 0, now) > 0,
+        "the second tenant is below its own half, the first is not");
+    assertEquals(81, slotQuotas.openRequests());
   }
 
-  /** 2,000 tenants that rest cost a busy one nothing: they are not among those who ask. */
+  /** 2,000 idle tenants do not reduce the rate of an active tenant. */
   @Test
   void idleTenantsTakeNoPartInTheDivision() {
     for (int i = 0; i < 2000; i++) {
@@ -151,51 +157,54 @@
   }
 
   /**
-   * Tenants of two loops that all flood: together no more than the rate, and each by its weight.
+   * Flooding tenants on two loops together get no more than the rate, each in proportion to its
+   * weight.
    */
   @Test
-  void tenantsOfSeveralLoopsDivideTheWholeRateByWeight() {
-    SharedCapacity common = new SharedCapacity(1000, 100, 2);
-    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    Quota[] who = {
+  void dividesRateAmongTenantsOfSeveralLoopsByWeight() {
+    SharedCapacity capacity = new SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(capacity, 0, now), new TenantQuotas(capacity, 1, now)};
+    Quota[] tenants = {
       loops[0].register(1, null), loops[1].register(1, null), loops[1].register(2, null)
     };
     int[] loopOf = {0, 1, 1};
-    double[] got = runOnLoops(loops, who, loopOf, new double[] {4000, 4000, 4000}, SECOND_MICROS);
-    got = runOnLoops(loops, who, loopOf, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
-    assertEquals(250, got[0], 15);
-    assertEquals(250, got[1], 15);
-    assertEquals(500, got[2], 30);
-    assertEquals(0, common.openRequests(), "places");
+    double[] admitted =
+        runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000, 4000}, SECOND_MICROS);
+    admitted =
+        runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000, 4000}, 2 * SECOND_MICROS);
+    assertEquals(250, admitted[0], 15);
+    assertEquals(250, admitted[1], 15);
+    assertEquals(500, admitted[2], 30);
+    assertEquals(0, capacity.openRequests(), "open requests");
   }
 
-  /** What one loop's tenants leave idle the other's use, and give back within two windows. */
+  /** Rate left idle by the tenants of one loop is used by the other and returned in two windows. */
   @Test
-  void rateThatOneLoopLeavesIdleIsUsedByAnother() {
-    SharedCapacity common = new SharedCapacity(1000, 100, 2);
-    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
+  void idleRateOfOneLoopIsUsedByAnother() {
+    SharedCapacity capacity = new SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(capacity, 0, now), new TenantQuotas(capacity, 1, now)};
+    Quota[] tenants = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] loopOf = {0, 1};
-    runOnLoops(loops, who, loopOf, new double[] {100, 4000}, SECOND_MICROS);
-    double[] got = runOnLoops(loops, who, loopOf, new double[] {100, 4000}, SECOND_MICROS);
-    assertEquals(100, got[0], 4);
-    assertEquals(900, got[1], 45);
-    runOnLoops(loops, who, loopOf, new double[] {4000, 4000}, 2 * TenantQuotas.WINDOW_MICROS);
-    got = runOnLoops(loops, who, loopOf, new double[] {4000, 4000}, SECOND_MICROS);
-    assertEquals(500, got[0], 25);
-    assertEquals(500, got[1], 25);
+    runOnLoops(loops, tenants, loopOf, new double[] {100, 4000}, SECOND_MICROS);
+    double[] admitted = runOnLoops(loops, tenants, loopOf, new double[] {100, 4000}, SECOND_MICROS);
+    assertEquals(100, admitted[0], 4);
+    assertEquals(900, admitted[1], 45);
+    runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000}, 2 * TenantQuotas.WINDOW_MICROS);
+    admitted = runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000}, SECOND_MICROS);
+    assertEquals(500, admitted[0], 25);
+    assertEquals(500, admitted[1], 25);
   }
 
-  /** A loop whose tenants are no longer asked keeps nothing of the rate for them. */
+  /** A loop whose tenants receive no more requests reserves no rate for them. */
   @Test
-  void aLoopWithoutRequestsReservesNoRate() {
-    SharedCapacity common = new SharedCapacity(1000, 100, 2);
-    TenantQuotas[] loops = {new TenantQuotas(common, 0, now), new TenantQuotas(common, 1, now)};
-    Quota[] who = {loops[0].register(1, null), loops[1].register(1, null)};
+  void loopWithoutRequestsReservesNoRate() {
+    SharedCapacity capacity = new SharedCapacity(1000, 100, 2);
+    TenantQuotas[] loops = {new TenantQuotas(capacity, 0, now), new TenantQuotas(capacity, 1, now)};
+    Quota[] tenants = {loops[0].register(1, null), loops[1].register(1, null)};
     int[] loopOf = {0, 1};
-    runOnLoops(loops, who, loopOf, new double[] {4000, 4000}, SECOND_MICROS);
-    runOnLoops(loops, who, loopOf, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW_MICROS);
+    runOnLoops(loops, tenants, loopOf, new double[] {4000, 4000}, SECOND_MICROS);
+    runOnLoops(loops, tenants, loopOf, new double[] {0, 4000}, 5 * TenantQuotas.WINDOW_MICROS);
     assertEquals(
-        1000, runOnLoops(loops, who, loopOf, new double[] {0, 4000}, SECOND_MICROS)[1], 50);
+        1000, runOnLoops(loops, tenants, loopOf, new double[] {0, 4000}, SECOND_MICROS)[1], 50);
   }
 }
