--- a/core/src/main/java/shelffront/decision/Attempt.java
+++ b/core/src/main/java/shelffront/decision/Attempt.java
@@ -5,7 +5,8 @@
 /**
  * One forwarding of a request to an endpoint.
  *
- * <p>Invariant: {@link #status} is null exactly while the attempt is out, and is set once.
+ * <p>Invariant: {@link #status} is null while the attempt is outstanding and is set once, by its
+ * outcome.
  */
 final class Attempt {
 
@@ -14,7 +15,10 @@
   final int number;
   final long sentAtMicros;
 
-  /** Position that the endpoint had to have applied to answer it. */
+  /**
+   * Position that the endpoint must have applied to serve the attempt; {@code UNKNOWN} if any
+   * suffices.
+   */
   final long requiredPositionMicros;
 
   AttemptStatus status;
@@ -35,7 +39,7 @@
     return status == null;
   }
 
-  /** Whether its endpoint has answered an attempt that was sent later. */
+  /** Whether the endpoint has already completed an attempt that was sent later. */
   boolean isOvertaken() {
     return sentAtMicros < endpoint.latestAnsweredSendMicros;
   }
--- a/core/src/main/java/shelffront/decision/AttemptAdmission.java
+++ b/core/src/main/java/shelffront/decision/AttemptAdmission.java
@@ -4,10 +4,11 @@
 import shelffront.routing.LagCheck;
 
 /**
- * The rules that every attempt is held against, whatever chose its endpoint.
+ * Checks that every attempt must pass before it starts, regardless of how its endpoint was
+ * selected.
  *
- * <p>Invariant: no attempt starts that one of these rules forbids; they need no other policy to
- * have been asked before.
+ * <p>Invariant: an attempt that violates one of these rules never starts, even if the selection
+ * policies did not apply the rule.
  */
 record AttemptAdmission(
     RoutingState state, RetryPolicy retryPolicy, SlowStartAdmission slowStartAdmission) {
@@ -25,8 +26,9 @@
   }
 
   /**
-   * Whether an attempt that waited for a connection may still be written: the same rules, of which
-   * the attempt itself, as the first that may have run, breaks none.
+   * Whether an attempt that waited for a connection may still be written to it. Repeats the checks
+   * whose result may have changed meanwhile. The retry check is skipped if no earlier attempt may
+   * have been executed, because this attempt is then not a repeat.
    */
   boolean stillAdmits(Attempt attempt) {
     PendingRequest request = attempt.request;
@@ -45,9 +47,10 @@
   }
 
   /**
-   * Whether the endpoint may answer a read with the data it has: the primary any, a replica where
-   * the class takes any data, where it has the position, or where it checks for itself. Writes are
-   * sent back by a replica, and are not held against this rule.
+   * Whether the endpoint has applied enough of the log to serve the request. The primary may serve
+   * any request. A replica may serve a read if the class is eventually consistent, if it has
+   * applied the required position, or if it checks its own lag. Writes are exempt, because a
+   * replica rejects them without executing them.
    */
   boolean isFreshEnough(PendingRequest request, EndpointState endpoint) {
     Consistency consistency = request.requestClass.consistency();
--- a/core/src/main/java/shelffront/decision/AttemptId.java
+++ b/core/src/main/java/shelffront/decision/AttemptId.java
@@ -1,4 +1,4 @@
 package shelffront.decision;
 
-/** Identifies an attempt: its request, and its number within that request, from 0. */
+/** Identifies an attempt by its request and its zero-based number within that request. */
 record AttemptId(String requestId, int attemptNumber) {}
--- a/core/src/main/java/shelffront/decision/AttemptOutcomes.java
+++ b/core/src/main/java/shelffront/decision/AttemptOutcomes.java
@@ -2,7 +2,7 @@
 
 import shelffront.routing.AttemptOutcome;
 
-/** Updates an endpoint's health and load by the outcomes of its attempts. */
+/** Updates an endpoint's health and load statistics from the outcomes of its attempts. */
 record AttemptOutcomes(
     RoutingState state,
     ReplicaPositions positions,
@@ -11,13 +11,16 @@
     EndpointEjection ejection,
     ConnectionFailures connectionFailures) {
 
-  /** Weight of one service time in the typical one of its class. */
+  /** Weight of a new sample in the smoothed service time of its request class. */
   private static final double TYPICAL_SERVICE_SMOOTHING = 0.03;
 
-  /** One service time counts as this many typical ones at most. */
+  /**
+   * Limits the influence of slow responses: samples are capped at this multiple of the typical
+   * time.
+   */
   private static final double MAX_TYPICAL_SERVICE_TIMES = 4;
 
-  /** Takes in the outcome of an attempt that is no longer out. */
+  /** Records the outcome of an attempt that is no longer outstanding. */
   void record(Attempt attempt, AttemptOutcome outcome) {
     switch (outcome.status()) {
       case OK -> recordSuccess(attempt, outcome.elapsedMicros());
@@ -54,7 +57,10 @@
     capacity.recordCapacityExceeded(endpoint);
   }
 
-  /** An overtaken attempt's connection is lost, which says nothing of the endpoint. */
+  /**
+   * Ignores overtaken attempts: their connections were lost, which is no evidence about the
+   * endpoint.
+   */
   private void recordUnanswered(Attempt attempt) {
     if (attempt.isOvertaken()) {
       return;
--- a/core/src/main/java/shelffront/decision/AttemptSender.java
+++ b/core/src/main/java/shelffront/decision/AttemptSender.java
@@ -3,11 +3,15 @@
 /**
  * Starts attempts.
  *
- * <p>Invariant: every attempt is started here, after all rules were checked.
+ * <p>Invariant: only this class starts attempts, and only those that {@link AttemptAdmission}
+ * admits.
  */
 record AttemptSender(RoutingState state, AttemptAdmission admission) {
 
-  /** Starts an attempt of the request at the endpoint; null where a rule forbids it. */
+  /**
+   * Starts an attempt of the request at the endpoint; returns null if {@link AttemptAdmission}
+   * denies it.
+   */
   Attempt send(PendingRequest request, EndpointState endpoint) {
     if (!admission.admits(request, endpoint)) {
       return null;
--- a/core/src/main/java/shelffront/decision/ConnectionFailures.java
+++ b/core/src/main/java/shelffront/decision/ConnectionFailures.java
@@ -6,25 +6,26 @@
 import shelffront.routing.AttemptStatus;
 
 /**
- * Judges an endpoint by its broken and refused connections. One or two prove nothing, since a
- * healthy endpoint loses connections too.
+ * Health-checks and ejects endpoints whose connections fail. One or two consecutive failures are
+ * tolerated, because healthy endpoints lose connections too.
  *
- * <p>Invariant: an endpoint is health-checked after each failure, and ejected shortly from the
- * third in a row on, or where a connection took too long to set up.
+ * <p>Invariant: each failure triggers a health check, if the site permits it and none is pending.
+ * An endpoint is ejected briefly from the third consecutive failure on, or as soon as establishing
+ * a connection takes more than half of the connect timeout.
  */
 record ConnectionFailures(
     RoutingState state, EndpointEjection ejection, HealthChecker healthChecker) {
 
-  /** Connection failures in a row that prove nothing. */
+  /** Number of consecutive connection failures that do not cause an ejection. */
   private static final int MAX_TOLERATED = 2;
 
-  /** How long connections count as scarce or expensive after one could not be set up. */
+  /** How long connections are treated as scarce or expensive after one could not be established. */
   private static final long CONNECTION_PRESSURE_MICROS = 20_000_000;
 
   /**
-   * An attempt's connection broke or was not set up. Where it was refused at once, the endpoint's
-   * connection table may be full: idle connections are given back for a while. Where setting up
-   * takes too long they are kept.
+   * Records an attempt whose connection broke or could not be established. Connections that are
+   * refused at once suggest that the endpoint's connection table is full, so idle connections are
+   * closed for a while. If establishing a connection takes too long, idle connections are kept.
    */
   void record(EndpointState endpoint, AttemptOutcome outcome) {
     endpoint.idleConnectionUntilMicros = UNKNOWN;
@@ -44,7 +45,10 @@
     }
   }
 
-  /** Counts a failure; true from the first on that tells something of the endpoint. */
+  /**
+   * Counts a connection failure; returns whether the consecutive failures exceed the tolerated
+   * number.
+   */
   boolean exceedsTolerance(EndpointState endpoint) {
     return ++endpoint.consecutiveConnectionFailures > MAX_TOLERATED;
   }
--- a/core/src/main/java/shelffront/decision/EndpointCapacity.java
+++ b/core/src/main/java/shelffront/decision/EndpointCapacity.java
@@ -3,19 +3,20 @@
 import shelffront.routing.RequestClass;
 
 /**
- * How many attempts an endpoint may have at a time, as its answers show.
+ * Limits the concurrent attempts at each endpoint, based on the latency of its responses.
  *
- * <p>Latencies are microseconds; the load is the latency over the class's latency objective.
+ * <p>Latencies are in microseconds; load is the latency divided by the latency objective of the
+ * request class.
  */
 record EndpointCapacity(RoutingState state, SlowStartAdmission slowStartAdmission) {
 
-  /** Latency over the objective above which an endpoint is given less. */
+  /** Ratio of latency to latency objective above which the concurrency limit is lowered. */
   private static final double OVERLOADED_LATENCY_OVER_OBJECTIVE = 0.4;
 
   private static final double DECREASE_WHEN_SLOW = 0.85;
   private static final double DECREASE_WHEN_EXCEEDED = 0.7;
 
-  /** Whether an endpoint may get one more now, within a fraction of its capacity. */
+  /** Whether the endpoint can take another attempt now, within this fraction of its capacity. */
   boolean hasCapacity(EndpointState endpoint, double fraction) {
     return endpoint.concurrencyLimit.hasCapacity(
         state.nowMicros,
@@ -25,12 +26,15 @@
         endpoint.latency.latencyMicros());
   }
 
-  /** Whether an endpoint answers well within the objective, so that it can take other reads. */
+  /**
+   * Whether the endpoint's latency is well within the objective, so that it can take optional
+   * reads.
+   */
   boolean hasSpareCapacity(EndpointState endpoint) {
     return endpoint.latency.latencyOverObjective() < OVERLOADED_LATENCY_OVER_OBJECTIVE;
   }
 
-  /** An answer came: the limit grows, unless answers are late. */
+  /** Records the latency of a successful response; raises the limit unless latency is too high. */
   void recordSuccess(EndpointState endpoint, double elapsedMicros, RequestClass requestClass) {
     recordLatency(endpoint, elapsedMicros, requestClass);
     if (endpoint.latency.latencyOverObjective() <= OVERLOADED_LATENCY_OVER_OBJECTIVE) {
@@ -38,7 +42,10 @@
     }
   }
 
-  /** Takes in a latency, or how long an answer was waited for; late answers lower the limit. */
+  /**
+   * Records a latency, or the time waited without a response; lowers the limit if latency is too
+   * high.
+   */
   void recordLatency(EndpointState endpoint, double elapsedMicros, RequestClass requestClass) {
     endpoint.latency.record(state.nowMicros, elapsedMicros, requestClass.latencyObjectiveMicros());
     if (endpoint.latency.latencyOverObjective() > OVERLOADED_LATENCY_OVER_OBJECTIVE) {
@@ -46,7 +53,7 @@
     }
   }
 
-  /** The endpoint sent an attempt back because it has no capacity. */
+  /** Lowers the limit after the endpoint rejected an attempt for lack of capacity. */
   void recordCapacityExceeded(EndpointState endpoint) {
     decrease(endpoint, DECREASE_WHEN_EXCEEDED);
   }
--- a/core/src/main/java/shelffront/decision/EndpointEjection.java
+++ b/core/src/main/java/shelffront/decision/EndpointEjection.java
@@ -3,10 +3,10 @@
 import static shelffront.routing.Router.UNKNOWN;
 
 /**
- * Ejects endpoints, which are not used for a time then, and readmits them.
+ * Ejects endpoints, so that they are not used for a time, and readmits them.
  *
- * <p>Invariant: the duration doubles with each ejection in a row, up to a bound; an answer of the
- * endpoint ends its ejection at once.
+ * <p>Invariant: the duration doubles with each consecutive ejection, up to a bound; a response that
+ * proves the endpoint healthy ends its ejection at once.
  */
 record EndpointEjection(RoutingState state) {
 
@@ -14,12 +14,17 @@
   private static final int MAX_EJECTION_DOUBLINGS = 5;
   private static final long MAX_EJECTION_MICROS = 2_400_000;
 
-  /** After lost connections or a failed health check, which prove less than silence. */
+  /**
+   * Initial duration after lost connections or a failed health check, which are weaker evidence
+   * than silence.
+   */
   private static final long FIRST_SHORT_EJECTION_MICROS = 40_000;
 
   private static final int MAX_SHORT_EJECTION_DOUBLINGS = 6;
 
-  /** Ejects an endpoint, halves its concurrency limit and puts it on probation afterwards. */
+  /**
+   * Ejects the endpoint, halves its concurrency limit and puts it on probation after the ejection.
+   */
   void eject(EndpointState endpoint, String reason) {
     endpoint.ejectedUntilMicros =
         state.nowMicros
@@ -30,7 +35,7 @@
     ejectShortly(endpoint, reason);
   }
 
-  /** Ejects an endpoint for a short time, which doubles with each ejection in a row. */
+  /** Ejects the endpoint for a short time, which doubles with each consecutive ejection. */
   void ejectShortly(EndpointState endpoint, String reason) {
     long ejectionMicros =
         backoffMicros(
@@ -49,7 +54,10 @@
     return Math.min(MAX_EJECTION_MICROS, firstMicros << Math.min(maxDoublings, ejections));
   }
 
-  /** An answer proves that the endpoint works: ends its ejection, probation and failure counts. */
+  /**
+   * Ends the ejection and probation of an endpoint that has responded, and resets its failure
+   * counts.
+   */
   void readmit(EndpointState endpoint) {
     endpoint.lastResponseAtMicros = state.nowMicros;
     endpoint.consecutiveEjections = 0;
--- a/core/src/main/java/shelffront/decision/EndpointListBackoff.java
+++ b/core/src/main/java/shelffront/decision/EndpointListBackoff.java
@@ -1,6 +1,8 @@
 package shelffront.decision;
 
-/** When the endpoint list is asked for again after a failure: with doubling, jittered pauses. */
+/**
+ * Schedules new watches of the endpoint list after failures, with exponential backoff and jitter.
+ */
 final class EndpointListBackoff {
 
   private static final long FIRST_MICROS = 100_000;
@@ -18,7 +20,10 @@
     consecutiveFailures = 0;
   }
 
-  /** Watches the list again after half the pause and up to a whole one more. */
+  /**
+   * Schedules a new watch after 0.5 to 1.5 times the backoff interval; the jitter keeps gateways
+   * from sending their requests at the same time.
+   */
   void recordFailure() {
     long pauseMicros =
         Math.min(MAX_MICROS, FIRST_MICROS << Math.min(MAX_DOUBLINGS, consecutiveFailures));
--- a/core/src/main/java/shelffront/decision/EndpointRegistry.java
+++ b/core/src/main/java/shelffront/decision/EndpointRegistry.java
@@ -8,16 +8,17 @@
 import shelffront.routing.Endpoint;
 
 /**
- * The endpoints that the endpoint list names.
+ * Maintains the endpoints named by the endpoint list.
  *
- * <p>Invariant: an endpoint is part of the replica set that the list names last, and of no other.
+ * <p>Invariant: an endpoint belongs to one replica set only, the one under which the list named it
+ * last.
  */
 record EndpointRegistry(RoutingState state, HealthChecker healthChecker) {
 
-  /** Attempts at a time of all gateways to an endpoint of which nothing is known. */
+  /** Initial limit of concurrent attempts at an endpoint, summed over all gateways. */
   private static final double INITIAL_FLEET_CONCURRENCY = 24;
 
-  /** Takes in entries of the list. */
+  /** Applies entries of the endpoint list. */
   void apply(List<Endpoint> entries) {
     for (Endpoint entry : entries) {
       if (entry.availability() == Availability.READY) {
@@ -28,7 +29,7 @@
     }
   }
 
-  /** Withdraws the endpoints that a whole list no longer names. */
+  /** Withdraws endpoints that a complete endpoint list no longer names. */
   void removeUnlisted(List<Endpoint> entries) {
     List<String> listedIds = entries.stream().map(Endpoint::id).toList();
     List.copyOf(state.endpoints.values()).stream()
@@ -57,7 +58,10 @@
     }
   }
 
-  /** What is known of an endpoint that moved is of another set's log, and is forgotten. */
+  /**
+   * Forgets an endpoint that moved to another replica set, because its known position refers to the
+   * log of the previous set.
+   */
   private void removeFromOtherReplicaSet(Endpoint entry) {
     EndpointState known = state.endpoints.get(entry.id());
     if (known != null && known.listed.replicaSet() != entry.replicaSet()) {
@@ -66,7 +70,10 @@
     }
   }
 
-  /** The list's word on the primary counts only until a message names its role. */
+  /**
+   * Adds the endpoint to the replica set. A primary named by the list is used only until an
+   * endpoint reports its own role.
+   */
   private static void join(ReplicaSet replicaSet, EndpointState endpoint) {
     endpoint.replicaSet = replicaSet;
     replicaSet.endpoints.put(endpoint.id, endpoint);
@@ -79,8 +86,9 @@
   }
 
   /**
-   * Sends no more attempts to an endpoint, and forgets it where it was removed. Where removal is
-   * advisory the list does not prove an endpoint down, and only its own attempts do.
+   * Stops sending attempts to the endpoint, and forgets it if it was removed. If removal is
+   * advisory, the list does not prove an endpoint down, so an assignable endpoint stays in use and
+   * only its own attempts decide about its health.
    */
   private void withdraw(EndpointState endpoint, boolean removed) {
     if (removed && endpoint.assignable && state.settings.safetyRules().removalIsAdvisory()) {
--- a/core/src/main/java/shelffront/decision/EndpointSelector.java
+++ b/core/src/main/java/shelffront/decision/EndpointSelector.java
@@ -3,10 +3,11 @@
 import shelffront.routing.Consistency;
 
 /**
- * Chooses the endpoint that a request is sent to, or none yet.
+ * Selects the endpoint for a request.
  *
- * <p>What needs the primary goes there and nowhere else. Other reads go to a replica, and to the
- * primary once they have waited for one.
+ * <p>Requests that require the primary are sent only to the primary or, while none is known, to
+ * candidates in the search for it. Other reads go to a replica, or to the primary after they have
+ * waited for a replica.
  */
 record EndpointSelector(
     RoutingState state,
@@ -15,13 +16,15 @@
     ReplicaSelector replicaSelector,
     PrimarySearch primarySearch) {
 
-  /** Longest wait of a read for a replica that covers its position. */
+  /** Maximum time that a read waits for a replica that covers its required position. */
   static final long MAX_REPLICA_WAIT_MICROS = 50_000;
 
-  /** Part of the primary's capacity for reads that do not need it. */
+  /**
+   * Fraction of the primary's capacity for reads, other than session reads, that do not require it.
+   */
   private static final double PRIMARY_FRACTION_FOR_READS = 0.3;
 
-  /** The endpoint for a request, or null while none suits. */
+  /** Returns the endpoint to which the request can be sent now, or null if none is suitable. */
   EndpointState select(PendingRequest request) {
     if (request.requestClass.requiresPrimary()) {
       return selectPrimary(request);
@@ -42,8 +45,8 @@
   }
 
   /**
-   * Whether a read may use the primary: at once where any data will do or a replica rejected it,
-   * else after {@link #MAX_REPLICA_WAIT_MICROS}.
+   * Whether a read may use the primary: at once if it is eventually consistent or a replica
+   * rejected it, otherwise after {@link #MAX_REPLICA_WAIT_MICROS}.
    */
   private boolean mayFallBackToPrimary(PendingRequest request) {
     return request.rejectedByReplica
@@ -52,8 +55,9 @@
   }
 
   /**
-   * The primary for a read that no replica takes: session reads may use all of its capacity, others
-   * a part, and only while it answers well within the objective.
+   * Returns the primary for a read that no replica can take, or null. Session reads may use its
+   * whole capacity; other reads only a fraction, and only while its latency is well within the
+   * objective.
    */
   private EndpointState fallBackToPrimary(PendingRequest request) {
     EndpointState primary = request.replicaSet.primary;
--- a/core/src/main/java/shelffront/decision/EndpointState.java
+++ b/core/src/main/java/shelffront/decision/EndpointState.java
@@ -10,37 +10,37 @@
 import shelffront.statistics.DecayingAverage;
 import shelffront.statistics.LatencyStatistics;
 
-/** An endpoint as this gateway sees it; holds what was observed, and decides nothing. */
+/** State of an endpoint as observed by this gateway; makes no decisions. */
 final class EndpointState {
 
-  /** Time in which the weight of a service time in {@link #slowdown} falls to 1/e. */
+  /** Time after which the weight of a sample in {@link #slowdown} has fallen to 1/e. */
   private static final double SLOWDOWN_DECAY_SECONDS = 1;
 
   private static final double LATENCY_DECAY_MICROS = 1_000_000;
 
-  /** Taken for an endpoint that has answered nothing yet. */
+  /** Assumed latency of an endpoint that has not responded yet. */
   private static final double INITIAL_LATENCY_MICROS = 100_000;
 
   private static final double INITIAL_LATENCY_OVER_OBJECTIVE = 0.2;
 
-  /** Keeps an endpoint that is listed without a capacity from dividing by zero. */
+  /** Prevents a division by zero for an endpoint that is listed without a capacity. */
   private static final double MIN_CAPACITY_HINT = 0.01;
 
   final String id;
   Endpoint listed;
   ReplicaSet replicaSet;
 
-  /** Listed as ready, so that attempts may be sent to it. */
+  /** Whether the endpoint is listed as ready, so that attempts may be sent to it. */
   boolean assignable;
 
   final ReplicationProgress progress = new ReplicationProgress();
   long healthCheckedAtMicros = UNKNOWN;
   boolean healthCheckOut;
 
-  /** Until then a connection is idle here, unless it is used or the host closed it. */
+  /** Time until which an idle connection is expected, unless it is used or the host closes it. */
   long idleConnectionUntilMicros = UNKNOWN;
 
-  /** Service times over the typical one of the class. */
+  /** Service times divided by the typical service time of their request class. */
   final DecayingAverage slowdown = new DecayingAverage(SLOWDOWN_DECAY_SECONDS);
 
   final LatencyStatistics latency =
@@ -51,26 +51,33 @@
   final DecayingAverage recentSends = new DecayingAverage(SlowStartBudget.WINDOW_SECONDS);
   long lastSentAtMicros = UNKNOWN;
 
-  /** When the newest attempt that it answered was sent: earlier ones are overtaken. */
+  /**
+   * Send time of the newest successful attempt; outstanding attempts sent before it are overtaken.
+   */
   long latestAnsweredSendMicros = UNKNOWN;
 
   long lastResponseAtMicros = UNKNOWN;
 
-  /** Ejections since its last response. */
+  /** Ejections since the endpoint was last readmitted. */
   int consecutiveEjections;
 
-  /** Connections that broke or were not set up since its last response. */
+  /** Connections that broke or could not be established since the endpoint was last readmitted. */
   int consecutiveConnectionFailures;
 
-  /** Until then idle connections are closed, since other gateways may wait for one. */
+  /** Time until which idle connections are closed, because other gateways may need a connection. */
   long connectionsScarceUntilMicros = UNKNOWN;
 
   long ejectedUntilMicros = UNKNOWN;
 
-  /** The last health check failed: one that is answered ends the ejection. */
+  /**
+   * Whether a health check has failed since the last readmission; a success then ends the ejection.
+   */
   boolean healthCheckFailed;
 
-  /** Ejected before and not proved since: one request at a time. */
+  /**
+   * Whether the endpoint was ejected and has not proved healthy since; it gets one request at a
+   * time.
+   */
   boolean onProbation;
 
   EndpointState(String id) {
--- a/core/src/main/java/shelffront/decision/EndpointSuitability.java
+++ b/core/src/main/java/shelffront/decision/EndpointSuitability.java
@@ -1,22 +1,22 @@
 package shelffront.decision;
 
-/** Whether an endpoint is healthy, has capacity, and would answer a request in time. */
+/** Decides whether an endpoint is healthy, has capacity and is expected to respond in time. */
 record EndpointSuitability(
     RoutingState state,
     OutlierDetector outlierDetector,
     EndpointCapacity capacity,
     SlowdownEstimator slowdownEstimator) {
 
-  /** Typical service times that must be left for an attempt at least. */
+  /** Minimum remaining time for an attempt, in expected service times. */
   private static final double MIN_SERVICE_TIMES_LEFT = 1.2;
 
-  /** Typical service times that are left for an attempt where the objective permits. */
+  /** Desired remaining time for an attempt, in expected service times, if the objective permits. */
   private static final double WANTED_SERVICE_TIMES_LEFT = 2;
 
   /**
-   * Whether the request may be sent to the endpoint now, as far as health, load and time go.
+   * Whether the request may be sent to the endpoint now, judged by health, load and remaining time.
    *
-   * @param capacityFraction part of the endpoint's capacity that such requests may use, 0 to 1
+   * @param capacityFraction fraction of the endpoint's capacity that such requests may use, 0 to 1
    */
   boolean suits(EndpointState endpoint, PendingRequest request, double capacityFraction) {
     return outlierDetector.mayBeChosen(endpoint, request)
@@ -24,7 +24,7 @@
         && answersInTime(endpoint, request);
   }
 
-  /** Whether the endpoint is expected to answer while the answer is of use. */
+  /** Whether the endpoint is expected to respond while the response still has value. */
   private boolean answersInTime(EndpointState endpoint, PendingRequest request) {
     double expectedMicros =
         state.typicalServiceMicros(request) * slowdownEstimator.expected(endpoint);
--- a/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
+++ b/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
@@ -3,7 +3,7 @@
 import shelffront.routing.AttemptStatus;
 import shelffront.routing.LoadReport;
 
-/** Updates an endpoint's health, position and role by the outcomes of its health checks. */
+/** Updates an endpoint's health, position and role from the outcomes of its health checks. */
 record HealthCheckOutcomes(
     RoutingState state,
     ReplicaPositions positions,
@@ -11,10 +11,11 @@
     ConnectionFailures connectionFailures) {
 
   /**
-   * Records the outcome of a health check. A success ends an ejection that a failed check began. An
-   * ejection for another reason stays; once that is over, a success ends the probation, since a
-   * lone gateway could otherwise never send the endpoint a non-idempotent write. A failure ejects
-   * the endpoint for a short time.
+   * Records the outcome of a health check. If an earlier check failed, a success readmits the
+   * endpoint. Otherwise a success leaves an ejection in force; once the ejection has expired, it
+   * ends the probation, because a lone gateway could otherwise never send the endpoint a
+   * non-idempotent write. A timeout, or a connection failure beyond the tolerated number, ejects
+   * the endpoint briefly.
    */
   void record(EndpointState endpoint, AttemptStatus status, LoadReport loadReport) {
     boolean answered = status == AttemptStatus.OK;
--- a/core/src/main/java/shelffront/decision/HealthCheckScheduler.java
+++ b/core/src/main/java/shelffront/decision/HealthCheckScheduler.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /**
- * Which endpoints are health-checked because requests wait for one.
+ * Health-checks endpoints when queued requests need up-to-date reports.
  *
- * <p>Invariant: checks stay within the gateway's {@code HealthCheckBudget}, and at most {@link
- * #MAX_CHECKS_OUT} are started while that many are out in a replica set.
+ * <p>Invariant: checks stay within the gateway's {@code HealthCheckBudget}, and none is started
+ * while {@link #MAX_CHECKS_OUT} are outstanding in the replica set.
  */
 record HealthCheckScheduler(
     RoutingState state, PreferredReplicas preferredReplicas, HealthChecker healthChecker) {
@@ -18,9 +18,10 @@
   private static final int MAX_CHECKS_OUT = 2;
 
   /**
-   * Checks endpoints whose reports are old: the primary first, since what waits for it has no
-   * other, then the preferred replicas. While no working primary is known all of them are asked, as
-   * whether they live is the question.
+   * Checks endpoints whose reports are outdated. The primary is checked only while it is missing,
+   * and first, because requests that require it have no alternative; preferred replicas come before
+   * the others. While no healthy primary is known, recent position reports do not defer a check,
+   * because the question is which endpoints are alive.
    */
   void checkForQueuedRequests(ReplicaSet replicaSet) {
     boolean primaryMissing = isPrimaryMissing(replicaSet);
--- a/core/src/main/java/shelffront/decision/HealthChecker.java
+++ b/core/src/main/java/shelffront/decision/HealthChecker.java
@@ -1,9 +1,9 @@
 package shelffront.decision;
 
-/** Sends health checks, as far as the site permits them. */
+/** Sends health checks if the site permits them. */
 record HealthChecker(RoutingState state) {
 
-  /** Asks an endpoint for its load report, if it is assignable. */
+  /** Requests the endpoint's load report if the endpoint is assignable. */
   void check(EndpointState endpoint) {
     if (state.settings.limits().healthChecksAllowed() && endpoint.assignable) {
       endpoint.healthCheckedAtMicros = state.nowMicros;
--- a/core/src/main/java/shelffront/decision/HedgingPolicy.java
+++ b/core/src/main/java/shelffront/decision/HedgingPolicy.java
@@ -3,10 +3,11 @@
 import shelffront.routing.OperatingLimits;
 
 /**
- * Hedged requests: a second attempt of an idempotent request whose first one is most likely lost.
+ * Starts hedged attempts: a second attempt of an idempotent request whose outstanding attempt is
+ * probably lost.
  *
- * <p>Invariant: only the newest attempt of a request is watched, so that a request has one timer of
- * this kind at a time.
+ * <p>Invariant: only the newest attempt of a request is monitored, so that a request has at most
+ * one hedging timer.
  */
 record HedgingPolicy(
     RoutingState state,
@@ -15,7 +16,10 @@
     SilenceDetector silenceDetector,
     LoadShedder loadShedder) {
 
-  /** Starts an attempt and watches it where it may be hedged; false where a rule forbids it. */
+  /**
+   * Starts an attempt, and monitors it if the request is idempotent; returns false if {@link
+   * AttemptAdmission} denies it.
+   */
   boolean startAttempt(PendingRequest request, EndpointState endpoint) {
     Attempt attempt = sender.send(request, endpoint);
     if (attempt == null) {
@@ -34,8 +38,8 @@
   }
 
   /**
-   * Hedges an attempt that is lost, and cancels it once it is hedged or where it may not be; looks
-   * again after the class's typical service time.
+   * Hedges the attempt if it is lost, and cancels it once it is hedged or if it may not be hedged.
+   * While it is not hedged, repeats the check after the typical service time of the class.
    */
   private void check(Attempt attempt) {
     PendingRequest request = attempt.request;
@@ -58,7 +62,9 @@
     return state.nowMicros < loadShedder.latestUsefulStartMicros(request);
   }
 
-  /** Whether the attempt's endpoint was withdrawn, ejected or silent, or its connection lost. */
+  /**
+   * Whether the endpoint was withdrawn, ejected or is silent, or the attempt's connection was lost.
+   */
   private boolean isLost(Attempt attempt) {
     EndpointState endpoint = attempt.endpoint;
     return !endpoint.assignable
--- a/core/src/main/java/shelffront/decision/LoadShedder.java
+++ b/core/src/main/java/shelffront/decision/LoadShedder.java
@@ -3,35 +3,35 @@
 import shelffront.routing.DeduplicationScope;
 
 /**
- * When a request can no longer be answered in time, and how it ends then.
+ * Decides when a request can no longer be served in time, and ends it.
  *
- * <p>Invariant: every final answer that the module gives is given here. A request is rejected only
- * where repeating it does no harm; otherwise it fails.
+ * <p>Invariant: every final response that the module generates is generated here. A request is
+ * rejected only if it is safe to repeat; otherwise it fails.
  */
 record LoadShedder(RoutingState state, RetryPolicy retryPolicy, RequestCompletion completion) {
 
   /**
-   * Part of its time, two fifths, within which a request has to have its first attempt: else its
-   * client is told while it can still turn elsewhere.
+   * Numerator of the fraction of its time, two fifths, within which a request must start its first
+   * attempt. Otherwise it is shed while its client can still try elsewhere.
    */
   private static final int FIRST_ATTEMPT_TIME_NUMERATOR = 2;
 
   private static final int FIRST_ATTEMPT_TIME_DENOMINATOR = 5;
 
-  /** Retry-After while no primary is known: the usual length of an election. */
+  /** Retry-After while no primary is known: the usual duration of an election. */
   private static final long RETRY_AFTER_WITHOUT_PRIMARY_MICROS = 1_000_000;
 
-  /** Retry-After otherwise: the usual length of an overload. */
+  /** Retry-After in other cases: the usual duration of an overload. */
   private static final long RETRY_AFTER_MICROS = 200_000;
 
-  /** Whether no further attempt is permitted, or none would be answered in time. */
+  /** Whether no further attempt is permitted, or its response would come too late to have value. */
   boolean isHopeless(PendingRequest request) {
     return !retryPolicy.hasAttemptsLeft(request)
         || !retryPolicy.mayRetry(request)
         || state.nowMicros >= latestUsefulStartMicros(request);
   }
 
-  /** After this time an attempt would most likely be answered too late to be worth anything. */
+  /** Latest time at which an attempt can start and is still expected to respond in time. */
   long latestUsefulStartMicros(PendingRequest request) {
     long latestStartMicros =
         request.attempts.isEmpty() ? latestFirstStartMicros(request) : request.deadlineMicros;
@@ -49,7 +49,7 @@
             / FIRST_ATTEMPT_TIME_DENOMINATOR;
   }
 
-  /** Ends the request, if it is open, with its final answer. */
+  /** Ends the request with its final response, if it is still open. */
   void shed(PendingRequest request) {
     if (!request.open) {
       return;
@@ -68,7 +68,7 @@
         || request.requestClass.isDeduplicatedWithin(DeduplicationScope.ALL);
   }
 
-  /** The expected duration of the election or overload, within what the site permits. */
+  /** Expected duration of the election or overload, within the site's limit. */
   private long retryAfterMicros(ReplicaSet replicaSet) {
     return state
         .settings
--- a/core/src/main/java/shelffront/decision/OutlierDetector.java
+++ b/core/src/main/java/shelffront/decision/OutlierDetector.java
@@ -1,6 +1,6 @@
 package shelffront.decision;
 
-/** Whether an endpoint may be chosen for a request, as far as its health goes. */
+/** Decides whether an endpoint is healthy enough to be selected for a request. */
 record OutlierDetector(
     RoutingState state,
     SilenceDetector silenceDetector,
@@ -8,9 +8,9 @@
     SlowStartAdmission slowStartAdmission) {
 
   /**
-   * Whether the endpoint is assignable, not ejected, free while on probation and not silent, and
-   * whether its slow start leaves room. One that is found silent is ejected here, since silence is
-   * no event and is noticed only when the endpoint is wanted.
+   * Whether the endpoint is assignable, not ejected, idle if on probation, not silent, and within
+   * its slow-start budget. An endpoint found silent is ejected here, because silence raises no
+   * event and is detected only when a request considers the endpoint.
    */
   boolean mayBeChosen(EndpointState endpoint, PendingRequest request) {
     if (!endpoint.assignable
@@ -25,7 +25,7 @@
     return slowStartAdmission.admits(request, endpoint);
   }
 
-  /** On probation an endpoint gets one request at a time, and none that may run only once. */
+  /** On probation an endpoint gets one request at a time, and no non-idempotent ones. */
   private static boolean isBarredByProbation(EndpointState endpoint, PendingRequest request) {
     return endpoint.onProbation
         && (!endpoint.attemptsOut.isEmpty() || request.requestClass.isNonIdempotent());
--- a/core/src/main/java/shelffront/decision/PendingRequest.java
+++ b/core/src/main/java/shelffront/decision/PendingRequest.java
@@ -7,14 +7,16 @@
 import shelffront.routing.RequestClass;
 
 /**
- * A request that awaits its final answer, and the attempts made for it.
+ * A request that awaits its final response, and its attempts.
  *
- * <p>Invariants: {@link #open} turns false once, when the request gets its final answer or its
- * client goes away; {@link #queue} is null unless the request waits in that queue.
+ * <p>Invariants: {@link #open} changes to false once, when the request gets its final response or
+ * its client disconnects; {@link #queue} is null unless the request waits in that queue.
  */
 final class PendingRequest {
 
-  /** A class that keeps less of its value after the objective is not served late. */
+  /**
+   * A class that retains a smaller fraction of its value after the objective is not served late.
+   */
   static final double MIN_LATE_VALUE_FRACTION = 0.5;
 
   final Request request;
@@ -23,14 +25,19 @@
   final long arrivedAtMicros;
   final long deadlineMicros;
 
-  /** Position of its session's last write, which a session read must see. */
+  /**
+   * Position of the session's last write, which a session read must see; {@code UNKNOWN} if none.
+   */
   final long sessionPositionMicros;
 
   final ArrayList<Attempt> attempts = new ArrayList<>(2);
   boolean open = true;
   LinkedHashSet<PendingRequest> queue;
 
-  /** A replica rejected the read as unsuitable: it may use the primary without a wait. */
+  /**
+   * Whether a replica rejected the read as unsuitable, so that it may use the primary without a
+   * wait.
+   */
   boolean rejectedByReplica;
 
   PendingRequest(
@@ -47,7 +54,7 @@
     deadlineMicros = arrivedAtMicros + request.timeToDeadlineMicros();
   }
 
-  /** Position that a replica must have applied to answer it now. */
+  /** Position that a replica must have applied to serve the request now. */
   long requiredPositionMicros(long nowMicros) {
     return requestClass.consistency() == Consistency.BOUNDED_STALENESS
         ? nowMicros - requestClass.maxStalenessMicros()
@@ -66,7 +73,9 @@
     return attempts.get(attempts.size() - 1) == attempt;
   }
 
-  /** First attempt that ran or may have run; null when it is proved that none did. */
+  /**
+   * Returns the first attempt that may have been executed, or null if it is certain that none was.
+   */
   Attempt firstPossiblyExecuted() {
     return attempts.stream()
         .filter(attempt -> attempt.isOut() || !attempt.status.provesNotExecuted)
@@ -86,7 +95,7 @@
     return arrivedAtMicros + requestClass.latencyObjectiveMicros();
   }
 
-  /** After this time an answer is worth little or nothing. */
+  /** Time after which a response has little or no value. */
   long usefulUntilMicros() {
     return keepsValueWhenLate() ? deadlineMicros : Math.min(deadlineMicros, objectiveAtMicros());
   }
--- a/core/src/main/java/shelffront/decision/PreferredReplicas.java
+++ b/core/src/main/java/shelffront/decision/PreferredReplicas.java
@@ -8,14 +8,15 @@
 import shelffront.routing.GatewayIdentity;
 
 /**
- * The replicas of a set that this gateway prefers, so that a large fleet does not hold connections
- * from every gateway to every host.
+ * Selects the replicas of a set that this gateway prefers, so that in a large fleet not every
+ * gateway holds connections to every host.
  */
 record PreferredReplicas(RoutingState state, HealthChecker healthChecker) {
 
   /**
-   * Ids of the preferred replicas. Chosen anew after the list or the primary changed; those never
-   * asked are health-checked then, since one is wanted now.
+   * Returns the ids of the preferred replicas. They are recomputed after a change of the endpoint
+   * list or of the primary; replicas that were never health-checked are then checked, because a
+   * request needs one now.
    */
   List<String> of(ReplicaSet replicaSet) {
     if (replicaSet.preferredReplicas == null) {
--- a/core/src/main/java/shelffront/decision/PrimarySearch.java
+++ b/core/src/main/java/shelffront/decision/PrimarySearch.java
@@ -1,18 +1,21 @@
 package shelffront.decision;
 
 /**
- * The search for a replica set's primary while none is known: one write at a time tries the
- * endpoints in order of their ids; those that are not the primary send it back untouched.
+ * Searches for the primary of a replica set while none is known: one write at a time tries the
+ * endpoints in order of their ids. Endpoints that are not the primary reject the write without
+ * executing it.
  */
 record PrimarySearch(RoutingState state, OutlierDetector outlierDetector) {
 
-  /** Pause after all endpoints were tried, since an election takes seconds. */
+  /** Pause after all endpoints have been tried, because an election takes seconds. */
   private static final long PAUSE_MICROS = 100_000;
 
-  /** Attempts that a searching write keeps, this one included, for when the primary is found. */
+  /**
+   * Attempts that a searching write must have left: one for this candidate and one for the primary.
+   */
   private static final int RESERVED_ATTEMPTS = 2;
 
-  /** The endpoint that the write tries next, or null when it has to wait. */
+  /** Returns the endpoint that the write tries next, or null if the write has to wait. */
   EndpointState next(PendingRequest request) {
     ReplicaSet replicaSet = request.replicaSet;
     if (isSearchedByAnother(replicaSet, request)
--- a/core/src/main/java/shelffront/decision/ReplicaPositions.java
+++ b/core/src/main/java/shelffront/decision/ReplicaPositions.java
@@ -9,14 +9,15 @@
 import shelffront.routing.Role;
 
 /**
- * What reports and responses prove about positions in the log and about roles, and which position a
- * session's read has to see. Positions and times are microseconds on one clock.
+ * Tracks the log positions and roles that load reports and responses prove, and determines the
+ * position that a session read must see. Positions and times are microseconds on one clock.
  */
 record ReplicaPositions(RoutingState state) {
 
   /**
-   * Position that a request must see because of its session's writes: the greater of the one that
-   * its client carries and the one remembered here; {@code UNKNOWN} where there is none.
+   * Returns the position that a request must see because of writes in its session: the greater of
+   * the one sent by its client and the one remembered by this gateway; {@code UNKNOWN} if there is
+   * none or the class does not have session consistency.
    */
   long sessionPosition(Request request) {
     Consistency consistency =
@@ -30,8 +31,9 @@
   }
 
   /**
-   * Whether a replica is known to have applied the position, or may be trusted to have where it
-   * checks for itself. With {@link LagCheck#WAIT} it may lack half of what it waits for.
+   * Whether a replica is known to have applied the position or, if it checks its own lag, can be
+   * expected to have applied it. With {@link LagCheck#WAIT}, the replica may lag behind by half of
+   * the time for which it waits.
    */
   boolean covers(EndpointState endpoint, long requiredPositionMicros) {
     LagCheck lagCheck = state.settings.consistency().lagCheck();
@@ -48,9 +50,11 @@
   }
 
   /**
-   * Takes in a message that named an endpoint's role at a time. One that is older than the newest
-   * about the set's primary, or that tells nothing new, is ignored, since roles change while
-   * messages are under way.
+   * Records the role that an endpoint reported. Ignores a report that is older than the latest one
+   * about the primary of the replica set, or that changes nothing, because roles change while
+   * messages are in transit.
+   *
+   * @param asOfMicros time at which the endpoint had the role
    */
   void recordRole(EndpointState endpoint, Role role, long asOfMicros) {
     ReplicaSet replicaSet = endpoint.replicaSet;
@@ -78,8 +82,8 @@
   }
 
   /**
-   * Takes in what an endpoint reports of itself. A report without a position tells no role either,
-   * since a host that has made none yet answers with zeros.
+   * Records an endpoint's load report; null is ignored. The role in a report without a position is
+   * ignored too, because a host that has not made a report yet responds with zeros.
    */
   void recordLoadReport(EndpointState endpoint, LoadReport loadReport) {
     if (loadReport == null || loadReport.positionMicros() == UNKNOWN) {
@@ -90,8 +94,9 @@
   }
 
   /**
-   * A success from a replica that checks its lag proves the position that the read required.
-   * Without this, late reports make replicas that keep up look behind until no read goes to them.
+   * Records that a replica which checks its own lag has the position that a successful attempt
+   * required. Without this, late load reports make replicas that keep up appear to lag until no
+   * read is sent to them.
    */
   void recordAnsweredRead(Attempt attempt) {
     if (state.settings.consistency().lagCheck() != LagCheck.NONE) {
--- a/core/src/main/java/shelffront/decision/ReplicaSelector.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSelector.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Chooses the replica that is expected to answer a read soonest. */
+/** Selects the replica that is expected to respond to a read soonest. */
 record ReplicaSelector(
     RoutingState state,
     EndpointSuitability suitability,
@@ -10,26 +10,26 @@
     ReplicaPositions positions,
     PreferredReplicas preferredReplicas) {
 
-  /** Spread of the random factor that keeps gateways from all choosing the same replica. */
+  /** Range of the random factor that keeps gateways from all selecting the same replica. */
   private static final double JITTER_SPREAD = 0.1;
 
   private static final double MIN_JITTER = 0.95;
 
-  /** Relative cost of a replica that other gateways prefer. */
+  /** Cost factor of a replica that this gateway does not prefer. */
   private static final double NOT_PREFERRED_COST = 1.5;
 
-  /** Relative cost of a replica to which no connection is idle. */
+  /** Cost factor of a replica without an idle connection. */
   private static final double CONNECT_COST = 1.5;
 
-  /** The same while setting up connections takes too long. */
+  /** Cost factor of a replica without an idle connection while establishing one takes too long. */
   private static final double EXPENSIVE_CONNECT_COST = 4;
 
-  /** What a unit of the settings' cost of crossing zones adds to the relative cost. */
+  /** Increase of the cost factor for each unit of the cross-zone cost in the settings. */
   private static final double CROSS_ZONE_COST_FACTOR = 5;
 
   /**
-   * The replica of least cost among those that suit and cover the position that the read requires,
-   * and that it was not sent to before; null when there is none.
+   * Returns the replica of lowest cost among those that are suitable, cover the position that the
+   * read requires and have not received the request before; null if there is none.
    */
   EndpointState select(PendingRequest request) {
     long requiredPositionMicros = request.requiredPositionMicros(state.nowMicros);
@@ -57,7 +57,7 @@
         && positions.covers(endpoint, requiredPositionMicros);
   }
 
-  /** Expected time to an answer, relative to other replicas. Draws one random number. */
+  /** Expected response time relative to other replicas. Draws one random number. */
   private double cost(EndpointState endpoint, boolean preferred) {
     return slowdownEstimator.expected(endpoint)
         * (endpoint.attemptsOut.size() + 1)
--- a/core/src/main/java/shelffront/decision/ReplicaSet.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSet.java
@@ -10,36 +10,36 @@
 import shelffront.statistics.DecayingAverage;
 
 /**
- * The endpoints that hold the same data, one primary and its replicas, and the requests that wait
- * for one of them.
+ * The endpoints that hold the same data, one primary and its replicas, and the requests queued for
+ * them.
  */
 final class ReplicaSet {
 
-  /** Time in which the weight of a service time in {@link #slowdown} falls to 1/e. */
+  /** Time after which the weight of a sample in {@link #slowdown} has fallen to 1/e. */
   private static final double SLOWDOWN_DECAY_SECONDS = 4;
 
   final TreeMap<String, EndpointState> endpoints = new TreeMap<>();
 
-  /** Ids of the replicas that this gateway prefers; null when they are to be chosen anew. */
+  /** Ids of the replicas that this gateway prefers; null if they have to be recomputed. */
   List<String> preferredReplicas;
 
   EndpointState primary;
 
-  /** Time for which the newest message about the primary's role holds. */
+  /** Time as of which the latest message about the primary's role holds. */
   long primaryKnownAtMicros = UNKNOWN;
 
   /**
    * Id of the endpoint that the search for the primary tried last, or that lost the role; the
-   * search goes on behind it. Empty before the first.
+   * search continues after it. Empty if the search starts with the first endpoint.
    */
   String lastSearchedId = "";
 
-  /** The write that searches for the primary. */
+  /** The write that searches for the primary, or searched last; null before the first search. */
   PendingRequest searchingRequest;
 
   long searchPausedUntilMicros = UNKNOWN;
 
-  /** Service times of all endpoints together, over the typical one of the class. */
+  /** Service times of all endpoints, divided by the typical service time of their request class. */
   final DecayingAverage slowdown = new DecayingAverage(SLOWDOWN_DECAY_SECONDS);
 
   final SlowStartBudget slowStartBudget;
@@ -57,7 +57,9 @@
     return Stream.<LinkedHashSet<PendingRequest>>generate(LinkedHashSet::new).limit(count).toList();
   }
 
-  /** Queued requests in order of arrival; those that have left are removed when they are met. */
+  /**
+   * Queued requests in order of insertion; those that were dispatched or moved are removed lazily.
+   */
   LinkedHashSet<PendingRequest> queue(RequestQueueKey key) {
     return (key.late() ? lateQueues : queues).get(key.classIndex());
   }
--- a/core/src/main/java/shelffront/decision/RequestCompletion.java
+++ b/core/src/main/java/shelffront/decision/RequestCompletion.java
@@ -1,14 +1,20 @@
 package shelffront.decision;
 
-/** Ends a request in the module; it takes no further attempt afterwards. */
+/** Completes requests; a completed request gets no further attempt. */
 record RequestCompletion(RoutingState state) {
 
-  /** Timers of completed requests are dropped when so many and a part of all have ended. */
+  /**
+   * Timers of completed requests are removed once more requests than this, plus one for each {@link
+   * #TIMERS_PER_COMPLETED} timers, have completed since the last sweep.
+   */
   private static final int MIN_COMPLETED_FOR_SWEEP = 64;
 
   private static final int TIMERS_PER_COMPLETED = 8;
 
-  /** Forgets the request and cancels the attempts that are out, if it is idempotent. */
+  /**
+   * Removes the request, and cancels its outstanding attempts if it is idempotent and the site
+   * permits cancellation.
+   */
   void complete(PendingRequest request) {
     request.open = false;
     request.queue = null;
--- a/core/src/main/java/shelffront/decision/RequestQueueKey.java
+++ b/core/src/main/java/shelffront/decision/RequestQueueKey.java
@@ -1,4 +1,4 @@
 package shelffront.decision;
 
-/** Names one of a replica set's queues: requests of one class, before or after its objective. */
+/** Identifies a queue of a replica set: requests of one class, before or after their objective. */
 record RequestQueueKey(int classIndex, boolean late) {}
--- a/core/src/main/java/shelffront/decision/RequestQueueOrder.java
+++ b/core/src/main/java/shelffront/decision/RequestQueueOrder.java
@@ -3,10 +3,10 @@
 import java.util.Comparator;
 import shelffront.routing.RequestClass;
 
-/** The order in which the queues of a replica set are served: most value for the work first. */
+/** Orders the queues of a replica set by value per unit of work, highest first. */
 record RequestQueueOrder(RoutingState state) {
 
-  /** Sorts the queues anew, since typical service times change. */
+  /** Sorts the queues again, because typical service times change. */
   void update() {
     if (state.queueOrder.isEmpty()) {
       addQueues(false);
@@ -21,7 +21,7 @@
     }
   }
 
-  /** Value of an answer to a queue's requests, for each microsecond of typical service time. */
+  /** Value of a response to a request in the queue, per microsecond of typical service time. */
   private double valueForWork(RequestQueueKey key) {
     RequestClass requestClass = state.settings.requestClasses().get(key.classIndex());
     return requestClass.priorityWeight()
--- a/core/src/main/java/shelffront/decision/RequestScheduler.java
+++ b/core/src/main/java/shelffront/decision/RequestScheduler.java
@@ -4,9 +4,10 @@
 import java.util.LinkedHashSet;
 
 /**
- * Sends requests, queues those that no endpoint suits yet, and looks at them again.
+ * Sends requests, queues those that have no suitable endpoint yet, and dispatches queued ones
+ * again.
  *
- * <p>Invariant: a queued request has a timer that looks at it again before it is too late.
+ * <p>Invariant: every queued request has a timer that dispatches or sheds it in time.
  */
 record RequestScheduler(
     RoutingState state,
@@ -15,12 +16,15 @@
     LoadShedder loadShedder,
     HealthCheckScheduler healthChecks) {
 
-  /** Queued requests without a suitable endpoint after which the rest of a queue is left. */
+  /** Number of requests without a suitable endpoint after which the rest of a queue is skipped. */
   private static final int MAX_UNSUITABLE_PER_QUEUE = 4;
 
-  /** Sends the request now if an endpoint suits, else queues it; sheds it where it is hopeless. */
+  /**
+   * Sends the request now if an endpoint is suitable, otherwise queues it; sheds it if it can no
+   * longer be served in time.
+   */
   void dispatch(PendingRequest request) {
-    if (!request.open || request.hasAttemptOut()) { // a timer set while it was queued
+    if (!request.open || request.hasAttemptOut()) { // stale timer from queueing
       return;
     }
     if (loadShedder.isHopeless(request)) {
@@ -44,7 +48,10 @@
     request.queue.add(request);
   }
 
-  /** Looks again when sending gets useless, when it gets late, and when its wait for one ends. */
+  /**
+   * Sets timers for the time when sending becomes useless, for the latency objective, and for the
+   * end of the wait for a replica.
+   */
   private void scheduleWhileQueued(PendingRequest request) {
     long latestStartMicros = loadShedder.latestUsefulStartMicros(request);
     state.schedule(
@@ -66,14 +73,18 @@
     }
   }
 
-  /** Looks again at the queued requests of a replica set, since an endpoint may suit now. */
+  /**
+   * Dispatches the queued requests of a replica set, in which an endpoint may have become suitable.
+   */
   void dispatchQueued(ReplicaSet replicaSet) {
     for (RequestQueueKey key : state.queueOrder) {
       dispatchQueue(replicaSet.queue(key));
     }
   }
 
-  /** Dispatches a queue's requests in order, until a few of them have found no endpoint. */
+  /**
+   * Dispatches the requests of a queue in order, until too many of them have no suitable endpoint.
+   */
   private void dispatchQueue(LinkedHashSet<PendingRequest> queue) {
     int unsuitable = 0;
     Iterator<PendingRequest> requests = queue.iterator();
--- a/core/src/main/java/shelffront/decision/RetryPolicy.java
+++ b/core/src/main/java/shelffront/decision/RetryPolicy.java
@@ -4,22 +4,23 @@
 import shelffront.routing.OperatingLimits;
 
 /**
- * Whether a request may have another attempt, given those that it had.
+ * Decides whether a request may have another attempt after the previous ones.
  *
- * <p>Invariant: only a request that may run more than once gets a further attempt after one that
- * ran or may have run.
+ * <p>Invariant: after an attempt that was or may have been executed, a request gets another one
+ * only if it may be executed more than once.
  */
 record RetryPolicy(RoutingState state) {
 
-  /** Whether the site leaves the request an attempt. */
+  /** Whether the request has had fewer attempts than the site permits. */
   boolean hasAttemptsLeft(PendingRequest request) {
     return request.attempts.size() < state.settings.limits().maxAttempts();
   }
 
   /**
-   * Whether earlier attempts leave the request free to be sent again: always where none may have
-   * run, else by its class, with an idempotency key only inside the deduplication window, less one
-   * tick since the attempt arrives later than it is decided.
+   * Whether previous attempts allow the request to be sent again: always if none of them may have
+   * been executed, otherwise depending on the class. With an idempotency key, the retry must fall
+   * into the deduplication window less one tick, because the attempt arrives later than it is
+   * decided.
    */
   boolean mayRetry(PendingRequest request) {
     Attempt executed = request.firstPossiblyExecuted();
@@ -36,8 +37,8 @@
   }
 
   /**
-   * Whether a retry at this endpoint would be recognized as a repeat: hosts that share idempotency
-   * keys within a zone do not know those of another one.
+   * Whether a retry at this endpoint would be recognized as a repeat. Hosts that share idempotency
+   * keys within a zone do not know the keys of another zone.
    */
   boolean staysInDeduplicationScope(PendingRequest request, EndpointState endpoint) {
     Attempt executed = request.firstPossiblyExecuted();
@@ -46,7 +47,7 @@
         || executed.endpoint.listed.zone().equals(endpoint.listed.zone());
   }
 
-  /** Whether an attempt may start beside those that are still out. */
+  /** Whether an attempt may start while others are outstanding. */
   boolean mayRunBesideOthers(PendingRequest request) {
     OperatingLimits limits = state.settings.limits();
     return !request.hasAttemptOut()
--- a/core/src/main/java/shelffront/decision/RoutingEngine.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -17,19 +17,20 @@
 import shelffront.routing.RoutingSettings;
 
 /**
- * Makes all routing decisions: takes the events of {@link Router} and hands each to the policies
- * that it concerns.
+ * Makes all routing decisions: receives the events of {@link Router} and passes each one to the
+ * policies concerned.
  *
- * <p>A session's read goes to a replica known to have applied the session's last write, after a
- * short bounded wait, else to the primary. What cannot be sent yet is queued in its replica set and
- * looked at again when something in the set changes; a timer covers every queued request.
+ * <p>A session read goes to a replica that has applied the session's last write or, if none is
+ * available within a short bounded wait, to the primary. A request that cannot be sent yet is
+ * queued in its replica set and dispatched again when something in the set changes; a timer covers
+ * every queued request.
  *
- * <p>Invariants: each request gets one final answer at most from here; the same events give the
- * same actions. Used on one thread.
+ * <p>Invariants: the engine gives each request at most one final response; the same events produce
+ * the same actions. Not thread-safe: all methods must be called on one thread.
  */
 public final class RoutingEngine implements Router {
 
-  /** Typical service time at the start, as a divisor of the class's latency objective. */
+  /** Ratio of a class's latency objective to its initial typical service time. */
   private static final double INITIAL_OBJECTIVE_PER_SERVICE_TIME = 4.0;
 
   private static final long MAINTENANCE_INTERVAL_MICROS =
@@ -38,7 +39,9 @@
   final RoutingState state;
   private final RoutingPolicies policies;
 
-  /** Decides for one gateway, or for one tenant of it, and acts by these actions. */
+  /**
+   * Creates an engine for one gateway, or for one tenant of it, that acts through {@code actions}.
+   */
   public RoutingEngine(RouterActions actions) {
     state = new RoutingState(actions);
     policies = new RoutingPolicies(state);
@@ -125,7 +128,7 @@
     policies.scheduler.dispatchQueued(attempt.request.replicaSet);
   }
 
-  /** Takes in what the response told of its host's position and role. */
+  /** Records the position and role that the response reported for its host. */
   private void recordReplication(EndpointState endpoint, AttemptOutcome outcome) {
     policies.positions.recordLoadReport(endpoint, outcome.loadReport());
     policies.positions.recordRole(endpoint, outcome.role(), state.nowMicros);
@@ -137,7 +140,7 @@
     }
   }
 
-  /** The attempt's connection idles now, unless the endpoint's connections are scarce. */
+  /** Keeps the attempt's connection as idle, unless the endpoint's connections are scarce. */
   private void keepOrCloseConnection(EndpointState endpoint) {
     boolean scarce = state.nowMicros < endpoint.connectionsScarceUntilMicros;
     if (scarce && endpoint.attemptsOut.isEmpty()) {
@@ -149,7 +152,10 @@
     }
   }
 
-  /** Remembers where a session's write was committed, unless its client carries the position. */
+  /**
+   * Remembers the commit position of a session's write, unless clients carry the position. Without
+   * a position in the response, the current time takes its place.
+   */
   private void recordSessionWrite(PendingRequest request, AttemptOutcome outcome) {
     if (outcome.status() == AttemptStatus.OK
         && request.requestClass.isWrite()
@@ -162,7 +168,10 @@
     }
   }
 
-  /** Completes the request where it is answered, else dispatches it anew if nothing is out. */
+  /**
+   * Completes the request if it has its response, otherwise dispatches it again if no attempt is
+   * outstanding.
+   */
   private void continueRequest(PendingRequest request, AttemptOutcome outcome) {
     if (outcome.requestCompleted() || outcome.status() == AttemptStatus.OK) {
       policies.completion.complete(request);
@@ -216,7 +225,7 @@
     }
   }
 
-  /** Brings averages up to date and looks at everything that is queued; schedules itself. */
+  /** Updates averages and dispatches queued requests; schedules itself again. */
   private void maintain() {
     policies.queueOrder.update();
     policies.slowStartAdmission.updateWarmEndpointSends();
--- a/core/src/main/java/shelffront/decision/RoutingPolicies.java
+++ b/core/src/main/java/shelffront/decision/RoutingPolicies.java
@@ -1,10 +1,10 @@
 package shelffront.decision;
 
 /**
- * The policies that {@link RoutingEngine} hands events to, and how they depend on each other.
+ * Creates the policies to which {@link RoutingEngine} passes events, and connects them.
  *
- * <p>Invariant: dependencies go one way; a policy is given those that it asks, and is asked by none
- * of them.
+ * <p>Invariant: the dependencies have no cycle; a policy calls only those passed to its
+ * constructor.
  */
 final class RoutingPolicies {
 
--- a/core/src/main/java/shelffront/decision/RoutingState.java
+++ b/core/src/main/java/shelffront/decision/RoutingState.java
@@ -14,23 +14,24 @@
 import shelffront.time.TimerQueue;
 
 /**
- * All that changes in the module; the policies hold nothing of their own.
+ * Mutable state of the decision module. The policies have none of their own, except for {@link
+ * EndpointListBackoff}.
  *
- * <p>Invariants: {@link #nowMicros} is the time of the event in work; every random choice draws
- * from {@link #random}, and every timer stands in {@link #timers}. Used on one thread.
+ * <p>Invariants: {@link #nowMicros} is the time of the event being processed; every random choice
+ * uses {@link #random}, and every timer is in {@link #timers}. Used on one thread.
  */
 final class RoutingState {
 
   private static final int MAX_REMEMBERED_SESSIONS = 20_000;
 
-  /** At most one log line in this time is written; others are dropped. */
+  /** Minimum time between two log lines; lines within it are dropped. */
   private static final long LOG_INTERVAL_MICROS = 200_000;
 
   private static final double MIN_OVERLOAD_WINDOW_SECONDS = 0.001;
 
   final RouterActions actions;
 
-  /** Looks again at the queued requests of a replica set, since something in it changed. */
+  /** Called when something in a replica set has changed; dispatches its queued requests. */
   Consumer<ReplicaSet> replicaSetChanged;
 
   final TimerQueue timers;
@@ -43,20 +44,20 @@
   final HashMap<AttemptId, Attempt> attemptsOut = new HashMap<>();
   final SessionPositions sessions = new SessionPositions(MAX_REMEMBERED_SESSIONS);
 
-  /** Order in which the queues of a replica set are looked at. */
+  /** Queues of a replica set in the order in which they are served. */
   final ArrayList<RequestQueueKey> queueOrder = new ArrayList<>();
 
   int completedSinceTimerSweep;
 
-  /** Smoothed service time by class. */
+  /** Smoothed service time by class index. */
   double[] typicalServiceMicros;
 
   HealthCheckBudget healthCheckBudget;
 
-  /** Recent attempts to a warm endpoint of capacity 1, on average. */
+  /** Mean number of recent attempts to a warm endpoint, per unit of its capacity. */
   double warmEndpointSends;
 
-  /** Until then setting up a connection is expected to take too long. */
+  /** Time until which establishing a connection is expected to take too long. */
   long connectionsExpensiveUntilMicros = UNKNOWN;
 
   private long loggedAtMicros = UNKNOWN;
@@ -66,22 +67,22 @@
     timers = new TimerQueue(atMicros -> actions.setTimer("wake", atMicros));
   }
 
-  /** Runs a task at a time; it may be dropped once the request that it is about has ended. */
+  /** Runs the task at the given time; it may be dropped once the request has been completed. */
   void schedule(PendingRequest request, long atMicros, Runnable task) {
     timers.schedule(atMicros, () -> request.open, task);
   }
 
-  /** Runs a task at a time in any case. */
+  /** Runs the task at the given time unconditionally. */
   void schedule(long atMicros, Runnable task) {
     timers.schedule(atMicros, () -> true, task);
   }
 
-  /** Typical service time of a request's class. */
+  /** Typical service time of the request's class. */
   double typicalServiceMicros(PendingRequest request) {
     return typicalServiceMicros[request.request.classIndex()];
   }
 
-  /** The replica set of this number, which is added when it is first asked for. */
+  /** Returns the replica set with this number, which is created on first use. */
   ReplicaSet replicaSet(int number) {
     double overloadSeconds =
         Math.max(MIN_OVERLOAD_WINDOW_SECONDS, settings.safetyRules().overloadWindowMicros() / 1e6);
--- a/core/src/main/java/shelffront/decision/SilenceDetector.java
+++ b/core/src/main/java/shelffront/decision/SilenceDetector.java
@@ -1,21 +1,25 @@
 package shelffront.decision;
 
-/** Whether an endpoint has stopped answering, by the attempts that it has not answered. */
+/**
+ * Detects endpoints that have stopped responding, by the waiting times of their outstanding
+ * attempts.
+ */
 record SilenceDetector(RoutingState state, SlowdownEstimator slowdownEstimator) {
 
-  /** Typical service times that the waits at a silent endpoint add up to. */
+  /** Total waiting time, in typical service times, above which an endpoint is silent. */
   private static final double SILENT_SERVICE_TIMES = 8;
 
-  /** A shorter wait tells nothing: a garbage collection or a busy core explains it. */
+  /** Shorter waits are no evidence: a garbage collection or a busy core can explain them. */
   private static final long MIN_SILENCE_MICROS = 25_000;
 
-  /** A slow endpoint may take longer, but no more than so many times. */
+  /** Maximum factor by which the threshold is raised for a slow endpoint. */
   private static final double MAX_TOLERATED_SLOWDOWN = 3;
 
   /**
-   * Whether the waits of all attempts that are out, each since it was sent or since the endpoint's
-   * last response, add up to too many typical service times. Overtaken attempts do not count: their
-   * connections are lost, which says nothing of the endpoint.
+   * Whether the waiting times of all outstanding attempts add up to too many typical service times.
+   * Each is measured from the send time or the endpoint's last response, whichever is later.
+   * Overtaken attempts do not count: their connections were lost, which is no evidence about the
+   * endpoint.
    */
   boolean isSilent(EndpointState endpoint) {
     double serviceTimesWaited = 0;
@@ -32,7 +36,7 @@
         && serviceTimesWaited > SILENT_SERVICE_TIMES * toleratedSlowdown(endpoint);
   }
 
-  /** Whether an overtaken attempt has waited so long that its connection must be lost. */
+  /** Whether the attempt was overtaken and has waited so long that its connection must be lost. */
   boolean isLostWithItsConnection(Attempt attempt) {
     return attempt.isOvertaken()
         && state.nowMicros - attempt.sentAtMicros
--- a/core/src/main/java/shelffront/decision/SlowStartAdmission.java
+++ b/core/src/main/java/shelffront/decision/SlowStartAdmission.java
@@ -4,14 +4,17 @@
 import shelffront.routing.SafetyRules;
 
 /**
- * Which requests may go to an endpoint that is warming up, so that the fleet together does not
- * overload it.
+ * Limits the requests to endpoints that are warming up, so that the gateways of the fleet together
+ * do not overload them.
  *
- * <p>Invariant: an endpoint that has all of its capacity is not limited here.
+ * <p>Invariant: an endpoint that has reached its full capacity is not limited here.
  */
 record SlowStartAdmission(RoutingState state) {
 
-  /** Counts anew what a warm endpoint of capacity 1 gets; keeps the count while there is none. */
+  /**
+   * Updates the mean number of recent sends to warm endpoints per unit of capacity; keeps the last
+   * value while there is no warm endpoint.
+   */
   void updateWarmEndpointSends() {
     state.warmEndpointSends =
         state.endpoints.values().stream()
@@ -23,7 +26,7 @@
             .orElse(state.warmEndpointSends);
   }
 
-  /** Fraction of its capacity, 0 to 1, that an endpoint has at least, by its age. */
+  /** Minimum fraction of its capacity, 0 to 1, that the endpoint has reached at its age. */
   double capacityFraction(EndpointState endpoint) {
     long startedAtMicros = endpoint.listed.startedAtMicros();
     if (startedAtMicros <= 0) {
@@ -41,8 +44,8 @@
   }
 
   /**
-   * Whether the budget of a warming endpoint covers the request. No request goes to one twice: in a
-   * search for the primary, attempts that are sent back are work for it too.
+   * Whether the budget of a warming endpoint covers the request. No request is sent to such an
+   * endpoint twice: in a search for the primary, attempts that it rejects add to its load too.
    */
   boolean admits(PendingRequest request, EndpointState endpoint) {
     if (isWarm(endpoint)) {
@@ -62,7 +65,10 @@
         budget(endpoint));
   }
 
-  /** Budgets of the warming endpoints that come before this one: by id, the primary last. */
+  /**
+   * Sum of the budgets of the warming endpoints that precede this one, by id and with the primary
+   * last.
+   */
   private double budgetBefore(EndpointState endpoint) {
     return endpoint.replicaSet.endpoints.values().stream()
         .filter(other -> other.assignable && !other.isPrimary() && !isWarm(other))
@@ -71,7 +77,11 @@
         .sum();
   }
 
-  /** Requests in the budget's window; an endpoint's set adds one, so that it is tried at all. */
+  /**
+   * Number of requests that the endpoint may get within the budget's window. The usual sends
+   * include one request divided among the endpoints of the replica set, so that the endpoint is
+   * tried at all.
+   */
   private double budget(EndpointState endpoint) {
     double fairSends =
         state.warmEndpointSends * endpoint.capacityHint()
