--- a/core/src/test/java/shelffront/decision/DecisionModuleSourceTest.java
+++ b/core/src/test/java/shelffront/decision/DecisionModuleSourceTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds the sources of the decision module to a size that can be read, and the deploy file to it.
+ * Limits the size of the decision module's source files, and checks that the deploy file lists
+ * exactly these files.
  */
 class DecisionModuleSourceTest {
 
@@ -28,10 +29,20 @@
     for (Path file : sources()) {
       List<String> lines = Files.readAllLines(file);
       long filledLines = lines.stream().filter(line -> !line.isBlank()).count();
-      assertTrue(filledLines > 0 && filledLines <= MAX_FILE_LINES, file + " is too long");
+      assertTrue(
+          filledLines > 0 && filledLines <= MAX_FILE_LINES,
+          file + " has " + filledLines + " non-blank lines, expected 1 to " + MAX_FILE_LINES);
       for (int i = 0; i < lines.size(); i++) {
         int length = lines.get(i).length();
-        assertTrue(length <= MAX_LINE_CHARACTERS, file + ": line " + (i + 1) + " is too long");
+        assertTrue(
+            length <= MAX_LINE_CHARACTERS,
+            file
+                + ": line "
+                + (i + 1)
+                + " has "
+                + length
+                + " characters, expected at most "
+                + MAX_LINE_CHARACTERS);
       }
     }
   }
--- a/core/src/test/java/shelffront/decision/DecisionsPageTest.java
+++ b/core/src/test/java/shelffront/decision/DecisionsPageTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Holds docs/DECISIONS.md to the methods and tests that it names. */
+/** Checks that the methods and tests named in docs/DECISIONS.md exist. */
 class DecisionsPageTest {
 
   private static final Path PAGE = Path.of("../docs/DECISIONS.md");
@@ -38,7 +38,7 @@
       }
     }
     assertEquals(List.of(), missing);
-    assertFalse(named == 0, "the page names no method");
+    assertFalse(named == 0, "docs/DECISIONS.md names no method");
   }
 
   private static Map<String, String> sourcesByClass() throws IOException {
--- a/core/src/test/java/shelffront/decision/EndpointHealthTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointHealthTest.java
@@ -13,7 +13,7 @@
 import shelffront.routing.Router;
 
 /**
- * When an endpoint is ejected, put on probation, health-checked and used again, and when its
+ * Tests when an endpoint is ejected, put on probation, health-checked and readmitted, and when its
  * attempts are hedged.
  */
 class EndpointHealthTest {
@@ -50,13 +50,13 @@
       harness.request("a" + i, RoutingTestHarness.EVENTUAL_READ);
       harness.outcome("a" + i, 0, "m2", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
     }
-    assertEquals(3, harness.newSendsTo("m2"), "one that is well loses connections too");
+    assertEquals(3, harness.newSendsTo("m2"), "a healthy endpoint loses connections too");
     harness.request("b", RoutingTestHarness.EVENTUAL_READ);
-    assertEquals(0, harness.newSendsTo("m2"), "none for a moment");
+    assertEquals(0, harness.newSendsTo("m2"), "ejected briefly after three failures");
     harness.answerHealthCheck("m2", Role.REPLICA, harness.nowMicros);
     harness.advanceTime(45 * RoutingTestHarness.MS);
     harness.request("c", RoutingTestHarness.EVENTUAL_READ);
-    assertTrue(harness.newSendsTo("m2") > 0, "its table was full, it lives");
+    assertTrue(harness.newSendsTo("m2") > 0, "alive: only its connection table was full");
     for (int i = 0; i < 6; i++) {
       harness.router.onHealthCheckResult(
           harness.nowMicros, "m2", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
@@ -64,16 +64,21 @@
     harness.newActions();
     harness.advanceTime(400 * RoutingTestHarness.MS);
     harness.request("d", RoutingTestHarness.EVENTUAL_READ);
-    assertEquals(0, harness.newSendsTo("m2"), "six failures in a row");
+    assertEquals(0, harness.newSendsTo("m2"), "ejected after six failed health checks in a row");
   }
 
-  /** Guards against idle connections that fill an endpoint's table while others need one. */
+  /**
+   * Guards against idle connections that fill an endpoint's connection table while other gateways
+   * need a connection.
+   */
   @Test
   void closesIdleConnectionsWhileTheyAreScarce() {
     harness.start();
     harness.request("a", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
     harness.outcome("a", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
-    assertFalse(harness.newActions().contains("closeIdle m1"), "kept while nothing is refused");
+    assertFalse(
+        harness.newActions().contains("closeIdle m1"),
+        "idle connections are kept while none is refused");
     harness.request("b", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
     for (int i = 0; i < 3; i++) {
       harness.outcome("b", i, "m1", AttemptStatus.CONNECT_FAILED, Role.UNKNOWN);
@@ -93,20 +98,20 @@
     harness.request("x", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
     harness.newActions();
     harness.advanceTime(400 * RoutingTestHarness.MS);
-    assertFalse(harness.newActions().contains("send x m1"), "silent");
+    assertFalse(harness.newActions().contains("send x m1"), "m1 is silent");
     for (int i = 0; i < 6; i++) {
       harness.outcome("w" + i, 0, "m1", AttemptStatus.TIMEOUT, Role.UNKNOWN);
     }
     harness.advanceTime(2_500 * RoutingTestHarness.MS);
     harness.request("y", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
-    assertFalse(harness.newActions().contains("send y m1"), "not proved");
+    assertFalse(harness.newActions().contains("send y m1"), "m1 is still on probation");
     harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros);
-    assertTrue(harness.newActions().contains("send y m1"), "proved");
+    assertTrue(harness.newActions().contains("send y m1"), "the health check ended the probation");
   }
 
   /**
-   * The connection of one was lost; those sent after it were answered at once, so the endpoint is
-   * neither slow nor silent.
+   * Guards against ejecting a healthy endpoint for an attempt whose connection was lost: the
+   * attempts sent after it succeed quickly, so the endpoint is neither slow nor silent.
    */
   @Test
   void ignoresOvertakenAttemptsInTheEndpointsHealth() {
@@ -173,7 +178,10 @@
     assertTrue(news.contains("cancel lost 0"), news.toString());
   }
 
-  /** Nothing else would prove it: reads go to replicas, and a once-only write is no trial. */
+  /**
+   * Only a health check can end the probation of a primary: reads go to replicas, and a
+   * non-idempotent write is not sent to an endpoint on probation.
+   */
   @Test
   void checksPrimaryOnProbationUntilItAnswers() {
     harness.start();
@@ -205,10 +213,10 @@
           harness.nowMicros, "m1", AttemptStatus.TIMEOUT, 250 * RoutingTestHarness.MS, null);
     }
     harness.request("w", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
-    assertFalse(harness.newActions().contains("send w m1"), "it answers no health check");
+    assertFalse(harness.newActions().contains("send w m1"), "its health checks fail");
     harness.advanceTime(200 * RoutingTestHarness.MS);
     harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros);
-    assertTrue(harness.newActions().contains("send w m1"), "it does");
+    assertTrue(harness.newActions().contains("send w m1"), "its health check succeeded");
   }
 
   @Test
@@ -238,10 +246,10 @@
     }
     assertTrue(
         harness.newSendsTo("m2") < 40,
-        "an endpoint that answers no read in time is not asked each time");
+        "an endpoint on which every read times out does not get every read");
   }
 
-  /** Guards against giving back connections that could not be set up again in time. */
+  /** Guards against closing idle connections that cannot be replaced in time. */
   @Test
   void keepsAndPrefersIdleConnectionsWhileNewOnesAreExpensive() {
     harness.start();
@@ -264,17 +272,19 @@
     for (int i = 0; i < 5; i++) {
       harness.request("b" + i, RoutingTestHarness.EVENTUAL_READ);
       harness.outcome("b" + i, 0, used, AttemptStatus.OK, Role.REPLICA);
-      assertTrue(harness.newActions().contains("send b" + i + " " + used), "the connected one");
+      assertTrue(
+          harness.newActions().contains("send b" + i + " " + used),
+          "the replica with an idle connection");
     }
     harness.outcome("w", 1, "m1", AttemptStatus.OK, Role.PRIMARY);
     assertFalse(
         harness.newActions().stream().anyMatch(action -> action.startsWith("closeIdle")),
-        "kept open");
+        "idle connections are kept");
   }
 
   /**
-   * Hosts that answer within a millisecond were all left alone at the first hiccup: 4,000 reads a
-   * second lost.
+   * Guards against ejecting fast endpoints after a short pause: hosts that respond within a
+   * millisecond were all ejected at the first pause, and 4,000 reads per second were lost.
    */
   @Test
   void toleratesShortPausesOfFastEndpoints() {
@@ -308,6 +318,6 @@
     harness.advanceTime(40 * RoutingTestHarness.MS);
     assertTrue(
         harness.newActions().stream().anyMatch(action -> action.startsWith("cancel")),
-        "that long is silence");
+        "a pause of 60 ms is silence");
   }
 }
--- a/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
@@ -10,7 +10,7 @@
 import shelffront.routing.LagCheck;
 import shelffront.routing.Role;
 
-/** What the design page says of the ordinary path. */
+/** Tests which endpoint a request is sent to while all endpoints are healthy. */
 class EndpointSelectionTest {
 
   private final RoutingTestHarness harness = new RoutingTestHarness();
@@ -149,7 +149,7 @@
   @Test
   void takesUnknownReplicasAsBehindAndChecksEachOnce() {
     harness.startWithUnknown("m1", "m2");
-    assertEquals(List.of("probe m1", "probe m2"), harness.actions.lines);
+    assertEquals(List.of("checkHealth m1", "checkHealth m2"), harness.actions.lines);
     harness.newActions();
     harness.request("a", RoutingTestHarness.BOUNDED_READ);
     assertEquals(List.of(), harness.newActions());
@@ -166,6 +166,6 @@
     assertTrue(first.matches("send a m[23]"), first);
     harness.outcome("a", 0, first.substring(7), AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
     String second = harness.newActions().get(0);
-    assertFalse(second.equals(first), "not to the endpoint that just rejected it");
+    assertFalse(second.equals(first), "must not go to the endpoint that just rejected it");
   }
 }
--- a/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
@@ -15,7 +15,9 @@
 import shelffront.routing.LagCheck;
 import shelffront.routing.Role;
 
-/** A hundred gateways that know of each other only their number: what they choose adds up. */
+/**
+ * Tests the combined selections of 100 gateways that know of each other only how many there are.
+ */
 class FleetEndpointSelectionTest {
 
   private static final int GATEWAYS = 100;
@@ -36,7 +38,7 @@
     harness.newActions();
   }
 
-  /** The endpoint that a read goes to, served at once; empty when it is queued. */
+  /** Returns the endpoint to which a read is sent, which succeeds; empty if the read is queued. */
   private static String serveRead(RoutingTestHarness harness, String id) {
     harness.request(id, RoutingTestHarness.EVENTUAL_READ);
     List<String> sent =
@@ -90,7 +92,10 @@
     Map<String, Integer> probes = new TreeMap<>();
     for (int gatewayIndex = 0; gatewayIndex < GATEWAYS; gatewayIndex++) {
       RoutingTestHarness harness = harness(gatewayIndex, GATEWAYS);
-      assertEquals(0, harness.healthChecks(), "a start of all at once");
+      assertEquals(
+          0,
+          harness.healthChecks(),
+          "a simultaneous start of all gateways causes no health checks");
       harness.request("r", RoutingTestHarness.BOUNDED_READ);
       for (String host : HOSTS) {
         probes.merge(host, (int) harness.healthChecksOf(host), Integer::sum);
@@ -102,8 +107,8 @@
   }
 
   /**
-   * Freshness, roles and health come first: a subset never leaves a request without an endpoint
-   * that may serve it.
+   * Guards against a subset that leaves a request without an endpoint: freshness, roles and health
+   * take precedence over the subset.
    */
   @Test
   void usesOtherReplicasWhereThePreferredMayNotServe() {
@@ -140,6 +145,6 @@
     }
     assertTrue(
         harness.healthChecksOf("m2") - before <= 1,
-        harness.healthChecksOf("m2") - before + " probes in 1.5 s");
+        harness.healthChecksOf("m2") - before + " health checks in 1.5 s");
   }
 }
--- a/core/src/test/java/shelffront/decision/RecordingActions.java
+++ b/core/src/test/java/shelffront/decision/RecordingActions.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import shelffront.routing.RouterActions;
 
-/** Records what the module asks for, one plain line an action, and the timers it set. */
+/** Records the actions that the decision module requests, one line each, and the timers it sets. */
 final class RecordingActions implements RouterActions {
 
   record Timer(String name, long atMicros) {}
@@ -34,7 +34,7 @@
 
   @Override
   public void checkHealth(String endpointId) {
-    lines.add("probe " + endpointId);
+    lines.add("checkHealth " + endpointId);
   }
 
   @Override
@@ -44,17 +44,17 @@
 
   @Override
   public void watchEndpoints(boolean enabled) {
-    lines.add("subscribe " + enabled);
+    lines.add("watchEndpoints " + enabled);
   }
 
   @Override
   public void fetchEndpoints() {
-    lines.add("fetchList");
+    lines.add("fetchEndpoints");
   }
 
   @Override
   public void sendToPeers(int gatewayIndex, byte[] payload) {
-    lines.add("tell " + gatewayIndex);
+    lines.add("sendToPeers " + gatewayIndex);
   }
 
   @Override
--- a/core/src/test/java/shelffront/decision/RequestSchedulingTest.java
+++ b/core/src/test/java/shelffront/decision/RequestSchedulingTest.java
@@ -14,14 +14,15 @@
 import shelffront.routing.Request;
 import shelffront.routing.Role;
 
-/** When requests are queued, sent, looked at again and shed, and what that costs. */
+/** Tests when requests are queued, sent, dispatched again and shed, and the cost of this. */
 class RequestSchedulingTest {
 
   private final RoutingTestHarness harness = new RoutingTestHarness();
 
   /**
-   * Its timer from the time when it was queued finds it sent, and permission for copies is no
-   * reason for one.
+   * Guards against duplicate attempts: a timer that was set while the request was queued fires
+   * after the request has been sent. It must not start a second attempt, although hedging is
+   * allowed.
    */
   @Test
   void sendsQueuedRequestOnceThoughItsTimersRemain() {
@@ -83,11 +84,13 @@
   void sendsFewerHealthChecksWhereTheyCostMore() {
     long cheap = healthChecksOfQueuedReads(0.01);
     long dear = healthChecksOfQueuedReads(0.1);
-    assertTrue(dear <= 20 + 200 * 0.1 + 3, dear + " probes");
-    assertTrue(cheap > 2 * dear, cheap + " and " + dear + " probes");
+    assertTrue(dear <= 20 + 200 * 0.1 + 3, dear + " health checks");
+    assertTrue(cheap > 2 * dear, cheap + " and " + dear + " health checks");
   }
 
-  /** Two hundred reads that no replica covers, over ten seconds. */
+  /**
+   * Counts the health checks caused by 200 reads over 10 s for which no replica is recent enough.
+   */
   private static long healthChecksOfQueuedReads(double price) {
     RoutingTestHarness gateway = new RoutingTestHarness();
     gateway.healthCheckCost = price;
@@ -136,17 +139,17 @@
   void watchesEndpointListAgainAfterFailures() {
     harness.endpointListPolled = true;
     harness.startWithUnknown("m1");
-    assertTrue(harness.newActions().contains("subscribe true"));
+    assertTrue(harness.newActions().contains("watchEndpoints true"));
     for (int i = 0; i < 8; i++) {
       harness.router.onEndpoints(harness.nowMicros, EndpointUpdateKind.FAILED, 0, List.of());
       harness.advanceTime(3_100 * RoutingTestHarness.MS);
-      assertEquals(List.of("subscribe true"), harness.newActions());
+      assertEquals(List.of("watchEndpoints true"), harness.newActions());
     }
   }
 
   /**
-   * Guards against work that grows with all queued requests at each outcome; without the limit it
-   * takes over 20 s.
+   * Guards against work for each outcome that grows with the number of queued requests; without the
+   * limit the test takes over 20 s.
    */
   @Test
   void boundsWorkOfAnOutcomeWhileManyRequestsAreQueued() {
@@ -169,17 +172,18 @@
   void ignoresUnknownMessagesAndLateEvents() {
     harness.start();
     harness.router.onPeerMessage(harness.nowMicros, 2, new byte[] {9, 9});
-    harness.outcome("never", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
-    harness.outcome("never", 3, "nobody", AttemptStatus.RESET, Role.UNKNOWN);
-    harness.router.onClientDisconnected(harness.nowMicros, "never");
-    harness.router.onHealthCheckResult(harness.nowMicros, "nobody", AttemptStatus.OK, 1, null);
-    harness.router.onTimer(harness.nowMicros, "odd");
+    harness.outcome("unknown-request", 0, "m1", AttemptStatus.OK, Role.PRIMARY);
+    harness.outcome("unknown-request", 3, "unknown-endpoint", AttemptStatus.RESET, Role.UNKNOWN);
+    harness.router.onClientDisconnected(harness.nowMicros, "unknown-request");
+    harness.router.onHealthCheckResult(
+        harness.nowMicros, "unknown-endpoint", AttemptStatus.OK, 1, null);
+    harness.router.onTimer(harness.nowMicros, "unknown-timer");
     assertEquals(List.of(), harness.newActions());
   }
 
   /**
-   * At one request a second a clock asks far too often or too late; the read that needs a position
-   * asks.
+   * At one request per second, periodic health checks would be either far too frequent or too late,
+   * so they are triggered by a read that needs a position.
    */
   @Test
   void checksPositionsWhenAReadNeedsThemOnly() {
@@ -190,17 +194,18 @@
     }
     harness.actions.lines.clear();
     harness.advanceTime(30_000 * RoutingTestHarness.MS);
-    assertEquals(List.of(), harness.actions.lines, "nothing needs a position");
+    assertEquals(List.of(), harness.actions.lines, "no request needs a position");
     harness.request("a", RoutingTestHarness.BOUNDED_READ);
-    assertEquals(2, harness.actions.lines.size(), "two are asked, not the whole group");
-    String asked = harness.actions.lines.get(0).substring("probe ".length());
+    assertEquals(
+        2, harness.actions.lines.size(), "two endpoints are checked, not the whole replica set");
+    String asked = harness.actions.lines.get(0).substring("checkHealth ".length());
     harness.answerHealthCheck(asked, Role.REPLICA, harness.nowMicros - 100 * RoutingTestHarness.MS);
     assertTrue(harness.actions.lines.contains("send a " + asked), harness.actions.lines.toString());
   }
 
   /**
-   * Guards against overload that a gateway with few requests sees too late: one answer tells of the
-   * replica set.
+   * Guards against overload that a gateway with few requests detects too late: a single timeout is
+   * evidence about the whole replica set.
    */
   @Test
   void holdsReadsBackWhileTheirReplicaSetIsSlow() {
@@ -212,18 +217,15 @@
     harness.request("b", RoutingTestHarness.SESSION_READ);
     assertFalse(
         harness.newActions().stream().anyMatch(action -> action.startsWith("send b")),
-        "no member would be in time");
+        "no endpoint is expected to respond in time");
     harness.advanceTime(15_000 * RoutingTestHarness.MS);
     harness.request("c", RoutingTestHarness.SESSION_READ);
     assertTrue(
         harness.newActions().stream().anyMatch(action -> action.startsWith("send c")),
-        "the evidence has faded");
+        "the recorded slowdown has decayed");
   }
 
-  /**
-   * Guards against work that ends late for little worth while it makes the next requests late as
-   * well.
-   */
+  /** Guards against late work of little value that makes the next requests late as well. */
   @Test
   void shedsReadOfLittleLateValueAtItsObjective() {
     harness.start();
@@ -236,8 +238,8 @@
   }
 
   /**
-   * Guards against memory and work that grow with the requests of the last seconds instead of those
-   * queued.
+   * Guards against memory and work that grow with the number of recent requests instead of queued
+   * ones.
    */
   @Test
   void dropsTimersOfCompletedRequests() throws ReflectiveOperationException {
--- a/core/src/test/java/shelffront/decision/RoutingTestHarness.java
+++ b/core/src/test/java/shelffront/decision/RoutingTestHarness.java
@@ -27,8 +27,8 @@
 import shelffront.routing.SafetyRules;
 
 /**
- * Drives one gateway of the module by hand: a clock, a small replica set, and short calls for the
- * events.
+ * Drives one {@link RoutingEngine} with a manual clock and a small replica set, and offers short
+ * methods for its events.
  */
 final class RoutingTestHarness {
 
@@ -150,7 +150,7 @@
         healthCheckCost);
   }
 
-  /** Starts with endpoints m1 (told to be the primary), m2 and m3, all at a current position. */
+  /** Starts with endpoints m1 (reported as primary), m2 and m3, all at the current position. */
   RoutingTestHarness start() {
     startWithUnknown("m1", "m2", "m3");
     answerHealthCheck("m1", Role.PRIMARY, nowMicros);
@@ -160,7 +160,7 @@
     return this;
   }
 
-  /** Starts with these endpoints and nothing heard of them. */
+  /** Starts with these endpoints, none of which has reported yet. */
   RoutingTestHarness startWithUnknown(String... ids) {
     router.onStart(nowMicros, 7, settings());
     List<Endpoint> endpoints = new ArrayList<>();
@@ -214,7 +214,7 @@
             null));
   }
 
-  /** Lets time pass; timers fire when due, as the embedding proxy would fire them. */
+  /** Advances the clock; timers fire when due, as the embedding proxy would fire them. */
   void advanceTime(long time) {
     long end = nowMicros + time;
     while (true) {
@@ -235,27 +235,29 @@
     nowMicros = Math.max(nowMicros, end);
   }
 
-  /** Probes of an endpoint so far. */
+  /** Number of health checks of an endpoint so far. */
   long healthChecksOf(String endpointId) {
-    return actions.lines.stream().filter(action -> action.equals("probe " + endpointId)).count();
+    return actions.lines.stream()
+        .filter(action -> action.equals("checkHealth " + endpointId))
+        .count();
   }
 
-  /** Probes of all endpoints so far. */
+  /** Number of health checks of all endpoints so far. */
   long healthChecks() {
-    return actions.lines.stream().filter(action -> action.startsWith("probe ")).count();
+    return actions.lines.stream().filter(action -> action.startsWith("checkHealth ")).count();
   }
 
-  /** Actions since the last call, without health checks and log lines. */
+  /** Returns the actions since the last call, without health checks and log lines. */
   List<String> newActions() {
     List<String> lines =
         actions.lines.subList(linesSeen, actions.lines.size()).stream()
-            .filter(action -> !action.startsWith("probe ") && !action.startsWith("log "))
+            .filter(action -> !action.startsWith("checkHealth ") && !action.startsWith("log "))
             .collect(Collectors.toList());
     linesSeen = actions.lines.size();
     return lines;
   }
 
-  /** Attempts started at an endpoint since the last look at new actions. */
+  /** Number of attempts started at an endpoint since the last call of {@link #newActions}. */
   long newSendsTo(String endpointId) {
     return newActions().stream()
         .filter(action -> action.startsWith("send") && action.endsWith(endpointId))
--- a/core/src/test/java/shelffront/decision/SafetyRulesTest.java
+++ b/core/src/test/java/shelffront/decision/SafetyRulesTest.java
@@ -14,7 +14,7 @@
 import shelffront.routing.Request;
 import shelffront.routing.Role;
 
-/** The five rules, each on both sides of its boundary. */
+/** Tests the five safety rules, each on both sides of its limit. */
 class SafetyRulesTest {
 
   private final RoutingTestHarness harness = new RoutingTestHarness();
@@ -35,7 +35,7 @@
   @Test
   void forgetsEndpointThatMovesToAnotherReplicaSet() {
     harness.start();
-    // Its position is one in the log of the first set, and says nothing of the second one's.
+    // The known position of m2 refers to the log of the first set, not to that of the second.
     harness.updateEndpoints(
         new Endpoint("m2", "kind", "z1", 2, 1, 0, false, Availability.READY),
         new Endpoint("m1", "kind", "z1", 2, 1, 0, false, Availability.READY));
@@ -49,9 +49,10 @@
             1_500 * RoutingTestHarness.MS,
             harness.nowMicros - 10_000 * RoutingTestHarness.MS,
             false));
-    assertEquals(List.of(), harness.newActions(), "neither is known to have it");
+    assertEquals(
+        List.of(), harness.newActions(), "neither endpoint is known to have applied the position");
     harness.request("b", RoutingTestHarness.STRONG_READ);
-    assertEquals(List.of(), harness.newActions(), "the first set has no known primary any more");
+    assertEquals(List.of(), harness.newActions(), "the first set no longer has a known primary");
     harness.answerHealthCheck(
         "m2", Role.REPLICA, harness.nowMicros - 5_000 * RoutingTestHarness.MS);
     assertEquals(List.of("send a m2"), harness.newActions());
@@ -84,7 +85,7 @@
     assertEquals(
         List.of(),
         harness.newActions(),
-        "a refusal would only bring the client back with the same work");
+        "a rejection would only make the client repeat the same work");
     harness.advanceTime(200 * RoutingTestHarness.MS);
     assertTrue(harness.newActions().contains("reject a"));
   }
@@ -172,8 +173,8 @@
   }
 
   /**
-   * Sends to an endpoint that restarts and warms up as the only one left, from gateways of equal,
-   * usual traffic.
+   * Counts the gateways, all with the same recent traffic, that send a request to an endpoint which
+   * has restarted, is warming up and is the only one left.
    */
   private static long sentToWarmingEndpoint(int gateways, String endpointId, int classIndex) {
     long sent = 0;
@@ -210,10 +211,9 @@
 
   @Test
   void limitsFleetsRequestsToWarmingReplica() {
-    // A warm endpoint got 3 of 6 requests in 6 s, so 150 in an overload window from all; a quarter
-    // of that
-    // is the
-    // warming one's capacity, and 2.5 times that makes it fall.
+    // A warm endpoint gets 3 of 6 requests in 6 s from each of the 200 gateways, which is 150 in an
+    // overload window of 1.5 s. The initial capacity of the warming endpoint is a quarter of that,
+    // and 2.5 times its capacity, 94 requests, overloads it.
     long sent = sentToWarmingEndpoint(200, "m2", RoutingTestHarness.EVENTUAL_READ);
     assertTrue(sent > 5 && sent < 94, sent + " sends");
   }
@@ -230,12 +230,15 @@
     harness.advanceTime(20 * RoutingTestHarness.MS);
     harness.answerHealthCheck("m2", Role.REPLICA, harness.nowMicros - 10 * RoutingTestHarness.MS);
     harness.request("a", RoutingTestHarness.SESSION_READ, 10 * RoutingTestHarness.MS);
-    assertEquals(List.of("send a m2"), harness.newActions(), "at its position exactly");
+    assertEquals(List.of("send a m2"), harness.newActions(), "exactly at the required position");
     harness.request("b", RoutingTestHarness.SESSION_READ, 10 * RoutingTestHarness.MS - 1);
-    assertEquals(List.of(), harness.newActions(), "one microsecond behind");
+    assertEquals(List.of(), harness.newActions(), "one microsecond behind the required position");
   }
 
-  /** Guards against searches for a primary that come back to a warming endpoint at each round. */
+  /**
+   * Guards against a search for the primary that sends the same write to a warming endpoint in
+   * every round.
+   */
   @Test
   void triesWarmingEndpointOnceInASearchForThePrimary() {
     harness.start();
@@ -267,7 +270,7 @@
       tries += all.size();
       harness.router.onClientDisconnected(harness.nowMicros, id);
     }
-    assertTrue(tries > 0, "a warming endpoint is tried");
+    assertTrue(tries > 0, "no warming endpoint was tried");
   }
 
   @Test
