--- a/core/src/test/java/shelffront/decision/DecisionModuleSourceTest.java
+++ b/core/src/test/java/shelffront/decision/DecisionModuleSourceTest.java
@@ -28,10 +28,10 @@
   void keepsEveryFileShort() throws IOException {
     for (Path file : sources()) {
       List<String> lines = Files.readAllLines(file);
-      long filledLines = lines.stream().filter(line -> !line.isBlank()).count();
+      long nonBlankLines = lines.stream().filter(line -> !line.isBlank()).count();
       assertTrue(
-          filledLines > 0 && filledLines <= MAX_FILE_LINES,
-          file + " has " + filledLines + " non-blank lines, expected 1 to " + MAX_FILE_LINES);
+          nonBlankLines > 0 && nonBlankLines <= MAX_FILE_LINES,
+          file + " has " + nonBlankLines + " non-blank lines, expected 1 to " + MAX_FILE_LINES);
       for (int i = 0; i < lines.size(); i++) {
         int length = lines.get(i).length();
         assertTrue(
--- a/core/src/test/java/shelffront/decision/EndpointHealthTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointHealthTest.java
@@ -33,11 +33,12 @@
       }
     }
     harness.advanceTime(390 * RoutingTestHarness.MS);
-    List<String> news = harness.newActions();
+    List<String> actions = harness.newActions();
     assertTrue(
-        news.stream().anyMatch(action -> action.startsWith("send") && action.endsWith("m3")),
-        news.toString());
-    assertTrue(news.stream().anyMatch(action -> action.startsWith("cancel")), news.toString());
+        actions.stream().anyMatch(action -> action.startsWith("send") && action.endsWith("m3")),
+        actions.toString());
+    assertTrue(
+        actions.stream().anyMatch(action -> action.startsWith("cancel")), actions.toString());
     harness.request("b", RoutingTestHarness.EVENTUAL_READ);
     assertFalse(harness.newActions().contains("send b m2"));
   }
@@ -89,7 +90,7 @@
   }
 
   @Test
-  void sendsWriteToEjectedPrimaryOnceAHealthCheckIsAnswered() {
+  void sendsWriteToEjectedPrimaryOnceAHealthCheckSucceeds() {
     harness.start();
     for (int i = 0; i < 6; i++) {
       harness.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
@@ -114,7 +115,7 @@
    * attempts sent after it succeed quickly, so the endpoint is neither slow nor silent.
    */
   @Test
-  void ignoresOvertakenAttemptsInTheEndpointsHealth() {
+  void ignoresOvertakenAttemptsWhenJudgingEndpointHealth() {
     harness.start();
     for (int lost = 0; lost < 6; lost++) {
       harness.request("lost" + lost, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
@@ -136,7 +137,7 @@
   }
 
   @Test
-  void takesEndpointWithOvertakenAttemptsOnlyAsNotSilent() {
+  void doesNotTreatEndpointWithOnlyOvertakenAttemptsAsSilent() {
     harness.start();
     for (int i = 0; i < 120; i++) {
       harness.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
@@ -173,9 +174,9 @@
       harness.outcome("s" + i, 0, "m2", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
       harness.outcome("s" + i, 0, "m3", AttemptStatus.OK, Role.REPLICA, 10 * RoutingTestHarness.MS);
     }
-    List<String> news = harness.newActions();
-    assertTrue(news.contains("send lost m3"), news.toString());
-    assertTrue(news.contains("cancel lost 0"), news.toString());
+    List<String> actions = harness.newActions();
+    assertTrue(actions.contains("send lost m3"), actions.toString());
+    assertTrue(actions.contains("cancel lost 0"), actions.toString());
   }
 
   /**
@@ -183,7 +184,7 @@
    * non-idempotent write is not sent to an endpoint on probation.
    */
   @Test
-  void checksPrimaryOnProbationUntilItAnswers() {
+  void checksPrimaryOnProbationUntilItResponds() {
     harness.start();
     for (int i = 0; i < 6; i++) {
       harness.request("w" + i, RoutingTestHarness.NON_IDEMPOTENT_WRITE);
@@ -206,7 +207,7 @@
   }
 
   @Test
-  void readmitsEndpointAtItsFirstAnsweredHealthCheck() {
+  void readmitsEndpointAtItsFirstSuccessfulHealthCheck() {
     harness.start();
     for (int i = 0; i < 8; i++) {
       harness.router.onHealthCheckResult(
@@ -234,7 +235,7 @@
   }
 
   @Test
-  void lowersConcurrencyLimitBelowOneAfterUnansweredReads() {
+  void lowersConcurrencyLimitBelowOneAfterReadsTimeOut() {
     harness.gatewayCount = 20;
     harness.start();
     harness.updateEndpoints(RoutingTestHarness.endpoint("m3", 0, Availability.DRAINING));
@@ -312,9 +313,11 @@
             .count());
     harness.advanceTime(20 * RoutingTestHarness.MS);
     harness.request("b", RoutingTestHarness.EVENTUAL_READ);
-    List<String> news = harness.newActions();
-    assertTrue(news.stream().noneMatch(action -> action.startsWith("cancel")), news.toString());
-    assertTrue(news.stream().anyMatch(action -> action.startsWith("send b m")), news.toString());
+    List<String> actions = harness.newActions();
+    assertTrue(
+        actions.stream().noneMatch(action -> action.startsWith("cancel")), actions.toString());
+    assertTrue(
+        actions.stream().anyMatch(action -> action.startsWith("send b m")), actions.toString());
     harness.advanceTime(40 * RoutingTestHarness.MS);
     assertTrue(
         harness.newActions().stream().anyMatch(action -> action.startsWith("cancel")),
--- a/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
@@ -37,7 +37,7 @@
 
   @Test
   void searchesForThePrimaryInOrderOfIdsAndPausesAfterARound() {
-    harness.startWithUnknown("m1", "m2", "m3");
+    harness.startWithoutReports("m1", "m2", "m3");
     harness.newActions();
     harness.request("a", RoutingTestHarness.KEYED_WRITE);
     harness.outcome("a", 0, "m1", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void queuesSessionReadShortlyAndThenSendsItToThePrimary() {
+  void queuesSessionReadBrieflyAndThenSendsItToThePrimary() {
     harness.start();
     harness.advanceTime(20 * RoutingTestHarness.MS);
     harness.request("a", RoutingTestHarness.SESSION_READ, 10 * RoutingTestHarness.MS);
@@ -147,8 +147,8 @@
   }
 
   @Test
-  void takesUnknownReplicasAsBehindAndChecksEachOnce() {
-    harness.startWithUnknown("m1", "m2");
+  void treatsReplicasWithoutReportsAsLaggingAndChecksEachOnce() {
+    harness.startWithoutReports("m1", "m2");
     assertEquals(List.of("checkHealth m1", "checkHealth m2"), harness.actions.lines);
     harness.newActions();
     harness.request("a", RoutingTestHarness.BOUNDED_READ);
--- a/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/FleetEndpointSelectionTest.java
@@ -27,7 +27,7 @@
     RoutingTestHarness harness = new RoutingTestHarness();
     harness.gatewayIndex = gatewayIndex;
     harness.gatewayCount = gateways;
-    return harness.startWithUnknown(HOSTS.toArray(String[]::new));
+    return harness.startWithoutReports(HOSTS.toArray(String[]::new));
   }
 
   private static void answerAllHealthChecks(RoutingTestHarness harness) {
@@ -46,15 +46,15 @@
     if (sent.isEmpty()) {
       return "";
     }
-    String member = sent.get(0).split(" ")[2];
+    String endpointId = sent.get(0).split(" ")[2];
     harness.advanceTime(50 * RoutingTestHarness.MS);
-    harness.outcome(id, 0, member, AttemptStatus.OK, Role.REPLICA);
-    return member;
+    harness.outcome(id, 0, endpointId, AttemptStatus.OK, Role.REPLICA);
+    return endpointId;
   }
 
   @Test
   void sharesReplicasEvenlyAmongGateways() {
-    Map<String, Integer> users = new TreeMap<>();
+    Map<String, Integer> gatewayCountByEndpoint = new TreeMap<>();
     for (int gatewayIndex = 0; gatewayIndex < GATEWAYS; gatewayIndex++) {
       RoutingTestHarness harness = harness(gatewayIndex, GATEWAYS);
       answerAllHealthChecks(harness);
@@ -68,10 +68,11 @@
         harness.newActions();
       }
       assertEquals(2, used.size(), used.toString());
-      used.forEach(endpointId -> users.merge(endpointId, 1, Integer::sum));
+      used.forEach(endpointId -> gatewayCountByEndpoint.merge(endpointId, 1, Integer::sum));
     }
-    assertEquals(4, users.size(), users.toString());
-    users.forEach((member, count) -> assertTrue(count == 50, users.toString()));
+    assertEquals(4, gatewayCountByEndpoint.size(), gatewayCountByEndpoint.toString());
+    gatewayCountByEndpoint.forEach(
+        (endpointId, count) -> assertTrue(count == 50, gatewayCountByEndpoint.toString()));
   }
 
   @Test
@@ -89,7 +90,7 @@
 
   @Test
   void dividesFirstHealthChecksAmongGateways() {
-    Map<String, Integer> probes = new TreeMap<>();
+    Map<String, Integer> checksByEndpoint = new TreeMap<>();
     for (int gatewayIndex = 0; gatewayIndex < GATEWAYS; gatewayIndex++) {
       RoutingTestHarness harness = harness(gatewayIndex, GATEWAYS);
       assertEquals(
@@ -98,12 +99,13 @@
           "a simultaneous start of all gateways causes no health checks");
       harness.request("r", RoutingTestHarness.BOUNDED_READ);
       for (String host : HOSTS) {
-        probes.merge(host, (int) harness.healthChecksOf(host), Integer::sum);
+        checksByEndpoint.merge(host, (int) harness.healthChecksOf(host), Integer::sum);
       }
     }
-    probes.forEach((host, count) -> assertTrue(count <= 60, probes.toString()));
+    checksByEndpoint.forEach((host, count) -> assertTrue(count <= 60, checksByEndpoint.toString()));
     assertTrue(
-        probes.values().stream().mapToInt(Integer::intValue).sum() >= GATEWAYS, probes.toString());
+        checksByEndpoint.values().stream().mapToInt(Integer::intValue).sum() >= GATEWAYS,
+        checksByEndpoint.toString());
   }
 
   /**
@@ -111,24 +113,24 @@
    * take precedence over the subset.
    */
   @Test
-  void usesOtherReplicasWhereThePreferredMayNotServe() {
+  void usesOtherReplicasWherePreferredOnesMayNotServe() {
     for (int gatewayIndex = 0; gatewayIndex < 20; gatewayIndex++) {
       RoutingTestHarness harness = harness(gatewayIndex, GATEWAYS);
       answerAllHealthChecks(harness);
-      Set<String> own = new HashSet<>();
+      Set<String> preferred = new HashSet<>();
       for (int i = 0; i < 30; i++) {
-        own.add(serveRead(harness, "r" + i));
+        preferred.add(serveRead(harness, "r" + i));
       }
-      for (String member : own) {
-        harness.updateEndpoints(RoutingTestHarness.endpoint(member, 0, Availability.DRAINING));
+      for (String endpointId : preferred) {
+        harness.updateEndpoints(RoutingTestHarness.endpoint(endpointId, 0, Availability.DRAINING));
       }
       String other = serveRead(harness, "after");
-      assertFalse(other.isEmpty() || own.contains(other), other);
+      assertFalse(other.isEmpty() || preferred.contains(other), other);
     }
   }
 
   @Test
-  void waitsBeforeCheckingAReplicaFarBehindAgain() {
+  void waitsBeforeRecheckingReplicaFarBehind() {
     RoutingTestHarness harness = new RoutingTestHarness();
     harness.lagCheck = LagCheck.REJECT;
     harness.start();
--- a/core/src/test/java/shelffront/decision/RequestSchedulingTest.java
+++ b/core/src/test/java/shelffront/decision/RequestSchedulingTest.java
@@ -26,7 +26,7 @@
    */
   @Test
   void sendsQueuedRequestOnceThoughItsTimersRemain() {
-    for (int type :
+    for (int classIndex :
         List.of(
             RoutingTestHarness.NON_IDEMPOTENT_WRITE,
             RoutingTestHarness.KEYED_WRITE,
@@ -34,7 +34,7 @@
       RoutingTestHarness gateway = new RoutingTestHarness();
       gateway.start();
       gateway.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.DRAINING));
-      gateway.request("r", type);
+      gateway.request("r", classIndex);
       gateway.advanceTime(100 * RoutingTestHarness.MS);
       gateway.updateEndpoints(RoutingTestHarness.endpoint("m1", 0, Availability.READY));
       gateway.answerHealthCheck("m1", Role.PRIMARY, gateway.nowMicros);
@@ -55,7 +55,7 @@
       assertFalse(
           gateway.newActions().stream()
               .anyMatch(action -> action.matches("(send|reject|fail) r( .*)?")),
-          "class " + type);
+          "class " + classIndex);
     }
   }
 
@@ -83,17 +83,17 @@
   @Test
   void sendsFewerHealthChecksWhereTheyCostMore() {
     long cheap = healthChecksOfQueuedReads(0.01);
-    long dear = healthChecksOfQueuedReads(0.1);
-    assertTrue(dear <= 20 + 200 * 0.1 + 3, dear + " health checks");
-    assertTrue(cheap > 2 * dear, cheap + " and " + dear + " health checks");
+    long expensive = healthChecksOfQueuedReads(0.1);
+    assertTrue(expensive <= 20 + 200 * 0.1 + 3, expensive + " health checks");
+    assertTrue(cheap > 2 * expensive, cheap + " and " + expensive + " health checks");
   }
 
   /**
    * Counts the health checks caused by 200 reads over 10 s for which no replica is recent enough.
    */
-  private static long healthChecksOfQueuedReads(double price) {
+  private static long healthChecksOfQueuedReads(double healthCheckCost) {
     RoutingTestHarness gateway = new RoutingTestHarness();
-    gateway.healthCheckCost = price;
+    gateway.healthCheckCost = healthCheckCost;
     gateway.start();
     gateway.advanceTime(2_000 * RoutingTestHarness.MS);
     long before = gateway.healthChecks();
@@ -125,8 +125,8 @@
   }
 
   @Test
-  void sendsQueuedRequestsOfMostValueForTheirWorkFirst() {
-    harness.startWithUnknown("m1", "m2", "m3");
+  void sendsQueuedRequestsOfHighestValuePerWorkFirst() {
+    harness.startWithoutReports("m1", "m2", "m3");
     harness.newActions();
     harness.request("low", RoutingTestHarness.STRONG_READ);
     harness.request("high", RoutingTestHarness.KEYED_WRITE);
@@ -138,7 +138,7 @@
   @Test
   void watchesEndpointListAgainAfterFailures() {
     harness.endpointListPolled = true;
-    harness.startWithUnknown("m1");
+    harness.startWithoutReports("m1");
     assertTrue(harness.newActions().contains("watchEndpoints true"));
     for (int i = 0; i < 8; i++) {
       harness.router.onEndpoints(harness.nowMicros, EndpointUpdateKind.FAILED, 0, List.of());
@@ -186,8 +186,8 @@
    * so they are triggered by a read that needs a position.
    */
   @Test
-  void checksPositionsWhenAReadNeedsThemOnly() {
-    harness.startWithUnknown("m1", "m2", "m3", "m4", "m5");
+  void checksPositionsOnlyWhenAReadNeedsThem() {
+    harness.startWithoutReports("m1", "m2", "m3", "m4", "m5");
     harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros);
     for (String id : List.of("m2", "m3", "m4", "m5")) {
       harness.answerHealthCheck(id, Role.REPLICA, harness.nowMicros);
@@ -198,9 +198,11 @@
     harness.request("a", RoutingTestHarness.BOUNDED_READ);
     assertEquals(
         2, harness.actions.lines.size(), "two endpoints are checked, not the whole replica set");
-    String asked = harness.actions.lines.get(0).substring("checkHealth ".length());
-    harness.answerHealthCheck(asked, Role.REPLICA, harness.nowMicros - 100 * RoutingTestHarness.MS);
-    assertTrue(harness.actions.lines.contains("send a " + asked), harness.actions.lines.toString());
+    String checked = harness.actions.lines.get(0).substring("checkHealth ".length());
+    harness.answerHealthCheck(
+        checked, Role.REPLICA, harness.nowMicros - 100 * RoutingTestHarness.MS);
+    assertTrue(
+        harness.actions.lines.contains("send a " + checked), harness.actions.lines.toString());
   }
 
   /**
--- a/core/src/test/java/shelffront/decision/RoutingTestHarness.java
+++ b/core/src/test/java/shelffront/decision/RoutingTestHarness.java
@@ -39,12 +39,12 @@
   static final int EVENTUAL_READ = 4;
   static final int STRONG_READ = 5;
   static final long MS = 1000;
-  static final long START = 1_000_000_000;
+  static final long START_MICROS = 1_000_000_000;
 
   final RecordingActions actions = new RecordingActions();
   final RoutingEngine router = new RoutingEngine(actions);
-  long nowMicros = START;
-  private int linesSeen;
+  long nowMicros = START_MICROS;
+  private int readLineCount;
 
   LagCheck lagCheck = LagCheck.NONE;
   boolean clientsCarryPosition = true;
@@ -152,7 +152,7 @@
 
   /** Starts with endpoints m1 (reported as primary), m2 and m3, all at the current position. */
   RoutingTestHarness start() {
-    startWithUnknown("m1", "m2", "m3");
+    startWithoutReports("m1", "m2", "m3");
     answerHealthCheck("m1", Role.PRIMARY, nowMicros);
     answerHealthCheck("m2", Role.REPLICA, nowMicros);
     answerHealthCheck("m3", Role.REPLICA, nowMicros);
@@ -161,7 +161,7 @@
   }
 
   /** Starts with these endpoints, none of which has reported yet. */
-  RoutingTestHarness startWithUnknown(String... ids) {
+  RoutingTestHarness startWithoutReports(String... ids) {
     router.onStart(nowMicros, 7, settings());
     List<Endpoint> endpoints = new ArrayList<>();
     for (String id : ids) {
@@ -171,17 +171,21 @@
     return this;
   }
 
-  static Endpoint endpoint(String id, long startedAt, Availability availability) {
-    return new Endpoint(id, "kind", "z1", 1, 1, startedAt, false, availability);
+  static Endpoint endpoint(String id, long startedAtMicros, Availability availability) {
+    return new Endpoint(id, "kind", "z1", 1, 1, startedAtMicros, false, availability);
   }
 
   void updateEndpoints(Endpoint... endpoints) {
     router.onEndpoints(nowMicros, EndpointUpdateKind.DELTA, 2, List.of(endpoints));
   }
 
-  void answerHealthCheck(String endpointId, Role role, long position) {
+  void answerHealthCheck(String endpointId, Role role, long positionMicros) {
     router.onHealthCheckResult(
-        nowMicros, endpointId, AttemptStatus.OK, MS, new LoadReport(position, role, -1, -1, -1));
+        nowMicros,
+        endpointId,
+        AttemptStatus.OK,
+        MS,
+        new LoadReport(positionMicros, role, -1, -1, -1));
   }
 
   void request(String id, int classIndex) {
@@ -189,9 +193,12 @@
   }
 
   void request(String id, int classIndex, long sinceWriteMicros) {
-    long left = settings().requestClasses().get(classIndex).deadlineMicros();
-    long after = sinceWriteMicros > 0 ? nowMicros - sinceWriteMicros : Router.UNKNOWN;
-    router.onRequest(nowMicros, new Request(id, classIndex, "s", 1, left, after, false));
+    long timeToDeadlineMicros = settings().requestClasses().get(classIndex).deadlineMicros();
+    long requiredPositionMicros =
+        sinceWriteMicros > 0 ? nowMicros - sinceWriteMicros : Router.UNKNOWN;
+    router.onRequest(
+        nowMicros,
+        new Request(id, classIndex, "s", 1, timeToDeadlineMicros, requiredPositionMicros, false));
   }
 
   void outcome(String id, int attempt, String endpointId, AttemptStatus status, Role role) {
@@ -199,7 +206,12 @@
   }
 
   void outcome(
-      String id, int attempt, String endpointId, AttemptStatus status, Role role, long took) {
+      String id,
+      int attempt,
+      String endpointId,
+      AttemptStatus status,
+      Role role,
+      long elapsedMicros) {
     router.onAttemptOutcome(
         nowMicros,
         new AttemptOutcome(
@@ -208,20 +220,20 @@
             endpointId,
             status,
             status == AttemptStatus.OK,
-            took,
+            elapsedMicros,
             role,
             Router.UNKNOWN,
             null));
   }
 
   /** Advances the clock; timers fire when due, as the embedding proxy would fire them. */
-  void advanceTime(long time) {
-    long end = nowMicros + time;
+  void advanceTime(long durationMicros) {
+    long endMicros = nowMicros + durationMicros;
     while (true) {
       RecordingActions.Timer next = null;
       for (RecordingActions.Timer timer : actions.timers) {
         next =
-            timer.atMicros() <= end && (next == null || timer.atMicros() < next.atMicros())
+            timer.atMicros() <= endMicros && (next == null || timer.atMicros() < next.atMicros())
                 ? timer
                 : next;
       }
@@ -232,7 +244,7 @@
       nowMicros = Math.max(nowMicros + 1, next.atMicros());
       router.onTimer(nowMicros, next.name());
     }
-    nowMicros = Math.max(nowMicros, end);
+    nowMicros = Math.max(nowMicros, endMicros);
   }
 
   /** Number of health checks of an endpoint so far. */
@@ -250,10 +262,10 @@
   /** Returns the actions since the last call, without health checks and log lines. */
   List<String> newActions() {
     List<String> lines =
-        actions.lines.subList(linesSeen, actions.lines.size()).stream()
+        actions.lines.subList(readLineCount, actions.lines.size()).stream()
             .filter(action -> !action.startsWith("checkHealth ") && !action.startsWith("log "))
             .collect(Collectors.toList());
-    linesSeen = actions.lines.size();
+    readLineCount = actions.lines.size();
     return lines;
   }
 
--- a/core/src/test/java/shelffront/decision/SafetyRulesTest.java
+++ b/core/src/test/java/shelffront/decision/SafetyRulesTest.java
@@ -20,7 +20,7 @@
   private final RoutingTestHarness harness = new RoutingTestHarness();
 
   @Test
-  void answersEveryRequestOnceByItsDeadline() {
+  void endsEveryRequestOnceByItsDeadline() {
     harness.start();
     harness.request("a", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
     harness.advanceTime(2_990 * RoutingTestHarness.MS);
@@ -60,15 +60,15 @@
 
   @Test
   void rejectsWriteWithoutAnyEndpointInTime() {
-    harness.startWithUnknown();
+    harness.startWithoutReports();
     harness.request("a", RoutingTestHarness.NON_IDEMPOTENT_WRITE);
     harness.advanceTime(3_000 * RoutingTestHarness.MS);
     assertEquals(List.of("reject a"), harness.newActions());
   }
 
   @Test
-  void rejectsQueuedReadWhenItCanNoLongerBeInTime() {
-    harness.startWithUnknown("m1", "m2");
+  void rejectsQueuedReadWhenItCanNoLongerBeServedInTime() {
+    harness.startWithoutReports("m1", "m2");
     harness.newActions();
     harness.request("a", RoutingTestHarness.BOUNDED_READ);
     harness.advanceTime(500 * RoutingTestHarness.MS);
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void letsAnAttemptThatIsOutAnswerAfterTheObjective() {
+  void letsOutstandingAttemptRespondAfterTheObjective() {
     harness.hedgingAllowed = false;
     harness.start();
     harness.request("a", RoutingTestHarness.BOUNDED_READ);
@@ -92,7 +92,7 @@
 
   @Test
   void sendsNothingAfterTheClientDisconnected() {
-    harness.startWithUnknown("m1", "m2");
+    harness.startWithoutReports("m1", "m2");
     harness.request("a", RoutingTestHarness.BOUNDED_READ);
     harness.router.onClientDisconnected(harness.nowMicros, "a");
     harness.answerHealthCheck("m1", Role.PRIMARY, harness.nowMicros);
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void retriesKeyedWriteInsideItsDeduplicationWindowOnly() {
+  void retriesKeyedWriteOnlyInsideItsDeduplicationWindow() {
     harness.start();
     harness.request("a", RoutingTestHarness.KEYED_WRITE);
     harness.outcome("a", 0, "m1", AttemptStatus.ERROR, Role.UNKNOWN);
@@ -140,13 +140,13 @@
     harness.request("a", RoutingTestHarness.EVENTUAL_READ);
     harness.outcome("a", 0, "m2", AttemptStatus.ERROR, Role.REPLICA);
     harness.outcome("a", 1, "m3", AttemptStatus.ERROR, Role.REPLICA);
-    List<String> news = harness.newActions();
-    assertEquals(3, news.size());
-    assertEquals("reject a", news.get(2));
+    List<String> actions = harness.newActions();
+    assertEquals(3, actions.size());
+    assertEquals("reject a", actions.get(2));
   }
 
   @Test
-  void keepsOneAttemptOutWhereHedgingIsNotAllowed() {
+  void keepsOneAttemptOutstandingWhereHedgingIsNotAllowed() {
     harness.hedgingAllowed = false;
     harness.start();
     harness.request("a", RoutingTestHarness.EVENTUAL_READ);
