--- a/core/src/main/java/shelffront/decision/Attempt.java
+++ b/core/src/main/java/shelffront/decision/Attempt.java
@@ -35,12 +35,12 @@
     return new AttemptId(request.request.id(), number);
   }
 
-  boolean isOut() {
+  boolean isOutstanding() {
     return status == null;
   }
 
   /** Whether the endpoint has already completed an attempt that was sent later. */
   boolean isOvertaken() {
-    return sentAtMicros < endpoint.latestAnsweredSendMicros;
+    return sentAtMicros < endpoint.newestSuccessfulSendMicros;
   }
 }
--- a/core/src/main/java/shelffront/decision/AttemptAdmission.java
+++ b/core/src/main/java/shelffront/decision/AttemptAdmission.java
@@ -20,7 +20,7 @@
         && retryPolicy.hasAttemptsLeft(request)
         && retryPolicy.mayRetry(request)
         && retryPolicy.staysInDeduplicationScope(request, endpoint)
-        && retryPolicy.mayRunBesideOthers(request)
+        && retryPolicy.mayRunConcurrently(request)
         && slowStartAdmission.admits(request, endpoint)
         && isFreshEnough(request, endpoint);
   }
--- a/core/src/main/java/shelffront/decision/AttemptOutcomes.java
+++ b/core/src/main/java/shelffront/decision/AttemptOutcomes.java
@@ -34,8 +34,8 @@
 
   private void recordSuccess(Attempt attempt, long elapsedMicros) {
     EndpointState endpoint = attempt.endpoint;
-    endpoint.latestAnsweredSendMicros =
-        Math.max(endpoint.latestAnsweredSendMicros, attempt.sentAtMicros);
+    endpoint.newestSuccessfulSendMicros =
+        Math.max(endpoint.newestSuccessfulSendMicros, attempt.sentAtMicros);
     positions.recordAnsweredRead(attempt);
     double serviceMicros = Math.max(1, elapsedMicros);
     updateTypicalService(attempt.request.request.classIndex(), serviceMicros);
--- a/core/src/main/java/shelffront/decision/AttemptSender.java
+++ b/core/src/main/java/shelffront/decision/AttemptSender.java
@@ -19,8 +19,8 @@
     Attempt attempt = new Attempt(request, endpoint, state.nowMicros);
     request.attempts.add(attempt);
     request.queue = null;
-    endpoint.attemptsOut.add(attempt);
-    state.attemptsOut.put(attempt.id(), attempt);
+    endpoint.outstandingAttempts.add(attempt);
+    state.outstandingAttempts.put(attempt.id(), attempt);
     endpoint.recentSends.record(state.nowMicros, 1);
     endpoint.lastSentAtMicros = state.nowMicros;
     state.actions.startAttempt(request.request.id(), endpoint.id, 0);
--- a/core/src/main/java/shelffront/decision/ConnectionFailures.java
+++ b/core/src/main/java/shelffront/decision/ConnectionFailures.java
@@ -40,7 +40,7 @@
           scarce ? state.nowMicros + CONNECTION_PRESSURE_MICROS : UNKNOWN;
       ejection.ejectShortly(endpoint, "does not accept connections");
     }
-    if (!endpoint.healthCheckOut) {
+    if (!endpoint.healthCheckPending) {
       healthChecker.check(endpoint);
     }
   }
--- a/core/src/main/java/shelffront/decision/EndpointCapacity.java
+++ b/core/src/main/java/shelffront/decision/EndpointCapacity.java
@@ -21,7 +21,7 @@
     return endpoint.concurrencyLimit.hasCapacity(
         state.nowMicros,
         slowStartAdmission.capacityFraction(endpoint) * fraction,
-        endpoint.attemptsOut.size(),
+        endpoint.outstandingAttempts.size(),
         endpoint.lastSentAtMicros,
         endpoint.latency.latencyMicros());
   }
@@ -38,7 +38,7 @@
   void recordSuccess(EndpointState endpoint, double elapsedMicros, RequestClass requestClass) {
     recordLatency(endpoint, elapsedMicros, requestClass);
     if (endpoint.latency.latencyOverObjective() <= OVERLOADED_LATENCY_OVER_OBJECTIVE) {
-      endpoint.concurrencyLimit.increase(endpoint.attemptsOut.size());
+      endpoint.concurrencyLimit.increase(endpoint.outstandingAttempts.size());
     }
   }
 
--- a/core/src/main/java/shelffront/decision/EndpointState.java
+++ b/core/src/main/java/shelffront/decision/EndpointState.java
@@ -35,7 +35,7 @@
 
   final ReplicationProgress progress = new ReplicationProgress();
   long healthCheckedAtMicros = UNKNOWN;
-  boolean healthCheckOut;
+  boolean healthCheckPending;
 
   /** Time until which an idle connection is expected, unless it is used or the host closes it. */
   long idleConnectionUntilMicros = UNKNOWN;
@@ -47,14 +47,14 @@
       new LatencyStatistics(
           LATENCY_DECAY_MICROS, INITIAL_LATENCY_MICROS, INITIAL_LATENCY_OVER_OBJECTIVE);
   final ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
-  final LinkedHashSet<Attempt> attemptsOut = new LinkedHashSet<>();
+  final LinkedHashSet<Attempt> outstandingAttempts = new LinkedHashSet<>();
   final DecayingAverage recentSends = new DecayingAverage(SlowStartBudget.WINDOW_SECONDS);
   long lastSentAtMicros = UNKNOWN;
 
   /**
    * Send time of the newest successful attempt; outstanding attempts sent before it are overtaken.
    */
-  long latestAnsweredSendMicros = UNKNOWN;
+  long newestSuccessfulSendMicros = UNKNOWN;
 
   long lastResponseAtMicros = UNKNOWN;
 
--- a/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
+++ b/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
@@ -19,7 +19,7 @@
    */
   void record(EndpointState endpoint, AttemptStatus status, LoadReport loadReport) {
     boolean answered = status == AttemptStatus.OK;
-    endpoint.healthCheckOut = false;
+    endpoint.healthCheckPending = false;
     positions.recordLoadReport(endpoint, answered ? loadReport : null);
     if (answered && endpoint.healthCheckFailed) {
       ejection.readmit(endpoint);
--- a/core/src/main/java/shelffront/decision/HealthCheckScheduler.java
+++ b/core/src/main/java/shelffront/decision/HealthCheckScheduler.java
@@ -10,12 +10,12 @@
  * Health-checks endpoints when queued requests need up-to-date reports.
  *
  * <p>Invariant: checks stay within the gateway's {@code HealthCheckBudget}, and none is started
- * while {@link #MAX_CHECKS_OUT} are outstanding in the replica set.
+ * while {@link #MAX_OUTSTANDING_CHECKS} are outstanding in the replica set.
  */
 record HealthCheckScheduler(
     RoutingState state, PreferredReplicas preferredReplicas, HealthChecker healthChecker) {
 
-  private static final int MAX_CHECKS_OUT = 2;
+  private static final int MAX_OUTSTANDING_CHECKS = 2;
 
   /**
    * Checks endpoints whose reports are outdated. The primary is checked only while it is missing,
@@ -25,11 +25,13 @@
    */
   void checkForQueuedRequests(ReplicaSet replicaSet) {
     boolean primaryMissing = isPrimaryMissing(replicaSet);
-    long checksOut =
-        replicaSet.endpoints.values().stream().filter(endpoint -> endpoint.healthCheckOut).count();
+    long outstandingChecks =
+        replicaSet.endpoints.values().stream()
+            .filter(endpoint -> endpoint.healthCheckPending)
+            .count();
     for (EndpointState endpoint : dueEndpoints(replicaSet, primaryMissing)) {
-      if (checksOut < MAX_CHECKS_OUT && state.healthCheckBudget.tryAcquire()) {
-        checksOut++;
+      if (outstandingChecks < MAX_OUTSTANDING_CHECKS && state.healthCheckBudget.tryAcquire()) {
+        outstandingChecks++;
         healthChecker.check(endpoint);
       }
     }
--- a/core/src/main/java/shelffront/decision/HealthChecker.java
+++ b/core/src/main/java/shelffront/decision/HealthChecker.java
@@ -7,7 +7,7 @@
   void check(EndpointState endpoint) {
     if (state.settings.limits().healthChecksAllowed() && endpoint.assignable) {
       endpoint.healthCheckedAtMicros = state.nowMicros;
-      endpoint.healthCheckOut = true;
+      endpoint.healthCheckPending = true;
       state.actions.checkHealth(endpoint.id);
     }
   }
--- a/core/src/main/java/shelffront/decision/HedgingPolicy.java
+++ b/core/src/main/java/shelffront/decision/HedgingPolicy.java
@@ -43,7 +43,7 @@
    */
   private void check(Attempt attempt) {
     PendingRequest request = attempt.request;
-    if (!request.open || !attempt.isOut() || !request.isNewestAttempt(attempt)) {
+    if (!request.open || !attempt.isOutstanding() || !request.isNewestAttempt(attempt)) {
       return;
     }
     OperatingLimits limits = state.settings.limits();
@@ -70,7 +70,7 @@
     return !endpoint.assignable
         || endpoint.isEjected(state.nowMicros)
         || silenceDetector.isSilent(endpoint)
-        || silenceDetector.isLostWithItsConnection(attempt);
+        || silenceDetector.isConnectionLost(attempt);
   }
 
   private boolean hedge(Attempt attempt) {
--- a/core/src/main/java/shelffront/decision/OutlierDetector.java
+++ b/core/src/main/java/shelffront/decision/OutlierDetector.java
@@ -28,6 +28,6 @@
   /** On probation an endpoint gets one request at a time, and no non-idempotent ones. */
   private static boolean isBarredByProbation(EndpointState endpoint, PendingRequest request) {
     return endpoint.onProbation
-        && (!endpoint.attemptsOut.isEmpty() || request.requestClass.isNonIdempotent());
+        && (!endpoint.outstandingAttempts.isEmpty() || request.requestClass.isNonIdempotent());
   }
 }
--- a/core/src/main/java/shelffront/decision/PendingRequest.java
+++ b/core/src/main/java/shelffront/decision/PendingRequest.java
@@ -65,8 +65,8 @@
     return queue != null;
   }
 
-  boolean hasAttemptOut() {
-    return attempts.stream().anyMatch(Attempt::isOut);
+  boolean hasOutstandingAttempt() {
+    return attempts.stream().anyMatch(Attempt::isOutstanding);
   }
 
   boolean isNewestAttempt(Attempt attempt) {
@@ -78,7 +78,7 @@
    */
   Attempt firstPossiblyExecuted() {
     return attempts.stream()
-        .filter(attempt -> attempt.isOut() || !attempt.status.provesNotExecuted)
+        .filter(attempt -> attempt.isOutstanding() || !attempt.status.provesNotExecuted)
         .findFirst()
         .orElse(null);
   }
--- a/core/src/main/java/shelffront/decision/PrimarySearch.java
+++ b/core/src/main/java/shelffront/decision/PrimarySearch.java
@@ -42,7 +42,10 @@
 
   private static boolean isSearchedByAnother(ReplicaSet replicaSet, PendingRequest request) {
     PendingRequest searching = replicaSet.searchingRequest;
-    return searching != null && searching.open && searching != request && searching.hasAttemptOut();
+    return searching != null
+        && searching.open
+        && searching != request
+        && searching.hasOutstandingAttempt();
   }
 
   private boolean maySearch(PendingRequest request) {
--- a/core/src/main/java/shelffront/decision/ReplicaSelector.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSelector.java
@@ -60,7 +60,7 @@
   /** Expected response time relative to other replicas. Draws one random number. */
   private double cost(EndpointState endpoint, boolean preferred) {
     return slowdownEstimator.expected(endpoint)
-        * (endpoint.attemptsOut.size() + 1)
+        * (endpoint.outstandingAttempts.size() + 1)
         / endpoint.capacityHint()
         * jitter()
         * (preferred ? 1 : NOT_PREFERRED_COST)
--- a/core/src/main/java/shelffront/decision/RequestCompletion.java
+++ b/core/src/main/java/shelffront/decision/RequestCompletion.java
@@ -21,7 +21,7 @@
     state.pendingRequests.remove(request.request.id());
     sweepTimers();
     if (state.settings.limits().cancellationAllowed() && request.requestClass.isIdempotent()) {
-      request.attempts.stream().filter(Attempt::isOut).forEach(this::cancel);
+      request.attempts.stream().filter(Attempt::isOutstanding).forEach(this::cancel);
     }
   }
 
--- a/core/src/main/java/shelffront/decision/RequestScheduler.java
+++ b/core/src/main/java/shelffront/decision/RequestScheduler.java
@@ -24,7 +24,7 @@
    * longer be served in time.
    */
   void dispatch(PendingRequest request) {
-    if (!request.open || request.hasAttemptOut()) { // stale timer from queueing
+    if (!request.open || request.hasOutstandingAttempt()) { // stale timer from queueing
       return;
     }
     if (loadShedder.isHopeless(request)) {
--- a/core/src/main/java/shelffront/decision/RetryPolicy.java
+++ b/core/src/main/java/shelffront/decision/RetryPolicy.java
@@ -48,9 +48,9 @@
   }
 
   /** Whether an attempt may start while others are outstanding. */
-  boolean mayRunBesideOthers(PendingRequest request) {
+  boolean mayRunConcurrently(PendingRequest request) {
     OperatingLimits limits = state.settings.limits();
-    return !request.hasAttemptOut()
+    return !request.hasOutstandingAttempt()
         || request.requestClass.isIdempotent() && limits.hedgingAllowed();
   }
 }
--- a/core/src/main/java/shelffront/decision/RoutingEngine.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -110,7 +110,8 @@
   public void onAttemptOutcome(long nowMicros, AttemptOutcome outcome) {
     state.nowMicros = nowMicros;
     Attempt attempt =
-        state.attemptsOut.remove(new AttemptId(outcome.requestId(), outcome.attemptNumber()));
+        state.outstandingAttempts.remove(
+            new AttemptId(outcome.requestId(), outcome.attemptNumber()));
     EndpointState endpoint =
         attempt != null ? attempt.endpoint : state.endpoints.get(outcome.endpointId());
     if (endpoint != null) {
@@ -120,7 +121,7 @@
       return;
     }
     attempt.status = outcome.status();
-    endpoint.attemptsOut.remove(attempt);
+    endpoint.outstandingAttempts.remove(attempt);
     keepOrCloseConnection(endpoint);
     policies.attemptOutcomes.record(attempt, outcome);
     recordSessionWrite(attempt.request, outcome);
@@ -143,7 +144,7 @@
   /** Keeps the attempt's connection as idle, unless the endpoint's connections are scarce. */
   private void keepOrCloseConnection(EndpointState endpoint) {
     boolean scarce = state.nowMicros < endpoint.connectionsScarceUntilMicros;
-    if (scarce && endpoint.attemptsOut.isEmpty()) {
+    if (scarce && endpoint.outstandingAttempts.isEmpty()) {
       endpoint.idleConnectionUntilMicros = UNKNOWN;
       state.actions.closeIdleConnections(endpoint.id);
     } else {
@@ -176,7 +177,7 @@
     if (outcome.requestCompleted() || outcome.status() == AttemptStatus.OK) {
       policies.completion.complete(request);
     }
-    if (request.open && !request.hasAttemptOut()) {
+    if (request.open && !request.hasOutstandingAttempt()) {
       request.rejectedByReplica |=
           outcome.status() == AttemptStatus.REPLICA_UNSUITABLE && !request.requestClass.isWrite();
       policies.scheduler.dispatch(request);
@@ -186,7 +187,7 @@
   @Override
   public boolean mayStartAttempt(long nowMicros, String requestId, int attemptNumber) {
     state.nowMicros = nowMicros;
-    Attempt attempt = state.attemptsOut.get(new AttemptId(requestId, attemptNumber));
+    Attempt attempt = state.outstandingAttempts.get(new AttemptId(requestId, attemptNumber));
     return attempt != null && policies.admission.stillAdmits(attempt);
   }
 
--- a/core/src/main/java/shelffront/decision/RoutingState.java
+++ b/core/src/main/java/shelffront/decision/RoutingState.java
@@ -41,7 +41,7 @@
   final TreeMap<String, EndpointState> endpoints = new TreeMap<>();
   final TreeMap<Integer, ReplicaSet> replicaSets = new TreeMap<>();
   final HashMap<String, PendingRequest> pendingRequests = new HashMap<>();
-  final HashMap<AttemptId, Attempt> attemptsOut = new HashMap<>();
+  final HashMap<AttemptId, Attempt> outstandingAttempts = new HashMap<>();
   final SessionPositions sessions = new SessionPositions(MAX_REMEMBERED_SESSIONS);
 
   /** Queues of a replica set in the order in which they are served. */
--- a/core/src/main/java/shelffront/decision/SilenceDetector.java
+++ b/core/src/main/java/shelffront/decision/SilenceDetector.java
@@ -24,7 +24,7 @@
   boolean isSilent(EndpointState endpoint) {
     double serviceTimesWaited = 0;
     long earliestSinceMicros = state.nowMicros;
-    for (Attempt attempt : endpoint.attemptsOut) {
+    for (Attempt attempt : endpoint.outstandingAttempts) {
       if (!attempt.isOvertaken()) {
         long sinceMicros = Math.max(endpoint.lastResponseAtMicros, attempt.sentAtMicros);
         serviceTimesWaited +=
@@ -37,7 +37,7 @@
   }
 
   /** Whether the attempt was overtaken and has waited so long that its connection must be lost. */
-  boolean isLostWithItsConnection(Attempt attempt) {
+  boolean isConnectionLost(Attempt attempt) {
     return attempt.isOvertaken()
         && state.nowMicros - attempt.sentAtMicros
             > SILENT_SERVICE_TIMES * state.typicalServiceMicros(attempt.request);
