--- a/core/src/main/java/shelffront/decision/AttemptAdmission.java
+++ b/core/src/main/java/shelffront/decision/AttemptAdmission.java
@@ -15,8 +15,8 @@
 
   /** Whether an attempt of the request may start at the endpoint now. */
   boolean admits(PendingRequest request, EndpointState endpoint) {
-    return isStillWanted(request)
-        && holdsItsData(endpoint, request)
+    return isOpenBeforeDeadline(request)
+        && servesReplicaSetOf(endpoint, request)
         && retryPolicy.hasAttemptsLeft(request)
         && retryPolicy.mayRetry(request)
         && retryPolicy.staysInDeduplicationScope(request, endpoint)
@@ -38,11 +38,11 @@
         && (request.firstPossiblyExecuted() == attempt || retryPolicy.mayRetry(request));
   }
 
-  private boolean isStillWanted(PendingRequest request) {
+  private boolean isOpenBeforeDeadline(PendingRequest request) {
     return request.open && state.nowMicros < request.deadlineMicros;
   }
 
-  private static boolean holdsItsData(EndpointState endpoint, PendingRequest request) {
+  private static boolean servesReplicaSetOf(EndpointState endpoint, PendingRequest request) {
     return endpoint.assignable && endpoint.listed.replicaSet() == request.request.replicaSet();
   }
 
--- a/core/src/main/java/shelffront/decision/AttemptOutcomes.java
+++ b/core/src/main/java/shelffront/decision/AttemptOutcomes.java
@@ -36,7 +36,7 @@
     EndpointState endpoint = attempt.endpoint;
     endpoint.newestSuccessfulSendMicros =
         Math.max(endpoint.newestSuccessfulSendMicros, attempt.sentAtMicros);
-    positions.recordAnsweredRead(attempt);
+    positions.recordServedRead(attempt);
     double serviceMicros = Math.max(1, elapsedMicros);
     updateTypicalService(attempt.request.request.classIndex(), serviceMicros);
     slowdownEstimator.record(endpoint, serviceMicros / state.typicalServiceMicros(attempt.request));
--- a/core/src/main/java/shelffront/decision/ConnectionFailures.java
+++ b/core/src/main/java/shelffront/decision/ConnectionFailures.java
@@ -38,7 +38,7 @@
       boolean scarce = neverConnected && !expensive;
       endpoint.connectionsScarceUntilMicros =
           scarce ? state.nowMicros + CONNECTION_PRESSURE_MICROS : UNKNOWN;
-      ejection.ejectShortly(endpoint, "does not accept connections");
+      ejection.ejectBriefly(endpoint, "does not accept connections");
     }
     if (!endpoint.healthCheckPending) {
       healthChecker.check(endpoint);
--- a/core/src/main/java/shelffront/decision/EndpointEjection.java
+++ b/core/src/main/java/shelffront/decision/EndpointEjection.java
@@ -32,11 +32,11 @@
                 FIRST_EJECTION_MICROS, MAX_EJECTION_DOUBLINGS, endpoint.consecutiveEjections);
     endpoint.onProbation = true;
     endpoint.concurrencyLimit.halve();
-    ejectShortly(endpoint, reason);
+    ejectBriefly(endpoint, reason);
   }
 
   /** Ejects the endpoint for a short time, which doubles with each consecutive ejection. */
-  void ejectShortly(EndpointState endpoint, String reason) {
+  void ejectBriefly(EndpointState endpoint, String reason) {
     long ejectionMicros =
         backoffMicros(
             FIRST_SHORT_EJECTION_MICROS,
--- a/core/src/main/java/shelffront/decision/EndpointSelector.java
+++ b/core/src/main/java/shelffront/decision/EndpointSelector.java
@@ -41,7 +41,7 @@
     if (primary == null) {
       return primarySearch.next(request);
     }
-    return suitability.suits(primary, request, 1) ? primary : null;
+    return suitability.isSuitable(primary, request, 1) ? primary : null;
   }
 
   /**
@@ -66,6 +66,6 @@
       return null;
     }
     double capacityFraction = sessionRead ? 1 : PRIMARY_FRACTION_FOR_READS;
-    return suitability.suits(primary, request, capacityFraction) ? primary : null;
+    return suitability.isSuitable(primary, request, capacityFraction) ? primary : null;
   }
 }
--- a/core/src/main/java/shelffront/decision/EndpointSuitability.java
+++ b/core/src/main/java/shelffront/decision/EndpointSuitability.java
@@ -18,14 +18,14 @@
    *
    * @param capacityFraction fraction of the endpoint's capacity that such requests may use, 0 to 1
    */
-  boolean suits(EndpointState endpoint, PendingRequest request, double capacityFraction) {
+  boolean isSuitable(EndpointState endpoint, PendingRequest request, double capacityFraction) {
     return outlierDetector.mayBeChosen(endpoint, request)
         && capacity.hasCapacity(endpoint, capacityFraction)
-        && answersInTime(endpoint, request);
+        && respondsInTime(endpoint, request);
   }
 
   /** Whether the endpoint is expected to respond while the response still has value. */
-  private boolean answersInTime(EndpointState endpoint, PendingRequest request) {
+  private boolean respondsInTime(EndpointState endpoint, PendingRequest request) {
     double expectedMicros =
         state.typicalServiceMicros(request) * slowdownEstimator.expected(endpoint);
     double halfObjectiveMicros = request.requestClass.latencyObjectiveMicros() / 2.0;
--- a/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
+++ b/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
@@ -26,7 +26,7 @@
     } else if (answered && !endpoint.isEjected(state.nowMicros)) {
       endpoint.onProbation = false;
     } else if (isFailure(endpoint, status)) {
-      ejection.ejectShortly(endpoint, "does not answer probes");
+      ejection.ejectBriefly(endpoint, "does not answer probes");
       endpoint.healthCheckFailed = true;
     }
   }
--- a/core/src/main/java/shelffront/decision/HedgingPolicy.java
+++ b/core/src/main/java/shelffront/decision/HedgingPolicy.java
@@ -48,17 +48,17 @@
     }
     OperatingLimits limits = state.settings.limits();
     boolean lost = isLost(attempt);
-    boolean mayHedge = limits.hedgingAllowed() && isUsefulNow(request);
+    boolean mayHedge = limits.hedgingAllowed() && canStillBeUseful(request);
     boolean hedged = lost && mayHedge && hedge(attempt);
     if (lost && limits.cancellationAllowed() && (hedged || !mayHedge)) {
       state.actions.cancelAttempt(request.request.id(), attempt.number);
     }
-    if (!hedged && isUsefulNow(request)) {
+    if (!hedged && canStillBeUseful(request)) {
       scheduleCheck(attempt);
     }
   }
 
-  private boolean isUsefulNow(PendingRequest request) {
+  private boolean canStillBeUseful(PendingRequest request) {
     return state.nowMicros < loadShedder.latestUsefulStartMicros(request);
   }
 
--- a/core/src/main/java/shelffront/decision/LoadShedder.java
+++ b/core/src/main/java/shelffront/decision/LoadShedder.java
@@ -25,7 +25,7 @@
   private static final long RETRY_AFTER_MICROS = 200_000;
 
   /** Whether no further attempt is permitted, or its response would come too late to have value. */
-  boolean isHopeless(PendingRequest request) {
+  boolean shouldShed(PendingRequest request) {
     return !retryPolicy.hasAttemptsLeft(request)
         || !retryPolicy.mayRetry(request)
         || state.nowMicros >= latestUsefulStartMicros(request);
--- a/core/src/main/java/shelffront/decision/OutlierDetector.java
+++ b/core/src/main/java/shelffront/decision/OutlierDetector.java
@@ -15,7 +15,7 @@
   boolean mayBeChosen(EndpointState endpoint, PendingRequest request) {
     if (!endpoint.assignable
         || endpoint.isEjected(state.nowMicros)
-        || isBarredByProbation(endpoint, request)) {
+        || isExcludedByProbation(endpoint, request)) {
       return false;
     }
     if (silenceDetector.isSilent(endpoint)) {
@@ -26,7 +26,7 @@
   }
 
   /** On probation an endpoint gets one request at a time, and no non-idempotent ones. */
-  private static boolean isBarredByProbation(EndpointState endpoint, PendingRequest request) {
+  private static boolean isExcludedByProbation(EndpointState endpoint, PendingRequest request) {
     return endpoint.onProbation
         && (!endpoint.outstandingAttempts.isEmpty() || request.requestClass.isNonIdempotent());
   }
--- a/core/src/main/java/shelffront/decision/ReplicaPositions.java
+++ b/core/src/main/java/shelffront/decision/ReplicaPositions.java
@@ -98,7 +98,7 @@
    * required. Without this, late load reports make replicas that keep up appear to lag until no
    * read is sent to them.
    */
-  void recordAnsweredRead(Attempt attempt) {
+  void recordServedRead(Attempt attempt) {
     if (state.settings.consistency().lagCheck() != LagCheck.NONE) {
       attempt.endpoint.progress.recordProvenPosition(
           attempt.sentAtMicros, attempt.requiredPositionMicros);
--- a/core/src/main/java/shelffront/decision/ReplicaSelector.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSelector.java
@@ -53,7 +53,7 @@
       EndpointState endpoint, PendingRequest request, long requiredPositionMicros) {
     return !endpoint.isPrimary()
         && !request.wasSentTo(endpoint)
-        && suitability.suits(endpoint, request, 1)
+        && suitability.isSuitable(endpoint, request, 1)
         && positions.covers(endpoint, requiredPositionMicros);
   }
 
--- a/core/src/main/java/shelffront/decision/RequestQueueOrder.java
+++ b/core/src/main/java/shelffront/decision/RequestQueueOrder.java
@@ -12,7 +12,7 @@
       addQueues(false);
       addQueues(true);
     }
-    state.queueOrder.sort(Comparator.comparingDouble(key -> -valueForWork(key)));
+    state.queueOrder.sort(Comparator.comparingDouble(key -> -valuePerServiceMicro(key)));
   }
 
   private void addQueues(boolean late) {
@@ -22,7 +22,7 @@
   }
 
   /** Value of a response to a request in the queue, per microsecond of typical service time. */
-  private double valueForWork(RequestQueueKey key) {
+  private double valuePerServiceMicro(RequestQueueKey key) {
     RequestClass requestClass = state.settings.requestClasses().get(key.classIndex());
     return requestClass.priorityWeight()
         * (key.late() ? requestClass.lateValueFraction() : 1)
--- a/core/src/main/java/shelffront/decision/RequestScheduler.java
+++ b/core/src/main/java/shelffront/decision/RequestScheduler.java
@@ -27,7 +27,7 @@
     if (!request.open || request.hasOutstandingAttempt()) { // stale timer from queueing
       return;
     }
-    if (loadShedder.isHopeless(request)) {
+    if (loadShedder.shouldShed(request)) {
       loadShedder.shed(request);
       return;
     }
@@ -37,7 +37,7 @@
     }
     if (!request.isQueued()) {
       enqueue(request, false);
-      scheduleWhileQueued(request);
+      scheduleQueueTimers(request);
       healthChecks.checkForQueuedRequests(request.replicaSet);
     }
   }
@@ -52,7 +52,7 @@
    * Sets timers for the time when sending becomes useless, for the latency objective, and for the
    * end of the wait for a replica.
    */
-  private void scheduleWhileQueued(PendingRequest request) {
+  private void scheduleQueueTimers(PendingRequest request) {
     long latestStartMicros = loadShedder.latestUsefulStartMicros(request);
     state.schedule(
         request,
--- a/core/src/main/java/shelffront/decision/RoutingEngine.java
+++ b/core/src/main/java/shelffront/decision/RoutingEngine.java
@@ -125,7 +125,7 @@
     keepOrCloseConnection(endpoint);
     policies.attemptOutcomes.record(attempt, outcome);
     recordSessionWrite(attempt.request, outcome);
-    continueRequest(attempt.request, outcome);
+    completeOrRetry(attempt.request, outcome);
     policies.scheduler.dispatchQueued(attempt.request.replicaSet);
   }
 
@@ -173,7 +173,7 @@
    * Completes the request if it has its response, otherwise dispatches it again if no attempt is
    * outstanding.
    */
-  private void continueRequest(PendingRequest request, AttemptOutcome outcome) {
+  private void completeOrRetry(PendingRequest request, AttemptOutcome outcome) {
     if (outcome.requestCompleted() || outcome.status() == AttemptStatus.OK) {
       policies.completion.complete(request);
     }
--- a/core/src/main/java/shelffront/decision/SlowStartAdmission.java
+++ b/core/src/main/java/shelffront/decision/SlowStartAdmission.java
@@ -61,7 +61,7 @@
         request.requestClass.requiresPrimary(),
         endpoint.isPrimary(),
         replicaSet.primary != null,
-        budgetBefore(endpoint),
+        precedingBudgets(endpoint),
         budget(endpoint));
   }
 
@@ -69,7 +69,7 @@
    * Sum of the budgets of the warming endpoints that precede this one, by id and with the primary
    * last.
    */
-  private double budgetBefore(EndpointState endpoint) {
+  private double precedingBudgets(EndpointState endpoint) {
     return endpoint.replicaSet.endpoints.values().stream()
         .filter(other -> other.assignable && !other.isPrimary() && !isWarm(other))
         .filter(other -> endpoint.isPrimary() || other.id.compareTo(endpoint.id) < 0)
