--- a/core/src/main/java/shelffront/decision/ConnectionFailures.java
+++ b/core/src/main/java/shelffront/decision/ConnectionFailures.java
@@ -17,7 +17,7 @@
     RoutingState state, EndpointEjection ejection, HealthChecker healthChecker) {
 
   /** Number of consecutive connection failures that do not cause an ejection. */
-  private static final int MAX_TOLERATED = 2;
+  private static final int MAX_TOLERATED_FAILURES = 2;
 
   /** How long connections are treated as scarce or expensive after one could not be established. */
   private static final long CONNECTION_PRESSURE_MICROS = 20_000_000;
@@ -29,15 +29,15 @@
    */
   void record(EndpointState endpoint, AttemptOutcome outcome) {
     endpoint.idleConnectionUntilMicros = UNKNOWN;
-    boolean neverConnected = outcome.status() == AttemptStatus.CONNECT_FAILED;
-    boolean expensive = neverConnected && isExpensive(outcome.elapsedMicros());
-    if (expensive) {
+    boolean connectFailed = outcome.status() == AttemptStatus.CONNECT_FAILED;
+    boolean connectSlow = connectFailed && isConnectSlow(outcome.elapsedMicros());
+    if (connectSlow) {
       state.connectionsExpensiveUntilMicros = state.nowMicros + CONNECTION_PRESSURE_MICROS;
     }
-    if (expensive || exceedsTolerance(endpoint)) {
-      boolean scarce = neverConnected && !expensive;
+    if (connectSlow || exceedsTolerance(endpoint)) {
+      boolean connectRefused = connectFailed && !connectSlow;
       endpoint.connectionsScarceUntilMicros =
-          scarce ? state.nowMicros + CONNECTION_PRESSURE_MICROS : UNKNOWN;
+          connectRefused ? state.nowMicros + CONNECTION_PRESSURE_MICROS : UNKNOWN;
       ejection.ejectBriefly(endpoint, "does not accept connections");
     }
     if (!endpoint.healthCheckPending) {
@@ -50,10 +50,10 @@
    * number.
    */
   boolean exceedsTolerance(EndpointState endpoint) {
-    return ++endpoint.consecutiveConnectionFailures > MAX_TOLERATED;
+    return ++endpoint.consecutiveConnectionFailures > MAX_TOLERATED_FAILURES;
   }
 
-  private boolean isExpensive(long elapsedMicros) {
+  private boolean isConnectSlow(long elapsedMicros) {
     return elapsedMicros > state.settings.limits().connectTimeoutMicros() / 2;
   }
 }
--- a/core/src/main/java/shelffront/decision/EndpointCapacity.java
+++ b/core/src/main/java/shelffront/decision/EndpointCapacity.java
@@ -13,8 +13,8 @@
   /** Ratio of latency to latency objective above which the concurrency limit is lowered. */
   private static final double OVERLOADED_LATENCY_OVER_OBJECTIVE = 0.4;
 
-  private static final double DECREASE_WHEN_SLOW = 0.85;
-  private static final double DECREASE_WHEN_EXCEEDED = 0.7;
+  private static final double DECREASE_FACTOR_WHEN_SLOW = 0.85;
+  private static final double DECREASE_FACTOR_WHEN_REJECTED = 0.7;
 
   /** Whether the endpoint can take another attempt now, within this fraction of its capacity. */
   boolean hasCapacity(EndpointState endpoint, double fraction) {
@@ -49,13 +49,13 @@
   void recordLatency(EndpointState endpoint, double elapsedMicros, RequestClass requestClass) {
     endpoint.latency.record(state.nowMicros, elapsedMicros, requestClass.latencyObjectiveMicros());
     if (endpoint.latency.latencyOverObjective() > OVERLOADED_LATENCY_OVER_OBJECTIVE) {
-      decrease(endpoint, DECREASE_WHEN_SLOW);
+      decrease(endpoint, DECREASE_FACTOR_WHEN_SLOW);
     }
   }
 
   /** Lowers the limit after the endpoint rejected an attempt for lack of capacity. */
   void recordCapacityExceeded(EndpointState endpoint) {
-    decrease(endpoint, DECREASE_WHEN_EXCEEDED);
+    decrease(endpoint, DECREASE_FACTOR_WHEN_REJECTED);
   }
 
   private void decrease(EndpointState endpoint, double factor) {
--- a/core/src/main/java/shelffront/decision/EndpointEjection.java
+++ b/core/src/main/java/shelffront/decision/EndpointEjection.java
@@ -45,7 +45,7 @@
     endpoint.consecutiveEjections++;
     endpoint.ejectedUntilMicros =
         Math.max(endpoint.ejectedUntilMicros, state.nowMicros + ejectionMicros);
-    state.note(endpoint.id + " " + reason);
+    state.logRateLimited(endpoint.id + " " + reason);
     state.schedule(
         endpoint.ejectedUntilMicros, () -> state.replicaSetChanged.accept(endpoint.replicaSet));
   }
--- a/core/src/main/java/shelffront/decision/EndpointListBackoff.java
+++ b/core/src/main/java/shelffront/decision/EndpointListBackoff.java
@@ -5,8 +5,8 @@
  */
 final class EndpointListBackoff {
 
-  private static final long FIRST_MICROS = 100_000;
-  private static final long MAX_MICROS = 600_000;
+  private static final long INITIAL_BACKOFF_MICROS = 100_000;
+  private static final long MAX_BACKOFF_MICROS = 600_000;
   private static final int MAX_DOUBLINGS = 5;
 
   private final RoutingState state;
@@ -25,11 +25,13 @@
    * from sending their requests at the same time.
    */
   void recordFailure() {
-    long pauseMicros =
-        Math.min(MAX_MICROS, FIRST_MICROS << Math.min(MAX_DOUBLINGS, consecutiveFailures));
+    long backoffMicros =
+        Math.min(
+            MAX_BACKOFF_MICROS,
+            INITIAL_BACKOFF_MICROS << Math.min(MAX_DOUBLINGS, consecutiveFailures));
     consecutiveFailures++;
     state.schedule(
-        state.nowMicros + pauseMicros / 2 + state.random.nextInt((int) pauseMicros),
+        state.nowMicros + backoffMicros / 2 + state.random.nextInt((int) backoffMicros),
         () -> state.actions.watchEndpoints(true));
   }
 }
--- a/core/src/main/java/shelffront/decision/EndpointSuitability.java
+++ b/core/src/main/java/shelffront/decision/EndpointSuitability.java
@@ -8,10 +8,10 @@
     SlowdownEstimator slowdownEstimator) {
 
   /** Minimum remaining time for an attempt, in expected service times. */
-  private static final double MIN_SERVICE_TIMES_LEFT = 1.2;
+  private static final double MIN_REMAINING_SERVICE_TIMES = 1.2;
 
   /** Desired remaining time for an attempt, in expected service times, if the objective permits. */
-  private static final double WANTED_SERVICE_TIMES_LEFT = 2;
+  private static final double DESIRED_REMAINING_SERVICE_TIMES = 2;
 
   /**
    * Whether the request may be sent to the endpoint now, judged by health, load and remaining time.
@@ -29,10 +29,10 @@
     double expectedMicros =
         state.typicalServiceMicros(request) * slowdownEstimator.expected(endpoint);
     double halfObjectiveMicros = request.requestClass.latencyObjectiveMicros() / 2.0;
-    double neededMicros =
+    double requiredMicros =
         Math.max(
-            MIN_SERVICE_TIMES_LEFT * expectedMicros,
-            Math.min(WANTED_SERVICE_TIMES_LEFT * expectedMicros, halfObjectiveMicros));
-    return state.nowMicros + neededMicros < request.usefulUntilMicros();
+            MIN_REMAINING_SERVICE_TIMES * expectedMicros,
+            Math.min(DESIRED_REMAINING_SERVICE_TIMES * expectedMicros, halfObjectiveMicros));
+    return state.nowMicros + requiredMicros < request.usefulUntilMicros();
   }
 }
--- a/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
+++ b/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
@@ -18,12 +18,12 @@
    * the endpoint briefly.
    */
   void record(EndpointState endpoint, AttemptStatus status, LoadReport loadReport) {
-    boolean answered = status == AttemptStatus.OK;
+    boolean succeeded = status == AttemptStatus.OK;
     endpoint.healthCheckPending = false;
-    positions.recordLoadReport(endpoint, answered ? loadReport : null);
-    if (answered && endpoint.healthCheckFailed) {
+    positions.recordLoadReport(endpoint, succeeded ? loadReport : null);
+    if (succeeded && endpoint.healthCheckFailed) {
       ejection.readmit(endpoint);
-    } else if (answered && !endpoint.isEjected(state.nowMicros)) {
+    } else if (succeeded && !endpoint.isEjected(state.nowMicros)) {
       endpoint.onProbation = false;
     } else if (isFailure(endpoint, status)) {
       ejection.ejectBriefly(endpoint, "does not answer probes");
--- a/core/src/main/java/shelffront/decision/PreferredReplicas.java
+++ b/core/src/main/java/shelffront/decision/PreferredReplicas.java
@@ -20,7 +20,7 @@
    */
   List<String> of(ReplicaSet replicaSet) {
     if (replicaSet.preferredReplicas == null) {
-      replicaSet.preferredReplicas = choose(replicaSet);
+      replicaSet.preferredReplicas = selectSubset(replicaSet);
       replicaSet.preferredReplicas.stream()
           .map(replicaSet.endpoints::get)
           .filter(endpoint -> endpoint.healthCheckedAtMicros == UNKNOWN)
@@ -29,7 +29,7 @@
     return replicaSet.preferredReplicas;
   }
 
-  private List<String> choose(ReplicaSet replicaSet) {
+  private List<String> selectSubset(ReplicaSet replicaSet) {
     List<String> replicas =
         replicaSet.endpoints.values().stream()
             .filter(endpoint -> endpoint.assignable && !endpoint.isPrimary())
--- a/core/src/main/java/shelffront/decision/PrimarySearch.java
+++ b/core/src/main/java/shelffront/decision/PrimarySearch.java
@@ -8,7 +8,7 @@
 record PrimarySearch(RoutingState state, OutlierDetector outlierDetector) {
 
   /** Pause after all endpoints have been tried, because an election takes seconds. */
-  private static final long PAUSE_MICROS = 100_000;
+  private static final long SEARCH_PAUSE_MICROS = 100_000;
 
   /**
    * Attempts that a searching write must have left: one for this candidate and one for the primary.
@@ -56,7 +56,7 @@
 
   private void pause(ReplicaSet replicaSet) {
     replicaSet.lastSearchedId = "";
-    replicaSet.searchPausedUntilMicros = state.nowMicros + PAUSE_MICROS;
+    replicaSet.searchPausedUntilMicros = state.nowMicros + SEARCH_PAUSE_MICROS;
     state.schedule(
         replicaSet.searchPausedUntilMicros, () -> state.replicaSetChanged.accept(replicaSet));
   }
--- a/core/src/main/java/shelffront/decision/ReplicaPositions.java
+++ b/core/src/main/java/shelffront/decision/ReplicaPositions.java
@@ -67,11 +67,12 @@
     if (role == Role.PRIMARY) {
       changePrimary(replicaSet, endpoint, asOfMicros);
       replicaSet.lastSearchedId = "";
-      state.note("primary of group " + endpoint.listed.replicaSet() + " is " + endpoint.id);
+      state.logRateLimited(
+          "primary of group " + endpoint.listed.replicaSet() + " is " + endpoint.id);
     } else {
       changePrimary(replicaSet, null, asOfMicros);
       replicaSet.lastSearchedId = endpoint.id;
-      state.note("group " + endpoint.listed.replicaSet() + " has no known primary");
+      state.logRateLimited("group " + endpoint.listed.replicaSet() + " has no known primary");
     }
   }
 
--- a/core/src/main/java/shelffront/decision/ReplicaSelector.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSelector.java
@@ -16,16 +16,16 @@
   private static final double MIN_JITTER = 0.95;
 
   /** Cost factor of a replica that this gateway does not prefer. */
-  private static final double NOT_PREFERRED_COST = 1.5;
+  private static final double NOT_PREFERRED_COST_FACTOR = 1.5;
 
   /** Cost factor of a replica without an idle connection. */
-  private static final double CONNECT_COST = 1.5;
+  private static final double CONNECT_COST_FACTOR = 1.5;
 
   /** Cost factor of a replica without an idle connection while establishing one takes too long. */
-  private static final double EXPENSIVE_CONNECT_COST = 4;
+  private static final double EXPENSIVE_CONNECT_COST_FACTOR = 4;
 
   /** Increase of the cost factor for each unit of the cross-zone cost in the settings. */
-  private static final double CROSS_ZONE_COST_FACTOR = 5;
+  private static final double CROSS_ZONE_COST_MULTIPLIER = 5;
 
   /**
    * Returns the replica of lowest cost among those that are suitable, cover the position that the
@@ -63,27 +63,27 @@
         * (endpoint.outstandingAttempts.size() + 1)
         / endpoint.capacityHint()
         * jitter()
-        * (preferred ? 1 : NOT_PREFERRED_COST)
-        * connectCost(endpoint)
-        * zoneCost(endpoint);
+        * (preferred ? 1 : NOT_PREFERRED_COST_FACTOR)
+        * connectCostFactor(endpoint)
+        * zoneCostFactor(endpoint);
   }
 
   private double jitter() {
     return MIN_JITTER + JITTER_SPREAD * state.random.nextDouble();
   }
 
-  private double connectCost(EndpointState endpoint) {
+  private double connectCostFactor(EndpointState endpoint) {
     if (state.nowMicros < endpoint.idleConnectionUntilMicros) {
       return 1;
     }
     return state.nowMicros < state.connectionsExpensiveUntilMicros
-        ? EXPENSIVE_CONNECT_COST
-        : CONNECT_COST;
+        ? EXPENSIVE_CONNECT_COST_FACTOR
+        : CONNECT_COST_FACTOR;
   }
 
-  private double zoneCost(EndpointState endpoint) {
+  private double zoneCostFactor(EndpointState endpoint) {
     return endpoint.listed.zone().equals(state.settings.gateway().zone())
         ? 1
-        : 1 + CROSS_ZONE_COST_FACTOR * state.settings.crossZoneCost();
+        : 1 + CROSS_ZONE_COST_MULTIPLIER * state.settings.crossZoneCost();
   }
 }
--- a/core/src/main/java/shelffront/decision/ReplicaSet.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSet.java
@@ -47,10 +47,10 @@
   private final List<LinkedHashSet<PendingRequest>> queues;
   private final List<LinkedHashSet<PendingRequest>> lateQueues;
 
-  ReplicaSet(int requestClasses, double overloadSeconds) {
+  ReplicaSet(int requestClassCount, double overloadSeconds) {
     slowStartBudget = new SlowStartBudget(overloadSeconds);
-    queues = emptyQueues(requestClasses);
-    lateQueues = emptyQueues(requestClasses);
+    queues = emptyQueues(requestClassCount);
+    lateQueues = emptyQueues(requestClassCount);
   }
 
   private static List<LinkedHashSet<PendingRequest>> emptyQueues(int count) {
--- a/core/src/main/java/shelffront/decision/RequestCompletion.java
+++ b/core/src/main/java/shelffront/decision/RequestCompletion.java
@@ -5,11 +5,11 @@
 
   /**
    * Timers of completed requests are removed once more requests than this, plus one for each {@link
-   * #TIMERS_PER_COMPLETED} timers, have completed since the last sweep.
+   * #TIMERS_PER_COMPLETED_REQUEST} timers, have completed since the last sweep.
    */
-  private static final int MIN_COMPLETED_FOR_SWEEP = 64;
+  private static final int MIN_COMPLETED_REQUESTS_FOR_SWEEP = 64;
 
-  private static final int TIMERS_PER_COMPLETED = 8;
+  private static final int TIMERS_PER_COMPLETED_REQUEST = 8;
 
   /**
    * Removes the request, and cancels its outstanding attempts if it is idempotent and the site
@@ -32,7 +32,7 @@
   private void sweepTimers() {
     state.completedSinceTimerSweep++;
     if (state.completedSinceTimerSweep
-        > MIN_COMPLETED_FOR_SWEEP + state.timers.size() / TIMERS_PER_COMPLETED) {
+        > MIN_COMPLETED_REQUESTS_FOR_SWEEP + state.timers.size() / TIMERS_PER_COMPLETED_REQUEST) {
       state.completedSinceTimerSweep = 0;
       state.timers.removeCancelled();
     }
--- a/core/src/main/java/shelffront/decision/RequestScheduler.java
+++ b/core/src/main/java/shelffront/decision/RequestScheduler.java
@@ -86,15 +86,15 @@
    * Dispatches the requests of a queue in order, until too many of them have no suitable endpoint.
    */
   private void dispatchQueue(LinkedHashSet<PendingRequest> queue) {
-    int unsuitable = 0;
+    int unsuitableCount = 0;
     Iterator<PendingRequest> requests = queue.iterator();
-    while (requests.hasNext() && unsuitable < MAX_UNSUITABLE_PER_QUEUE) {
+    while (requests.hasNext() && unsuitableCount < MAX_UNSUITABLE_PER_QUEUE) {
       PendingRequest request = requests.next();
       if (request.queue == queue) {
         dispatch(request);
       }
       if (request.queue == queue) {
-        unsuitable++;
+        unsuitableCount++;
       } else {
         requests.remove();
       }
--- a/core/src/main/java/shelffront/decision/RoutingState.java
+++ b/core/src/main/java/shelffront/decision/RoutingState.java
@@ -60,7 +60,7 @@
   /** Time until which establishing a connection is expected to take too long. */
   long connectionsExpensiveUntilMicros = UNKNOWN;
 
-  private long loggedAtMicros = UNKNOWN;
+  private long lastLoggedAtMicros = UNKNOWN;
 
   RoutingState(RouterActions actions) {
     this.actions = actions;
@@ -91,9 +91,9 @@
   }
 
   /** Writes a line to the log; drops it within {@link #LOG_INTERVAL_MICROS} of the last one. */
-  void note(String text) {
-    if (nowMicros - loggedAtMicros > LOG_INTERVAL_MICROS) {
-      loggedAtMicros = nowMicros;
+  void logRateLimited(String text) {
+    if (nowMicros - lastLoggedAtMicros > LOG_INTERVAL_MICROS) {
+      lastLoggedAtMicros = nowMicros;
       actions.log(text);
     }
   }
--- a/core/src/main/java/shelffront/decision/SlowStartAdmission.java
+++ b/core/src/main/java/shelffront/decision/SlowStartAdmission.java
@@ -83,14 +83,14 @@
    * tried at all.
    */
   private double budget(EndpointState endpoint) {
-    double fairSends =
+    double usualSends =
         state.warmEndpointSends * endpoint.capacityHint()
             + 1.0 / endpoint.replicaSet.endpoints.size();
     return endpoint.replicaSet.slowStartBudget.budget(
         state.nowMicros,
         capacityFraction(endpoint),
         state.settings.safetyRules().overloadFactor(),
-        fairSends,
+        usualSends,
         endpoint.isPrimary());
   }
 }
--- a/core/src/main/java/shelffront/decision/SlowdownEstimator.java
+++ b/core/src/main/java/shelffront/decision/SlowdownEstimator.java
@@ -23,7 +23,7 @@
    * Expected slowdown; the mean of the replica set counts for more if the endpoint has few samples.
    */
   double expected(EndpointState endpoint) {
-    double ofReplicaSet = endpoint.replicaSet.slowdown.mean(state.nowMicros, 1, 1);
-    return endpoint.slowdown.mean(state.nowMicros, ofReplicaSet, PRIOR_WEIGHT);
+    double replicaSetMean = endpoint.replicaSet.slowdown.mean(state.nowMicros, 1, 1);
+    return endpoint.slowdown.mean(state.nowMicros, replicaSetMean, PRIOR_WEIGHT);
   }
 }
