--- a/core/src/main/java/shelffront/decision/ConnectionFailures.java
+++ b/core/src/main/java/shelffront/decision/ConnectionFailures.java
@@ -23,9 +23,10 @@
   private static final long CONNECTION_PRESSURE_MICROS = 20_000_000;
 
   /**
-   * Records an attempt whose connection broke or could not be established. Connections that are
-   * refused at once suggest that the endpoint's connection table is full, so idle connections are
-   * closed for a while. If establishing a connection takes too long, idle connections are kept.
+   * Records an attempt whose connection broke or could not be established. If connections beyond
+   * the tolerated number are refused at once, the endpoint's connection table may be full, so its
+   * idle connections are closed for a while. If establishing a connection takes too long, idle
+   * connections are kept.
    */
   void record(EndpointState endpoint, AttemptOutcome outcome) {
     endpoint.idleConnectionUntilMicros = UNKNOWN;
--- a/core/src/main/java/shelffront/decision/EndpointRegistry.java
+++ b/core/src/main/java/shelffront/decision/EndpointRegistry.java
@@ -88,7 +88,7 @@
   /**
    * Stops sending attempts to the endpoint, and forgets it if it was removed. If removal is
    * advisory, the list does not prove an endpoint down, so an assignable endpoint stays in use and
-   * only its own attempts decide about its health.
+   * is judged by its own attempts and health checks.
    */
   private void withdraw(EndpointState endpoint, boolean removed) {
     if (removed && endpoint.assignable && state.settings.safetyRules().removalIsAdvisory()) {
