--- a/core/src/main/java/shelffront/decision/ConnectionFailures.java
+++ b/core/src/main/java/shelffront/decision/ConnectionFailures.java
@@ -6,50 +6,55 @@
 import shelffront.routing.AttemptStatus;
 
 /**
- * Judges an endpoint by its broken and refused connections. One or two prove nothing, since a
- * healthy endpoint loses connections too.
+ * Health-checks and ejects endpoints whose connections fail. One or two consecutive failures are
+ * tolerated, because healthy endpoints lose connections too.
  *
- * <p>Invariant: an endpoint is health-checked after each failure, and ejected shortly from the
- * third in a row on, or where a connection took too long to set up.
+ * <p>Invariant: each failure triggers a health check, if the site permits it and none is pending.
+ * An endpoint is ejected briefly from the third consecutive failure on, or as soon as establishing
+ * a connection takes more than half of the connect timeout.
  */
 record ConnectionFailures(
     RoutingState state, EndpointEjection ejection, HealthChecker healthChecker) {
 
-  /** Connection failures in a row that prove nothing. */
-  private static final int MAX_TOLERATED = 2;
+  /** Number of consecutive connection failures that do not cause an ejection. */
+  private static final int MAX_TOLERATED_FAILURES = 2;
 
-  /** How long connections count as scarce or expensive after one could not be set up. */
+  /** How long connections are treated as scarce or expensive after one could not be established. */
   private static final long CONNECTION_PRESSURE_MICROS = 20_000_000;
 
   /**
-   * An attempt's connection broke or was not set up. Where it was refused at once, the endpoint's
-   * connection table may be full: idle connections are given back for a while. Where setting up
-   * takes too long they are kept.
+   * Records an attempt whose connection broke or could not be established. If connections beyond
+   * the tolerated number are refused at once, the endpoint's connection table may be full, so its
+   * idle connections are closed for a while. If establishing a connection takes too long, idle
+   * connections are kept.
    */
   void record(EndpointState endpoint, AttemptOutcome outcome) {
     endpoint.idleConnectionUntilMicros = UNKNOWN;
-    boolean neverConnected = outcome.status() == AttemptStatus.CONNECT_FAILED;
-    boolean expensive = neverConnected && isExpensive(outcome.elapsedMicros());
-    if (expensive) {
+    boolean connectFailed = outcome.status() == AttemptStatus.CONNECT_FAILED;
+    boolean connectSlow = connectFailed && isConnectSlow(outcome.elapsedMicros());
+    if (connectSlow) {
       state.connectionsExpensiveUntilMicros = state.nowMicros + CONNECTION_PRESSURE_MICROS;
     }
-    if (expensive || exceedsTolerance(endpoint)) {
-      boolean scarce = neverConnected && !expensive;
+    if (connectSlow || exceedsTolerance(endpoint)) {
+      boolean connectRefused = connectFailed && !connectSlow;
       endpoint.connectionsScarceUntilMicros =
-          scarce ? state.nowMicros + CONNECTION_PRESSURE_MICROS : UNKNOWN;
-      ejection.ejectShortly(endpoint, "does not accept connections");
+          connectRefused ? state.nowMicros + CONNECTION_PRESSURE_MICROS : UNKNOWN;
+      ejection.ejectBriefly(endpoint, "does not accept connections");
     }
-    if (!endpoint.healthCheckOut) {
+    if (!endpoint.healthCheckPending) {
       healthChecker.check(endpoint);
     }
   }
 
-  /** Counts a failure; true from the first on that tells something of the endpoint. */
+  /**
+   * Counts a connection failure; returns whether the consecutive failures exceed the tolerated
+   * number.
+   */
   boolean exceedsTolerance(EndpointState endpoint) {
-    return ++endpoint.consecutiveConnectionFailures > MAX_TOLERATED;
+    return ++endpoint.consecutiveConnectionFailures > MAX_TOLERATED_FAILURES;
   }
 
-  private boolean isExpensive(long elapsedMicros) {
+  private boolean isConnectSlow(long elapsedMicros) {
     return elapsedMicros > state.settings.limits().connectTimeoutMicros() / 2;
   }
 }
--- a/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
+++ b/core/src/main/java/shelffront/decision/HealthCheckOutcomes.java
@@ -3,7 +3,7 @@
 import shelffront.routing.AttemptStatus;
 import shelffront.routing.LoadReport;
 
-/** Updates an endpoint's health, position and role by the outcomes of its health checks. */
+/** Updates an endpoint's health, position and role from the outcomes of its health checks. */
 record HealthCheckOutcomes(
     RoutingState state,
     ReplicaPositions positions,
@@ -11,21 +11,22 @@
     ConnectionFailures connectionFailures) {
 
   /**
-   * Records the outcome of a health check. A success ends an ejection that a failed check began. An
-   * ejection for another reason stays; once that is over, a success ends the probation, since a
-   * lone gateway could otherwise never send the endpoint a non-idempotent write. A failure ejects
-   * the endpoint for a short time.
+   * Records the outcome of a health check. If an earlier check failed, a success readmits the
+   * endpoint. Otherwise a success leaves an ejection in force; once the ejection has expired, it
+   * ends the probation, because a lone gateway could otherwise never send the endpoint a
+   * non-idempotent write. A timeout, or a connection failure beyond the tolerated number, ejects
+   * the endpoint briefly.
    */
   void record(EndpointState endpoint, AttemptStatus status, LoadReport loadReport) {
-    boolean answered = status == AttemptStatus.OK;
-    endpoint.healthCheckOut = false;
-    positions.recordLoadReport(endpoint, answered ? loadReport : null);
-    if (answered && endpoint.healthCheckFailed) {
+    boolean succeeded = status == AttemptStatus.OK;
+    endpoint.healthCheckPending = false;
+    positions.recordLoadReport(endpoint, succeeded ? loadReport : null);
+    if (succeeded && endpoint.healthCheckFailed) {
       ejection.readmit(endpoint);
-    } else if (answered && !endpoint.isEjected(state.nowMicros)) {
+    } else if (succeeded && !endpoint.isEjected(state.nowMicros)) {
       endpoint.onProbation = false;
     } else if (isFailure(endpoint, status)) {
-      ejection.ejectShortly(endpoint, "does not answer probes");
+      ejection.ejectBriefly(endpoint, "does not answer probes");
       endpoint.healthCheckFailed = true;
     }
   }
--- a/core/src/main/java/shelffront/decision/HedgingPolicy.java
+++ b/core/src/main/java/shelffront/decision/HedgingPolicy.java
@@ -3,10 +3,11 @@
 import shelffront.routing.OperatingLimits;
 
 /**
- * Hedged requests: a second attempt of an idempotent request whose first one is most likely lost.
+ * Starts hedged attempts: a second attempt of an idempotent request whose outstanding attempt is
+ * probably lost.
  *
- * <p>Invariant: only the newest attempt of a request is watched, so that a request has one timer of
- * this kind at a time.
+ * <p>Invariant: only the newest attempt of a request is monitored, so that a request has at most
+ * one hedging timer.
  */
 record HedgingPolicy(
     RoutingState state,
@@ -15,7 +16,10 @@
     SilenceDetector silenceDetector,
     LoadShedder loadShedder) {
 
-  /** Starts an attempt and watches it where it may be hedged; false where a rule forbids it. */
+  /**
+   * Starts an attempt, and monitors it if the request is idempotent; returns false if {@link
+   * AttemptAdmission} denies it.
+   */
   boolean startAttempt(PendingRequest request, EndpointState endpoint) {
     Attempt attempt = sender.send(request, endpoint);
     if (attempt == null) {
@@ -34,37 +38,39 @@
   }
 
   /**
-   * Hedges an attempt that is lost, and cancels it once it is hedged or where it may not be; looks
-   * again after the class's typical service time.
+   * Hedges the attempt if it is lost, and cancels it once it is hedged or if it may not be hedged.
+   * While it is not hedged, repeats the check after the typical service time of the class.
    */
   private void check(Attempt attempt) {
     PendingRequest request = attempt.request;
-    if (!request.open || !attempt.isOut() || !request.isNewestAttempt(attempt)) {
+    if (!request.open || !attempt.isOutstanding() || !request.isNewestAttempt(attempt)) {
       return;
     }
     OperatingLimits limits = state.settings.limits();
     boolean lost = isLost(attempt);
-    boolean mayHedge = limits.hedgingAllowed() && isUsefulNow(request);
+    boolean mayHedge = limits.hedgingAllowed() && canStillBeUseful(request);
     boolean hedged = lost && mayHedge && hedge(attempt);
     if (lost && limits.cancellationAllowed() && (hedged || !mayHedge)) {
       state.actions.cancelAttempt(request.request.id(), attempt.number);
     }
-    if (!hedged && isUsefulNow(request)) {
+    if (!hedged && canStillBeUseful(request)) {
       scheduleCheck(attempt);
     }
   }
 
-  private boolean isUsefulNow(PendingRequest request) {
+  private boolean canStillBeUseful(PendingRequest request) {
     return state.nowMicros < loadShedder.latestUsefulStartMicros(request);
   }
 
-  /** Whether the attempt's endpoint was withdrawn, ejected or silent, or its connection lost. */
+  /**
+   * Whether the endpoint was withdrawn, ejected or is silent, or the attempt's connection was lost.
+   */
   private boolean isLost(Attempt attempt) {
     EndpointState endpoint = attempt.endpoint;
     return !endpoint.assignable
         || endpoint.isEjected(state.nowMicros)
         || silenceDetector.isSilent(endpoint)
-        || silenceDetector.isLostWithItsConnection(attempt);
+        || silenceDetector.isConnectionLost(attempt);
   }
 
   private boolean hedge(Attempt attempt) {
--- a/core/src/main/java/shelffront/decision/PreferredReplicas.java
+++ b/core/src/main/java/shelffront/decision/PreferredReplicas.java
@@ -8,18 +8,19 @@
 import shelffront.routing.GatewayIdentity;
 
 /**
- * The replicas of a set that this gateway prefers, so that a large fleet does not hold connections
- * from every gateway to every host.
+ * Selects the replicas of a set that this gateway prefers, so that in a large fleet not every
+ * gateway holds connections to every host.
  */
 record PreferredReplicas(RoutingState state, HealthChecker healthChecker) {
 
   /**
-   * Ids of the preferred replicas. Chosen anew after the list or the primary changed; those never
-   * asked are health-checked then, since one is wanted now.
+   * Returns the ids of the preferred replicas. They are recomputed after a change of the endpoint
+   * list or of the primary; replicas that were never health-checked are then checked, because a
+   * request needs one now.
    */
   List<String> of(ReplicaSet replicaSet) {
     if (replicaSet.preferredReplicas == null) {
-      replicaSet.preferredReplicas = choose(replicaSet);
+      replicaSet.preferredReplicas = selectSubset(replicaSet);
       replicaSet.preferredReplicas.stream()
           .map(replicaSet.endpoints::get)
           .filter(endpoint -> endpoint.healthCheckedAtMicros == UNKNOWN)
@@ -28,7 +29,7 @@
     return replicaSet.preferredReplicas;
   }
 
-  private List<String> choose(ReplicaSet replicaSet) {
+  private List<String> selectSubset(ReplicaSet replicaSet) {
     List<String> replicas =
         replicaSet.endpoints.values().stream()
             .filter(endpoint -> endpoint.assignable && !endpoint.isPrimary())
--- a/core/src/main/java/shelffront/decision/RequestCompletion.java
+++ b/core/src/main/java/shelffront/decision/RequestCompletion.java
@@ -1,21 +1,27 @@
 package shelffront.decision;
 
-/** Ends a request in the module; it takes no further attempt afterwards. */
+/** Completes requests; a completed request gets no further attempt. */
 record RequestCompletion(RoutingState state) {
 
-  /** Timers of completed requests are dropped when so many and a part of all have ended. */
-  private static final int MIN_COMPLETED_FOR_SWEEP = 64;
+  /**
+   * Timers of completed requests are removed once more requests than this, plus one for each {@link
+   * #TIMERS_PER_COMPLETED_REQUEST} timers, have completed since the last sweep.
+   */
+  private static final int MIN_COMPLETED_REQUESTS_FOR_SWEEP = 64;
 
-  private static final int TIMERS_PER_COMPLETED = 8;
+  private static final int TIMERS_PER_COMPLETED_REQUEST = 8;
 
-  /** Forgets the request and cancels the attempts that are out, if it is idempotent. */
+  /**
+   * Removes the request, and cancels its outstanding attempts if it is idempotent and the site
+   * permits cancellation.
+   */
   void complete(PendingRequest request) {
     request.open = false;
     request.queue = null;
     state.pendingRequests.remove(request.request.id());
     sweepTimers();
     if (state.settings.limits().cancellationAllowed() && request.requestClass.isIdempotent()) {
-      request.attempts.stream().filter(Attempt::isOut).forEach(this::cancel);
+      request.attempts.stream().filter(Attempt::isOutstanding).forEach(this::cancel);
     }
   }
 
@@ -26,7 +32,7 @@
   private void sweepTimers() {
     state.completedSinceTimerSweep++;
     if (state.completedSinceTimerSweep
-        > MIN_COMPLETED_FOR_SWEEP + state.timers.size() / TIMERS_PER_COMPLETED) {
+        > MIN_COMPLETED_REQUESTS_FOR_SWEEP + state.timers.size() / TIMERS_PER_COMPLETED_REQUEST) {
       state.completedSinceTimerSweep = 0;
       state.timers.removeCancelled();
     }
--- a/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
+++ b/core/src/test/java/shelffront/decision/EndpointSelectionTest.java
@@ -10,7 +10,7 @@
 import shelffront.routing.LagCheck;
 import shelffront.routing.Role;
 
-/** What the design page says of the ordinary path. */
+/** Tests which endpoint a request is sent to while all endpoints are healthy. */
 class EndpointSelectionTest {
 
   private final RoutingTestHarness harness = new RoutingTestHarness();
@@ -37,7 +37,7 @@
 
   @Test
   void searchesForThePrimaryInOrderOfIdsAndPausesAfterARound() {
-    harness.startWithUnknown("m1", "m2", "m3");
+    harness.startWithoutReports("m1", "m2", "m3");
     harness.newActions();
     harness.request("a", RoutingTestHarness.KEYED_WRITE);
     harness.outcome("a", 0, "m1", AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void queuesSessionReadShortlyAndThenSendsItToThePrimary() {
+  void queuesSessionReadBrieflyAndThenSendsItToThePrimary() {
     harness.start();
     harness.advanceTime(20 * RoutingTestHarness.MS);
     harness.request("a", RoutingTestHarness.SESSION_READ, 10 * RoutingTestHarness.MS);
@@ -147,9 +147,9 @@
   }
 
   @Test
-  void takesUnknownReplicasAsBehindAndChecksEachOnce() {
-    harness.startWithUnknown("m1", "m2");
-    assertEquals(List.of("probe m1", "probe m2"), harness.actions.lines);
+  void treatsReplicasWithoutReportsAsLaggingAndChecksEachOnce() {
+    harness.startWithoutReports("m1", "m2");
+    assertEquals(List.of("checkHealth m1", "checkHealth m2"), harness.actions.lines);
     harness.newActions();
     harness.request("a", RoutingTestHarness.BOUNDED_READ);
     assertEquals(List.of(), harness.newActions());
@@ -166,6 +166,6 @@
     assertTrue(first.matches("send a m[23]"), first);
     harness.outcome("a", 0, first.substring(7), AttemptStatus.REPLICA_UNSUITABLE, Role.REPLICA);
     String second = harness.newActions().get(0);
-    assertFalse(second.equals(first), "not to the endpoint that just rejected it");
+    assertFalse(second.equals(first), "must not go to the endpoint that just rejected it");
   }
 }
