--- a/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
@@ -25,15 +25,16 @@
 import shelffront.coordination.CoordinationException.EngineUnreachable;
 
 /**
- * Consul's KV store, through its agent: check-and-set by ModifyIndex, blocking queries for the
- * watch. Reads are in mode {@code consistent}: in the default one an old leader that was cut off
- * may answer for a while.
+ * The KV store of Consul, accessed through its agent: check-and-set by ModifyIndex, and blocking
+ * queries for watches. Reads use the mode {@code consistent}, because in the default mode a former
+ * leader that is partitioned off may serve stale data for a while.
  *
- * <p>Threads: any may call; the client has connections of its own.
+ * <p>Threads: thread-safe. Calls and watches use separate clients, so a waiting watch delays no
+ * call.
  */
 public final class ConsulCoordinationStore implements CoordinationStore {
 
-  /** A transaction was rolled back for what its keys hold. */
+  /** HTTP status of a transaction that was rolled back because a key did not meet its condition. */
   private static final int CONFLICT = 409;
 
   private static final long MILLIS_PER_SECOND = 1000;
@@ -46,17 +47,17 @@
   private final String watchWait;
 
   /**
-   * Connects with the first call.
+   * Creates a store that connects on the first call.
    *
-   * @param timeout calls are given up after this; a watch that nothing changes answers after as
-   *     long, and one second at least
+   * @param timeout timeout of calls; also the wait of a watch without changes, in whole seconds and
+   *     at least one second
    */
   public ConsulCoordinationStore(String host, int port, Duration timeout) {
     address = host + ":" + port;
     HostAndPort agent = HostAndPort.fromParts(host, port);
     long timeoutMillis = timeout.toMillis();
     callClient = builder(agent, timeoutMillis, timeoutMillis).build();
-    // The client sends waits in whole seconds only.
+    // The client sends the wait of a blocking query in whole seconds only.
     long waitSeconds = Math.max(1, timeout.toSeconds());
     watchClient =
         builder(agent, timeoutMillis, MILLIS_PER_SECOND * waitSeconds + timeoutMillis).build();
@@ -74,14 +75,16 @@
         .withWriteTimeoutMillis(connectMillis);
   }
 
-  /** Has the client's exceptions say what went wrong. */
+  /** Calls the client and translates its exceptions. */
   private <T> T call(Supplier<T> request) throws CoordinationException {
     try {
       return request.get();
     } catch (ConsulException e) {
       throw translate(e);
-    } catch (RuntimeException e) { // the client's own, at an answer that lacks what it must have
-      throw new EngineGarbled("the engine at " + address + " answered what can't be read: " + e, e);
+    } catch (
+        RuntimeException e) { // thrown by the client if a required field is missing in a response
+      throw new EngineGarbled(
+          "the response of the engine at " + address + " is malformed: " + e, e);
     }
   }
 
@@ -90,7 +93,9 @@
       return new EngineRefused(address, exception.getCode());
     }
     return exception.getCause() instanceof JacksonException
-        ? new EngineGarbled("the engine at " + address + " answered what can't be read", exception)
+        ? new EngineGarbled(
+            "the response of the engine at " + address + " is malformed: " + exception.getCause(),
+            exception)
         : new EngineUnreachable(address, exception);
   }
 
@@ -183,7 +188,7 @@
             .map(key -> Operation.builder(Verb.GET).key(key).build())
             .toArray(Operation[]::new);
     Optional<List<Value>> values = transaction(reads);
-    // A key that is not there ends a transaction of reads.
+    // Consul rolls back a transaction of reads if one of its keys does not exist.
     return values.isPresent() ? values.get() : readOneByOne(keys);
   }
 
@@ -198,7 +203,10 @@
     return values;
   }
 
-  /** The values that it read or wrote; empty where it was rolled back for what its keys hold. */
+  /**
+   * The values read or written by the transaction; empty if it was rolled back because a key did
+   * not meet its condition.
+   */
   private Optional<List<Value>> transaction(Operation... operations) throws CoordinationException {
     try {
       TxResponse response = call(() -> calls.performTransaction(operations).getResponse());
--- a/gateway/src/main/java/shelffront/coordination/CoordinationException.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationException.java
@@ -1,8 +1,8 @@
 package shelffront.coordination;
 
 /**
- * The coordination store gave no answer that says anything; what became of a write is not known,
- * but for {@link EngineContended}. The codes are listed in {@code docs/operators/fleet-changes.md}.
+ * An operation on the coordination store failed. Whether a write was applied is unknown, except for
+ * {@link EngineContended}. The codes are listed in {@code docs/operators/fleet-changes.md}.
  */
 public abstract sealed class CoordinationException extends OperatorException {
 
@@ -12,36 +12,39 @@
     super(code, what, advice, cause);
   }
 
-  /** No answer came in time, or no connection. */
+  /** The store did not respond in time, or the connection to it failed. */
   public static final class EngineUnreachable extends CoordinationException {
 
     private static final long serialVersionUID = 1L;
 
-    /** The address is that of the agent. */
+    /** Creates the error for the agent at an address {@code host:port}. */
     public EngineUnreachable(String address, Throwable cause) {
       super(
           "engine-unreachable",
-          "the engine at " + address + " does not answer: " + cause.getMessage(),
-          "Look at the engine's agent and the way to it. Gateways fall back to the safe stage when"
-              + " their leases lapse and come back by themselves.",
+          "the engine at " + address + " does not respond: " + cause.getMessage(),
+          "Check the engine's agent and the network path to it. Gateways fall back to the safe"
+              + " stage when their leases expire, and recover without intervention.",
           cause);
     }
   }
 
-  /** It answered that it can't: it has no leader, or is overloaded. */
+  /**
+   * The store responded with an error status, for example because it has no leader or is
+   * overloaded.
+   */
   public static final class EngineRefused extends CoordinationException {
 
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
-    /** The status is that of HTTP. */
+    /** Creates the error for an HTTP status of the agent at an address {@code host:port}. */
     public EngineRefused(String address, int status) {
       super(
           "engine-refused",
-          "the engine at " + address + " answered " + status,
-          "Look at the engine's servers: without a leader it takes no write. Nothing is lost; moves"
-              + " wait.",
+          "the engine at " + address + " responded with HTTP status " + status,
+          "Check the engine's servers; without a leader they accept no writes. Nothing is lost;"
+              + " rollouts wait until the engine accepts writes again.",
           null);
       this.status = status;
     }
@@ -52,34 +55,38 @@
     }
   }
 
-  /** Its answer, or what a key holds, can't be read. */
+  /** A response of the store, or the value of a key, is malformed. */
   public static final class EngineGarbled extends CoordinationException {
 
     private static final long serialVersionUID = 1L;
 
-    /** What can't be read, with the key or the address. */
+    /** Creates the error; the message names the key or the address and what is malformed. */
     public EngineGarbled(String what, Throwable cause) {
       super(
           "engine-garbled",
           what,
-          "See who else writes under this fleet's prefix, and whether all gateways are of a build"
-              + " that knows the form. Put back what the key held; never take it away while"
-              + " gateways run.",
+          "Check for other writers under the key prefix of this fleet, and that all gateways run"
+              + " a build that knows this format. Restore the previous value of the key; never"
+              + " delete the key while gateways run.",
           cause);
     }
   }
 
-  /** Others changed the same key each time between a look and the write. */
+  /**
+   * Every check-and-set attempt failed because the key was changed concurrently between the read
+   * and the write.
+   */
   public static final class EngineContended extends CoordinationException {
 
     private static final long serialVersionUID = 1L;
 
-    /** What was to be written, and how often it was tried. */
+    /** Creates the error for the name of the record or key, and the number of attempts. */
     public EngineContended(String what, int attempts) {
       super(
           "engine-contended",
-          "the write of " + what + " lost to others " + attempts + " times",
-          "Nothing was changed; ask again. If it stays so, see who writes without pause.",
+          "the write of " + what + " lost to concurrent writes in all " + attempts + " attempts",
+          "Nothing was changed; retry the request. If this persists, find the process that writes"
+              + " continuously.",
           null);
     }
   }
--- a/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
@@ -3,66 +3,70 @@
 import java.util.List;
 
 /**
- * A small key-value store that the gateways of a fleet share: it keeps what must not be lost or
- * decided twice.
+ * A small key-value store shared by the gateways of a fleet, for state that must not be lost and
+ * decisions that must be made only once.
  *
- * <p>Invariants: every read sees all writes that were answered before it was sent. A write is taken
- * only where the key has the index that it names. An index changes with every write of the key and
- * never comes back.
+ * <p>Invariants: reads are linearizable; every read sees all writes that were acknowledged before
+ * it was sent. A write is applied only if the index of the key is the one that it names. The index
+ * of a key changes with every write and is never reused.
  *
- * <p>Threads: any may call; calls block for a bounded time. A {@link CoordinationException} says
- * why there is no answer; whether a write was taken is not known then.
+ * <p>Threads: thread-safe; calls block for a bounded time. After a {@link CoordinationException} it
+ * is unknown whether a write was applied.
  */
 public interface CoordinationStore extends AutoCloseable {
 
-  /** Operations that one transaction may have. */
+  /** Maximum number of operations in a transaction. */
   int MAX_TRANSACTION_OPERATIONS = 64;
 
-  /** A key's text, and the index of its last write. */
+  /** The text of a key and the index of its last write. */
   record Value(String key, long index, String text) {}
 
-  /** What stands under a prefix, and the index of that answer. */
+  /** The keys under a prefix and the index of the listing, from which {@link #watch} continues. */
   record Listing(long index, List<Value> values) {}
 
   /**
-   * One key's part in a transaction.
+   * The write of one key in a transaction.
    *
-   * @param index that the key must have; 0: there is no such key; {@link #ANY_INDEX}: whatever
-   * @param newText null removes the key
+   * @param index the index that the key must have; 0 if the key must not exist; {@link #ANY_INDEX}
+   *     for an unconditional write
+   * @param newText the new text; null removes the key
    */
   record Write(String key, long index, String newText) {
 
-    /** Whatever the key's index is. */
+    /** The index of an unconditional write. */
     public static final long ANY_INDEX = -1;
   }
 
-  /** A key as it stands; null where there is none. */
+  /** Reads a key; null if it does not exist. */
   Value read(String key) throws CoordinationException;
 
   /**
-   * Several keys as of one moment, those that there are; at most {@link
-   * #MAX_TRANSACTION_OPERATIONS}.
+   * Reads several keys, at most {@link #MAX_TRANSACTION_OPERATIONS}; as of one moment if all of
+   * them exist. Keys that do not exist are absent from the result.
    */
   List<Value> readAll(List<String> keys) throws CoordinationException;
 
-  /** All keys under a prefix. */
+  /** Reads all keys under a prefix. */
   Listing list(String prefix) throws CoordinationException;
 
   /**
-   * All keys under a prefix, once the listing's index has passed this one, or after a while of the
-   * store's choice.
+   * Waits until the index of the listing has passed the given one or the wait time of the store is
+   * over, then reads all keys under the prefix.
    */
   Listing watch(String prefix, long afterIndex) throws CoordinationException;
 
-  /** Writes a key; whether it was taken. Index 0: only where there is no such key. */
+  /**
+   * Writes a key if it has the expected index, and returns whether it was written. Index 0 requires
+   * that the key does not exist.
+   */
   boolean checkAndSet(String key, long expectedIndex, String text) throws CoordinationException;
 
-  /** Removes the key where it has the index. */
+  /** Removes a key if it has the expected index. */
   void checkAndDelete(String key, long expectedIndex) throws CoordinationException;
 
   /**
-   * Carries out all writes, at most {@link #MAX_TRANSACTION_OPERATIONS}, or none; whether they were
-   * taken.
+   * Applies all writes, at most {@link #MAX_TRANSACTION_OPERATIONS}, or none of them; returns
+   * whether they were applied.
    */
   boolean transact(List<Write> writes) throws CoordinationException;
 
--- a/gateway/src/main/java/shelffront/coordination/OperatorException.java
+++ b/gateway/src/main/java/shelffront/coordination/OperatorException.java
@@ -1,8 +1,9 @@
 package shelffront.coordination;
 
 /**
- * Something that goes wrong in what gateways share. Each kind has a code that never changes; the
- * message says what happened, and the advice what an operator can do about it.
+ * An error in the shared infrastructure of a fleet that an operator should see. Each kind has a
+ * stable code; the message describes what happened, and the advice what an operator can do about
+ * it.
  */
 public abstract class OperatorException extends Exception {
 
@@ -17,7 +18,7 @@
     this.advice = advice;
   }
 
-  /** Stable, for programs and pages. */
+  /** The code of this kind of error; stable, for programs and documentation. */
   public final String code() {
     return code;
   }
--- a/gateway/src/main/java/shelffront/coordination/ValueJson.java
+++ b/gateway/src/main/java/shelffront/coordination/ValueJson.java
@@ -6,14 +6,14 @@
 import shelffront.coordination.CoordinationException.EngineGarbled;
 import shelffront.coordination.CoordinationStore.Value;
 
-/** Reads the coordination store's texts as JSON objects. Any thread may call. */
+/** Parses the values of the coordination store as JSON objects. Thread-safe. */
 public final class ValueJson {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private ValueJson() {}
 
-  /** What a key holds; throws, with the key's name, where that is no JSON object. */
+  /** Parses the value of a key; the exception names the key if the value is not a JSON object. */
   public static JsonNode object(Value value) throws EngineGarbled {
     try {
       JsonNode node = JSON.readTree(value.text());
--- a/gateway/src/main/java/shelffront/coordination/package-info.java
+++ b/gateway/src/main/java/shelffront/coordination/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The coordination store that the gateways of a fleet share, called the engine in settings, log
- * lines and error codes.
+ * The coordination store that the gateways of a fleet share. It is called the engine in settings,
+ * log lines and error codes.
  *
- * <p>{@link shelffront.coordination.CoordinationStore} is the interface; {@link
- * shelffront.coordination.ConsulCoordinationStore} has it by Consul's agent. {@link
- * shelffront.coordination.CoordinationException} says what is wrong with the store, and {@link
- * shelffront.coordination.OperatorException} is what all errors have in common that an operator is
- * to see. {@link shelffront.coordination.ValueJson} reads the texts that keys hold.
+ * <p>{@link shelffront.coordination.CoordinationStore} is the interface, and {@link
+ * shelffront.coordination.ConsulCoordinationStore} its implementation on Consul. {@link
+ * shelffront.coordination.CoordinationException} describes failures of the store; {@link
+ * shelffront.coordination.OperatorException} is the base class of errors that an operator should
+ * see. {@link shelffront.coordination.ValueJson} parses the values of keys.
  */
 package shelffront.coordination;
