--- a/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
@@ -81,8 +81,8 @@
       return request.get();
     } catch (ConsulException e) {
       throw translate(e);
-    } catch (
-        RuntimeException e) { // thrown by the client if a required field is missing in a response
+    } catch (RuntimeException e) {
+      // The client throws its own exceptions if a required field is missing in a response.
       throw new EngineGarbled(
           "the response of the engine at " + address + " is malformed: " + e, e);
     }
