--- a/gateway/src/test/java/shelffront/controlplane/ChangeStoreTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/ChangeStoreTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void aChangeIsTakenForTheVersionThatItWasMadeForAlone() throws Exception {
+  void writeAppliesOnlyToExpectedVersion() throws Exception {
     Version first = put("a", 0, "one");
     assertEquals(1, first.sequence());
     assertThrows(RecordChanged.class, () -> put("a", 0, "two"));
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aFollowerReadsWhatItLacksAndNoMore() throws Exception {
+  void followerReadsOnlyMissingChanges() throws Exception {
     put("a", 0, "one");
     Head head = store.head();
     for (int i = 0; i < 70; i++) {
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void whoLacksMoreThanTheLogHoldsIsToldSo() throws Exception {
+  void changesAreUnavailableOnceLogIsOverwritten() throws Exception {
     put("a", 0, "one");
     Head head = store.head();
     long sequence = 1;
@@ -65,28 +65,28 @@
   }
 
   @Test
-  void anEngineRestoredFromOlderDataIsKnown() throws Exception {
+  void detectsEngineRestoredFromOlderData() throws Exception {
     put("a", 0, "one");
-    var kept = engine.copy();
+    var backup = engine.copy();
     put("a", 1, "two");
     put("a", 2, "three");
     Head seen = store.head();
-    engine.restore(kept);
+    engine.restore(backup);
     assertThrows(EngineSteppedBack.class, () -> store.changesBetween(seen, store.head()));
     assertThrows(EngineSteppedBack.class, () -> store.write("a", 1, "again", seen.version()));
   }
 
   /**
-   * Its sequence has passed what was given out: only the chain of ids tells that this is another
-   * history.
+   * After the restore the sequence reaches and then passes the versions that were served before, so
+   * only the chain of change ids reveals the different history.
    */
   @Test
-  void aRestoredEngineThatHasGoneOnIsKnownToo() throws Exception {
+  void detectsRestoredEngineThatAcceptedNewChanges() throws Exception {
     put("a", 0, "one");
-    var kept = engine.copy();
+    var backup = engine.copy();
     put("a", 1, "two");
     Head seen = store.head();
-    engine.restore(kept);
+    engine.restore(backup);
     put("b", 0, "other");
     assertEquals(seen.version(), store.head().version());
     assertThrows(EngineSteppedBack.class, () -> store.changesBetween(seen, store.head()));
@@ -96,33 +96,35 @@
   }
 
   @Test
-  void aNewIncarnationIsNewerThanAllThatWasGivenOut() throws Exception {
+  void newIncarnationIsNewerThanEveryServedVersion() throws Exception {
     put("a", 0, "one");
-    var kept = engine.copy();
+    var backup = engine.copy();
     put("a", 1, "two");
     Head seen = store.head();
-    engine.restore(kept);
-    Version begun = store.beginIncarnation();
-    assertTrue(seen.version().isBefore(begun));
-    assertNull(store.changesBetween(seen, store.head()), "all records have to be read");
+    engine.restore(backup);
+    Version newIncarnation = store.beginIncarnation();
+    assertTrue(seen.version().isBefore(newIncarnation));
+    assertNull(
+        store.changesBetween(seen, store.head()),
+        "a new incarnation requires a read of all records");
     RecordChange record = store.readAll().snapshot().records().get(0);
     assertEquals("one", record.document());
     assertTrue(
         seen.version().isBefore(record.version()),
-        "it replaces what is newer by its sequence alone");
+        "the restored record replaces states with a higher sequence");
     assertEquals(2, put("a", 1, "next").sequence());
   }
 
   @Test
-  void aDocumentThatTheEngineCantHoldIsRefused() {
+  void rejectsDocumentAboveMaximumLength() {
     assertThrows(
         DistributionException.RecordTooLarge.class,
         () -> put("a", 0, "x".repeat(ChangeStore.MAX_DOCUMENT_CHARACTERS + 1)));
   }
 
-  /** Each error that there is stands on the page with its code. */
+  /** Every kind of error is listed on the page with its code, which derives from the class name. */
   @Test
-  void theOperatorsPageNamesEveryError() throws Exception {
+  void operatorsPageListsEveryErrorCode() throws Exception {
     String page = Files.readString(Path.of("../docs/operators/distribution.md"));
     List<Class<?>> kinds = List.of(DistributionException.class.getPermittedSubclasses());
     assertEquals(9, kinds.size());
--- a/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
@@ -31,34 +31,36 @@
 import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
 
-/** Engine, distributors and gateways' records in one process, over loopback. */
+/**
+ * Change store, distributors and the records of gateways in one process, connected over loopback.
+ */
 class DistributionTest {
 
-  /** As the standard ones, a tenth as long. */
-  private static final DistributionTimings QUICK =
+  /** The standard timings with a tenth of the poll wait, jitter and apply time. */
+  private static final DistributionTimings SHORT_TIMINGS =
       new DistributionTimings(150_000, 500_000, 40_000, 500_000, 50_000);
 
-  private static final Duration MOST = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   @TempDir private Path directory;
 
   private final InMemoryCoordinationStore engine = new InMemoryCoordinationStore();
   private final ChangeStore store = new ChangeStore(engine, "f");
   private final ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(4, "test-timer");
-  private final ExecutorService answers = Executors.newFixedThreadPool(8);
-  private final HttpClient http = SubscribedRecords.httpClient(QUICK);
+  private final ExecutorService responseExecutor = Executors.newFixedThreadPool(8);
+  private final HttpClient http = SubscribedRecords.httpClient(SHORT_TIMINGS);
   private final List<AutoCloseable> open = new ArrayList<>();
   private final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
 
-  /** What a gateway has in force. */
-  private static final class Force implements SubscribedRecords.RecordApplier {
+  /** The records that a gateway has in force. */
+  private static final class AppliedRecords implements SubscribedRecords.RecordApplier {
 
     private final Map<String, String> documents = new ConcurrentHashMap<>();
 
     @Override
     public String apply(RecordChange record) {
-      if (record.document().startsWith("bad")) {
-        return "it is bad";
+      if (record.document().startsWith("invalid")) {
+        return "invalid document";
       }
       documents.put(record.name(), record.document());
       return null;
@@ -78,12 +80,12 @@
   }
 
   private DistributionServer distributor(int port, DistributorEndpoint upstream) throws Exception {
-    Distributor distributor = new Distributor(timer, answers, DistributionTest::clock);
+    Distributor distributor = new Distributor(timer, responseExecutor, DistributionTest::clock);
     DistributionServer server =
         new DistributionServer(
             new InetSocketAddress("127.0.0.1", port),
             distributor,
-            answers,
+            responseExecutor,
             line -> log.add(line.toString()));
     if (upstream == null) {
       EngineFollower follower =
@@ -94,7 +96,7 @@
     } else {
       Subscriber subscriber =
           new Subscriber(
-              new Subscriber.Settings("d", QUICK, 2_000_000),
+              new Subscriber.Settings("d", SHORT_TIMINGS, 2_000_000),
               new UpstreamFollower("d", distributor),
               http,
               new DistributorSelector("d", "", "", List.of(upstream), 0, new Random(1)),
@@ -114,14 +116,23 @@
   }
 
   private SubscribedRecords gateway(
-      String name, Force force, Path file, DistributorEndpoint... distributors) {
+      String name, AppliedRecords applied, Path file, DistributorEndpoint... distributors) {
     SubscribedRecordsConfig config =
         new SubscribedRecordsConfig(
-            name, "f", "", "", List.of(distributors), null, file, QUICK, 2_000_000, 4_000_000);
+            name,
+            "f",
+            "",
+            "",
+            List.of(distributors),
+            null,
+            file,
+            SHORT_TIMINGS,
+            2_000_000,
+            4_000_000);
     SubscribedRecords records =
         new SubscribedRecords(
             config,
-            force,
+            applied,
             http,
             timer,
             DistributionTest::clock,
@@ -138,14 +149,16 @@
       each.close();
     }
     timer.shutdownNow();
-    answers.shutdownNow();
+    responseExecutor.shutdownNow();
   }
 
-  /** Asks again where nobody could tell in time: the distributor may have started just now. */
-  private static boolean found(SubscribedRecords records, String name) {
+  /**
+   * Looks a name up, and repeats lookups that fail because the distributor may have just started.
+   */
+  private static boolean lookUpWithRetries(SubscribedRecords records, String name) {
     AtomicBoolean found = new AtomicBoolean();
     await()
-        .atMost(MOST)
+        .atMost(TIMEOUT)
         .ignoreExceptionsInstanceOf(ExecutionException.class)
         .until(
             () -> {
@@ -156,147 +169,151 @@
   }
 
   @Test
-  void aChangeComesThroughTwoDistributorsToWhoFollowsItAlone() throws Exception {
+  void changePropagatesThroughTwoDistributorsToItsSubscribersOnly() throws Exception {
     store.write("a", 0, "one", Version.NONE);
     store.write("b", 0, "two", Version.NONE);
     DistributorEndpoint region = endpoint(distributor(0, null));
     DistributorEndpoint zone = endpoint(distributor(0, region));
-    Force force = new Force();
-    SubscribedRecords gateway = gateway("g", force, null, zone);
-    assertTrue(found(gateway, "a"));
-    assertEquals(Map.of("a", "one"), force.documents);
+    AppliedRecords applied = new AppliedRecords();
+    SubscribedRecords gateway = gateway("g", applied, null, zone);
+    assertTrue(lookUpWithRetries(gateway, "a"));
+    assertEquals(Map.of("a", "one"), applied.documents);
     store.write("a", 1, "three", Version.NONE);
     store.write("b", 2, "four", Version.NONE);
-    await().atMost(MOST).until(() -> Map.of("a", "three").equals(force.documents));
+    await().atMost(TIMEOUT).until(() -> Map.of("a", "three").equals(applied.documents));
     store.write("a", 3, null, Version.NONE);
-    await().atMost(MOST).until(force.documents::isEmpty);
-    assertFalse(found(gateway, "a"), "removed is removed");
+    await().atMost(TIMEOUT).until(applied.documents::isEmpty);
+    assertFalse(lookUpWithRetries(gateway, "a"), "a removed record is not found");
   }
 
   @Test
-  void namesThatNobodyHasAreAskedForOnceInAWhileAndFoundOnceTheyAreMade() throws Exception {
+  void absentNameIsFoundAfterItsRecordIsCreated() throws Exception {
     store.write("a", 0, "one", Version.NONE);
     DistributorEndpoint region = endpoint(distributor(0, null));
-    Force force = new Force();
-    SubscribedRecords gateway = gateway("g", force, null, region);
-    assertFalse(found(gateway, "nobody"));
-    store.write("nobody", 0, "somebody", Version.NONE);
-    await().atMost(MOST).until(() -> found(gateway, "nobody"));
-    assertEquals("somebody", force.documents.get("nobody"));
+    AppliedRecords applied = new AppliedRecords();
+    SubscribedRecords gateway = gateway("g", applied, null, region);
+    assertFalse(lookUpWithRetries(gateway, "late"));
+    store.write("late", 0, "created", Version.NONE);
+    await().atMost(TIMEOUT).until(() -> lookUpWithRetries(gateway, "late"));
+    assertEquals("created", applied.documents.get("late"));
   }
 
   @Test
-  void aNameThatIsLetGoIsFetchedAnewByItsNextClientAndFollowedAgain() throws Exception {
+  void unsubscribedNameIsFetchedAndFollowedAgainOnNextLookup() throws Exception {
     store.write("a", 0, "one", Version.NONE);
     store.write("b", 0, "other", Version.NONE);
-    Force force = new Force();
-    SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
-    assertTrue(found(gateway, "a"));
+    AppliedRecords applied = new AppliedRecords();
+    SubscribedRecords gateway = gateway("g", applied, null, endpoint(distributor(0, null)));
+    assertTrue(lookUpWithRetries(gateway, "a"));
     gateway.unsubscribe("a");
-    assertEquals(Map.of(), force.documents);
+    assertEquals(Map.of(), applied.documents);
     store.write("a", 1, "two", Version.NONE);
-    assertTrue(found(gateway, "b"));
-    await().atMost(MOST).until(() -> found(gateway, "a") && "two".equals(force.documents.get("a")));
+    assertTrue(lookUpWithRetries(gateway, "b"));
+    await()
+        .atMost(TIMEOUT)
+        .until(() -> lookUpWithRetries(gateway, "a") && "two".equals(applied.documents.get("a")));
     store.write("a", 3, "three", Version.NONE);
-    await().atMost(MOST).until(() -> "three".equals(force.documents.get("a")));
+    await().atMost(TIMEOUT).until(() -> "three".equals(applied.documents.get("a")));
   }
 
-  /** While no distributor answers, names that are asked for must not pile up without bound. */
+  /**
+   * While no distributor responds, lookups of ever more names must not accumulate without bound.
+   */
   @Test
-  void aFloodOfNamesStopsAtTheGatewayWhileNobodyAnswers() {
+  void pendingLookupsAreBoundedWhileNoDistributorResponds() {
     SubscribedRecords gateway =
-        gateway("g", new Force(), null, new DistributorEndpoint("127.0.0.1:9", "", ""));
+        gateway("g", new AppliedRecords(), null, new DistributorEndpoint("127.0.0.1:9", "", ""));
     for (int i = 0; i < RecordLookups.MAX_PENDING; i++) {
       assertFalse(gateway.lookUp("n" + i).isDone());
     }
     assertTrue(gateway.lookUp("one more").isCompletedExceptionally());
     assertFalse(
-        gateway.lookUp("n0").isCompletedExceptionally(), "who waits already goes on waiting");
+        gateway.lookUp("n0").isCompletedExceptionally(), "lookups that were pending stay pending");
   }
 
   @Test
-  void aRecordThatIsNotValidLeavesTheOneBeforeAndIsReported() throws Exception {
+  void invalidRecordLeavesPreviousStateInForceAndIsReported() throws Exception {
     store.write("a", 0, "one", Version.NONE);
-    Force force = new Force();
-    SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
-    assertTrue(found(gateway, "a"));
-    store.write("a", 1, "bad", Version.NONE);
-    await().atMost(MOST).until(() -> gateway.status().rejectionReasons().containsKey("a"));
-    assertEquals("one", force.documents.get("a"));
+    AppliedRecords applied = new AppliedRecords();
+    SubscribedRecords gateway = gateway("g", applied, null, endpoint(distributor(0, null)));
+    assertTrue(lookUpWithRetries(gateway, "a"));
+    store.write("a", 1, "invalid", Version.NONE);
+    await().atMost(TIMEOUT).until(() -> gateway.status().rejectionReasons().containsKey("a"));
+    assertEquals("one", applied.documents.get("a"));
     await()
-        .atMost(MOST)
+        .atMost(TIMEOUT)
         .until(
             () ->
                 log.stream().anyMatch(line -> line.startsWith("record-rejected by a subscriber")));
     store.write("a", 2, "three", Version.NONE);
-    await().atMost(MOST).until(() -> "three".equals(force.documents.get("a")));
+    await().atMost(TIMEOUT).until(() -> "three".equals(applied.documents.get("a")));
     assertTrue(gateway.status().rejectionReasons().isEmpty());
   }
 
   /**
-   * One distributor ends, and the other one has it go on; with none it serves on, and says how old
-   * its view is.
+   * When its distributor closes, the gateway switches to the other one. When that closes too, the
+   * gateway keeps serving its records and reports the age of its view as an error.
    */
   @Test
-  void itGoesOnWithAnotherDistributorAndServesOnWithNone() throws Exception {
+  void switchesToAnotherDistributorAndKeepsServingWithoutAny() throws Exception {
     store.write("a", 0, "one", Version.NONE);
     DistributionServer first = distributor(0, null);
     DistributionServer second = distributor(0, null);
-    Force force = new Force();
-    SubscribedRecords gateway = gateway("g", force, null, endpoint(first), endpoint(second));
-    assertTrue(found(gateway, "a"));
+    AppliedRecords applied = new AppliedRecords();
+    SubscribedRecords gateway = gateway("g", applied, null, endpoint(first), endpoint(second));
+    assertTrue(lookUpWithRetries(gateway, "a"));
     DistributionServer followed =
         gateway.status().followedDistributor().equals(endpoint(first).address()) ? first : second;
     followed.close();
     store.write("a", 1, "two", Version.NONE);
-    await().atMost(MOST).until(() -> "two".equals(force.documents.get("a")));
+    await().atMost(TIMEOUT).until(() -> "two".equals(applied.documents.get("a")));
     (followed == first ? second : first).close();
-    await().atMost(MOST).until(() -> "view-too-old".equals(gateway.status().errorCode()));
-    assertEquals("two", force.documents.get("a"));
+    await().atMost(TIMEOUT).until(() -> "view-too-old".equals(gateway.status().errorCode()));
+    assertEquals("two", applied.documents.get("a"));
     distributor(followed.address().getPort(), null);
-    await().atMost(MOST).until(() -> gateway.status().errorCode() == null);
+    await().atMost(TIMEOUT).until(() -> gateway.status().errorCode() == null);
     store.write("a", 2, "three", Version.NONE);
-    await().atMost(MOST).until(() -> "three".equals(force.documents.get("a")));
+    await().atMost(TIMEOUT).until(() -> "three".equals(applied.documents.get("a")));
   }
 
   @Test
-  void aGatewayThatStartsAgainWhileNothingAnswersHasWhatItHad() throws Exception {
+  void gatewayRestartedWithoutDistributorServesLastKnownGood() throws Exception {
     store.write("a", 0, "one", Version.NONE);
     DistributionServer server = distributor(0, null);
-    Path file = directory.resolve("kept.json");
-    SubscribedRecords before = gateway("g", new Force(), file, endpoint(server));
-    assertTrue(found(before, "a"));
+    Path file = directory.resolve("last-known-good.json");
+    SubscribedRecords before = gateway("g", new AppliedRecords(), file, endpoint(server));
+    assertTrue(lookUpWithRetries(before, "a"));
     before.close();
     server.close();
     store.write("a", 1, "two", Version.NONE);
-    Force force = new Force();
-    gateway("g", force, file, endpoint(server));
-    assertEquals(Map.of("a", "one"), force.documents);
+    AppliedRecords applied = new AppliedRecords();
+    gateway("g", applied, file, endpoint(server));
+    assertEquals(Map.of("a", "one"), applied.documents);
     distributor(server.address().getPort(), null);
-    await().atMost(MOST).until(() -> "two".equals(force.documents.get("a")));
+    await().atMost(TIMEOUT).until(() -> "two".equals(applied.documents.get("a")));
   }
 
   /**
-   * An engine restored from older data gives out nothing until somebody has said that it holds the
-   * truth.
+   * Distributors must not serve the records of an engine that was restored from older data until an
+   * operator has declared them valid by starting a new incarnation.
    */
   @Test
-  void aRestoredEngineChangesNothingUntilANewIncarnationIsBegun() throws Exception {
+  void restoredEngineChangesNothingUntilNewIncarnation() throws Exception {
     store.write("a", 0, "one", Version.NONE);
-    var kept = engine.copy();
-    Force force = new Force();
-    SubscribedRecords gateway = gateway("g", force, null, endpoint(distributor(0, null)));
-    assertTrue(found(gateway, "a"));
+    var backup = engine.copy();
+    AppliedRecords applied = new AppliedRecords();
+    SubscribedRecords gateway = gateway("g", applied, null, endpoint(distributor(0, null)));
+    assertTrue(lookUpWithRetries(gateway, "a"));
     store.write("a", 1, "two", Version.NONE);
-    await().atMost(MOST).until(() -> "two".equals(force.documents.get("a")));
-    engine.restore(kept);
+    await().atMost(TIMEOUT).until(() -> "two".equals(applied.documents.get("a")));
+    engine.restore(backup);
     await()
-        .atMost(MOST)
+        .atMost(TIMEOUT)
         .until(() -> log.stream().anyMatch(line -> line.contains("engine-stepped-back")));
-    assertEquals("two", force.documents.get("a"));
+    assertEquals("two", applied.documents.get("a"));
     store.beginIncarnation();
-    await().atMost(MOST).until(() -> "one".equals(force.documents.get("a")));
+    await().atMost(TIMEOUT).until(() -> "one".equals(applied.documents.get("a")));
     store.write("a", 1, "three", Version.NONE);
-    await().atMost(MOST).until(() -> "three".equals(force.documents.get("a")));
+    await().atMost(TIMEOUT).until(() -> "three".equals(applied.documents.get("a")));
   }
 }
--- a/gateway/src/test/java/shelffront/controlplane/LastKnownGoodCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/LastKnownGoodCompatibilityTest.java
@@ -12,12 +12,12 @@
 import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
 
-/** The file of what a gateway last had in force, as version 0.2.0 wrote it. */
+/** Reads and writes the last-known-good file as version 0.2.0 wrote it. */
 class LastKnownGoodCompatibilityTest {
 
   private static final long INCARNATION = 1_700_000_000_000L;
   private static final long EARLIER_INCARNATION = 1_699_000_000_000L;
-  private static final LastKnownGood.Contents KEPT =
+  private static final LastKnownGood.Contents STORED =
       new LastKnownGood.Contents(
           new Version(INCARNATION, 42),
           List.of(
@@ -38,14 +38,14 @@
   @Test
   void readsVersionAndRecordsInForce() throws Exception {
     Path file = StoredResource.copy("last-known-good.json", directory);
-    assertEquals(KEPT, new LastKnownGood(file).read());
+    assertEquals(STORED, new LastKnownGood(file).read());
   }
 
   @Test
   void writesTheSameBytes() throws Exception {
     Path before = StoredResource.copy("last-known-good.json", directory);
     Path written = directory.resolve("written.json");
-    new LastKnownGood(written).write(KEPT);
+    new LastKnownGood(written).write(STORED);
     assertArrayEquals(Files.readAllBytes(before), Files.readAllBytes(written));
   }
 }
--- a/gateway/src/test/java/shelffront/coordination/InMemoryCoordinationStore.java
+++ b/gateway/src/test/java/shelffront/coordination/InMemoryCoordinationStore.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Keys in memory; all of the interface's promises in one lock. */
+/** A coordination store in memory. One lock makes every operation atomic. */
 public final class InMemoryCoordinationStore implements CoordinationStore {
 
   private final TreeMap<String, Value> values = new TreeMap<>();
@@ -72,15 +72,18 @@
     return keys.stream().filter(values::containsKey).map(values::get).toList();
   }
 
-  /** What it holds now, for {@link #restore}. */
+  /** Returns a copy of the contents, for {@link #restore}. */
   public synchronized TreeMap<String, Value> copy() {
     return new TreeMap<>(values);
   }
 
-  /** Has it hold what it held before. */
-  public synchronized void restore(TreeMap<String, Value> kept) {
+  /**
+   * Replaces the contents by an earlier copy, like a restore from a backup; the index keeps
+   * increasing.
+   */
+  public synchronized void restore(TreeMap<String, Value> backup) {
     values.clear();
-    values.putAll(kept);
+    values.putAll(backup);
     index++;
     notifyAll();
   }
