--- a/gateway/src/main/java/shelffront/controlplane/DistributionJson.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionJson.java
@@ -94,13 +94,13 @@
     return changes;
   }
 
-  static void putTexts(ArrayNode list, List<String> texts) {
-    texts.forEach(list::add);
+  static void putStrings(ArrayNode list, List<String> strings) {
+    strings.forEach(list::add);
   }
 
-  static List<String> readTexts(JsonNode list) {
-    List<String> texts = new ArrayList<>();
-    list.forEach(text -> texts.add(text.asText()));
-    return texts;
+  static List<String> readStrings(JsonNode list) {
+    List<String> strings = new ArrayList<>();
+    list.forEach(text -> strings.add(text.asText()));
+    return strings;
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/DistributionMessages.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionMessages.java
@@ -18,7 +18,7 @@
   private DistributionMessages() {}
 
   /** Requests a subscription to the named records, or to all records. */
-  record Subscribe(String subscriber, boolean all, long edition, List<String> names) {
+  record SubscribeRequest(String subscriber, boolean all, long edition, List<String> names) {
 
     byte[] toJson() {
       ObjectNode json =
@@ -26,33 +26,33 @@
               .put("subscriber", subscriber)
               .put("all", all)
               .put("edition", edition);
-      DistributionJson.putTexts(json.putArray("names"), names);
+      DistributionJson.putStrings(json.putArray("names"), names);
       return DistributionJson.bytes(json);
     }
 
-    static Subscribe fromJson(byte[] text) throws DistributionGarbled {
+    static SubscribeRequest fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
-      return new Subscribe(
+      return new SubscribeRequest(
           json.path("subscriber").asText(),
           json.path("all").asBoolean(),
           json.path("edition").asLong(),
-          DistributionJson.readTexts(json.path("names")));
+          DistributionJson.readStrings(json.path("names")));
     }
   }
 
   /** The response to a subscribe request: the id of the new subscription. */
-  record Subscribed(String subscription) {
+  record SubscribeResponse(String subscription) {
 
     byte[] toJson() {
       return DistributionJson.bytes(DistributionJson.newObject().put("subscription", subscription));
     }
 
-    static Subscribed fromJson(byte[] text) throws DistributionGarbled {
+    static SubscribeResponse fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
       if (!json.path("subscription").isTextual()) {
         throw new DistributionGarbled("the subscribe response has no subscription id", null);
       }
-      return new Subscribed(json.path("subscription").asText());
+      return new SubscribeResponse(json.path("subscription").asText());
     }
   }
 
@@ -60,21 +60,21 @@
    * Adds names to and removes names from a subscription; the additions count from the given
    * edition.
    */
-  record ChangeNames(long edition, List<String> add, List<String> remove) {
+  record ChangeNamesRequest(long edition, List<String> add, List<String> remove) {
 
     byte[] toJson() {
       ObjectNode json = DistributionJson.newObject().put("edition", edition);
-      DistributionJson.putTexts(json.putArray("add"), add);
-      DistributionJson.putTexts(json.putArray("remove"), remove);
+      DistributionJson.putStrings(json.putArray("add"), add);
+      DistributionJson.putStrings(json.putArray("remove"), remove);
       return DistributionJson.bytes(json);
     }
 
-    static ChangeNames fromJson(byte[] text) throws DistributionGarbled {
+    static ChangeNamesRequest fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
-      return new ChangeNames(
+      return new ChangeNamesRequest(
           json.path("edition").asLong(),
-          DistributionJson.readTexts(json.path("add")),
-          DistributionJson.readTexts(json.path("remove")));
+          DistributionJson.readStrings(json.path("add")),
+          DistributionJson.readStrings(json.path("remove")));
     }
   }
 
@@ -82,7 +82,7 @@
    * The response to a change of names: the records of the added names as of one version. Names
    * without a record are absent.
    */
-  record Added(Version version, long ageMicros, List<RecordChange> records) {
+  record ChangeNamesResponse(Version version, long ageMicros, List<RecordChange> records) {
 
     byte[] toJson() {
       ObjectNode json = DistributionJson.newObject();
@@ -92,9 +92,9 @@
       return DistributionJson.bytes(json);
     }
 
-    static Added fromJson(byte[] text) throws DistributionGarbled {
+    static ChangeNamesResponse fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
-      return new Added(
+      return new ChangeNamesResponse(
           DistributionJson.readVersion(json.path("version")),
           DistributionJson.readAge(json),
           DistributionJson.readChanges(json.path("records")));
@@ -105,7 +105,7 @@
    * The response to a poll: the update that the subscriber is missing, the edition of its names to
    * which the update applies, and the maximum age of the distributor's view.
    */
-  record Polled(long edition, long ageMicros, Update update) {
+  record PollResponse(long edition, long ageMicros, Update update) {
 
     byte[] toJson() {
       ObjectNode json = DistributionJson.newObject().put("edition", edition);
@@ -120,10 +120,11 @@
       return DistributionJson.bytes(json);
     }
 
-    static Polled fromJson(byte[] text) throws DistributionGarbled {
+    static PollResponse fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
       Update update = readUpdate(json);
-      return new Polled(json.path("edition").asLong(), DistributionJson.readAge(json), update);
+      return new PollResponse(
+          json.path("edition").asLong(), DistributionJson.readAge(json), update);
     }
 
     /** Distinguishes the two kinds of update: only changes have the field {@code after}. */
@@ -139,7 +140,7 @@
   }
 
   /** Reports a record that was not applied because it is not valid. */
-  record Rejected(String name, Version version, String reason) {
+  record RejectionReport(String name, Version version, String reason) {
 
     byte[] toJson() {
       ObjectNode json = DistributionJson.newObject().put("name", name).put("reason", reason);
@@ -147,9 +148,9 @@
       return DistributionJson.bytes(json);
     }
 
-    static Rejected fromJson(byte[] text) throws DistributionGarbled {
+    static RejectionReport fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
-      return new Rejected(
+      return new RejectionReport(
           json.path("name").asText(),
           DistributionJson.readVersion(json.path("version")),
           json.path("reason").asText());
--- a/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
@@ -19,12 +19,16 @@
  * and writes the response.
  *
  * <pre>
- *   POST /v1/subscriptions                    Subscribe  -> 201 Subscribed, 503 not ready
- *   POST /v1/subscriptions/ID/names           ChangeNames -> 200 Added, 404 unknown subscription
+ *   POST /v1/subscriptions              SubscribeRequest
+ *       -> 201 SubscribeResponse, 503 not ready
+ *   POST /v1/subscriptions/ID/names     ChangeNamesRequest
+ *       -> 200 ChangeNamesResponse, 404 unknown subscription
  *   GET  /v1/subscriptions/ID/changes?incarnation=&amp;sequence=&amp;waitMicros=
- *                                             -> 200 Polled, 404, 409 behind the subscriber
- *   POST /v1/subscriptions/ID/rejected        Rejected   -> 204
- *   GET  /v1/status                                      -> 200
+ *       -> 200 PollResponse, 404 unknown subscription, 409 behind the subscriber
+ *   POST /v1/subscriptions/ID/rejected  RejectionReport
+ *       -> 204
+ *   GET  /v1/status
+ *       -> 200
  * </pre>
  *
  * <p>Threads: requests are read on the threads of the executor. A waiting poll occupies its
@@ -107,13 +111,13 @@
     Subscription.Responder responder = (status, answer) -> respond(exchange, status, answer);
     switch (call) {
       case "POST" ->
-          distributor.subscribe(DistributionMessages.Subscribe.fromJson(body), responder);
+          distributor.subscribe(DistributionMessages.SubscribeRequest.fromJson(body), responder);
       case "POST names" ->
           distributor.changeNames(
-              path[ID_PLACE], DistributionMessages.ChangeNames.fromJson(body), responder);
+              path[ID_PLACE], DistributionMessages.ChangeNamesRequest.fromJson(body), responder);
       case "GET changes" -> poll(path[ID_PLACE], query(exchange), responder);
       case "POST rejected" -> {
-        logRejected(DistributionMessages.Rejected.fromJson(body));
+        logRejected(DistributionMessages.RejectionReport.fromJson(body));
         responder.answer(HttpStatus.NO_CONTENT, EMPTY_BODY);
       }
       default -> responder.answer(HttpStatus.NOT_FOUND, EMPTY_BODY);
@@ -125,9 +129,8 @@
     distributor.poll(id, after, number(query, "waitMicros"), responder);
   }
 
-  private void logRejected(DistributionMessages.Rejected rejected) {
-    RecordRejected error =
-        new RecordRejected(rejected.name(), rejected.version(), rejected.reason());
+  private void logRejected(DistributionMessages.RejectionReport report) {
+    RecordRejected error = new RecordRejected(report.name(), report.version(), report.reason());
     log.println("record-rejected by a subscriber: " + error.getMessage());
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import shelffront.controlplane.DistributionMessages.Added;
-import shelffront.controlplane.DistributionMessages.ChangeNames;
-import shelffront.controlplane.DistributionMessages.Polled;
-import shelffront.controlplane.DistributionMessages.Subscribe;
-import shelffront.controlplane.DistributionMessages.Subscribed;
+import shelffront.controlplane.DistributionMessages.ChangeNamesRequest;
+import shelffront.controlplane.DistributionMessages.ChangeNamesResponse;
+import shelffront.controlplane.DistributionMessages.PollResponse;
+import shelffront.controlplane.DistributionMessages.SubscribeRequest;
+import shelffront.controlplane.DistributionMessages.SubscribeResponse;
 import shelffront.controlplane.Subscription.Poll;
 import shelffront.controlplane.Subscription.Responder;
 import shelffront.distribution.RecordChange;
@@ -149,7 +149,7 @@
 
   // Calls of subscribers
 
-  void subscribe(Subscribe request, Responder responder) {
+  void subscribe(SubscribeRequest request, Responder responder) {
     if (!ready || subscriptions.size() >= MAX_SUBSCRIPTIONS) {
       responder.answer(HttpStatus.NOT_READY, EMPTY_BODY);
       return;
@@ -160,14 +160,14 @@
     }
     String id = UUID.randomUUID().toString();
     subscriptions.add(new Subscription(id, request, clock.getAsLong()));
-    responder.answer(HttpStatus.CREATED, new Subscribed(id).toJson());
+    responder.answer(HttpStatus.CREATED, new SubscribeResponse(id).toJson());
   }
 
   /**
    * Adds names and responds with their records; from then on, responses for this edition include
    * the changes of these names.
    */
-  void changeNames(String id, ChangeNames change, Responder responder) {
+  void changeNames(String id, ChangeNamesRequest change, Responder responder) {
     Subscription subscription = subscriptions.use(id, clock.getAsLong());
     if (subscription == null) {
       responder.answer(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
@@ -182,7 +182,7 @@
     }
     // Reads the records after the names were added to the filter, so that a concurrent change is
     // contained in this response, in the response to a later poll, or in both.
-    Added added = readRecords(change.add());
+    ChangeNamesResponse added = readRecords(change.add());
     Set<String> absentNames = new HashSet<>(change.add());
     added.records().forEach(record -> absentNames.remove(record.name()));
     synchronized (subscriptions.lockOf(id)) {
@@ -191,11 +191,12 @@
     responder.answer(HttpStatus.OK, added.toJson());
   }
 
-  private Added readRecords(List<String> names) {
+  private ChangeNamesResponse readRecords(List<String> names) {
     synchronized (table) {
       List<RecordChange> records = new ArrayList<>();
       names.stream().map(table::record).filter(Objects::nonNull).forEach(records::add);
-      return new Added(table.version(), staleness.maxAgeMicros(clock.getAsLong()), records);
+      return new ChangeNamesResponse(
+          table.version(), staleness.maxAgeMicros(clock.getAsLong()), records);
     }
   }
 
@@ -274,7 +275,7 @@
     if (update == null) {
       poll.responder().answer(HttpStatus.BEHIND, EMPTY_BODY);
     } else {
-      byte[] body = new Polled(edition, ageMicros, update).toJson();
+      byte[] body = new PollResponse(edition, ageMicros, update).toJson();
       poll.responder().answer(HttpStatus.OK, body);
     }
   }
--- a/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
@@ -43,25 +43,25 @@
     return endpoint;
   }
 
-  CompletableFuture<DistributionMessages.Subscribed> subscribe(
-      DistributionMessages.Subscribe request, long withinMicros) {
+  CompletableFuture<DistributionMessages.SubscribeResponse> subscribe(
+      DistributionMessages.SubscribeRequest request, long withinMicros) {
     return post(
         "/v1/subscriptions",
         request.toJson(),
         withinMicros,
-        DistributionMessages.Subscribed::fromJson);
+        DistributionMessages.SubscribeResponse::fromJson);
   }
 
-  CompletableFuture<DistributionMessages.Added> changeNames(
-      String subscription, DistributionMessages.ChangeNames change, long withinMicros) {
+  CompletableFuture<DistributionMessages.ChangeNamesResponse> changeNames(
+      String subscription, DistributionMessages.ChangeNamesRequest change, long withinMicros) {
     return post(
         "/v1/subscriptions/" + subscription + "/names",
         change.toJson(),
         withinMicros,
-        DistributionMessages.Added::fromJson);
+        DistributionMessages.ChangeNamesResponse::fromJson);
   }
 
-  CompletableFuture<DistributionMessages.Polled> poll(
+  CompletableFuture<DistributionMessages.PollResponse> poll(
       String subscription, Version after, long waitMicros, long withinMicros) {
     String path =
         "/v1/subscriptions/"
@@ -75,14 +75,14 @@
     return call(
         HttpRequest.newBuilder(uri(path)).GET(),
         withinMicros,
-        DistributionMessages.Polled::fromJson);
+        DistributionMessages.PollResponse::fromJson);
   }
 
   CompletableFuture<Void> reject(
-      String subscription, DistributionMessages.Rejected rejected, long withinMicros) {
+      String subscription, DistributionMessages.RejectionReport report, long withinMicros) {
     return post(
         "/v1/subscriptions/" + subscription + "/rejected",
-        rejected.toJson(),
+        report.toJson(),
         withinMicros,
         body -> null);
   }
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -169,8 +169,8 @@
   // Callbacks of the subscriber
 
   @Override
-  public synchronized DistributionMessages.Subscribe subscribing() {
-    return new DistributionMessages.Subscribe(
+  public synchronized DistributionMessages.SubscribeRequest subscribing() {
+    return new DistributionMessages.SubscribeRequest(
         config.name(), false, view.edition(), List.copyOf(view.names()));
   }
 
@@ -180,7 +180,7 @@
   }
 
   @Override
-  public synchronized boolean polled(DistributionMessages.Polled answer) {
+  public synchronized boolean polled(DistributionMessages.PollResponse answer) {
     Version before = view.version();
     view.apply(answer.update(), answer.edition()).forEach(this::takeUp);
     if (!view.version().equals(before)) {
@@ -195,7 +195,8 @@
   }
 
   @Override
-  public synchronized boolean added(List<String> names, DistributionMessages.Added answer) {
+  public synchronized boolean added(
+      List<String> names, DistributionMessages.ChangeNamesResponse answer) {
     if (answer.version().isBefore(view.version())) {
       return false;
     }
@@ -245,9 +246,9 @@
   private void reportRejected(RecordChange change, String reason) {
     RecordRejected error = new RecordRejected(change.name(), change.version(), reason);
     log.println(error.code() + ": " + error.getMessage() + ". " + error.advice());
-    DistributionMessages.Rejected rejected =
-        new DistributionMessages.Rejected(change.name(), change.version(), reason);
-    timer.execute(() -> subscriber.reportRejected(rejected));
+    DistributionMessages.RejectionReport report =
+        new DistributionMessages.RejectionReport(change.name(), change.version(), reason);
+    timer.execute(() -> subscriber.reportRejected(report));
   }
 
   private synchronized LastKnownGood.Contents contentsInForce() {
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -49,7 +49,7 @@
   interface Owner {
 
     /** The request for a new subscription, with the current names and their edition. */
-    DistributionMessages.Subscribe subscribing();
+    DistributionMessages.SubscribeRequest subscribing();
 
     Version version();
 
@@ -57,7 +57,7 @@
      * Applies the response to a poll; false if the update does not continue from the current
      * version, so that another distributor has to be selected.
      */
-    boolean polled(DistributionMessages.Polled answer);
+    boolean polled(DistributionMessages.PollResponse answer);
 
     /** Starts a new edition that includes these names, and returns it. */
     long beginAdding(List<String> names);
@@ -66,7 +66,7 @@
      * Applies the records of names that were added; names without a record are absent from the
      * response. False if the distributor is behind, so that the names have to be requested again.
      */
-    boolean added(List<String> names, DistributionMessages.Added answer);
+    boolean added(List<String> names, DistributionMessages.ChangeNamesResponse answer);
 
     /**
      * Records that the view was current as of a request sent at this time, minus the age that the
@@ -150,9 +150,9 @@
   }
 
   /** Reports to the current distributor, if there is one, that a record is not valid here. */
-  synchronized void reportRejected(DistributionMessages.Rejected rejected) {
+  synchronized void reportRejected(DistributionMessages.RejectionReport report) {
     if (client != null) {
-      client.reject(subscription, rejected, timings.connectTimeoutMicros());
+      client.reject(subscription, report, timings.connectTimeoutMicros());
     }
   }
 
@@ -207,7 +207,7 @@
   private void onSubscribed(
       long thisAttempt,
       DistributorClient newClient,
-      DistributionMessages.Subscribed answer,
+      DistributionMessages.SubscribeResponse answer,
       Throwable failure) {
     if (!isCurrent(thisAttempt)) {
       return;
@@ -272,7 +272,7 @@
       long thisAttempt,
       DistributorEndpoint endpoint,
       long sentAtMicros,
-      DistributionMessages.Polled answer,
+      DistributionMessages.PollResponse answer,
       Throwable failure) {
     if (!isCurrent(thisAttempt)) {
       return;
@@ -348,8 +348,8 @@
     long thisAttempt = attempt;
     long sentAtMicros = clock.getAsLong();
     List<String> names = namesToAdd.stream().limit(MAX_NAMES_PER_CALL).toList();
-    DistributionMessages.ChangeNames change =
-        new DistributionMessages.ChangeNames(
+    DistributionMessages.ChangeNamesRequest change =
+        new DistributionMessages.ChangeNamesRequest(
             owner.beginAdding(names), names, List.copyOf(namesToRemove));
     namesToRemove.clear();
     client
@@ -364,7 +364,7 @@
       long thisAttempt,
       long sentAtMicros,
       List<String> names,
-      DistributionMessages.Added answer,
+      DistributionMessages.ChangeNamesResponse answer,
       Throwable failure) {
     if (!isCurrent(thisAttempt)) {
       return; // the names are requested from the current distributor instead
--- a/gateway/src/main/java/shelffront/controlplane/Subscription.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscription.java
@@ -56,7 +56,7 @@
   private Poll waitingPoll;
   private long usedAtMicros;
 
-  Subscription(String id, DistributionMessages.Subscribe request, long nowMicros) {
+  Subscription(String id, DistributionMessages.SubscribeRequest request, long nowMicros) {
     this.id = id;
     all = request.all();
     names = new HashSet<>(request.names());
@@ -97,7 +97,7 @@
     usedAtMicros = nowMicros;
   }
 
-  void change(DistributionMessages.ChangeNames change) {
+  void change(DistributionMessages.ChangeNamesRequest change) {
     change.remove().forEach(names::remove);
     names.addAll(change.add());
     updateFilter();
--- a/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
@@ -18,8 +18,8 @@
   }
 
   @Override
-  public DistributionMessages.Subscribe subscribing() {
-    return new DistributionMessages.Subscribe(name, true, 0, List.of());
+  public DistributionMessages.SubscribeRequest subscribing() {
+    return new DistributionMessages.SubscribeRequest(name, true, 0, List.of());
   }
 
   @Override
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public boolean polled(DistributionMessages.Polled answer) {
+  public boolean polled(DistributionMessages.PollResponse answer) {
     return distributor.apply(answer.update());
   }
 
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public boolean added(List<String> names, DistributionMessages.Added answer) {
+  public boolean added(List<String> names, DistributionMessages.ChangeNamesResponse answer) {
     throw new UnsupportedOperationException("a subscription to all records has no names to add");
   }
 
