--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -34,7 +34,7 @@
  * calls back here; to avoid a deadlock, it is called only without this lock, mostly on the timer's
  * threads.
  */
-public final class SubscribedRecords implements Subscriber.Owner, AutoCloseable {
+public final class SubscribedRecords implements Subscriber.Listener, AutoCloseable {
 
   /** Applies records. Called in the order of changes, never concurrently. */
   public interface RecordApplier {
@@ -169,7 +169,7 @@
   // Callbacks of the subscriber
 
   @Override
-  public synchronized DistributionMessages.SubscribeRequest subscribing() {
+  public synchronized DistributionMessages.SubscribeRequest newSubscribeRequest() {
     return new DistributionMessages.SubscribeRequest(
         config.name(), false, view.edition(), List.copyOf(view.names()));
   }
@@ -180,7 +180,7 @@
   }
 
   @Override
-  public synchronized boolean polled(DistributionMessages.PollResponse answer) {
+  public synchronized boolean onPollResponse(DistributionMessages.PollResponse answer) {
     Version before = view.version();
     view.apply(answer.update(), answer.edition()).forEach(this::takeUp);
     if (!view.version().equals(before)) {
@@ -190,12 +190,12 @@
   }
 
   @Override
-  public synchronized long beginAdding(List<String> names) {
+  public synchronized long beginEdition(List<String> names) {
     return view.beginEdition();
   }
 
   @Override
-  public synchronized boolean added(
+  public synchronized boolean onRecordsReceived(
       List<String> names, DistributionMessages.ChangeNamesResponse answer) {
     if (answer.version().isBefore(view.version())) {
       return false;
@@ -217,7 +217,7 @@
   }
 
   @Override
-  public synchronized void confirmed(long sentAtMicros, long statedAgeMicros) {
+  public synchronized void onConfirmed(long sentAtMicros, long statedAgeMicros) {
     viewAge.confirm(sentAtMicros, statedAgeMicros);
   }
 
@@ -281,7 +281,7 @@
   /** Returns the current state of the subscription. */
   public Status status() {
     // Called before this lock is taken: the subscriber calls back here under its own lock.
-    DistributorEndpoint followed = subscriber.following();
+    DistributorEndpoint followed = subscriber.currentDistributor();
     return status(followed);
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -25,8 +25,8 @@
  * poll and one call that adds names are in flight at a time.
  *
  * <p>Threads: thread-safe and non-blocking, without a thread of its own. Responses are handled on
- * the threads of the timer, under the lock of this object; the {@link Owner} is called under that
- * lock.
+ * the threads of the timer, under the lock of this object; the {@link Listener} is called under
+ * that lock.
  */
 final class Subscriber implements AutoCloseable {
 
@@ -46,10 +46,10 @@
    * Receives the updates of the subscription. Called under the subscriber's lock, never
    * concurrently.
    */
-  interface Owner {
+  interface Listener {
 
     /** The request for a new subscription, with the current names and their edition. */
-    DistributionMessages.SubscribeRequest subscribing();
+    DistributionMessages.SubscribeRequest newSubscribeRequest();
 
     Version version();
 
@@ -57,22 +57,22 @@
      * Applies the response to a poll; false if the update does not continue from the current
      * version, so that another distributor has to be selected.
      */
-    boolean polled(DistributionMessages.PollResponse answer);
+    boolean onPollResponse(DistributionMessages.PollResponse answer);
 
     /** Starts a new edition that includes these names, and returns it. */
-    long beginAdding(List<String> names);
+    long beginEdition(List<String> names);
 
     /**
      * Applies the records of names that were added; names without a record are absent from the
      * response. False if the distributor is behind, so that the names have to be requested again.
      */
-    boolean added(List<String> names, DistributionMessages.ChangeNamesResponse answer);
+    boolean onRecordsReceived(List<String> names, DistributionMessages.ChangeNamesResponse answer);
 
     /**
      * Records that the view was current as of a request sent at this time, minus the age that the
      * distributor stated.
      */
-    void confirmed(long sentAtMicros, long statedAgeMicros);
+    void onConfirmed(long sentAtMicros, long statedAgeMicros);
   }
 
   /**
@@ -85,7 +85,7 @@
 
   private final Settings settings;
   private final DistributionTimings timings;
-  private final Owner owner;
+  private final Listener listener;
   private final HttpClient http;
   private final DistributorSelector selector;
   private final ScheduledExecutorService timer;
@@ -95,8 +95,10 @@
   private final List<String> namesToRemove = new ArrayList<>(); // sent with the next names to add
   private DistributorClient client; // null while there is no subscription
   private String subscription;
-  private long
-      attempt; // identifies the current subscription; callbacks of earlier ones are ignored
+
+  /** Identifies the current subscription; callbacks of earlier ones are ignored. */
+  private long generation;
+
   private boolean addingNames;
   private long followingSinceMicros;
 
@@ -114,7 +116,7 @@
    */
   Subscriber(
       Settings settings,
-      Owner owner,
+      Listener listener,
       HttpClient http,
       DistributorSelector selector,
       ScheduledExecutorService timer,
@@ -122,7 +124,7 @@
       EventLog log) {
     this.settings = settings;
     this.timings = settings.timings();
-    this.owner = owner;
+    this.listener = listener;
     this.http = http;
     this.selector = selector;
     this.timer = timer;
@@ -131,7 +133,7 @@
   }
 
   synchronized void start() {
-    followNext();
+    selectNext();
   }
 
   /** Requests names from the current distributor, or from the next one if there is none. */
@@ -157,63 +159,63 @@
   }
 
   /** The current distributor; null if there is none. */
-  synchronized DistributorEndpoint following() {
+  synchronized DistributorEndpoint currentDistributor() {
     return client == null ? null : client.endpoint();
   }
 
   @Override
   public synchronized void close() {
     closed = true;
-    attempt++;
+    generation++;
   }
 
   // Selection of the distributor
 
-  private void followNext() {
+  private void selectNext() {
     client = null;
     addingNames = false;
     long nowMicros = clock.getAsLong();
     DistributorSelector.Selection selection = selector.next(nowMicros);
-    long thisAttempt = ++attempt;
+    long thisGeneration = ++generation;
     timer.schedule(
-        () -> subscribeIfCurrent(thisAttempt, selection.endpoint()),
+        () -> subscribeIfCurrent(thisGeneration, selection.endpoint()),
         Math.max(0, selection.atMicros() - nowMicros),
         TimeUnit.MICROSECONDS);
   }
 
-  private synchronized void subscribeIfCurrent(long thisAttempt, DistributorEndpoint endpoint) {
-    if (isCurrent(thisAttempt)) {
+  private synchronized void subscribeIfCurrent(long thisGeneration, DistributorEndpoint endpoint) {
+    if (isCurrent(thisGeneration)) {
       subscribe(endpoint);
     }
   }
 
-  private boolean isCurrent(long thatAttempt) {
-    return thatAttempt == attempt && !closed;
+  private boolean isCurrent(long callerGeneration) {
+    return callerGeneration == generation && !closed;
   }
 
   private void subscribe(DistributorEndpoint endpoint) {
-    long thisAttempt = ++attempt;
+    long thisGeneration = ++generation;
     client = null;
     addingNames = false;
     DistributorClient newClient = new DistributorClient(http, endpoint);
     newClient
-        .subscribe(owner.subscribing(), timings.connectTimeoutMicros())
+        .subscribe(listener.newSubscribeRequest(), timings.connectTimeoutMicros())
         .whenCompleteAsync(
             (answer, failure) ->
-                handle(() -> onSubscribed(thisAttempt, newClient, answer, failure)),
+                handle(() -> onSubscribed(thisGeneration, newClient, answer, failure)),
             timer);
   }
 
   private void onSubscribed(
-      long thisAttempt,
+      long thisGeneration,
       DistributorClient newClient,
       DistributionMessages.SubscribeResponse answer,
       Throwable failure) {
-    if (!isCurrent(thisAttempt)) {
+    if (!isCurrent(thisGeneration)) {
       return;
     }
     if (failure != null) {
-      leave(newClient.endpoint(), failure);
+      failOver(newClient.endpoint(), failure);
       return;
     }
     client = newClient;
@@ -233,30 +235,30 @@
     } catch (RuntimeException e) {
       log.println(settings.name() + " fault " + e);
       if (!closed) {
-        followNext();
+        selectNext();
       }
     }
   }
 
-  private void leave(DistributorEndpoint endpoint, Throwable failure) {
+  private void failOver(DistributorEndpoint endpoint, Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
     log.println(
         settings.name() + " leaves distributor " + endpoint.address() + ": " + cause.getMessage());
     selector.recordFailure(endpoint, clock.getAsLong());
-    followNext();
+    selectNext();
   }
 
   // Polls
 
   private void poll() {
-    long thisAttempt = attempt;
+    long thisGeneration = generation;
     long sentAtMicros = clock.getAsLong();
-    DistributorClient polledClient = client;
+    DistributorClient pollClient = client;
     long graceMicros = graceFactor * timings.responseGraceMicros();
-    polledClient
+    pollClient
         .poll(
             subscription,
-            owner.version(),
+            listener.version(),
             timings.pollWaitMicros(),
             timings.pollWaitMicros() + graceMicros)
         .whenCompleteAsync(
@@ -264,40 +266,40 @@
                 handle(
                     () ->
                         onPolled(
-                            thisAttempt, polledClient.endpoint(), sentAtMicros, answer, failure)),
+                            thisGeneration, pollClient.endpoint(), sentAtMicros, answer, failure)),
             timer);
   }
 
   private void onPolled(
-      long thisAttempt,
+      long thisGeneration,
       DistributorEndpoint endpoint,
       long sentAtMicros,
       DistributionMessages.PollResponse answer,
       Throwable failure) {
-    if (!isCurrent(thisAttempt)) {
+    if (!isCurrent(thisGeneration)) {
       return;
     }
     if (failure != null) {
       onPollFailed(endpoint, failure);
       return;
     }
-    if (!owner.polled(answer)) {
-      leave(
+    if (!listener.onPollResponse(answer)) {
+      failOver(
           endpoint,
           new DistributionGarbled(
               "the update to "
                   + answer.update().version()
                   + " does not continue from "
-                  + owner.version(),
+                  + listener.version(),
               null));
       return;
     }
     graceFactor = 1;
-    owner.confirmed(sentAtMicros, answer.ageMicros());
-    if (staysWith(endpoint, answer.ageMicros())) {
+    listener.onConfirmed(sentAtMicros, answer.ageMicros());
+    if (shouldKeep(endpoint, answer.ageMicros())) {
       poll();
     } else {
-      followNext();
+      selectNext();
     }
   }
 
@@ -307,7 +309,7 @@
         && refused.status() == HttpStatus.UNKNOWN_SUBSCRIPTION) {
       subscribe(endpoint);
     } else {
-      leave(endpoint, failure);
+      failOver(endpoint, failure);
     }
   }
 
@@ -315,7 +317,7 @@
    * Whether to keep following a distributor whose view has this age, rather than select another
    * one.
    */
-  private boolean staysWith(DistributorEndpoint endpoint, long viewAgeMicros) {
+  private boolean shouldKeep(DistributorEndpoint endpoint, long viewAgeMicros) {
     long nowMicros = clock.getAsLong();
     long followedMicros = nowMicros - followingSinceMicros;
     if (isStale(viewAgeMicros)) {
@@ -345,37 +347,37 @@
       return;
     }
     addingNames = true;
-    long thisAttempt = attempt;
+    long thisGeneration = generation;
     long sentAtMicros = clock.getAsLong();
     List<String> names = namesToAdd.stream().limit(MAX_NAMES_PER_CALL).toList();
     DistributionMessages.ChangeNamesRequest change =
         new DistributionMessages.ChangeNamesRequest(
-            owner.beginAdding(names), names, List.copyOf(namesToRemove));
+            listener.beginEdition(names), names, List.copyOf(namesToRemove));
     namesToRemove.clear();
     client
         .changeNames(subscription, change, timings.connectTimeoutMicros())
         .whenCompleteAsync(
             (answer, failure) ->
-                handle(() -> onNamesAdded(thisAttempt, sentAtMicros, names, answer, failure)),
+                handle(() -> onNamesAdded(thisGeneration, sentAtMicros, names, answer, failure)),
             timer);
   }
 
   private void onNamesAdded(
-      long thisAttempt,
+      long thisGeneration,
       long sentAtMicros,
       List<String> names,
       DistributionMessages.ChangeNamesResponse answer,
       Throwable failure) {
-    if (!isCurrent(thisAttempt)) {
+    if (!isCurrent(thisGeneration)) {
       return; // the names are requested from the current distributor instead
     }
     addingNames = false;
     if (failure != null) {
-      leave(client.endpoint(), failure);
+      failOver(client.endpoint(), failure);
       return;
     }
-    if (owner.added(names, answer)) {
-      owner.confirmed(sentAtMicros, answer.ageMicros());
+    if (listener.onRecordsReceived(names, answer)) {
+      listener.onConfirmed(sentAtMicros, answer.ageMicros());
       names.forEach(namesToAdd::remove);
       sendNames();
     } else {
--- a/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
@@ -7,7 +7,7 @@
  * Replicates the table of an upstream distributor by a subscription to all records. Threads: called
  * by its {@link Subscriber} under the lock of that.
  */
-final class UpstreamFollower implements Subscriber.Owner {
+final class UpstreamFollower implements Subscriber.Listener {
 
   private final String name;
   private final Distributor distributor;
@@ -18,7 +18,7 @@
   }
 
   @Override
-  public DistributionMessages.SubscribeRequest subscribing() {
+  public DistributionMessages.SubscribeRequest newSubscribeRequest() {
     return new DistributionMessages.SubscribeRequest(name, true, 0, List.of());
   }
 
@@ -28,22 +28,23 @@
   }
 
   @Override
-  public boolean polled(DistributionMessages.PollResponse answer) {
+  public boolean onPollResponse(DistributionMessages.PollResponse answer) {
     return distributor.apply(answer.update());
   }
 
   @Override
-  public long beginAdding(List<String> names) {
+  public long beginEdition(List<String> names) {
     throw new UnsupportedOperationException("a subscription to all records has no names to add");
   }
 
   @Override
-  public boolean added(List<String> names, DistributionMessages.ChangeNamesResponse answer) {
+  public boolean onRecordsReceived(
+      List<String> names, DistributionMessages.ChangeNamesResponse answer) {
     throw new UnsupportedOperationException("a subscription to all records has no names to add");
   }
 
   @Override
-  public void confirmed(long sentAtMicros, long statedAgeMicros) {
+  public void onConfirmed(long sentAtMicros, long statedAgeMicros) {
     distributor.confirm(sentAtMicros, statedAgeMicros);
   }
 }
