--- a/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
@@ -108,7 +108,7 @@
       throws DistributionGarbled {
     boolean hasResource = path.length == PLACES_WITH_RESOURCE;
     String call = exchange.getRequestMethod() + (hasResource ? " " + path[RESOURCE_PLACE] : "");
-    Subscription.Responder responder = (status, answer) -> respond(exchange, status, answer);
+    Subscription.Responder responder = (status, response) -> respond(exchange, status, response);
     switch (call) {
       case "POST" ->
           distributor.subscribe(DistributionMessages.SubscribeRequest.fromJson(body), responder);
@@ -118,9 +118,9 @@
       case "GET changes" -> poll(path[ID_PLACE], query(exchange), responder);
       case "POST rejected" -> {
         logRejected(DistributionMessages.RejectionReport.fromJson(body));
-        responder.answer(HttpStatus.NO_CONTENT, EMPTY_BODY);
+        responder.respond(HttpStatus.NO_CONTENT, EMPTY_BODY);
       }
-      default -> responder.answer(HttpStatus.NOT_FOUND, EMPTY_BODY);
+      default -> responder.respond(HttpStatus.NOT_FOUND, EMPTY_BODY);
     }
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -52,17 +52,17 @@
   private final Staleness staleness = new Staleness();
   private final SubscriptionTable subscriptions = new SubscriptionTable();
   private final ScheduledExecutorService timer;
-  private final Executor answers;
+  private final Executor responseExecutor;
   private final LongSupplier clock;
   private volatile boolean ready; // set by the first snapshot from upstream
 
   /** Creates a distributor with an empty table; the clock is monotonic, in microseconds. */
-  Distributor(ScheduledExecutorService timer, Executor answers, LongSupplier clock) {
+  Distributor(ScheduledExecutorService timer, Executor responseExecutor, LongSupplier clock) {
     this.timer = timer;
-    this.answers = answers;
+    this.responseExecutor = responseExecutor;
     this.clock = clock;
     timer.scheduleWithFixedDelay(
-        this::removeUnused, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        this::removeExpired, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   Version version() {
@@ -118,7 +118,7 @@
     }
     ready = true;
     if (isNewer) {
-      subscriptions.forEach(this::answerWaitingPoll);
+      subscriptions.forEach(this::completeWaitingPoll);
     }
   }
 
@@ -133,17 +133,17 @@
       isComplete &= !table.version().isBefore(update.version());
     }
     if (!changedNames.isEmpty()) {
-      subscriptions.forEachInterested(changedNames, this::answerWaitingPoll);
+      subscriptions.forEachFollowing(changedNames, this::completeWaitingPoll);
     }
     return isComplete;
   }
 
   /** Completes the waiting poll, if there is one. Called under the subscription's lock. */
-  private void answerWaitingPoll(Subscription subscription) {
-    Poll poll = subscription.unpark();
+  private void completeWaitingPoll(Subscription subscription) {
+    Poll poll = subscription.takeWaitingPoll();
     if (poll != null) {
       poll.cancelTimeout();
-      answers.execute(() -> answer(subscription, poll));
+      responseExecutor.execute(() -> respond(subscription, poll));
     }
   }
 
@@ -151,16 +151,16 @@
 
   void subscribe(SubscribeRequest request, Responder responder) {
     if (!ready || subscriptions.size() >= MAX_SUBSCRIPTIONS) {
-      responder.answer(HttpStatus.NOT_READY, EMPTY_BODY);
+      responder.respond(HttpStatus.NOT_READY, EMPTY_BODY);
       return;
     }
     if (request.names().size() > MAX_NAMES) {
-      responder.answer(HttpStatus.TOO_LARGE, EMPTY_BODY);
+      responder.respond(HttpStatus.TOO_LARGE, EMPTY_BODY);
       return;
     }
     String id = UUID.randomUUID().toString();
     subscriptions.add(new Subscription(id, request, clock.getAsLong()));
-    responder.answer(HttpStatus.CREATED, new SubscribeResponse(id).toJson());
+    responder.respond(HttpStatus.CREATED, new SubscribeResponse(id).toJson());
   }
 
   /**
@@ -168,17 +168,17 @@
    * the changes of these names.
    */
   void changeNames(String id, ChangeNamesRequest change, Responder responder) {
-    Subscription subscription = subscriptions.use(id, clock.getAsLong());
+    Subscription subscription = subscriptions.findAndMarkUsed(id, clock.getAsLong());
     if (subscription == null) {
-      responder.answer(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
+      responder.respond(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
       return;
     }
     synchronized (subscriptions.lockOf(id)) {
       if (subscription.size() + change.add().size() > MAX_NAMES) {
-        responder.answer(HttpStatus.TOO_LARGE, EMPTY_BODY);
+        responder.respond(HttpStatus.TOO_LARGE, EMPTY_BODY);
         return;
       }
-      subscription.change(change);
+      subscription.changeNames(change);
     }
     // Reads the records after the names were added to the filter, so that a concurrent change is
     // contained in this response, in the response to a later poll, or in both.
@@ -186,9 +186,9 @@
     Set<String> absentNames = new HashSet<>(change.add());
     added.records().forEach(record -> absentNames.remove(record.name()));
     synchronized (subscriptions.lockOf(id)) {
-      subscription.drop(absentNames);
+      subscription.removeNames(absentNames);
     }
-    responder.answer(HttpStatus.OK, added.toJson());
+    responder.respond(HttpStatus.OK, added.toJson());
   }
 
   private ChangeNamesResponse readRecords(List<String> names) {
@@ -205,22 +205,22 @@
    * concerns it or when the wait is over.
    */
   void poll(String id, Version after, long waitMicros, Responder responder) {
-    Subscription subscription = subscriptions.use(id, clock.getAsLong());
+    Subscription subscription = subscriptions.findAndMarkUsed(id, clock.getAsLong());
     if (subscription == null) {
-      responder.answer(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
+      responder.respond(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
       return;
     }
     Poll poll = new Poll(after, responder);
     Version seen = version();
-    if (lacksSomething(subscription, after)) {
-      answer(subscription, poll);
+    if (hasPendingUpdate(subscription, after)) {
+      respond(subscription, poll);
       return;
     }
     park(subscription, poll, Math.min(waitMicros, MAX_WAIT_MICROS));
-    // A change between the first check and parking found no waiting poll to complete.
-    if (!version().equals(seen) && lacksSomething(subscription, after)) {
+    // A change between the first check and park() found no waiting poll to complete.
+    if (!version().equals(seen) && hasPendingUpdate(subscription, after)) {
       synchronized (subscriptions.lockOf(id)) {
-        answerWaitingPoll(subscription);
+        completeWaitingPoll(subscription);
       }
     }
   }
@@ -229,10 +229,10 @@
     synchronized (subscriptions.lockOf(subscription.id())) {
       poll.setTimeout(
           timer.schedule(() -> expire(subscription, poll), waitMicros, TimeUnit.MICROSECONDS));
-      Poll before = subscription.park(poll);
-      if (before != null) {
-        before.cancelTimeout();
-        answers.execute(() -> answer(subscription, before));
+      Poll replaced = subscription.replaceWaitingPoll(poll);
+      if (replaced != null) {
+        replaced.cancelTimeout();
+        responseExecutor.execute(() -> respond(subscription, replaced));
       }
     }
   }
@@ -240,14 +240,14 @@
   private void expire(Subscription subscription, Poll poll) {
     boolean isWaiting;
     synchronized (subscriptions.lockOf(subscription.id())) {
-      isWaiting = subscription.unpark(poll);
+      isWaiting = subscription.removeWaitingPoll(poll);
     }
     if (isWaiting) {
-      answers.execute(() -> answer(subscription, poll));
+      responseExecutor.execute(() -> respond(subscription, poll));
     }
   }
 
-  private boolean lacksSomething(Subscription subscription, Version after) {
+  private boolean hasPendingUpdate(Subscription subscription, Version after) {
     SubscriptionFilter filter;
     synchronized (subscriptions.lockOf(subscription.id())) {
       filter = subscription.filter();
@@ -259,7 +259,7 @@
     return !(update instanceof Update.Changes changes) || !changes.changes().isEmpty();
   }
 
-  private void answer(Subscription subscription, Poll poll) {
+  private void respond(Subscription subscription, Poll poll) {
     long edition;
     SubscriptionFilter filter;
     synchronized (subscriptions.lockOf(subscription.id())) {
@@ -273,14 +273,14 @@
       ageMicros = staleness.maxAgeMicros(clock.getAsLong());
     }
     if (update == null) {
-      poll.responder().answer(HttpStatus.BEHIND, EMPTY_BODY);
+      poll.responder().respond(HttpStatus.BEHIND, EMPTY_BODY);
     } else {
       byte[] body = new PollResponse(edition, ageMicros, update).toJson();
-      poll.responder().answer(HttpStatus.OK, body);
+      poll.responder().respond(HttpStatus.OK, body);
     }
   }
 
-  private void removeUnused() {
+  private void removeExpired() {
     subscriptions.removeUnusedSince(clock.getAsLong() - SUBSCRIPTION_EXPIRY_MICROS);
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
@@ -110,22 +110,22 @@
     CompletableFuture<HttpResponse<byte[]>> bounded =
         call.copy().orTimeout(withinMicros, TimeUnit.MICROSECONDS);
     return bounded.handle(
-        (answer, failure) -> {
+        (response, failure) -> {
           if (failure != null) {
             call.cancel(true);
             throw new CompletionException(new DistributorUnreachable(endpoint.address(), failure));
           }
-          return read(answer, reader);
+          return read(response, reader);
         });
   }
 
-  private <T> T read(HttpResponse<byte[]> answer, Reader<T> reader) {
-    if (answer.statusCode() >= HttpStatus.FIRST_ERROR) {
+  private <T> T read(HttpResponse<byte[]> response, Reader<T> reader) {
+    if (response.statusCode() >= HttpStatus.FIRST_ERROR) {
       throw new CompletionException(
-          new DistributorRefused(endpoint.address(), answer.statusCode()));
+          new DistributorRefused(endpoint.address(), response.statusCode()));
     }
     try {
-      return reader.read(answer.body());
+      return reader.read(response.body());
     } catch (DistributionGarbled e) {
       throw new CompletionException(e);
     }
--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -25,13 +25,13 @@
  */
 public final class DistributorProcess implements AutoCloseable {
 
-  private static final int ANSWER_THREADS = 16;
+  private static final int RESPONSE_THREADS = 16;
   private static final int TIMER_THREADS = 2;
   private static final long NANOS_PER_MICRO = 1000;
 
   private final DistributionServer server;
   private final ScheduledThreadPoolExecutor timer;
-  private final ExecutorService answers;
+  private final ExecutorService responseExecutor;
   private final AutoCloseable follower;
   private final Runnable followerStart;
 
@@ -39,9 +39,10 @@
       throws IOException {
     LongSupplier clock = () -> System.nanoTime() / NANOS_PER_MICRO;
     timer = newTimer(TIMER_THREADS, "distributor-timer");
-    answers = Executors.newFixedThreadPool(ANSWER_THREADS, daemons("distributor-answer"));
-    Distributor distributor = new Distributor(timer, answers, clock);
-    server = new DistributionServer(listen, distributor, answers, log);
+    responseExecutor =
+        Executors.newFixedThreadPool(RESPONSE_THREADS, daemons("distributor-answer"));
+    Distributor distributor = new Distributor(timer, responseExecutor, clock);
+    server = new DistributionServer(listen, distributor, responseExecutor, log);
     if (config.distributors().isEmpty()) {
       EngineFollower engine = new EngineFollower(openChangeStore(config), distributor, clock, log);
       follower = engine;
@@ -120,6 +121,6 @@
     follower.close();
     server.close();
     timer.shutdownNow();
-    answers.shutdownNow();
+    responseExecutor.shutdownNow();
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -180,9 +180,9 @@
   }
 
   @Override
-  public synchronized boolean onPollResponse(DistributionMessages.PollResponse answer) {
+  public synchronized boolean onPollResponse(DistributionMessages.PollResponse response) {
     Version before = view.version();
-    view.apply(answer.update(), answer.edition()).forEach(this::takeUp);
+    view.apply(response.update(), response.edition()).forEach(this::takeUp);
     if (!view.version().equals(before)) {
       applier.onVersionReached(view.version());
     }
@@ -196,18 +196,18 @@
 
   @Override
   public synchronized boolean onRecordsReceived(
-      List<String> names, DistributionMessages.ChangeNamesResponse answer) {
-    if (answer.version().isBefore(view.version())) {
+      List<String> names, DistributionMessages.ChangeNamesResponse response) {
+    if (response.version().isBefore(view.version())) {
       return false;
     }
     Map<String, RecordChange> recordByName = new HashMap<>();
-    answer.records().forEach(record -> recordByName.put(record.name(), record));
+    response.records().forEach(record -> recordByName.put(record.name(), record));
     for (String name : names) {
       RecordChange record = recordByName.get(name);
       if (record == null) {
         lookups.recordAbsent(name, clock.getAsLong());
       } else {
-        view.follow(name, record, answer.version());
+        view.follow(name, record, response.version());
         lookups.recordPresent(name);
         takeUp(view.record(name));
       }
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -57,7 +57,7 @@
      * Applies the response to a poll; false if the update does not continue from the current
      * version, so that another distributor has to be selected.
      */
-    boolean onPollResponse(DistributionMessages.PollResponse answer);
+    boolean onPollResponse(DistributionMessages.PollResponse response);
 
     /** Starts a new edition that includes these names, and returns it. */
     long beginEdition(List<String> names);
@@ -66,7 +66,8 @@
      * Applies the records of names that were added; names without a record are absent from the
      * response. False if the distributor is behind, so that the names have to be requested again.
      */
-    boolean onRecordsReceived(List<String> names, DistributionMessages.ChangeNamesResponse answer);
+    boolean onRecordsReceived(
+        List<String> names, DistributionMessages.ChangeNamesResponse response);
 
     /**
      * Records that the view was current as of a request sent at this time, minus the age that the
@@ -201,15 +202,15 @@
     newClient
         .subscribe(listener.newSubscribeRequest(), timings.connectTimeoutMicros())
         .whenCompleteAsync(
-            (answer, failure) ->
-                handle(() -> onSubscribed(thisGeneration, newClient, answer, failure)),
+            (response, failure) ->
+                handle(() -> onSubscribed(thisGeneration, newClient, response, failure)),
             timer);
   }
 
   private void onSubscribed(
       long thisGeneration,
       DistributorClient newClient,
-      DistributionMessages.SubscribeResponse answer,
+      DistributionMessages.SubscribeResponse response,
       Throwable failure) {
     if (!isCurrent(thisGeneration)) {
       return;
@@ -219,7 +220,7 @@
       return;
     }
     client = newClient;
-    subscription = answer.subscription();
+    subscription = response.subscription();
     followingSinceMicros = clock.getAsLong();
     sendNames();
     poll();
@@ -262,11 +263,15 @@
             timings.pollWaitMicros(),
             timings.pollWaitMicros() + graceMicros)
         .whenCompleteAsync(
-            (answer, failure) ->
+            (response, failure) ->
                 handle(
                     () ->
                         onPolled(
-                            thisGeneration, pollClient.endpoint(), sentAtMicros, answer, failure)),
+                            thisGeneration,
+                            pollClient.endpoint(),
+                            sentAtMicros,
+                            response,
+                            failure)),
             timer);
   }
 
@@ -274,7 +279,7 @@
       long thisGeneration,
       DistributorEndpoint endpoint,
       long sentAtMicros,
-      DistributionMessages.PollResponse answer,
+      DistributionMessages.PollResponse response,
       Throwable failure) {
     if (!isCurrent(thisGeneration)) {
       return;
@@ -283,20 +288,20 @@
       onPollFailed(endpoint, failure);
       return;
     }
-    if (!listener.onPollResponse(answer)) {
+    if (!listener.onPollResponse(response)) {
       failOver(
           endpoint,
           new DistributionGarbled(
               "the update to "
-                  + answer.update().version()
+                  + response.update().version()
                   + " does not continue from "
                   + listener.version(),
               null));
       return;
     }
     graceFactor = 1;
-    listener.onConfirmed(sentAtMicros, answer.ageMicros());
-    if (shouldKeep(endpoint, answer.ageMicros())) {
+    listener.onConfirmed(sentAtMicros, response.ageMicros());
+    if (shouldKeep(endpoint, response.ageMicros())) {
       poll();
     } else {
       selectNext();
@@ -357,8 +362,8 @@
     client
         .changeNames(subscription, change, timings.connectTimeoutMicros())
         .whenCompleteAsync(
-            (answer, failure) ->
-                handle(() -> onNamesAdded(thisGeneration, sentAtMicros, names, answer, failure)),
+            (response, failure) ->
+                handle(() -> onNamesAdded(thisGeneration, sentAtMicros, names, response, failure)),
             timer);
   }
 
@@ -366,7 +371,7 @@
       long thisGeneration,
       long sentAtMicros,
       List<String> names,
-      DistributionMessages.ChangeNamesResponse answer,
+      DistributionMessages.ChangeNamesResponse response,
       Throwable failure) {
     if (!isCurrent(thisGeneration)) {
       return; // the names are requested from the current distributor instead
@@ -376,8 +381,8 @@
       failOver(client.endpoint(), failure);
       return;
     }
-    if (listener.onRecordsReceived(names, answer)) {
-      listener.onConfirmed(sentAtMicros, answer.ageMicros());
+    if (listener.onRecordsReceived(names, response)) {
+      listener.onConfirmed(sentAtMicros, response.ageMicros());
       names.forEach(namesToAdd::remove);
       sendNames();
     } else {
--- a/gateway/src/main/java/shelffront/controlplane/Subscription.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscription.java
@@ -45,7 +45,7 @@
   /** Writes the response to a call; called exactly once. */
   interface Responder {
 
-    void answer(int status, byte[] body);
+    void respond(int status, byte[] body);
   }
 
   private final String id;
@@ -77,7 +77,7 @@
     return filter;
   }
 
-  boolean isInterested(Set<String> changedNames) {
+  boolean followsAny(Set<String> changedNames) {
     return all || changedNames.stream().anyMatch(names::contains);
   }
 
@@ -97,7 +97,7 @@
     usedAtMicros = nowMicros;
   }
 
-  void change(DistributionMessages.ChangeNamesRequest change) {
+  void changeNames(DistributionMessages.ChangeNamesRequest change) {
     change.remove().forEach(names::remove);
     names.addAll(change.add());
     updateFilter();
@@ -105,8 +105,8 @@
   }
 
   /** Removes names from the filter. */
-  void drop(Collection<String> droppedNames) {
-    droppedNames.forEach(names::remove);
+  void removeNames(Collection<String> removedNames) {
+    removedNames.forEach(names::remove);
     updateFilter();
   }
 
@@ -114,19 +114,19 @@
    * Makes a poll the waiting one and returns the poll that waited before, which its subscriber has
    * abandoned; null if there was none.
    */
-  Poll park(Poll poll) {
-    Poll before = waitingPoll;
+  Poll replaceWaitingPoll(Poll poll) {
+    Poll replaced = waitingPoll;
     waitingPoll = poll;
-    return before;
+    return replaced;
   }
 
   /** Removes and returns the waiting poll; null if there is none. */
-  Poll unpark() {
-    return park(null);
+  Poll takeWaitingPoll() {
+    return replaceWaitingPoll(null);
   }
 
   /** Removes the given poll if it is still the waiting one, and returns whether it was. */
-  boolean unpark(Poll poll) {
+  boolean removeWaitingPoll(Poll poll) {
     if (waitingPoll != poll) {
       return false;
     }
--- a/gateway/src/main/java/shelffront/controlplane/SubscriptionTable.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscriptionTable.java
@@ -53,7 +53,7 @@
   }
 
   /** Finds a subscription and marks it as used; null if there is none with this id. */
-  Subscription use(String id, long nowMicros) {
+  Subscription findAndMarkUsed(String id, long nowMicros) {
     Shard shard = shard(id);
     synchronized (shard) {
       Subscription subscription = shard.subscriptions.get(id);
@@ -77,10 +77,10 @@
    * Calls the task for every subscription that follows at least one of these names, under the lock
    * of its shard.
    */
-  void forEachInterested(Set<String> names, Consumer<Subscription> task) {
+  void forEachFollowing(Set<String> names, Consumer<Subscription> task) {
     forEach(
         subscription -> {
-          if (subscription.isInterested(names)) {
+          if (subscription.followsAny(names)) {
             task.accept(subscription);
           }
         });
--- a/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
@@ -28,8 +28,8 @@
   }
 
   @Override
-  public boolean onPollResponse(DistributionMessages.PollResponse answer) {
-    return distributor.apply(answer.update());
+  public boolean onPollResponse(DistributionMessages.PollResponse response) {
+    return distributor.apply(response.update());
   }
 
   @Override
@@ -39,7 +39,7 @@
 
   @Override
   public boolean onRecordsReceived(
-      List<String> names, DistributionMessages.ChangeNamesResponse answer) {
+      List<String> names, DistributionMessages.ChangeNamesResponse response) {
     throw new UnsupportedOperationException("a subscription to all records has no names to add");
   }
 
