--- a/gateway/src/main/java/shelffront/controlplane/ChangeStore.java
+++ b/gateway/src/main/java/shelffront/controlplane/ChangeStore.java
@@ -221,7 +221,7 @@
       if (head.version().isBefore(seen)) {
         throw new EngineSteppedBack(head.version(), seen);
       }
-      requireSequence(name, expectedSequence);
+      checkSequence(name, expectedSequence);
       Version next = nextVersion(head);
       RecordChange change = new RecordChange(next, name, document);
       if (store.transact(codec.changeWrites(change, head))) {
@@ -231,7 +231,7 @@
     throw new EngineContended(name, MAX_ATTEMPTS);
   }
 
-  private void requireSequence(String name, long expectedSequence)
+  private void checkSequence(String name, long expectedSequence)
       throws CoordinationException, RecordChanged {
     RecordChange current = record(name);
     long sequence = current == null ? 0 : current.version().sequence();
--- a/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
@@ -30,7 +30,7 @@
   private final EventLog log;
   private final Thread thread;
   private volatile boolean closed;
-  private Head known = Head.EMPTY;
+  private Head knownHead = Head.EMPTY;
   private boolean hasReadAll;
   private String lastErrorCode = "";
 
@@ -51,10 +51,10 @@
     long backoffMillis = INITIAL_BACKOFF_MILLIS;
     while (!closed) {
       try {
-        follow();
+        catchUp();
         lastErrorCode = "";
         backoffMillis = INITIAL_BACKOFF_MILLIS;
-        if (known.index() == 0) { // the store has no head to watch before the first change
+        if (knownHead.index() == 0) { // the store has no head to watch before the first change
           TimeUnit.MILLISECONDS.sleep(MAX_BACKOFF_MILLIS);
         }
       } catch (CoordinationException | EngineSteppedBack e) {
@@ -79,15 +79,15 @@
     return Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
   }
 
-  private void follow() throws CoordinationException, EngineSteppedBack {
+  private void catchUp() throws CoordinationException, EngineSteppedBack {
     long sentAtMicros = clock.getAsLong();
-    Head head = hasReadAll ? store.awaitHead(known) : store.head();
+    Head head = hasReadAll ? store.awaitHead(knownHead) : store.head();
     List<RecordChange> missing = missingChanges(head);
     if (missing != null) {
-      distributor.apply(new Update.Changes(known.version(), head.version(), missing));
-      known = head;
-    } else if (hasReadAll && head.version().isBefore(known.version())) {
-      throw new EngineSteppedBack(head.version(), known.version());
+      distributor.apply(new Update.Changes(knownHead.version(), head.version(), missing));
+      knownHead = head;
+    } else if (hasReadAll && head.version().isBefore(knownHead.version())) {
+      throw new EngineSteppedBack(head.version(), knownHead.version());
     } else {
       readAll();
     }
@@ -100,22 +100,22 @@
    */
   private List<RecordChange> missingChanges(Head head)
       throws CoordinationException, EngineSteppedBack {
-    boolean isSameIncarnation = head.version().incarnation() == known.version().incarnation();
-    return hasReadAll && isSameIncarnation ? store.changesBetween(known, head) : null;
+    boolean isSameIncarnation = head.version().incarnation() == knownHead.version().incarnation();
+    return hasReadAll && isSameIncarnation ? store.changesBetween(knownHead, head) : null;
   }
 
   private void readAll() throws CoordinationException, EngineSteppedBack {
-    ChangeStore.VersionedSnapshot all = store.readAll();
-    distributor.apply(all.snapshot());
-    known = all.head();
+    ChangeStore.VersionedSnapshot current = store.readAll();
+    distributor.apply(current.snapshot());
+    knownHead = current.head();
     hasReadAll = true;
     log.println(
         "engine read whole at "
-            + known.version().incarnation()
+            + knownHead.version().incarnation()
             + "."
-            + known.version().sequence()
+            + knownHead.version().sequence()
             + ", "
-            + all.snapshot().records().size()
+            + current.snapshot().records().size()
             + " records");
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/LastKnownGood.java
+++ b/gateway/src/main/java/shelffront/controlplane/LastKnownGood.java
@@ -54,11 +54,12 @@
     ObjectNode json = DistributionJson.newObject().put("format", FORMAT);
     DistributionJson.putVersion(json.putObject("version"), contents.version());
     DistributionJson.putChanges(json.putArray("records"), contents.records());
-    Path next = file.resolveSibling(file.getFileName() + ".next");
-    Files.write(next, DistributionJson.bytes(json));
-    try (FileChannel channel = FileChannel.open(next, StandardOpenOption.WRITE)) {
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".next");
+    Files.write(temporaryFile, DistributionJson.bytes(json));
+    try (FileChannel channel = FileChannel.open(temporaryFile, StandardOpenOption.WRITE)) {
       channel.force(true);
     }
-    Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(
+        temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -71,7 +71,7 @@
   private final ViewAgeMonitor viewAge;
   private final ReplicatedView view = new ReplicatedView();
   private final RecordLookups lookups = new RecordLookups();
-  private final Map<String, RecordChange> inForce = new HashMap<>();
+  private final Map<String, RecordChange> recordsInForce = new HashMap<>();
   private final Map<String, String> rejectionReasons =
       new HashMap<>(); // why the newest state of a record is not in force
 
@@ -126,7 +126,7 @@
     LastKnownGood.Contents cached = lastKnownGood.read();
     if (cached != null) {
       view.restore(cached.version(), cached.records());
-      cached.records().forEach(this::putInForce);
+      cached.records().forEach(this::applyRecord);
       log.println("begins with " + cached.records().size() + " records as last known");
     }
   }
@@ -138,7 +138,7 @@
    * if too many lookups are pending.
    */
   public synchronized CompletableFuture<Boolean> lookUp(String name) {
-    if (inForce.containsKey(name)) {
+    if (recordsInForce.containsKey(name)) {
       return CompletableFuture.completedFuture(true);
     }
     if (lookups.isAbsent(name, clock.getAsLong()) || view.follows(name)) {
@@ -160,7 +160,7 @@
   public synchronized void unsubscribe(String name) {
     view.unfollow(name);
     timer.execute(() -> subscriber.removeName(name));
-    if (inForce.remove(name) != null) {
+    if (recordsInForce.remove(name) != null) {
       applier.remove(name);
       lastKnownGood.writeSoon();
     }
@@ -182,7 +182,7 @@
   @Override
   public synchronized boolean onPollResponse(DistributionMessages.PollResponse response) {
     Version before = view.version();
-    view.apply(response.update(), response.edition()).forEach(this::takeUp);
+    view.apply(response.update(), response.edition()).forEach(this::applyChange);
     if (!view.version().equals(before)) {
       applier.onVersionReached(view.version());
     }
@@ -209,9 +209,9 @@
       } else {
         view.follow(name, record, response.version());
         lookups.recordPresent(name);
-        takeUp(view.record(name));
+        applyChange(view.record(name));
       }
-      lookups.complete(name, inForce.containsKey(name));
+      lookups.complete(name, recordsInForce.containsKey(name));
     }
     return true;
   }
@@ -221,21 +221,21 @@
     viewAge.confirm(sentAtMicros, statedAgeMicros);
   }
 
-  private void takeUp(RecordChange change) {
+  private void applyChange(RecordChange change) {
     if (change.isRemoval()) {
-      inForce.remove(change.name());
+      recordsInForce.remove(change.name());
       rejectionReasons.remove(change.name());
       applier.remove(change.name());
     } else {
-      putInForce(change);
+      applyRecord(change);
     }
     lastKnownGood.writeSoon();
   }
 
-  private void putInForce(RecordChange change) {
+  private void applyRecord(RecordChange change) {
     String rejectionReason = applier.apply(change);
     if (rejectionReason == null) {
-      inForce.put(change.name(), change);
+      recordsInForce.put(change.name(), change);
       rejectionReasons.remove(change.name());
     } else {
       rejectionReasons.put(change.name(), rejectionReason);
@@ -252,7 +252,7 @@
   }
 
   private synchronized LastKnownGood.Contents contentsInForce() {
-    return new LastKnownGood.Contents(view.version(), new ArrayList<>(inForce.values()));
+    return new LastKnownGood.Contents(view.version(), new ArrayList<>(recordsInForce.values()));
   }
 
   private synchronized void checkAge() {
@@ -293,7 +293,7 @@
         viewAge.ageMillis(nowMicros),
         followed == null ? null : followed.address(),
         view.names().size(),
-        inForce.size(),
+        recordsInForce.size(),
         Map.copyOf(rejectionReasons),
         error == null ? null : error.code(),
         error == null ? null : error.advice());
