--- a/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
@@ -44,10 +44,10 @@
   /**
    * Indexes of the segments of a path {@code /v1/subscriptions/ID/RESOURCE}, split at its slashes.
    */
-  private static final int ID_PLACE = 3;
+  private static final int ID_SEGMENT = 3;
 
-  private static final int RESOURCE_PLACE = 4;
-  private static final int PLACES_WITH_RESOURCE = 5;
+  private static final int RESOURCE_SEGMENT = 4;
+  private static final int SEGMENTS_WITH_RESOURCE = 5;
 
   private final HttpServer server;
   private final Distributor distributor;
@@ -106,16 +106,16 @@
 
   private void dispatch(HttpExchange exchange, String[] path, byte[] body)
       throws DistributionGarbled {
-    boolean hasResource = path.length == PLACES_WITH_RESOURCE;
-    String call = exchange.getRequestMethod() + (hasResource ? " " + path[RESOURCE_PLACE] : "");
+    boolean hasResource = path.length == SEGMENTS_WITH_RESOURCE;
+    String route = exchange.getRequestMethod() + (hasResource ? " " + path[RESOURCE_SEGMENT] : "");
     Subscription.Responder responder = (status, response) -> respond(exchange, status, response);
-    switch (call) {
+    switch (route) {
       case "POST" ->
           distributor.subscribe(DistributionMessages.SubscribeRequest.fromJson(body), responder);
       case "POST names" ->
           distributor.changeNames(
-              path[ID_PLACE], DistributionMessages.ChangeNamesRequest.fromJson(body), responder);
-      case "GET changes" -> poll(path[ID_PLACE], query(exchange), responder);
+              path[ID_SEGMENT], DistributionMessages.ChangeNamesRequest.fromJson(body), responder);
+      case "GET changes" -> poll(path[ID_SEGMENT], queryParameters(exchange), responder);
       case "POST rejected" -> {
         logRejected(DistributionMessages.RejectionReport.fromJson(body));
         responder.respond(HttpStatus.NO_CONTENT, EMPTY_BODY);
@@ -125,8 +125,9 @@
   }
 
   private void poll(String id, Map<String, String> query, Subscription.Responder responder) {
-    Version after = new Version(number(query, "incarnation"), number(query, "sequence"));
-    distributor.poll(id, after, number(query, "waitMicros"), responder);
+    Version after =
+        new Version(longParameter(query, "incarnation"), longParameter(query, "sequence"));
+    distributor.poll(id, after, longParameter(query, "waitMicros"), responder);
   }
 
   private void logRejected(DistributionMessages.RejectionReport report) {
@@ -146,7 +147,7 @@
     respond(exchange, HttpStatus.OK, DistributionJson.bytes(json));
   }
 
-  private static Map<String, String> query(HttpExchange exchange) {
+  private static Map<String, String> queryParameters(HttpExchange exchange) {
     Map<String, String> query = new HashMap<>();
     String raw = exchange.getRequestURI().getRawQuery();
     for (String part : raw == null ? new String[0] : raw.split("&")) {
@@ -158,7 +159,7 @@
     return query;
   }
 
-  private static long number(Map<String, String> query, String name) {
+  private static long longParameter(Map<String, String> query, String name) {
     return Long.parseLong(query.getOrDefault(name, ""));
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -273,7 +273,7 @@
       ageMicros = staleness.maxAgeMicros(clock.getAsLong());
     }
     if (update == null) {
-      poll.responder().respond(HttpStatus.BEHIND, EMPTY_BODY);
+      poll.responder().respond(HttpStatus.BEHIND_SUBSCRIBER, EMPTY_BODY);
     } else {
       byte[] body = new PollResponse(edition, ageMicros, update).toJson();
       poll.responder().respond(HttpStatus.OK, body);
--- a/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
@@ -26,9 +26,9 @@
   private static final long NANOS_PER_MICRO = 1000;
 
   /** Parses the body of a response. */
-  private interface Reader<T> {
+  private interface ResponseParser<T> {
 
-    T read(byte[] body) throws DistributionGarbled;
+    T parse(byte[] body) throws DistributionGarbled;
   }
 
   private final HttpClient http;
@@ -44,25 +44,25 @@
   }
 
   CompletableFuture<DistributionMessages.SubscribeResponse> subscribe(
-      DistributionMessages.SubscribeRequest request, long withinMicros) {
+      DistributionMessages.SubscribeRequest request, long timeoutMicros) {
     return post(
         "/v1/subscriptions",
         request.toJson(),
-        withinMicros,
+        timeoutMicros,
         DistributionMessages.SubscribeResponse::fromJson);
   }
 
   CompletableFuture<DistributionMessages.ChangeNamesResponse> changeNames(
-      String subscription, DistributionMessages.ChangeNamesRequest change, long withinMicros) {
+      String subscription, DistributionMessages.ChangeNamesRequest change, long timeoutMicros) {
     return post(
         "/v1/subscriptions/" + subscription + "/names",
         change.toJson(),
-        withinMicros,
+        timeoutMicros,
         DistributionMessages.ChangeNamesResponse::fromJson);
   }
 
   CompletableFuture<DistributionMessages.PollResponse> poll(
-      String subscription, Version after, long waitMicros, long withinMicros) {
+      String subscription, Version after, long waitMicros, long timeoutMicros) {
     String path =
         "/v1/subscriptions/"
             + subscription
@@ -74,16 +74,16 @@
             + waitMicros;
     return call(
         HttpRequest.newBuilder(uri(path)).GET(),
-        withinMicros,
+        timeoutMicros,
         DistributionMessages.PollResponse::fromJson);
   }
 
   CompletableFuture<Void> reject(
-      String subscription, DistributionMessages.RejectionReport report, long withinMicros) {
+      String subscription, DistributionMessages.RejectionReport report, long timeoutMicros) {
     return post(
         "/v1/subscriptions/" + subscription + "/rejected",
         report.toJson(),
-        withinMicros,
+        timeoutMicros,
         body -> null);
   }
 
@@ -92,40 +92,40 @@
   }
 
   private <T> CompletableFuture<T> post(
-      String path, byte[] body, long withinMicros, Reader<T> reader) {
+      String path, byte[] body, long timeoutMicros, ResponseParser<T> parser) {
     return call(
         HttpRequest.newBuilder(uri(path)).POST(BodyPublishers.ofByteArray(body)),
-        withinMicros,
-        reader);
+        timeoutMicros,
+        parser);
   }
 
   private <T> CompletableFuture<T> call(
-      HttpRequest.Builder request, long withinMicros, Reader<T> reader) {
+      HttpRequest.Builder request, long timeoutMicros, ResponseParser<T> parser) {
     CompletableFuture<HttpResponse<byte[]>> call =
         http.sendAsync(
-            request.timeout(Duration.ofNanos(withinMicros * NANOS_PER_MICRO)).build(),
+            request.timeout(Duration.ofNanos(timeoutMicros * NANOS_PER_MICRO)).build(),
             BodyHandlers.ofByteArray());
     // The timeout of the request covers the time until the response headers only; this one also
     // covers the body.
-    CompletableFuture<HttpResponse<byte[]>> bounded =
-        call.copy().orTimeout(withinMicros, TimeUnit.MICROSECONDS);
-    return bounded.handle(
+    CompletableFuture<HttpResponse<byte[]>> withTimeout =
+        call.copy().orTimeout(timeoutMicros, TimeUnit.MICROSECONDS);
+    return withTimeout.handle(
         (response, failure) -> {
           if (failure != null) {
             call.cancel(true);
             throw new CompletionException(new DistributorUnreachable(endpoint.address(), failure));
           }
-          return read(response, reader);
+          return parse(response, parser);
         });
   }
 
-  private <T> T read(HttpResponse<byte[]> response, Reader<T> reader) {
+  private <T> T parse(HttpResponse<byte[]> response, ResponseParser<T> parser) {
     if (response.statusCode() >= HttpStatus.FIRST_ERROR) {
       throw new CompletionException(
           new DistributorRefused(endpoint.address(), response.statusCode()));
     }
     try {
-      return reader.read(response.body());
+      return parser.parse(response.body());
     } catch (DistributionGarbled e) {
       throw new CompletionException(e);
     }
--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -33,20 +33,20 @@
   private final ScheduledThreadPoolExecutor timer;
   private final ExecutorService responseExecutor;
   private final AutoCloseable follower;
-  private final Runnable followerStart;
+  private final Runnable startFollower;
 
   private DistributorProcess(InetSocketAddress listen, SubscribedRecordsConfig config, EventLog log)
       throws IOException {
     LongSupplier clock = () -> System.nanoTime() / NANOS_PER_MICRO;
     timer = newTimer(TIMER_THREADS, "distributor-timer");
     responseExecutor =
-        Executors.newFixedThreadPool(RESPONSE_THREADS, daemons("distributor-answer"));
+        Executors.newFixedThreadPool(RESPONSE_THREADS, daemonThreads("distributor-answer"));
     Distributor distributor = new Distributor(timer, responseExecutor, clock);
     server = new DistributionServer(listen, distributor, responseExecutor, log);
     if (config.distributors().isEmpty()) {
       EngineFollower engine = new EngineFollower(openChangeStore(config), distributor, clock, log);
       follower = engine;
-      followerStart = engine::start;
+      startFollower = engine::start;
     } else {
       Subscriber subscriber =
           new Subscriber(
@@ -58,7 +58,7 @@
               clock,
               log);
       follower = subscriber;
-      followerStart = subscriber::start;
+      startFollower = subscriber::start;
     }
   }
 
@@ -93,12 +93,13 @@
 
   /** Creates a scheduler with daemon threads. */
   public static ScheduledThreadPoolExecutor newTimer(int threads, String name) {
-    ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(threads, daemons(name));
+    ScheduledThreadPoolExecutor timer =
+        new ScheduledThreadPoolExecutor(threads, daemonThreads(name));
     timer.setRemoveOnCancelPolicy(true);
     return timer;
   }
 
-  private static ThreadFactory daemons(String name) {
+  private static ThreadFactory daemonThreads(String name) {
     return task -> {
       Thread thread = new Thread(task, name);
       thread.setDaemon(true);
@@ -109,7 +110,7 @@
   /** Starts to follow upstream and to serve subscribers, until {@link #close}. */
   public void start() {
     server.start();
-    followerStart.run();
+    startFollower.run();
   }
 
   public InetSocketAddress address() {
--- a/gateway/src/main/java/shelffront/controlplane/HttpStatus.java
+++ b/gateway/src/main/java/shelffront/controlplane/HttpStatus.java
@@ -17,7 +17,7 @@
   static final int UNKNOWN_SUBSCRIPTION = NOT_FOUND;
 
   /** The distributor's version is older than the subscriber's. */
-  static final int BEHIND = 409;
+  static final int BEHIND_SUBSCRIBER = 409;
 
   static final int TOO_LARGE = 413;
 
