--- a/gateway/src/main/java/shelffront/controlplane/DistributionException.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionException.java
@@ -8,8 +8,8 @@
 
   private static final long serialVersionUID = 1L;
 
-  private DistributionException(String code, String what, String advice, Throwable cause) {
-    super(code, what, advice, cause);
+  private DistributionException(String code, String message, String advice, Throwable cause) {
+    super(code, message, advice, cause);
   }
 
   /**
@@ -24,9 +24,9 @@
       super(
           "engine-stepped-back",
           "the engine is at version "
-              + text(engine)
+              + format(engine)
               + ", whose history does not continue from version "
-              + text(known)
+              + format(known)
               + " that it served before",
           "The engine was restored from older data. All processes keep serving the records that"
               + " they have, and changes are rejected. Check the records in the engine; once they"
@@ -64,7 +64,7 @@
     RecordRejected(String name, Version version, String reason) {
       super(
           "record-rejected",
-          "record " + name + " at version " + text(version) + " is not valid: " + reason,
+          "record " + name + " at version " + format(version) + " is not valid: " + reason,
           "The previous state of the record stays in force. Write a valid record, and check that"
               + " all gateways run a build that knows its format.",
           null);
@@ -163,16 +163,16 @@
 
     private static final long serialVersionUID = 1L;
 
-    DistributionGarbled(String what, Throwable cause) {
+    DistributionGarbled(String message, Throwable cause) {
       super(
           "distribution-garbled",
-          what,
+          message,
           "Check that all distributors and gateways run builds that know this format.",
           cause);
     }
   }
 
-  private static String text(Version version) {
+  private static String format(Version version) {
     return version.incarnation() + "." + version.sequence();
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -59,7 +59,7 @@
   private static final long DEFAULT_STALE_AFTER_MILLIS = 6_000;
 
   private static final long DEFAULT_MAX_AGE_MILLIS = 14_000;
-  private static final long LARGEST_AGE_MILLIS = 3_600_000;
+  private static final long MAX_AGE_LIMIT_MILLIS = 3_600_000;
 
   /**
    * Reads the settings; the exception has the JSON pointer of the first invalid field, which starts
@@ -106,14 +106,14 @@
       throws SpecException {
     List<DistributorEndpoint> distributors = new ArrayList<>();
     for (JsonNode json : list) {
-      String each = pointer + "/" + distributors.size();
-      TenantSpecCodec.onlyFields(json, each, ENDPOINT_FIELDS);
-      address(json, each + "/address", "address");
+      String endpointPointer = pointer + "/" + distributors.size();
+      TenantSpecCodec.onlyFields(json, endpointPointer, ENDPOINT_FIELDS);
+      address(json, endpointPointer + "/address", "address");
       distributors.add(
           new DistributorEndpoint(
               json.path("address").asText(),
-              optionalName(json, each, "region"),
-              optionalName(json, each, "zone")));
+              optionalName(json, endpointPointer, "region"),
+              optionalName(json, endpointPointer, "zone")));
     }
     return List.copyOf(distributors);
   }
@@ -137,14 +137,14 @@
   private static long ageMicros(JsonNode json, String pointer, String field, long defaultMillis)
       throws SpecException {
     long millis = json.path(field).asLong(defaultMillis);
-    long leastMicros = DistributionTimings.STANDARD.maxHealthyAgeMicros();
-    if (millis * MICROS_PER_MILLI < leastMicros || millis > LARGEST_AGE_MILLIS) {
+    long minMicros = DistributionTimings.STANDARD.maxHealthyAgeMicros();
+    if (millis * MICROS_PER_MILLI < minMicros || millis > MAX_AGE_LIMIT_MILLIS) {
       throw new SpecException(
           pointer + "/" + field,
           "must be from "
-              + leastMicros / MICROS_PER_MILLI
+              + minMicros / MICROS_PER_MILLI
               + " to "
-              + LARGEST_AGE_MILLIS
+              + MAX_AGE_LIMIT_MILLIS
               + " milliseconds, found "
               + millis);
     }
--- a/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
@@ -35,7 +35,7 @@
 public final class ConsulCoordinationStore implements CoordinationStore {
 
   /** HTTP status of a transaction that was rolled back because a key did not meet its condition. */
-  private static final int CONFLICT = 409;
+  private static final int HTTP_CONFLICT = 409;
 
   private static final long MILLIS_PER_SECOND = 1000;
 
@@ -99,7 +99,7 @@
         : new EngineUnreachable(address, exception);
   }
 
-  private static Value value(org.kiwiproject.consul.model.kv.Value read) {
+  private static Value toValue(org.kiwiproject.consul.model.kv.Value read) {
     return new Value(read.getKey(), read.getModifyIndex(), read.getValueAsString().orElse(""));
   }
 
@@ -113,27 +113,27 @@
         () ->
             calls
                 .getValue(key, consistent().build())
-                .map(ConsulCoordinationStore::value)
+                .map(ConsulCoordinationStore::toValue)
                 .orElse(null));
   }
 
   @Override
   public Listing list(String prefix) throws CoordinationException {
-    return call(() -> listing(calls.getConsulResponseWithValues(prefix, consistent().build())));
+    return call(() -> toListing(calls.getConsulResponseWithValues(prefix, consistent().build())));
   }
 
   @Override
   public Listing watch(String prefix, long afterIndex) throws CoordinationException {
     ImmutableQueryOptions options =
         consistent().index(BigInteger.valueOf(afterIndex)).wait(watchWait).build();
-    return call(() -> listing(watches.getConsulResponseWithValues(prefix, options)));
+    return call(() -> toListing(watches.getConsulResponseWithValues(prefix, options)));
   }
 
-  private static Listing listing(
+  private static Listing toListing(
       ConsulResponse<List<org.kiwiproject.consul.model.kv.Value>> response) {
     List<Value> values = new ArrayList<>();
     if (response.getResponse() != null) {
-      response.getResponse().forEach(read -> values.add(value(read)));
+      response.getResponse().forEach(read -> values.add(toValue(read)));
     }
     return new Listing(response.getIndex() == null ? 0 : response.getIndex().longValue(), values);
   }
@@ -158,14 +158,14 @@
   @Override
   public boolean transact(List<Write> writes) throws CoordinationException {
     Operation[] operations =
-        writes.stream().map(ConsulCoordinationStore::operation).toArray(Operation[]::new);
+        writes.stream().map(ConsulCoordinationStore::toOperation).toArray(Operation[]::new);
     return transaction(operations).isPresent();
   }
 
-  private static Operation operation(Write write) {
+  private static Operation toOperation(Write write) {
     boolean checked = write.index() != Write.ANY_INDEX;
     ImmutableOperation.Builder operation =
-        Operation.builder(write.newText() == null ? deletion(checked) : setting(checked))
+        Operation.builder(write.newText() == null ? deleteVerb(checked) : setVerb(checked))
             .key(write.key());
     if (write.newText() != null) {
       operation.value(write.newText());
@@ -173,11 +173,11 @@
     return checked ? operation.index(BigInteger.valueOf(write.index())).build() : operation.build();
   }
 
-  private static Verb deletion(boolean checked) {
+  private static Verb deleteVerb(boolean checked) {
     return checked ? Verb.DELETE_CHECK_AND_SET : Verb.DELETE;
   }
 
-  private static Verb setting(boolean checked) {
+  private static Verb setVerb(boolean checked) {
     return checked ? Verb.CHECK_AND_SET : Verb.SET;
   }
 
@@ -213,10 +213,10 @@
       List<Value> values = new ArrayList<>();
       response
           .results()
-          .forEach(result -> result.values().forEach(read -> values.add(value(read))));
+          .forEach(result -> result.values().forEach(read -> values.add(toValue(read))));
       return Optional.of(values);
     } catch (EngineRefused e) {
-      if (e.status() == CONFLICT) {
+      if (e.status() == HTTP_CONFLICT) {
         return Optional.empty();
       }
       throw e;
--- a/gateway/src/main/java/shelffront/coordination/CoordinationException.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationException.java
@@ -8,8 +8,8 @@
 
   private static final long serialVersionUID = 1L;
 
-  private CoordinationException(String code, String what, String advice, Throwable cause) {
-    super(code, what, advice, cause);
+  private CoordinationException(String code, String message, String advice, Throwable cause) {
+    super(code, message, advice, cause);
   }
 
   /** The store did not respond in time, or the connection to it failed. */
@@ -61,10 +61,10 @@
     private static final long serialVersionUID = 1L;
 
     /** Creates the error; the message names the key or the address and what is malformed. */
-    public EngineGarbled(String what, Throwable cause) {
+    public EngineGarbled(String message, Throwable cause) {
       super(
           "engine-garbled",
-          what,
+          message,
           "Check for other writers under the key prefix of this fleet, and that all gateways run"
               + " a build that knows this format. Restore the previous value of the key; never"
               + " delete the key while gateways run.",
@@ -81,10 +81,10 @@
     private static final long serialVersionUID = 1L;
 
     /** Creates the error for the name of the record or key, and the number of attempts. */
-    public EngineContended(String what, int attempts) {
+    public EngineContended(String target, int attempts) {
       super(
           "engine-contended",
-          "the write of " + what + " lost to concurrent writes in all " + attempts + " attempts",
+          "the write of " + target + " lost to concurrent writes in all " + attempts + " attempts",
           "Nothing was changed; retry the request. If this persists, find the process that writes"
               + " continuously.",
           null);
--- a/gateway/src/main/java/shelffront/coordination/OperatorException.java
+++ b/gateway/src/main/java/shelffront/coordination/OperatorException.java
@@ -12,8 +12,8 @@
   private final String code;
   private final String advice;
 
-  protected OperatorException(String code, String what, String advice, Throwable cause) {
-    super(what, cause);
+  protected OperatorException(String code, String message, String advice, Throwable cause) {
+    super(message, cause);
     this.code = code;
     this.advice = advice;
   }
