--- a/gateway/src/main/java/shelffront/controlplane/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -32,7 +32,7 @@
  * as a snapshot, so a slow subscriber delays no other one.
  *
  * <p>Threads: thread-safe. The table has a lock, and each subscription is guarded by the lock of
- * its shard; no lock is held while a response is encoded or written.
+ * its shard; no lock is held while a response body is encoded or written.
  */
 final class Distributor {
 
--- a/gateway/src/main/java/shelffront/controlplane/RecordLookups.java
+++ b/gateway/src/main/java/shelffront/controlplane/RecordLookups.java
@@ -17,9 +17,10 @@
   static final int MAX_PENDING = 10_000;
 
   private static final int MAX_ABSENT_NAMES = 10_000;
-  private static final long ABSENT_FOR_MICROS = 5_000_000;
+  private static final long ABSENT_TIME_TO_LIVE_MICROS = 5_000_000;
 
-  private final NegativeCache absentNames = new NegativeCache(MAX_ABSENT_NAMES, ABSENT_FOR_MICROS);
+  private final NegativeCache absentNames =
+      new NegativeCache(MAX_ABSENT_NAMES, ABSENT_TIME_TO_LIVE_MICROS);
   private final Map<String, CompletableFuture<Boolean>> pendingByName = new HashMap<>();
 
   /** Whether the negative cache contains the name. */
