--- a/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
@@ -99,7 +99,7 @@
     } catch (IOException e) {
       exchange.close();
     } catch (RuntimeException e) {
-      log.println("distribution fault " + e);
+      log.println("distributor failed to handle a request, closing the connection: " + e);
       exchange.close();
     }
   }
--- a/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
@@ -61,7 +61,7 @@
         logOnce(e);
         backoffMillis = backOff(backoffMillis);
       } catch (RuntimeException e) {
-        log.println("engine follower fault " + e);
+        log.println("engine follower failed unexpectedly, retrying after a backoff: " + e);
         backoffMillis = backOff(backoffMillis);
       } catch (InterruptedException e) {
         return;
@@ -110,11 +110,11 @@
     knownHead = current.head();
     hasReadAll = true;
     log.println(
-        "engine read whole at "
+        "engine follower read a snapshot at version "
             + knownHead.version().incarnation()
             + "."
             + knownHead.version().sequence()
-            + ", "
+            + " with "
             + current.snapshot().records().size()
             + " records");
   }
--- a/gateway/src/main/java/shelffront/controlplane/LastKnownGoodCache.java
+++ b/gateway/src/main/java/shelffront/controlplane/LastKnownGoodCache.java
@@ -57,7 +57,8 @@
     try {
       return file.read();
     } catch (IOException | DistributionGarbled e) {
-      log.println("the last known good can't be read, it begins without: " + e.getMessage());
+      log.println(
+          "last known good could not be read, starting without cached records: " + e.getMessage());
       return null;
     }
   }
@@ -80,7 +81,7 @@
       file.write(contents.get());
     } catch (IOException e) {
       log.println(
-          "the last known good can't be written, a restart would begin with older records: " + e);
+          "last known good could not be written, a restart would start from older records: " + e);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -127,7 +127,8 @@
     if (cached != null) {
       view.restore(cached.version(), cached.records());
       cached.records().forEach(this::applyRecord);
-      log.println("begins with " + cached.records().size() + " records as last known");
+      log.println(
+          "starting with " + cached.records().size() + " cached records of the previous run");
     }
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -234,7 +234,7 @@
     try {
       handling.run();
     } catch (RuntimeException e) {
-      log.println(settings.name() + " fault " + e);
+      log.println("subscriber " + settings.name() + " failed to handle a response: " + e);
       if (!closed) {
         selectNext();
       }
@@ -244,7 +244,12 @@
   private void failOver(DistributorEndpoint endpoint, Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
     log.println(
-        settings.name() + " leaves distributor " + endpoint.address() + ": " + cause.getMessage());
+        "subscriber "
+            + settings.name()
+            + " leaves distributor "
+            + endpoint.address()
+            + ": "
+            + cause.getMessage());
     selector.recordFailure(endpoint, clock.getAsLong());
     selectNext();
   }
@@ -332,7 +337,13 @@
         return true;
       }
       log.println(
-          settings.name() + " leaves distributor " + endpoint.address() + ", whose view is old");
+          "subscriber "
+              + settings.name()
+              + " leaves distributor "
+              + endpoint.address()
+              + ": its view is older than "
+              + TimeUnit.MICROSECONDS.toMillis(settings.staleAfterMicros())
+              + " ms or was never confirmed");
       selector.recordFailure(endpoint, nowMicros);
       return false;
     }
