--- a/gateway/src/main/java/shelffront/controlplane/DistributionMessages.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionMessages.java
@@ -9,15 +9,16 @@
 import shelffront.distribution.Version;
 
 /**
- * The messages between subscribers and distributors, each with its JSON form. Reading throws {@link
- * DistributionGarbled} where the text is not such a message. All are immutable.
+ * The messages between subscribers and distributors with their JSON representation. The {@code
+ * fromJson} methods throw {@link DistributionGarbled} if the text is not such a message. All
+ * messages are immutable.
  */
 final class DistributionMessages {
 
   private DistributionMessages() {}
 
-  /** Whom a subscription is for, and what it follows. */
-  record Subscribe(String subscriber, boolean all, long edition, List<String> names) {
+  /** Requests a subscription to the named records, or to all records. */
+  record SubscribeRequest(String subscriber, boolean all, long edition, List<String> names) {
 
     byte[] toJson() {
       ObjectNode json =
@@ -25,59 +26,63 @@
               .put("subscriber", subscriber)
               .put("all", all)
               .put("edition", edition);
-      DistributionJson.putTexts(json.putArray("names"), names);
+      DistributionJson.putStrings(json.putArray("names"), names);
       return DistributionJson.bytes(json);
     }
 
-    static Subscribe fromJson(byte[] text) throws DistributionGarbled {
+    static SubscribeRequest fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
-      return new Subscribe(
+      return new SubscribeRequest(
           json.path("subscriber").asText(),
           json.path("all").asBoolean(),
           json.path("edition").asLong(),
-          DistributionJson.readTexts(json.path("names")));
+          DistributionJson.readStrings(json.path("names")));
     }
   }
 
-  /** The id of a subscription that was made. */
-  record Subscribed(String subscription) {
+  /** The response to a subscribe request: the id of the new subscription. */
+  record SubscribeResponse(String subscription) {
 
     byte[] toJson() {
       return DistributionJson.bytes(DistributionJson.newObject().put("subscription", subscription));
     }
 
-    static Subscribed fromJson(byte[] text) throws DistributionGarbled {
+    static SubscribeResponse fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
       if (!json.path("subscription").isTextual()) {
-        throw new DistributionGarbled("an answer without a subscription", null);
+        throw new DistributionGarbled("the subscribe response has no subscription id", null);
       }
-      return new Subscribed(json.path("subscription").asText());
+      return new SubscribeResponse(json.path("subscription").asText());
     }
   }
 
-  /** Names that a subscription follows from an edition on, and such as it follows no longer. */
-  record ChangeNames(long edition, List<String> add, List<String> remove) {
+  /**
+   * Adds names to and removes names from a subscription; the additions count from the given
+   * edition.
+   */
+  record ChangeNamesRequest(long edition, List<String> add, List<String> remove) {
 
     byte[] toJson() {
       ObjectNode json = DistributionJson.newObject().put("edition", edition);
-      DistributionJson.putTexts(json.putArray("add"), add);
-      DistributionJson.putTexts(json.putArray("remove"), remove);
+      DistributionJson.putStrings(json.putArray("add"), add);
+      DistributionJson.putStrings(json.putArray("remove"), remove);
       return DistributionJson.bytes(json);
     }
 
-    static ChangeNames fromJson(byte[] text) throws DistributionGarbled {
+    static ChangeNamesRequest fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
-      return new ChangeNames(
+      return new ChangeNamesRequest(
           json.path("edition").asLong(),
-          DistributionJson.readTexts(json.path("add")),
-          DistributionJson.readTexts(json.path("remove")));
+          DistributionJson.readStrings(json.path("add")),
+          DistributionJson.readStrings(json.path("remove")));
     }
   }
 
   /**
-   * The records of names that were added, as of a version; a name that is not among them has none.
+   * The response to a change of names: the records of the added names as of one version. Names
+   * without a record are absent.
    */
-  record Added(Version version, long ageMicros, List<RecordChange> records) {
+  record ChangeNamesResponse(Version version, long ageMicros, List<RecordChange> records) {
 
     byte[] toJson() {
       ObjectNode json = DistributionJson.newObject();
@@ -87,9 +92,9 @@
       return DistributionJson.bytes(json);
     }
 
-    static Added fromJson(byte[] text) throws DistributionGarbled {
+    static ChangeNamesResponse fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
-      return new Added(
+      return new ChangeNamesResponse(
           DistributionJson.readVersion(json.path("version")),
           DistributionJson.readAge(json),
           DistributionJson.readChanges(json.path("records")));
@@ -97,10 +102,10 @@
   }
 
   /**
-   * The answer to a poll: what the subscriber lacks, for an edition of its names, and how old that
-   * may be.
+   * The response to a poll: the update that the subscriber is missing, the edition of its names to
+   * which the update applies, and the maximum age of the distributor's view.
    */
-  record Polled(long edition, long ageMicros, Update update) {
+  record PollResponse(long edition, long ageMicros, Update update) {
 
     byte[] toJson() {
       ObjectNode json = DistributionJson.newObject().put("edition", edition);
@@ -115,13 +120,14 @@
       return DistributionJson.bytes(json);
     }
 
-    static Polled fromJson(byte[] text) throws DistributionGarbled {
+    static PollResponse fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
       Update update = readUpdate(json);
-      return new Polled(json.path("edition").asLong(), DistributionJson.readAge(json), update);
+      return new PollResponse(
+          json.path("edition").asLong(), DistributionJson.readAge(json), update);
     }
 
-    /** Only changes name the version that they come after. */
+    /** Distinguishes the two kinds of update: only changes have the field {@code after}. */
     private static Update readUpdate(JsonNode json) throws DistributionGarbled {
       Version version = DistributionJson.readVersion(json.path("version"));
       return json.has("after")
@@ -133,8 +139,8 @@
     }
   }
 
-  /** A record that could not be put in force. */
-  record Rejected(String name, Version version, String reason) {
+  /** Reports a record that was not applied because it is not valid. */
+  record RejectionReport(String name, Version version, String reason) {
 
     byte[] toJson() {
       ObjectNode json = DistributionJson.newObject().put("name", name).put("reason", reason);
@@ -142,9 +148,9 @@
       return DistributionJson.bytes(json);
     }
 
-    static Rejected fromJson(byte[] text) throws DistributionGarbled {
+    static RejectionReport fromJson(byte[] text) throws DistributionGarbled {
       JsonNode json = DistributionJson.parseObject(text);
-      return new Rejected(
+      return new RejectionReport(
           json.path("name").asText(),
           DistributionJson.readVersion(json.path("version")),
           json.path("reason").asText());
--- a/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionServer.java
@@ -15,20 +15,24 @@
 import shelffront.net.EventLog;
 
 /**
- * The distributor's HTTP/1.1 listener: reads each call, has the {@link Distributor} answer it, and
- * writes the answer.
+ * The HTTP/1.1 server of a distributor: parses each request, passes it to the {@link Distributor},
+ * and writes the response.
  *
  * <pre>
- *   POST /v1/subscriptions                    Subscribe  -> 201 Subscribed, 503 not ready
- *   POST /v1/subscriptions/ID/names           ChangeNames -> 200 Added, 404 unknown subscription
+ *   POST /v1/subscriptions              SubscribeRequest
+ *       -> 201 SubscribeResponse, 503 not ready
+ *   POST /v1/subscriptions/ID/names     ChangeNamesRequest
+ *       -> 200 ChangeNamesResponse, 404 unknown subscription
  *   GET  /v1/subscriptions/ID/changes?incarnation=&amp;sequence=&amp;waitMicros=
- *                                             -> 200 Polled, 404, 409 behind the subscriber
- *   POST /v1/subscriptions/ID/rejected        Rejected   -> 204
- *   GET  /v1/status                                      -> 200
+ *       -> 200 PollResponse, 404 unknown subscription, 409 behind the subscriber
+ *   POST /v1/subscriptions/ID/rejected  RejectionReport
+ *       -> 204
+ *   GET  /v1/status
+ *       -> 200
  * </pre>
  *
- * <p>Threads: calls are read on those of the executor. A poll that waits holds its connection and
- * no thread: its exchange is answered later, by whichever thread has the answer.
+ * <p>Threads: requests are read on the threads of the executor. A waiting poll occupies its
+ * connection but no thread; the thread that completes the poll writes its response.
  */
 final class DistributionServer implements AutoCloseable {
 
@@ -37,11 +41,13 @@
   private static final int MICROS_PER_MILLI = 1000;
   private static final byte[] EMPTY_BODY = {};
 
-  /** Places in a path {@code /v1/subscriptions/ID/RESOURCE}, split at its slashes. */
-  private static final int ID_PLACE = 3;
+  /**
+   * Indexes of the segments of a path {@code /v1/subscriptions/ID/RESOURCE}, split at its slashes.
+   */
+  private static final int ID_SEGMENT = 3;
 
-  private static final int RESOURCE_PLACE = 4;
-  private static final int PLACES_WITH_RESOURCE = 5;
+  private static final int RESOURCE_SEGMENT = 4;
+  private static final int SEGMENTS_WITH_RESOURCE = 5;
 
   private final HttpServer server;
   private final Distributor distributor;
@@ -59,12 +65,15 @@
     server.createContext("/v1/status", this::serveStatus);
   }
 
-  /** By properties: the JDK's server has no other way. They hold for the whole process. */
+  /**
+   * Configures the server of the JDK by system properties, its only means. They apply to the whole
+   * process.
+   */
   private static void configureHttpServer() {
-    // Without it each answer waits 40 ms for an ACK.
+    // With Nagle's algorithm each response would wait 40 ms for an ACK.
     System.setProperty("sun.net.httpserver.nodelay", "true");
-    // Seconds for a request to come and for its answer to be taken; a poll's wait is within the
-    // second.
+    // Limits in seconds for reading a request and for writing its response. The wait of a poll
+    // counts towards the second one.
     System.setProperty("sun.net.httpserver.maxReqTime", "10");
     System.setProperty("sun.net.httpserver.maxRspTime", "30");
     System.setProperty(
@@ -90,39 +99,39 @@
     } catch (IOException e) {
       exchange.close();
     } catch (RuntimeException e) {
-      log.println("distribution fault " + e);
+      log.println("distributor failed to handle a request, closing the connection: " + e);
       exchange.close();
     }
   }
 
   private void dispatch(HttpExchange exchange, String[] path, byte[] body)
       throws DistributionGarbled {
-    boolean hasResource = path.length == PLACES_WITH_RESOURCE;
-    String call = exchange.getRequestMethod() + (hasResource ? " " + path[RESOURCE_PLACE] : "");
-    Subscription.Responder responder = (status, answer) -> respond(exchange, status, answer);
-    switch (call) {
+    boolean hasResource = path.length == SEGMENTS_WITH_RESOURCE;
+    String route = exchange.getRequestMethod() + (hasResource ? " " + path[RESOURCE_SEGMENT] : "");
+    Subscription.Responder responder = (status, response) -> respond(exchange, status, response);
+    switch (route) {
       case "POST" ->
-          distributor.subscribe(DistributionMessages.Subscribe.fromJson(body), responder);
+          distributor.subscribe(DistributionMessages.SubscribeRequest.fromJson(body), responder);
       case "POST names" ->
           distributor.changeNames(
-              path[ID_PLACE], DistributionMessages.ChangeNames.fromJson(body), responder);
-      case "GET changes" -> poll(path[ID_PLACE], query(exchange), responder);
+              path[ID_SEGMENT], DistributionMessages.ChangeNamesRequest.fromJson(body), responder);
+      case "GET changes" -> poll(path[ID_SEGMENT], queryParameters(exchange), responder);
       case "POST rejected" -> {
-        logRejected(DistributionMessages.Rejected.fromJson(body));
-        responder.answer(HttpStatus.NO_CONTENT, EMPTY_BODY);
+        logRejected(DistributionMessages.RejectionReport.fromJson(body));
+        responder.respond(HttpStatus.NO_CONTENT, EMPTY_BODY);
       }
-      default -> responder.answer(HttpStatus.NOT_FOUND, EMPTY_BODY);
+      default -> responder.respond(HttpStatus.NOT_FOUND, EMPTY_BODY);
     }
   }
 
   private void poll(String id, Map<String, String> query, Subscription.Responder responder) {
-    Version after = new Version(number(query, "incarnation"), number(query, "sequence"));
-    distributor.poll(id, after, number(query, "waitMicros"), responder);
+    Version after =
+        new Version(longParameter(query, "incarnation"), longParameter(query, "sequence"));
+    distributor.poll(id, after, longParameter(query, "waitMicros"), responder);
   }
 
-  private void logRejected(DistributionMessages.Rejected rejected) {
-    RecordRejected error =
-        new RecordRejected(rejected.name(), rejected.version(), rejected.reason());
+  private void logRejected(DistributionMessages.RejectionReport report) {
+    RecordRejected error = new RecordRejected(report.name(), report.version(), report.reason());
     log.println("record-rejected by a subscriber: " + error.getMessage());
   }
 
@@ -138,7 +147,7 @@
     respond(exchange, HttpStatus.OK, DistributionJson.bytes(json));
   }
 
-  private static Map<String, String> query(HttpExchange exchange) {
+  private static Map<String, String> queryParameters(HttpExchange exchange) {
     Map<String, String> query = new HashMap<>();
     String raw = exchange.getRequestURI().getRawQuery();
     for (String part : raw == null ? new String[0] : raw.split("&")) {
@@ -150,7 +159,7 @@
     return query;
   }
 
-  private static long number(Map<String, String> query, String name) {
+  private static long longParameter(Map<String, String> query, String name) {
     return Long.parseLong(query.getOrDefault(name, ""));
   }
 
@@ -162,7 +171,7 @@
         exchange.getResponseBody().write(body);
       }
     } catch (IOException e) {
-      // Its subscriber has gone, and asks anew elsewhere.
+      // The subscriber has disconnected and repeats its request on another connection.
       return;
     }
   }
--- a/gateway/src/main/java/shelffront/controlplane/Distributor.java
+++ b/gateway/src/main/java/shelffront/controlplane/Distributor.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import shelffront.controlplane.DistributionMessages.Added;
-import shelffront.controlplane.DistributionMessages.ChangeNames;
-import shelffront.controlplane.DistributionMessages.Polled;
-import shelffront.controlplane.DistributionMessages.Subscribe;
-import shelffront.controlplane.DistributionMessages.Subscribed;
+import shelffront.controlplane.DistributionMessages.ChangeNamesRequest;
+import shelffront.controlplane.DistributionMessages.ChangeNamesResponse;
+import shelffront.controlplane.DistributionMessages.PollResponse;
+import shelffront.controlplane.DistributionMessages.SubscribeRequest;
+import shelffront.controlplane.DistributionMessages.SubscribeResponse;
 import shelffront.controlplane.Subscription.Poll;
 import shelffront.controlplane.Subscription.Responder;
 import shelffront.distribution.RecordChange;
@@ -27,11 +27,12 @@
 /**
  * Serves subscribers from one table of records.
  *
- * <p>Invariants: a subscriber costs its names and at most one waiting poll. What it lacks is found
- * anew from its version, in the bounded log or by a snapshot, so a slow one holds nothing up.
+ * <p>Invariants: a subscriber occupies memory only for its names and for at most one waiting poll.
+ * The update that it is missing is computed from its version for each poll, from the bounded log or
+ * as a snapshot, so a slow subscriber delays no other one.
  *
- * <p>Threads: any may call. The table has a lock, each subscription that of its shard; no lock is
- * held while an answer is made or written.
+ * <p>Threads: thread-safe. The table has a lock, and each subscription is guarded by the lock of
+ * its shard; no lock is held while a response body is encoded or written.
  */
 final class Distributor {
 
@@ -41,7 +42,7 @@
   private static final long MAX_LOG_CHARACTERS = 32L << 20;
   private static final long MAX_WAIT_MICROS = 10_000_000;
 
-  /** A subscription that was not used for so long is forgotten. */
+  /** Time without a call after which a subscription expires. */
   private static final long SUBSCRIPTION_EXPIRY_MICROS = 30_000_000;
 
   private static final long SWEEP_INTERVAL_MILLIS = 5_000;
@@ -51,17 +52,17 @@
   private final Staleness staleness = new Staleness();
   private final SubscriptionTable subscriptions = new SubscriptionTable();
   private final ScheduledExecutorService timer;
-  private final Executor answers;
+  private final Executor responseExecutor;
   private final LongSupplier clock;
-  private volatile boolean ready; // it has read what its upstream has
+  private volatile boolean ready; // set by the first snapshot from upstream
 
-  /** The clock is monotonic, in microseconds. */
-  Distributor(ScheduledExecutorService timer, Executor answers, LongSupplier clock) {
+  /** Creates a distributor with an empty table; the clock is monotonic, in microseconds. */
+  Distributor(ScheduledExecutorService timer, Executor responseExecutor, LongSupplier clock) {
     this.timer = timer;
-    this.answers = answers;
+    this.responseExecutor = responseExecutor;
     this.clock = clock;
     timer.scheduleWithFixedDelay(
-        this::removeUnused, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        this::removeExpired, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   Version version() {
@@ -86,11 +87,11 @@
     return subscriptions.size();
   }
 
-  // From upstream
+  // Updates from upstream
 
   /**
-   * What it has is current as of a question sent at this time, to somebody whose own view had this
-   * age.
+   * Records that the table was current as of a request sent to an upstream whose own view had the
+   * stated age.
    */
   void confirm(long sentAtMicros, long statedAgeMicros) {
     synchronized (table) {
@@ -99,8 +100,8 @@
   }
 
   /**
-   * Takes what upstream gave; false where that does not fit what is here, and only a snapshot
-   * helps.
+   * Applies an update from upstream; false if it does not continue from the version of the table,
+   * so that a snapshot is needed.
    */
   boolean apply(Update update) {
     if (update instanceof Update.Snapshot snapshot) {
@@ -117,7 +118,7 @@
     }
     ready = true;
     if (isNewer) {
-      subscriptions.forEach(this::answerWaitingPoll);
+      subscriptions.forEach(this::completeWaitingPoll);
     }
   }
 
@@ -132,90 +133,94 @@
       isComplete &= !table.version().isBefore(update.version());
     }
     if (!changedNames.isEmpty()) {
-      subscriptions.forEachInterested(changedNames, this::answerWaitingPoll);
+      subscriptions.forEachFollowing(changedNames, this::completeWaitingPoll);
     }
     return isComplete;
   }
 
-  /** Under the subscription's lock. */
-  private void answerWaitingPoll(Subscription subscription) {
-    Poll poll = subscription.unpark();
+  /** Completes the waiting poll, if there is one. Called under the subscription's lock. */
+  private void completeWaitingPoll(Subscription subscription) {
+    Poll poll = subscription.takeWaitingPoll();
     if (poll != null) {
       poll.cancelTimeout();
-      answers.execute(() -> answer(subscription, poll));
+      responseExecutor.execute(() -> respond(subscription, poll));
     }
   }
 
-  // From subscribers
+  // Calls of subscribers
 
-  void subscribe(Subscribe request, Responder responder) {
+  void subscribe(SubscribeRequest request, Responder responder) {
     if (!ready || subscriptions.size() >= MAX_SUBSCRIPTIONS) {
-      responder.answer(HttpStatus.NOT_READY, EMPTY_BODY);
+      responder.respond(HttpStatus.NOT_READY, EMPTY_BODY);
       return;
     }
     if (request.names().size() > MAX_NAMES) {
-      responder.answer(HttpStatus.TOO_LARGE, EMPTY_BODY);
+      responder.respond(HttpStatus.TOO_LARGE, EMPTY_BODY);
       return;
     }
     String id = UUID.randomUUID().toString();
     subscriptions.add(new Subscription(id, request, clock.getAsLong()));
-    responder.answer(HttpStatus.CREATED, new Subscribed(id).toJson());
+    responder.respond(HttpStatus.CREATED, new SubscribeResponse(id).toJson());
   }
 
   /**
-   * Adds names and gives their records; from here on, answers for this edition hold changes of them
-   * too.
+   * Adds names and responds with their records; from then on, responses for this edition include
+   * the changes of these names.
    */
-  void changeNames(String id, ChangeNames change, Responder responder) {
-    Subscription subscription = subscriptions.use(id, clock.getAsLong());
+  void changeNames(String id, ChangeNamesRequest change, Responder responder) {
+    Subscription subscription = subscriptions.findAndMarkUsed(id, clock.getAsLong());
     if (subscription == null) {
-      responder.answer(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
+      responder.respond(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
       return;
     }
     synchronized (subscriptions.lockOf(id)) {
       if (subscription.size() + change.add().size() > MAX_NAMES) {
-        responder.answer(HttpStatus.TOO_LARGE, EMPTY_BODY);
+        responder.respond(HttpStatus.TOO_LARGE, EMPTY_BODY);
         return;
       }
-      subscription.change(change);
+      subscription.changeNames(change);
     }
-    // Read after the names are followed: a change in between is in this answer, or in a later one,
-    // or in both.
-    Added added = readRecords(change.add());
+    // Reads the records after the names were added to the filter, so that a concurrent change is
+    // contained in this response, in the response to a later poll, or in both.
+    ChangeNamesResponse added = readRecords(change.add());
     Set<String> absentNames = new HashSet<>(change.add());
     added.records().forEach(record -> absentNames.remove(record.name()));
     synchronized (subscriptions.lockOf(id)) {
-      subscription.drop(absentNames);
+      subscription.removeNames(absentNames);
     }
-    responder.answer(HttpStatus.OK, added.toJson());
+    responder.respond(HttpStatus.OK, added.toJson());
   }
 
-  private Added readRecords(List<String> names) {
+  private ChangeNamesResponse readRecords(List<String> names) {
     synchronized (table) {
       List<RecordChange> records = new ArrayList<>();
       names.stream().map(table::record).filter(Objects::nonNull).forEach(records::add);
-      return new Added(table.version(), staleness.maxAgeMicros(clock.getAsLong()), records);
+      return new ChangeNamesResponse(
+          table.version(), staleness.maxAgeMicros(clock.getAsLong()), records);
     }
   }
 
-  /** Answers at once where the subscriber lacks something, else when it does, or after the wait. */
+  /**
+   * Responds at once if the subscriber is missing an update, otherwise on the next change that
+   * concerns it or when the wait is over.
+   */
   void poll(String id, Version after, long waitMicros, Responder responder) {
-    Subscription subscription = subscriptions.use(id, clock.getAsLong());
+    Subscription subscription = subscriptions.findAndMarkUsed(id, clock.getAsLong());
     if (subscription == null) {
-      responder.answer(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
+      responder.respond(HttpStatus.UNKNOWN_SUBSCRIPTION, EMPTY_BODY);
       return;
     }
     Poll poll = new Poll(after, responder);
     Version seen = version();
-    if (lacksSomething(subscription, after)) {
-      answer(subscription, poll);
+    if (hasPendingUpdate(subscription, after)) {
+      respond(subscription, poll);
       return;
     }
     park(subscription, poll, Math.min(waitMicros, MAX_WAIT_MICROS));
-    // A change between the look and the wait would have found no poll to answer.
-    if (!version().equals(seen) && lacksSomething(subscription, after)) {
+    // A change between the first check and park() found no waiting poll to complete.
+    if (!version().equals(seen) && hasPendingUpdate(subscription, after)) {
       synchronized (subscriptions.lockOf(id)) {
-        answerWaitingPoll(subscription);
+        completeWaitingPoll(subscription);
       }
     }
   }
@@ -224,10 +229,10 @@
     synchronized (subscriptions.lockOf(subscription.id())) {
       poll.setTimeout(
           timer.schedule(() -> expire(subscription, poll), waitMicros, TimeUnit.MICROSECONDS));
-      Poll before = subscription.park(poll);
-      if (before != null) {
-        before.cancelTimeout();
-        answers.execute(() -> answer(subscription, before));
+      Poll replaced = subscription.replaceWaitingPoll(poll);
+      if (replaced != null) {
+        replaced.cancelTimeout();
+        responseExecutor.execute(() -> respond(subscription, replaced));
       }
     }
   }
@@ -235,14 +240,14 @@
   private void expire(Subscription subscription, Poll poll) {
     boolean isWaiting;
     synchronized (subscriptions.lockOf(subscription.id())) {
-      isWaiting = subscription.unpark(poll);
+      isWaiting = subscription.removeWaitingPoll(poll);
     }
     if (isWaiting) {
-      answers.execute(() -> answer(subscription, poll));
+      responseExecutor.execute(() -> respond(subscription, poll));
     }
   }
 
-  private boolean lacksSomething(Subscription subscription, Version after) {
+  private boolean hasPendingUpdate(Subscription subscription, Version after) {
     SubscriptionFilter filter;
     synchronized (subscriptions.lockOf(subscription.id())) {
       filter = subscription.filter();
@@ -254,7 +259,7 @@
     return !(update instanceof Update.Changes changes) || !changes.changes().isEmpty();
   }
 
-  private void answer(Subscription subscription, Poll poll) {
+  private void respond(Subscription subscription, Poll poll) {
     long edition;
     SubscriptionFilter filter;
     synchronized (subscriptions.lockOf(subscription.id())) {
@@ -268,14 +273,14 @@
       ageMicros = staleness.maxAgeMicros(clock.getAsLong());
     }
     if (update == null) {
-      poll.responder().answer(HttpStatus.BEHIND, EMPTY_BODY);
+      poll.responder().respond(HttpStatus.BEHIND_SUBSCRIBER, EMPTY_BODY);
     } else {
-      byte[] body = new Polled(edition, ageMicros, update).toJson();
-      poll.responder().answer(HttpStatus.OK, body);
+      byte[] body = new PollResponse(edition, ageMicros, update).toJson();
+      poll.responder().respond(HttpStatus.OK, body);
     }
   }
 
-  private void removeUnused() {
+  private void removeExpired() {
     subscriptions.removeUnusedSince(clock.getAsLong() - SUBSCRIPTION_EXPIRY_MICROS);
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorClient.java
@@ -17,18 +17,18 @@
 import shelffront.distribution.Version;
 
 /**
- * The calls of one distributor's HTTP interface. Each gives up by itself, and ends with {@link
- * DistributorUnreachable}, {@link DistributorRefused} or {@link DistributionGarbled} where it does
- * not succeed. Any thread may call; nothing here blocks.
+ * Client of the HTTP interface of one distributor. Every call has a timeout, and a call that fails
+ * completes exceptionally with {@link DistributorUnreachable}, {@link DistributorRefused} or {@link
+ * DistributionGarbled}. Thread-safe and non-blocking.
  */
 final class DistributorClient {
 
   private static final long NANOS_PER_MICRO = 1000;
 
-  /** Reads an answer's body. */
-  private interface Reader<T> {
+  /** Parses the body of a response. */
+  private interface ResponseParser<T> {
 
-    T read(byte[] body) throws DistributionGarbled;
+    T parse(byte[] body) throws DistributionGarbled;
   }
 
   private final HttpClient http;
@@ -43,26 +43,26 @@
     return endpoint;
   }
 
-  CompletableFuture<DistributionMessages.Subscribed> subscribe(
-      DistributionMessages.Subscribe request, long withinMicros) {
+  CompletableFuture<DistributionMessages.SubscribeResponse> subscribe(
+      DistributionMessages.SubscribeRequest request, long timeoutMicros) {
     return post(
         "/v1/subscriptions",
         request.toJson(),
-        withinMicros,
-        DistributionMessages.Subscribed::fromJson);
+        timeoutMicros,
+        DistributionMessages.SubscribeResponse::fromJson);
   }
 
-  CompletableFuture<DistributionMessages.Added> changeNames(
-      String subscription, DistributionMessages.ChangeNames change, long withinMicros) {
+  CompletableFuture<DistributionMessages.ChangeNamesResponse> changeNames(
+      String subscription, DistributionMessages.ChangeNamesRequest change, long timeoutMicros) {
     return post(
         "/v1/subscriptions/" + subscription + "/names",
         change.toJson(),
-        withinMicros,
-        DistributionMessages.Added::fromJson);
+        timeoutMicros,
+        DistributionMessages.ChangeNamesResponse::fromJson);
   }
 
-  CompletableFuture<DistributionMessages.Polled> poll(
-      String subscription, Version after, long waitMicros, long withinMicros) {
+  CompletableFuture<DistributionMessages.PollResponse> poll(
+      String subscription, Version after, long waitMicros, long timeoutMicros) {
     String path =
         "/v1/subscriptions/"
             + subscription
@@ -74,16 +74,16 @@
             + waitMicros;
     return call(
         HttpRequest.newBuilder(uri(path)).GET(),
-        withinMicros,
-        DistributionMessages.Polled::fromJson);
+        timeoutMicros,
+        DistributionMessages.PollResponse::fromJson);
   }
 
   CompletableFuture<Void> reject(
-      String subscription, DistributionMessages.Rejected rejected, long withinMicros) {
+      String subscription, DistributionMessages.RejectionReport report, long timeoutMicros) {
     return post(
         "/v1/subscriptions/" + subscription + "/rejected",
-        rejected.toJson(),
-        withinMicros,
+        report.toJson(),
+        timeoutMicros,
         body -> null);
   }
 
@@ -92,39 +92,40 @@
   }
 
   private <T> CompletableFuture<T> post(
-      String path, byte[] body, long withinMicros, Reader<T> reader) {
+      String path, byte[] body, long timeoutMicros, ResponseParser<T> parser) {
     return call(
         HttpRequest.newBuilder(uri(path)).POST(BodyPublishers.ofByteArray(body)),
-        withinMicros,
-        reader);
+        timeoutMicros,
+        parser);
   }
 
   private <T> CompletableFuture<T> call(
-      HttpRequest.Builder request, long withinMicros, Reader<T> reader) {
+      HttpRequest.Builder request, long timeoutMicros, ResponseParser<T> parser) {
     CompletableFuture<HttpResponse<byte[]>> call =
         http.sendAsync(
-            request.timeout(Duration.ofNanos(withinMicros * NANOS_PER_MICRO)).build(),
+            request.timeout(Duration.ofNanos(timeoutMicros * NANOS_PER_MICRO)).build(),
             BodyHandlers.ofByteArray());
-    // The request's own limit ends with the answer's headers; this one holds for its body too.
-    CompletableFuture<HttpResponse<byte[]>> bounded =
-        call.copy().orTimeout(withinMicros, TimeUnit.MICROSECONDS);
-    return bounded.handle(
-        (answer, failure) -> {
+    // The timeout of the request covers the time until the response headers only; this one also
+    // covers the body.
+    CompletableFuture<HttpResponse<byte[]>> withTimeout =
+        call.copy().orTimeout(timeoutMicros, TimeUnit.MICROSECONDS);
+    return withTimeout.handle(
+        (response, failure) -> {
           if (failure != null) {
             call.cancel(true);
             throw new CompletionException(new DistributorUnreachable(endpoint.address(), failure));
           }
-          return read(answer, reader);
+          return parse(response, parser);
         });
   }
 
-  private <T> T read(HttpResponse<byte[]> answer, Reader<T> reader) {
-    if (answer.statusCode() >= HttpStatus.FIRST_ERROR) {
+  private <T> T parse(HttpResponse<byte[]> response, ResponseParser<T> parser) {
+    if (response.statusCode() >= HttpStatus.FIRST_ERROR) {
       throw new CompletionException(
-          new DistributorRefused(endpoint.address(), answer.statusCode()));
+          new DistributorRefused(endpoint.address(), response.statusCode()));
     }
     try {
-      return reader.read(answer.body());
+      return parser.parse(response.body());
     } catch (DistributionGarbled e) {
       throw new CompletionException(e);
     }
--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -19,33 +19,34 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * A distributor as {@code distribute --config} starts it: follows the change store or other
- * distributors, and serves subscribers. It owns its threads: a few for the timer, those that make
- * answers, and that of an {@link EngineFollower}.
+ * The process started by {@code distribute --config}: follows the change store or other
+ * distributors, and serves subscribers. Owns its threads: those of the timer, those that write
+ * responses, and that of an {@link EngineFollower}.
  */
 public final class DistributorProcess implements AutoCloseable {
 
-  private static final int ANSWER_THREADS = 16;
+  private static final int RESPONSE_THREADS = 16;
   private static final int TIMER_THREADS = 2;
   private static final long NANOS_PER_MICRO = 1000;
 
   private final DistributionServer server;
   private final ScheduledThreadPoolExecutor timer;
-  private final ExecutorService answers;
+  private final ExecutorService responseExecutor;
   private final AutoCloseable follower;
-  private final Runnable followerStart;
+  private final Runnable startFollower;
 
   private DistributorProcess(InetSocketAddress listen, SubscribedRecordsConfig config, EventLog log)
       throws IOException {
     LongSupplier clock = () -> System.nanoTime() / NANOS_PER_MICRO;
     timer = newTimer(TIMER_THREADS, "distributor-timer");
-    answers = Executors.newFixedThreadPool(ANSWER_THREADS, daemons("distributor-answer"));
-    Distributor distributor = new Distributor(timer, answers, clock);
-    server = new DistributionServer(listen, distributor, answers, log);
+    responseExecutor =
+        Executors.newFixedThreadPool(RESPONSE_THREADS, daemonThreads("distributor-answer"));
+    Distributor distributor = new Distributor(timer, responseExecutor, clock);
+    server = new DistributionServer(listen, distributor, responseExecutor, log);
     if (config.distributors().isEmpty()) {
       EngineFollower engine = new EngineFollower(openChangeStore(config), distributor, clock, log);
       follower = engine;
-      followerStart = engine::start;
+      startFollower = engine::start;
     } else {
       Subscriber subscriber =
           new Subscriber(
@@ -57,11 +58,14 @@
               clock,
               log);
       follower = subscriber;
-      followerStart = subscriber::start;
+      startFollower = subscriber::start;
     }
   }
 
-  /** By settings that hold where it listens, beside what {@link SubscribedRecordsConfig} reads. */
+  /**
+   * Creates a distributor from its settings: the listen address plus the settings that {@link
+   * SubscribedRecordsConfig} reads.
+   */
   public static DistributorProcess fromSettings(JsonNode settings, EventLog log)
       throws SpecException, IOException {
     if (!settings.isObject()) {
@@ -73,11 +77,11 @@
       InetSocketAddress address = GatewayConfig.parseAddress(listen == null ? "" : listen.asText());
       return new DistributorProcess(address, SubscribedRecordsConfig.read(rest, ""), log);
     } catch (MalformedInputException | IllegalArgumentException e) {
-      throw new SpecException("/listen", "is not an address host:port");
+      throw new SpecException("/listen", "is not an address of the form host:port: " + listen);
     }
   }
 
-  /** Opens the change store, for whoever has an engine in its settings. */
+  /** Opens the change store; the settings must have an engine address. */
   public static ChangeStore openChangeStore(SubscribedRecordsConfig config) {
     return new ChangeStore(
         new ConsulCoordinationStore(
@@ -87,14 +91,15 @@
         config.fleet());
   }
 
-  /** Threads for timed work, which end with the process. */
+  /** Creates a scheduler with daemon threads. */
   public static ScheduledThreadPoolExecutor newTimer(int threads, String name) {
-    ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(threads, daemons(name));
+    ScheduledThreadPoolExecutor timer =
+        new ScheduledThreadPoolExecutor(threads, daemonThreads(name));
     timer.setRemoveOnCancelPolicy(true);
     return timer;
   }
 
-  private static ThreadFactory daemons(String name) {
+  private static ThreadFactory daemonThreads(String name) {
     return task -> {
       Thread thread = new Thread(task, name);
       thread.setDaemon(true);
@@ -102,10 +107,10 @@
     };
   }
 
-  /** Follows and serves until {@link #close}. */
+  /** Starts to follow upstream and to serve subscribers, until {@link #close}. */
   public void start() {
     server.start();
-    followerStart.run();
+    startFollower.run();
   }
 
   public InetSocketAddress address() {
@@ -117,6 +122,6 @@
     follower.close();
     server.close();
     timer.shutdownNow();
-    answers.shutdownNow();
+    responseExecutor.shutdownNow();
   }
 }
--- a/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/EngineFollower.java
@@ -12,9 +12,12 @@
 import shelffront.net.EventLog;
 
 /**
- * Keeps a distributor's table as that of the change store: watches the head, reads the changes that
- * are missing, and all records where the log does not reach back. Invariant: what the store can't
- * give, or what would step back, changes nothing. Threads: it has one of its own.
+ * Replicates the change store into the table of a distributor: watches the head and reads the
+ * missing changes, or all records if the log does not reach back far enough.
+ *
+ * <p>Invariant: a failed read, or a history that steps back, leaves the table unchanged.
+ *
+ * <p>Threads: owns one thread.
  */
 final class EngineFollower implements AutoCloseable {
 
@@ -27,7 +30,7 @@
   private final EventLog log;
   private final Thread thread;
   private volatile boolean closed;
-  private Head known = Head.EMPTY;
+  private Head knownHead = Head.EMPTY;
   private boolean hasReadAll;
   private String lastErrorCode = "";
 
@@ -48,17 +51,17 @@
     long backoffMillis = INITIAL_BACKOFF_MILLIS;
     while (!closed) {
       try {
-        follow();
+        catchUp();
         lastErrorCode = "";
         backoffMillis = INITIAL_BACKOFF_MILLIS;
-        if (known.index() == 0) { // nothing was ever written
+        if (knownHead.index() == 0) { // the store has no head to watch before the first change
           TimeUnit.MILLISECONDS.sleep(MAX_BACKOFF_MILLIS);
         }
       } catch (CoordinationException | EngineSteppedBack e) {
         logOnce(e);
         backoffMillis = backOff(backoffMillis);
       } catch (RuntimeException e) {
-        log.println("engine follower fault " + e);
+        log.println("engine follower failed unexpectedly, retrying after a backoff: " + e);
         backoffMillis = backOff(backoffMillis);
       } catch (InterruptedException e) {
         return;
@@ -66,7 +69,7 @@
     }
   }
 
-  /** Sleeps for the backoff; gives the next one. */
+  /** Sleeps for the backoff and returns the next one. */
   private static long backOff(long backoffMillis) {
     try {
       TimeUnit.MILLISECONDS.sleep(backoffMillis);
@@ -76,44 +79,47 @@
     return Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
   }
 
-  private void follow() throws CoordinationException, EngineSteppedBack {
+  private void catchUp() throws CoordinationException, EngineSteppedBack {
     long sentAtMicros = clock.getAsLong();
-    Head head = hasReadAll ? store.awaitHead(known) : store.head();
+    Head head = hasReadAll ? store.awaitHead(knownHead) : store.head();
     List<RecordChange> missing = missingChanges(head);
     if (missing != null) {
-      distributor.apply(new Update.Changes(known.version(), head.version(), missing));
-      known = head;
-    } else if (hasReadAll && head.version().isBefore(known.version())) {
-      throw new EngineSteppedBack(head.version(), known.version());
+      distributor.apply(new Update.Changes(knownHead.version(), head.version(), missing));
+      knownHead = head;
+    } else if (hasReadAll && head.version().isBefore(knownHead.version())) {
+      throw new EngineSteppedBack(head.version(), knownHead.version());
     } else {
       readAll();
     }
     distributor.confirm(sentAtMicros, 0);
   }
 
-  /** Null where only all records help: at first, in a new incarnation, past the log's end. */
+  /**
+   * The changes after the known head; null if all records have to be read, which is the case at the
+   * start, in a new incarnation, and if the log does not reach back far enough.
+   */
   private List<RecordChange> missingChanges(Head head)
       throws CoordinationException, EngineSteppedBack {
-    boolean isSameIncarnation = head.version().incarnation() == known.version().incarnation();
-    return hasReadAll && isSameIncarnation ? store.changesBetween(known, head) : null;
+    boolean isSameIncarnation = head.version().incarnation() == knownHead.version().incarnation();
+    return hasReadAll && isSameIncarnation ? store.changesBetween(knownHead, head) : null;
   }
 
   private void readAll() throws CoordinationException, EngineSteppedBack {
-    ChangeStore.VersionedSnapshot all = store.readAll();
-    distributor.apply(all.snapshot());
-    known = all.head();
+    ChangeStore.VersionedSnapshot current = store.readAll();
+    distributor.apply(current.snapshot());
+    knownHead = current.head();
     hasReadAll = true;
     log.println(
-        "engine read whole at "
-            + known.version().incarnation()
+        "engine follower read a snapshot at version "
+            + knownHead.version().incarnation()
             + "."
-            + known.version().sequence()
-            + ", "
-            + all.snapshot().records().size()
+            + knownHead.version().sequence()
+            + " with "
+            + current.snapshot().records().size()
             + " records");
   }
 
-  /** Logs each error once, until it is over or another. */
+  /** Logs an error unless it has the same code as the previous failure in a row. */
   private void logOnce(OperatorException error) {
     if (!error.code().equals(lastErrorCode)) {
       lastErrorCode = error.code();
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecords.java
@@ -22,31 +22,35 @@
 import shelffront.net.EventLog;
 
 /**
- * A gateway's part in distribution: the records of the names that it serves, kept current by a
- * subscription, put in force, and cached on disk where it has one.
+ * The records that a gateway subscribes to: keeps them current, applies them, and caches them in a
+ * file if one is configured.
  *
- * <p>Invariants: records are put in force in the order of their changes, and never an older state
- * after a newer one. A name is followed from its first use on; a record that is not valid leaves
- * the one before in force.
+ * <p>Invariants: records are applied in the order of their changes, and never an older state after
+ * a newer one. A name is followed from its first lookup on. A record that is not valid leaves its
+ * previous state in force.
  *
- * <p>Threads: any may call; nothing waits. State is guarded by this object's lock, under which the
- * {@link RecordApplier} is called. The subscriber is called on the timer's threads only: it has a
- * lock of its own, under which it calls back here.
+ * <p>Threads: thread-safe and non-blocking. The state is guarded by the lock of this object, under
+ * which the {@link RecordApplier} is called. The subscriber has a lock of its own, under which it
+ * calls back here; to avoid a deadlock, it is called only without this lock, mostly on the timer's
+ * threads.
  */
-public final class SubscribedRecords implements Subscriber.Owner, AutoCloseable {
+public final class SubscribedRecords implements Subscriber.Listener, AutoCloseable {
 
-  /** Puts records in force. Called in the order of changes, never twice at once. */
+  /** Applies records. Called in the order of changes, never concurrently. */
   public interface RecordApplier {
 
-    /** Null where it was put in force; else why it is not valid, and what it replaces stays. */
+    /**
+     * Applies a record. Returns null if it is now in force, otherwise the reason why it is not
+     * valid; its previous state then stays in force.
+     */
     String apply(RecordChange record);
 
-    /** Takes a record out of force. */
+    /** Removes a record from those in force. */
     void remove(String name);
 
     /**
-     * The view has come to this version: every change up to it is in force here, or concerns
-     * nothing here.
+     * Called when the view has reached a version: every change up to it has been applied or does
+     * not concern this gateway.
      */
     void onVersionReached(Version version);
   }
@@ -54,7 +58,7 @@
   private static final long AGE_CHECK_INTERVAL_MILLIS = 1_000;
   private static final long NANOS_PER_MICRO = 1000;
 
-  /** How long somebody waits for a record that nobody can give. */
+  /** Time after which a lookup without a response from a distributor fails. */
   private static final long LOOKUP_TIMEOUT_MILLIS = 2_000;
 
   private final SubscribedRecordsConfig config;
@@ -67,10 +71,11 @@
   private final ViewAgeMonitor viewAge;
   private final ReplicatedView view = new ReplicatedView();
   private final RecordLookups lookups = new RecordLookups();
-  private final Map<String, RecordChange> inForce = new HashMap<>();
-  private final Map<String, String> rejectionReasons = new HashMap<>(); // of the newest states
+  private final Map<String, RecordChange> recordsInForce = new HashMap<>();
+  private final Map<String, String> rejectionReasons =
+      new HashMap<>(); // why the newest state of a record is not in force
 
-  /** The clock is monotonic, in microseconds. */
+  /** Creates the records of a gateway; the clock is monotonic, in microseconds. */
   public SubscribedRecords(
       SubscribedRecordsConfig config,
       RecordApplier applier,
@@ -92,7 +97,10 @@
             config.subscriberSettings(), this, http, config.newSelector(random), timer, clock, log);
   }
 
-  /** The client that all calls go through; several subscribers of one process may share it. */
+  /**
+   * Creates the HTTP client for calls to distributors; several subscribers of a process may share
+   * it.
+   */
   public static HttpClient httpClient(DistributionTimings timings) {
     return HttpClient.newBuilder()
         .version(HttpClient.Version.HTTP_1_1)
@@ -100,7 +108,7 @@
         .build();
   }
 
-  /** Puts in force what an earlier run had, then follows the distributors. */
+  /** Applies the cached records of the previous run, then subscribes to a distributor. */
   public void start() {
     synchronized (this) {
       viewAge.start(clock.getAsLong());
@@ -118,18 +126,20 @@
     LastKnownGood.Contents cached = lastKnownGood.read();
     if (cached != null) {
       view.restore(cached.version(), cached.records());
-      cached.records().forEach(this::putInForce);
-      log.println("begins with " + cached.records().size() + " records as last known");
+      cached.records().forEach(this::applyRecord);
+      log.println(
+          "starting with " + cached.records().size() + " cached records of the previous run");
     }
   }
 
   /**
-   * Whether a name has a record, which is in force then. The first who asks for a name has it
-   * followed; others who ask meanwhile wait for the same answer. Completed exceptionally where
-   * nobody can tell in time, and with {@link LookupsFull} where too many names wait.
+   * Whether a record with this name exists; if so, it is in force when the future completes. The
+   * first lookup of a name subscribes to it; concurrent lookups of the name share its result. The
+   * future fails if no distributor responds within the lookup timeout, and with {@link LookupsFull}
+   * if too many lookups are pending.
    */
   public synchronized CompletableFuture<Boolean> lookUp(String name) {
-    if (inForce.containsKey(name)) {
+    if (recordsInForce.containsKey(name)) {
       return CompletableFuture.completedFuture(true);
     }
     if (lookups.isAbsent(name, clock.getAsLong()) || view.follows(name)) {
@@ -147,21 +157,21 @@
     return pending.copy().orTimeout(LOOKUP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Follows a name no longer, and has it put out of force here. */
+  /** Unsubscribes from a name and removes its record from those in force. */
   public synchronized void unsubscribe(String name) {
     view.unfollow(name);
     timer.execute(() -> subscriber.removeName(name));
-    if (inForce.remove(name) != null) {
+    if (recordsInForce.remove(name) != null) {
       applier.remove(name);
       lastKnownGood.writeSoon();
     }
   }
 
-  // From the subscription
+  // Callbacks of the subscriber
 
   @Override
-  public synchronized DistributionMessages.Subscribe subscribing() {
-    return new DistributionMessages.Subscribe(
+  public synchronized DistributionMessages.SubscribeRequest newSubscribeRequest() {
+    return new DistributionMessages.SubscribeRequest(
         config.name(), false, view.edition(), List.copyOf(view.names()));
   }
 
@@ -171,9 +181,9 @@
   }
 
   @Override
-  public synchronized boolean polled(DistributionMessages.Polled answer) {
+  public synchronized boolean onPollResponse(DistributionMessages.PollResponse response) {
     Version before = view.version();
-    view.apply(answer.update(), answer.edition()).forEach(this::takeUp);
+    view.apply(response.update(), response.edition()).forEach(this::applyChange);
     if (!view.version().equals(before)) {
       applier.onVersionReached(view.version());
     }
@@ -181,51 +191,52 @@
   }
 
   @Override
-  public synchronized long beginAdding(List<String> names) {
+  public synchronized long beginEdition(List<String> names) {
     return view.beginEdition();
   }
 
   @Override
-  public synchronized boolean added(List<String> names, DistributionMessages.Added answer) {
-    if (answer.version().isBefore(view.version())) {
+  public synchronized boolean onRecordsReceived(
+      List<String> names, DistributionMessages.ChangeNamesResponse response) {
+    if (response.version().isBefore(view.version())) {
       return false;
     }
     Map<String, RecordChange> recordByName = new HashMap<>();
-    answer.records().forEach(record -> recordByName.put(record.name(), record));
+    response.records().forEach(record -> recordByName.put(record.name(), record));
     for (String name : names) {
       RecordChange record = recordByName.get(name);
       if (record == null) {
         lookups.recordAbsent(name, clock.getAsLong());
       } else {
-        view.follow(name, record, answer.version());
+        view.follow(name, record, response.version());
         lookups.recordPresent(name);
-        takeUp(view.record(name));
+        applyChange(view.record(name));
       }
-      lookups.complete(name, inForce.containsKey(name));
+      lookups.complete(name, recordsInForce.containsKey(name));
     }
     return true;
   }
 
   @Override
-  public synchronized void confirmed(long sentAtMicros, long statedAgeMicros) {
+  public synchronized void onConfirmed(long sentAtMicros, long statedAgeMicros) {
     viewAge.confirm(sentAtMicros, statedAgeMicros);
   }
 
-  private void takeUp(RecordChange change) {
+  private void applyChange(RecordChange change) {
     if (change.isRemoval()) {
-      inForce.remove(change.name());
+      recordsInForce.remove(change.name());
       rejectionReasons.remove(change.name());
       applier.remove(change.name());
     } else {
-      putInForce(change);
+      applyRecord(change);
     }
     lastKnownGood.writeSoon();
   }
 
-  private void putInForce(RecordChange change) {
+  private void applyRecord(RecordChange change) {
     String rejectionReason = applier.apply(change);
     if (rejectionReason == null) {
-      inForce.put(change.name(), change);
+      recordsInForce.put(change.name(), change);
       rejectionReasons.remove(change.name());
     } else {
       rejectionReasons.put(change.name(), rejectionReason);
@@ -236,13 +247,13 @@
   private void reportRejected(RecordChange change, String reason) {
     RecordRejected error = new RecordRejected(change.name(), change.version(), reason);
     log.println(error.code() + ": " + error.getMessage() + ". " + error.advice());
-    DistributionMessages.Rejected rejected =
-        new DistributionMessages.Rejected(change.name(), change.version(), reason);
-    timer.execute(() -> subscriber.reportRejected(rejected));
+    DistributionMessages.RejectionReport report =
+        new DistributionMessages.RejectionReport(change.name(), change.version(), reason);
+    timer.execute(() -> subscriber.reportRejected(report));
   }
 
   private synchronized LastKnownGood.Contents contentsInForce() {
-    return new LastKnownGood.Contents(view.version(), new ArrayList<>(inForce.values()));
+    return new LastKnownGood.Contents(view.version(), new ArrayList<>(recordsInForce.values()));
   }
 
   private synchronized void checkAge() {
@@ -250,13 +261,13 @@
   }
 
   /**
-   * What an administrator sees of it.
+   * The state of the subscription, for the administration API.
    *
-   * @param ageMillis -1 where it was never current since the start
-   * @param followedDistributor its address; null where none is followed
-   * @param rejectionReasons by name, why its newest state is not in force
-   * @param errorCode of what an operator should look at; null where nothing is
-   * @param advice what an operator can do about it; null where there is no error
+   * @param ageMillis the maximum age of the view; -1 if it has not been confirmed since the start
+   * @param followedDistributor the address of the current distributor; null if there is none
+   * @param rejectionReasons by name, why the newest state of the record is not in force
+   * @param errorCode the code of the current error; null if there is none
+   * @param advice what an operator can do about the error; null if there is none
    */
   public record Status(
       Version version,
@@ -268,10 +279,10 @@
       String errorCode,
       String advice) {}
 
-  /** How current this gateway is. */
+  /** Returns the current state of the subscription. */
   public Status status() {
-    // Before this object's lock is taken: the subscriber has its own, and calls back under it.
-    DistributorEndpoint followed = subscriber.following();
+    // Called before this lock is taken: the subscriber calls back here under its own lock.
+    DistributorEndpoint followed = subscriber.currentDistributor();
     return status(followed);
   }
 
@@ -283,7 +294,7 @@
         viewAge.ageMillis(nowMicros),
         followed == null ? null : followed.address(),
         view.names().size(),
-        inForce.size(),
+        recordsInForce.size(),
         Map.copyOf(rejectionReasons),
         error == null ? null : error.code(),
         error == null ? null : error.advice());
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -18,60 +18,75 @@
 import shelffront.net.EventLog;
 
 /**
- * Follows one distributor at a time by long polls, and another when that one breaks, is silent, is
- * behind or has an old view.
+ * Follows one distributor at a time by long polls. Switches to another distributor if the current
+ * one fails, does not respond, is behind this subscriber, or has a stale view.
  *
- * <p>Invariants: answers of a distributor that is followed no longer change nothing; a poll and a
- * call that adds names are out at a time, one of each at most.
+ * <p>Invariants: responses of a distributor that is no longer followed are ignored. At most one
+ * poll and one call that adds names are in flight at a time.
  *
- * <p>Threads: no call blocks and there is no thread of its own; all runs on the timer's, under this
- * object's lock. The {@link Owner} is called under that lock.
+ * <p>Threads: thread-safe and non-blocking, without a thread of its own. Responses are handled on
+ * the threads of the timer, under the lock of this object; the {@link Listener} is called under
+ * that lock.
  */
 final class Subscriber implements AutoCloseable {
 
-  /** Times the usual grace, after polls that failed one after another. */
+  /** Maximum factor of the response grace, reached after consecutive failed polls. */
   private static final int MAX_GRACE_FACTOR = 32;
 
-  /** Names that wait are asked for together, so many at a time. */
+  /** Maximum number of names in one call; waiting names are sent together. */
   private static final int MAX_NAMES_PER_CALL = 1000;
 
-  /** After a distributor that was behind what this subscriber has seen. */
+  /**
+   * Delay before names are requested again from a distributor that was behind the view of this
+   * subscriber.
+   */
   private static final long RETRY_ADD_MILLIS = 50;
 
-  /** Whose subscription this is. Called on the timer's threads, never twice at once. */
-  interface Owner {
+  /**
+   * Receives the updates of the subscription. Called under the subscriber's lock, never
+   * concurrently.
+   */
+  interface Listener {
 
-    /** Where it stands, with the names and their edition; a new subscription begins from there. */
-    DistributionMessages.Subscribe subscribing();
+    /** The request for a new subscription, with the current names and their edition. */
+    DistributionMessages.SubscribeRequest newSubscribeRequest();
 
     Version version();
 
-    /** What a poll brought; false where it does not fit, and polling from here makes no sense. */
-    boolean polled(DistributionMessages.Polled answer);
+    /**
+     * Applies the response to a poll; false if the update does not continue from the current
+     * version, so that another distributor has to be selected.
+     */
+    boolean onPollResponse(DistributionMessages.PollResponse response);
 
-    /** The edition under which names are asked for from now on. */
-    long beginAdding(List<String> names);
+    /** Starts a new edition that includes these names, and returns it. */
+    long beginEdition(List<String> names);
 
     /**
-     * The records of names; those that are not among them have none. False: to be asked for again.
+     * Applies the records of names that were added; names without a record are absent from the
+     * response. False if the distributor is behind, so that the names have to be requested again.
      */
-    boolean added(List<String> names, DistributionMessages.Added answer);
+    boolean onRecordsReceived(
+        List<String> names, DistributionMessages.ChangeNamesResponse response);
 
-    /** Everything that it has is current as of a question sent at this time, up to an age. */
-    void confirmed(long sentAtMicros, long statedAgeMicros);
+    /**
+     * Records that the view was current as of a request sent at this time, minus the age that the
+     * distributor stated.
+     */
+    void onConfirmed(long sentAtMicros, long statedAgeMicros);
   }
 
   /**
-   * What does not change while it runs.
+   * The settings of a subscriber.
    *
-   * @param name of the subscriber, in log lines
-   * @param staleAfterMicros a distributor whose view is older than this is left for another
+   * @param name the name of the subscriber, used in log lines
+   * @param staleAfterMicros age of a distributor's view above which another distributor is selected
    */
   record Settings(String name, DistributionTimings timings, long staleAfterMicros) {}
 
   private final Settings settings;
   private final DistributionTimings timings;
-  private final Owner owner;
+  private final Listener listener;
   private final HttpClient http;
   private final DistributorSelector selector;
   private final ScheduledExecutorService timer;
@@ -79,24 +94,30 @@
   private final EventLog log;
   private final Set<String> namesToAdd = new LinkedHashSet<>();
   private final List<String> namesToRemove = new ArrayList<>(); // sent with the next names to add
-  private DistributorClient client; // null while none is followed
+  private DistributorClient client; // null while there is no subscription
   private String subscription;
-  private long attempt; // of following somebody; what belongs to an earlier one counts no more
+
+  /** Identifies the current subscription; callbacks of earlier ones are ignored. */
+  private long generation;
+
   private boolean addingNames;
   private long followingSinceMicros;
 
   /**
-   * Times the usual grace: a large snapshot on a slow link takes longer than a silence that is
-   * taken for a break.
+   * Factor of the response grace. It grows after failed polls because a large snapshot on a slow
+   * link may take longer than the usual grace.
    */
   private int graceFactor = 1;
 
   private boolean closed;
 
-  /** The clock is monotonic, in microseconds. */
+  /**
+   * Creates a subscriber, which is idle until {@link #start}; the clock is monotonic, in
+   * microseconds.
+   */
   Subscriber(
       Settings settings,
-      Owner owner,
+      Listener listener,
       HttpClient http,
       DistributorSelector selector,
       ScheduledExecutorService timer,
@@ -104,7 +125,7 @@
       EventLog log) {
     this.settings = settings;
     this.timings = settings.timings();
-    this.owner = owner;
+    this.listener = listener;
     this.http = http;
     this.selector = selector;
     this.timer = timer;
@@ -113,162 +134,182 @@
   }
 
   synchronized void start() {
-    followNext();
+    selectNext();
   }
 
-  /** Asks for names as soon as there is somebody to ask. */
+  /** Requests names from the current distributor, or from the next one if there is none. */
   synchronized void addNames(List<String> names) {
     namesToAdd.addAll(names);
     sendNames();
   }
 
   /**
-   * A name is followed no longer; the distributor hears of it with the next names that are added.
+   * Removes a name from the subscription; the distributor receives the removal with the next names
+   * that are added.
    */
   synchronized void removeName(String name) {
     namesToAdd.remove(name);
     namesToRemove.add(name);
   }
 
-  /** Tells the distributor that a record can't be put in force here. */
-  synchronized void reportRejected(DistributionMessages.Rejected rejected) {
+  /** Reports to the current distributor, if there is one, that a record is not valid here. */
+  synchronized void reportRejected(DistributionMessages.RejectionReport report) {
     if (client != null) {
-      client.reject(subscription, rejected, timings.connectTimeoutMicros());
+      client.reject(subscription, report, timings.connectTimeoutMicros());
     }
   }
 
-  /** The distributor that is followed; null where there is none. */
-  synchronized DistributorEndpoint following() {
+  /** The current distributor; null if there is none. */
+  synchronized DistributorEndpoint currentDistributor() {
     return client == null ? null : client.endpoint();
   }
 
   @Override
   public synchronized void close() {
     closed = true;
-    attempt++;
+    generation++;
   }
 
-  // Which distributor is followed
+  // Selection of the distributor
 
-  private void followNext() {
+  private void selectNext() {
     client = null;
     addingNames = false;
     long nowMicros = clock.getAsLong();
     DistributorSelector.Selection selection = selector.next(nowMicros);
-    long thisAttempt = ++attempt;
+    long thisGeneration = ++generation;
     timer.schedule(
-        () -> subscribeIfCurrent(thisAttempt, selection.endpoint()),
+        () -> subscribeIfCurrent(thisGeneration, selection.endpoint()),
         Math.max(0, selection.atMicros() - nowMicros),
         TimeUnit.MICROSECONDS);
   }
 
-  private synchronized void subscribeIfCurrent(long thisAttempt, DistributorEndpoint endpoint) {
-    if (isCurrent(thisAttempt)) {
+  private synchronized void subscribeIfCurrent(long thisGeneration, DistributorEndpoint endpoint) {
+    if (isCurrent(thisGeneration)) {
       subscribe(endpoint);
     }
   }
 
-  private boolean isCurrent(long thatAttempt) {
-    return thatAttempt == attempt && !closed;
+  private boolean isCurrent(long callerGeneration) {
+    return callerGeneration == generation && !closed;
   }
 
   private void subscribe(DistributorEndpoint endpoint) {
-    long thisAttempt = ++attempt;
+    long thisGeneration = ++generation;
     client = null;
     addingNames = false;
     DistributorClient newClient = new DistributorClient(http, endpoint);
     newClient
-        .subscribe(owner.subscribing(), timings.connectTimeoutMicros())
+        .subscribe(listener.newSubscribeRequest(), timings.connectTimeoutMicros())
         .whenCompleteAsync(
-            (answer, failure) ->
-                handle(() -> onSubscribed(thisAttempt, newClient, answer, failure)),
+            (response, failure) ->
+                handle(() -> onSubscribed(thisGeneration, newClient, response, failure)),
             timer);
   }
 
   private void onSubscribed(
-      long thisAttempt,
+      long thisGeneration,
       DistributorClient newClient,
-      DistributionMessages.Subscribed answer,
+      DistributionMessages.SubscribeResponse response,
       Throwable failure) {
-    if (!isCurrent(thisAttempt)) {
+    if (!isCurrent(thisGeneration)) {
       return;
     }
     if (failure != null) {
-      leave(newClient.endpoint(), failure);
+      failOver(newClient.endpoint(), failure);
       return;
     }
     client = newClient;
-    subscription = answer.subscription();
+    subscription = response.subscription();
     followingSinceMicros = clock.getAsLong();
     sendNames();
     poll();
   }
 
-  /** A fault in one answer's handling must not end the following for good, unseen. */
+  /**
+   * Handles a response under the lock. An unexpected exception is logged and leads to a new
+   * subscription; otherwise this subscriber would stop silently.
+   */
   private synchronized void handle(Runnable handling) {
     try {
       handling.run();
     } catch (RuntimeException e) {
-      log.println(settings.name() + " fault " + e);
+      log.println("subscriber " + settings.name() + " failed to handle a response: " + e);
       if (!closed) {
-        followNext();
+        selectNext();
       }
     }
   }
 
-  private void leave(DistributorEndpoint endpoint, Throwable failure) {
+  private void failOver(DistributorEndpoint endpoint, Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
     log.println(
-        settings.name() + " leaves distributor " + endpoint.address() + ": " + cause.getMessage());
+        "subscriber "
+            + settings.name()
+            + " leaves distributor "
+            + endpoint.address()
+            + ": "
+            + cause.getMessage());
     selector.recordFailure(endpoint, clock.getAsLong());
-    followNext();
+    selectNext();
   }
 
   // Polls
 
   private void poll() {
-    long thisAttempt = attempt;
+    long thisGeneration = generation;
     long sentAtMicros = clock.getAsLong();
-    DistributorClient polledClient = client;
+    DistributorClient pollClient = client;
     long graceMicros = graceFactor * timings.responseGraceMicros();
-    polledClient
+    pollClient
         .poll(
             subscription,
-            owner.version(),
+            listener.version(),
             timings.pollWaitMicros(),
             timings.pollWaitMicros() + graceMicros)
         .whenCompleteAsync(
-            (answer, failure) ->
+            (response, failure) ->
                 handle(
                     () ->
                         onPolled(
-                            thisAttempt, polledClient.endpoint(), sentAtMicros, answer, failure)),
+                            thisGeneration,
+                            pollClient.endpoint(),
+                            sentAtMicros,
+                            response,
+                            failure)),
             timer);
   }
 
   private void onPolled(
-      long thisAttempt,
+      long thisGeneration,
       DistributorEndpoint endpoint,
       long sentAtMicros,
-      DistributionMessages.Polled answer,
+      DistributionMessages.PollResponse response,
       Throwable failure) {
-    if (!isCurrent(thisAttempt)) {
+    if (!isCurrent(thisGeneration)) {
       return;
     }
     if (failure != null) {
       onPollFailed(endpoint, failure);
       return;
     }
-    if (!owner.polled(answer)) {
-      leave(endpoint, new DistributionGarbled("an answer that does not follow what is here", null));
+    if (!listener.onPollResponse(response)) {
+      failOver(
+          endpoint,
+          new DistributionGarbled(
+              "the update to "
+                  + response.update().version()
+                  + " does not continue from "
+                  + listener.version(),
+              null));
       return;
     }
     graceFactor = 1;
-    owner.confirmed(sentAtMicros, answer.ageMicros());
-    if (staysWith(endpoint, answer.ageMicros())) {
+    listener.onConfirmed(sentAtMicros, response.ageMicros());
+    if (shouldKeep(endpoint, response.ageMicros())) {
       poll();
     } else {
-      followNext();
+      selectNext();
     }
   }
 
@@ -278,22 +319,31 @@
         && refused.status() == HttpStatus.UNKNOWN_SUBSCRIPTION) {
       subscribe(endpoint);
     } else {
-      leave(endpoint, failure);
+      failOver(endpoint, failure);
     }
   }
 
-  /** Whether it goes on with a distributor whose view has this age; else another is selected. */
-  private boolean staysWith(DistributorEndpoint endpoint, long viewAgeMicros) {
+  /**
+   * Whether to keep following a distributor whose view has this age, rather than select another
+   * one.
+   */
+  private boolean shouldKeep(DistributorEndpoint endpoint, long viewAgeMicros) {
     long nowMicros = clock.getAsLong();
     long followedMicros = nowMicros - followingSinceMicros;
     if (isStale(viewAgeMicros)) {
-      // Where all are stale it would go round and round: one is given the time in which its own
-      // upstream recovers.
+      // If all distributors are stale, switching would never end. Each one is therefore followed
+      // for as long as its own upstream may need to recover.
       if (followedMicros <= timings.failedHopMicros()) {
         return true;
       }
       log.println(
-          settings.name() + " leaves distributor " + endpoint.address() + ", whose view is old");
+          "subscriber "
+              + settings.name()
+              + " leaves distributor "
+              + endpoint.address()
+              + ": its view is older than "
+              + TimeUnit.MICROSECONDS.toMillis(settings.staleAfterMicros())
+              + " ms or was never confirmed");
       selector.recordFailure(endpoint, nowMicros);
       return false;
     }
@@ -313,37 +363,37 @@
       return;
     }
     addingNames = true;
-    long thisAttempt = attempt;
+    long thisGeneration = generation;
     long sentAtMicros = clock.getAsLong();
     List<String> names = namesToAdd.stream().limit(MAX_NAMES_PER_CALL).toList();
-    DistributionMessages.ChangeNames change =
-        new DistributionMessages.ChangeNames(
-            owner.beginAdding(names), names, List.copyOf(namesToRemove));
+    DistributionMessages.ChangeNamesRequest change =
+        new DistributionMessages.ChangeNamesRequest(
+            listener.beginEdition(names), names, List.copyOf(namesToRemove));
     namesToRemove.clear();
     client
         .changeNames(subscription, change, timings.connectTimeoutMicros())
         .whenCompleteAsync(
-            (answer, failure) ->
-                handle(() -> onNamesAdded(thisAttempt, sentAtMicros, names, answer, failure)),
+            (response, failure) ->
+                handle(() -> onNamesAdded(thisGeneration, sentAtMicros, names, response, failure)),
             timer);
   }
 
   private void onNamesAdded(
-      long thisAttempt,
+      long thisGeneration,
       long sentAtMicros,
       List<String> names,
-      DistributionMessages.Added answer,
+      DistributionMessages.ChangeNamesResponse response,
       Throwable failure) {
-    if (!isCurrent(thisAttempt)) {
-      return; // whoever is followed now is asked again
+    if (!isCurrent(thisGeneration)) {
+      return; // the names are requested from the current distributor instead
     }
     addingNames = false;
     if (failure != null) {
-      leave(client.endpoint(), failure);
+      failOver(client.endpoint(), failure);
       return;
     }
-    if (owner.added(names, answer)) {
-      owner.confirmed(sentAtMicros, answer.ageMicros());
+    if (listener.onRecordsReceived(names, response)) {
+      listener.onConfirmed(sentAtMicros, response.ageMicros());
       names.forEach(namesToAdd::remove);
       sendNames();
     } else {
--- a/gateway/src/main/java/shelffront/controlplane/Subscription.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscription.java
@@ -8,12 +8,12 @@
 import shelffront.distribution.Version;
 
 /**
- * One subscriber at a distributor: what it follows, and its poll where one waits. Invariant: one
- * poll waits at most. Threads: guarded by the lock of its shard in {@link SubscriptionTable}.
+ * One subscriber of a distributor: the names that it follows, and its waiting poll. Invariant: at
+ * most one poll waits. Threads: guarded by the lock of its shard in {@link SubscriptionTable}.
  */
 final class Subscription {
 
-  /** A poll that waits for a change. */
+  /** A poll that may wait for a change. */
   static final class Poll {
 
     private final Version after;
@@ -42,10 +42,10 @@
     }
   }
 
-  /** Where the answer to a call goes; once. */
+  /** Writes the response to a call; called exactly once. */
   interface Responder {
 
-    void answer(int status, byte[] body);
+    void respond(int status, byte[] body);
   }
 
   private final String id;
@@ -56,7 +56,7 @@
   private Poll waitingPoll;
   private long usedAtMicros;
 
-  Subscription(String id, DistributionMessages.Subscribe request, long nowMicros) {
+  Subscription(String id, DistributionMessages.SubscribeRequest request, long nowMicros) {
     this.id = id;
     all = request.all();
     names = new HashSet<>(request.names());
@@ -77,7 +77,7 @@
     return filter;
   }
 
-  boolean isInterested(Set<String> changedNames) {
+  boolean followsAny(Set<String> changedNames) {
     return all || changedNames.stream().anyMatch(names::contains);
   }
 
@@ -97,33 +97,36 @@
     usedAtMicros = nowMicros;
   }
 
-  void change(DistributionMessages.ChangeNames change) {
+  void changeNames(DistributionMessages.ChangeNamesRequest change) {
     change.remove().forEach(names::remove);
     names.addAll(change.add());
     updateFilter();
     edition = Math.max(edition, change.edition());
   }
 
-  /** Follows these no longer. */
-  void drop(Collection<String> droppedNames) {
-    droppedNames.forEach(names::remove);
+  /** Removes names from the filter. */
+  void removeNames(Collection<String> removedNames) {
+    removedNames.forEach(names::remove);
     updateFilter();
   }
 
-  /** Has a poll wait; gives the one that waited before, which nobody asks for any more. */
-  Poll park(Poll poll) {
-    Poll before = waitingPoll;
+  /**
+   * Makes a poll the waiting one and returns the poll that waited before, which its subscriber has
+   * abandoned; null if there was none.
+   */
+  Poll replaceWaitingPoll(Poll poll) {
+    Poll replaced = waitingPoll;
     waitingPoll = poll;
-    return before;
+    return replaced;
   }
 
-  /** Takes the poll that waits; null where there is none. */
-  Poll unpark() {
-    return park(null);
+  /** Removes and returns the waiting poll; null if there is none. */
+  Poll takeWaitingPoll() {
+    return replaceWaitingPoll(null);
   }
 
-  /** Takes this poll, unless another has taken its place or it was answered. */
-  boolean unpark(Poll poll) {
+  /** Removes the given poll if it is still the waiting one, and returns whether it was. */
+  boolean removeWaitingPoll(Poll poll) {
     if (waitingPoll != poll) {
       return false;
     }
--- a/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
+++ b/gateway/src/main/java/shelffront/controlplane/UpstreamFollower.java
@@ -4,10 +4,10 @@
 import shelffront.distribution.Version;
 
 /**
- * Keeps a distributor's table as that of another one, by a subscription to all records. Threads:
- * those of its {@link Subscriber}.
+ * Replicates the table of an upstream distributor by a subscription to all records. Threads: called
+ * by its {@link Subscriber} under the lock of that.
  */
-final class UpstreamFollower implements Subscriber.Owner {
+final class UpstreamFollower implements Subscriber.Listener {
 
   private final String name;
   private final Distributor distributor;
@@ -18,8 +18,8 @@
   }
 
   @Override
-  public DistributionMessages.Subscribe subscribing() {
-    return new DistributionMessages.Subscribe(name, true, 0, List.of());
+  public DistributionMessages.SubscribeRequest newSubscribeRequest() {
+    return new DistributionMessages.SubscribeRequest(name, true, 0, List.of());
   }
 
   @Override
@@ -28,22 +28,23 @@
   }
 
   @Override
-  public boolean polled(DistributionMessages.Polled answer) {
-    return distributor.apply(answer.update());
+  public boolean onPollResponse(DistributionMessages.PollResponse response) {
+    return distributor.apply(response.update());
   }
 
   @Override
-  public long beginAdding(List<String> names) {
-    throw new UnsupportedOperationException("all names are followed");
+  public long beginEdition(List<String> names) {
+    throw new UnsupportedOperationException("a subscription to all records has no names to add");
   }
 
   @Override
-  public boolean added(List<String> names, DistributionMessages.Added answer) {
-    throw new UnsupportedOperationException("all names are followed");
+  public boolean onRecordsReceived(
+      List<String> names, DistributionMessages.ChangeNamesResponse response) {
+    throw new UnsupportedOperationException("a subscription to all records has no names to add");
   }
 
   @Override
-  public void confirmed(long sentAtMicros, long statedAgeMicros) {
+  public void onConfirmed(long sentAtMicros, long statedAgeMicros) {
     distributor.confirm(sentAtMicros, statedAgeMicros);
   }
 }
