--- a/gateway/src/main/java/shelffront/tenant/ApiKeys.java
+++ b/gateway/src/main/java/shelffront/tenant/ApiKeys.java
@@ -8,9 +8,9 @@
 import java.util.Base64;
 
 /**
- * Generated keys, for clients and administrators: 256 random bits, shown once. Only a hash is kept;
- * a key of that size can't be guessed, so that one round of SHA-256 is enough and costs the loop
- * thread microseconds.
+ * Generates and verifies the keys of clients and administrators. A key has 256 random bits and is
+ * shown once; only its hash is stored. A key of this size cannot be guessed, so one round of
+ * SHA-256 suffices and takes the event loop only microseconds. Any thread may call.
  */
 public final class ApiKeys {
 
@@ -19,27 +19,29 @@
 
   private ApiKeys() {}
 
-  /** Makes a key, as text that is safe in URLs. */
+  /** Returns a new key in URL-safe Base64 without padding. */
   public static String generate() {
     byte[] bytes = new byte[BYTES];
     RANDOM.nextBytes(bytes);
     return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
   }
 
-  /** The hash that is kept of a key. */
+  /** Returns the SHA-256 hash under which a key is stored. */
   public static byte[] hash(byte[] key) {
     try {
       return MessageDigest.getInstance("SHA-256").digest(key);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has SHA-256", e);
+      throw new IllegalStateException(
+          "SHA-256 is not available, although every Java platform must provide it", e);
     }
   }
 
+  /** Returns the hash of the UTF-8 bytes of a key. */
   public static byte[] hash(String key) {
     return hash(key.getBytes(UTF_8));
   }
 
-  /** Takes the same time wherever the two differ. */
+  /** Whether a key has this hash. The comparison takes constant time. */
   public static boolean matches(byte[] hash, byte[] key) {
     return MessageDigest.isEqual(hash, hash(key));
   }
--- a/gateway/src/main/java/shelffront/tenant/OpenRequests.java
+++ b/gateway/src/main/java/shelffront/tenant/OpenRequests.java
@@ -7,8 +7,9 @@
 import shelffront.request.ClientRequest;
 
 /**
- * The admitted requests of one tenant. A request is answered once, and is kept until its last
- * attempt has ended too: the router is owed every outcome. On the loop thread.
+ * The admitted requests of one tenant. Each request is completed exactly once and is kept until its
+ * last attempt has ended, because the router must receive the outcome of every attempt. Confined to
+ * the event loop.
  */
 final class OpenRequests {
 
@@ -23,7 +24,7 @@
     requestsById.put(request.id, request);
   }
 
-  /** The request of an id; null where none is open. */
+  /** Returns the open request with this id, or null if there is none. */
   ClientRequest get(String requestId) {
     return requestsById.get(requestId);
   }
@@ -44,7 +45,7 @@
     return requestsById.values().stream().allMatch(request -> request.answered);
   }
 
-  /** A copy, so that requests may end while it is gone through. */
+  /** Returns a copy, so that requests may end during the iteration. */
   List<ClientRequest> copy() {
     return List.copyOf(requestsById.values());
   }
@@ -53,7 +54,7 @@
     requestsById.clear();
   }
 
-  /** Answers the request of an id, if it is open and has no answer yet. */
+  /** Completes the request with this id. Does nothing if it is not open or already completed. */
   void answer(String requestId, Consumer<ClientRequest.ResponseListener> answer) {
     ClientRequest request = requestsById.get(requestId);
     if (request != null && !request.answered) {
@@ -63,8 +64,8 @@
   }
 
   /**
-   * Gives the answer of a request that is marked as answered. The one place where an answer leaves;
-   * the request's place in the quota is free from here.
+   * Delivers the final response of a request that the caller has marked as completed. All final
+   * responses pass through this method, which also releases the request's place in the quota.
    */
   void complete(ClientRequest request, Consumer<ClientRequest.ResponseListener> answer) {
     admission.release();
@@ -72,7 +73,7 @@
     removeIfFinished(request);
   }
 
-  /** Removes a request that is answered and has no attempt out. */
+  /** Removes a request that is completed and has no outstanding attempt. */
   void removeIfFinished(ClientRequest request) {
     if (request.answered && request.attempts.stream().noneMatch(attempt -> attempt.outstanding)) {
       requestsById.remove(request.id, request);
--- a/gateway/src/main/java/shelffront/tenant/PredecessorTracker.java
+++ b/gateway/src/main/java/shelffront/tenant/PredecessorTracker.java
@@ -3,16 +3,17 @@
 import shelffront.routing.Router;
 
 /**
- * Covers the writes that another router of the same tenant may have taken: this one doesn't know
- * their positions. Until the predecessor's work is done, a session's read needs all that is
- * committed now; afterwards, all that was committed when it ended. On the loop thread.
+ * Covers writes that a previous router of the same tenant (the predecessor) may have accepted and
+ * whose positions the current router does not know. While the predecessor is active, session reads
+ * require everything committed by now; afterwards, everything committed by the time it ended.
+ * Confined to the event loop.
  */
 final class PredecessorTracker {
 
   private boolean running;
-  private long endedAtMicros; // 0: there was none
+  private long endedAtMicros; // 0 if there was no predecessor
 
-  /** Another router serves this tenant's sessions, until {@link #end}. */
+  /** Records that another router may serve sessions of this tenant until {@link #end}. */
   void begin() {
     running = true;
   }
@@ -26,7 +27,10 @@
     return running;
   }
 
-  /** The position that every session's read needs; unknown where there was no predecessor. */
+  /**
+   * Returns the position that session reads require because of the predecessor, or {@link
+   * Router#UNKNOWN} if there was none.
+   */
   long requiredPositionMicros(long nowMicros) {
     if (running) {
       return nowMicros;
--- a/gateway/src/main/java/shelffront/tenant/RequestAdmission.java
+++ b/gateway/src/main/java/shelffront/tenant/RequestAdmission.java
@@ -6,17 +6,17 @@
 import shelffront.quota.TokenBucket;
 
 /**
- * Decides whether a tenant may take one more request: its own rate limit and bound on open requests
- * first, then its quota of what all tenants share. Every admitted request holds one place of the
- * quota until {@link #release}. On the loop thread.
+ * Decides whether a tenant may accept another request. Checks the tenant's own rate limit and bound
+ * on open requests first, then its quota of the capacity that all tenants share. Every admitted
+ * request holds one place of the quota until {@link #release}. Confined to the event loop.
  */
 final class RequestAdmission {
 
-  /** When a client that found no place here may come again. */
+  /** Minimum Retry-After of a request that exceeds the tenant's own limits. */
   private static final long BUSY_RETRY_AFTER_MICROS = 200_000;
 
   private final TenantContext context;
-  private final TenantQuotas quotas; // null where the tenant has the gateway to itself
+  private final TenantQuotas quotas; // null if the tenant is the only one of the gateway
   private final Quota quota;
   private final TokenBucket rateLimit;
 
@@ -30,12 +30,16 @@
             spec.bounds().requestsPerSecond(), spec.bounds().burst(), context.nowMicros());
   }
 
-  /** Whether the tenant shares the gateway with others. */
+  /** Whether the gateway serves several tenants. */
   boolean isShared() {
     return quotas != null;
   }
 
-  /** Admits a request, or says after how many microseconds it may come again; 0 is admitted. */
+  /**
+   * Admits or rejects a request.
+   *
+   * @return 0 if admitted, otherwise the microseconds after which the client may retry
+   */
   long admit(int classIndex, int openRequests) {
     long rateLimitWaitMicros = rateLimit.waitMicros(context.nowMicros());
     if (rateLimitWaitMicros > 0 || openRequests >= context.spec().bounds().openRequests()) {
@@ -51,7 +55,7 @@
     return 0;
   }
 
-  /** Gives back the place of an admitted request. */
+  /** Releases the quota place of an admitted request. */
   void release() {
     if (quota != null) {
       quotas.release(quota);
@@ -68,7 +72,7 @@
     }
   }
 
-  /** Ends the tenant's part in what all share. */
+  /** Removes the tenant from the division of the shared capacity. */
   void unregister() {
     if (quota != null) {
       quotas.unregister(quota);
--- a/gateway/src/main/java/shelffront/tenant/RequestClassCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/RequestClassCodec.java
@@ -7,7 +7,7 @@
 import shelffront.routing.RequestClass;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
-/** Reads a class of requests from a tenant's document, which fits the schema already. */
+/** Reads a request class from a tenant document that has passed schema validation. */
 final class RequestClassCodec {
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -23,13 +23,19 @@
     long deadlineMillis = entry.path("giveUpMs").asLong();
     long latencyObjectiveMillis = entry.path("aimMs").asLong(deadlineMillis);
     if (latencyObjectiveMillis > deadlineMillis) {
-      throw new SpecException(pointer + "/aimMs", "is later than giveUpMs");
+      throw new SpecException(
+          pointer + "/aimMs",
+          "must be at most giveUpMs (" + deadlineMillis + "), but is " + latencyObjectiveMillis);
     }
     if (write && effect.equals(IDEMPOTENT)) {
-      throw new SpecException(pointer + "/effect", "a write can't be repeated without a key");
+      throw new SpecException(
+          pointer + "/effect",
+          "must be \"once\" or \"keyed\" for a class of writes, but is \"repeatable\"");
     }
     if (!write && !effect.equals(IDEMPOTENT)) {
-      throw new SpecException(pointer + "/effect", "a read can always be repeated");
+      throw new SpecException(
+          pointer + "/effect",
+          "must be \"repeatable\" for a class of reads, but is \"" + effect + "\"");
     }
     return new RequestClass(
         entry.path("name").asText(),
@@ -44,7 +50,7 @@
         entry.path("boundMs").asLong(0) * MICROS_PER_MILLI);
   }
 
-  /** The schema admits these words alone. */
+  /** Maps the value of "read"; the schema permits no other values. */
   private static Consistency consistency(String read) {
     return switch (read) {
       case "write" -> Consistency.WRITE;
@@ -52,17 +58,17 @@
       case "session" -> Consistency.SESSION;
       case "bounded" -> Consistency.BOUNDED_STALENESS;
       case "any" -> Consistency.EVENTUAL;
-      default -> throw new IllegalArgumentException("unknown kind of read: " + read);
+      default -> throw new IllegalArgumentException("unknown value of \"read\": " + read);
     };
   }
 
-  /** The schema admits these words alone. */
+  /** Maps the value of "effect"; the schema permits no other values. */
   private static Idempotency idempotency(String effect) {
     return switch (effect) {
       case IDEMPOTENT -> Idempotency.IDEMPOTENT;
       case "keyed" -> Idempotency.IDEMPOTENCY_KEY;
       case NON_IDEMPOTENT -> Idempotency.NON_IDEMPOTENT;
-      default -> throw new IllegalArgumentException("unknown effect: " + effect);
+      default -> throw new IllegalArgumentException("unknown value of \"effect\": " + effect);
     };
   }
 }
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -19,18 +19,18 @@
 import shelffront.routing.RequestClass;
 
 /**
- * One tenant while a gateway serves it: its life, its clients and the admission of their requests.
- * {@link TenantRouting} serves what is admitted. All on the loop thread.
+ * One tenant served by a gateway: its lifecycle, its clients and the admission of their requests.
+ * {@link TenantRouting} serves the admitted requests. Confined to the event loop.
  *
  * <p>A tenant without clients is suspended: it has no connection, no watch and no timer, and its
- * router sees no events. What the router knows of sessions' writes stays; of endpoints it knows
- * nothing when the tenant is resumed, and learns it anew.
+ * router receives no events. The router keeps the positions of sessions but drops its knowledge of
+ * endpoints, which it acquires again when the tenant is resumed.
  */
 public final class Tenant implements RequestHandler {
 
   private static final long DRAIN_CHECK_INTERVAL_MICROS = 20_000;
 
-  /** Without a client for so long, a tenant of a shared gateway is suspended. */
+  /** Time without clients after which a tenant of a shared gateway is suspended. */
   private static final long SUSPEND_AFTER_MICROS = 30_000_000;
 
   private final TenantContext context;
@@ -40,12 +40,12 @@
   private final OpenRequests requests;
   private final PredecessorTracker predecessor = new PredecessorTracker();
   private final Set<ClientHandle> clients = new LinkedHashSet<>();
-  private TenantRouting routing; // null until its first client
+  private TenantRouting routing; // null until the first client connects
   private Deadline suspension;
   private Runnable whenRemoved;
-  private boolean removalComplete; // nothing of it remains
+  private boolean removalComplete; // all resources are released
 
-  /** Counts of the moment, and counters since the start. */
+  /** Current resource usage of a tenant, and its event counters since the start. */
   public record Usage(
       int clientConnections,
       int openRequests,
@@ -54,10 +54,10 @@
       Map<String, Long> counters) {}
 
   /**
-   * Makes a suspended tenant.
+   * Creates a suspended tenant.
    *
-   * @param hostConnectionQuotas divides the connections to hosts
-   * @param quotas divides requests; null for a tenant that has the gateway to itself
+   * @param hostConnectionQuotas divides the host connections among tenants
+   * @param quotas divides the request capacity among tenants; null for the only tenant of a gateway
    */
   public Tenant(
       Network network,
@@ -76,7 +76,7 @@
     return context.spec();
   }
 
-  /** Whether nothing that was admitted is open, answers and attempts alike. */
+  /** Whether no admitted request is waiting for its response or has an outstanding attempt. */
   public boolean hasNoOpenRequests() {
     return requests.isEmpty();
   }
@@ -85,7 +85,7 @@
     return clients.isEmpty();
   }
 
-  /** What it uses now and what it has done since the start. */
+  /** Returns the current usage and the counters since the start. */
   public Usage usage() {
     return new Usage(
         clients.size(),
@@ -98,13 +98,14 @@
   // ---- Predecessor
 
   /**
-   * Another router has served this tenant: until its work is done, and for what it wrote, reads
-   * must be covered.
+   * Records that another router of this tenant may still accept writes, so that session reads cover
+   * those writes until {@link #predecessorEnded} and afterwards.
    */
   void awaitPredecessor() {
     predecessor.begin();
   }
 
+  /** Records that the predecessor has ended; completes a removal that was waiting for that. */
   void predecessorEnded() {
     predecessor.end(context.nowMicros());
     if (removalComplete) {
@@ -112,9 +113,12 @@
     }
   }
 
-  // ---- Life
+  // ---- Lifecycle
 
-  /** Starts the router with the endpoint list as last known, or resumes it. */
+  /**
+   * Starts the router with the last known endpoint list, or resumes it. Does nothing unless the
+   * tenant is suspended.
+   */
   public void start() {
     if (context.state() != TenantState.SUSPENDED) {
       return;
@@ -128,15 +132,16 @@
     }
   }
 
-  /** Gives back what a tenant without clients doesn't need. */
+  /** Suspends the tenant, or tries again later while a request is open. */
   private void suspend() {
     suspension = null;
     if (!requests.isEmpty()) {
-      scheduleSuspension(); // what is still out ends before long
+      scheduleSuspension(); // open attempts end within their deadlines
       return;
     }
     routing.endpoints().clearRouter();
-    // Before the connections are closed: what the router does about their end must do nothing.
+    // The state must change before the connections are closed, because only then are the actions
+    // ignored with which the router reacts to their closing.
     context.setState(TenantState.SUSPENDED);
     routing.suspend();
   }
@@ -147,8 +152,10 @@
   }
 
   /**
-   * Takes up a changed specification. Gives false, and changes nothing, where only a new tenant
-   * with a router of its own can take it up.
+   * Applies a changed specification to the running tenant.
+   *
+   * @return false, with nothing changed, if the specification requires a new router and therefore a
+   *     new tenant
    */
   public boolean update(TenantSpec next) {
     TenantSpec previous = context.spec();
@@ -209,8 +216,8 @@
   // ---- Removal
 
   /**
-   * Takes the tenant out of service: new requests are rejected at once, what was admitted goes on
-   * for the grace, then the rest is answered too and nothing of it remains.
+   * Removes the tenant from service. New requests are rejected at once. Admitted requests may
+   * finish within the grace period; those left after it are ended, and all resources are released.
    */
   public void remove(long graceMicros, Runnable then) {
     if (context.state().isEnding()) {
@@ -257,7 +264,8 @@
     if (request.answered) {
       return;
     }
-    // The router is told that nobody waits, so that it cancels what is out and counts nothing more.
+    // Reported as a client disconnect, so that the router cancels outstanding attempts and does not
+    // count the request any more.
     request.answered = true;
     routing.onClientDisconnected(request.id);
     boolean harmless =
@@ -272,7 +280,8 @@
   private void completeRemoval() {
     admission.unregister();
     removalComplete = true;
-    // Else whoever comes after this one would not wait for the one before it.
+    // While the predecessor is active, the callback waits for its end. Otherwise a successor would
+    // wait for this tenant but not for the predecessor.
     if (!predecessor.isRunning()) {
       whenRemoved.run();
     }
@@ -299,7 +308,7 @@
     return clients.size();
   }
 
-  /** Whether it takes clients; throws what one that comes now is told. */
+  /** Throws the error to send to a new client if the tenant does not accept one now. */
   void checkAdmission() throws ProtocolException {
     if (context.state().isEnding()) {
       throw beingRemoved();
@@ -330,7 +339,7 @@
 
   // ---- Requests
 
-  /** Guards an open request against another one under its id. */
+  /** Rejects a request whose id is already in use by an open request. */
   @Override
   public void validate(ClientRequest request) throws ProtocolException {
     if (requests.contains(request.id)) {
--- a/gateway/src/main/java/shelffront/tenant/TenantContext.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantContext.java
@@ -4,8 +4,8 @@
 import shelffront.net.Network;
 
 /**
- * What the parts of one tenant share: its specification, its state and its view of the network.
- * {@link Tenant} alone changes them. On the loop thread.
+ * State shared by the components of one tenant: its specification, its lifecycle state and its view
+ * of the network. Only {@link Tenant} changes it. Confined to the event loop.
  */
 final class TenantContext {
 
--- a/gateway/src/main/java/shelffront/tenant/TenantEndpoints.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantEndpoints.java
@@ -13,20 +13,24 @@
 import shelffront.routing.Router;
 
 /**
- * The endpoint list of one tenant and the discovery client that it comes from, if it comes from
- * one. Passes each update on to the connections, then to the router; an endpoint that an
- * administrator has drained is draining, whatever the list says. On the loop thread.
+ * Maintains the endpoint list of one tenant, from discovery or from its specification. Each update
+ * is passed to the connections first and then to the router. An endpoint drained by an
+ * administrator is reported to the router as draining, whatever the list says. Confined to the
+ * event loop.
  */
 final class TenantEndpoints implements DiscoveryClient.Listener {
 
-  /** After a watch on a pushed list broke: its agent is near and answers at no cost. */
+  /**
+   * Delay before a failed watch of a pushed list is reopened. It is short because the discovery
+   * agent is nearby and a request to it is cheap.
+   */
   private static final long WATCH_RETRY_MICROS = 100_000;
 
   private final TenantContext context;
   private final Router router;
   private final BackendConnections backends;
-  private final DiscoveryClient discovery; // null where the list is given by the specification
-  private EndpointList list; // as last received, before what administrators drained
+  private final DiscoveryClient discovery; // null if the specification contains the list
+  private EndpointList list; // as last received, without the drains set by administrators
 
   TenantEndpoints(TenantContext context, Router router, BackendConnections backends) {
     this.context = context;
@@ -41,21 +45,21 @@
     list = spec.endpoints();
   }
 
-  // ---- Life
+  // ---- Lifecycle
 
-  /** Gives the connections the list as last known. */
+  /** Passes the last known list to the connections. */
   void start() {
     backends.updateEndpoints(list);
   }
 
-  /** Gives the router the list as last known, in a later turn. */
+  /** Passes the last known list to the router in a separate event loop task. */
   void postCachedList() {
-    // In a turn of its own: the first connections to hosts would else be late before the loop
-    // looks at them.
+    // In the same task, the first connections to hosts would be past their deadline before the loop
+    // processes them.
     context.network().post(() -> updateRouter(EndpointUpdateKind.CACHED, list));
   }
 
-  /** Learns the list anew after the tenant was suspended. */
+  /** Obtains the list again after the tenant was suspended. */
   void resume() {
     if (discovery != null) {
       discovery.watchFromStart();
@@ -64,9 +68,12 @@
     }
   }
 
-  /** Has the router forget its endpoints: what it knows of them will be old at the resumption. */
+  /**
+   * Removes all endpoints from the router, whose knowledge of them would be outdated by the time
+   * the tenant is resumed.
+   */
   void clearRouter() {
-    // An empty list leaves the router its sessions' positions.
+    // With an empty list the router keeps the positions of sessions.
     router.onEndpoints(
         context.nowMicros(), EndpointUpdateKind.SNAPSHOT, list.revision(), List.of());
   }
@@ -85,7 +92,7 @@
 
   // ---- Changes by administrators
 
-  /** Whether a specification names another discovery service than the one in use. */
+  /** Whether a specification contains a different discovery address than the one in use. */
   boolean isDiscoveryChangedBy(TenantSpec next) {
     return discovery != null && !next.discoveryAddress().equals(context.spec().discoveryAddress());
   }
@@ -98,7 +105,7 @@
     list = next;
   }
 
-  /** Gives the connections and the router the whole list again. */
+  /** Passes the whole list to the connections and to the router. */
   void publishSnapshot() {
     backends.updateEndpoints(list);
     updateRouter(EndpointUpdateKind.SNAPSHOT, list);
@@ -144,8 +151,8 @@
   // ---- Watching
 
   /**
-   * Opens the watch where lists are pushed: the router asks for none then, but on sockets they come
-   * by a watch all the same.
+   * Opens the watch if the list is pushed and no watch is open. In this mode the router does not
+   * request a watch, but over the network a pushed list is still received through one.
    */
   void watchPushedList() {
     if (context.state().isRunning()
@@ -156,10 +163,10 @@
     }
   }
 
-  /** As the router asks. */
+  /** Starts or stops the watch at the request of the router. */
   void watch(boolean enabled) {
-    // One that stands is not begun anew: a move to another address may have come between its
-    // failure and now.
+    // An open watch is not restarted: since the watch failed, a change of the discovery address may
+    // have opened a new one.
     if (discovery != null && context.state().isRunning() && !(enabled && discovery.isOpen())) {
       discovery.watch(enabled);
     }
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -16,9 +16,9 @@
 import shelffront.quota.TenantQuotas;
 
 /**
- * The tenants of one event loop by their names, and the lookup by which clients find theirs: the
- * database of the startup message. What all use is divided among them by {@link TenantQuotas}. On
- * the loop thread.
+ * The tenants of one event loop by name. Authenticates clients by the tenant that their startup
+ * message names as database. {@link TenantQuotas} divides the shared capacity among the tenants.
+ * Confined to the event loop.
  */
 public final class TenantRegistry implements TenantLookup {
 
@@ -30,18 +30,18 @@
   private final Map<String, Tenant> tenants = new HashMap<>();
 
   /**
-   * Removed or replaced, with work that is not over, the first told first; and who waits for its
-   * end.
+   * Tenants that were removed or replaced and still have open requests, oldest first, each with the
+   * callbacks to run at its end.
    */
   private final Map<Tenant, List<Runnable>> draining = new LinkedHashMap<>();
 
   private long seed;
 
   /**
-   * Makes a registry without tenants.
+   * Creates a registry without tenants.
    *
-   * @param hostConnectionQuotas divides the connections to hosts
-   * @param seed of the first tenant's router; those after it count on from there
+   * @param hostConnectionQuotas divides the host connections among tenants
+   * @param seed random seed of the first tenant's router, incremented for each further tenant
    */
   public TenantRegistry(
       Network network, TenantQuotas quotas, ConnectionQuotas hostConnectionQuotas, long seed) {
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Takes up a tenant, new or changed; {@code inForce} is told the time once requests are under it
-   * alone.
+   * Applies the specification of a new or changed tenant. {@code inForce} receives the time in
+   * microseconds from which no request is served under an older specification.
    */
   public void apply(TenantSpec spec, LongConsumer inForce) {
     Tenant running = tenants.get(spec.id());
@@ -73,16 +73,16 @@
     if (running == null) {
       inForce.accept(network.loop().nowMicros());
     } else {
-      // What it asks for only a new module can do: this one serves from now on, that one ends what
-      // it has.
+      // The change requires a new router. The new tenant takes all further requests, and the old
+      // one completes its open requests.
       startRemoval(running, spec.graceMicros(), inForce);
     }
     awaitPredecessor(next);
   }
 
   /**
-   * Sessions may have written under its name before: through one that still ends its work here, or
-   * is gone.
+   * Makes a new tenant cover the writes that sessions may have made through an earlier tenant of
+   * the same id, which may still be draining here or is gone.
    */
   private void awaitPredecessor(Tenant next) {
     next.awaitPredecessor();
@@ -98,8 +98,10 @@
   }
 
   /**
-   * Takes up a tenant that another loop has served: until the task given back has run here, once
-   * all is over there, and for what was written before that, reads must be covered.
+   * Adds a tenant that another event loop has served. Session reads cover the writes accepted there
+   * until the returned task has run, and afterwards.
+   *
+   * @return a task to run on this loop once the tenant has been removed from the other loop
    */
   public Runnable migrateIn(TenantSpec spec) {
     apply(spec, atMicros -> {});
@@ -108,13 +110,16 @@
     return arrived::predecessorEnded;
   }
 
-  /** Whether a tenant has no client here. */
+  /** Whether a tenant has no client on this event loop. */
   public boolean hasNoClients(String id) {
     Tenant tenant = tenants.get(id);
     return tenant == null || tenant.hasNoClients();
   }
 
-  /** Takes a tenant out of service; {@code gone} is told the time once nothing of it is left. */
+  /**
+   * Removes a tenant from service. {@code gone} receives the time in microseconds at which the
+   * removal is complete.
+   */
   public void remove(String id, LongConsumer gone) {
     Tenant tenant = tenants.remove(id);
     if (tenant == null) {
@@ -134,7 +139,7 @@
         });
   }
 
-  /** A tenant's use, or null where there is none of that name. */
+  /** Returns the usage of a tenant, or null if there is no tenant with this id. */
   public Tenant.Usage usage(String id) {
     Tenant tenant = tenants.get(id);
     return tenant == null ? null : tenant.usage();
@@ -146,7 +151,7 @@
         && draining.keySet().stream().allMatch(Tenant::hasNoOpenRequests);
   }
 
-  /** Closes all tenants, those that are being removed among them. */
+  /** Closes all tenants, including those that are being removed. */
   public void close(CloseReason reason) {
     tenants.values().forEach(tenant -> tenant.close(reason));
     List.copyOf(draining.keySet()).forEach(tenant -> tenant.close(reason));
@@ -155,8 +160,8 @@
   // ---- Lookup for clients
 
   /**
-   * The tenant that a startup message names: its database, or, as PostgreSQL has it, the user where
-   * it has none.
+   * Returns the tenant id in a startup message: its database or, as in PostgreSQL, the user if no
+   * database is given.
    */
   public static String nameIn(Map<String, String> startup) {
     String user = startup.getOrDefault("user", "");
@@ -167,7 +172,10 @@
     return tenants.get(nameIn(startup));
   }
 
-  /** Only of those who admit everybody can anything be learnt without a key. */
+  /**
+   * Returns true for unknown tenants too, so that without a key a client can detect only tenants
+   * that require none.
+   */
   @Override
   public boolean requiresPassword(Map<String, String> startup) {
     Tenant tenant = tenantOf(startup);
@@ -194,7 +202,8 @@
         tenant == null ? List.<TenantSpec.Credential>of() : tenant.spec().credentials()) {
       known |= credential.user().equals(user) && ApiKeys.matches(credential.keyHash(), password);
     }
-    // A name that nobody has costs a comparison too, and is answered in the same words.
+    // Compares against a dummy hash and sends the same error, so that neither response time nor
+    // message reveals whether the tenant exists.
     if (tenant == null && ApiKeys.matches(HASH_OF_NO_KEY, password) || !known) {
       throw unknownDatabase();
     }
--- a/gateway/src/main/java/shelffront/tenant/TenantRouting.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRouting.java
@@ -16,10 +16,10 @@
 import shelffront.routing.RouterActions;
 
 /**
- * The router of one tenant with what it acts upon: carries out the router's actions on the
- * connections to hosts, and reports their events to it. Owns the router, the connections, the
- * endpoint list and the router's one timer; made with the tenant's first client and kept while it
- * is suspended. On the loop thread.
+ * Connects the router of one tenant to the network: executes the router's actions on the host
+ * connections and reports their events to the router. Owns the router, the host connections, the
+ * endpoint list and the router's single timer. Created when the first client connects and kept
+ * while the tenant is suspended. Confined to the event loop.
  */
 final class TenantRouting implements RouterActions, BackendConnections.Listener {
 
@@ -29,7 +29,7 @@
   private final BackendConnections backends;
   private final TenantEndpoints endpoints;
   private Deadline timer;
-  private long timerAtMicros; // kept while the tenant is suspended; 0: none
+  private long timerAtMicros; // 0 if no timer is set; kept while the tenant is suspended
 
   TenantRouting(
       TenantContext context, OpenRequests requests, ConnectionQuotas hostConnectionQuotas) {
@@ -53,7 +53,7 @@
     return endpoints;
   }
 
-  // ---- Life
+  // ---- Lifecycle
 
   void start(long seed) {
     endpoints.start();
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Gives back what a suspended tenant doesn't need. */
+  /** Stops the watch, closes all host connections and cancels the timer. */
   void suspend() {
     endpoints.stopWatch();
     backends.closeAll(CloseReason.IDLE);
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Gives back every connection to hosts and discovery, and the timer. */
+  /** Closes all connections to hosts and to discovery, and cancels the timer. */
   void close(CloseReason reason) {
     endpoints.close(reason);
     backends.closeAll(reason);
@@ -117,8 +117,8 @@
       request.answered = true;
       requests.complete(request, listener -> listener.onServed(response.messages()));
     }
-    // From when the request went out: guards against taking the wait for a connection, which may be
-    // this program's own in its first seconds, for slowness of the host.
+    // Measured from the time the request was sent. The wait for a connection is excluded because it
+    // may be caused by this process, in its first seconds, rather than by a slow host.
     long elapsedMicros = context.nowMicros() - attempt.sentAtMicros;
     router.onAttemptOutcome(
         context.nowMicros(),
@@ -135,7 +135,10 @@
     requests.removeIfFinished(request);
   }
 
-  /** The counter's name is published at exit and by the administration. */
+  /**
+   * Maps a status to its counter, whose name appears in the exit log line and in the administration
+   * API.
+   */
   private static Counters.Name attemptCounter(AttemptStatus status) {
     return switch (status) {
       case OK -> Counters.Name.ATTEMPTS_OK;
@@ -164,7 +167,7 @@
         context.nowMicros(), endpointId, response.status(), elapsedMicros, response.loadReport());
   }
 
-  // ---- What the router asks for
+  // ---- Actions of the router
 
   @Override
   public void startAttempt(String requestId, String endpointId, long timeoutMicros) {
@@ -200,8 +203,8 @@
   }
 
   /**
-   * Does nothing for a tenant that is not running: the router answers what a removal cut off with a
-   * health check, whose connection would outlive the tenant.
+   * Does nothing unless the tenant is running. The router reacts to attempts aborted by a removal
+   * with health checks, whose connections would outlive the tenant.
    */
   @Override
   public void checkHealth(String endpointId) {
@@ -239,11 +242,12 @@
   }
 
   /**
-   * Gateways of this kind can't reach each other; the settings say so and the router never asks.
+   * Not supported: there are no connections between these gateways. The settings disable messages
+   * to peers, so the router never calls this method.
    */
   @Override
   public void sendToPeers(int peer, byte[] payload) {
-    throw new UnsupportedOperationException("gateways have no way to talk to each other");
+    throw new UnsupportedOperationException("messages between gateways are not supported");
   }
 
   @Override
--- a/gateway/src/main/java/shelffront/tenant/TenantRoutingSettings.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRoutingSettings.java
@@ -13,7 +13,10 @@
 import shelffront.routing.RoutingSettings;
 import shelffront.routing.SafetyRules;
 
-/** The router's settings for a tenant: what its document says of its hosts, and what is fixed. */
+/**
+ * Builds the router settings of a tenant from the {@code hosts} section of its document and from
+ * fixed values.
+ */
 final class TenantRoutingSettings {
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -35,7 +38,12 @@
 
   private TenantRoutingSettings() {}
 
-  /** Reads the settings of hosts; {@code polled} where discovery gives the endpoint list. */
+  /**
+   * Builds the settings.
+   *
+   * @param hosts the {@code hosts} section of a tenant document, already validated; may be missing
+   * @param polled whether discovery provides the endpoint list, which is then polled
+   */
   static RoutingSettings read(List<RequestClass> classes, JsonNode hosts, boolean polled) {
     long lagWaitMillis = hosts.path("patienceMs").asLong(DEFAULT_LAG_WAIT_MILLIS);
     return new RoutingSettings(
--- a/gateway/src/main/java/shelffront/tenant/TenantSpec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpec.java
@@ -8,20 +8,20 @@
 import shelffront.routing.RoutingSettings;
 
 /**
- * The specification of a tenant: what an administrator sets and a gateway applies while it runs.
+ * The specification of a tenant, set by an administrator and applied by running gateways.
  *
- * @param id the name by which clients ask for it, as the database of their startup message
- * @param weight its part of what tenants share, above 0
- * @param classWeights a weight for each class, in their order; empty where its classes have no
- *     shares of their own
- * @param settings its classes, rules and the limits of its endpoints
- * @param login who its endpoints are told the gateway is
- * @param bounds what it may use at most
- * @param endpointSource where its endpoint list comes from
- * @param drainedEndpoints ids of endpoints that an administrator has drained, whatever the list
- *     says
- * @param credentials who may connect; empty: everybody
- * @param graceMicros how long what was taken may go on once the tenant is removed
+ * @param id the name that clients send as database in their startup message
+ * @param weight relative share of the capacity that tenants share, above 0
+ * @param classWeights one weight per request class, in the order of the classes; empty if the quota
+ *     is not divided among classes
+ * @param settings the router settings: request classes, rules and limits of endpoints
+ * @param login user and database with which the gateway logs in to the endpoints
+ * @param bounds upper bounds on the resources of the tenant
+ * @param endpointSource source of the endpoint list
+ * @param drainedEndpoints ids of endpoints drained by an administrator, which override the endpoint
+ *     list
+ * @param credentials users that may connect; if empty, anyone may
+ * @param graceMicros time for which admitted requests may continue after the tenant is removed
  */
 public record TenantSpec(
     String id,
@@ -35,7 +35,7 @@
     List<Credential> credentials,
     long graceMicros) {
 
-  /** What a tenant may use at most; a rate of 0 is no bound. */
+  /** Upper bounds on the resources of a tenant. A rate of 0 means unlimited. */
   public record Bounds(
       double requestsPerSecond,
       double burst,
@@ -45,14 +45,14 @@
       long bufferBytes) {}
 
   /**
-   * Where the endpoint list of a tenant comes from.
+   * Source of the endpoint list of a tenant.
    *
-   * @param discoveryAddress the discovery service that gives the list; null where it is given here
-   * @param endpoints the list as last known, or the endpoints given directly
+   * @param discoveryAddress the discovery service that provides the list; null for a fixed list
+   * @param endpoints the fixed list, or the last known list of discovery
    */
   public record EndpointSource(InetSocketAddress discoveryAddress, EndpointList endpoints) {}
 
-  /** A user and the hash of its generated key; the key itself is kept nowhere. */
+  /** A user and the hash of its generated key. The key itself is not stored. */
   public record Credential(String user, byte[] keyHash) {}
 
   public InetSocketAddress discoveryAddress() {
@@ -63,7 +63,10 @@
     return endpointSource.endpoints();
   }
 
-  /** Whether everything that a running tenant can't change under way is as in another. */
+  /**
+   * Whether a running tenant with this specification can change to the other one without a new
+   * router.
+   */
   boolean canUpdateInPlaceTo(TenantSpec other) {
     return settings.equals(other.settings)
         && login.equals(other.login)
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -24,6 +24,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 import shelffront.backend.BackendConnections.Login;
 import shelffront.config.EndpointList;
 import shelffront.config.GatewayConfig;
@@ -33,20 +34,24 @@
 import shelffront.routing.RequestClass;
 
 /**
- * Reads a tenant from JSON: checked against the schema {@code tenant.schema.json}, then for what no
- * schema says. The field names are those that administrators write; {@code docs/GLOSSARY.md} maps
- * them to the terms of the code. Any thread may call.
+ * Reads tenant specifications from JSON. Documents are validated against the schema {@code
+ * tenant.schema.json} and then against rules that the schema cannot express. {@code
+ * docs/GLOSSARY.md} maps the field names of the documents to the terms of the code. Any thread may
+ * call.
  */
 public final class TenantSpecCodec {
 
-  /** What is wrong with a document: a JSON pointer (RFC 6901) to the field at fault, and why. */
+  /**
+   * Reports an invalid document, with a JSON pointer (RFC 6901) to the invalid field and the
+   * reason.
+   */
   public static final class SpecException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     private final String pointer;
 
-    /** The pointer is empty where the fault is the document itself. */
+    /** Creates an exception; an empty pointer refers to the whole document. */
     public SpecException(String pointer, String reason) {
       super(reason);
       this.pointer = pointer;
@@ -57,19 +62,21 @@
     }
   }
 
-  /** Refuses what JSON parsers differ on: names given twice, and anything after the document. */
+  /**
+   * Rejects input that JSON parsers treat differently: duplicate field names and trailing content.
+   */
   public static final ObjectMapper JSON =
       new ObjectMapper()
           .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-  /** What names of tenants, gateways and fleets look like, as a regular expression. */
+  /** Regular expression for the names of tenants, gateways and fleets. */
   public static final String NAME = "[a-zA-Z0-9][a-zA-Z0-9_.-]{0,63}";
 
   private static final JsonSchema SCHEMA = schema();
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** A burst is what the rate gives in a fifth of a second, if nothing else is set. */
+  /** The default burst is one fifth of the requests permitted per second. */
   private static final double DEFAULT_BURSTS_PER_SECOND = 5;
 
   private static final int DEFAULT_OPEN_REQUESTS = 200;
@@ -93,12 +100,16 @@
     }
   }
 
-  /** Parses a document that has to be a JSON object. */
+  /**
+   * Parses a document.
+   *
+   * @throws SpecException if the text is not JSON or not a JSON object
+   */
   public static JsonNode parse(byte[] text) throws SpecException {
     try {
       JsonNode document = JSON.readTree(text);
       if (document == null || !document.isObject()) {
-        throw new SpecException("", "not a JSON object");
+        throw new SpecException("", "expected a JSON object");
       }
       return document;
     } catch (JsonProcessingException e) {
@@ -109,20 +120,29 @@
   }
 
   /**
-   * Throws with the pointer to the first field of an object that has none of the names, which are
-   * those of settings.
+   * Rejects unknown fields.
+   *
+   * @param at pointer to the object
+   * @param names the permitted field names
+   * @throws SpecException with the pointer to the first field that has none of these names
    */
   public static void onlyFields(JsonNode object, String at, Set<String> names)
       throws SpecException {
     for (Iterator<String> each = object.fieldNames(); each.hasNext(); ) {
       String name = each.next();
       if (!names.contains(name)) {
-        throw new SpecException(at + "/" + name, "is not a setting");
+        throw new SpecException(
+            at + "/" + name, "is not a known field; known fields are " + new TreeSet<>(names));
       }
     }
   }
 
-  /** Throws with the first fault, by the order of pointers. */
+  /**
+   * Validates and reads a tenant document.
+   *
+   * @throws SpecException if the document is invalid; of several violations of the schema, the one
+   *     whose pointer sorts first is reported
+   */
   public static TenantSpec read(JsonNode document) throws SpecException {
     validate(document);
     List<RequestClass> classes = readClasses(document.path("classes"));
@@ -159,7 +179,8 @@
     for (JsonNode entry : entries) {
       String pointer = "/classes/" + classes.size();
       if (!names.add(entry.path("name").asText())) {
-        throw new SpecException(pointer + "/name", "two classes have this name");
+        throw new SpecException(
+            pointer + "/name", "duplicate class name \"" + entry.path("name").asText() + "\"");
       }
       classes.add(RequestClassCodec.read(entry, pointer));
     }
@@ -174,7 +195,12 @@
       }
     }
     if (!weights.isEmpty() && weights.size() != classes.size()) {
-      throw new SpecException("/classes", "either all classes have a share or none");
+      throw new SpecException(
+          "/classes",
+          "\"share\" must be set for all classes or for none, but is set for "
+              + weights.size()
+              + " of "
+              + classes.size());
     }
     return weights.stream().mapToDouble(weight -> weight).toArray();
   }
@@ -225,7 +251,7 @@
       String id = entry.path("id").asText();
       InetSocketAddress address = readAddress(entry.path("address").asText(), pointer + "/address");
       if (addresses.put(id, address) != null) {
-        throw new SpecException(pointer + "/id", "two boxes have this id");
+        throw new SpecException(pointer + "/id", "duplicate id \"" + id + "\"");
       }
       endpoints.add(readEndpoint(id, entry));
     }
@@ -248,7 +274,9 @@
     try {
       return GatewayConfig.parseAddress(text);
     } catch (MalformedInputException | IllegalArgumentException e) {
-      throw new SpecException(pointer, "not an address");
+      throw new SpecException(
+          pointer,
+          "expected an IP address and port such as 127.0.0.1:5432, but found \"" + text + "\"");
     }
   }
 }
--- a/gateway/src/main/java/shelffront/tenant/TenantState.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantState.java
@@ -1,21 +1,24 @@
 package shelffront.tenant;
 
-/** The stages of a running tenant's life, in which it only ever goes on or from active to rest. */
+/**
+ * Lifecycle states of a tenant. Transitions go forward only, except that an active tenant may
+ * become suspended again.
+ */
 enum TenantState {
-  /** Without clients: no connection, watch or timer. */
+  /** No client is connected, and the tenant has no connection, watch or timer. */
   SUSPENDED,
   ACTIVE,
-  /** Taken out of service: what was admitted is finished, nothing else is admitted. */
+  /** Being removed: admitted requests are completed, and new requests are rejected. */
   DRAINING,
-  /** Nothing of it remains. */
+  /** No request is served any more, and all resources are released. */
   REMOVED;
 
-  /** Whether its router acts: it has clients, or finishes what they asked for. */
+  /** Whether the router may act: the tenant has clients, or completes their requests. */
   boolean isRunning() {
     return this == ACTIVE || this == DRAINING;
   }
 
-  /** Whether it takes neither clients nor requests any more. */
+  /** Whether new clients and requests are rejected because the tenant is removed. */
   boolean isEnding() {
     return this == DRAINING || this == REMOVED;
   }
