--- a/gateway/src/main/java/shelffront/request/BackendAttempt.java
+++ b/gateway/src/main/java/shelffront/request/BackendAttempt.java
@@ -1,23 +1,29 @@
 package shelffront.request;
 
 /**
- * One attempt of a request at one database host. Owned by the loop thread of the request's tenant;
- * the backend sets when it was sent, the tenant whether it is outstanding.
+ * One forwarding of a request to one endpoint. Confined to the event loop of the request's tenant.
+ * The backend sets {@link #sentAtMicros}, and the tenant sets {@link #outstanding}.
  */
 public final class BackendAttempt {
 
   public final ClientRequest request;
   public final String endpointId;
 
-  /** When a connection was there and the request was written to it; until then when it began. */
+  /**
+   * Time at which the request was written to a connection; before that, the time at which the
+   * attempt was created.
+   */
   public long sentAtMicros;
 
+  /** Index of this attempt in {@link ClientRequest#attempts}. */
   public final int number;
 
-  /** Until its outcome was told. */
+  /** True until the outcome of the attempt is known. */
   public boolean outstanding = true;
 
-  /** The next attempt of the request, which does not contain it yet. */
+  /**
+   * Creates the next attempt of a request. The caller adds it to {@link ClientRequest#attempts}.
+   */
   public BackendAttempt(ClientRequest request, String endpointId, long nowMicros) {
     this.request = request;
     this.endpointId = endpointId;
--- a/gateway/src/main/java/shelffront/request/ClientRequest.java
+++ b/gateway/src/main/java/shelffront/request/ClientRequest.java
@@ -5,42 +5,45 @@
 import shelffront.pg.Statement;
 
 /**
- * One request from its last byte to its final answer and the end of its last attempt. The only
- * thing that the client side and the server side both know.
+ * One request of a client, from the receipt of its last byte until its final response is delivered
+ * and its last attempt has ended. Shared by the frontend and the backend; confined to the event
+ * loop of its tenant.
  */
 public final class ClientRequest {
 
   /**
-   * Where the final answer goes; each request gets exactly one call, unless its client has left.
+   * Receives the final response of a request. Exactly one method is called, and only once, unless
+   * the client has disconnected.
    */
   public interface ResponseListener {
 
-    /** The database host's messages as it sent them, up to CommandComplete. */
+    /** Delivers the messages of the database host unchanged, up to CommandComplete. */
     void onServed(byte[] messages);
 
-    /** Refused untouched; 0 means no advice when to come again. */
+    /** Rejects the request, of which nothing was executed. A Retry-After of 0 gives no advice. */
     void onRejected(long retryAfterMicros);
 
-    /** Refused untouched, since what was asked is being taken out of service. */
+    /** Ends the request unserved because its tenant is being removed. Repeating it is safe. */
     void onUnavailable();
 
+    /** Fails the request, which may or may not have been executed. */
     void onFailed();
   }
 
   public final String id;
   public final Statement statement;
 
-  /** By this time the client has its answer; Unix microseconds, as are all times. */
+  /** Time by which the client must have its final response, in Unix microseconds. */
   public final long deadlineMicros;
 
   public final int classIndex;
   public final ResponseListener responseListener;
   public final List<BackendAttempt> attempts = new ArrayList<>(2);
 
-  /** Its final answer was given, or nobody waits for it any more. */
+  /** Whether the final response was delivered or the client no longer waits for it. */
   public boolean answered;
 
-  /** A request without attempts. */
+  /** Creates a request without attempts. */
   public ClientRequest(
       String id,
       Statement statement,
--- a/gateway/src/main/java/shelffront/request/package-info.java
+++ b/gateway/src/main/java/shelffront/request/package-info.java
@@ -1,2 +1,2 @@
-/** A client's request and its attempts: all that frontend and backend both know. */
+/** A client request and its attempts, the types shared by frontend and backend. */
 package shelffront.request;
