--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -30,33 +30,35 @@
 import shelffront.tenant.TenantSpec;
 
 /**
- * The event loops of a hosted gateway. The first has the listener and knows where each tenant
- * lives; a connection is handed over once it has named its tenant. A tenant's connections,
- * requests, module and timers are all on its own loop, and no loop waits for another: they post to
- * each other.
+ * The event loops of a multi-tenant gateway. The first loop owns the listener and the assignment of
+ * tenants to loops. A connection is handed over to the loop of its tenant once the startup message
+ * has named the tenant. The connections, requests, router and timers of a tenant are confined to
+ * its loop. Loops never wait for each other but post tasks to each other.
  *
- * <p>A tenant that wakes, with no client anywhere, may be given another home. There a new module
- * serves it, and until the one before has ended its work, and for what was written before, reads
- * must be covered.
+ * <p>A tenant that is resumed while it has no client on any loop may be assigned to another loop.
+ * There it gets a new router, which covers the writes accepted by the previous router in session
+ * reads.
  *
- * <p>Methods run on the first loop's thread unless they say otherwise.
+ * <p>Methods run on the thread of the first loop unless stated otherwise.
  */
 final class EventLoopGroup implements TenantLookup {
 
   /**
-   * Microseconds after which a tenant of a fleet that no client asked for is served here no longer.
+   * Time without clients after which a tenant provided by distribution is no longer served here.
    */
   private static final long FORGET_AFTER_MICROS = 600_000_000;
 
   private record LoopMember(Network network, TenantRegistry tenants) {}
 
-  /** Where a tenant lives. */
+  /** The assignment of a tenant to an event loop. */
   private static final class Home {
 
     private TenantSpec spec;
     private int loopIndex;
-    private int clients; // connections handed over and not ended there
-    private long usedAtMicros; // when a client last named it
+    private int clients; // open connections handed over to that loop
+
+    /** Time of the last check that found clients, or of the first check; 0 before any check. */
+    private long usedAtMicros;
 
     private Home(TenantSpec spec, int loopIndex) {
       this.spec = spec;
@@ -71,8 +73,8 @@
   private final EventLoopPlacement placement;
   private final Network firstNetwork;
   private final boolean[] drained;
-  private Function<String, CompletableFuture<Boolean>>
-      tenantFinder; // null where all tenants are known
+  // Null if all tenants are known locally.
+  private Function<String, CompletableFuture<Boolean>> tenantFinder;
   private Consumer<String> tenantForgetter;
 
   EventLoopGroup(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
@@ -104,17 +106,19 @@
         members.size() == 1 ? first : first.withChannels(environment.channels().on(members.size()));
   }
 
-  /** The first loop, as the listener sees it. */
+  /** Returns the network of the first loop, which the listener uses. */
   Network firstNetwork() {
     return firstNetwork;
   }
 
-  /** Each loop's own view, the listener's first. */
+  /** Returns the networks of all loops, the first loop's first. */
   List<Network> networks() {
     return members.stream().map(LoopMember::network).toList();
   }
 
-  /** The listener's clients are those of the first loop. */
+  /**
+   * Sets the listener's connections as those of the first loop, and creates those of the others.
+   */
   void serveBehind(FrontendConnections listening) {
     clients.add(listening);
     for (LoopMember member : members.subList(1, members.size())) {
@@ -122,7 +126,7 @@
     }
   }
 
-  /** Starts the loops but the first, which its caller runs. */
+  /** Starts a thread for every loop except the first, which the caller runs. */
   void start() {
     for (int i = 1; i < members.size(); i++) {
       EventLoop loop = members.get(i).network().loop();
@@ -142,8 +146,8 @@
   }
 
   /**
-   * Waits until the others have ended, and ends their channels' threads; by whoever ran the first
-   * loop.
+   * Waits for the threads of the other loops and shuts down the channels of all loops. Called by
+   * the thread that ran the first loop, after it has ended.
    */
   void join() throws InterruptedException {
     for (Thread thread : threads) {
@@ -182,7 +186,10 @@
     runOn(home.loopIndex, () -> there.remove(id, gone));
   }
 
-  /** Null is told where there is none of that name. */
+  /**
+   * Passes the usage of a tenant to the callback, on the tenant's loop; null if there is no such
+   * tenant.
+   */
   void usage(String id, Consumer<Tenant.Usage> told) {
     Home home = homes.get(id);
     if (home == null) {
@@ -198,7 +205,7 @@
     return home == null ? -1 : home.loopIndex;
   }
 
-  /** At once on this loop, or as a turn of another. */
+  /** Runs a task at once if it is for the first loop, otherwise posts it to its loop. */
   private void runOn(int loopIndex, Runnable task) {
     if (loopIndex == 0) {
       task.run();
@@ -207,7 +214,7 @@
     }
   }
 
-  /** What all loops hold together. Any thread may ask. */
+  /** Returns the resources held by all loops together. Any thread may call. */
   CompletableFuture<MultiTenantGateway.HeldResources> heldResources() {
     CompletableFuture<MultiTenantGateway.HeldResources> sum =
         CompletableFuture.completedFuture(
@@ -240,8 +247,11 @@
   }
 
   /**
-   * Tenants that a client names, and that are not here, are looked up by this; those unused for
-   * long are forgotten.
+   * Enables the lookup of unknown tenants and the eviction of unused ones.
+   *
+   * @param finder looks up a tenant by id and completes with whether it exists; must not block
+   * @param forgetter receives the id of each tenant without clients for {@link
+   *     #FORGET_AFTER_MICROS}
    */
   void lookUpWith(Function<String, CompletableFuture<Boolean>> finder, Consumer<String> forgetter) {
     tenantFinder = finder;
@@ -289,7 +299,7 @@
   public FrontendConnections connectionsFor(Map<String, String> startup, FrontendConnections here) {
     Home home = homes.get(TenantRegistry.nameIn(startup));
     if (home == null || members.size() == 1) {
-      return here; // who names nobody is told so here
+      return here; // the first loop rejects clients of unknown tenants
     }
     boolean alone =
         home.clients == 0
@@ -307,14 +317,16 @@
   @Override
   public void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {
     Home home = homes.get(TenantRegistry.nameIn(startup));
-    // One that was removed meanwhile, and came again, has other clients; none of them is counted
-    // twice.
+    // A tenant that was removed and added again has a new count, which does not include this
+    // connection: the count of another loop is left alone, and no count falls below 0.
     if (home != null && clients.get(home.loopIndex) == there && home.clients > 0) {
       home.clients--;
     }
   }
 
-  /** Chooses a home for a tenant whose first client has come. */
+  /**
+   * Assigns a loop to a tenant whose first client connects, and migrates the tenant if it changes.
+   */
   private void placeActivated(Home home) {
     long[] worked = new long[members.size()];
     for (int i = 0; i < worked.length; i++) {
@@ -362,7 +374,10 @@
   // ---- Stopping
   // --------------------------------------------------------------------------------
 
-  /** Has the other loops drain, and says whether, when last asked, nothing was open on any. */
+  /**
+   * Requests every other loop to drain. Returns whether the first loop has no open request and the
+   * others had no connection or open request when they last replied.
+   */
   boolean isDrained() {
     boolean all = members.get(0).tenants().hasNoOpenRequests();
     for (int i = 1; i < members.size(); i++) {
@@ -381,7 +396,7 @@
     return all;
   }
 
-  /** Closes the tenants of all loops and ends the others' turns. */
+  /** Closes the tenants of all loops and stops the other loops. */
   void close() {
     members.get(0).tenants().close(CloseReason.DRAINED);
     for (int i = 1; i < members.size(); i++) {
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
@@ -22,17 +22,18 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * The tenants of a whole fleet, in its engine: a change that was answered is the engine's, and
- * comes back distributed.
+ * The tenant documents of a fleet, kept in its coordination store. A confirmed change is stored
+ * there and reaches this gateway, like all others, by distribution. Any thread may call; calls
+ * block on the coordination store.
  */
 final class FleetTenantDocuments implements TenantDocuments {
 
-  /** Before the id of a tenant, in the names of records. */
+  /** Prefix of the record name of a tenant, followed by its id. */
   static final String PREFIX = "tenant/";
 
   private static final int MAX_AUDIT_ENTRIES = 10_000;
 
-  private final ChangeStore engine; // null where this gateway has no way to it
+  private final ChangeStore engine; // null if this gateway has no access to it
   private final SubscribedRecords records;
   private final ArrayDeque<AuditEntry> auditEntries = new ArrayDeque<>();
 
@@ -55,7 +56,8 @@
           record.version().sequence(),
           TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
     } catch (SpecException e) {
-      throw new IllegalStateException(record.name() + " in the engine is no JSON object", e);
+      throw new IllegalStateException(
+          "record " + record.name() + " in the coordination store is not a JSON object", e);
     }
   }
 
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -22,15 +22,15 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * The tenants that a gateway of a fleet serves, by distribution: puts their records in force as
- * they come, and finds those that a client names first.
+ * The tenants that a gateway of a fleet receives by distribution. Applies their records as they
+ * arrive and looks up tenants that a client names for the first time. Any thread may call.
  */
 final class FleetTenants implements SubscribedRecords.RecordApplier, AutoCloseable {
 
   private final TenantAdministration.TenantControl control;
   private final ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(1, "fleet-records");
   private final SubscribedRecords records;
-  private final ChangeStore engine; // null where this gateway changes nothing
+  private final ChangeStore engine; // null if this gateway cannot change tenants
   private volatile LongConsumer reached = sequence -> {};
 
   FleetTenants(
@@ -48,7 +48,7 @@
     engine = config.engineAddress() == null ? null : DistributorProcess.openChangeStore(config);
   }
 
-  /** Told of each sequence up to which every change is in force here. */
+  /** Sets the listener for the sequence number up to which every change is in force here. */
   void onInForceUpTo(LongConsumer told) {
     reached = told;
   }
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Where administrators change tenants; each call is refused where this gateway has no way to the
-   * engine.
+   * Returns the documents through which administrators change tenants. Reads and writes of them
+   * throw {@link NoEngine} if this gateway has no access to the coordination store.
    */
   TenantDocuments documents() {
     return new FleetTenantDocuments(engine, records);
@@ -69,7 +69,10 @@
     return records.status();
   }
 
-  /** What the engine holds is the truth from here on, after it was restored from older data. */
+  /**
+   * Declares the contents of the coordination store authoritative after it was restored from older
+   * data.
+   */
   Version beginIncarnation() throws CoordinationException, NoEngine {
     if (engine == null) {
       throw new NoEngine();
@@ -78,8 +81,9 @@
   }
 
   /**
-   * Whether there is a tenant of this name; it is in force then, as far as the loops have been
-   * told. An event loop may call: it does not wait, also not for a record that is being validated.
+   * Looks up a tenant. Completes with true if it exists; its specification has then been posted to
+   * the event loops. Never blocks, not even while a record is being validated, so that an event
+   * loop may call.
    */
   CompletableFuture<Boolean> lookUp(String id) {
     return id.matches(TenantSpecCodec.NAME)
@@ -89,7 +93,9 @@
         : CompletableFuture.completedFuture(false);
   }
 
-  /** No client has asked for it for long. An event loop may call. */
+  /**
+   * Unsubscribes from a tenant that no client uses. Never blocks, so that an event loop may call.
+   */
   void forget(String id) {
     timer.execute(() -> records.unsubscribe(FleetTenantDocuments.PREFIX + id));
   }
@@ -100,7 +106,7 @@
       TenantSpec spec =
           TenantSpecCodec.read(TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
       if (!record.name().equals(FleetTenantDocuments.PREFIX + spec.id())) {
-        return "/id is not the name of the record";
+        return "/id must match the record name " + record.name() + ", but is " + spec.id();
       }
       control.apply(spec, at -> {});
       return null;
--- a/gateway/src/main/java/shelffront/multitenant/GatewayEnvironment.java
+++ b/gateway/src/main/java/shelffront/multitenant/GatewayEnvironment.java
@@ -7,20 +7,22 @@
 import shelffront.net.Channels;
 
 /**
- * What a hosted gateway stands on: the machine, or what someone else keeps in its place.
+ * The environment of a multi-tenant gateway: the machine's clock and sockets, or simulated ones.
  *
- * @param clock Unix microseconds
- * @param seed of what its modules draw
+ * @param clock current time in Unix microseconds
+ * @param channels creates the channels of the event loops
+ * @param seed random seed of the routers
  */
 public record GatewayEnvironment(LongSupplier clock, Source channels, long seed) {
 
-  /** Where channels come from, whose completions run on so many threads. */
+  /** Creates channels. */
   public interface Source {
 
+    /** Returns channels whose completion handlers run on this number of threads. */
     Channels on(int threads) throws IOException;
   }
 
-  /** The machine's clock and sockets. */
+  /** Returns an environment with the clock and sockets of this machine. */
   public static GatewayEnvironment machine() {
     return new GatewayEnvironment(
         () -> ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()),
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
@@ -14,17 +14,19 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * What a hosted gateway is told by its own file.
+ * The configuration file of a multi-tenant gateway.
  *
- * @param admin where administrators connect; null for no administration
- * @param store the file that keeps what they set; null to keep it in memory only
- * @param cores event loops, each with a thread; every tenant lives on one of them
- * @param sockets descriptors that it may use
- * @param bufferBytes for all connections and requests together
- * @param capacity what is divided among the tenants by weight
- * @param tenants put into the store at the start where it has none of that name
- * @param fleet what the gateways of a fleet change together; null where this one is on its own
- * @param distribution by which its tenants come to it; null where it has tenants of its own
+ * @param listen address for clients
+ * @param admin address of the administration API; null to disable it
+ * @param store file of the document store; null to keep documents in memory only
+ * @param cores number of event loops, each with its own thread; every tenant is assigned to one
+ * @param sockets maximum number of socket descriptors
+ * @param bufferBytes buffer memory of all connections and requests together
+ * @param capacity capacity that is divided among the tenants by weight
+ * @param tenants tenant documents that are added to the store at startup unless it has one with the
+ *     same id
+ * @param fleet coordination of rollouts within a fleet; null for a standalone gateway
+ * @param distribution subscription that provides the tenants; null if the tenants are in the store
  */
 public record MultiTenantConfig(
     InetSocketAddress listen,
@@ -53,14 +55,14 @@
   private static final Set<String> CAPACITY_NAMES = Set.of("requestsPerSecond", "openRequests");
 
   /**
-   * What all tenants may use together, divided among them by weight.
+   * Capacity that is divided among all tenants by weight.
    *
-   * @param requestsPerSecond 0 is no bound
-   * @param openRequests requests that may be open at a time
+   * @param requestsPerSecond request rate; 0 means unlimited
+   * @param openRequests maximum number of concurrently open requests
    */
   public record Capacity(double requestsPerSecond, int openRequests) {}
 
-  /** Of a gateway on its own. */
+  /** Creates the configuration of a standalone gateway. */
   public MultiTenantConfig(
       InetSocketAddress listen,
       InetSocketAddress admin,
@@ -73,10 +75,14 @@
     this(listen, admin, store, cores, sockets, bufferBytes, capacity, tenants, null, null);
   }
 
-  /** Throws with the pointer to the first field at fault. */
+  /**
+   * Reads a configuration.
+   *
+   * @throws SpecException with the pointer to the first invalid field
+   */
   public static MultiTenantConfig read(JsonNode top) throws SpecException {
     if (!top.isObject()) {
-      throw new SpecException("", "not a JSON object");
+      throw new SpecException("", "expected a JSON object");
     }
     TenantSpecCodec.onlyFields(top, "", NAMES);
     JsonNode capacity = top.path("capacity");
@@ -88,7 +94,7 @@
       try {
         String id = TenantSpecCodec.read(tenant).id();
         if (ids.contains(id)) {
-          throw new SpecException("/id", "two tenants have this id");
+          throw new SpecException("/id", "duplicate tenant id \"" + id + "\"");
         }
         ids.add(id);
       } catch (SpecException e) {
@@ -98,10 +104,12 @@
     }
     if (top.has("distribution") && !tenants.isEmpty()) {
       throw new SpecException(
-          "/tenants", "come by distribution; put them through the administration");
+          "/tenants",
+          "must be empty if \"distribution\" is set; add tenants through the administration API");
     }
     if (!top.path("store").isMissingNode() && !top.path("store").isTextual()) {
-      throw new SpecException("/store", "is not the path of a file");
+      throw new SpecException(
+          "/store", "must be a string with the path of a file, but is " + top.path("store"));
     }
     return new MultiTenantConfig(
         address(top, "listen"),
@@ -129,7 +137,8 @@
     }
     if (!value.isNumber() || value.asDouble() < least || value.asDouble() > most) {
       throw new SpecException(
-          at + "/" + name, "is not a number from " + (long) least + " to " + (long) most);
+          at + "/" + name,
+          "must be a number from " + (long) least + " to " + (long) most + ", but is " + value);
     }
     return value.asDouble();
   }
@@ -138,7 +147,11 @@
     try {
       return GatewayConfig.parseAddress(top.path(name).asText());
     } catch (MalformedInputException | IllegalArgumentException e) {
-      throw new SpecException("/" + name, "is not an address host:port");
+      throw new SpecException(
+          "/" + name,
+          "expected an IP address and port such as 127.0.0.1:5432, but found \""
+              + top.path(name).asText()
+              + "\"");
     }
   }
 }
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
@@ -35,8 +35,8 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * A gateway for many tenants with its store and its administration, as {@code serve --config}
- * starts it.
+ * A gateway for several tenants with its document store and administration API, as started by
+ * {@code serve --config}.
  */
 public final class MultiTenantGateway
     implements TenantAdministration.TenantControl, FleetResource.Distribution {
@@ -49,8 +49,8 @@
   private final AdminTokens tokens;
   private final TenantAdministration administration;
   private final AdminServer adminServer;
-  private final FleetTenants fleetTenants; // null where its tenants are its own
-  private final RolloutCoordinator rollouts; // null where this gateway is on its own
+  private final FleetTenants fleetTenants; // null if the tenants are in the store
+  private final RolloutCoordinator rollouts; // null for a standalone gateway
 
   public MultiTenantGateway(MultiTenantConfig config, EventLog log)
       throws IOException, SpecException {
@@ -91,7 +91,8 @@
                   log);
     } catch (ConflictException | OperatorException e) {
       store.close();
-      throw new IllegalStateException("nobody else has the store yet", e);
+      throw new IllegalStateException(
+          "the tenants could not be loaded, although no other user of the store exists yet", e);
     } catch (IOException | SpecException | RuntimeException e) {
       store.close();
       throw e;
@@ -104,7 +105,10 @@
     return new TenantAdministration(records, this, System::currentTimeMillis);
   }
 
-  /** A call of the engine has a quarter of a lease: a renewal that fails leaves time for others. */
+  /**
+   * Creates the rollout coordinator. Calls to the coordination store time out after a quarter of
+   * the lease duration, which leaves time to retry a failed renewal before the lease expires.
+   */
   private static RolloutCoordinator rolloutCoordinator(RolloutConfig fleet, EventLog log)
       throws IOException {
     CoordinationStore engine =
@@ -121,8 +125,10 @@
   }
 
   /**
-   * Puts in the tenants of a file that the store has none of; those it has stand as administrators
-   * left them.
+   * Adds the tenants of a configuration that the store does not contain. Tenants already in the
+   * store keep the state set by administrators.
+   *
+   * @return the number of tenants added
    */
   public int addMissingTenants(MultiTenantConfig config)
       throws SpecException, ConflictException, OperatorException {
@@ -138,8 +144,8 @@
   }
 
   /**
-   * Takes clients and administrators in, and serves until it is drained; the caller's thread is the
-   * loop thread.
+   * Serves clients and administrators until the gateway is drained. The calling thread runs the
+   * first event loop.
    */
   public void run() throws InterruptedException {
     if (adminServer != null) {
@@ -167,17 +173,17 @@
     store.close();
   }
 
-  /** Takes clients in without running anything: for whoever takes the loops' turns himself. */
+  /** Starts to accept clients without starting threads; the caller runs the event loops. */
   public void startWithoutThreads() {
     gateway.start();
   }
 
-  /** The loops' own views, the listener's first. */
+  /** Returns the networks of all event loops, the first loop's first. */
   public List<Network> networks() {
     return loops.networks();
   }
 
-  /** Runs on a thread of its own, which ends with {@link #drain}. */
+  /** Starts a thread that calls {@link #run}. */
   public Thread start() {
     Thread thread =
         new Thread(
@@ -193,7 +199,10 @@
     return thread;
   }
 
-  /** Ends {@link #run} once what was taken is answered. Any thread may call. */
+  /**
+   * Drains the gateway: {@link #run} returns once all accepted requests are completed and all
+   * clients are disconnected. Any thread may call.
+   */
   public void drain() {
     loop.post(gateway::drain);
   }
@@ -202,7 +211,7 @@
     return (InetSocketAddress) gateway.address();
   }
 
-  /** Where administrators connect; null where there is no administration. */
+  /** Returns the address of the administration API, or null if it is disabled. */
   public InetSocketAddress adminAddress() {
     return adminServer == null ? null : adminServer.address();
   }
@@ -215,7 +224,7 @@
     return store;
   }
 
-  /** What the whole of it holds: for tests that count what is left. */
+  /** Resources held by all event loops together; tests use them to detect leaks. */
   public record HeldResources(int deadlines, long bufferBytes, Counters counters) {}
 
   public CompletableFuture<HeldResources> heldResources() {
@@ -223,8 +232,8 @@
   }
 
   /**
-   * The event loop that a tenant lives on, by its number from 0; -1 where there is none of that
-   * name.
+   * Returns the index, from 0, of the event loop that a tenant is assigned to, or -1 if there is no
+   * such tenant.
    */
   public CompletableFuture<Integer> loopOf(String id) {
     CompletableFuture<Integer> loopOf = new CompletableFuture<>();
