--- a/gateway/src/test/java/shelffront/tenant/TenantSleepTest.java
+++ b/gateway/src/test/java/shelffront/tenant/TenantSuspensionTest.java
@@ -26,17 +26,20 @@
 import shelffront.request.ClientRequest;
 import shelffront.routing.Router;
 
-/** A tenant without boxes, on a clock of the test's: when it sleeps and when it must not. */
-class TenantSleepTest {
+/**
+ * Tests when a tenant is suspended and resumed. The tenant has no endpoints, and the test sets the
+ * clock.
+ */
+class TenantSuspensionTest {
 
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
-  private final AtomicLong clock = new AtomicLong(1_800_000_000 * SECOND);
+  private final AtomicLong clock = new AtomicLong(1_800_000_000 * SECOND_MICROS);
   private final EventLoop loop = new EventLoop(clock::get, new Counters());
-  private final List<String> answers = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
   private Network network;
   private Tenant tenant;
-  private Thread turns;
+  private Thread loopThread;
 
   private final ClientHandle client =
       new ClientHandle() {
@@ -47,30 +50,30 @@
 
         @Override
         public void endWithError(ProtocolException why, CloseReason reason) {
-          answers.add("dismissed");
+          events.add("disconnected");
         }
       };
 
-  private final ClientRequest.ResponseListener asker =
+  private final ClientRequest.ResponseListener responseListener =
       new ClientRequest.ResponseListener() {
         @Override
         public void onServed(byte[] messages) {
-          answers.add("served");
+          events.add("served");
         }
 
         @Override
-        public void onRejected(long retryAfter) {
-          answers.add("refused");
+        public void onRejected(long retryAfterMicros) {
+          events.add("rejected");
         }
 
         @Override
         public void onUnavailable() {
-          answers.add("unavailable");
+          events.add("unavailable");
         }
 
         @Override
         public void onFailed() {
-          answers.add("failed");
+          events.add("failed");
         }
       };
 
@@ -92,7 +95,7 @@
             7,
             new ConnectionQuotas(10),
             new TenantQuotas(0, 10, loop.nowMicros()));
-    turns =
+    loopThread =
         new Thread(
             () -> {
               try {
@@ -101,23 +104,27 @@
                 Thread.currentThread().interrupt();
               }
             });
-    turns.start();
+    loopThread.start();
   }
 
   @AfterEach
   void stop() throws Exception {
     loop.post(loop::stop);
-    turns.join(10_000);
+    loopThread.join(10_000);
     network.channels().shutdown();
   }
 
-  /** Runs in a turn, after all that was due before it; gives the deadlines that are set then. */
-  private int turn(Runnable task) throws Exception {
+  /**
+   * Runs a task on the event loop and waits until the tasks and due deadlines that it caused have
+   * run. Returns the number of deadlines that are set afterwards.
+   */
+  private int runOnLoop(Runnable task) throws Exception {
     CompletableFuture<Integer> done = new CompletableFuture<>();
     loop.post(
         () -> {
           task.run();
-          // Two turns on: what the task and the deadlines due with it have posted is done by then.
+          // Completes two loop iterations later, after the tasks that were posted by this task and
+          // by the deadlines due with it.
           loop.post(
               () ->
                   loop.scheduleAt(
@@ -127,20 +134,23 @@
     return done.get(10, TimeUnit.SECONDS);
   }
 
-  private int later(long seconds) throws Exception {
-    clock.addAndGet(seconds * SECOND);
-    turn(() -> {});
-    return turn(() -> {});
+  /** Advances the clock, runs due deadlines and returns the number of deadlines set afterwards. */
+  private int advanceClock(long seconds) throws Exception {
+    clock.addAndGet(seconds * SECOND_MICROS);
+    runOnLoop(() -> {});
+    return runOnLoop(() -> {});
   }
 
-  private void ask(String id, long seconds) {
+  /** Sends a request whose deadline is this many seconds away. */
+  private void sendRequest(String id, long seconds) {
     try {
       Statement statement =
           Statement.parse(
               ("/* id=" + id + ",c=read,d=1,cluster=1 */ SELECT 1")
                   .getBytes(StandardCharsets.UTF_8));
       tenant.handle(
-          new ClientRequest(id, statement, 0, loop.nowMicros() + seconds * SECOND, asker),
+          new ClientRequest(
+              id, statement, 0, loop.nowMicros() + seconds * SECOND_MICROS, responseListener),
           "k",
           1,
           Router.UNKNOWN,
@@ -151,40 +161,41 @@
   }
 
   @Test
-  void itWakesWithItsFirstClientAndSleepsWithoutAny() throws Exception {
-    assertEquals(0, turn(() -> {}), "nothing before its first client");
-    assertTrue(turn(() -> tenant.onClientConnected(client)) > 0);
-    assertTrue(later(100) > 0, "awake as long as it has a client");
-    turn(() -> tenant.onClientClosed(client));
-    assertTrue(later(29) > 0);
-    assertEquals(0, later(2), "no timer is left");
-    assertTrue(turn(() -> tenant.onClientConnected(client)) > 0, "it wakes again");
-    turn(() -> ask("r1", 1));
-    later(2);
-    assertEquals(List.of("refused"), answers, "and answers");
+  void tenantIsResumedByItsFirstClientAndSuspendedWithoutClients() throws Exception {
+    assertEquals(0, runOnLoop(() -> {}), "no deadline is set before the first client connects");
+    assertTrue(runOnLoop(() -> tenant.onClientConnected(client)) > 0);
+    assertTrue(advanceClock(100) > 0, "the tenant is not suspended while it has a client");
+    runOnLoop(() -> tenant.onClientClosed(client));
+    assertTrue(advanceClock(29) > 0);
+    assertEquals(0, advanceClock(2), "a suspended tenant has no deadline");
+    assertTrue(runOnLoop(() -> tenant.onClientConnected(client)) > 0, "the tenant is resumed");
+    runOnLoop(() -> sendRequest("r1", 1));
+    advanceClock(2);
+    assertEquals(List.of("rejected"), events, "a resumed tenant responds to requests");
   }
 
   /**
-   * A client may have left while its attempt is still out: the tenant sleeps when that too is over.
+   * A client may disconnect while its request is still open. The tenant must not be suspended until
+   * the request has ended, and must be suspended afterwards.
    */
   @Test
-  void itDoesNotSleepOverAnOpenRequestNorForgetToSleepAfterIt() throws Exception {
-    turn(() -> tenant.onClientConnected(client));
-    turn(() -> ask("r1", 90));
-    turn(() -> tenant.onClientClosed(client));
-    assertTrue(later(31) > 0, "a request is open");
-    later(60);
-    assertEquals(List.of("refused"), answers);
-    assertEquals(0, later(31), "no timer is left");
+  void tenantWithOpenRequestIsSuspendedOnlyAfterTheRequestEnds() throws Exception {
+    runOnLoop(() -> tenant.onClientConnected(client));
+    runOnLoop(() -> sendRequest("r1", 90));
+    runOnLoop(() -> tenant.onClientClosed(client));
+    assertTrue(advanceClock(31) > 0, "the tenant is not suspended while a request is open");
+    advanceClock(60);
+    assertEquals(List.of("rejected"), events);
+    assertEquals(0, advanceClock(31), "a suspended tenant has no deadline");
   }
 
   @Test
-  void oneThatSleepsIsRemovedWithoutATrace() throws Exception {
-    turn(() -> tenant.onClientConnected(client));
-    turn(() -> tenant.onClientClosed(client));
-    assertEquals(0, later(31));
-    turn(() -> tenant.remove(2 * SECOND, () -> answers.add("gone")));
-    assertEquals(0, later(3));
-    assertEquals(List.of("gone"), answers);
+  void suspendedTenantIsRemovedWithoutRemainingDeadlines() throws Exception {
+    runOnLoop(() -> tenant.onClientConnected(client));
+    runOnLoop(() -> tenant.onClientClosed(client));
+    assertEquals(0, advanceClock(31));
+    runOnLoop(() -> tenant.remove(2 * SECOND_MICROS, () -> events.add("removed")));
+    assertEquals(0, advanceClock(3));
+    assertEquals(List.of("removed"), events);
   }
 }
