--- a/gateway/src/main/java/shelffront/request/ClientRequest.java
+++ b/gateway/src/main/java/shelffront/request/ClientRequest.java
@@ -41,7 +41,7 @@
   public final List<BackendAttempt> attempts = new ArrayList<>(2);
 
   /** Whether the final response was delivered or the client no longer waits for it. */
-  public boolean answered;
+  public boolean completed;
 
   /** Creates a request without attempts. */
   public ClientRequest(
--- a/gateway/src/main/java/shelffront/tenant/OpenRequests.java
+++ b/gateway/src/main/java/shelffront/tenant/OpenRequests.java
@@ -41,8 +41,8 @@
     return requestsById.isEmpty();
   }
 
-  boolean areAllAnswered() {
-    return requestsById.values().stream().allMatch(request -> request.answered);
+  boolean areAllCompleted() {
+    return requestsById.values().stream().allMatch(request -> request.completed);
   }
 
   /** Returns a copy, so that requests may end during the iteration. */
@@ -55,11 +55,11 @@
   }
 
   /** Completes the request with this id. Does nothing if it is not open or already completed. */
-  void answer(String requestId, Consumer<ClientRequest.ResponseListener> answer) {
+  void completeIfOpen(String requestId, Consumer<ClientRequest.ResponseListener> response) {
     ClientRequest request = requestsById.get(requestId);
-    if (request != null && !request.answered) {
-      request.answered = true;
-      complete(request, answer);
+    if (request != null && !request.completed) {
+      request.completed = true;
+      complete(request, response);
     }
   }
 
@@ -67,15 +67,15 @@
    * Delivers the final response of a request that the caller has marked as completed. All final
    * responses pass through this method, which also releases the request's place in the quota.
    */
-  void complete(ClientRequest request, Consumer<ClientRequest.ResponseListener> answer) {
+  void complete(ClientRequest request, Consumer<ClientRequest.ResponseListener> response) {
     admission.release();
-    answer.accept(request.responseListener);
+    response.accept(request.responseListener);
     removeIfFinished(request);
   }
 
   /** Removes a request that is completed and has no outstanding attempt. */
   void removeIfFinished(ClientRequest request) {
-    if (request.answered && request.attempts.stream().noneMatch(attempt -> attempt.outstanding)) {
+    if (request.completed && request.attempts.stream().noneMatch(attempt -> attempt.outstanding)) {
       requestsById.remove(request.id, request);
     }
   }
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -246,7 +246,7 @@
 
   private void checkDrained(long untilMicros) {
     long nowMicros = context.nowMicros();
-    if (!requests.areAllAnswered() && nowMicros < untilMicros) {
+    if (!requests.areAllCompleted() && nowMicros < untilMicros) {
       long nextCheckMicros = Math.min(untilMicros, nowMicros + DRAIN_CHECK_INTERVAL_MICROS);
       context.loop().scheduleAt(nextCheckMicros, () -> checkDrained(untilMicros));
       return;
@@ -261,12 +261,12 @@
   }
 
   private void endUnanswered(ClientRequest request) {
-    if (request.answered) {
+    if (request.completed) {
       return;
     }
     // Reported as a client disconnect, so that the router cancels outstanding attempts and does not
     // count the request any more.
-    request.answered = true;
+    request.completed = true;
     routing.onClientDisconnected(request.id);
     boolean harmless =
         request.attempts.isEmpty() || requestClasses().get(request.classIndex).isIdempotent();
@@ -379,8 +379,8 @@
 
   @Override
   public void onRequestAbandoned(ClientRequest request) {
-    if (requests.get(request.id) == request && !request.answered) {
-      request.answered = true;
+    if (requests.get(request.id) == request && !request.completed) {
+      request.completed = true;
       routing.onClientDisconnected(request.id);
       requests.complete(request, listener -> {});
     }
--- a/gateway/src/main/java/shelffront/tenant/TenantRouting.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRouting.java
@@ -113,8 +113,8 @@
     ClientRequest request = attempt.request;
     attempt.outstanding = false;
     context.network().counters().add(attemptCounter(response.status()));
-    if (response.status() == AttemptStatus.OK && !request.answered) {
-      request.answered = true;
+    if (response.status() == AttemptStatus.OK && !request.completed) {
+      request.completed = true;
       requests.complete(request, listener -> listener.onServed(response.messages()));
     }
     // Measured from the time the request was sent. The wait for a connection is excluded because it
@@ -127,7 +127,7 @@
             attempt.number,
             attempt.endpointId,
             response.status(),
-            request.answered,
+            request.completed,
             elapsedMicros,
             response.role(),
             response.positionMicros(),
@@ -174,7 +174,7 @@
     ClientRequest request = requests.get(requestId);
     BackendAttempt attempt = new BackendAttempt(request, endpointId, context.nowMicros());
     request.attempts.add(attempt);
-    if (request.answered || context.nowMicros() >= request.deadlineMicros) {
+    if (request.completed || context.nowMicros() >= request.deadlineMicros) {
       context
           .network()
           .post(() -> onAttemptEnded(attempt, BackendResponse.of(AttemptStatus.NOT_SENT)));
@@ -194,12 +194,12 @@
 
   @Override
   public void reject(String requestId, long retryAfterMicros) {
-    requests.answer(requestId, listener -> listener.onRejected(retryAfterMicros));
+    requests.completeIfOpen(requestId, listener -> listener.onRejected(retryAfterMicros));
   }
 
   @Override
   public void fail(String requestId) {
-    requests.answer(requestId, ClientRequest.ResponseListener::onFailed);
+    requests.completeIfOpen(requestId, ClientRequest.ResponseListener::onFailed);
   }
 
   /**
