--- a/gateway/src/main/java/shelffront/tenant/RequestAdmission.java
+++ b/gateway/src/main/java/shelffront/tenant/RequestAdmission.java
@@ -13,7 +13,7 @@
 final class RequestAdmission {
 
   /** Minimum Retry-After of a request that exceeds the tenant's own limits. */
-  private static final long BUSY_RETRY_AFTER_MICROS = 200_000;
+  private static final long MIN_RETRY_AFTER_MICROS = 200_000;
 
   private final TenantContext context;
   private final TenantQuotas quotas; // null if the tenant is the only one of the gateway
@@ -44,7 +44,7 @@
     long rateLimitWaitMicros = rateLimit.waitMicros(context.nowMicros());
     if (rateLimitWaitMicros > 0 || openRequests >= context.spec().bounds().openRequests()) {
       context.network().counters().add(Counters.Name.REFUSED_BY_LIMIT);
-      return Math.max(rateLimitWaitMicros, BUSY_RETRY_AFTER_MICROS);
+      return Math.max(rateLimitWaitMicros, MIN_RETRY_AFTER_MICROS);
     }
     long quotaWaitMicros = quota == null ? 0 : quotas.admit(quota, classIndex, context.nowMicros());
     if (quotaWaitMicros > 0) {
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -31,7 +31,7 @@
   private static final long DRAIN_CHECK_INTERVAL_MICROS = 20_000;
 
   /** Time without clients after which a tenant of a shared gateway is suspended. */
-  private static final long SUSPEND_AFTER_MICROS = 30_000_000;
+  private static final long SUSPENSION_DELAY_MICROS = 30_000_000;
 
   private final TenantContext context;
   private final long seed;
@@ -42,7 +42,7 @@
   private final Set<ClientHandle> clients = new LinkedHashSet<>();
   private TenantRouting routing; // null until the first client connects
   private Deadline suspension;
-  private Runnable whenRemoved;
+  private Runnable removalCallback;
   private boolean removalComplete; // all resources are released
 
   /** Current resource usage of a tenant, and its event counters since the start. */
@@ -101,7 +101,7 @@
    * Records that another router of this tenant may still accept writes, so that session reads cover
    * those writes until {@link #predecessorEnded} and afterwards.
    */
-  void awaitPredecessor() {
+  void predecessorStarted() {
     predecessor.begin();
   }
 
@@ -109,7 +109,7 @@
   void predecessorEnded() {
     predecessor.end(context.nowMicros());
     if (removalComplete) {
-      whenRemoved.run();
+      removalCallback.run();
     }
   }
 
@@ -139,7 +139,7 @@
       scheduleSuspension(); // open attempts end within their deadlines
       return;
     }
-    routing.endpoints().clearRouter();
+    routing.endpoints().removeEndpointsFromRouter();
     // The state must change before the connections are closed, because only then are the actions
     // ignored with which the router reacts to their closing.
     context.setState(TenantState.SUSPENDED);
@@ -148,7 +148,7 @@
 
   private void scheduleSuspension() {
     suspension =
-        context.loop().scheduleAt(context.nowMicros() + SUSPEND_AFTER_MICROS, this::suspend);
+        context.loop().scheduleAt(context.nowMicros() + SUSPENSION_DELAY_MICROS, this::suspend);
   }
 
   /**
@@ -219,11 +219,11 @@
    * Removes the tenant from service. New requests are rejected at once. Admitted requests may
    * finish within the grace period; those left after it are ended, and all resources are released.
    */
-  public void remove(long graceMicros, Runnable then) {
+  public void remove(long graceMicros, Runnable onRemoved) {
     if (context.state().isEnding()) {
       return;
     }
-    whenRemoved = then;
+    removalCallback = onRemoved;
     if (routing == null) {
       context.setState(TenantState.REMOVED);
       completeRemoval();
@@ -240,7 +240,7 @@
 
   private void endIfIdle(ClientHandle client) {
     if (client.isIdle()) {
-      client.endWithError(beingRemoved(), CloseReason.TENANT_GONE);
+      client.endWithError(removalError(), CloseReason.TENANT_GONE);
     }
   }
 
@@ -254,7 +254,7 @@
     context.setState(TenantState.REMOVED);
     requests.copy().forEach(this::endUnanswered);
     List.copyOf(clients)
-        .forEach(client -> client.endWithError(beingRemoved(), CloseReason.TENANT_GONE));
+        .forEach(client -> client.endWithError(removalError(), CloseReason.TENANT_GONE));
     close(CloseReason.TENANT_GONE);
     requests.clear();
     completeRemoval();
@@ -268,11 +268,11 @@
     // count the request any more.
     request.completed = true;
     routing.onClientDisconnected(request.id);
-    boolean harmless =
+    boolean safeToRepeat =
         request.attempts.isEmpty() || requestClasses().get(request.classIndex).isIdempotent();
     requests.complete(
         request,
-        harmless
+        safeToRepeat
             ? ClientRequest.ResponseListener::onUnavailable
             : ClientRequest.ResponseListener::onFailed);
   }
@@ -283,11 +283,11 @@
     // While the predecessor is active, the callback waits for its end. Otherwise a successor would
     // wait for this tenant but not for the predecessor.
     if (!predecessor.isRunning()) {
-      whenRemoved.run();
+      removalCallback.run();
     }
   }
 
-  private static ProtocolException beingRemoved() {
+  private static ProtocolException removalError() {
     return new ProtocolException(SqlState.CANNOT_CONNECT_NOW, "the database is being removed");
   }
 
@@ -311,7 +311,7 @@
   /** Throws the error to send to a new client if the tenant does not accept one now. */
   void checkAdmission() throws ProtocolException {
     if (context.state().isEnding()) {
-      throw beingRemoved();
+      throw removalError();
     }
     if (clients.size() >= context.spec().bounds().clientConnections()) {
       throw new ProtocolException(
--- a/gateway/src/main/java/shelffront/tenant/TenantEndpoints.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantEndpoints.java
@@ -24,7 +24,7 @@
    * Delay before a failed watch of a pushed list is reopened. It is short because the discovery
    * agent is nearby and a request to it is cheap.
    */
-  private static final long WATCH_RETRY_MICROS = 100_000;
+  private static final long WATCH_RETRY_DELAY_MICROS = 100_000;
 
   private final TenantContext context;
   private final Router router;
@@ -72,7 +72,7 @@
    * Removes all endpoints from the router, whose knowledge of them would be outdated by the time
    * the tenant is resumed.
    */
-  void clearRouter() {
+  void removeEndpointsFromRouter() {
     // With an empty list the router keeps the positions of sessions.
     router.onEndpoints(
         context.nowMicros(), EndpointUpdateKind.SNAPSHOT, list.revision(), List.of());
@@ -129,7 +129,9 @@
     if (context.spec().settings().endpointList().polled()) {
       router.onEndpoints(context.nowMicros(), EndpointUpdateKind.FAILED, 0, List.of());
     } else {
-      context.loop().scheduleAt(context.nowMicros() + WATCH_RETRY_MICROS, this::watchPushedList);
+      context
+          .loop()
+          .scheduleAt(context.nowMicros() + WATCH_RETRY_DELAY_MICROS, this::watchPushedList);
     }
   }
 
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -22,7 +22,7 @@
  */
 public final class TenantRegistry implements TenantLookup {
 
-  private static final byte[] HASH_OF_NO_KEY = new byte[32];
+  private static final byte[] DUMMY_KEY_HASH = new byte[32];
 
   private final Network network;
   private final TenantQuotas quotas;
@@ -85,7 +85,7 @@
    * the same id, which may still be draining here or is gone.
    */
   private void awaitPredecessor(Tenant next) {
-    next.awaitPredecessor();
+    next.predecessorStarted();
     Tenant before = null;
     for (Tenant each : draining.keySet()) {
       before = each.spec().id().equals(next.spec().id()) ? each : before;
@@ -106,7 +106,7 @@
   public Runnable migrateIn(TenantSpec spec) {
     apply(spec, atMicros -> {});
     Tenant arrived = tenants.get(spec.id());
-    arrived.awaitPredecessor();
+    arrived.predecessorStarted();
     return arrived::predecessorEnded;
   }
 
@@ -204,7 +204,7 @@
     }
     // Compares against a dummy hash and sends the same error, so that neither response time nor
     // message reveals whether the tenant exists.
-    if (tenant == null && ApiKeys.matches(HASH_OF_NO_KEY, password) || !known) {
+    if (tenant == null && ApiKeys.matches(DUMMY_KEY_HASH, password) || !known) {
       throw unknownDatabase();
     }
     tenant.checkAdmission();
