--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -278,7 +278,7 @@
   @Override
   public boolean lookUp(
       Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
-    String name = TenantRegistry.nameIn(startup);
+    String name = TenantRegistry.requestedTenantId(startup);
     if (tenantFinder == null || homes.containsKey(name)) {
       return false;
     }
@@ -297,7 +297,7 @@
 
   @Override
   public FrontendConnections connectionsFor(Map<String, String> startup, FrontendConnections here) {
-    Home home = homes.get(TenantRegistry.nameIn(startup));
+    Home home = homes.get(TenantRegistry.requestedTenantId(startup));
     if (home == null || members.size() == 1) {
       return here; // the first loop rejects clients of unknown tenants
     }
@@ -316,7 +316,7 @@
 
   @Override
   public void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {
-    Home home = homes.get(TenantRegistry.nameIn(startup));
+    Home home = homes.get(TenantRegistry.requestedTenantId(startup));
     // A tenant that was removed and added again has a new count, which does not include this
     // connection: the count of another loop is left alone, and no count falls below 0.
     if (home != null && clients.get(home.loopIndex) == there && home.clients > 0) {
--- a/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRegistry.java
@@ -52,13 +52,13 @@
   }
 
   /**
-   * Applies the specification of a new or changed tenant. {@code inForce} receives the time in
+   * Applies the specification of a new or changed tenant. {@code onInForce} receives the time in
    * microseconds from which no request is served under an older specification.
    */
-  public void apply(TenantSpec spec, LongConsumer inForce) {
-    Tenant running = tenants.get(spec.id());
-    if (running != null && running.update(spec)) {
-      inForce.accept(network.loop().nowMicros());
+  public void apply(TenantSpec spec, LongConsumer onInForce) {
+    Tenant current = tenants.get(spec.id());
+    if (current != null && current.update(spec)) {
+      onInForce.accept(network.loop().nowMicros());
       return;
     }
     Flow<Runnable> flow = new Flow<>(spec.weight());
@@ -70,30 +70,30 @@
             hostConnectionQuotas,
             quotas);
     tenants.put(spec.id(), next);
-    if (running == null) {
-      inForce.accept(network.loop().nowMicros());
+    if (current == null) {
+      onInForce.accept(network.loop().nowMicros());
     } else {
       // The change requires a new router. The new tenant takes all further requests, and the old
       // one completes its open requests.
-      startRemoval(running, spec.graceMicros(), inForce);
+      startRemoval(current, spec.graceMicros(), onInForce);
     }
-    awaitPredecessor(next);
+    linkPredecessor(next);
   }
 
   /**
    * Makes a new tenant cover the writes that sessions may have made through an earlier tenant of
    * the same id, which may still be draining here or is gone.
    */
-  private void awaitPredecessor(Tenant next) {
+  private void linkPredecessor(Tenant next) {
     next.predecessorStarted();
-    Tenant before = null;
+    Tenant predecessor = null;
     for (Tenant each : draining.keySet()) {
-      before = each.spec().id().equals(next.spec().id()) ? each : before;
+      predecessor = each.spec().id().equals(next.spec().id()) ? each : predecessor;
     }
-    if (before == null) {
+    if (predecessor == null) {
       next.predecessorEnded();
     } else {
-      draining.get(before).add(next::predecessorEnded);
+      draining.get(predecessor).add(next::predecessorEnded);
     }
   }
 
@@ -105,9 +105,9 @@
    */
   public Runnable migrateIn(TenantSpec spec) {
     apply(spec, atMicros -> {});
-    Tenant arrived = tenants.get(spec.id());
-    arrived.predecessorStarted();
-    return arrived::predecessorEnded;
+    Tenant migrated = tenants.get(spec.id());
+    migrated.predecessorStarted();
+    return migrated::predecessorEnded;
   }
 
   /** Whether a tenant has no client on this event loop. */
@@ -117,25 +117,25 @@
   }
 
   /**
-   * Removes a tenant from service. {@code gone} receives the time in microseconds at which the
+   * Removes a tenant from service. {@code onRemoved} receives the time in microseconds at which the
    * removal is complete.
    */
-  public void remove(String id, LongConsumer gone) {
+  public void remove(String id, LongConsumer onRemoved) {
     Tenant tenant = tenants.remove(id);
     if (tenant == null) {
-      gone.accept(network.loop().nowMicros());
+      onRemoved.accept(network.loop().nowMicros());
     } else {
-      startRemoval(tenant, tenant.spec().graceMicros(), gone);
+      startRemoval(tenant, tenant.spec().graceMicros(), onRemoved);
     }
   }
 
-  private void startRemoval(Tenant tenant, long graceMicros, LongConsumer gone) {
+  private void startRemoval(Tenant tenant, long graceMicros, LongConsumer onRemoved) {
     draining.put(tenant, new ArrayList<>());
     tenant.remove(
         graceMicros,
         () -> {
           draining.remove(tenant).forEach(Runnable::run);
-          gone.accept(network.loop().nowMicros());
+          onRemoved.accept(network.loop().nowMicros());
         });
   }
 
@@ -163,13 +163,13 @@
    * Returns the tenant id in a startup message: its database or, as in PostgreSQL, the user if no
    * database is given.
    */
-  public static String nameIn(Map<String, String> startup) {
+  public static String requestedTenantId(Map<String, String> startup) {
     String user = startup.getOrDefault("user", "");
     return startup.getOrDefault("database", user);
   }
 
   private Tenant tenantOf(Map<String, String> startup) {
-    return tenants.get(nameIn(startup));
+    return tenants.get(requestedTenantId(startup));
   }
 
   /**
