--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -46,46 +46,46 @@
   /**
    * Time without clients after which a tenant provided by distribution is no longer served here.
    */
-  private static final long FORGET_AFTER_MICROS = 600_000_000;
+  private static final long UNUSED_TENANT_TIMEOUT_MICROS = 600_000_000;
 
   private record LoopMember(Network network, TenantRegistry tenants) {}
 
   /** The assignment of a tenant to an event loop. */
-  private static final class Home {
+  private static final class LoopAssignment {
 
     private TenantSpec spec;
     private int loopIndex;
-    private int clients; // open connections handed over to that loop
+    private int clientConnections; // open connections handed over to that loop
 
     /** Time of the last check that found clients, or of the first check; 0 before any check. */
-    private long usedAtMicros;
+    private long lastUsedAtMicros;
 
-    private Home(TenantSpec spec, int loopIndex) {
+    private LoopAssignment(TenantSpec spec, int loopIndex) {
       this.spec = spec;
       this.loopIndex = loopIndex;
     }
   }
 
   private final List<LoopMember> members = new ArrayList<>();
-  private final List<FrontendConnections> clients = new ArrayList<>();
+  private final List<FrontendConnections> frontends = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
-  private final Map<String, Home> homes = new HashMap<>();
-  private final EventLoopPlacement placement;
+  private final Map<String, LoopAssignment> assignments = new HashMap<>();
+  private final EventLoopPlacement loopPlacement;
   private final Network firstNetwork;
   private final boolean[] drained;
   // Null if all tenants are known locally.
   private Function<String, CompletableFuture<Boolean>> tenantFinder;
-  private Consumer<String> tenantForgetter;
+  private Consumer<String> tenantEvictor;
 
   EventLoopGroup(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
       throws IOException {
-    SharedCapacity shares =
+    SharedCapacity sharedCapacity =
         new SharedCapacity(
             config.capacity().requestsPerSecond(),
             config.capacity().openRequests(),
             config.cores());
     ResourceBudget buffers = new ResourceBudget(config.bufferBytes());
-    ConnectionQuotas hostSockets =
+    ConnectionQuotas hostConnectionQuotas =
         new ConnectionQuotas(Gateway.hostConnectionLimit(config.sockets()));
     drained = new boolean[config.cores()];
     for (int i = 0; i < config.cores(); i++) {
@@ -95,13 +95,13 @@
       TenantRegistry tenants =
           new TenantRegistry(
               network,
-              new TenantQuotas(shares, i, loop.nowMicros()),
-              hostSockets,
+              new TenantQuotas(sharedCapacity, i, loop.nowMicros()),
+              hostConnectionQuotas,
               environment.seed() + ((long) i << 20));
       members.add(new LoopMember(network, tenants));
     }
     Network first = members.get(0).network();
-    placement = new EventLoopPlacement(members.size(), first.loop().nowMicros());
+    loopPlacement = new EventLoopPlacement(members.size(), first.loop().nowMicros());
     firstNetwork =
         members.size() == 1 ? first : first.withChannels(environment.channels().on(members.size()));
   }
@@ -119,10 +119,10 @@
   /**
    * Sets the listener's connections as those of the first loop, and creates those of the others.
    */
-  void serveBehind(FrontendConnections listening) {
-    clients.add(listening);
+  void addFrontends(FrontendConnections firstFrontend) {
+    frontends.add(firstFrontend);
     for (LoopMember member : members.subList(1, members.size())) {
-      clients.add(new FrontendConnections(member.network(), member.tenants()));
+      frontends.add(new FrontendConnections(member.network(), member.tenants()));
     }
   }
 
@@ -164,45 +164,45 @@
   // ---- Tenants
   // --------------------------------------------------------------------------------
 
-  void apply(TenantSpec spec, LongConsumer inForce) {
-    Home home = homes.get(spec.id());
-    if (home == null) {
-      home = new Home(spec, placement.placeNew(spec.weight()));
-      homes.put(spec.id(), home);
+  void apply(TenantSpec spec, LongConsumer onInForce) {
+    LoopAssignment assignment = assignments.get(spec.id());
+    if (assignment == null) {
+      assignment = new LoopAssignment(spec, loopPlacement.placeNew(spec.weight()));
+      assignments.put(spec.id(), assignment);
     }
-    home.spec = spec;
-    TenantRegistry there = members.get(home.loopIndex).tenants();
-    runOn(home.loopIndex, () -> there.apply(spec, inForce));
+    assignment.spec = spec;
+    TenantRegistry registry = members.get(assignment.loopIndex).tenants();
+    runOn(assignment.loopIndex, () -> registry.apply(spec, onInForce));
   }
 
-  void remove(String id, LongConsumer gone) {
-    Home home = homes.remove(id);
-    if (home == null) {
-      gone.accept(firstNetwork.loop().nowMicros());
+  void remove(String id, LongConsumer onRemoved) {
+    LoopAssignment assignment = assignments.remove(id);
+    if (assignment == null) {
+      onRemoved.accept(firstNetwork.loop().nowMicros());
       return;
     }
-    placement.remove(home.loopIndex, home.spec.weight());
-    TenantRegistry there = members.get(home.loopIndex).tenants();
-    runOn(home.loopIndex, () -> there.remove(id, gone));
+    loopPlacement.remove(assignment.loopIndex, assignment.spec.weight());
+    TenantRegistry registry = members.get(assignment.loopIndex).tenants();
+    runOn(assignment.loopIndex, () -> registry.remove(id, onRemoved));
   }
 
   /**
    * Passes the usage of a tenant to the callback, on the tenant's loop; null if there is no such
    * tenant.
    */
-  void usage(String id, Consumer<Tenant.Usage> told) {
-    Home home = homes.get(id);
-    if (home == null) {
-      told.accept(null);
+  void usage(String id, Consumer<Tenant.Usage> callback) {
+    LoopAssignment assignment = assignments.get(id);
+    if (assignment == null) {
+      callback.accept(null);
       return;
     }
-    TenantRegistry there = members.get(home.loopIndex).tenants();
-    runOn(home.loopIndex, () -> told.accept(there.usage(id)));
+    TenantRegistry registry = members.get(assignment.loopIndex).tenants();
+    runOn(assignment.loopIndex, () -> callback.accept(registry.usage(id)));
   }
 
   int loopOf(String id) {
-    Home home = homes.get(id);
-    return home == null ? -1 : home.loopIndex;
+    LoopAssignment assignment = assignments.get(id);
+    return assignment == null ? -1 : assignment.loopIndex;
   }
 
   /** Runs a task at once if it is for the first loop, otherwise posts it to its loop. */
@@ -220,7 +220,7 @@
         CompletableFuture.completedFuture(
             new MultiTenantGateway.HeldResources(0, 0, new Counters()));
     for (LoopMember member : members) {
-      CompletableFuture<MultiTenantGateway.HeldResources> one = new CompletableFuture<>();
+      CompletableFuture<MultiTenantGateway.HeldResources> resources = new CompletableFuture<>();
       Network network = member.network();
       network
           .loop()
@@ -228,18 +228,18 @@
               () -> {
                 Counters copy = new Counters();
                 copy.addAll(network.counters());
-                one.complete(
+                resources.complete(
                     new MultiTenantGateway.HeldResources(
                         network.loop().deadlineCount(), network.budget().held(), copy));
               });
       sum =
           sum.thenCombine(
-              one,
-              (total, ofOneLoop) -> {
-                total.counters().addAll(ofOneLoop.counters());
+              resources,
+              (total, loopResources) -> {
+                total.counters().addAll(loopResources.counters());
                 return new MultiTenantGateway.HeldResources(
-                    total.deadlines() + ofOneLoop.deadlines(),
-                    ofOneLoop.bufferBytes(),
+                    total.deadlines() + loopResources.deadlines(),
+                    loopResources.bufferBytes(),
                     total.counters());
               });
     }
@@ -250,36 +250,39 @@
    * Enables the lookup of unknown tenants and the eviction of unused ones.
    *
    * @param finder looks up a tenant by id and completes with whether it exists; must not block
-   * @param forgetter receives the id of each tenant without clients for {@link
-   *     #FORGET_AFTER_MICROS}
+   * @param evictor receives the id of each tenant without clients for {@link
+   *     #UNUSED_TENANT_TIMEOUT_MICROS}
    */
-  void lookUpWith(Function<String, CompletableFuture<Boolean>> finder, Consumer<String> forgetter) {
+  void enableLookup(Function<String, CompletableFuture<Boolean>> finder, Consumer<String> evictor) {
     tenantFinder = finder;
-    tenantForgetter = forgetter;
-    firstNetwork.loop().post(this::forgetUnused);
+    tenantEvictor = evictor;
+    firstNetwork.loop().post(this::evictUnused);
   }
 
-  private void forgetUnused() {
+  private void evictUnused() {
     long now = firstNetwork.loop().nowMicros();
     List<String> unused = new ArrayList<>();
-    homes.forEach(
-        (id, home) -> {
-          boolean alone =
-              home.loopIndex == 0 ? members.get(0).tenants().hasNoClients(id) : home.clients == 0;
-          home.usedAtMicros = alone && home.usedAtMicros > 0 ? home.usedAtMicros : now;
-          if (now - home.usedAtMicros > FORGET_AFTER_MICROS) {
+    assignments.forEach(
+        (id, assignment) -> {
+          boolean hasNoClients =
+              assignment.loopIndex == 0
+                  ? members.get(0).tenants().hasNoClients(id)
+                  : assignment.clientConnections == 0;
+          assignment.lastUsedAtMicros =
+              hasNoClients && assignment.lastUsedAtMicros > 0 ? assignment.lastUsedAtMicros : now;
+          if (now - assignment.lastUsedAtMicros > UNUSED_TENANT_TIMEOUT_MICROS) {
             unused.add(id);
           }
         });
-    unused.forEach(tenantForgetter);
-    firstNetwork.loop().scheduleAt(now + FORGET_AFTER_MICROS / 10, this::forgetUnused);
+    unused.forEach(tenantEvictor);
+    firstNetwork.loop().scheduleAt(now + UNUSED_TENANT_TIMEOUT_MICROS / 10, this::evictUnused);
   }
 
   @Override
   public boolean lookUp(
       Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
     String name = TenantRegistry.requestedTenantId(startup);
-    if (tenantFinder == null || homes.containsKey(name)) {
+    if (tenantFinder == null || assignments.containsKey(name)) {
       return false;
     }
     tenantFinder
@@ -297,62 +300,65 @@
 
   @Override
   public FrontendConnections connectionsFor(Map<String, String> startup, FrontendConnections here) {
-    Home home = homes.get(TenantRegistry.requestedTenantId(startup));
-    if (home == null || members.size() == 1) {
+    LoopAssignment assignment = assignments.get(TenantRegistry.requestedTenantId(startup));
+    if (assignment == null || members.size() == 1) {
       return here; // the first loop rejects clients of unknown tenants
     }
-    boolean alone =
-        home.clients == 0
-            && (home.loopIndex > 0 || members.get(0).tenants().hasNoClients(home.spec.id()));
-    if (alone) {
-      placeActivated(home);
+    boolean hasNoClients =
+        assignment.clientConnections == 0
+            && (assignment.loopIndex > 0
+                || members.get(0).tenants().hasNoClients(assignment.spec.id()));
+    if (hasNoClients) {
+      reassignResumed(assignment);
     }
-    if (home.loopIndex == 0) {
+    if (assignment.loopIndex == 0) {
       return here;
     }
-    home.clients++;
-    return clients.get(home.loopIndex);
+    assignment.clientConnections++;
+    return frontends.get(assignment.loopIndex);
   }
 
   @Override
   public void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {
-    Home home = homes.get(TenantRegistry.requestedTenantId(startup));
+    LoopAssignment assignment = assignments.get(TenantRegistry.requestedTenantId(startup));
     // A tenant that was removed and added again has a new count, which does not include this
     // connection: the count of another loop is left alone, and no count falls below 0.
-    if (home != null && clients.get(home.loopIndex) == there && home.clients > 0) {
-      home.clients--;
+    if (assignment != null
+        && frontends.get(assignment.loopIndex) == there
+        && assignment.clientConnections > 0) {
+      assignment.clientConnections--;
     }
   }
 
   /**
    * Assigns a loop to a tenant whose first client connects, and migrates the tenant if it changes.
    */
-  private void placeActivated(Home home) {
-    long[] worked = new long[members.size()];
-    for (int i = 0; i < worked.length; i++) {
-      worked[i] = loop(i).busyMicros();
+  private void reassignResumed(LoopAssignment assignment) {
+    long[] busyMicros = new long[members.size()];
+    for (int i = 0; i < busyMicros.length; i++) {
+      busyMicros[i] = loop(i).busyMicros();
     }
-    placement.recordBusyTime(worked, firstNetwork.loop().nowMicros());
-    int oldLoopIndex = home.loopIndex;
-    home.loopIndex = placement.placeResumed(oldLoopIndex, home.spec.weight());
-    if (home.loopIndex == oldLoopIndex) {
+    loopPlacement.recordBusyTime(busyMicros, firstNetwork.loop().nowMicros());
+    int oldLoopIndex = assignment.loopIndex;
+    assignment.loopIndex = loopPlacement.placeResumed(oldLoopIndex, assignment.spec.weight());
+    if (assignment.loopIndex == oldLoopIndex) {
       return;
     }
-    TenantSpec spec = home.spec;
-    TenantRegistry left = members.get(oldLoopIndex).tenants();
-    TenantRegistry next = members.get(home.loopIndex).tenants();
-    int newLoopIndex = home.loopIndex;
+    TenantSpec spec = assignment.spec;
+    TenantRegistry oldRegistry = members.get(oldLoopIndex).tenants();
+    TenantRegistry newRegistry = members.get(assignment.loopIndex).tenants();
+    int newLoopIndex = assignment.loopIndex;
     firstNetwork
         .log()
         .println(
             "tenant " + spec.id() + " moves from loop " + oldLoopIndex + " to " + newLoopIndex);
-    CompletableFuture<Runnable> arrived = new CompletableFuture<>();
-    runOn(newLoopIndex, () -> arrived.complete(next.migrateIn(spec)));
+    CompletableFuture<Runnable> migrated = new CompletableFuture<>();
+    runOn(newLoopIndex, () -> migrated.complete(newRegistry.migrateIn(spec)));
     runOn(
         oldLoopIndex,
         () ->
-            left.remove(
-                spec.id(), atMicros -> arrived.thenAccept(over -> loop(newLoopIndex).post(over))));
+            oldRegistry.remove(
+                spec.id(), atMicros -> migrated.thenAccept(task -> loop(newLoopIndex).post(task))));
   }
 
   @Override
@@ -385,9 +391,9 @@
       loop(i)
           .post(
               () -> {
-                clients.get(loopIndex).drain();
+                frontends.get(loopIndex).drain();
                 boolean empty =
-                    clients.get(loopIndex).isEmpty()
+                    frontends.get(loopIndex).isEmpty()
                         && members.get(loopIndex).tenants().hasNoOpenRequests();
                 firstNetwork.loop().post(() -> drained[loopIndex] = empty);
               });
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
@@ -71,12 +71,12 @@
       gateway =
           new Gateway(
               network, config.listen(), config.sockets(), loops, loops::isDrained, loops::close);
-      loops.serveBehind(gateway.clients());
+      loops.addFrontends(gateway.clients());
       administration.start();
       addMissingTenants(config);
       if (fleetTenants != null) {
         fleetTenants.onInForceUpTo(administration::recordInForceUpTo);
-        loops.lookUpWith(fleetTenants::lookUp, fleetTenants::forget);
+        loops.enableLookup(fleetTenants::lookUp, fleetTenants::forget);
       }
       rollouts = config.fleet() == null ? null : rolloutCoordinator(config.fleet(), log);
       adminServer =
@@ -252,13 +252,13 @@
   }
 
   @Override
-  public void apply(TenantSpec spec, LongConsumer inForce) {
-    loop.post(() -> loops.apply(spec, inForce));
+  public void apply(TenantSpec spec, LongConsumer onInForce) {
+    loop.post(() -> loops.apply(spec, onInForce));
   }
 
   @Override
-  public void remove(String id, LongConsumer gone) {
-    loop.post(() -> loops.remove(id, gone));
+  public void remove(String id, LongConsumer onRemoved) {
+    loop.post(() -> loops.remove(id, onRemoved));
   }
 
   @Override
