--- a/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
@@ -29,30 +29,30 @@
 final class FleetTenantDocuments implements TenantDocuments {
 
   /** Prefix of the record name of a tenant, followed by its id. */
-  static final String PREFIX = "tenant/";
+  static final String RECORD_NAME_PREFIX = "tenant/";
 
   private static final int MAX_AUDIT_ENTRIES = 10_000;
 
-  private final ChangeStore engine; // null if this gateway has no access to it
+  private final ChangeStore changeStore; // null if this gateway has no access to it
   private final SubscribedRecords records;
   private final ArrayDeque<AuditEntry> auditEntries = new ArrayDeque<>();
 
-  FleetTenantDocuments(ChangeStore engine, SubscribedRecords records) {
-    this.engine = engine;
+  FleetTenantDocuments(ChangeStore changeStore, SubscribedRecords records) {
+    this.changeStore = changeStore;
     this.records = records;
   }
 
-  private ChangeStore engine() throws NoEngine {
-    if (engine == null) {
+  private ChangeStore changeStore() throws NoEngine {
+    if (changeStore == null) {
       throw new NoEngine();
     }
-    return engine;
+    return changeStore;
   }
 
   private static Entry entry(RecordChange record) {
     try {
       return new Entry(
-          record.name().substring(PREFIX.length()),
+          record.name().substring(RECORD_NAME_PREFIX.length()),
           record.version().sequence(),
           TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
     } catch (SpecException e) {
@@ -63,14 +63,14 @@
 
   @Override
   public Entry get(String id) throws OperatorException {
-    RecordChange record = engine().record(PREFIX + id);
+    RecordChange record = changeStore().record(RECORD_NAME_PREFIX + id);
     return record == null ? null : entry(record);
   }
 
   @Override
   public List<Entry> all() throws OperatorException {
-    return engine().readAll().snapshot().records().stream()
-        .filter(record -> record.name().startsWith(PREFIX))
+    return changeStore().readAll().snapshot().records().stream()
+        .filter(record -> record.name().startsWith(RECORD_NAME_PREFIX))
         .map(FleetTenantDocuments::entry)
         .toList();
   }
@@ -81,9 +81,9 @@
       throws ConflictException, OperatorException {
     try {
       Version version =
-          engine()
+          changeStore()
               .write(
-                  PREFIX + id,
+                  RECORD_NAME_PREFIX + id,
                   expected,
                   document == null ? null : document.toString(),
                   records.version());
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -28,10 +28,11 @@
 final class FleetTenants implements SubscribedRecords.RecordApplier, AutoCloseable {
 
   private final TenantAdministration.TenantControl control;
-  private final ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(1, "fleet-records");
+  private final ScheduledThreadPoolExecutor executor =
+      DistributorProcess.newTimer(1, "fleet-records");
   private final SubscribedRecords records;
-  private final ChangeStore engine; // null if this gateway cannot change tenants
-  private volatile LongConsumer reached = sequence -> {};
+  private final ChangeStore changeStore; // null if this gateway cannot change tenants
+  private volatile LongConsumer inForceListener = sequence -> {};
 
   FleetTenants(
       SubscribedRecordsConfig config, TenantAdministration.TenantControl control, EventLog log) {
@@ -41,16 +42,17 @@
             config,
             this,
             SubscribedRecords.httpClient(config.timings()),
-            timer,
+            executor,
             () -> System.nanoTime() / 1000,
             new Random(),
             log);
-    engine = config.engineAddress() == null ? null : DistributorProcess.openChangeStore(config);
+    changeStore =
+        config.engineAddress() == null ? null : DistributorProcess.openChangeStore(config);
   }
 
   /** Sets the listener for the sequence number up to which every change is in force here. */
-  void onInForceUpTo(LongConsumer told) {
-    reached = told;
+  void setInForceListener(LongConsumer listener) {
+    inForceListener = listener;
   }
 
   void start() {
@@ -62,7 +64,7 @@
    * throw {@link NoEngine} if this gateway has no access to the coordination store.
    */
   TenantDocuments documents() {
-    return new FleetTenantDocuments(engine, records);
+    return new FleetTenantDocuments(changeStore, records);
   }
 
   SubscribedRecords.Status status() {
@@ -74,10 +76,10 @@
    * data.
    */
   Version beginIncarnation() throws CoordinationException, NoEngine {
-    if (engine == null) {
+    if (changeStore == null) {
       throw new NoEngine();
     }
-    return engine.beginIncarnation();
+    return changeStore.beginIncarnation();
   }
 
   /**
@@ -88,7 +90,7 @@
   CompletableFuture<Boolean> lookUp(String id) {
     return id.matches(TenantSpecCodec.NAME)
         ? CompletableFuture.supplyAsync(
-                () -> records.lookUp(FleetTenantDocuments.PREFIX + id), timer)
+                () -> records.lookUp(FleetTenantDocuments.RECORD_NAME_PREFIX + id), executor)
             .thenCompose(found -> found)
         : CompletableFuture.completedFuture(false);
   }
@@ -96,8 +98,8 @@
   /**
    * Unsubscribes from a tenant that no client uses. Never blocks, so that an event loop may call.
    */
-  void forget(String id) {
-    timer.execute(() -> records.unsubscribe(FleetTenantDocuments.PREFIX + id));
+  void unsubscribe(String id) {
+    executor.execute(() -> records.unsubscribe(FleetTenantDocuments.RECORD_NAME_PREFIX + id));
   }
 
   @Override
@@ -105,7 +107,7 @@
     try {
       TenantSpec spec =
           TenantSpecCodec.read(TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
-      if (!record.name().equals(FleetTenantDocuments.PREFIX + spec.id())) {
+      if (!record.name().equals(FleetTenantDocuments.RECORD_NAME_PREFIX + spec.id())) {
         return "/id must match the record name " + record.name() + ", but is " + spec.id();
       }
       control.apply(spec, at -> {});
@@ -117,20 +119,20 @@
 
   @Override
   public void remove(String name) {
-    control.remove(name.substring(FleetTenantDocuments.PREFIX.length()), at -> {});
+    control.remove(name.substring(FleetTenantDocuments.RECORD_NAME_PREFIX.length()), at -> {});
   }
 
   @Override
   public void onVersionReached(Version version) {
-    reached.accept(version.sequence());
+    inForceListener.accept(version.sequence());
   }
 
   @Override
   public void close() {
     records.close();
-    timer.shutdownNow();
-    if (engine != null) {
-      engine.close();
+    executor.shutdownNow();
+    if (changeStore != null) {
+      changeStore.close();
     }
   }
 }
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantGateway.java
@@ -67,7 +67,7 @@
       tokens = new AdminTokens(store, System::currentTimeMillis);
       fleetTenants =
           config.distribution() == null ? null : new FleetTenants(config.distribution(), this, log);
-      administration = administration();
+      administration = createAdministration();
       gateway =
           new Gateway(
               network, config.listen(), config.sockets(), loops, loops::isDrained, loops::close);
@@ -75,10 +75,10 @@
       administration.start();
       addMissingTenants(config);
       if (fleetTenants != null) {
-        fleetTenants.onInForceUpTo(administration::recordInForceUpTo);
-        loops.enableLookup(fleetTenants::lookUp, fleetTenants::forget);
+        fleetTenants.setInForceListener(administration::recordInForceUpTo);
+        loops.enableLookup(fleetTenants::lookUp, fleetTenants::unsubscribe);
       }
-      rollouts = config.fleet() == null ? null : rolloutCoordinator(config.fleet(), log);
+      rollouts = config.fleet() == null ? null : createRolloutCoordinator(config.fleet(), log);
       adminServer =
           config.admin() == null
               ? null
@@ -99,7 +99,7 @@
     }
   }
 
-  private TenantAdministration administration() {
+  private TenantAdministration createAdministration() {
     TenantDocuments records =
         fleetTenants == null ? TenantDocuments.in(store) : fleetTenants.documents();
     return new TenantAdministration(records, this, System::currentTimeMillis);
@@ -109,16 +109,16 @@
    * Creates the rollout coordinator. Calls to the coordination store time out after a quarter of
    * the lease duration, which leaves time to retry a failed renewal before the lease expires.
    */
-  private static RolloutCoordinator rolloutCoordinator(RolloutConfig fleet, EventLog log)
+  private static RolloutCoordinator createRolloutCoordinator(RolloutConfig fleet, EventLog log)
       throws IOException {
-    CoordinationStore engine =
+    CoordinationStore coordinationStore =
         new ConsulCoordinationStore(
             fleet.engineHost(),
             fleet.enginePort(),
             Duration.of(fleet.leaseTimings().leaseMicros() / 4, ChronoUnit.MICROS));
     return new RolloutCoordinator(
         fleet,
-        engine,
+        coordinationStore,
         UUID.randomUUID().toString().substring(0, 8),
         RolloutHistory.appendingTo(fleet.historyFile()),
         log);
