--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -91,7 +91,7 @@
     for (int i = 0; i < config.cores(); i++) {
       Counters counters = new Counters();
       EventLoop loop = new EventLoop(environment.clock(), counters);
-      Network network = Network.open(loop, environment.channels().on(1), buffers, counters, log);
+      Network network = Network.open(loop, environment.channels().open(1), buffers, counters, log);
       TenantRegistry tenants =
           new TenantRegistry(
               network,
@@ -103,7 +103,9 @@
     Network first = members.get(0).network();
     loopPlacement = new EventLoopPlacement(members.size(), first.loop().nowMicros());
     firstNetwork =
-        members.size() == 1 ? first : first.withChannels(environment.channels().on(members.size()));
+        members.size() == 1
+            ? first
+            : first.withChannels(environment.channels().open(members.size()));
   }
 
   /** Returns the network of the first loop, which the listener uses. */
--- a/gateway/src/main/java/shelffront/multitenant/GatewayEnvironment.java
+++ b/gateway/src/main/java/shelffront/multitenant/GatewayEnvironment.java
@@ -13,13 +13,13 @@
  * @param channels creates the channels of the event loops
  * @param seed random seed of the routers
  */
-public record GatewayEnvironment(LongSupplier clock, Source channels, long seed) {
+public record GatewayEnvironment(LongSupplier clock, ChannelsFactory channels, long seed) {
 
   /** Creates channels. */
-  public interface Source {
+  public interface ChannelsFactory {
 
     /** Returns channels whose completion handlers run on this number of threads. */
-    Channels on(int threads) throws IOException;
+    Channels open(int threads) throws IOException;
   }
 
   /** Returns an environment with the clock and sockets of this machine. */
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
@@ -40,7 +40,7 @@
     RolloutConfig fleet,
     SubscribedRecordsConfig distribution) {
 
-  private static final Set<String> NAMES =
+  private static final Set<String> FIELDS =
       Set.of(
           "listen",
           "admin",
@@ -52,7 +52,7 @@
           "tenants",
           "fleet",
           "distribution");
-  private static final Set<String> CAPACITY_NAMES = Set.of("requestsPerSecond", "openRequests");
+  private static final Set<String> CAPACITY_FIELDS = Set.of("requestsPerSecond", "openRequests");
 
   /**
    * Capacity that is divided among all tenants by weight.
@@ -80,17 +80,17 @@
    *
    * @throws SpecException with the pointer to the first invalid field
    */
-  public static MultiTenantConfig read(JsonNode top) throws SpecException {
-    if (!top.isObject()) {
+  public static MultiTenantConfig read(JsonNode document) throws SpecException {
+    if (!document.isObject()) {
       throw new SpecException("", "expected a JSON object");
     }
-    TenantSpecCodec.onlyFields(top, "", NAMES);
-    JsonNode capacity = top.path("capacity");
-    TenantSpecCodec.onlyFields(capacity, "/capacity", CAPACITY_NAMES);
+    TenantSpecCodec.onlyFields(document, "", FIELDS);
+    JsonNode capacity = document.path("capacity");
+    TenantSpecCodec.onlyFields(capacity, "/capacity", CAPACITY_FIELDS);
     List<JsonNode> tenants = new ArrayList<>();
     List<String> ids = new ArrayList<>();
-    for (JsonNode tenant : top.path("tenants")) {
-      String at = "/tenants/" + tenants.size();
+    for (JsonNode tenant : document.path("tenants")) {
+      String pointer = "/tenants/" + tenants.size();
       try {
         String id = TenantSpecCodec.read(tenant).id();
         if (ids.contains(id)) {
@@ -98,59 +98,59 @@
         }
         ids.add(id);
       } catch (SpecException e) {
-        throw new SpecException(at + e.pointer(), e.getMessage());
+        throw new SpecException(pointer + e.pointer(), e.getMessage());
       }
       tenants.add(tenant);
     }
-    if (top.has("distribution") && !tenants.isEmpty()) {
+    if (document.has("distribution") && !tenants.isEmpty()) {
       throw new SpecException(
           "/tenants",
           "must be empty if \"distribution\" is set; add tenants through the administration API");
     }
-    if (!top.path("store").isMissingNode() && !top.path("store").isTextual()) {
+    if (!document.path("store").isMissingNode() && !document.path("store").isTextual()) {
       throw new SpecException(
-          "/store", "must be a string with the path of a file, but is " + top.path("store"));
+          "/store", "must be a string with the path of a file, but is " + document.path("store"));
     }
     return new MultiTenantConfig(
-        address(top, "listen"),
-        top.has("admin") ? address(top, "admin") : null,
-        top.has("store") ? Path.of(top.path("store").asText()) : null,
-        (int) number(top, "", "cores", 1, 64, 1),
-        (int) number(top, "", "sockets", 64, 1_000_000, 1024),
-        (long) number(top, "", "bufferBytes", 1 << 20, 1L << 40, 64L << 20),
+        address(document, "listen"),
+        document.has("admin") ? address(document, "admin") : null,
+        document.has("store") ? Path.of(document.path("store").asText()) : null,
+        (int) number(document, "", "cores", 1, 64, 1),
+        (int) number(document, "", "sockets", 64, 1_000_000, 1024),
+        (long) number(document, "", "bufferBytes", 1 << 20, 1L << 40, 64L << 20),
         new Capacity(
             number(capacity, "/capacity", "requestsPerSecond", 0, 1e7, 0),
             (int) number(capacity, "/capacity", "openRequests", 1, 1e7, 2000)),
         List.copyOf(tenants),
-        top.has("fleet") ? RolloutConfig.read(top.path("fleet"), "/fleet") : null,
-        top.has("distribution")
-            ? SubscribedRecordsConfig.read(top.path("distribution"), "/distribution")
+        document.has("fleet") ? RolloutConfig.read(document.path("fleet"), "/fleet") : null,
+        document.has("distribution")
+            ? SubscribedRecordsConfig.read(document.path("distribution"), "/distribution")
             : null);
   }
 
   private static double number(
-      JsonNode object, String at, String name, double least, double most, double absent)
+      JsonNode object, String pointer, String name, double min, double max, double defaultValue)
       throws SpecException {
     JsonNode value = object.path(name);
     if (value.isMissingNode()) {
-      return absent;
+      return defaultValue;
     }
-    if (!value.isNumber() || value.asDouble() < least || value.asDouble() > most) {
+    if (!value.isNumber() || value.asDouble() < min || value.asDouble() > max) {
       throw new SpecException(
-          at + "/" + name,
-          "must be a number from " + (long) least + " to " + (long) most + ", but is " + value);
+          pointer + "/" + name,
+          "must be a number from " + (long) min + " to " + (long) max + ", but is " + value);
     }
     return value.asDouble();
   }
 
-  private static InetSocketAddress address(JsonNode top, String name) throws SpecException {
+  private static InetSocketAddress address(JsonNode document, String name) throws SpecException {
     try {
-      return GatewayConfig.parseAddress(top.path(name).asText());
+      return GatewayConfig.parseAddress(document.path(name).asText());
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException(
           "/" + name,
           "expected an IP address and port such as 127.0.0.1:5432, but found \""
-              + top.path(name).asText()
+              + document.path(name).asText()
               + "\"");
     }
   }
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -122,17 +122,17 @@
   /**
    * Rejects unknown fields.
    *
-   * @param at pointer to the object
+   * @param pointer pointer to the object
    * @param names the permitted field names
    * @throws SpecException with the pointer to the first field that has none of these names
    */
-  public static void onlyFields(JsonNode object, String at, Set<String> names)
+  public static void onlyFields(JsonNode object, String pointer, Set<String> names)
       throws SpecException {
-    for (Iterator<String> each = object.fieldNames(); each.hasNext(); ) {
-      String name = each.next();
+    for (Iterator<String> fieldNames = object.fieldNames(); fieldNames.hasNext(); ) {
+      String name = fieldNames.next();
       if (!names.contains(name)) {
         throw new SpecException(
-            at + "/" + name, "is not a known field; known fields are " + new TreeSet<>(names));
+            pointer + "/" + name, "is not a known field; known fields are " + new TreeSet<>(names));
       }
     }
   }
