--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -353,7 +353,12 @@
     firstNetwork
         .log()
         .println(
-            "tenant " + spec.id() + " moves from loop " + oldLoopIndex + " to " + newLoopIndex);
+            "event loops: migrating tenant "
+                + spec.id()
+                + " from loop "
+                + oldLoopIndex
+                + " to loop "
+                + newLoopIndex);
     CompletableFuture<Runnable> migrated = new CompletableFuture<>();
     runOn(newLoopIndex, () -> migrated.complete(newRegistry.migrateIn(spec)));
     runOn(
--- a/gateway/src/main/java/shelffront/tenant/TenantRouting.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantRouting.java
@@ -258,6 +258,6 @@
   @Override
   public void log(String text) {
     String tenantId = context.network().tenantId();
-    context.network().log().println("module " + (tenantId.isEmpty() ? "" : tenantId + " ") + text);
+    context.network().log().println("router " + (tenantId.isEmpty() ? "" : tenantId + " ") + text);
   }
 }
