--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -30,99 +30,105 @@
 import shelffront.tenant.TenantSpec;
 
 /**
- * The event loops of a hosted gateway. The first has the listener and knows where each tenant
- * lives; a connection is handed over once it has named its tenant. A tenant's connections,
- * requests, module and timers are all on its own loop, and no loop waits for another: they post to
- * each other.
+ * The event loops of a multi-tenant gateway. The first loop owns the listener and the assignment of
+ * tenants to loops. A connection is handed over to the loop of its tenant once the startup message
+ * has named the tenant. The connections, requests, router and timers of a tenant are confined to
+ * its loop. Loops never wait for each other but post tasks to each other.
  *
- * <p>A tenant that wakes, with no client anywhere, may be given another home. There a new module
- * serves it, and until the one before has ended its work, and for what was written before, reads
- * must be covered.
+ * <p>A tenant that is resumed while it has no client on any loop may be assigned to another loop.
+ * There it gets a new router, which covers the writes accepted by the previous router in session
+ * reads.
  *
- * <p>Methods run on the first loop's thread unless they say otherwise.
+ * <p>Methods run on the thread of the first loop unless stated otherwise.
  */
 final class EventLoopGroup implements TenantLookup {
 
   /**
-   * Microseconds after which a tenant of a fleet that no client asked for is served here no longer.
+   * Time without clients after which a tenant provided by distribution is no longer served here.
    */
-  private static final long FORGET_AFTER_MICROS = 600_000_000;
+  private static final long UNUSED_TENANT_TIMEOUT_MICROS = 600_000_000;
 
   private record LoopMember(Network network, TenantRegistry tenants) {}
 
-  /** Where a tenant lives. */
-  private static final class Home {
+  /** The assignment of a tenant to an event loop. */
+  private static final class LoopAssignment {
 
     private TenantSpec spec;
     private int loopIndex;
-    private int clients; // connections handed over and not ended there
-    private long usedAtMicros; // when a client last named it
+    private int clientConnections; // open connections handed over to that loop
 
-    private Home(TenantSpec spec, int loopIndex) {
+    /** Time of the last check that found clients, or of the first check; 0 before any check. */
+    private long lastUsedAtMicros;
+
+    private LoopAssignment(TenantSpec spec, int loopIndex) {
       this.spec = spec;
       this.loopIndex = loopIndex;
     }
   }
 
   private final List<LoopMember> members = new ArrayList<>();
-  private final List<FrontendConnections> clients = new ArrayList<>();
+  private final List<FrontendConnections> frontends = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
-  private final Map<String, Home> homes = new HashMap<>();
-  private final EventLoopPlacement placement;
+  private final Map<String, LoopAssignment> assignments = new HashMap<>();
+  private final EventLoopPlacement loopPlacement;
   private final Network firstNetwork;
   private final boolean[] drained;
-  private Function<String, CompletableFuture<Boolean>>
-      tenantFinder; // null where all tenants are known
-  private Consumer<String> tenantForgetter;
+  // Null if all tenants are known locally.
+  private Function<String, CompletableFuture<Boolean>> tenantFinder;
+  private Consumer<String> tenantEvictor;
 
   EventLoopGroup(MultiTenantConfig config, EventLog log, GatewayEnvironment environment)
       throws IOException {
-    SharedCapacity shares =
+    SharedCapacity sharedCapacity =
         new SharedCapacity(
             config.capacity().requestsPerSecond(),
             config.capacity().openRequests(),
             config.cores());
     ResourceBudget buffers = new ResourceBudget(config.bufferBytes());
-    ConnectionQuotas hostSockets =
+    ConnectionQuotas hostConnectionQuotas =
         new ConnectionQuotas(Gateway.hostConnectionLimit(config.sockets()));
     drained = new boolean[config.cores()];
     for (int i = 0; i < config.cores(); i++) {
       Counters counters = new Counters();
       EventLoop loop = new EventLoop(environment.clock(), counters);
-      Network network = Network.open(loop, environment.channels().on(1), buffers, counters, log);
+      Network network = Network.open(loop, environment.channels().open(1), buffers, counters, log);
       TenantRegistry tenants =
           new TenantRegistry(
               network,
-              new TenantQuotas(shares, i, loop.nowMicros()),
-              hostSockets,
+              new TenantQuotas(sharedCapacity, i, loop.nowMicros()),
+              hostConnectionQuotas,
               environment.seed() + ((long) i << 20));
       members.add(new LoopMember(network, tenants));
     }
     Network first = members.get(0).network();
-    placement = new EventLoopPlacement(members.size(), first.loop().nowMicros());
+    loopPlacement = new EventLoopPlacement(members.size(), first.loop().nowMicros());
     firstNetwork =
-        members.size() == 1 ? first : first.withChannels(environment.channels().on(members.size()));
+        members.size() == 1
+            ? first
+            : first.withChannels(environment.channels().open(members.size()));
   }
 
-  /** The first loop, as the listener sees it. */
+  /** Returns the network of the first loop, which the listener uses. */
   Network firstNetwork() {
     return firstNetwork;
   }
 
-  /** Each loop's own view, the listener's first. */
+  /** Returns the networks of all loops, the first loop's first. */
   List<Network> networks() {
     return members.stream().map(LoopMember::network).toList();
   }
 
-  /** The listener's clients are those of the first loop. */
-  void serveBehind(FrontendConnections listening) {
-    clients.add(listening);
+  /**
+   * Sets the listener's connections as those of the first loop, and creates those of the others.
+   */
+  void addFrontends(FrontendConnections firstFrontend) {
+    frontends.add(firstFrontend);
     for (LoopMember member : members.subList(1, members.size())) {
-      clients.add(new FrontendConnections(member.network(), member.tenants()));
+      frontends.add(new FrontendConnections(member.network(), member.tenants()));
     }
   }
 
-  /** Starts the loops but the first, which its caller runs. */
+  /** Starts a thread for every loop except the first, which the caller runs. */
   void start() {
     for (int i = 1; i < members.size(); i++) {
       EventLoop loop = members.get(i).network().loop();
@@ -142,8 +148,8 @@
   }
 
   /**
-   * Waits until the others have ended, and ends their channels' threads; by whoever ran the first
-   * loop.
+   * Waits for the threads of the other loops and shuts down the channels of all loops. Called by
+   * the thread that ran the first loop, after it has ended.
    */
   void join() throws InterruptedException {
     for (Thread thread : threads) {
@@ -160,45 +166,48 @@
   // ---- Tenants
   // --------------------------------------------------------------------------------
 
-  void apply(TenantSpec spec, LongConsumer inForce) {
-    Home home = homes.get(spec.id());
-    if (home == null) {
-      home = new Home(spec, placement.placeNew(spec.weight()));
-      homes.put(spec.id(), home);
+  void apply(TenantSpec spec, LongConsumer onInForce) {
+    LoopAssignment assignment = assignments.get(spec.id());
+    if (assignment == null) {
+      assignment = new LoopAssignment(spec, loopPlacement.placeNew(spec.weight()));
+      assignments.put(spec.id(), assignment);
     }
-    home.spec = spec;
-    TenantRegistry there = members.get(home.loopIndex).tenants();
-    runOn(home.loopIndex, () -> there.apply(spec, inForce));
+    assignment.spec = spec;
+    TenantRegistry registry = members.get(assignment.loopIndex).tenants();
+    runOn(assignment.loopIndex, () -> registry.apply(spec, onInForce));
   }
 
-  void remove(String id, LongConsumer gone) {
-    Home home = homes.remove(id);
-    if (home == null) {
-      gone.accept(firstNetwork.loop().nowMicros());
+  void remove(String id, LongConsumer onRemoved) {
+    LoopAssignment assignment = assignments.remove(id);
+    if (assignment == null) {
+      onRemoved.accept(firstNetwork.loop().nowMicros());
       return;
     }
-    placement.remove(home.loopIndex, home.spec.weight());
-    TenantRegistry there = members.get(home.loopIndex).tenants();
-    runOn(home.loopIndex, () -> there.remove(id, gone));
+    loopPlacement.remove(assignment.loopIndex, assignment.spec.weight());
+    TenantRegistry registry = members.get(assignment.loopIndex).tenants();
+    runOn(assignment.loopIndex, () -> registry.remove(id, onRemoved));
   }
 
-  /** Null is told where there is none of that name. */
-  void usage(String id, Consumer<Tenant.Usage> told) {
-    Home home = homes.get(id);
-    if (home == null) {
-      told.accept(null);
+  /**
+   * Passes the usage of a tenant to the callback, on the tenant's loop; null if there is no such
+   * tenant.
+   */
+  void usage(String id, Consumer<Tenant.Usage> callback) {
+    LoopAssignment assignment = assignments.get(id);
+    if (assignment == null) {
+      callback.accept(null);
       return;
     }
-    TenantRegistry there = members.get(home.loopIndex).tenants();
-    runOn(home.loopIndex, () -> told.accept(there.usage(id)));
+    TenantRegistry registry = members.get(assignment.loopIndex).tenants();
+    runOn(assignment.loopIndex, () -> callback.accept(registry.usage(id)));
   }
 
   int loopOf(String id) {
-    Home home = homes.get(id);
-    return home == null ? -1 : home.loopIndex;
+    LoopAssignment assignment = assignments.get(id);
+    return assignment == null ? -1 : assignment.loopIndex;
   }
 
-  /** At once on this loop, or as a turn of another. */
+  /** Runs a task at once if it is for the first loop, otherwise posts it to its loop. */
   private void runOn(int loopIndex, Runnable task) {
     if (loopIndex == 0) {
       task.run();
@@ -207,13 +216,13 @@
     }
   }
 
-  /** What all loops hold together. Any thread may ask. */
+  /** Returns the resources held by all loops together. Any thread may call. */
   CompletableFuture<MultiTenantGateway.HeldResources> heldResources() {
     CompletableFuture<MultiTenantGateway.HeldResources> sum =
         CompletableFuture.completedFuture(
             new MultiTenantGateway.HeldResources(0, 0, new Counters()));
     for (LoopMember member : members) {
-      CompletableFuture<MultiTenantGateway.HeldResources> one = new CompletableFuture<>();
+      CompletableFuture<MultiTenantGateway.HeldResources> resources = new CompletableFuture<>();
       Network network = member.network();
       network
           .loop()
@@ -221,18 +230,18 @@
               () -> {
                 Counters copy = new Counters();
                 copy.addAll(network.counters());
-                one.complete(
+                resources.complete(
                     new MultiTenantGateway.HeldResources(
                         network.loop().deadlineCount(), network.budget().held(), copy));
               });
       sum =
           sum.thenCombine(
-              one,
-              (total, ofOneLoop) -> {
-                total.counters().addAll(ofOneLoop.counters());
+              resources,
+              (total, loopResources) -> {
+                total.counters().addAll(loopResources.counters());
                 return new MultiTenantGateway.HeldResources(
-                    total.deadlines() + ofOneLoop.deadlines(),
-                    ofOneLoop.bufferBytes(),
+                    total.deadlines() + loopResources.deadlines(),
+                    loopResources.bufferBytes(),
                     total.counters());
               });
     }
@@ -240,36 +249,42 @@
   }
 
   /**
-   * Tenants that a client names, and that are not here, are looked up by this; those unused for
-   * long are forgotten.
+   * Enables the lookup of unknown tenants and the eviction of unused ones.
+   *
+   * @param finder looks up a tenant by id and completes with whether it exists; must not block
+   * @param evictor receives the id of each tenant without clients for {@link
+   *     #UNUSED_TENANT_TIMEOUT_MICROS}
    */
-  void lookUpWith(Function<String, CompletableFuture<Boolean>> finder, Consumer<String> forgetter) {
+  void enableLookup(Function<String, CompletableFuture<Boolean>> finder, Consumer<String> evictor) {
     tenantFinder = finder;
-    tenantForgetter = forgetter;
-    firstNetwork.loop().post(this::forgetUnused);
+    tenantEvictor = evictor;
+    firstNetwork.loop().post(this::evictUnused);
   }
 
-  private void forgetUnused() {
+  private void evictUnused() {
     long now = firstNetwork.loop().nowMicros();
     List<String> unused = new ArrayList<>();
-    homes.forEach(
-        (id, home) -> {
-          boolean alone =
-              home.loopIndex == 0 ? members.get(0).tenants().hasNoClients(id) : home.clients == 0;
-          home.usedAtMicros = alone && home.usedAtMicros > 0 ? home.usedAtMicros : now;
-          if (now - home.usedAtMicros > FORGET_AFTER_MICROS) {
+    assignments.forEach(
+        (id, assignment) -> {
+          boolean hasNoClients =
+              assignment.loopIndex == 0
+                  ? members.get(0).tenants().hasNoClients(id)
+                  : assignment.clientConnections == 0;
+          assignment.lastUsedAtMicros =
+              hasNoClients && assignment.lastUsedAtMicros > 0 ? assignment.lastUsedAtMicros : now;
+          if (now - assignment.lastUsedAtMicros > UNUSED_TENANT_TIMEOUT_MICROS) {
             unused.add(id);
           }
         });
-    unused.forEach(tenantForgetter);
-    firstNetwork.loop().scheduleAt(now + FORGET_AFTER_MICROS / 10, this::forgetUnused);
+    unused.forEach(tenantEvictor);
+    firstNetwork.loop().scheduleAt(now + UNUSED_TENANT_TIMEOUT_MICROS / 10, this::evictUnused);
   }
 
   @Override
   public boolean lookUp(
       Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
-    String name = TenantRegistry.nameIn(startup);
-    if (tenantFinder == null || homes.containsKey(name)) {
+    String name = TenantRegistry.requestedTenantId(startup);
+    if (tenantFinder == null || assignments.containsKey(name)) {
       return false;
     }
     tenantFinder
@@ -287,60 +302,70 @@
 
   @Override
   public FrontendConnections connectionsFor(Map<String, String> startup, FrontendConnections here) {
-    Home home = homes.get(TenantRegistry.nameIn(startup));
-    if (home == null || members.size() == 1) {
-      return here; // who names nobody is told so here
+    LoopAssignment assignment = assignments.get(TenantRegistry.requestedTenantId(startup));
+    if (assignment == null || members.size() == 1) {
+      return here; // the first loop rejects clients of unknown tenants
     }
-    boolean alone =
-        home.clients == 0
-            && (home.loopIndex > 0 || members.get(0).tenants().hasNoClients(home.spec.id()));
-    if (alone) {
-      placeActivated(home);
+    boolean hasNoClients =
+        assignment.clientConnections == 0
+            && (assignment.loopIndex > 0
+                || members.get(0).tenants().hasNoClients(assignment.spec.id()));
+    if (hasNoClients) {
+      reassignResumed(assignment);
     }
-    if (home.loopIndex == 0) {
+    if (assignment.loopIndex == 0) {
       return here;
     }
-    home.clients++;
-    return clients.get(home.loopIndex);
+    assignment.clientConnections++;
+    return frontends.get(assignment.loopIndex);
   }
 
   @Override
   public void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {
-    Home home = homes.get(TenantRegistry.nameIn(startup));
-    // One that was removed meanwhile, and came again, has other clients; none of them is counted
-    // twice.
-    if (home != null && clients.get(home.loopIndex) == there && home.clients > 0) {
-      home.clients--;
+    LoopAssignment assignment = assignments.get(TenantRegistry.requestedTenantId(startup));
+    // A tenant that was removed and added again has a new count, which does not include this
+    // connection: the count of another loop is left alone, and no count falls below 0.
+    if (assignment != null
+        && frontends.get(assignment.loopIndex) == there
+        && assignment.clientConnections > 0) {
+      assignment.clientConnections--;
     }
   }
 
-  /** Chooses a home for a tenant whose first client has come. */
-  private void placeActivated(Home home) {
-    long[] worked = new long[members.size()];
-    for (int i = 0; i < worked.length; i++) {
-      worked[i] = loop(i).busyMicros();
+  /**
+   * Assigns a loop to a tenant whose first client connects, and migrates the tenant if it changes.
+   */
+  private void reassignResumed(LoopAssignment assignment) {
+    long[] busyMicros = new long[members.size()];
+    for (int i = 0; i < busyMicros.length; i++) {
+      busyMicros[i] = loop(i).busyMicros();
     }
-    placement.recordBusyTime(worked, firstNetwork.loop().nowMicros());
-    int oldLoopIndex = home.loopIndex;
-    home.loopIndex = placement.placeResumed(oldLoopIndex, home.spec.weight());
-    if (home.loopIndex == oldLoopIndex) {
+    loopPlacement.recordBusyTime(busyMicros, firstNetwork.loop().nowMicros());
+    int oldLoopIndex = assignment.loopIndex;
+    assignment.loopIndex = loopPlacement.placeResumed(oldLoopIndex, assignment.spec.weight());
+    if (assignment.loopIndex == oldLoopIndex) {
       return;
     }
-    TenantSpec spec = home.spec;
-    TenantRegistry left = members.get(oldLoopIndex).tenants();
-    TenantRegistry next = members.get(home.loopIndex).tenants();
-    int newLoopIndex = home.loopIndex;
+    TenantSpec spec = assignment.spec;
+    TenantRegistry oldRegistry = members.get(oldLoopIndex).tenants();
+    TenantRegistry newRegistry = members.get(assignment.loopIndex).tenants();
+    int newLoopIndex = assignment.loopIndex;
     firstNetwork
         .log()
         .println(
-            "tenant " + spec.id() + " moves from loop " + oldLoopIndex + " to " + newLoopIndex);
-    CompletableFuture<Runnable> arrived = new CompletableFuture<>();
-    runOn(newLoopIndex, () -> arrived.complete(next.migrateIn(spec)));
+            "event loops: migrating tenant "
+                + spec.id()
+                + " from loop "
+                + oldLoopIndex
+                + " to loop "
+                + newLoopIndex);
+    CompletableFuture<Runnable> migrated = new CompletableFuture<>();
+    runOn(newLoopIndex, () -> migrated.complete(newRegistry.migrateIn(spec)));
     runOn(
         oldLoopIndex,
         () ->
-            left.remove(
-                spec.id(), atMicros -> arrived.thenAccept(over -> loop(newLoopIndex).post(over))));
+            oldRegistry.remove(
+                spec.id(), atMicros -> migrated.thenAccept(task -> loop(newLoopIndex).post(task))));
   }
 
   @Override
@@ -362,7 +387,10 @@
   // ---- Stopping
   // --------------------------------------------------------------------------------
 
-  /** Has the other loops drain, and says whether, when last asked, nothing was open on any. */
+  /**
+   * Requests every other loop to drain. Returns whether the first loop has no open request and the
+   * others had no connection or open request when they last replied.
+   */
   boolean isDrained() {
     boolean all = members.get(0).tenants().hasNoOpenRequests();
     for (int i = 1; i < members.size(); i++) {
@@ -370,9 +398,9 @@
       loop(i)
           .post(
               () -> {
-                clients.get(loopIndex).drain();
+                frontends.get(loopIndex).drain();
                 boolean empty =
-                    clients.get(loopIndex).isEmpty()
+                    frontends.get(loopIndex).isEmpty()
                         && members.get(loopIndex).tenants().hasNoOpenRequests();
                 firstNetwork.loop().post(() -> drained[loopIndex] = empty);
               });
@@ -381,7 +409,7 @@
     return all;
   }
 
-  /** Closes the tenants of all loops and ends the others' turns. */
+  /** Closes the tenants of all loops and stops the other loops. */
   void close() {
     members.get(0).tenants().close(CloseReason.DRAINED);
     for (int i = 1; i < members.size(); i++) {
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
@@ -22,53 +22,55 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * The tenants of a whole fleet, in its engine: a change that was answered is the engine's, and
- * comes back distributed.
+ * The tenant documents of a fleet, kept in its coordination store. A confirmed change is stored
+ * there and reaches this gateway, like all others, by distribution. Any thread may call; calls
+ * block on the coordination store.
  */
 final class FleetTenantDocuments implements TenantDocuments {
 
-  /** Before the id of a tenant, in the names of records. */
-  static final String PREFIX = "tenant/";
+  /** Prefix of the record name of a tenant, followed by its id. */
+  static final String RECORD_NAME_PREFIX = "tenant/";
 
   private static final int MAX_AUDIT_ENTRIES = 10_000;
 
-  private final ChangeStore engine; // null where this gateway has no way to it
+  private final ChangeStore changeStore; // null if this gateway has no access to it
   private final SubscribedRecords records;
   private final ArrayDeque<AuditEntry> auditEntries = new ArrayDeque<>();
 
-  FleetTenantDocuments(ChangeStore engine, SubscribedRecords records) {
-    this.engine = engine;
+  FleetTenantDocuments(ChangeStore changeStore, SubscribedRecords records) {
+    this.changeStore = changeStore;
     this.records = records;
   }
 
-  private ChangeStore engine() throws NoEngine {
-    if (engine == null) {
+  private ChangeStore changeStore() throws NoEngine {
+    if (changeStore == null) {
       throw new NoEngine();
     }
-    return engine;
+    return changeStore;
   }
 
   private static Entry entry(RecordChange record) {
     try {
       return new Entry(
-          record.name().substring(PREFIX.length()),
+          record.name().substring(RECORD_NAME_PREFIX.length()),
           record.version().sequence(),
           TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
     } catch (SpecException e) {
-      throw new IllegalStateException(record.name() + " in the engine is no JSON object", e);
+      throw new IllegalStateException(
+          "record " + record.name() + " in the coordination store is not a JSON object", e);
     }
   }
 
   @Override
   public Entry get(String id) throws OperatorException {
-    RecordChange record = engine().record(PREFIX + id);
+    RecordChange record = changeStore().record(RECORD_NAME_PREFIX + id);
     return record == null ? null : entry(record);
   }
 
   @Override
   public List<Entry> all() throws OperatorException {
-    return engine().readAll().snapshot().records().stream()
-        .filter(record -> record.name().startsWith(PREFIX))
+    return changeStore().readAll().snapshot().records().stream()
+        .filter(record -> record.name().startsWith(RECORD_NAME_PREFIX))
         .map(FleetTenantDocuments::entry)
         .toList();
   }
@@ -79,9 +81,9 @@
       throws ConflictException, OperatorException {
     try {
       Version version =
-          engine()
+          changeStore()
               .write(
-                  PREFIX + id,
+                  RECORD_NAME_PREFIX + id,
                   expected,
                   document == null ? null : document.toString(),
                   records.version());
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -22,16 +22,17 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * The tenants that a gateway of a fleet serves, by distribution: puts their records in force as
- * they come, and finds those that a client names first.
+ * The tenants that a gateway of a fleet receives by distribution. Applies their records as they
+ * arrive and looks up tenants that a client names for the first time. Any thread may call.
  */
 final class FleetTenants implements SubscribedRecords.RecordApplier, AutoCloseable {
 
   private final TenantAdministration.TenantControl control;
-  private final ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(1, "fleet-records");
+  private final ScheduledThreadPoolExecutor executor =
+      DistributorProcess.newTimer(1, "fleet-records");
   private final SubscribedRecords records;
-  private final ChangeStore engine; // null where this gateway changes nothing
-  private volatile LongConsumer reached = sequence -> {};
+  private final ChangeStore changeStore; // null if this gateway cannot change tenants
+  private volatile LongConsumer inForceListener = sequence -> {};
 
   FleetTenants(
       SubscribedRecordsConfig config, TenantAdministration.TenantControl control, EventLog log) {
@@ -41,16 +42,17 @@
             config,
             this,
             SubscribedRecords.httpClient(config.timings()),
-            timer,
+            executor,
             () -> System.nanoTime() / 1000,
             new Random(),
             log);
-    engine = config.engineAddress() == null ? null : DistributorProcess.openChangeStore(config);
+    changeStore =
+        config.engineAddress() == null ? null : DistributorProcess.openChangeStore(config);
   }
 
-  /** Told of each sequence up to which every change is in force here. */
-  void onInForceUpTo(LongConsumer told) {
-    reached = told;
+  /** Sets the listener for the sequence number up to which every change is in force here. */
+  void setInForceListener(LongConsumer listener) {
+    inForceListener = listener;
   }
 
   void start() {
@@ -58,40 +60,46 @@
   }
 
   /**
-   * Where administrators change tenants; each call is refused where this gateway has no way to the
-   * engine.
+   * Returns the documents through which administrators change tenants. Reads and writes of them
+   * throw {@link NoEngine} if this gateway has no access to the coordination store.
    */
   TenantDocuments documents() {
-    return new FleetTenantDocuments(engine, records);
+    return new FleetTenantDocuments(changeStore, records);
   }
 
   SubscribedRecords.Status status() {
     return records.status();
   }
 
-  /** What the engine holds is the truth from here on, after it was restored from older data. */
+  /**
+   * Declares the contents of the coordination store authoritative after it was restored from older
+   * data.
+   */
   Version beginIncarnation() throws CoordinationException, NoEngine {
-    if (engine == null) {
+    if (changeStore == null) {
       throw new NoEngine();
     }
-    return engine.beginIncarnation();
+    return changeStore.beginIncarnation();
   }
 
   /**
-   * Whether there is a tenant of this name; it is in force then, as far as the loops have been
-   * told. An event loop may call: it does not wait, also not for a record that is being validated.
+   * Looks up a tenant. Completes with true if it exists; its specification has then been posted to
+   * the event loops. Never blocks, not even while a record is being validated, so that an event
+   * loop may call.
    */
   CompletableFuture<Boolean> lookUp(String id) {
     return id.matches(TenantSpecCodec.NAME)
         ? CompletableFuture.supplyAsync(
-                () -> records.lookUp(FleetTenantDocuments.PREFIX + id), timer)
+                () -> records.lookUp(FleetTenantDocuments.RECORD_NAME_PREFIX + id), executor)
             .thenCompose(found -> found)
         : CompletableFuture.completedFuture(false);
   }
 
-  /** No client has asked for it for long. An event loop may call. */
-  void forget(String id) {
-    timer.execute(() -> records.unsubscribe(FleetTenantDocuments.PREFIX + id));
+  /**
+   * Unsubscribes from a tenant that no client uses. Never blocks, so that an event loop may call.
+   */
+  void unsubscribe(String id) {
+    executor.execute(() -> records.unsubscribe(FleetTenantDocuments.RECORD_NAME_PREFIX + id));
   }
 
   @Override
@@ -99,8 +107,8 @@
     try {
       TenantSpec spec =
           TenantSpecCodec.read(TenantSpecCodec.parse(record.document().getBytes(UTF_8)));
-      if (!record.name().equals(FleetTenantDocuments.PREFIX + spec.id())) {
-        return "/id is not the name of the record";
+      if (!record.name().equals(FleetTenantDocuments.RECORD_NAME_PREFIX + spec.id())) {
+        return "/id must match the record name " + record.name() + ", but is " + spec.id();
       }
       control.apply(spec, at -> {});
       return null;
@@ -111,20 +119,20 @@
 
   @Override
   public void remove(String name) {
-    control.remove(name.substring(FleetTenantDocuments.PREFIX.length()), at -> {});
+    control.remove(name.substring(FleetTenantDocuments.RECORD_NAME_PREFIX.length()), at -> {});
   }
 
   @Override
   public void onVersionReached(Version version) {
-    reached.accept(version.sequence());
+    inForceListener.accept(version.sequence());
   }
 
   @Override
   public void close() {
     records.close();
-    timer.shutdownNow();
-    if (engine != null) {
-      engine.close();
+    executor.shutdownNow();
+    if (changeStore != null) {
+      changeStore.close();
     }
   }
 }
