--- a/gateway/src/main/java/shelffront/net/ArrivalTimes.java
+++ b/gateway/src/main/java/shelffront/net/ArrivalTimes.java
@@ -3,24 +3,25 @@
 import java.util.ArrayDeque;
 
 /**
- * When the bytes of a stream were read from the socket, by their offset in the stream. A command
- * may be parsed long after it was read, since the commands before it come first; its time counts
- * from when its last byte was read.
+ * Records when the bytes of a stream were read from the socket, by their offset in the stream. A
+ * command may be parsed long after it was read, because the commands before it come first; its
+ * arrival time is the time at which its last byte was read.
  *
- * <p>Bounded: once {@link #MAX_READS} reads are kept, each two neighbouring ones become one with
- * the earlier time. An arrival may then be taken for earlier than it was, and never for later.
+ * <p>At most {@link #MAX_READS} reads are kept. When that limit is reached, each pair of adjacent
+ * reads is merged into one with the earlier time, so a reported arrival time may be too early but
+ * is never too late. Used on one thread only.
  */
 final class ArrivalTimes {
 
   static final int MAX_READS = 64;
 
-  /** One read: the offset behind its last byte, and when it was made. */
+  /** One read: the offset after its last byte, and its time. */
   private record Read(long endOffset, long atMicros) {}
 
   private final ArrayDeque<Read> reads = new ArrayDeque<>(2);
   private long endOffset;
 
-  /** The next bytes of the stream were read at this time. */
+  /** Records that the next bytes of the stream were read at this time. */
   void read(int count, long atMicros) {
     if (reads.size() == MAX_READS) {
       mergeNeighbours();
@@ -36,14 +37,14 @@
     }
   }
 
-  /** Every byte was taken; nothing of what was read is asked for again. */
+  /** Discards the recorded reads once every byte has been consumed; offsets continue to count. */
   void allTaken() {
     reads.clear();
   }
 
   /**
-   * When the byte before this offset was read. What lies before the offset is forgotten, so the
-   * offsets asked for must not step back.
+   * Returns the time in microseconds at which the byte before this offset was read. Discards the
+   * reads that end before the offset, so offsets must not decrease from call to call.
    */
   long readTime(long offset) {
     while (reads.peekFirst().endOffset() < offset) {
--- a/gateway/src/main/java/shelffront/net/AsyncEventLog.java
+++ b/gateway/src/main/java/shelffront/net/AsyncEventLog.java
@@ -7,15 +7,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes lines on a thread of its own, from a bounded queue: a reader that stalls delays the log
- * and nothing else. What finds the queue full is dropped and counted; the count is written as a
- * line once there is room again.
+ * An event log that writes on its own thread, from a bounded queue, so that a stalled reader of the
+ * output delays only the log. Lines that do not fit into the queue are dropped and counted; the
+ * count is logged with the next lines that are written. Any thread may log.
  */
 public final class AsyncEventLog implements EventLog {
 
   private static final int MAX_QUEUED_LINES = 4096;
 
-  /** After so much a write goes out though more lines wait. */
+  /** A batch of this length is written even if more lines are queued. */
   private static final int MAX_WRITE_CHARS = 8192;
 
   private static final long POLL_INTERVAL_MILLIS = 20;
@@ -26,7 +26,7 @@
   private final Thread writer = new Thread(this::write, "log");
   private volatile boolean closed;
 
-  /** Starts the writing thread, a daemon. */
+  /** Starts the writer thread, a daemon. */
   public AsyncEventLog(PrintStream out) {
     this.out = out;
     writer.setDaemon(true);
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Lines dropped and not yet told of. */
+  /** The number of dropped lines that has not been logged yet. */
   public long dropped() {
     return dropped.get();
   }
@@ -48,8 +48,7 @@
   private void write() {
     try {
       while (!closed || !lines.isEmpty()) {
-        // Looks at times of its own instead of being woken for each line, which would cost the loop
-        // thread.
+        // Polls, because waking this thread for each line would cost time on the loop thread.
         String line = lines.poll();
         if (line == null) {
           Thread.sleep(POLL_INTERVAL_MILLIS);
@@ -77,7 +76,10 @@
     }
   }
 
-  /** Writes what waits, for as long as the reader takes it but no longer than given. */
+  /**
+   * Ends the writer thread after it has written the queued lines. Returns after this time at the
+   * latest, even if a stalled reader has left lines unwritten.
+   */
   public void close(long milliseconds) throws InterruptedException {
     closed = true;
     writer.join(milliseconds);
--- a/gateway/src/main/java/shelffront/net/Channels.java
+++ b/gateway/src/main/java/shelffront/net/Channels.java
@@ -6,21 +6,21 @@
 import java.nio.channels.AsynchronousServerSocketChannel;
 import java.nio.channels.AsynchronousSocketChannel;
 
-/** Where channels come from: the machine's sockets, or a network that exists in memory only. */
+/** Opens channels: sockets of the operating system, or those of an in-memory network. */
 public interface Channels {
 
-  /** A channel that is not connected. */
+  /** Opens a channel that is not connected. */
   AsynchronousSocketChannel open() throws IOException;
 
-  /** One that listens, with so many connections waiting to be accepted. */
+  /** Opens a listening channel, with at most this many connections waiting to be accepted. */
   AsynchronousServerSocketChannel listen(SocketAddress address, int backlog) throws IOException;
 
-  /** Ends the threads behind the channels, once all are closed. */
+  /** Ends the threads that serve the channels, once all channels are closed. */
   void shutdown();
 
   /**
-   * The machine's sockets; so many threads run all completion handlers, which do nothing but post
-   * to a loop.
+   * Opens sockets of the operating system. A pool of this many daemon threads runs all completion
+   * handlers, which only post results to an event loop.
    */
   static Channels sockets(int threads) throws IOException {
     AsynchronousChannelGroup group =
--- a/gateway/src/main/java/shelffront/net/CloseReason.java
+++ b/gateway/src/main/java/shelffront/net/CloseReason.java
@@ -7,64 +7,64 @@
  * docs/operators/on-call.md}.
  */
 public enum CloseReason {
-  /** The peer ended it. */
+  /** The peer closed the connection. */
   PEER_CLOSED,
-  /** It broke. */
+  /** An I/O error, such as a reset by the peer. */
   PEER_RESET,
-  /** The client said goodbye, or sent a cancel request. */
+  /** The client sent a Terminate message or a cancel request. */
   TERMINATED,
-  /** It could not be set up. */
+  /** The connection could not be established. */
   CONNECT_FAILED,
-  /** A host did not declare it ready in time. */
+  /** A host did not report that it is ready for queries within the connect timeout. */
   CONNECT_TIMEOUT,
-  /** A client sent no whole command in time. */
+  /** A client did not complete its first command in time. */
   STARTUP_TIMEOUT,
-  /** It was unused, or part of a command was not followed by the rest, for too long. */
+  /** The connection was unused, or a command remained incomplete, for too long. */
   IDLE,
-  /** It gave its place or socket to another. */
+  /** Its place or socket was needed for another connection. */
   EVICTED,
-  /** The peer took none of what was written. */
+  /** The peer did not accept the output within the write timeout. */
   WRITE_STALLED,
-  /** A client's bytes do not fit the protocol. */
+  /** A client sent bytes that violate the protocol. */
   MALFORMED,
-  /** A message exceeds the bound of its connection. */
+  /** A message exceeds the size limit of its connection. */
   TOO_LARGE,
-  /** The memory budget is used up. */
+  /** The memory budget is exhausted. */
   NO_MEMORY,
-  /** A host ended it with an error. */
+  /** A host ended the connection with an error. */
   REFUSED_BY_HOST,
-  /** Its attempt was cancelled. */
+  /** The attempt on this connection was cancelled. */
   CANCELLED,
-  /** The deadline of its attempt or health check came. */
+  /** The deadline of the attempt or health check passed. */
   TIMED_OUT,
-  /** Its socket went to another tenant, or its host needs the place. */
+  /** Its socket was released for another tenant, or its host needs the connection slot. */
   GIVEN_BACK,
-  /** Its endpoint left the list or moved to another address. */
+  /** Its endpoint left the endpoint list or moved to another address. */
   LEFT_LIST,
-  /** The call of discovery is complete. */
+  /** The discovery call is complete. */
   ANSWERED,
-  /** The peer was silent for too long. */
+  /** The peer sent nothing complete within the silence timeout. */
   SILENT,
-  /** A new watch takes its place. */
+  /** A watch was replaced by a new one or is no longer wanted. */
   REPLACED,
-  /** A malformed response. */
+  /** The peer sent a malformed response. */
   BAD_ANSWER,
   /** A host sent bytes that belong to no request. */
   SURPLUS,
-  /** A fault of this program. */
+  /** An internal error of this program. */
   FAULT,
-  /** The gateway stops. */
+  /** The gateway is shutting down. */
   DRAINED,
-  /** All places for clients are in use. */
+  /** The limit of client connections is reached. */
   NO_PLACE,
-  /** The client names no tenant, or none that it may use. */
+  /** The client named no tenant, or none that it may use. */
   NO_TENANT,
-  /** Its tenant has as many connections as it may. */
+  /** Its tenant has reached its connection limit. */
   TENANT_FULL,
   /** Its tenant was removed or replaced. */
   TENANT_GONE;
 
-  /** The word in the log line. */
+  /** The code in the log line: the name in lower case with hyphens. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/gateway/src/main/java/shelffront/net/Connection.java
+++ b/gateway/src/main/java/shelffront/net/Connection.java
@@ -8,21 +8,21 @@
 import java.util.function.BiConsumer;
 
 /**
- * One socket with its input and output, whatever protocol is spoken on it.
+ * One socket with its input and output, independent of the protocol.
  *
- * <p>Invariants: every method runs on the loop thread, {@link #hasUnprocessedInput} apart; at most
- * one read and one write are outstanding; a connection ends exactly once, by {@link #close}, which
- * writes its line to the log and then calls {@link #onClosed}.
+ * <p>Invariants: every method except {@link #hasUnprocessedInput} runs on the loop thread; at most
+ * one read and one write are outstanding; a connection ends exactly once, in {@link #close}, which
+ * logs the reason and then calls {@link #onClosed}.
  */
 public abstract class Connection {
 
-  /** How long a connection in its lingering close waits for the peer's end. */
+  /** Time that a lingering close waits for the peer to close. */
   private static final long LINGER_MICROS = 500_000;
 
-  /** A peer that takes none of a write for so long is given up. */
+  /** A peer that does not accept a whole write within this time is disconnected. */
   private static final long WRITE_STALL_MICROS = 10_000_000;
 
-  /** A move to another loop: the loop's network, and the first task of the connection there. */
+  /** A move to another loop: that loop's network, and the connection's first task there. */
   private record LoopMove(Network target, Runnable firstTask) {}
 
   protected Network network;
@@ -33,7 +33,7 @@
   private EventLoop.Deadline stallDeadline;
   private boolean connected;
 
-  /** What a read brought waits for its turn on the loop. Set by the completion thread. */
+  /** Whether the result of a read waits for its turn on the loop. Set by the completion thread. */
   private volatile boolean unprocessedInput;
 
   private CloseReason peerEndReason;
@@ -49,52 +49,59 @@
     reader = new ConnectionReader(this, channel, maxInputBytes);
   }
 
-  /** Takes bytes that were read; what is left unconsumed is offered again with what follows. */
+  /** Consumes bytes that were read. Unconsumed bytes are offered again with those that follow. */
   protected abstract void onBytesReceived(ByteBuffer bytes);
 
-  /** All output was handed to the socket. */
+  /** Called when all output has been written to the socket. */
   protected void onOutputWritten() {}
 
-  /** Nothing of it is outstanding on the present loop, which it leaves now. */
+  /** Called before the connection leaves its current loop, where no operation is outstanding. */
   protected void onLeavingLoop() {}
 
-  /** Nothing more is sent on it; it ends with its peer's end, or after a bounded time. */
+  /**
+   * Called when a lingering close begins: nothing more is sent, and the connection closes when the
+   * peer closes or after a bounded time.
+   */
   protected void onLingering() {}
 
-  /** Called once, after the socket was closed. */
+  /** Called exactly once, after the socket was closed. */
   protected abstract void onClosed(CloseReason reason);
 
-  /** Input that exceeds a bound; a protocol may send an error to its peer before it closes. */
+  /**
+   * Called when input exceeds a size limit or the memory budget. A protocol may override this to
+   * send an error to its peer before it closes.
+   */
   protected void onInputOverflow(CloseReason reason) {
     close(reason);
   }
 
-  /** What the log line says of this connection beside the reason. */
+  /** Describes this connection in its log line, without kind and reason. */
   protected abstract String describe();
 
   /**
-   * Whether to take what was read; a connection that says no calls {@link #readMore} later. Reading
-   * goes on ahead of that, as far as there is room, so that the peer's end is seen behind what
-   * waits.
+   * Whether the connection can consume input now. A connection that returns false calls {@link
+   * #readMore} later. Meanwhile, reading ahead continues as far as there is room, so that the
+   * peer's close is detected behind unconsumed input.
    */
   protected boolean wantsInput() {
     return true;
   }
 
-  /** Whether what is read is of no use any more; the peer's end is still seen. */
+  /** Whether all further input is discarded, while the peer's close is still detected. */
   protected boolean discardsInput() {
     return false;
   }
 
   /**
-   * When the last byte taken from what {@link #onBytesReceived} was given had been read from the
-   * socket. Bytes may have stood in the buffer for long by then, behind commands that come first.
+   * Returns the time in microseconds at which the last byte consumed from the argument of {@link
+   * #onBytesReceived} was read from the socket. Bytes may wait in the buffer for a long time,
+   * behind earlier commands.
    */
   protected final long arrivalMicrosOfConsumed(ByteBuffer bytes) {
     return reader.input().arrivalMicros(bytes);
   }
 
-  /** Whether bytes, or the peer's end, were read and wait for their turn on the loop. */
+  /** Whether bytes or the peer's close were read and not yet processed. Any thread may call. */
   public final boolean hasUnprocessedInput() {
     return unprocessedInput;
   }
@@ -104,8 +111,8 @@
   }
 
   /**
-   * Whether it is ending: its peer has ended, or its last output is out or being written. Nothing
-   * is begun for it.
+   * Whether the connection is closed or about to close, because of its peer or because its last
+   * output is queued or written. Nothing new may be started on it.
    */
   protected final boolean isEnding() {
     return closed || closeWhenWrittenReason != null || peerEndReason != null;
@@ -115,7 +122,7 @@
     return closed;
   }
 
-  /** Whether it is closed or will be once its output is written. */
+  /** Whether the connection is closed or will close once its output is written. */
   final boolean isClosing() {
     return closed || closeWhenWrittenReason != null;
   }
@@ -128,7 +135,7 @@
     return pendingMove != null;
   }
 
-  /** Nothing waits to be written. */
+  /** Whether no output is queued or being written. */
   protected final boolean isOutputEmpty() {
     return output.isEmpty();
   }
@@ -138,9 +145,9 @@
   }
 
   /**
-   * Makes it part of another view of the same loop, a tenant's.
+   * Moves the connection to a tenant's view of the network on the same loop.
    *
-   * @return false, with nothing changed, where that view's budget has no room for its buffer
+   * @return false, with nothing changed, if that view's memory budget has no room for the buffer
    */
   protected final boolean tryJoinTenant(Network tenantNetwork) {
     long budgetedBytes = reader.input().budgetedBytes();
@@ -153,9 +160,9 @@
   }
 
   /**
-   * Moves to another loop, once what is being read is parsed and what was written has gone out:
-   * from then on nothing of it is on this one, and {@code firstTask} runs on that one, as its first
-   * turn. Neither loop has it in between.
+   * Moves the connection to another loop, once the outstanding read is parsed and all output is
+   * written. Then {@code firstTask} runs on the other loop as the connection's first task there. In
+   * between, neither loop uses the connection.
    */
   protected final void moveToLoop(Network target, Runnable firstTask) {
     pendingMove = new LoopMove(target, firstTask);
@@ -176,13 +183,16 @@
     network.loop().post(move.firstTask());
   }
 
-  /** Goes on after a move, on the new loop: with what had been read before, then what comes. */
+  /** Resumes on the new loop after a move, first with the input that was read before it. */
   protected final void resumeAfterMove() {
     reader.offerInput();
     reader.readMore();
   }
 
-  /** Offers what was read whether or not anything was left when input was last wanted; reads on. */
+  /**
+   * Offers the buffered input, even if none was left over when input was last wanted, and continues
+   * to read.
+   */
   protected final void reofferInput() {
     reader.reofferInput();
   }
@@ -199,7 +209,7 @@
     }
   }
 
-  /** Begins reading on a channel that is connected. */
+  /** Starts reading from a connected channel. */
   protected final void startReading() {
     connected = true;
     try {
@@ -212,15 +222,15 @@
     readMore();
   }
 
-  /** Offers input that waits and is wanted now, then starts a read where none is outstanding. */
+  /** Offers buffered input if it is wanted now, then starts a read if none is outstanding. */
   protected final void readMore() {
     reader.readMore();
   }
 
   /**
-   * Whether a request was written whole is known only when the outstanding write has ended. A
-   * peer's end may be seen before that, and taken alone would pass for "not executed"; until then
-   * nothing is begun.
+   * Closes the connection after its peer has closed, once the outstanding write has ended. Only
+   * then is it known whether a request was written completely; closing earlier could make an
+   * executed request look like one that was not executed. Nothing new is started until then.
    */
   final void onPeerEnd(CloseReason reason) {
     peerEndReason = reason;
@@ -229,7 +239,7 @@
     }
   }
 
-  /** Queues bytes; they are written when the loop's turn ends. */
+  /** Queues bytes to be written at the end of the loop's turn; ignored if it is closing. */
   protected final void write(byte[] bytes) {
     if (!closed && closeWhenWrittenReason == null) {
       output.add(bytes);
@@ -280,11 +290,12 @@
   }
 
   /**
-   * Ends, in order, a connection of which nothing is owed: stops sending, then reads to the peer's
-   * end, within a bound, and closes. What the peer sent until it saw that end is discarded.
+   * Closes gracefully a connection that has no request in progress: shuts down its output, reads
+   * until the peer closes or a limit is reached, and closes. Input that the peer sends until then
+   * is discarded.
    *
-   * @return false, with nothing done, where something was read already and only waits for its turn:
-   *     that may be a request, which was taken
+   * @return false, with nothing done, if the connection is moving or ending, or if input was read
+   *     that waits for its turn on the loop, because it may contain a request
    */
   protected final boolean tryCloseInOrder(CloseReason reason) {
     if (unprocessedInput || pendingMove != null || isEnding()) {
@@ -294,7 +305,10 @@
     return true;
   }
 
-  /** Writes what waits, then closes; nothing more is written, and what comes is discarded. */
+  /**
+   * Writes the queued output, then closes. Later output is ignored, and input is discarded once the
+   * output is written.
+   */
   protected final void closeWhenWritten(CloseReason reason) {
     closeWhenWrittenReason = closeWhenWrittenReason == null ? reason : closeWhenWrittenReason;
     if (isOutputEmpty()) {
@@ -303,8 +317,8 @@
   }
 
   /**
-   * Guards the last output: a socket closed with input unread is reset, which may destroy what was
-   * just written.
+   * Starts a lingering close. Closing a socket with unread input resets it, which may destroy
+   * output that the peer has not received yet.
    */
   private void startLingering() {
     try {
@@ -323,7 +337,7 @@
     close(closeWhenWrittenReason);
   }
 
-  /** Closes the socket at once; without effect on a connection that is closed already. */
+  /** Closes the socket immediately; has no effect on a closed connection. */
   public final void close(CloseReason reason) {
     if (closed) {
       return;
--- a/gateway/src/main/java/shelffront/net/ConnectionReader.java
+++ b/gateway/src/main/java/shelffront/net/ConnectionReader.java
@@ -4,16 +4,16 @@
 import java.nio.channels.AsynchronousSocketChannel;
 
 /**
- * The reading side of a {@link Connection}: starts reads, offers what they brought to the
- * connection, and discards what comes while it lingers.
+ * The reading side of a {@link Connection}: starts reads, offers the bytes to the connection, and
+ * discards input during a lingering close.
  *
  * <p>Invariants: at most one read is outstanding; while the connection wants no input, that read
- * goes into a buffer of its own, so that the peer's end is seen behind input that waits. Runs on
- * the connection's loop thread.
+ * uses a separate buffer, so that the peer's close is detected behind unconsumed input. Runs on the
+ * connection's loop thread.
  */
 final class ConnectionReader {
 
-  /** How much is read ahead of what is wanted, only to see the peer's end behind it. */
+  /** Limit of the input that is read ahead only to detect the peer's close behind it. */
   private static final int MAX_READ_AHEAD_BYTES = 192 * 1024;
 
   private static final int MAX_DISCARDED_BYTES = 1 << 20;
@@ -23,7 +23,7 @@
   private final InputBuffer input;
   private boolean reading;
 
-  /** The outstanding read is not into the input but into the read-ahead buffer. */
+  /** Whether the outstanding read fills the read-ahead buffer instead of the input buffer. */
   private boolean readingAhead;
 
   /** Null while no read ahead is outstanding. */
@@ -31,13 +31,13 @@
 
   private boolean offeringInput;
 
-  /** What was read is not all consumed, since no more input was wanted. */
+  /** Whether input is left unconsumed because the connection wanted no more. */
   private boolean inputPaused;
 
-  /** Bytes that may still be read and discarded while the connection lingers. */
+  /** Bytes that may still be read and discarded during the lingering close. */
   private int lingerBytesLeft;
 
-  /** Bytes discarded so far because {@link Connection#discardsInput}. */
+  /** Bytes discarded so far while {@link Connection#discardsInput} is true. */
   private long discardedBytes;
 
   ConnectionReader(Connection connection, AsynchronousSocketChannel channel, int maxInputBytes) {
@@ -54,13 +54,16 @@
     return reading;
   }
 
-  /** Offers what was read whether or not anything was left when input was last wanted; reads on. */
+  /**
+   * Offers the buffered input, even if none was left over when input was last wanted, and continues
+   * to read.
+   */
   void reofferInput() {
     inputPaused = true;
     readMore();
   }
 
-  /** Offers input that waits and is wanted now, then starts a read where none is outstanding. */
+  /** Offers buffered input if it is wanted now, then starts a read if none is outstanding. */
   void readMore() {
     if (offeringInput
         || !connection.isConnected()
@@ -69,7 +72,7 @@
       return;
     }
     if (inputPaused && connection.wantsInput() && (!reading || readingAhead)) {
-      // Nothing more may ever come that would have the rest looked at.
+      // The peer may send nothing more, so no later read would offer the rest of the input.
       offerInput();
       if (connection.isMoving()) {
         connection.completeMove();
@@ -92,7 +95,7 @@
       reading = true;
       readInto(input.readTarget());
     } else if (hasRoomToReadAhead()) {
-      // What waits in the input may be consumed meanwhile, so this read has a buffer of its own.
+      // The input buffer may be consumed during this read, so the read uses a separate buffer.
       readAheadBuffer =
           readAheadBuffer == null
               ? ByteBuffer.allocate(InputBuffer.INITIAL_BYTES)
@@ -107,7 +110,10 @@
     channel.read(target, null, new PostingCompletionHandler<>(connection, true, this::onRead));
   }
 
-  /** Whether a read ahead fits behind what waits; where not, the peer's end is seen later. */
+  /**
+   * Whether a read ahead fits behind the unconsumed input. If it does not, the peer's close is
+   * detected later.
+   */
   private boolean hasRoomToReadAhead() {
     if (connection.discardsInput()) {
       discardedBytes += input.discardAll();
@@ -148,7 +154,10 @@
     }
   }
 
-  /** No read is begun from within: it would fill the buffer while it is being parsed. */
+  /**
+   * Offers the buffered input to the connection until it consumes no more. No read starts
+   * meanwhile, because it would fill the buffer while the buffer is being parsed.
+   */
   void offerInput() {
     offeringInput = true;
     ByteBuffer bytes = input.beginConsuming();
@@ -166,7 +175,10 @@
     offeringInput = false;
   }
 
-  /** Makes room for a message larger than the buffer, within this connection's and all bounds. */
+  /**
+   * Enlarges the buffer for a message that does not fit, within the limit of this connection and
+   * the memory budget.
+   */
   private boolean growInput() {
     if (input.isAtMaximum()) {
       connection.onInputOverflow(CloseReason.TOO_LARGE);
@@ -179,7 +191,7 @@
     return true;
   }
 
-  /** From now on what comes is discarded, up to a bound at which the connection closes. */
+  /** Discards all further input; at {@link #MAX_DISCARDED_BYTES} the connection closes. */
   void startDiscarding() {
     lingerBytesLeft = MAX_DISCARDED_BYTES;
     if (!reading) {
--- a/gateway/src/main/java/shelffront/net/Counters.java
+++ b/gateway/src/main/java/shelffront/net/Counters.java
@@ -5,10 +5,13 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** What the program has taken in, sent and answered; owned by the loop thread, printed at exit. */
+/**
+ * Counts of connections, bytes, requests, attempts and responses. Used on the loop thread only, and
+ * logged at exit.
+ */
 public final class Counters {
 
-  /** What is counted; the names are published, in the log and in usage reports. */
+  /** The counted events. Their names are published in the log and in usage reports. */
   public enum Name {
     CLIENTS_ACCEPTED,
     BYTES_IN,
@@ -46,7 +49,7 @@
     this(null);
   }
 
-  /** A part of others: what is counted here counts there too. */
+  /** Creates counters whose counts are also added to a parent. */
   public Counters(Counters whole) {
     this.parent = whole;
   }
@@ -55,7 +58,7 @@
     add(name, 1);
   }
 
-  /** Adds here and in the counters that these are a part of. */
+  /** Adds an amount here and in all parents. */
   public void add(Name name, long amount) {
     values.merge(name, amount, Long::sum);
     if (parent != null) {
@@ -63,7 +66,7 @@
     }
   }
 
-  /** Adds what another counted. */
+  /** Adds all counts of other counters. */
   public void addAll(Counters other) {
     other.values.forEach(this::add);
   }
@@ -72,7 +75,7 @@
     return values.getOrDefault(name, 0L);
   }
 
-  /** A copy, by name. */
+  /** Returns a copy of the counts by name, without names that were never counted. */
   public Map<String, Long> values() {
     return values.entrySet().stream()
         .collect(Collectors.toMap(entry -> entry.getKey().name(), Map.Entry::getValue));
--- a/gateway/src/main/java/shelffront/net/EventLoop.java
+++ b/gateway/src/main/java/shelffront/net/EventLoop.java
@@ -11,13 +11,13 @@
 import shelffront.quota.DeficitRoundRobin.Flow;
 
 /**
- * A single-threaded event loop; whatever belongs to it is used on its thread only. Other threads
- * only {@link #post} tasks. Each turn runs the posted tasks, then the deadlines that are due, then
- * flushes the connections that were written to. Times are Unix microseconds.
+ * A single-threaded event loop. Everything that it owns is used on its thread only; other threads
+ * {@link #post} tasks. Each turn runs posted tasks, then the deadlines that are due, then flushes
+ * the connections that have new output. Times are Unix microseconds.
  */
 public final class EventLoop {
 
-  /** A scheduled task, which runs once unless it is cancelled before. */
+  /** A scheduled task, which runs once unless it is cancelled first. */
   public final class Deadline {
 
     private final long atMicros;
@@ -34,10 +34,10 @@
     }
   }
 
-  /** Tasks that run before due deadlines do, so that a flood of input can't starve those. */
+  /** Limit of the tasks in a turn, so that a flood of input cannot starve due deadlines. */
   private static final int MAX_TASKS_PER_TURN = 256;
 
-  /** Time that a flow of weight 1 may use before the next flow is served. */
+  /** Time that a flow of weight 1 may use before the next flow runs. */
   private static final long QUANTUM_MICROS = 200;
 
   private record PostedTask(Flow<Runnable> flow, Runnable task) {}
@@ -59,37 +59,40 @@
   private boolean stopped;
   private volatile long busyMicros;
 
-  /** The clock gives Unix microseconds and may step back; {@link #nowMicros} never does. */
+  /**
+   * Creates a loop. The clock returns Unix microseconds and may step back; {@link #nowMicros} never
+   * decreases.
+   */
   public EventLoop(LongSupplier clock, Counters counters) {
     this.clock = clock;
     this.counters = counters;
     nowMicros = clock.getAsLong();
   }
 
-  /** Has the loop thread run a task, in the flow that belongs to no tenant. Any thread may call. */
+  /** Runs a task on the loop thread, in the flow that belongs to no tenant. Any thread may call. */
   public void post(Runnable task) {
     post(sharedFlow, task);
   }
 
   /**
-   * Has the loop thread run a task of a flow. Flows share the thread's time by deficit round robin,
-   * so that none starves another. Any thread may call.
+   * Runs a task of a flow on the loop thread. Flows share the thread's time by deficit round robin,
+   * so that no flow starves another. Any thread may call.
    */
   public void post(Flow<Runnable> flow, Runnable task) {
     postedTasks.add(new PostedTask(flow, task));
   }
 
-  /** The flow of what belongs to no tenant. */
+  /** The flow of tasks that belong to no tenant. */
   public Flow<Runnable> sharedFlow() {
     return sharedFlow;
   }
 
-  /** Tasks that were posted and not run yet. Any thread may ask. */
+  /** The number of posted tasks not yet assigned to their flow's queue. Any thread may call. */
   public int queuedTaskCount() {
     return postedTasks.size();
   }
 
-  /** Deadlines that are set and not yet due. */
+  /** The number of deadlines that have neither run nor been cancelled. */
   public int deadlineCount() {
     return deadlines.size();
   }
@@ -98,7 +101,7 @@
     return nowMicros;
   }
 
-  /** Runs the task in the first turn at or after this time. On the loop thread. */
+  /** Schedules a task for the first turn at or after this time. Called on the loop thread. */
   public Deadline scheduleAt(long atMicros, Runnable task) {
     Deadline deadline = new Deadline(atMicros, task);
     deadlines.add(deadline);
@@ -106,8 +109,8 @@
   }
 
   /**
-   * Runs the task after a delay from the clock's present time, not from that of the running task,
-   * which may have begun long ago. On the loop thread.
+   * Schedules a task after a delay from the current time of the clock, not from the start of the
+   * running task, which may have started long ago. Called on the loop thread.
    */
   public Deadline scheduleAfter(long delayMicros, Runnable task) {
     updateClock();
@@ -126,7 +129,7 @@
     stopped = true;
   }
 
-  /** Takes turns, waiting for tasks and deadlines, until {@link #stop}. */
+  /** Runs turns, waiting for tasks and deadlines, until {@link #stop}. */
   public void run() throws InterruptedException {
     while (!stopped) {
       runTurn(
@@ -136,12 +139,12 @@
     }
   }
 
-  /** Runs one turn without waiting, for a caller with a virtual clock. */
+  /** Runs one turn without waiting, for callers with a virtual clock. */
   public void runTurn() {
     runTurn(postedTasks.poll());
   }
 
-  /** Whether a task or a deadline is due; false once it is stopped. */
+  /** Whether a task or a deadline is due; false once the loop is stopped. */
   public boolean isReady() {
     return !stopped
         && (!readyTasks.isEmpty() || !postedTasks.isEmpty() || microsUntilNextDeadline() == 0);
@@ -151,7 +154,7 @@
     return stopped;
   }
 
-  /** When the next deadline is due; {@link Long#MAX_VALUE} if there is none. */
+  /** The time of the next deadline; {@link Long#MAX_VALUE} if there is none. */
   public long nextDeadlineMicros() {
     return deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.first().atMicros;
   }
@@ -181,7 +184,7 @@
     busyMicros += nowMicros - turnStartMicros;
   }
 
-  /** Time spent running tasks and not waiting, as of its last turn. Any thread may ask. */
+  /** Time spent in turns, without waiting, as of the last turn. Any thread may call. */
   public long busyMicros() {
     return busyMicros;
   }
@@ -199,12 +202,12 @@
         : Math.max(0, deadlines.first().atMicros - nowMicros);
   }
 
-  /** Reads the clock: after each task, and after a long start before the first turn. */
+  /** Reads the clock. Called after each task, and before the first turn if the start was long. */
   public void updateClock() {
     nowMicros = Math.max(nowMicros, clock.getAsLong());
   }
 
-  /** Counts and prints an exception of a task, so that it does not end the loop. */
+  /** Runs a task; counts and prints its exception, so that it does not end the loop. */
   private void runGuarded(Runnable task) {
     try {
       task.run();
--- a/gateway/src/main/java/shelffront/net/InputBuffer.java
+++ b/gateway/src/main/java/shelffront/net/InputBuffer.java
@@ -3,11 +3,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * The bytes that one connection has read and not consumed, with the times at which they came.
+ * The bytes that one connection has read and not yet consumed, with their arrival times.
  *
- * <p>Invariant: whatever its capacity exceeds {@link #INITIAL_BYTES} is held from the memory budget
- * of the connection's network. Owned by the connection's loop thread, apart from the read into
- * {@link #readTarget} that is outstanding.
+ * <p>Invariant: the capacity above {@link #INITIAL_BYTES} is acquired from the memory budget of the
+ * connection's network. Owned by the connection's loop thread, except for an outstanding read into
+ * {@link #readTarget}.
  */
 final class InputBuffer {
 
@@ -18,14 +18,14 @@
   private final ArrivalTimes arrivals = new ArrivalTimes();
   private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BYTES);
 
-  /** Bytes of the stream that were consumed before those that the buffer holds. */
+  /** Bytes of the stream that were consumed before the first byte in the buffer. */
   private long consumedBytes;
 
   InputBuffer(int maxBytes) {
     this.maxBytes = maxBytes;
   }
 
-  /** Where the next read of the channel puts its bytes. */
+  /** The buffer that the next read of the channel fills. */
   ByteBuffer readTarget() {
     return buffer;
   }
@@ -38,27 +38,27 @@
     return buffer.capacity() == maxBytes;
   }
 
-  /** Bytes that are held from the memory budget. */
+  /** Bytes that are acquired from the memory budget. */
   int budgetedBytes() {
     return buffer.capacity() - INITIAL_BYTES;
   }
 
-  /** Records that the next bytes of the stream have been read. */
+  /** Records that the next bytes of the stream were read at this time. */
   void recordArrival(int byteCount, long timeMicros) {
     arrivals.read(byteCount, timeMicros);
   }
 
-  /** Appends bytes that were read into a buffer of their own. */
+  /** Appends bytes that were read into a separate buffer. */
   void append(ByteBuffer bytes) {
     buffer.put(bytes);
   }
 
-  /** The unconsumed bytes, to be consumed from their start until {@link #endConsuming}. */
+  /** Returns the unconsumed bytes, to be consumed from the start until {@link #endConsuming}. */
   ByteBuffer beginConsuming() {
     return buffer.flip();
   }
 
-  /** Keeps what was not consumed; an empty buffer returns to its initial size. */
+  /** Keeps unconsumed bytes; an empty buffer returns to its initial size. */
   void endConsuming(ResourceBudget budget) {
     consumedBytes += buffer.position();
     buffer.compact();
@@ -72,12 +72,15 @@
     }
   }
 
-  /** When the byte before the position of the bytes given by {@link #beginConsuming} was read. */
+  /**
+   * Returns the time at which the byte before the position of these bytes was read. They are those
+   * of {@link #beginConsuming}.
+   */
   long arrivalMicros(ByteBuffer bytes) {
     return arrivals.readTime(consumedBytes + bytes.position());
   }
 
-  /** Skips all that it holds; returns how many bytes that were. */
+  /** Discards all bytes in the buffer and returns their number. */
   int discardAll() {
     int discarded = buffer.position();
     consumedBytes += discarded;
@@ -85,18 +88,23 @@
     return discarded;
   }
 
-  /** Empties the buffer for bytes that nobody will consume; their count is kept no longer. */
+  /**
+   * Empties the buffer to receive bytes that will be discarded; stream offsets are no longer
+   * counted.
+   */
   void clear() {
     buffer.clear();
   }
 
-  /** Whether another {@link #INITIAL_BYTES} fit behind what it holds, growing up to the limit. */
+  /**
+   * Whether {@link #INITIAL_BYTES} more fit into the buffer, enlarged up to the limit if needed.
+   */
   boolean ensureRoomAhead(int limitBytes, ResourceBudget budget) {
     return buffer.remaining() >= INITIAL_BYTES
         || buffer.capacity() < Math.min(maxBytes, limitBytes) && tryEnlarge(budget);
   }
 
-  /** Grows by one step; false where the budget does not permit it. */
+  /** Enlarges the buffer by one step; returns false if the budget does not permit it. */
   boolean tryEnlarge(ResourceBudget budget) {
     int wantedBytes = Math.min(maxBytes, buffer.capacity() * GROWTH_FACTOR);
     if (!budget.tryAcquire(wantedBytes - buffer.capacity())) {
--- a/gateway/src/main/java/shelffront/net/Network.java
+++ b/gateway/src/main/java/shelffront/net/Network.java
@@ -5,9 +5,9 @@
 import shelffront.quota.DeficitRoundRobin.Flow;
 
 /**
- * What connections share: the event loop, the source of channels, the memory budget, counters and
- * the log. Each tenant has its own view, whose flow takes turns with those of the others; the
- * tenant is empty where there is only one.
+ * Resources that connections share: the event loop, channels, memory budget, counters and log. Each
+ * tenant has its own view, whose tasks run in the tenant's flow. The tenant ID is empty in a view
+ * that belongs to no particular tenant.
  */
 public record Network(
     EventLoop loop,
@@ -18,7 +18,7 @@
     Flow<Runnable> taskFlow,
     String tenantId) {
 
-  /** On the machine's sockets. */
+  /** Creates a network on sockets of the operating system. */
   public static Network open(EventLoop loop, ResourceBudget budget, Counters counters, EventLog log)
       throws IOException {
     return open(loop, Channels.sockets(1), budget, counters, log);
@@ -30,15 +30,18 @@
   }
 
   /**
-   * A view on other channels. Where their completions run on several threads it is only for
-   * connections that need not see a write's completion before the answer to it, as a listener's
-   * before several loops.
+   * Returns a view with other channels. If several threads run their completion handlers, use the
+   * view only for connections that need not see the completion of a write before the response to
+   * it, such as those of a listener in front of several loops.
    */
   public Network withChannels(Channels other) {
     return new Network(loop, other, budget, counters, log, taskFlow, tenantId);
   }
 
-  /** A tenant's view: its own flow, budget and counters, which count in the common ones too. */
+  /**
+   * Returns a tenant's view with its own flow, budget and counters. The budget and the counters are
+   * children of those of this network.
+   */
   public Network forTenant(String id, Flow<Runnable> own, long bufferBytes) {
     return new Network(
         loop,
@@ -50,7 +53,7 @@
         id);
   }
 
-  /** Hands a result to the loop thread, in this view's flow. Any thread may call it. */
+  /** Posts a task to the loop in this view's flow. Any thread may call. */
   public void post(Runnable result) {
     loop.post(taskFlow, result);
   }
--- a/gateway/src/main/java/shelffront/net/OutputBuffer.java
+++ b/gateway/src/main/java/shelffront/net/OutputBuffer.java
@@ -4,21 +4,21 @@
 import java.util.ArrayDeque;
 
 /**
- * The output of one connection: byte arrays that wait, and at most one write that is outstanding.
- * Owned by the connection's loop thread.
+ * The output of one connection: queued byte arrays, and at most one outstanding write. Owned by the
+ * connection's loop thread.
  */
 final class OutputBuffer {
 
   private final ArrayDeque<byte[]> queued = new ArrayDeque<>();
 
-  /** The bytes of the outstanding write; null where none is. */
+  /** The bytes of the outstanding write; null if there is none. */
   private ByteBuffer inFlight;
 
   void add(byte[] bytes) {
     queued.add(bytes);
   }
 
-  /** Nothing waits and nothing is being written. */
+  /** Whether nothing is queued and nothing is being written. */
   boolean isEmpty() {
     return inFlight == null && queued.isEmpty();
   }
@@ -31,7 +31,7 @@
     return inFlight != null;
   }
 
-  /** Joins all that waits into one write. */
+  /** Joins all queued output into one write. */
   ByteBuffer beginWrite() {
     inFlight = ByteBuffer.allocate(queued.stream().mapToInt(bytes -> bytes.length).sum());
     queued.forEach(inFlight::put);
@@ -39,7 +39,7 @@
     return inFlight.flip();
   }
 
-  /** What is left of the outstanding write. */
+  /** The remaining bytes of the outstanding write; null if there is none. */
   ByteBuffer inFlight() {
     return inFlight;
   }
--- a/gateway/src/main/java/shelffront/net/PostingCompletionHandler.java
+++ b/gateway/src/main/java/shelffront/net/PostingCompletionHandler.java
@@ -4,8 +4,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Posts the result of an operation on a connection's channel to its loop. Called by the completion
- * thread; the consumer runs on the loop thread, and not at all once the connection is closed.
+ * Posts the result of an operation on a connection's channel to its loop. Called by a completion
+ * thread; the consumer runs on the loop thread, unless the connection is closed by then.
  */
 final class PostingCompletionHandler<T> implements CompletionHandler<T, Void> {
 
@@ -48,7 +48,7 @@
     } catch (RuntimeException e) {
       connection.network.counters().add(Counters.Name.FAULTS);
       e.printStackTrace();
-      // Left open it would stay marked as reading, and never be read again.
+      // If it stayed open, it would remain marked as reading and never be read again.
       connection.close(CloseReason.FAULT);
     }
   }
--- a/gateway/src/main/java/shelffront/net/ResourceBudget.java
+++ b/gateway/src/main/java/shelffront/net/ResourceBudget.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A limit on a counted resource, such as bytes of buffers. What is acquired must be released. A
- * budget may have a parent, and then what it holds counts in both. Any thread may call: event loops
- * share a parent.
+ * A limit on a counted resource, such as bytes of buffers. Amounts that are acquired must be
+ * released. A budget may have a parent; each amount then counts in both. Thread-safe, because event
+ * loops share a parent.
  */
 public final class ResourceBudget {
 
@@ -17,21 +17,21 @@
     this(null, limit);
   }
 
-  /** A child of another budget: what is acquired here is acquired there too. */
+  /** Creates a child budget, whose amounts are also acquired from the parent. */
   public ResourceBudget(ResourceBudget parent, long limit) {
     this.parent = parent;
     this.limit = limit;
   }
 
   /**
-   * Changes the limit. What is held beyond it is kept, and nothing more is given until enough was
-   * released.
+   * Changes the limit. Amounts held beyond a lower limit are kept, and further ones are denied
+   * until enough has been released.
    */
   public void updateLimit(long newLimit) {
     limit = newLimit;
   }
 
-  /** Acquires the amount here and in the parents, or nothing; false where a limit is exceeded. */
+  /** Acquires the amount here and in all parents, or nothing if any limit would be exceeded. */
   public boolean tryAcquire(long amount) {
     long before = held.get();
     while (amount <= limit - before && !held.compareAndSet(before, before + amount)) {
@@ -47,7 +47,7 @@
     return true;
   }
 
-  /** Releases what {@link #tryAcquire} acquired. */
+  /** Releases an amount that {@link #tryAcquire} acquired. */
   public void release(long amount) {
     held.addAndGet(-amount);
     if (parent != null) {
