--- a/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
@@ -14,9 +14,9 @@
 import shelffront.net.Network;
 
 /**
- * One call of discovery on a connection of its own: a watch, which gives a list a line for as long
- * as it stands, or a fetch of one list. Tells {@link DiscoveryClient} of each list, and once of its
- * end.
+ * One call to the discovery service on its own connection: a watch, which receives endpoint lists
+ * until it ends, or a fetch of a single list. Reports each list, and once its end, to {@link
+ * DiscoveryClient}.
  */
 final class DiscoveryCall extends Connection {
 
@@ -29,7 +29,7 @@
   private final HttpLineReader response = new HttpLineReader(this::onLine);
   private final StringBuilder body = new StringBuilder();
 
-  /** Braces that are open in what has come of a list. */
+  /** Number of unclosed braces in the received part of a list. */
   private int openBraces;
 
   private Deadline silenceDeadline;
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Guards against a watch whose other end vanished, and against one that trickles: only whole
-   * headers and whole lines count, of a list only its last.
+   * Guards against a peer that vanished and against one that trickles bytes. Only complete headers
+   * and, on a watch, complete lines restart the deadline; of a list, only its last line does.
    */
   private void restartSilenceDeadline() {
     if (silenceDeadline != null) {
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Ends it, once what was read in this moment has been looked at: a list that has come counts as
-   * told.
+   * Closes the call once input that was already read has been processed, so that a list received
+   * before the end is not lost.
    */
   void endOnceProcessed(CloseReason reason) {
     if (hasUnprocessedInput()) {
@@ -91,7 +91,7 @@
       return;
     }
     if (response.hasHeaders() && response.status() != HTTP_OK) {
-      close(CloseReason.ANSWERED); // a refusal: what it says beside that may never end
+      close(CloseReason.ANSWERED); // the body of an error response may never end
       return;
     }
     if (response.hasHeaders() && !before) {
@@ -115,7 +115,7 @@
       body.append(text).append('\n');
       return;
     }
-    // A list may be indented, over several lines; it has come when its first brace is closed.
+    // A list may span several lines; it is complete when its first brace is closed.
     openBraces += braceBalance(text);
     if (body.length() > 0 || !text.isBlank()) {
       body.append(text).append('\n');
@@ -132,8 +132,8 @@
   }
 
   /**
-   * By how much the braces of a line open more than they close; those within texts, which end on
-   * their line, not.
+   * The number of opening braces in a line minus that of closing ones. Braces in JSON strings,
+   * which never span lines, do not count.
    */
   private static int braceBalance(String line) {
     int depth = 0;
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
@@ -8,42 +8,43 @@
 import shelffront.net.Network;
 
 /**
- * Asks discovery for the endpoint list: one standing watch, and fetches of the whole list.
+ * Obtains the endpoint list from the discovery service, through one watch and fetches of the whole
+ * list.
  *
- * <p>Invariants: at most one watch stands; an older list never follows a newer one within {@link
- * #STALE_LIST_WINDOW_MICROS}. It retries nothing by itself: its listener does. Runs on the loop
+ * <p>Invariants: at most one watch is open; a list older than the newest one is ignored within
+ * {@link #STALE_LIST_WINDOW_MICROS} after it. Retries are left to the listener. Runs on the loop
  * thread.
  */
 public final class DiscoveryClient {
 
-  /** Takes what discovery tells. */
+  /** Receives endpoint lists and failures. */
   public interface Listener {
 
-    /** A list has come that is not older than the newest. */
+    /** Called for each endpoint list that is not ignored as stale. */
     void onEndpoints(EndpointList list);
 
-    /** A watch or a fetch has failed; the list stands. */
+    /** Called when a watch or a fetch has failed; the current list remains valid. */
     void onDiscoveryFailed();
   }
 
   /**
-   * In microseconds, how long a call may be without a whole line of its list. A watch on which
-   * nothing changes writes an empty one every 2 s, and a call that waits its turn has its answer
-   * within 2 s (the platform's protocol); a loop or a network that is busy may be half a second
-   * late with either.
+   * Microseconds that a call may go without a complete line of its list. By the platform's
+   * protocol, a watch without changes writes an empty line every 2 s, and a queued call receives
+   * its response within 2 s. A busy loop or network may delay either by another 0.5 s.
    *
-   * <p>A change counts as told 6 s after discovery had it and could be reached, whatever had failed
-   * before. A call that was out then is given up 2.5 s later at the most, whatever trickles in on
-   * it; the module asks anew after at most 0.9 s where lists are asked for, {@code Tenant} after
-   * 0.1 s where they are pushed; and that call's answer is there within 2.5 s. Together 5.9 s, with
-   * nothing of the grace that the settings give a drain. Only a call whose headers came in between
-   * has 2.5 s more for its first line, which that grace covers.
+   * <p>The gateway must have a change 6 s after the discovery service had it and was reachable,
+   * regardless of earlier failures. A call open at that time is closed at most 2.5 s later, even if
+   * it trickles bytes. The next call starts after at most 0.9 s if lists are polled, by the
+   * decision module, or after 0.1 s if they are pushed, by {@code TenantEndpoints}. Its response
+   * arrives within 2.5 s. The total is 5.9 s and uses none of the configured drain grace period.
+   * Only a call whose headers arrive in between may take another 2.5 s until its first line, which
+   * the grace period covers.
    */
   static final long SILENCE_TIMEOUT_MICROS = 2_500_000;
 
   /**
-   * For so long after the newest list an older one is late, not the beginning of another count of
-   * revisions.
+   * Within this time after the newest list, an older revision is a delayed list; later, it starts a
+   * new sequence of revisions.
    */
   private static final long STALE_LIST_WINDOW_MICROS = 30_000_000;
 
@@ -53,12 +54,12 @@
   private long revision;
   private long newestAtMicros;
 
-  /** As ordered; the watch itself may have failed. */
+  /** Whether a watch is wanted; the watch itself may have failed. */
   private boolean watching;
 
   private DiscoveryCall watch;
 
-  /** The revision is that of the list that is known already; 0 asks for the whole list. */
+  /** Creates a client that knows the list of this revision; 0 requests the whole list. */
   public DiscoveryClient(
       Network network, InetSocketAddress address, long revision, Listener listener) {
     this.network = network;
@@ -67,7 +68,7 @@
     this.listener = listener;
   }
 
-  /** Starts the watch anew, or ends it. */
+  /** Closes the current watch, then opens a new one if {@code on} is true. */
   public void watch(boolean on) {
     watching = on;
     close(CloseReason.REPLACED);
@@ -77,7 +78,8 @@
   }
 
   /**
-   * Starts the watch as if nothing had been heard before, so that it begins with the whole list.
+   * Opens a new watch as if no list had been received before, so that it begins with the whole
+   * list.
    */
   public void watchFromStart() {
     revision = 0;
@@ -85,8 +87,9 @@
   }
 
   /**
-   * Discovery answers elsewhere from now on. A watch that is asked for starts there at once: the
-   * old address may close late, and what it no longer tells counts as told all the same.
+   * Changes the address of the discovery service. If a watch is wanted, it is reopened at the new
+   * address immediately: the old address may close late, and the gateway must also have the changes
+   * that it no longer reports.
    */
   public void changeAddress(InetSocketAddress to) {
     address = to;
@@ -95,17 +98,17 @@
     }
   }
 
-  /** Whether a watch stands or is being set up. */
+  /** Whether a watch is open or being opened. */
   public boolean isOpen() {
     return watch != null;
   }
 
-  /** Fetches the whole list once, on a connection of its own. */
+  /** Fetches the whole list once, on a separate connection. */
   public void fetchEndpoints() {
     call("/catalog/members", false);
   }
 
-  /** Ends the watch without a report of failure; fetches go on. */
+  /** Closes the watch without reporting a failure; fetches continue. */
   public void close(CloseReason reason) {
     DiscoveryCall old = watch;
     watch = null;
@@ -137,8 +140,8 @@
   }
 
   /**
-   * Guards against an older list after a newer one, which would have what drains and what is gone
-   * used again.
+   * Forwards a list to the listener unless it is stale. A stale list would make draining and
+   * removed endpoints assignable again.
    */
   void onEndpointList(EndpointList list) {
     if (list.revision() < revision
@@ -152,7 +155,7 @@
     listener.onEndpoints(list);
   }
 
-  /** A watch counts as failed whatever ended it; a fetch only where no list came. */
+  /** Reports the end of the current watch as a failure, that of a fetch only if it got no list. */
   void onCallClosed(DiscoveryCall call, boolean standing, boolean listCame) {
     if (call == watch) {
       watch = null;
--- a/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
+++ b/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
@@ -10,8 +10,8 @@
 import shelffront.config.MalformedInputException;
 
 /**
- * Reads an HTTP/1.1 answer and gives the lines of its body, whether it is chunked, of a stated
- * length or ends with the connection. Bytes may come in any pieces.
+ * Incremental parser of an HTTP/1.1 response that passes on each line of its body. The body may be
+ * chunked, have a content length, or end with the connection. Input may be split anywhere.
  */
 final class HttpLineReader {
 
@@ -19,7 +19,7 @@
 
   private static final String CONTENT_LENGTH = "content-length:";
 
-  /** Where the status code stands in the status line. */
+  /** Offset of the status code in the status line. */
   private static final int STATUS_START = "HTTP/1.1 ".length();
 
   private static final int STATUS_END = STATUS_START + 3;
@@ -37,10 +37,10 @@
 
   private final Consumer<String> lines;
 
-  /** The line of the body so far; a chunk may end inside it. */
+  /** The received part of the current body line, which may span chunks. */
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-  /** The line of status, headers or chunk sizes so far. */
+  /** The received part of the current status, header or chunk size line. */
   private final ByteArrayOutputStream frame = new ByteArrayOutputStream();
 
   private Part part = Part.STATUS;
@@ -52,12 +52,12 @@
     this.lines = lines;
   }
 
-  /** The answer's status; 0 before it has come. */
+  /** The status code of the response; 0 before it is received. */
   int status() {
     return status;
   }
 
-  /** Its status and headers have come. */
+  /** Whether the status line and all headers have been received. */
   boolean hasHeaders() {
     return part != Part.STATUS && part != Part.HEADER;
   }
@@ -66,7 +66,7 @@
     return part == Part.END;
   }
 
-  /** The body's last line where no line end follows it. */
+  /** Ends the response; passes on a last body line that has no line end. */
   private void finish() {
     if (line.size() > 0) {
       lines.accept(line.toString(UTF_8));
--- a/gateway/src/main/java/shelffront/discovery/package-info.java
+++ b/gateway/src/main/java/shelffront/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The endpoint list from discovery: a standing watch, and fetches of the whole list, over HTTP. */
+/** Client of the discovery service: watches and fetches the endpoint list over HTTP. */
 package shelffront.discovery;
