--- a/gateway/src/test/java/shelffront/net/ArrivalTimesTest.java
+++ b/gateway/src/test/java/shelffront/net/ArrivalTimesTest.java
@@ -10,7 +10,7 @@
   private final ArrivalTimes times = new ArrivalTimes();
 
   @Test
-  public void aByteHasTheTimeOfTheReadThatBroughtIt() {
+  public void byteHasTimeOfReadThatContainsIt() {
     times.read(10, 1000);
     times.read(1, 2000);
     times.read(5, 3000);
@@ -22,7 +22,7 @@
   }
 
   @Test
-  public void offsetsGoOnWhenEverythingWasTaken() {
+  public void offsetsContinueAfterAllBytesAreConsumed() {
     times.read(10, 1000);
     times.allTaken();
     times.read(4, 2000);
@@ -30,11 +30,11 @@
   }
 
   /**
-   * However many reads are kept, none is taken for later than it was, and the newest has its own
+   * Merging must never report a later time than that of the read, and the newest read keeps its own
    * time.
    */
   @Test
-  public void mergedReadsAreNeverTakenForLater() {
+  public void mergedReadsNeverReportLaterTime() {
     int reads = 10 * ArrivalTimes.MAX_READS + 7;
     for (int i = 1; i <= reads; i++) {
       times.read(1, i);
--- a/gateway/src/test/java/shelffront/net/AsyncEventLogTest.java
+++ b/gateway/src/test/java/shelffront/net/AsyncEventLogTest.java
@@ -13,7 +13,7 @@
 
 class AsyncEventLogTest {
 
-  /** A reader that takes nothing until it is told to. */
+  /** An output that blocks all writes until {@code go} is released. */
   private static final class Stalled extends OutputStream {
 
     private final CountDownLatch taken = new CountDownLatch(1);
@@ -38,25 +38,27 @@
   }
 
   /**
-   * Guards the loop thread: it was the one that wrote, and a reader that stalled stalled the
-   * gateway.
+   * Guards against log output on the loop thread, where a stalled reader of the log blocked the
+   * whole gateway.
    */
   @Test
-  void aReaderThatStallsHoldsUpNobodyAndLostLinesAreCounted() throws Exception {
+  void stalledOutputDoesNotBlockLoggingAndDroppedLinesAreCounted() throws Exception {
     Stalled reader = new Stalled();
     AsyncEventLog log = new AsyncEventLog(new PrintStream(reader));
     log.println("first");
     assertTrue(reader.taken.await(20, TimeUnit.SECONDS));
     for (int i = 0; i < 10_000; i++) {
-      log.println("line " + i); // would never return if it waited for the reader
+      log.println("line " + i); // would never return if it waited for the output
     }
     long dropped = log.dropped();
     assertEquals(10_000 - 4096, dropped);
     reader.go.countDown();
     log.close(20_000);
     String text = reader.seen.toString(StandardCharsets.UTF_8);
-    assertTrue(text.startsWith("first\nline 0\nline 1\n"), "in order");
-    assertTrue(text.contains("log dropped " + dropped + " lines"), "the loss is told");
+    assertTrue(text.startsWith("first\nline 0\nline 1\n"), "lines are in order");
+    assertTrue(
+        text.contains("log dropped " + dropped + " lines"),
+        "the number of dropped lines is logged");
     assertEquals(1 + 4096 + 1, text.lines().count());
   }
 }
--- a/gateway/src/test/java/shelffront/net/EventLoopTest.java
+++ b/gateway/src/test/java/shelffront/net/EventLoopTest.java
@@ -10,16 +10,16 @@
 public class EventLoopTest {
 
   /**
-   * Guards against limits on connections that are over before the first turn, since loading took
-   * its time.
+   * Guards against connection timeouts that expire before the first turn because the program took
+   * long to start.
    */
   @Test
-  public void aLimitCountsFromTheClockNotFromTheTurn() throws Exception {
+  public void scheduledDelayCountsFromClockNotFromTurn() throws Exception {
     AtomicLong clock = new AtomicLong(1_000_000);
     EventLoop loop = new EventLoop(clock::get, new Counters());
     List<String> ran = new ArrayList<>();
     clock.addAndGet(300_000);
-    loop.scheduleAfter(250_000, () -> ran.add("limit"));
+    loop.scheduleAfter(250_000, () -> ran.add("timeout"));
     loop.scheduleAt(
         1_000_000,
         () -> {
