--- a/gateway/src/main/java/shelffront/net/ArrivalTimes.java
+++ b/gateway/src/main/java/shelffront/net/ArrivalTimes.java
@@ -16,29 +16,29 @@
   static final int MAX_READS = 64;
 
   /** One read: the offset after its last byte, and its time. */
-  private record Read(long endOffset, long atMicros) {}
+  private record Read(long endOffset, long timeMicros) {}
 
   private final ArrayDeque<Read> reads = new ArrayDeque<>(2);
   private long endOffset;
 
   /** Records that the next bytes of the stream were read at this time. */
-  void read(int count, long atMicros) {
+  void recordRead(int byteCount, long timeMicros) {
     if (reads.size() == MAX_READS) {
-      mergeNeighbours();
+      mergeAdjacentReads();
     }
-    endOffset += count;
-    reads.addLast(new Read(endOffset, atMicros));
+    endOffset += byteCount;
+    reads.addLast(new Read(endOffset, timeMicros));
   }
 
-  private void mergeNeighbours() {
-    for (int pairs = reads.size() / 2; pairs > 0; pairs--) {
-      long atMicros = reads.removeFirst().atMicros();
-      reads.addLast(new Read(reads.removeFirst().endOffset(), atMicros));
+  private void mergeAdjacentReads() {
+    for (int pairsLeft = reads.size() / 2; pairsLeft > 0; pairsLeft--) {
+      long timeMicros = reads.removeFirst().timeMicros();
+      reads.addLast(new Read(reads.removeFirst().endOffset(), timeMicros));
     }
   }
 
   /** Discards the recorded reads once every byte has been consumed; offsets continue to count. */
-  void allTaken() {
+  void clear() {
     reads.clear();
   }
 
@@ -46,10 +46,10 @@
    * Returns the time in microseconds at which the byte before this offset was read. Discards the
    * reads that end before the offset, so offsets must not decrease from call to call.
    */
-  long readTime(long offset) {
+  long readTimeMicros(long offset) {
     while (reads.peekFirst().endOffset() < offset) {
       reads.removeFirst();
     }
-    return reads.peekFirst().atMicros();
+    return reads.peekFirst().timeMicros();
   }
 }
--- a/gateway/src/main/java/shelffront/net/InputBuffer.java
+++ b/gateway/src/main/java/shelffront/net/InputBuffer.java
@@ -45,7 +45,7 @@
 
   /** Records that the next bytes of the stream were read at this time. */
   void recordArrival(int byteCount, long timeMicros) {
-    arrivals.read(byteCount, timeMicros);
+    arrivals.recordRead(byteCount, timeMicros);
   }
 
   /** Appends bytes that were read into a separate buffer. */
@@ -65,7 +65,7 @@
     if (buffer.position() > 0) {
       return;
     }
-    arrivals.allTaken();
+    arrivals.clear();
     if (buffer.capacity() > INITIAL_BYTES) {
       budget.release(budgetedBytes());
       buffer = ByteBuffer.allocate(INITIAL_BYTES);
@@ -77,7 +77,7 @@
    * of {@link #beginConsuming}.
    */
   long arrivalMicros(ByteBuffer bytes) {
-    return arrivals.readTime(consumedBytes + bytes.position());
+    return arrivals.readTimeMicros(consumedBytes + bytes.position());
   }
 
   /** Discards all bytes in the buffer and returns their number. */
@@ -106,11 +106,11 @@
 
   /** Enlarges the buffer by one step; returns false if the budget does not permit it. */
   boolean tryEnlarge(ResourceBudget budget) {
-    int wantedBytes = Math.min(maxBytes, buffer.capacity() * GROWTH_FACTOR);
-    if (!budget.tryAcquire(wantedBytes - buffer.capacity())) {
+    int newCapacityBytes = Math.min(maxBytes, buffer.capacity() * GROWTH_FACTOR);
+    if (!budget.tryAcquire(newCapacityBytes - buffer.capacity())) {
       return false;
     }
-    ByteBuffer larger = ByteBuffer.allocate(wantedBytes);
+    ByteBuffer larger = ByteBuffer.allocate(newCapacityBytes);
     larger.put(buffer.flip());
     buffer = larger;
     return true;
--- a/gateway/src/test/java/shelffront/net/ArrivalTimesTest.java
+++ b/gateway/src/test/java/shelffront/net/ArrivalTimesTest.java
@@ -11,22 +11,22 @@
 
   @Test
   public void byteHasTimeOfReadThatContainsIt() {
-    times.read(10, 1000);
-    times.read(1, 2000);
-    times.read(5, 3000);
-    assertEquals(1000, times.readTime(1));
-    assertEquals(1000, times.readTime(10));
-    assertEquals(2000, times.readTime(11));
-    assertEquals(3000, times.readTime(12));
-    assertEquals(3000, times.readTime(16));
+    times.recordRead(10, 1000);
+    times.recordRead(1, 2000);
+    times.recordRead(5, 3000);
+    assertEquals(1000, times.readTimeMicros(1));
+    assertEquals(1000, times.readTimeMicros(10));
+    assertEquals(2000, times.readTimeMicros(11));
+    assertEquals(3000, times.readTimeMicros(12));
+    assertEquals(3000, times.readTimeMicros(16));
   }
 
   @Test
   public void offsetsContinueAfterAllBytesAreConsumed() {
-    times.read(10, 1000);
-    times.allTaken();
-    times.read(4, 2000);
-    assertEquals(2000, times.readTime(14));
+    times.recordRead(10, 1000);
+    times.clear();
+    times.recordRead(4, 2000);
+    assertEquals(2000, times.readTimeMicros(14));
   }
 
   /**
@@ -37,11 +37,11 @@
   public void mergedReadsNeverReportLaterTime() {
     int reads = 10 * ArrivalTimes.MAX_READS + 7;
     for (int i = 1; i <= reads; i++) {
-      times.read(1, i);
+      times.recordRead(1, i);
     }
     for (int offset = 1; offset <= reads; offset++) {
-      assertTrue(times.readTime(offset) <= offset);
+      assertTrue(times.readTimeMicros(offset) <= offset);
     }
-    assertEquals(reads, times.readTime(reads));
+    assertEquals(reads, times.readTimeMicros(reads));
   }
 }
