--- a/gateway/src/main/java/shelffront/net/AsyncEventLog.java
+++ b/gateway/src/main/java/shelffront/net/AsyncEventLog.java
@@ -20,10 +20,10 @@
 
   private static final long POLL_INTERVAL_MILLIS = 20;
 
-  private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
-  private final AtomicLong dropped = new AtomicLong();
+  private final ArrayBlockingQueue<String> queuedLines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+  private final AtomicLong unreportedDrops = new AtomicLong();
   private final PrintStream out;
-  private final Thread writer = new Thread(this::write, "log");
+  private final Thread writer = new Thread(this::writeQueuedLines, "log");
   private volatile boolean closed;
 
   /** Starts the writer thread, a daemon. */
@@ -35,39 +35,39 @@
 
   @Override
   public void println(Object line) {
-    if (!lines.offer(line.toString())) {
-      dropped.incrementAndGet();
+    if (!queuedLines.offer(line.toString())) {
+      unreportedDrops.incrementAndGet();
     }
   }
 
   /** The number of dropped lines that has not been logged yet. */
-  public long dropped() {
-    return dropped.get();
+  public long unreportedDropCount() {
+    return unreportedDrops.get();
   }
 
-  private void write() {
+  private void writeQueuedLines() {
     try {
-      while (!closed || !lines.isEmpty()) {
+      while (!closed || !queuedLines.isEmpty()) {
         // Polls, because waking this thread for each line would cost time on the loop thread.
-        String line = lines.poll();
+        String line = queuedLines.poll();
         if (line == null) {
           Thread.sleep(POLL_INTERVAL_MILLIS);
           continue;
         }
-        StringBuilder text = new StringBuilder(line).append('\n');
-        for (line = lines.poll();
-            line != null && text.length() < MAX_WRITE_CHARS;
-            line = lines.poll()) {
-          text.append(line).append('\n');
+        StringBuilder batch = new StringBuilder(line).append('\n');
+        for (line = queuedLines.poll();
+            line != null && batch.length() < MAX_WRITE_CHARS;
+            line = queuedLines.poll()) {
+          batch.append(line).append('\n');
         }
         if (line != null) {
-          text.append(line).append('\n');
+          batch.append(line).append('\n');
         }
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
-          text.append("log dropped ").append(lost).append(" lines\n");
+        long droppedCount = unreportedDrops.getAndSet(0);
+        if (droppedCount > 0) {
+          batch.append("log dropped ").append(droppedCount).append(" lines\n");
         }
-        byte[] bytes = text.toString().getBytes(UTF_8);
+        byte[] bytes = batch.toString().getBytes(UTF_8);
         out.write(bytes, 0, bytes.length);
         out.flush();
       }
@@ -77,11 +77,11 @@
   }
 
   /**
-   * Ends the writer thread after it has written the queued lines. Returns after this time at the
-   * latest, even if a stalled reader has left lines unwritten.
+   * Ends the writer thread after it has written the queued lines. Returns when the timeout expires,
+   * even if a stalled reader has left lines unwritten.
    */
-  public void close(long milliseconds) throws InterruptedException {
+  public void close(long timeoutMillis) throws InterruptedException {
     closed = true;
-    writer.join(milliseconds);
+    writer.join(timeoutMillis);
   }
 }
--- a/gateway/src/test/java/shelffront/net/AsyncEventLogTest.java
+++ b/gateway/src/test/java/shelffront/net/AsyncEventLogTest.java
@@ -13,12 +13,12 @@
 
 class AsyncEventLogTest {
 
-  /** An output that blocks all writes until {@code go} is released. */
-  private static final class Stalled extends OutputStream {
+  /** An output that blocks all writes until {@code released} is counted down. */
+  private static final class BlockingOutput extends OutputStream {
 
-    private final CountDownLatch taken = new CountDownLatch(1);
-    private final CountDownLatch go = new CountDownLatch(1);
-    private final ByteArrayOutputStream seen = new ByteArrayOutputStream();
+    private final CountDownLatch writeStarted = new CountDownLatch(1);
+    private final CountDownLatch released = new CountDownLatch(1);
+    private final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
     @Override
     public void write(int singleByte) {
@@ -27,13 +27,13 @@
 
     @Override
     public void write(byte[] bytes, int from, int length) {
-      taken.countDown();
+      writeStarted.countDown();
       try {
-        go.await();
+        released.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      seen.write(bytes, from, length);
+      written.write(bytes, from, length);
     }
   }
 
@@ -43,18 +43,18 @@
    */
   @Test
   void stalledOutputDoesNotBlockLoggingAndDroppedLinesAreCounted() throws Exception {
-    Stalled reader = new Stalled();
-    AsyncEventLog log = new AsyncEventLog(new PrintStream(reader));
+    BlockingOutput output = new BlockingOutput();
+    AsyncEventLog log = new AsyncEventLog(new PrintStream(output));
     log.println("first");
-    assertTrue(reader.taken.await(20, TimeUnit.SECONDS));
+    assertTrue(output.writeStarted.await(20, TimeUnit.SECONDS));
     for (int i = 0; i < 10_000; i++) {
       log.println("line " + i); // would never return if it waited for the output
     }
-    long dropped = log.dropped();
+    long dropped = log.unreportedDropCount();
     assertEquals(10_000 - 4096, dropped);
-    reader.go.countDown();
+    output.released.countDown();
     log.close(20_000);
-    String text = reader.seen.toString(StandardCharsets.UTF_8);
+    String text = output.written.toString(StandardCharsets.UTF_8);
     assertTrue(text.startsWith("first\nline 0\nline 1\n"), "lines are in order");
     assertTrue(
         text.contains("log dropped " + dropped + " lines"),
