--- a/gateway/src/main/java/shelffront/net/Connection.java
+++ b/gateway/src/main/java/shelffront/net/Connection.java
@@ -201,7 +201,7 @@
     channel.connect(address, null, onCompletion(this::onConnected));
   }
 
-  private void onConnected(Void none, Throwable failure) {
+  private void onConnected(Void ignored, Throwable failure) {
     if (failure != null) {
       close(CloseReason.CONNECT_FAILED);
     } else {
--- a/gateway/src/main/java/shelffront/net/Counters.java
+++ b/gateway/src/main/java/shelffront/net/Counters.java
@@ -50,8 +50,8 @@
   }
 
   /** Creates counters whose counts are also added to a parent. */
-  public Counters(Counters whole) {
-    this.parent = whole;
+  public Counters(Counters parent) {
+    this.parent = parent;
   }
 
   public void add(Name name) {
--- a/gateway/src/main/java/shelffront/net/EventLoop.java
+++ b/gateway/src/main/java/shelffront/net/EventLoop.java
@@ -190,8 +190,8 @@
   }
 
   /** Moves posted tasks to the queues of their flows. */
-  private void distributeToFlows(PostedTask result) {
-    for (PostedTask each = result; each != null; each = postedTasks.poll()) {
+  private void distributeToFlows(PostedTask first) {
+    for (PostedTask each = first; each != null; each = postedTasks.poll()) {
       readyTasks.add(each.flow(), each.task());
     }
   }
--- a/gateway/src/main/java/shelffront/net/Network.java
+++ b/gateway/src/main/java/shelffront/net/Network.java
@@ -34,28 +34,28 @@
    * view only for connections that need not see the completion of a write before the response to
    * it, such as those of a listener in front of several loops.
    */
-  public Network withChannels(Channels other) {
-    return new Network(loop, other, budget, counters, log, taskFlow, tenantId);
+  public Network withChannels(Channels newChannels) {
+    return new Network(loop, newChannels, budget, counters, log, taskFlow, tenantId);
   }
 
   /**
    * Returns a tenant's view with its own flow, budget and counters. The budget and the counters are
    * children of those of this network.
    */
-  public Network forTenant(String id, Flow<Runnable> own, long bufferBytes) {
+  public Network forTenant(String id, Flow<Runnable> tenantFlow, long bufferBytes) {
     return new Network(
         loop,
         channels,
         new ResourceBudget(budget, bufferBytes),
         new Counters(counters),
         log,
-        own,
+        tenantFlow,
         id);
   }
 
   /** Posts a task to the loop in this view's flow. Any thread may call. */
-  public void post(Runnable result) {
-    loop.post(taskFlow, result);
+  public void post(Runnable task) {
+    loop.post(taskFlow, task);
   }
 
   public AsynchronousSocketChannel newChannel() throws IOException {
