--- a/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
@@ -33,18 +33,18 @@
   private int openBraces;
 
   private Deadline silenceDeadline;
-  private boolean listCame;
+  private boolean listReceived;
 
   DiscoveryCall(
       Network network,
       AsynchronousSocketChannel channel,
       InetSocketAddress address,
       String request,
-      boolean standing,
+      boolean isWatch,
       DiscoveryClient discovery) {
     super(network, "discovery", channel, MAX_INPUT_BYTES);
     this.discovery = discovery;
-    this.isWatch = standing;
+    this.isWatch = isWatch;
     restartSilenceDeadline();
     write(request.getBytes(US_ASCII));
     connect(address);
@@ -79,9 +79,9 @@
 
   @Override
   protected void onBytesReceived(ByteBuffer bytes) {
-    boolean before = response.hasHeaders();
+    boolean hadHeaders = response.hasHeaders();
     try {
-      response.take(bytes);
+      response.parse(bytes);
     } catch (MalformedInputException e) {
       network.log().println("discovery: " + e.getMessage());
       close(CloseReason.BAD_ANSWER);
@@ -94,10 +94,10 @@
       close(CloseReason.ANSWERED); // the body of an error response may never end
       return;
     }
-    if (response.hasHeaders() && !before) {
+    if (response.hasHeaders() && !hadHeaders) {
       restartSilenceDeadline();
     }
-    if (response.ended()) {
+    if (response.isComplete()) {
       finish(CloseReason.ANSWERED);
     }
   }
@@ -123,10 +123,10 @@
     if (openBraces <= 0) {
       restartSilenceDeadline();
       if (body.length() > 0) {
-        String whole = body.toString();
+        String listText = body.toString();
         body.setLength(0);
         openBraces = 0;
-        onListText(whole);
+        onListText(listText);
       }
     }
   }
@@ -136,19 +136,19 @@
    * which never span lines, do not count.
    */
   private static int braceBalance(String line) {
-    int depth = 0;
-    boolean inText = false;
+    int balance = 0;
+    boolean inString = false;
     for (int i = 0; i < line.length(); i++) {
       char character = line.charAt(i);
-      if (inText && character == '\\') {
+      if (inString && character == '\\') {
         i++;
       } else if (character == '"') {
-        inText = !inText;
-      } else if (!inText && (character == '{' || character == '}')) {
-        depth += character == '{' ? 1 : -1;
+        inString = !inString;
+      } else if (!inString && (character == '{' || character == '}')) {
+        balance += character == '{' ? 1 : -1;
       }
     }
-    return depth;
+    return balance;
   }
 
   private void onListText(String text) {
@@ -160,7 +160,7 @@
       close(CloseReason.BAD_ANSWER);
       return;
     }
-    listCame = true;
+    listReceived = true;
     discovery.onEndpointList(list);
   }
 
@@ -174,7 +174,7 @@
   @Override
   protected void onClosed(CloseReason reason) {
     silenceDeadline.cancel();
-    discovery.onCallClosed(this, isWatch, listCame);
+    discovery.onCallClosed(this, isWatch, listReceived);
   }
 
   @Override
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
@@ -52,10 +52,10 @@
   private final Listener listener;
   private InetSocketAddress address;
   private long revision;
-  private long newestAtMicros;
+  private long newestListMicros;
 
   /** Whether a watch is wanted; the watch itself may have failed. */
-  private boolean watching;
+  private boolean watchWanted;
 
   private DiscoveryCall watch;
 
@@ -70,10 +70,10 @@
 
   /** Closes the current watch, then opens a new one if {@code on} is true. */
   public void watch(boolean on) {
-    watching = on;
+    watchWanted = on;
     close(CloseReason.REPLACED);
     if (on) {
-      watch = call("/catalog/members?watch=1&from=" + revision, true);
+      watch = startCall("/catalog/members?watch=1&from=" + revision, true);
     }
   }
 
@@ -91,9 +91,9 @@
    * address immediately: the old address may close late, and the gateway must also have the changes
    * that it no longer reports.
    */
-  public void changeAddress(InetSocketAddress to) {
-    address = to;
-    if (watching) {
+  public void changeAddress(InetSocketAddress newAddress) {
+    address = newAddress;
+    if (watchWanted) {
       watch(true);
     }
   }
@@ -105,19 +105,19 @@
 
   /** Fetches the whole list once, on a separate connection. */
   public void fetchEndpoints() {
-    call("/catalog/members", false);
+    startCall("/catalog/members", false);
   }
 
   /** Closes the watch without reporting a failure; fetches continue. */
   public void close(CloseReason reason) {
-    DiscoveryCall old = watch;
+    DiscoveryCall oldWatch = watch;
     watch = null;
-    if (old != null) {
-      old.endOnceProcessed(reason);
+    if (oldWatch != null) {
+      oldWatch.endOnceProcessed(reason);
     }
   }
 
-  private DiscoveryCall call(String path, boolean standing) {
+  private DiscoveryCall startCall(String path, boolean isWatch) {
     try {
       return new DiscoveryCall(
           network,
@@ -130,11 +130,11 @@
               + ":"
               + address.getPort()
               + "\r\nAccept: application/json\r\n\r\n",
-          standing,
+          isWatch,
           this);
     } catch (IOException e) {
       network.log().println("no socket for discovery: " + e.getMessage());
-      network.post(this::failed);
+      network.post(this::reportFailure);
       return null;
     }
   }
@@ -145,27 +145,27 @@
    */
   void onEndpointList(EndpointList list) {
     if (list.revision() < revision
-        && network.loop().nowMicros() < newestAtMicros + STALE_LIST_WINDOW_MICROS) {
+        && network.loop().nowMicros() < newestListMicros + STALE_LIST_WINDOW_MICROS) {
       network.log().println("discovery: list " + list.revision() + " is older than " + revision);
       return;
     }
     revision = list.revision();
-    newestAtMicros = network.loop().nowMicros();
+    newestListMicros = network.loop().nowMicros();
     network.counters().add(Counters.Name.LISTS_HEARD);
     listener.onEndpoints(list);
   }
 
   /** Reports the end of the current watch as a failure, that of a fetch only if it got no list. */
-  void onCallClosed(DiscoveryCall call, boolean standing, boolean listCame) {
+  void onCallClosed(DiscoveryCall call, boolean isWatch, boolean listReceived) {
     if (call == watch) {
       watch = null;
-      failed();
-    } else if (!standing && !listCame) {
-      failed();
+      reportFailure();
+    } else if (!isWatch && !listReceived) {
+      reportFailure();
     }
   }
 
-  private void failed() {
+  private void reportFailure() {
     network.counters().add(Counters.Name.DISCOVERY_FAILURES);
     listener.onDiscoveryFailed();
   }
--- a/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
+++ b/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
@@ -26,7 +26,7 @@
   private static final int DECIMAL = 10;
   private static final int HEXADECIMAL = 16;
 
-  private enum Part {
+  private enum State {
     STATUS,
     HEADER,
     CHUNK_SIZE,
@@ -35,21 +35,21 @@
     END
   }
 
-  private final Consumer<String> lines;
+  private final Consumer<String> lineConsumer;
 
   /** The received part of the current body line, which may span chunks. */
-  private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream bodyLine = new ByteArrayOutputStream();
 
   /** The received part of the current status, header or chunk size line. */
-  private final ByteArrayOutputStream frame = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream protocolLine = new ByteArrayOutputStream();
 
-  private Part part = Part.STATUS;
+  private State state = State.STATUS;
   private int status;
   private boolean chunked;
   private long bytesLeft = Long.MAX_VALUE;
 
-  HttpLineReader(Consumer<String> lines) {
-    this.lines = lines;
+  HttpLineReader(Consumer<String> lineConsumer) {
+    this.lineConsumer = lineConsumer;
   }
 
   /** The status code of the response; 0 before it is received. */
@@ -59,91 +59,91 @@
 
   /** Whether the status line and all headers have been received. */
   boolean hasHeaders() {
-    return part != Part.STATUS && part != Part.HEADER;
+    return state != State.STATUS && state != State.HEADER;
   }
 
-  boolean ended() {
-    return part == Part.END;
+  boolean isComplete() {
+    return state == State.END;
   }
 
   /** Ends the response; passes on a last body line that has no line end. */
   private void finish() {
-    if (line.size() > 0) {
-      lines.accept(line.toString(UTF_8));
+    if (bodyLine.size() > 0) {
+      lineConsumer.accept(bodyLine.toString(UTF_8));
     }
-    line.reset();
-    part = Part.END;
+    bodyLine.reset();
+    state = State.END;
   }
 
-  void take(ByteBuffer in) throws MalformedInputException {
-    while (in.hasRemaining() && part != Part.END) {
+  void parse(ByteBuffer in) throws MalformedInputException {
+    while (in.hasRemaining() && state != State.END) {
       byte nextByte = in.get();
-      boolean inBody = part == Part.BODY;
+      boolean inBody = state == State.BODY;
       bytesLeft -= inBody ? 1 : 0;
-      ByteArrayOutputStream into = inBody ? line : frame;
+      ByteArrayOutputStream target = inBody ? bodyLine : protocolLine;
       if (nextByte != '\n') {
-        into.write(nextByte);
-        if (into.size() > MAX_LINE_BYTES) {
+        target.write(nextByte);
+        if (target.size() > MAX_LINE_BYTES) {
           throw new MalformedInputException("a line is too long");
         }
       } else if (inBody) {
-        lines.accept(line.toString(UTF_8));
-        line.reset();
+        lineConsumer.accept(bodyLine.toString(UTF_8));
+        bodyLine.reset();
       } else {
-        String text = frame.toString(ISO_8859_1).strip();
-        frame.reset();
-        protocolLine(text);
+        String text = protocolLine.toString(ISO_8859_1).strip();
+        protocolLine.reset();
+        onProtocolLine(text);
       }
-      if (part == Part.BODY && bytesLeft == 0) {
-        bodyPartEnds();
+      if (state == State.BODY && bytesLeft == 0) {
+        onBodyPartEnd();
       }
     }
   }
 
-  private void bodyPartEnds() {
+  private void onBodyPartEnd() {
     if (chunked) {
-      part = Part.CHUNK_END;
+      state = State.CHUNK_END;
     } else {
       finish();
     }
   }
 
-  private void protocolLine(String text) throws MalformedInputException {
-    switch (part) {
+  private void onProtocolLine(String text) throws MalformedInputException {
+    switch (state) {
       case STATUS -> {
         if (!text.matches("HTTP/1\\.[01] [0-9]{3}.*")) {
           throw new MalformedInputException("not an HTTP answer");
         }
         status = Integer.parseInt(text.substring(STATUS_START, STATUS_END));
-        part = Part.HEADER;
+        state = State.HEADER;
       }
-      case HEADER -> header(text.toLowerCase(Locale.ROOT));
+      case HEADER -> onHeaderLine(text.toLowerCase(Locale.ROOT));
       case CHUNK_SIZE -> {
-        bytesLeft = size(text.split(";", 2)[0].strip(), HEXADECIMAL);
-        part = Part.BODY;
+        bytesLeft = parseLength(text.split(";", 2)[0].strip(), HEXADECIMAL);
+        state = State.BODY;
         if (bytesLeft == 0) {
           finish();
         }
       }
-      case CHUNK_END -> part = Part.CHUNK_SIZE;
+      case CHUNK_END -> state = State.CHUNK_SIZE;
       default -> throw new MalformedInputException("a line out of place");
     }
   }
 
-  private void header(String text) throws MalformedInputException {
+  private void onHeaderLine(String text) throws MalformedInputException {
     if (text.startsWith("transfer-encoding:") && text.endsWith("chunked")) {
       chunked = true;
     } else if (text.startsWith(CONTENT_LENGTH)) {
-      bytesLeft = size(text.substring(CONTENT_LENGTH.length()).strip(), DECIMAL);
+      bytesLeft = parseLength(text.substring(CONTENT_LENGTH.length()).strip(), DECIMAL);
     } else if (text.isEmpty()) {
-      part = chunked ? Part.CHUNK_SIZE : Part.BODY;
+      state = chunked ? State.CHUNK_SIZE : State.BODY;
       if (!chunked && bytesLeft == 0) {
         finish();
       }
     }
   }
 
-  private static long size(String text, int radix) throws MalformedInputException {
+  private static long parseLength(String text, int radix) throws MalformedInputException {
     if (!text.matches(radix == HEXADECIMAL ? "[0-9A-Fa-f]{1,7}" : "[0-9]{1,9}")) {
       throw new MalformedInputException("not a length: " + text);
     }
