--- a/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryCall.java
@@ -83,7 +83,9 @@
     try {
       response.parse(bytes);
     } catch (MalformedInputException e) {
-      network.log().println("discovery: " + e.getMessage());
+      network
+          .log()
+          .println("discovery: malformed response to " + callName() + ": " + e.getMessage());
       close(CloseReason.BAD_ANSWER);
       return;
     }
@@ -107,7 +109,14 @@
       return;
     }
     if (body.length() + text.length() > MAX_LIST_CHARS) {
-      network.log().println("discovery: a list is too long");
+      network
+          .log()
+          .println(
+              "discovery: endpoint list from "
+                  + callName()
+                  + " exceeds "
+                  + MAX_LIST_CHARS
+                  + " characters");
       close(CloseReason.BAD_ANSWER);
       return;
     }
@@ -156,7 +165,9 @@
     try {
       list = EndpointList.read(JsonReader.parseObject(text));
     } catch (MalformedInputException e) {
-      network.log().println("discovery: " + e.getMessage());
+      network
+          .log()
+          .println("discovery: malformed endpoint list from " + callName() + ": " + e.getMessage());
       close(CloseReason.BAD_ANSWER);
       return;
     }
@@ -179,6 +190,10 @@
 
   @Override
   protected String describe() {
-    return (isWatch ? "watch" : "fetch") + " status=" + response.status();
+    return callName() + " status=" + response.status();
+  }
+
+  private String callName() {
+    return isWatch ? "watch" : "fetch";
   }
 }
--- a/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
@@ -133,7 +133,9 @@
           isWatch,
           this);
     } catch (IOException e) {
-      network.log().println("no socket for discovery: " + e.getMessage());
+      network
+          .log()
+          .println("discovery: failed to open a channel for " + path + ": " + e.getMessage());
       network.post(this::reportFailure);
       return null;
     }
@@ -146,7 +148,13 @@
   void onEndpointList(EndpointList list) {
     if (list.revision() < revision
         && network.loop().nowMicros() < newestListMicros + STALE_LIST_WINDOW_MICROS) {
-      network.log().println("discovery: list " + list.revision() + " is older than " + revision);
+      network
+          .log()
+          .println(
+              "discovery: ignored endpoint list with revision "
+                  + list.revision()
+                  + ", older than current revision "
+                  + revision);
       return;
     }
     revision = list.revision();
--- a/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
+++ b/gateway/src/main/java/shelffront/discovery/HttpLineReader.java
@@ -84,7 +84,7 @@
       if (nextByte != '\n') {
         target.write(nextByte);
         if (target.size() > MAX_LINE_BYTES) {
-          throw new MalformedInputException("a line is too long");
+          throw new MalformedInputException("line exceeds " + MAX_LINE_BYTES + " bytes");
         }
       } else if (inBody) {
         lineConsumer.accept(bodyLine.toString(UTF_8));
@@ -112,7 +112,8 @@
     switch (state) {
       case STATUS -> {
         if (!text.matches("HTTP/1\\.[01] [0-9]{3}.*")) {
-          throw new MalformedInputException("not an HTTP answer");
+          throw new MalformedInputException(
+              "expected an HTTP/1.x status line, got a line of " + text.length() + " characters");
         }
         status = Integer.parseInt(text.substring(STATUS_START, STATUS_END));
         state = State.HEADER;
@@ -126,7 +127,7 @@
         }
       }
       case CHUNK_END -> state = State.CHUNK_SIZE;
-      default -> throw new MalformedInputException("a line out of place");
+      default -> throw new MalformedInputException("unexpected protocol line in state " + state);
     }
   }
 
@@ -145,7 +146,10 @@
 
   private static long parseLength(String text, int radix) throws MalformedInputException {
     if (!text.matches(radix == HEXADECIMAL ? "[0-9A-Fa-f]{1,7}" : "[0-9]{1,9}")) {
-      throw new MalformedInputException("not a length: " + text);
+      throw new MalformedInputException(
+          "invalid "
+              + (radix == HEXADECIMAL ? "hexadecimal chunk size: " : "content length: ")
+              + text);
     }
     return Long.parseLong(text, radix);
   }
--- a/gateway/src/main/java/shelffront/net/Connection.java
+++ b/gateway/src/main/java/shelffront/net/Connection.java
@@ -350,7 +350,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      network.log().println("close " + kind + " failed: " + e.getMessage());
+      network.log().println("failed to close " + kind + " connection: " + e.getMessage());
     }
     network.log().println(closeLine(reason));
     onClosed(reason);
--- a/gateway/src/main/java/shelffront/pg/Message.java
+++ b/gateway/src/main/java/shelffront/pg/Message.java
@@ -180,7 +180,8 @@
   private void requireValidBody(boolean isValid) throws ProtocolException {
     if (!isValid) {
       throw new ProtocolException(
-          SqlState.PROTOCOL_VIOLATION, "the body of message type " + (int) type + " does not fit");
+          SqlState.PROTOCOL_VIOLATION,
+          "malformed body of message type '" + type + "', " + body.length + " bytes");
     }
   }
 
