--- a/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/shelffront/discovery/DiscoveryClient.java
@@ -88,8 +88,8 @@
 
   /**
    * Changes the address of the discovery service. If a watch is wanted, it is reopened at the new
-   * address immediately: the old address may close late, and the gateway must also have the changes
-   * that it no longer reports.
+   * address immediately: the old address may close late, and the time limit for receiving a change
+   * also covers changes that the old address no longer reports.
    */
   public void changeAddress(InetSocketAddress newAddress) {
     address = newAddress;
--- a/gateway/src/main/java/shelffront/net/Connection.java
+++ b/gateway/src/main/java/shelffront/net/Connection.java
@@ -10,9 +10,9 @@
 /**
  * One socket with its input and output, independent of the protocol.
  *
- * <p>Invariants: every method except {@link #hasUnprocessedInput} runs on the loop thread; at most
- * one read and one write are outstanding; a connection ends exactly once, in {@link #close}, which
- * logs the reason and then calls {@link #onClosed}.
+ * <p>Invariants: every method except {@link #hasUnprocessedInput} and its setter runs on the loop
+ * thread; at most one read and one write are outstanding; a connection ends exactly once, in {@link
+ * #close}, which logs the reason and then calls {@link #onClosed}.
  */
 public abstract class Connection {
 
@@ -75,7 +75,7 @@
     close(reason);
   }
 
-  /** Describes this connection in its log line, without kind and reason. */
+  /** Describes this connection in its log line, without kind, tenant and reason. */
   protected abstract String describe();
 
   /**
