--- a/gateway/src/main/java/shelffront/frontend/ClientActivity.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientActivity.java
@@ -1,21 +1,21 @@
 package shelffront.frontend;
 
 /**
- * What a client has sent so far and when: decides whether its connection may be ended while nothing
- * is owed on it. All times in Unix microseconds.
+ * Tracks what a client has sent and when, to decide whether its connection may be closed while no
+ * response is outstanding on it. All times are Unix microseconds.
  */
 final class ClientActivity {
 
-  /** To the first whole command: a client that sends none is owed its end within 3 s. */
+  /** A client that sends no complete command must be disconnected within 3 s. */
   private static final long FIRST_COMMAND_TIMEOUT_MICROS = 2_500_000;
 
   private static final long INCOMPLETE_COMMAND_TIMEOUT_MICROS = 2_000_000;
   private static final long IDLE_TIMEOUT_MICROS = 10_000_000;
 
-  /** Clients send their startup and first command at once, and a command in quick succession. */
+  /** Clients send startup and first command without delay, and the parts of a command likewise. */
   private static final long SILENCE_MICROS = 100_000;
 
-  /** As {@link #SILENCE_MICROS}, while others wait for the place. */
+  /** Replaces {@link #SILENCE_MICROS} while other clients wait for a connection slot. */
   static final long BRIEF_SILENCE_MICROS = 5_000;
 
   private final long openedAtMicros;
@@ -36,40 +36,42 @@
     commandReceived = true;
   }
 
-  /** Records whether part of a command has come; returns whether that part has just begun. */
+  /** Records whether the input ends in a partial command; returns true if it has just begun. */
   boolean recordIncompleteCommand(boolean incomplete) {
     boolean begun = incomplete && !commandIncomplete;
     commandIncomplete = incomplete;
     return begun;
   }
 
-  /** By when the first whole command must have come. */
+  /** Latest time by which the first complete command must have been received. */
   long firstCommandDeadlineMicros() {
     return openedAtMicros + FIRST_COMMAND_TIMEOUT_MICROS;
   }
 
-  /** By when the next command must be whole, for a connection that falls idle now. */
+  /** Latest time for the next complete command on a connection that becomes idle now. */
   long nextCommandDeadlineMicros(long nowMicros) {
     return nowMicros
         + (commandIncomplete ? INCOMPLETE_COMMAND_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS);
   }
 
-  /** A whole command has come. */
   boolean hasSentCommand() {
     return commandReceived;
   }
 
-  /** Whether it has sent no whole command in the time in which clients do. */
+  /** Whether the client has sent no complete command within 100 ms of connecting. */
   boolean isSilent(long nowMicros) {
     return !commandReceived && nowMicros > openedAtMicros + SILENCE_MICROS;
   }
 
-  /** Whether what it has begun to send has had its time to come. */
+  /** Whether no further input is expected soon: no command is partial, or its rest is overdue. */
   boolean isQuiet(long nowMicros) {
     return isQuiet(nowMicros, SILENCE_MICROS);
   }
 
-  /** As {@link #isQuiet(long)}, where others need its place at once. */
+  /**
+   * Like {@link #isQuiet(long)}, with a shorter wait for clients that have sent no command, for use
+   * while other clients wait for a connection slot.
+   */
   boolean isBrieflyQuiet(long nowMicros) {
     return isQuiet(nowMicros, commandReceived ? SILENCE_MICROS : BRIEF_SILENCE_MICROS);
   }
--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -14,49 +14,49 @@
 import shelffront.request.ClientRequest;
 
 /**
- * A client's connection: reads its commands, has one at a time in work, and answers them in their
- * order.
+ * A client's connection: reads commands, processes one at a time, and responds in order.
  *
- * <p>Invariants: a command is taken up only when no request is in work and all output has gone out,
- * so output stays bounded; whatever waits or is in work is held from the memory budget; a request
- * that was taken up gets exactly one answer unless the client leaves.
+ * <p>Invariants: a command is started only when no request is in progress and all output has been
+ * written, so output stays bounded; queued and active commands are charged to the memory budget; a
+ * request that was started gets exactly one response unless the client disconnects. Runs on the
+ * loop thread of the connection.
  */
 final class ClientConnection extends Connection
     implements ClientRequest.ResponseListener, ClientHandle {
 
-  /** The message types that a client may send after its startup. */
+  /** Message types that a client may send after startup. */
   private static final String COMMAND_TYPES = "QXSPBDECHFdcf";
 
-  /** What was owed when a timeout came has been answered by then, or is looked at again. */
+  /** Delay before a timeout that found the connection busy checks again. */
   private static final long TIMEOUT_RECHECK_MICROS = 20_000;
 
   private FrontendConnections frontend;
 
-  /** Where it was accepted and holds its place; another than {@link #frontend} after a move. */
+  /** Accepted this connection and counts its slot; differs from {@link #frontend} after a move. */
   private final FrontendConnections acceptedBy;
 
   private final StartupHandshake handshake = new StartupHandshake(this);
   private final CommandQueue waiting = new CommandQueue();
   private final ClientActivity activity;
 
-  /** Where it moves to, from the order to its arrival. */
+  /** Target of a move in progress; set by {@link #moveTo}. */
   private FrontendConnections destination;
 
-  /** Null until its tenant has admitted it. */
+  /** Null until the tenant has admitted the connection. */
   private RequestHandler handler;
 
-  /** After an error in the extended protocol, everything up to the next Sync is skipped. */
+  /** After an extended-protocol error, all messages up to the next Sync are skipped. */
   private boolean skippingToSync;
 
-  /** Why input from here on is not parsed; null while it is. */
+  /** The error that stopped the parsing of input; null while input is parsed. */
   private String inputFailure;
 
   private ClientRequest current;
 
-  /** Bytes of waiting commands and of the answer in hand, held from the memory budget. */
+  /** Bytes of queued commands and of the unwritten response, charged to the memory budget. */
   private int heldBytes;
 
-  /** On the time to the next whole command; cancelled while a request is in work. */
+  /** Bounds the wait for the next complete command; cancelled while a request is in progress. */
   private Deadline commandDeadline;
 
   ClientConnection(FrontendConnections frontend, AsynchronousSocketChannel channel) {
@@ -75,7 +75,7 @@
     commandDeadline = network.loop().scheduleAt(atMicros, () -> expire(reason));
   }
 
-  /** Reads what comes; may end it at once, so whoever counts it has done so before. */
+  /** Starts reading; may close the connection synchronously, so the caller registers it first. */
   void begin() {
     startReading();
   }
@@ -84,23 +84,25 @@
     return frontend;
   }
 
-  /** Whether it may be closed without a loss: nothing of it is in work or unsent. */
+  /** Whether no request is in progress or queued and all output has been written. */
   @Override
   public boolean isIdle() {
     return current == null && waiting.isEmpty() && isOutputEmpty();
   }
 
-  /** Whether it has sent no whole command in the time in which clients do. */
+  /** Whether the client has sent no complete command within the usual time after connecting. */
   boolean isSilent() {
     return activity.isSilent(nowMicros());
   }
 
-  /** Whether it may be ended: nothing is owed, and what it has begun to send had time to come. */
+  /** Whether it may be closed: nothing is outstanding, and a partial command had time to arrive. */
   boolean mayRetire() {
     return owesNothing() && activity.isQuiet(nowMicros());
   }
 
-  /** As {@link #mayRetire()}, where others need its place and nobody else can give up his. */
+  /**
+   * Like {@link #mayRetire()}, with a shorter wait, for when no other connection can be evicted.
+   */
   boolean mayMakeRoom() {
     return owesNothing() && activity.isBrieflyQuiet(nowMicros());
   }
@@ -109,12 +111,15 @@
     return isIdle() && !isEnding() && !hasUnprocessedInput();
   }
 
-  /** Ends it in order if it may be; its client sends elsewhere what crosses that end. */
+  /**
+   * Closes the connection in order if nothing is outstanding. A command that crosses the close is
+   * discarded unexecuted, so the client can send it on another connection.
+   */
   boolean retire(CloseReason reason) {
     return mayMakeRoom() && tryCloseInOrder(reason);
   }
 
-  /** Not while anything is owed, and what was read in this moment is looked at first. */
+  /** Closes the connection, or checks again later if it is busy or has unprocessed input. */
   private void expire(CloseReason reason) {
     if (!isIdle() || !tryCloseInOrder(reason)) {
       scheduleExpiry(nowMicros() + TIMEOUT_RECHECK_MICROS, reason);
@@ -127,7 +132,7 @@
     frontend.onLingering(this);
   }
 
-  /** Connections of the same tenant. */
+  /** Number of client connections of the same tenant; 0 before admission. */
   int siblingCount() {
     return handler == null ? 0 : handler.clientCount();
   }
@@ -174,7 +179,7 @@
       if (message == null) {
         return;
       }
-      // Guards the heap: what waits its turn is counted like what is in work.
+      // Protects the heap: queued commands count against the budget like active ones.
       if (!tryHold(message.body().length)) {
         throw new ProtocolException(SqlState.OUT_OF_MEMORY, "there is no room for the command");
       }
@@ -200,12 +205,12 @@
     takeCommands();
   }
 
-  /** Sends a message of the startup. */
+  /** Sends a startup message. */
   void send(byte[] message) {
     write(message);
   }
 
-  /** The tenant is known now, or the failure that the client is told. */
+  /** Continues the startup after the tenant lookup; a non-null failure goes to the client. */
   void onTenantLookedUp(ProtocolException failure) {
     if (failure != null) {
       failInput(failure, CloseReason.NO_TENANT);
@@ -215,7 +220,7 @@
     reofferInput();
   }
 
-  /** Moves to the loop where its tenant lives, to go on with the startup there. */
+  /** Moves to the event loop that owns the tenant; the startup continues there. */
   void moveTo(FrontendConnections home) {
     destination = home;
     moveToLoop(home.network, this::arrive);
@@ -234,7 +239,7 @@
     resumeAfterMove();
   }
 
-  /** Becomes one of the tenant's connections, within its budget. */
+  /** Joins the tenant's connections; throws if the tenant's memory budget has no room. */
   void joinTenant(RequestHandler tenant) throws ProtocolException {
     if (!tryJoinTenant(tenant.network())) {
       throw new ProtocolException(SqlState.OUT_OF_MEMORY, "there is no room for the connection");
@@ -243,7 +248,7 @@
     handler.onClientConnected(this);
   }
 
-  /** Guards against clients that hold a connection with part of a command, or for good. */
+  /** Restarts the timeout that closes connections that stay idle or stop within a command. */
   private void onIdle() {
     commandDeadline.cancel();
     scheduleExpiry(activity.nextCommandDeadlineMicros(nowMicros()), CloseReason.IDLE);
@@ -251,8 +256,8 @@
   }
 
   /**
-   * Takes up commands while none is in work and the answers before have gone out. Nothing is begun
-   * for a client whose end has been read, though a write to it is still outstanding.
+   * Starts queued commands while no request is in progress and all responses have been written. No
+   * command is started once the client's end has been read, even if a write is still outstanding.
    */
   private void takeCommands() {
     while (!isEnding() && current == null && isOutputEmpty() && !waiting.isEmpty()) {
@@ -294,7 +299,7 @@
       case 'F' ->
           throw new ProtocolException(
               SqlState.FEATURE_NOT_SUPPORTED, "function calls are not served");
-      default -> {} // Copy data outside a copy is dropped, as a server does.
+      default -> {} // PostgreSQL servers also ignore copy data outside a copy operation.
     }
   }
 
@@ -321,7 +326,7 @@
   @Override
   public void onServed(byte[] messages) {
     if (!tryHold(messages.length)) {
-      onFailed(); // There is no room to keep the value until the client takes it.
+      onFailed(); // The memory budget has no room for the value until the client reads it.
       return;
     }
     network.counters().add(Counters.Name.ANSWERS_SERVED);
--- a/gateway/src/main/java/shelffront/frontend/ClientErrors.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientErrors.java
@@ -5,14 +5,14 @@
 import shelffront.pg.ProtocolException;
 import shelffront.pg.SqlState;
 
-/** The ErrorResponses that clients get, and the reasons for which connections close after them. */
+/** Builds the ErrorResponses to clients and maps errors to the close reasons of connections. */
 final class ClientErrors {
 
   private static final long MICROS_PER_MILLI = 1000;
 
   private ClientErrors() {}
 
-  /** The request was not executed; a Retry-After of 0 gives no advice when to come again. */
+  /** The request was not executed. A Retry-After of 0 is omitted from the response. */
   static byte[] rejected(long retryAfterMicros) {
     return Message.error(
         false,
@@ -25,7 +25,7 @@
     return Long.toString((micros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
   }
 
-  /** The request was not executed, and never will be here. */
+  /** The request was not executed, and this gateway will not execute it if it is sent again. */
   static byte[] unavailable() {
     return Message.error(
         false,
@@ -34,36 +34,36 @@
         null);
   }
 
-  /** Nothing is promised about the request's effect. */
+  /** The request may or may not have been executed. */
   static byte[] failed() {
     return Message.error(
         false, SqlState.STATEMENT_COMPLETION_UNKNOWN, "failed, its effect is not known", null);
   }
 
-  /** The command can't be served; the connection stays. */
+  /** The command cannot be served; the connection stays open. */
   static byte[] invalid(ProtocolException failure) {
     return Message.error(false, failure.sqlState(), failure.getMessage(), null);
   }
 
-  /** The connection ends after this. */
+  /** The connection is closed after this error. */
   static byte[] fatal(ProtocolException failure) {
     return Message.error(true, failure.sqlState(), failure.getMessage(), null);
   }
 
-  /** The command belongs to the extended protocol. */
+  /** The command belongs to the extended query protocol. */
   static byte[] extendedProtocol() {
     return Message.error(
         false, SqlState.FEATURE_NOT_SUPPORTED, "only simple queries are served", null);
   }
 
-  /** Input that exceeds the connection's bound or the memory budget. */
+  /** The input exceeds the connection's buffer limit or the memory budget. */
   static ProtocolException inputOverflow(CloseReason reason) {
     SqlState sqlState =
         reason == CloseReason.NO_MEMORY ? SqlState.OUT_OF_MEMORY : SqlState.PROGRAM_LIMIT_EXCEEDED;
     return new ProtocolException(sqlState, "the message is too large");
   }
 
-  /** Why a connection closes on which this error was found while its input was read. */
+  /** The close reason of a connection whose input failed with this SQLSTATE. */
   static CloseReason closeReasonOf(SqlState sqlState) {
     return switch (sqlState) {
       case PROGRAM_LIMIT_EXCEEDED -> CloseReason.TOO_LARGE;
--- a/gateway/src/main/java/shelffront/frontend/CommandQueue.java
+++ b/gateway/src/main/java/shelffront/frontend/CommandQueue.java
@@ -6,8 +6,8 @@
 import shelffront.pg.ProtocolException;
 
 /**
- * A client's commands that were read and wait behind the one in work. Bounded: no more is read once
- * {@link #isFull}. Owned by the loop thread of the connection.
+ * Commands of a client that were read and wait for the active one to finish. Bounded: parsing stops
+ * once {@link #isFull}. Confined to the loop thread of the connection.
  */
 final class CommandQueue {
 
@@ -15,9 +15,9 @@
   private static final int MAX_BYTES = 64 * 1024;
 
   /**
-   * A command and when its last byte was read: its time counts from there, however long it waits.
-   * Input that can't be parsed stands in the queue too, with its failure in place of the message,
-   * so that the commands before it are answered first.
+   * A command and the time when its last byte was read. The deadline of the request counts from
+   * that time, however long the command is queued. Input that cannot be parsed is queued as well,
+   * with a failure instead of a message, so that the commands before it get their responses first.
    */
   record Command(
       Message message, long arrivalMicros, ProtocolException failure, CloseReason closeReason) {
@@ -39,12 +39,14 @@
     commands.add(new Command(message, arrivalMicros, null, null));
   }
 
-  /** Adds the end of the connection: it is told of the failure and closed for the reason. */
+  /**
+   * Queues a fatal failure: it is sent to the client, and the connection closes with the reason.
+   */
   void addFailure(ProtocolException failure, CloseReason reason, long nowMicros) {
     commands.add(new Command(null, nowMicros, failure, reason));
   }
 
-  /** Removes the first command; null where there is none. */
+  /** Removes and returns the first command; null if the queue is empty. */
   Command poll() {
     Command command = commands.poll();
     bytes -= command == null ? 0 : command.bytes();
@@ -59,7 +61,7 @@
     return commands.size() >= MAX_COMMANDS || bytes >= MAX_BYTES;
   }
 
-  /** Bytes of the messages that wait. */
+  /** Total body size of the queued messages, in bytes. */
   int bytes() {
     return bytes;
   }
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -18,19 +18,17 @@
 import shelffront.pg.SqlState;
 
 /**
- * Accepts the connections of clients, bounded in number, and evicts those of which nothing is owed
- * where others need a place.
+ * Accepts client connections up to a limit, and evicts idle ones when new clients need a slot.
  *
- * <p>Invariants: a connection holds its place where it was accepted until it has closed, wherever
- * it lives; at most one accept is outstanding. Runs on the loop thread.
+ * <p>Invariants: a connection occupies a slot of the instance that accepted it until it closes,
+ * even after a move to another event loop, except that one that has not moved frees its slot when
+ * it starts to linger; at most one accept is outstanding. Runs on the loop thread.
  */
 public final class FrontendConnections {
 
   private static final int BACKLOG = 1024;
 
-  /**
-   * Beyond the places, as a part of them: connections that were told to go and have not ended yet.
-   */
+  /** Lingering connections are allowed beyond the connection limit, up to this fraction of it. */
   private static final int LINGERING_DIVISOR = 16;
 
   private static final long ACCEPT_BACKOFF_MICROS = 20_000;
@@ -40,30 +38,29 @@
   private final int maxConnections;
   private final int maxLingering;
   private final AsynchronousServerSocketChannel
-      listener; // null where they come from another loop's
+      listener; // null if connections arrive only from another loop's listener
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Told that nothing more is sent on them; each ends with its client's end, or after a moment. */
+  /** Connections whose output is shut down; each closes on the client's end or after a timeout. */
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
-  /** Those that came in here and live on another loop now, by whose they are there. */
+  /** Number of connections accepted here that moved to another loop, by their new owner. */
   private final Map<FrontendConnections, Integer> movedAwayCounts = new LinkedHashMap<>();
 
-  /** An accept is outstanding. */
   private boolean accepting;
 
-  /** A further look at who may be evicted is scheduled. */
+  /** Another attempt to evict a connection is scheduled. */
   private boolean recheckScheduled;
 
-  /** There was no place for a while: who comes is told so. */
+  /** No slot became free within the wait: new connections are accepted and rejected at once. */
   private boolean rejectsNewcomers;
 
   private boolean draining;
 
-  /** Runs once no accept is outstanding any more; null until accepting is stopped. */
+  /** Runs once no accept is outstanding; null until accepting is stopped. */
   private Runnable whenStopped;
 
-  /** Listens on the address, and accepts from {@link #accept} on. */
+  /** Binds the listener; connections are accepted after {@link #accept} is called. */
   public FrontendConnections(
       Network network, InetSocketAddress listen, int maxConnections, TenantLookup door)
       throws IOException {
@@ -74,7 +71,7 @@
     listener = network.channels().listen(listen, BACKLOG);
   }
 
-  /** Those of a loop without a listener: they come from one that has. */
+  /** An instance without a listener: its connections arrive from another event loop. */
   public FrontendConnections(Network network, TenantLookup door) {
     this.network = network;
     this.tenantLookup = door;
@@ -87,7 +84,7 @@
     return listener.getLocalAddress();
   }
 
-  /** Accepts the next connection, and goes on from there while there are places. */
+  /** Accepts the next connection, and further ones while slots are free. */
   public void accept() {
     accepting = true;
     listener.accept(
@@ -121,8 +118,8 @@
     }
     acceptNext();
     if (!accepting && listener.isOpen()) {
-      // The next one waits in the backlog for a moment. Whoever has most elsewhere is asked for
-      // one.
+      // The next connection waits in the backlog. The loop that owns most of the connections
+      // accepted here is asked to evict one.
       movedAwayCounts.entrySet().stream()
           .max(Map.Entry.comparingByValue())
           .map(Map.Entry::getKey)
@@ -130,7 +127,7 @@
     }
   }
 
-  /** Guards against a moment without descriptors ending all accepting. */
+  /** Retries after a backoff, so that a temporary lack of descriptors does not end accepting. */
   private void acceptFailed(Throwable failure) {
     accepting = false;
     if (listener.isOpen()) {
@@ -144,9 +141,11 @@
   }
 
   /**
-   * Guards against those who connect and say nothing, or ask once and stay, taking the place of the
-   * others: the first to go is one that has sent no command, then the one unused for longest of the
-   * tenant that has most. Nothing is owed to any of them.
+   * Evicts one connection without outstanding work, so that clients that connect without sending
+   * commands, or stay idle, do not exhaust the slots. Prefers a connection that has sent no
+   * command, then the least recently used connection of the tenant with the most connections.
+   *
+   * @return whether a connection was evicted
    */
   private boolean evict() {
     ClientConnection victim = null;
@@ -162,7 +161,7 @@
       }
     }
     if (victim == null) {
-      // So many came together that none could be silent for long.
+      // Many clients connected at the same time, so none has been silent for long.
       victim = connections.stream().filter(ClientConnection::mayMakeRoom).findFirst().orElse(null);
     }
     return victim != null && victim.retire(CloseReason.EVICTED);
@@ -176,20 +175,18 @@
     return count;
   }
 
-  /**
-   * A connection leaves for another loop's clients; its place here stays taken until it ends there.
-   */
+  /** Records a move to another loop; the slot here stays occupied until the connection closes. */
   void onMovedAway(ClientConnection connection, FrontendConnections to) {
     connections.remove(connection);
     movedAwayCounts.merge(to, 1, Integer::sum);
   }
 
-  /** A connection that came in elsewhere lives here from now on. */
+  /** Takes over a connection that was accepted on another loop. */
   void onArrived(ClientConnection connection) {
     connections.add(connection);
   }
 
-  /** One that came in here has ended with another loop's clients. */
+  /** Frees the slot of a connection that was accepted here and closed on another loop. */
   void onClosedElsewhere(Map<String, String> startup, FrontendConnections there) {
     tenantLookup.onConnectionClosed(startup, there);
     movedAwayCounts.merge(
@@ -197,24 +194,24 @@
     acceptNext();
   }
 
-  /** Keeps the connections in the order of their last use. */
+  /** Keeps the connections ordered by last use, least recently used first. */
   void onUsed(ClientConnection connection) {
     if (connections.remove(connection)) {
       connections.add(connection);
     }
   }
 
-  /** The connection may have nothing more to do. */
+  /** Called when a connection may have become idle; closes it if the gateway drains. */
   void onMaybeIdle(ClientConnection connection) {
     if (draining && connection.mayRetire()) {
       connection.retire(CloseReason.DRAINED);
     }
-    acceptNext(); // One that fell idle gives its place to one that waits in the backlog.
+    acceptNext(); // An idle connection may be evicted for a client that waits in the backlog.
   }
 
   /**
-   * Nothing more is sent on the connection. It has no place any more, but a descriptor, of which
-   * there are few.
+   * The output of the connection is shut down. It frees its slot but still uses a descriptor, so
+   * the oldest lingering connection is closed when there are too many.
    */
   void onLingering(ClientConnection connection) {
     connections.remove(connection);
@@ -232,10 +229,10 @@
   }
 
   /**
-   * Accepts the next one where there is a place, or somebody to give his up. Where not, that may be
-   * so in a moment: one that has just come turns out to be silent, one in work falls idle. After
-   * that moment those that come are told at once that there is no place, until there is one: what
-   * waits in the backlog has been taken, and is owed an answer.
+   * Accepts the next connection if a slot is free or a connection can be evicted. Otherwise checks
+   * again after a short wait, in which a new connection may turn out to be silent or an active one
+   * may become idle. After that wait, new connections are accepted and rejected at once until a
+   * slot is free: the system has already accepted those in the backlog, so each needs a response.
    */
   private void acceptNext() {
     if (listener == null || accepting || !listener.isOpen()) {
@@ -244,7 +241,7 @@
     boolean room = connections.size() + movedAwayCount() < maxConnections || evict();
     rejectsNewcomers &= !room;
     if (accepting) {
-      return; // what was evicted has made room by itself
+      return; // the eviction has already started an accept
     }
     if (room || rejectsNewcomers) {
       accept();
@@ -263,22 +260,22 @@
   }
 
   /**
-   * Closes what is idle now and what falls idle later; new ones are still taken, for they may carry
-   * requests.
+   * Closes idle connections now and others as they become idle. New connections are still accepted,
+   * because they may carry requests.
    */
   public void drain() {
     draining = true;
     List.copyOf(connections).forEach(this::onMaybeIdle);
   }
 
-  /** Whether no connection is left. */
+  /** Whether no connection is open, lingering or moved to another loop. */
   public boolean isEmpty() {
     return connections.isEmpty() && lingering.isEmpty() && movedAwayCounts.isEmpty();
   }
 
   /**
-   * Takes no further connections, and says once it is known whether one was accepted in this
-   * moment.
+   * Closes the listener. {@code then} runs once no accept is outstanding, so that a connection
+   * accepted concurrently is registered first.
    */
   public void stopAccepting(Runnable then) {
     whenStopped = then;
--- a/gateway/src/main/java/shelffront/frontend/RequestHandler.java
+++ b/gateway/src/main/java/shelffront/frontend/RequestHandler.java
@@ -7,35 +7,35 @@
 import shelffront.routing.RequestClass;
 
 /**
- * Takes the requests of a tenant's clients. Each is answered through its {@link
- * ClientRequest.ResponseListener}, exactly once unless its client has left. Called on the event
- * loop of the tenant.
+ * Handles the requests of a tenant's clients. Each request gets exactly one response through its
+ * {@link ClientRequest.ResponseListener} unless the client disconnects. Called on the tenant's
+ * event loop.
  */
 public interface RequestHandler {
 
-  /** What its clients' connections post to, borrow from and count in. */
+  /** The event loop, memory budget and counters that the tenant's client connections use. */
   Network network();
 
-  /** The classes that a request may name. */
+  /** The request classes that a request may name. */
   List<RequestClass> requestClasses();
 
-  /** A connection was admitted and is served from now on. */
+  /** Called when a client connection has been admitted. */
   void onClientConnected(ClientHandle client);
 
-  /** A connection that was admitted has closed. */
+  /** Called when an admitted client connection has closed. */
   void onClientClosed(ClientHandle client);
 
-  /** Connections that it has now. */
+  /** Number of open client connections. */
   int clientCount();
 
-  /** Throws where the request can't be taken for what it says; nothing has been done then. */
+  /** Throws if the request is invalid; has no side effects. */
   void validate(ClientRequest request) throws ProtocolException;
 
   /**
-   * Takes up a request that {@link #validate} passed.
+   * Starts a request that passed {@link #validate}.
    *
-   * @param session null where the class needs none
-   * @param requiredPositionMicros that of the session's last write as the client tells it, or
+   * @param session key of the client's session; null if the request class needs none
+   * @param requiredPositionMicros position of the session's last write as stated by the client, or
    *     {@link shelffront.routing.Router#UNKNOWN}
    * @param repeat whether the client has sent the request before
    */
@@ -46,6 +46,6 @@
       long requiredPositionMicros,
       boolean repeat);
 
-  /** The client waits no longer; no answer is owed. */
+  /** The client has disconnected; no response is needed. */
   void onRequestAbandoned(ClientRequest request);
 }
--- a/gateway/src/main/java/shelffront/frontend/RequestParser.java
+++ b/gateway/src/main/java/shelffront/frontend/RequestParser.java
@@ -12,16 +12,16 @@
 import shelffront.routing.RequestClass;
 import shelffront.routing.Router;
 
-/** Makes a request of a Query message: the comment before the statement says what it needs. */
+/** Parses Query messages into requests. A leading SQL comment holds the request's parameters. */
 final class RequestParser {
 
   private static final long MICROS_PER_MILLI = 1000;
 
   /**
-   * A request and what its comment says beside it.
+   * A request and the parameters of its comment that are not part of the request itself.
    *
-   * @param session null where the class needs none
-   * @param requiredPositionMicros that of the session's last write, or {@link Router#UNKNOWN}
+   * @param session key of the client's session; null if the request class needs none
+   * @param requiredPositionMicros position of the session's last write, or {@link Router#UNKNOWN}
    * @param repeat whether the client has sent it before
    */
   record ParsedRequest(
@@ -33,7 +33,7 @@
 
   private RequestParser() {}
 
-  /** The statement of a Query message without its terminator. */
+  /** Returns the statement of a Query message without the terminating zero byte. */
   static byte[] statementOf(Message query) throws ProtocolException {
     byte[] body = query.body();
     if (body.length == 0 || body[body.length - 1] != 0) {
@@ -51,7 +51,7 @@
     return true;
   }
 
-  /** Reads all that the comment says, so that no fault is found once the request is taken up. */
+  /** Parses all parameters of the comment, so that an invalid one is reported before the start. */
   static ParsedRequest parse(
       byte[] bytes,
       long arrivalMicros,
--- a/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
+++ b/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
@@ -9,11 +9,11 @@
 import shelffront.pg.SqlState;
 
 /**
- * The startup of a client's connection, step by step: its startup message, the lookup of its
- * tenant, the move to that tenant's event loop, its password, its admission.
+ * State machine for the startup of a client connection: startup message, tenant lookup, move to the
+ * tenant's event loop, password, admission.
  *
- * <p>Runs on the loop thread of the connection. Every refusal is a {@link ProtocolException}, with
- * what the client is told.
+ * <p>Runs on the loop thread of the connection. Every rejection is a {@link ProtocolException} that
+ * carries the SQLSTATE and message for the client.
  */
 final class StartupHandshake {
 
@@ -45,12 +45,12 @@
     return step == Step.TENANT_LOOKUP;
   }
 
-  /** The parameters of the startup message; empty before it has come. */
+  /** The parameters of the startup message; empty until it has been received. */
   Map<String, String> parameters() {
     return parameters;
   }
 
-  /** Takes one step; false where it is complete, or waits for more bytes or for the lookup. */
+  /** Runs one step; false if the startup is complete or waits for input, lookup or move. */
   boolean advance(ByteBuffer bytes) throws ProtocolException {
     return switch (step) {
       case STARTUP_MESSAGE, TENANT_LOOKUP -> takeStartupMessage(bytes);
@@ -72,7 +72,7 @@
         return true;
       }
       case Message.CANCEL_REQUEST -> {
-        // No key was given out, so there is nothing to cancel.
+        // The gateway issues no cancellation keys, so there is nothing to cancel.
         connection.close(CloseReason.TERMINATED);
         return false;
       }
--- a/gateway/src/main/java/shelffront/frontend/TenantLookup.java
+++ b/gateway/src/main/java/shelffront/frontend/TenantLookup.java
@@ -5,43 +5,45 @@
 import shelffront.pg.ProtocolException;
 
 /**
- * Finds the tenant of a client by its startup message, and where that tenant lives. Called on the
- * event loop of the client's connection.
+ * Resolves the tenant of a client from its startup message, and the event loop that owns the
+ * tenant. Called on the event loop of the client's connection.
  */
 public interface TenantLookup {
 
   /**
-   * Finds out who serves a client, where that takes time: {@code then} runs later on the loop of
-   * these clients, with null or with what the client is told. False, and nothing runs later, where
-   * it is known already.
+   * Starts an asynchronous tenant lookup if one is needed. {@code then} runs later on the loop of
+   * {@code here}, with null or with the error for the client.
+   *
+   * @return false if the tenant is already known; {@code then} does not run in that case
    */
   default boolean lookUp(
       Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
     return false;
   }
 
-  /** Who serves a client on the loop where its tenant lives; by default those where it came in. */
+  /** The connections of the loop that owns the client's tenant; by default {@code here}. */
   default FrontendConnections connectionsFor(
       Map<String, String> startup, FrontendConnections here) {
     return here;
   }
 
-  /** A connection that {@link #connectionsFor} sent elsewhere has ended there. */
+  /** Called when a connection that {@link #connectionsFor} moved to {@code there} has closed. */
   default void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {}
 
   /**
-   * By the parameters of its startup message; throws where nobody does, with what the client is
-   * told.
+   * Returns the handler for a client that needs no password; throws an error for the client if it
+   * cannot be admitted.
    */
   RequestHandler authenticate(Map<String, String> startup) throws ProtocolException;
 
   /**
-   * Whether a client that begins like this is asked for a password first; the same for names nobody
-   * has.
+   * Whether a client with these startup parameters must send a password. Where tenants have
+   * passwords, the result for an unknown tenant is the same, so that it does not reveal which
+   * tenants exist.
    */
   boolean requiresPassword(Map<String, String> startup);
 
-  /** As {@link #authenticate(Map)}, with the password that it gave. */
+  /** Like {@link #authenticate(Map)}, with the password from the client. */
   RequestHandler authenticate(Map<String, String> startup, byte[] password)
       throws ProtocolException;
 }
--- a/gateway/src/main/java/shelffront/frontend/package-info.java
+++ b/gateway/src/main/java/shelffront/frontend/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Connections of clients: accepting, startup, pipelining of commands, eviction, orderly ends.
+ * Client connections: accepting, startup, command pipelining, eviction and orderly close.
  *
  * <p>{@link shelffront.frontend.FrontendConnections} owns the connections of one event loop. Each
- * hands its requests to a tenant as a {@link shelffront.request.ClientRequest} and gets exactly one
- * answer for it. Hosts are not known here.
+ * connection passes its requests to a tenant as a {@link shelffront.request.ClientRequest} and gets
+ * exactly one response to each. This package does not depend on database hosts.
  */
 package shelffront.frontend;
