--- a/gateway/src/main/java/shelffront/backend/BackendCall.java
+++ b/gateway/src/main/java/shelffront/backend/BackendCall.java
@@ -4,15 +4,15 @@
 import shelffront.request.BackendAttempt;
 
 /**
- * One call to a database host: an attempt, or a health check where {@link #attempt} is null. It
- * waits for a connection, is carried by one, and finishes exactly once. Owned by {@link
+ * One call to a database host: an attempt, or a health check if {@link #attempt} is null. A call
+ * waits for a connection, runs on one, and finishes exactly once. Owned by {@link
  * BackendConnections}.
  */
 final class BackendCall {
 
   final String endpointId;
 
-  /** Null where the list does not know the endpoint. */
+  /** Null if the endpoint list does not contain the endpoint. */
   final BackendHost host;
 
   final BackendAttempt attempt;
@@ -20,7 +20,7 @@
   Deadline connectDeadline;
   Deadline endDeadline;
 
-  /** The connection that carries it; null while it waits. */
+  /** The connection that the call runs on; null while it waits for one. */
   BackendConnection connection;
 
   boolean finished;
--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -15,14 +15,15 @@
 /**
  * A connection to a database host.
  *
- * <p>Invariants: it carries a single call at a time; a call is written only once the host has
- * declared it ready; a call is abandoned by closing it; bytes that belong to no call end it.
+ * <p>Invariants: a connection runs one call at a time; a call is written only after the host has
+ * sent ReadyForQuery; abandoning a call closes the connection; bytes that belong to no call close
+ * it too. Runs on the loop thread.
  */
 final class BackendConnection extends Connection {
 
   private static final int MAX_STARTUP_MESSAGE_BYTES = 8192;
 
-  /** An answer comes in one piece or in quick succession: one that stops half-way is spoilt. */
+  /** The parts of a response follow each other closely: a longer gap means it is malformed. */
   private static final long RESPONSE_STALL_MICROS = 250_000;
 
   final BackendHost host;
@@ -35,13 +36,13 @@
   private BackendCall call;
   private boolean requestWritten;
 
-  /** Part of a message has come. */
+  /** The input ends in a partial message. */
   private boolean messageIncomplete;
 
   private boolean malformed;
   private QueryResponse response = new QueryResponse();
 
-  /** Bytes of the response that are held from the memory budget. */
+  /** Bytes of the response that are charged to the memory budget. */
   private int heldBytes;
 
   BackendConnection(
@@ -60,15 +61,15 @@
             .scheduleAfter(connectTimeoutMicros, () -> close(CloseReason.CONNECT_TIMEOUT));
   }
 
-  /** Connects; may end it at once, so whoever counts it has done so before. */
+  /** Connects; may close the connection synchronously, so the caller registers it first. */
   void open() {
     write(Message.startup(backend.login.user(), backend.login.database()));
     connect(address);
   }
 
   /**
-   * Whether its host is still the one in the list: another address is another machine, with other
-   * data.
+   * Whether the host still has the address of this connection. A host with another address is
+   * another machine, with other data.
    */
   boolean isCurrent() {
     return address.equals(host.address);
@@ -100,10 +101,7 @@
     requestWritten = call != null;
   }
 
-  /**
-   * Ends the call's stay here by closing: a host connection never carries another after an open
-   * one.
-   */
+  /** Closes the connection: it cannot be reused, because the response is still outstanding. */
   void abandon(CloseReason reason) {
     call = null;
     close(reason);
@@ -138,9 +136,7 @@
     close(CloseReason.BAD_ANSWER);
   }
 
-  /**
-   * Takes a message that comes before the first ReadyForQuery; false where there is no whole one.
-   */
+  /** Processes a message up to the first ReadyForQuery; false if no complete one is available. */
   private boolean takeStartupMessage(ByteBuffer bytes) throws ProtocolException {
     Message message = Message.next(bytes, "RSKNZE", MAX_STARTUP_MESSAGE_BYTES);
     if (message == null) {
@@ -159,10 +155,10 @@
   }
 
   /**
-   * Takes a message of the answer; false where there is no whole one. Guards against bytes that
-   * belong to no request, such as a second copy of an answer: what comes while nothing is asked, or
-   * before the request was written whole, ends the connection, or it would be read as the answer to
-   * the next request.
+   * Processes a message of the response; false if no complete one is available. Bytes that arrive
+   * while no request is active, or before the request was written completely, such as a second copy
+   * of a response, close the connection. Otherwise they would be read as the response to the next
+   * request.
    */
   private boolean takeResponseMessage(ByteBuffer bytes) throws ProtocolException {
     if (!bytes.hasRemaining()) {
@@ -187,7 +183,7 @@
     }
     heldBytes = response.heldBytes();
     if (response.isComplete()) {
-      // A buffer that is full to the end may hide surplus that the socket still holds.
+      // If the buffer is full, surplus bytes may still be unread in the socket.
       finish(bytes.hasRemaining() || bytes.limit() == bytes.capacity());
     } else if (response.isFatal()) {
       close(CloseReason.REFUSED_BY_HOST);
@@ -204,15 +200,15 @@
       close(CloseReason.SURPLUS);
     } else {
       backend.onConnectionFree(
-          this); // before the outcome, whose next send may want this connection
+          this); // before the outcome is reported: the next attempt may need this connection
     }
     backend.finishCall(completedCall, reply);
   }
 
   /**
-   * A connection that breaks before the request's last byte was handed to the socket proves that it
-   * never ran; after that it may have, unless the host had said how it ended. What was spoilt
-   * proves nothing.
+   * Reports the outcome of the interrupted call. If the connection fails before the last byte of
+   * the request was passed to the socket, the request was not executed. After that it may have
+   * been, unless the host has already reported the outcome. A malformed response proves nothing.
    */
   @Override
   protected void onClosed(CloseReason reason) {
@@ -243,7 +239,8 @@
   }
 
   /**
-   * Host connections are many and kept for long: none keeps the room that its greatest answer took.
+   * Releases the memory of the response. Host connections are many and long-lived, so none keeps a
+   * buffer of the size of its largest response.
    */
   private void discardResponse() {
     cancel(responseDeadline);
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -24,33 +24,35 @@
 import shelffront.routing.OperatingLimits;
 
 /**
- * A pool of connections to each database host, with the attempts and the health checks on them.
+ * Connection pools for the database hosts of one tenant, with the attempts and health checks that
+ * run on them.
  *
- * <p>Invariants: every attempt and health check ends exactly once, by {@link Listener}; as many
- * connections are being opened to a host as calls wait for one, where sockets permit; at the bound
- * of sockets an idle connection gives way. Runs on the loop thread.
+ * <p>Invariants: every attempt and health check ends exactly once, through {@link Listener}; for
+ * each call that waits for a connection, one is being opened if the quota permits; at the quota, an
+ * idle connection is closed to open a new one. Runs on the loop thread.
  */
 public final class BackendConnections {
 
-  /**
-   * Called once for each attempt and health check, and never from within the call that started it.
-   */
+  /** Called once per attempt and health check, never from within the method that started it. */
   public interface Listener {
 
-    /** An attempt has ended. */
+    /** Called when an attempt has ended. */
     void onAttemptEnded(BackendAttempt attempt, BackendResponse response);
 
-    /** Whether an attempt may still be written, now that a connection is there for it. */
+    /** Whether an attempt may still be sent, now that a connection is available for it. */
     boolean mayStartAttempt(BackendAttempt attempt);
 
-    /** A health check has ended. */
+    /** Called when a health check has ended. */
     void onHealthCheckEnded(String endpointId, BackendResponse response, long elapsedMicros);
   }
 
-  /** The user and database of the startup message to hosts. */
+  /** The user and database in the startup message to hosts. */
   public record Login(String user, String database) {}
 
-  /** Connections are closed at four fifths of the time for which hosts let them idle. */
+  /**
+   * Idle connections are closed after four fifths of the idle timeout of hosts, so that the gateway
+   * closes them first.
+   */
   private static final int IDLE_PARTS_USED = 4;
 
   private static final int IDLE_PARTS = 5;
@@ -64,13 +66,13 @@
   private final Listener listener;
   private final Map<String, BackendHost> hosts = new TreeMap<>();
 
-  /** In the order in which they started, so that {@link #closeAll} is deterministic. */
+  /** Open calls in start order, so that {@link #closeAll} is deterministic. */
   private final Map<BackendAttempt, BackendCall> calls = new LinkedHashMap<>();
 
-  /** Another tenant waits for a socket, and no connection here was idle. */
+  /** Another tenant waits for a connection, and none was idle here when it was demanded. */
   private boolean connectionReclaimed;
 
-  /** Each connection takes one of the sockets, divided by weight and bounded, while it is open. */
+  /** Each open connection counts against a quota, shared by weight and capped per tenant. */
   public BackendConnections(
       Network network,
       OperatingLimits limits,
@@ -91,7 +93,7 @@
     this.listener = listener;
   }
 
-  /** Takes the addresses of a list; connections to hosts that left it, or moved, are given back. */
+  /** Applies an endpoint list; closes idle connections to hosts that were removed or have moved. */
   public void updateEndpoints(EndpointList list) {
     for (Endpoint endpoint : list.endpoints()) {
       if (endpoint.availability() == Availability.REMOVED) {
@@ -146,7 +148,7 @@
     assignConnection(call);
   }
 
-  /** Cancels an attempt; its outcome follows, unless it has ended already. */
+  /** Cancels an attempt; reports it as cancelled unless it has already ended. */
   public void cancelAttempt(BackendAttempt attempt) {
     BackendCall call = calls.get(attempt);
     if (call != null) {
@@ -162,7 +164,7 @@
     }
   }
 
-  /** Closes every connection and ends every call that is open, with its outcome. */
+  /** Closes every connection and ends every open call, reporting its outcome. */
   public void closeAll(CloseReason reason) {
     for (BackendHost host : hosts.values()) {
       List.copyOf(host.connections).forEach(connection -> connection.close(reason));
@@ -171,7 +173,7 @@
               waiting -> finishCall(waiting, BackendResponse.of(AttemptStatus.CONNECT_FAILED)));
       host.waitingCalls.clear();
     }
-    // Hosts that have left the list may still carry some.
+    // Connections to hosts that were removed from the list may still run calls.
     for (BackendCall call : List.copyOf(calls.values())) {
       abandon(call, reason);
       finishCall(call, BackendResponse.of(AttemptStatus.CANCELLED));
@@ -190,8 +192,8 @@
     }
     BackendConnection connection = host.idleConnections.pollLast();
     while (connection != null && connection.hasUnprocessedInput()) {
-      // Its end, or what nobody asked for, waits to be looked at: written to, it would seem to have
-      // been sent.
+      // The unprocessed input is the host's end or surplus bytes. A request written to this
+      // connection would be reported as sent although the host never reads it.
       connection = host.idleConnections.pollLast();
     }
     if (connection != null) {
@@ -210,8 +212,8 @@
   }
 
   /**
-   * Opens a connection where the quota permits one; else the calls wait until a connection to their
-   * host is free or the quota has room.
+   * Opens a connection if the quota permits; otherwise calls wait until a connection to their host
+   * becomes free or the quota has room.
    */
   private void openConnection(BackendHost host) {
     Acquisition acquisition = connectionQuota.tryAcquire(false);
@@ -237,7 +239,7 @@
     connection.open();
   }
 
-  /** Another tenant waits for a socket: closes an idle connection, or the next one that is idle. */
+  /** Another tenant waits for a connection: closes an idle one, or the next one to become idle. */
   private void onConnectionDemanded() {
     connectionReclaimed = connectionQuota.excess() > 0 && !evictIdle();
   }
@@ -251,7 +253,7 @@
     }
   }
 
-  /** Opens as many connections as calls wait for; false where the quota has no room for all. */
+  /** Opens one connection per waiting call; false if the quota has no room for all of them. */
   private boolean openForWaiting(BackendHost host) {
     while (host.openingCount < host.waitingCalls.size()) {
       int before = host.openingCount;
@@ -263,12 +265,12 @@
     return true;
   }
 
-  /** Changes the weight and the bound of the connection quota. */
+  /** Changes the weight and the limit of the connection quota. */
   public void updateQuota(double weight, int maxConnections) {
     connectionQuota.update(weight, maxConnections);
   }
 
-  /** Connections to hosts that are open or being opened. */
+  /** Number of host connections that are open or being opened. */
   public int openConnectionCount() {
     return connectionQuota.inUse();
   }
@@ -289,8 +291,8 @@
   }
 
   /**
-   * The connection has no call now: it takes the next one that waits, or idles for less time than
-   * hosts allow.
+   * Gives a free connection the next waiting call, or keeps it idle for less than the hosts' idle
+   * timeout.
    */
   void onConnectionFree(BackendConnection connection) {
     BackendHost host = connection.host;
@@ -303,7 +305,7 @@
       return;
     }
     BackendCall next = host.waitingCalls.poll();
-    // What the choice of one that waited rested on may hold no longer.
+    // The conditions under which a waiting attempt was assigned to this host may have changed.
     while (next != null && next.attempt != null && !listener.mayStartAttempt(next.attempt)) {
       BackendCall stale = next;
       network.post(() -> finishCall(stale, BackendResponse.of(AttemptStatus.NOT_SENT)));
@@ -342,7 +344,7 @@
                 Math.max(1, timeLeftMicros / 1000))));
   }
 
-  /** A connection that fails while it is opened fails the call that has waited longest. */
+  /** A connection that fails while being opened fails the call that has waited longest. */
   void onConnectionClosed(BackendConnection connection) {
     BackendHost host = connection.host;
     connectionQuota.release();
@@ -360,10 +362,9 @@
   private void giveUp(BackendCall call, AttemptStatus status) {
     abandon(call, CloseReason.TIMED_OUT);
     if (call.attempt == null && call.host != null) {
-      // Guards against a machine that vanished and came back: its old connections look open and are
-      // dead,
-      // and each would cost a request. Probes are answered beside the queue, so silence is no
-      // overload.
+      // If the machine vanished and came back, its old connections look open but are dead, and each
+      // would fail a request. Hosts answer health checks outside their request queue, so a timeout
+      // does not mean overload.
       closeIdleConnections(call.host, CloseReason.SILENT);
     }
     finishCall(call, BackendResponse.of(status));
--- a/gateway/src/main/java/shelffront/backend/BackendHost.java
+++ b/gateway/src/main/java/shelffront/backend/BackendHost.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * One database host: its address, the connections to it, and the calls that wait for one. Owned by
- * {@link BackendConnections}; {@link #openingCount} is the number of connections that are not ready
- * yet.
+ * One database host: its address, its connections, and the calls that wait for a connection. {@link
+ * #openingCount} is the number of connections that are not ready yet. Owned by {@link
+ * BackendConnections}.
  */
 final class BackendHost {
 
--- a/gateway/src/main/java/shelffront/backend/BackendResponse.java
+++ b/gateway/src/main/java/shelffront/backend/BackendResponse.java
@@ -6,8 +6,13 @@
 import shelffront.routing.Router;
 
 /**
- * How an attempt or a probe ended, with what the host told of itself; the messages of an answer if
- * it is OK.
+ * The outcome of an attempt or health check.
+ *
+ * @param role role that the host reported, or {@link Role#UNKNOWN}
+ * @param positionMicros position that the host reported, in Unix microseconds, or {@link
+ *     Router#UNKNOWN}
+ * @param loadReport the host's load report; null if it sent none that can be parsed
+ * @param messages the response messages for the client; null unless the status is OK
  */
 public record BackendResponse(
     AttemptStatus status, Role role, long positionMicros, LoadReport loadReport, byte[] messages) {
--- a/gateway/src/main/java/shelffront/backend/LoadReportParser.java
+++ b/gateway/src/main/java/shelffront/backend/LoadReportParser.java
@@ -9,13 +9,14 @@
 import shelffront.routing.Router;
 
 /**
- * A host's report on itself: {@code x0=1767225600.123,x1=0,queue=3}, the position in Unix seconds
- * (PROTOCOL: "every position on sockets, including those in load reports (given there in seconds),
- * is a Unix time").
+ * Parses what a host reports about its role, position and load. A load report has the form {@code
+ * x0=1767225600.123,x1=0,queue=3}, where {@code x0} is the position in Unix seconds (PROTOCOL:
+ * "every position on sockets, including those in load reports (given there in seconds), is a Unix
+ * time") and {@code x1} is 1 on a primary.
  */
 final class LoadReportParser {
 
-  /** From seconds to microseconds. */
+  /** Decimal places between seconds and microseconds. */
   private static final int MICROS_DECIMALS = 6;
 
   private static final int MAX_LENGTH = 1024;
@@ -25,7 +26,7 @@
 
   private LoadReportParser() {}
 
-  /** Parses a load report; null where any part of the text is malformed. */
+  /** Parses a load report; null if any part of the text is malformed. */
   static LoadReport read(String text) {
     if (text == null || text.length() > MAX_LENGTH) {
       return null;
@@ -38,15 +39,15 @@
         return null;
       }
       if (field.group(1).equals("x0")) {
-        // Rounded down: a position too high could make a replica serve a stale read.
+        // Rounded down: a position that is too high could let a replica serve a stale read.
         position = new BigDecimal(field.group(2)).movePointRight(MICROS_DECIMALS).longValue();
       } else if (field.group(1).equals("x1")) {
         role = Double.parseDouble(field.group(2)) >= 0.5 ? Role.PRIMARY : Role.REPLICA;
       }
     }
     if (position == 0) {
-      // A Unix time of 0 means "none" in this protocol: a host that has made no report yet answers
-      // a health check with zeros, which tell neither its position nor its role.
+      // A Unix time of 0 means "none" in this protocol. A host that has no report yet answers a
+      // health check with zeros, which state neither its position nor its role.
       return new LoadReport(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1);
     }
     return new LoadReport(position, role, -1, -1, -1);
@@ -58,7 +59,9 @@
         : "reader".equals(word) ? Role.REPLICA : Role.UNKNOWN;
   }
 
-  /** A position on the wire, in Unix milliseconds; 0, like what can't be read, is none. */
+  /**
+   * Parses a position in Unix milliseconds; zero or malformed text gives {@link Router#UNKNOWN}.
+   */
   static long position(String milliseconds) {
     long position =
         milliseconds == null
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -12,9 +12,9 @@
 import shelffront.routing.LoadReport;
 
 /**
- * What a host says to one query, message by message: RowDescription, one DataRow of one column,
- * CommandComplete, or an ErrorResponse; then ReadyForQuery. Anything else, whole or in part, is a
- * spoilt answer: of it nothing counts.
+ * Parses a host's response to one query: RowDescription, one DataRow with one column and
+ * CommandComplete, or an ErrorResponse; then ReadyForQuery. Any other message sequence or content
+ * is malformed, and no part of a malformed response is used.
  */
 final class QueryResponse {
 
@@ -26,7 +26,8 @@
     OVER
   }
 
-  private static final int MAX_OTHER_BYTES = 8192; // Any message but a row.
+  /** Limit for messages other than DataRow. */
+  private static final int MAX_OTHER_BYTES = 8192;
 
   private static final Map<String, AttemptStatus> STATUS_BY_SQLSTATE =
       Map.of(
@@ -41,13 +42,13 @@
   private final ByteArrayOutputStream messages = new ByteArrayOutputStream();
   private final Map<String, String> parameters = new HashMap<>();
   private Part expected = Part.DESCRIPTION;
-  private String value; // the only column of the row
+  private String value; // the single column of the row
   private String errorCode;
   private boolean fatal;
 
   /**
-   * The next message, or null where more bytes are needed; its type and length are judged before
-   * its body came.
+   * Reads the next message, or returns null if more bytes are needed. Type and length are checked
+   * before the body has arrived.
    */
   Message next(ByteBuffer in) throws ProtocolException {
     String types =
@@ -66,7 +67,7 @@
             : MAX_OTHER_BYTES);
   }
 
-  /** Takes the message that {@link #next} gave; throws where its body does not fit. */
+  /** Applies a message from {@link #next}; throws if its body is malformed. */
   void take(Message message) throws ProtocolException {
     switch (message.type()) {
       case 'S' -> {
@@ -117,32 +118,32 @@
     expected = next;
   }
 
-  /** Some of it has come. */
+  /** Whether at least one part of the response has been received. */
   boolean hasBegun() {
     return expected != Part.DESCRIPTION || !parameters.isEmpty();
   }
 
-  /** ReadyForQuery has come. */
+  /** Whether ReadyForQuery has been received. */
   boolean isComplete() {
     return expected == Part.OVER;
   }
 
-  /** All that tells how the query ended has come; the host may close here. */
+  /** Whether the outcome has been received; the host may close the connection from here on. */
   boolean isOutcomeKnown() {
     return expected == Part.READY || isComplete();
   }
 
-  /** The host ends the connection with this error, and no ReadyForQuery follows. */
+  /** Whether the host closes the connection after this error, without ReadyForQuery. */
   boolean isFatal() {
     return fatal;
   }
 
-  /** Bytes held for the client. */
+  /** Size of the messages kept for the client, in bytes. */
   int heldBytes() {
     return messages.size();
   }
 
-  /** What it says once it is whole; a report that can't be read spoils only the report. */
+  /** Returns the outcome of a complete response. A malformed load report only drops the report. */
   BackendResponse toBackendResponse(boolean probe) {
     AttemptStatus status =
         errorCode == null
--- a/gateway/src/main/java/shelffront/backend/package-info.java
+++ b/gateway/src/main/java/shelffront/backend/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Connections to database hosts: a pool for each host, attempts and health checks on them.
+ * Connections to database hosts: one pool per host, and the attempts and health checks on them.
  *
  * <p>{@link shelffront.backend.BackendConnections} owns the hosts, the connections and the calls of
  * one tenant. Every call ends exactly once, with a {@link shelffront.backend.BackendResponse} that
- * says what is proved of its execution. Clients are not known here.
+ * states whether the request was or may have been executed. This package does not depend on
+ * clients.
  */
 package shelffront.backend;
