--- a/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
+++ b/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
@@ -8,7 +8,7 @@
 import shelffront.routing.Role;
 import shelffront.routing.Router;
 
-/** Guards against a position or a role taken from a report that is not one. */
+/** Guards against a position or role read from text that is not a valid load report. */
 public class LoadReportParserTest {
 
   @Test
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Seen on the fleet bench: every host's first probe said this, and primaries were taken for
-   * replicas.
+   * The first health check of every host returns this in the fleet bench; reading it as a report
+   * made primaries look like replicas.
    */
   @Test
   public void aReportOfZerosTellsNeitherPositionNorRole() {
--- a/gateway/src/test/java/shelffront/gateway/BrokenAnswerTest.java
+++ b/gateway/src/test/java/shelffront/gateway/BrokenAnswerTest.java
@@ -14,10 +14,10 @@
 import org.junit.Test;
 
 /**
- * A host's answer that breaks off after each of its bytes, by an end or by a reset. Up to
- * CommandComplete nothing of it is passed on, and the request may have run: it is sent again if its
- * class permits that, and has failed where not. From there on the host has said how it ended,
- * unless it stops in the middle of a message.
+ * Truncates a host's response after each of its bytes, by an orderly close or a reset. Before the
+ * end of CommandComplete, no part of the response is forwarded and the request may have been
+ * executed: it is retried if its class permits that, and fails otherwise. After that the outcome is
+ * known, unless the response ends within a message.
  */
 public class BrokenAnswerTest {
 
@@ -28,7 +28,7 @@
   private static final byte[] WHOLE =
       RecordedExchangeRunner.bytes(ROW + " \"S\"{\"server_role\"00\"writer\"00} " + READY);
 
-  /** Where the host has said how the request ended, and stops at the end of a message. */
+  /** Response lengths that contain the outcome and end at the end of a message. */
   private static final Set<Integer> SAID =
       Set.of(
           RecordedExchangeRunner.bytes(ROW).length,
@@ -42,7 +42,7 @@
               + " \"D\"{0001(\"x0=1800000000.000,x1=1,queue=0\")} \"C\"{\"SHOW\"00} "
               + READY);
 
-  /** A primary that answers all it is asked, but breaks off in the first answer to a request. */
+  /** A primary that responds to every query but truncates its first response to a request. */
   private static final class Host {
 
     private final int cut;
@@ -100,7 +100,7 @@
                 try {
                   work.run();
                 } catch (IOException e) {
-                  // the gateway or the test has ended it
+                  // closed by the gateway or the test
                 }
               });
       thread.setDaemon(true);
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Plays a request whose first answer breaks off; gives how often it reached the host. */
+  /** Sends a request whose first response is truncated; returns how often it reached the host. */
   private static int play(String effect, int cut, boolean reset, String answer) throws Exception {
     try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
       Host host = new Host(cut, reset);
@@ -145,8 +145,8 @@
       assertEquals(
           "cut after " + cut, 1, play("once", cut, false, SAID.contains(cut) ? "@row" : failed));
     }
-    // A reset may destroy what was written before it, so only what was never whole is sure to have
-    // failed.
+    // A reset may discard bytes that were written before it, so the request is sure to fail only
+    // where the result was never sent completely.
     for (int cut = 0; cut < RecordedExchangeRunner.bytes(ROW).length; cut++) {
       assertEquals("reset after " + cut, 1, play("once", cut, true, failed));
     }
--- a/gateway/src/test/java/shelffront/gateway/DiscoveryClockTest.java
+++ b/gateway/src/test/java/shelffront/gateway/DiscoveryClockTest.java
@@ -7,9 +7,9 @@
 import org.junit.Test;
 
 /**
- * A change counts as told 6 s after discovery had it and could be reached, whatever failed before.
- * A call that goes wrong is over within 2.5 s of the play's clock, the next one begins within 0.9
- * s, and its answer may take 2.5 s: 5.9 s.
+ * An endpoint change must be known 6 s after discovery has it and is reachable, whatever failed
+ * before. A failed call ends within 2.5 s of simulated time, the next one starts within 0.9 s, and
+ * its response may take 2.5 s: 5.9 s in total.
  */
 public class DiscoveryClockTest {
 
@@ -19,7 +19,7 @@
   private static final String HEADERS =
       "\"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n\"";
 
-  /** What may become of a call that has come and is not answered yet. */
+  /** Faults of a discovery call that has been received and has no response yet, as steps. */
   private static final Map<String, List<String>> FAULTS =
       new TreeMap<>(
           Map.of(
--- a/gateway/src/test/java/shelffront/gateway/ObservedChannels.java
+++ b/gateway/src/test/java/shelffront/gateway/ObservedChannels.java
@@ -15,18 +15,21 @@
 import shelffront.net.Channels;
 
 /**
- * The machine's sockets, with a count of what has become of each call once its result stands in the
- * loop's queue. A play that goes on earlier would depend on the race between the system's threads.
+ * System sockets that count each operation once its result is in the event loop's queue. A recorded
+ * exchange waits for these counts; without them it would depend on the race between the threads of
+ * the system.
  */
 final class ObservedChannels implements Channels {
 
-  /** Bytes that were read, ends of peers that were read, connections accepted. */
+  /** Bytes read from peers. */
   final AtomicLong bytes = new AtomicLong();
 
+  /** Ends of peers and failed reads. */
   final AtomicLong ends = new AtomicLong();
+
   final AtomicLong accepts = new AtomicLong();
 
-  /** Writes begun whose completion was not passed on yet. */
+  /** Writes whose completion handler has not run yet. */
   final AtomicLong writesOut = new AtomicLong();
 
   private final Channels sockets;
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
@@ -36,9 +36,9 @@
 import shelffront.net.ResourceBudget;
 
 /**
- * Plays the steps of a recorded exchange against a gateway in this process, on sockets with ports
- * of the system's choice. Time is the play's own; the only real limit is the one after which a
- * missing byte counts as missing.
+ * Runs the steps of a recorded exchange against a gateway in this process, on sockets with
+ * ephemeral ports. The exchange controls the gateway's clock; real time only limits how long a step
+ * waits.
  */
 final class RecordedExchangeRunner implements AutoCloseable {
 
@@ -59,11 +59,11 @@
   private ConfigReload reload;
   private Thread turns;
 
-  /** Holds that were asked for and not reached yet, in their order. */
+  /** Requested holds that the event loop has not reached yet, in request order. */
   private final Set<CountDownLatch> holds = new LinkedHashSet<>();
 
   private final BlockingQueue<CountDownLatch> reached = new ArrayBlockingQueue<>(100);
-  private CountDownLatch held; // where the loop stands still
+  private CountDownLatch held; // blocks the event loop; null while it runs
   private final ObservedChannels channels = new ObservedChannels();
   private long opened; // connections to the gateway
   private long ended; // ends of connections since the loop was held
@@ -79,7 +79,7 @@
     play(file.getFileName().toString(), Files.readAllLines(file));
   }
 
-  /** Plays steps that a test has put together; the name is for its complaints. */
+  /** Runs steps built by a test; the name appears in error messages. */
   void play(String name, List<String> lines) throws Exception {
     int number = 0;
     for (String line : lines) {
@@ -112,7 +112,7 @@
         play(PLAYS.resolveSibling(verb));
       }
       case "set" -> {
-        assertTrue("the example has no " + verb, example.contains(verb));
+        assertTrue(EXAMPLE + " does not contain " + verb, example.contains(verb));
         example = example.replace(verb, rest);
       }
       case "let" -> given.put("@" + verb, rest);
@@ -128,7 +128,7 @@
         if (held == null && holds.isEmpty()) {
           untilTurned();
         } else if (held == null) {
-          loop.post(() -> {}); // wakes the loop, which will not come to the end of its turn
+          loop.post(() -> {}); // wakes the loop, which blocks before the end of its turn
         }
       }
       case "hold" -> hold(verb);
@@ -186,12 +186,13 @@
       }
       case "closed" -> assertEquals("", readable(rest(sockets.get(name))));
       case "ends" ->
-          assertEquals("an end that is no reset", -1, sockets.get(name).getInputStream().read());
+          assertEquals(
+              "end of stream without a reset", -1, sockets.get(name).getInputStream().read());
       case "half" -> {
         ended++;
         sockets.get(name).shutdownOutput();
       }
-      default -> throw new IllegalArgumentException("no step is called " + verb);
+      default -> throw new IllegalArgumentException("unknown step \"" + name + " " + verb + "\"");
     }
   }
 
@@ -199,7 +200,7 @@
     try {
       return socket.getInputStream().readAllBytes();
     } catch (SocketException e) {
-      return new byte[0]; // a reset is an end too
+      return new byte[0]; // a reset counts as an end
     }
   }
 
@@ -238,9 +239,9 @@
   }
 
   /**
-   * Stops the loop: without a time at once, in the middle of its results, so that what arrives
-   * stands in its queue; else in the middle of the deadlines that are due when so many milliseconds
-   * have passed.
+   * Blocks the event loop. Without a delay it blocks at once, while it processes results, so that
+   * whatever arrives stays in its queue. With a delay in milliseconds it blocks while it runs the
+   * deadlines that are due after that time.
    */
   private void hold(String delay) throws Exception {
     CountDownLatch hold = new CountDownLatch(1);
@@ -250,7 +251,8 @@
           reached.add(hold);
           try {
             if (!hold.await(MISSING_MS, TimeUnit.MILLISECONDS)) {
-              throw new IllegalStateException("nobody let the loop go");
+              throw new IllegalStateException(
+                  "event loop was not released within " + MISSING_MS + " ms");
             }
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -269,19 +271,19 @@
 
   private void untilHeld() throws InterruptedException {
     held = reached.poll(MISSING_MS, TimeUnit.MILLISECONDS);
-    assertTrue("the loop was not held", held != null);
+    assertTrue("event loop did not reach a hold within " + MISSING_MS + " ms", held != null);
     holds.remove(held);
     endsBefore = channels.ends.get();
     ended = 0;
   }
 
   /**
-   * Waits until all that the play has done stands in the loop's queue: bytes written, connections
-   * opened, and what was ended since the loop was held.
+   * Waits until everything that the exchange has done is in the event loop's queue: bytes written,
+   * connections opened, and connections ended since the loop was blocked.
    */
   private void untilArrived() {
     until(
-        "what was done has not arrived",
+        "steps of the exchange did not arrive at the gateway within " + MISSING_MS + " ms",
         () ->
             channels.bytes.get() >= written
                 && channels.accepts.get() >= opened
@@ -299,8 +301,8 @@
   }
 
   /**
-   * Writes the file and gives the order to read it; the address of discovery alone stands for a
-   * whole file.
+   * Writes the configuration file and requests a reload. A text that is only an address stands for
+   * the example configuration with that address of discovery.
    */
   private void reload(String text) throws IOException {
     Files.writeString(
@@ -309,24 +311,26 @@
   }
 
   /**
-   * Guards against time that passes while bytes are on their way: what they mean would depend on
-   * the race. So would a command behind an answer whose write is still out: it is taken up when
-   * that is done.
+   * Waits until the gateway has read all bytes and completed all writes. If the clock advanced
+   * earlier, the result would depend on a race: on whether bytes in transit are read before or
+   * after the change, and on when a pending write completes, since the next command starts only
+   * then.
    */
   private void untilAllIsRead() throws Exception {
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
-    // Twice, since what the first look found done may have been in work still.
+    // Requires two idle observations in a row, since work may be in progress during the first.
     for (int quiet = 0; quiet < 2; ) {
       boolean busy =
           untilTurned() < written || channels.writesOut.get() > 0 || loop.queuedTaskCount() > 0;
       quiet = busy ? 0 : quiet + 1;
       if (System.nanoTime() > end) {
-        throw new AssertionError("the program did not read all that was written");
+        throw new AssertionError(
+            "gateway did not read all " + written + " bytes within " + MISSING_MS + " ms");
       }
     }
   }
 
-  /** Waits for a turn of the loop; gives the bytes that the program has read by then. */
+  /** Waits for one turn of the event loop; returns the bytes that the gateway has read by then. */
   private long untilTurned() throws Exception {
     CompletableFuture<Long> read = new CompletableFuture<>();
     loop.post(() -> read.complete(counters.get(Counters.Name.BYTES_IN)));
@@ -341,11 +345,11 @@
       line = log.poll(MISSING_MS, TimeUnit.MILLISECONDS);
     }
     if (line == null) {
-      throw new AssertionError("no such line in the log, only:" + others);
+      throw new AssertionError("no log line contains \"" + wanted + "\"; lines read:" + others);
     }
   }
 
-  /** Puts in what words stand for, and addresses for the names of those who listen. */
+  /** Replaces defined words by their values and {@code $NAME} by the address of a listener. */
   private String named(String text) {
     for (Map.Entry<String, String> word : given.entrySet()) {
       text = text.replace(word.getKey(), word.getValue());
@@ -356,7 +360,7 @@
     return text;
   }
 
-  /** The notation of the plays; see plays/README.md. */
+  /** Parses the byte notation of recorded exchanges; see plays/README.md. */
   static byte[] bytes(String notation) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     new Object() {
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
@@ -10,7 +10,7 @@
 import org.junit.runners.Parameterized;
 import org.junit.runners.Parameterized.Parameters;
 
-/** Every recorded exchange of src/test/resources/plays, byte for byte. */
+/** Runs every recorded exchange of src/test/resources/plays and compares it byte for byte. */
 @RunWith(Parameterized.class)
 public class RecordedExchangeTest {
 
