--- a/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
+++ b/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  public void takesNothingFromWhatIsNoReport() {
+  public void returnsNullForMalformedReport() {
     for (String text :
         new String[] {
           null,
@@ -46,7 +46,7 @@
    * made primaries look like replicas.
    */
   @Test
-  public void aReportOfZerosTellsNeitherPositionNorRole() {
+  public void reportOfZerosStatesNeitherPositionNorRole() {
     for (String text : new String[] {"x0=0.000,x1=0,backlog=0", "x0=0,x1=1", "x0=0.0"}) {
       assertEquals(
           text,
@@ -59,7 +59,7 @@
   }
 
   @Test
-  public void positionsOnTheWireAreWholeMilliseconds() {
+  public void parsesPositionsInWholeMilliseconds() {
     assertEquals(1_767_225_600_123_000L, LoadReportParser.position("1767225600123"));
     for (String text : new String[] {null, "", "-1", "1.5", "99999999999999999999", "x"}) {
       assertEquals(Router.UNKNOWN, LoadReportParser.position(text));
--- a/gateway/src/test/java/shelffront/gateway/DiscoveryClockTest.java
+++ b/gateway/src/test/java/shelffront/gateway/DiscoveryRecoveryTest.java
@@ -11,12 +11,12 @@
  * before. A failed call ends within 2.5 s of simulated time, the next one starts within 0.9 s, and
  * its response may take 2.5 s: 5.9 s in total.
  */
-public class DiscoveryClockTest {
+public class DiscoveryRecoveryTest {
 
-  private static final String GET =
+  private static final String WATCH_REQUEST =
       "w < \"GET /catalog/members?watch=1&from=41 HTTP/1.1\\r\\nHost: $d"
           + "\\r\\nAccept: application/json\\r\\n\\r\\n\"";
-  private static final String HEADERS =
+  private static final String RESPONSE_HEADERS =
       "\"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n\"";
 
   /** Faults of a discovery call that has been received and has no response yet, as steps. */
@@ -29,7 +29,7 @@
                       "w > \"HTTP/1.1 200 OK\\r\\nTransfer-\"", "clock 2500", "log reason=silent"),
               "trickles",
                   List.of(
-                      "w > " + HEADERS,
+                      "w > " + RESPONSE_HEADERS,
                       "clock 800",
                       "w > \"1\\r\\n{\\r\\n1\"",
                       "clock 800",
@@ -44,13 +44,15 @@
               "garbage", List.of("w > \"SSH-2.0-x\\r\\n\"", "log reason=bad-answer"),
               "half a list",
                   List.of(
-                      "w > " + HEADERS + " [\"{`revision`:42,`complete`:true,`members`:[\"]",
+                      "w > "
+                          + RESPONSE_HEADERS
+                          + " [\"{`revision`:42,`complete`:true,`members`:[\"]",
                       "clock 1",
                       "w closes",
                       "log reason=peer-closed"),
               "garbled list",
                   List.of(
-                      "w > " + HEADERS + " [\"{`revision`:42,`members`:[{`id`:1}]}\\n\"]",
+                      "w > " + RESPONSE_HEADERS + " [\"{`revision`:42,`members`:[{`id`:1}]}\\n\"]",
                       "log reason=bad-answer"),
               "down",
                   List.of(
@@ -61,7 +63,7 @@
                       "log reason=connect-failed",
                       "again d")));
 
-  private static List<String> play(String mode, List<String> faults) {
+  private static List<String> steps(String mode, List<String> faults) {
     List<String> lines =
         new ArrayList<>(
             List.of(
@@ -70,16 +72,16 @@
                 "w resets",
                 "log end discovery watch"));
     for (String fault : faults) {
-      lines.addAll(List.of("clock 900", "w from d", GET));
+      lines.addAll(List.of("clock 900", "w from d", WATCH_REQUEST));
       lines.addAll(FAULTS.get(fault));
     }
     lines.addAll(
         List.of(
             "clock 900",
             "w from d",
-            GET,
+            WATCH_REQUEST,
             "w > "
-                + HEADERS
+                + RESPONSE_HEADERS
                 + " [\"{`revision`:42,`complete`:false,"
                 + "`members`:[{`id`:`m2`,`host_port`:`$m2`,`phase`:`Gone`}]}\\n"
                 + "\"]",
@@ -88,25 +90,25 @@
     return lines;
   }
 
-  private static void holds(String mode) throws Exception {
-    for (String often : FAULTS.keySet()) {
+  private static void assertChangeArrivesInTime(String mode) throws Exception {
+    for (String repeated : FAULTS.keySet()) {
       for (String last : FAULTS.keySet()) {
         try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
           runner.play(
-              mode + ", four times " + often + ", then " + last,
-              play(mode, List.of(often, often, often, often, last)));
+              mode + ", four times " + repeated + ", then " + last,
+              steps(mode, List.of(repeated, repeated, repeated, repeated, last)));
         }
       }
     }
   }
 
   @Test
-  public void whereListsAreAskedFor() throws Exception {
-    holds("ask");
+  public void fetchedChangeArrivesInTimeAfterFaults() throws Exception {
+    assertChangeArrivesInTime("ask");
   }
 
   @Test
-  public void whereListsArePushed() throws Exception {
-    holds("push");
+  public void pushedChangeArrivesInTimeAfterFaults() throws Exception {
+    assertChangeArrivesInTime("push");
   }
 }
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
@@ -14,14 +14,14 @@
 @RunWith(Parameterized.class)
 public class RecordedExchangeTest {
 
-  private final Path play;
+  private final Path exchange;
 
-  public RecordedExchangeTest(String name, Path play) {
-    this.play = play;
+  public RecordedExchangeTest(String name, Path exchange) {
+    this.exchange = exchange;
   }
 
   @Parameters(name = "{0}")
-  public static List<Object[]> plays() throws IOException {
+  public static List<Object[]> exchanges() throws IOException {
     try (Stream<Path> files = Files.list(RecordedExchangeRunner.PLAYS)) {
       return files
           .filter(f -> f.toString().endsWith(".play"))
@@ -32,9 +32,9 @@
   }
 
   @Test
-  public void goesAsRecorded() throws Exception {
+  public void matchesRecording() throws Exception {
     try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
-      runner.play(play);
+      runner.play(exchange);
     }
   }
 }
--- a/gateway/src/test/java/shelffront/gateway/BrokenAnswerTest.java
+++ b/gateway/src/test/java/shelffront/gateway/TruncatedResponseTest.java
@@ -19,24 +19,25 @@
  * executed: it is retried if its class permits that, and fails otherwise. After that the outcome is
  * known, unless the response ends within a message.
  */
-public class BrokenAnswerTest {
+public class TruncatedResponseTest {
 
   private static final String ROW =
       "\"T\"{0001\"blob\"00 00000000000000000011FFFFFFFFFFFF0001}"
           + " \"D\"{0001(00FF27)} \"C\"{\"SELECT 1\"00}";
   private static final String READY = "\"Z\"{\"I\"}";
-  private static final byte[] WHOLE =
+  private static final byte[] COMPLETE_RESPONSE =
       RecordedExchangeRunner.bytes(ROW + " \"S\"{\"server_role\"00\"writer\"00} " + READY);
 
   /** Response lengths that contain the outcome and end at the end of a message. */
-  private static final Set<Integer> SAID =
+  private static final Set<Integer> LENGTHS_WITH_OUTCOME =
       Set.of(
           RecordedExchangeRunner.bytes(ROW).length,
-          WHOLE.length - RecordedExchangeRunner.bytes(READY).length,
-          WHOLE.length);
+          COMPLETE_RESPONSE.length - RecordedExchangeRunner.bytes(READY).length,
+          COMPLETE_RESPONSE.length);
 
-  private static final byte[] ADMIT = RecordedExchangeRunner.bytes("\"R\"{00000000} " + READY);
-  private static final byte[] REPORT =
+  private static final byte[] STARTUP_RESPONSE =
+      RecordedExchangeRunner.bytes("\"R\"{00000000} " + READY);
+  private static final byte[] HEALTH_CHECK_RESPONSE =
       RecordedExchangeRunner.bytes(
           "\"T\"{0001\"usage\"00 00000000000000000019FFFFFFFFFFFF0000}"
               + " \"D\"{0001(\"x0=1800000000.000,x1=1,queue=0\")} \"C\"{\"SHOW\"00} "
@@ -55,32 +56,32 @@
     }
 
     void serve(ServerSocket listener) {
-      daemon(
+      startDaemon(
           () -> {
             while (true) {
               Socket socket = listener.accept();
-              daemon(
+              startDaemon(
                   () -> {
                     DataInputStream in = new DataInputStream(socket.getInputStream());
                     in.readNBytes(in.readInt() - 4);
-                    socket.getOutputStream().write(ADMIT);
-                    answer(socket);
+                    socket.getOutputStream().write(STARTUP_RESPONSE);
+                    respond(socket);
                   });
             }
           });
     }
 
-    void answer(Socket socket) throws IOException {
+    void respond(Socket socket) throws IOException {
       DataInputStream in = new DataInputStream(socket.getInputStream());
       OutputStream out = socket.getOutputStream();
       while (in.read() == 'Q') {
         String query = new String(in.readNBytes(in.readInt() - 4), ISO_8859_1);
         if (query.startsWith("SHOW")) {
-          out.write(REPORT);
+          out.write(HEALTH_CHECK_RESPONSE);
         } else if (requests.getAndIncrement() > 0) {
-          out.write(WHOLE);
+          out.write(COMPLETE_RESPONSE);
         } else {
-          out.write(WHOLE, 0, cut);
+          out.write(COMPLETE_RESPONSE, 0, cut);
           socket.setSoLinger(reset, 0);
           socket.close();
           return;
@@ -88,17 +89,17 @@
       }
     }
 
-    private interface Work {
+    private interface IoTask {
 
       void run() throws IOException;
     }
 
-    private static void daemon(Work work) {
+    private static void startDaemon(IoTask task) {
       Thread thread =
           new Thread(
               () -> {
                 try {
-                  work.run();
+                  task.run();
                 } catch (IOException e) {
                   // closed by the gateway or the test
                 }
@@ -109,20 +110,21 @@
   }
 
   /** Sends a request whose first response is truncated; returns how often it reached the host. */
-  private static int play(String effect, int cut, boolean reset, String answer) throws Exception {
+  private static int countRequests(String effect, int cut, boolean reset, String response)
+      throws Exception {
     try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
       Host host = new Host(cut, reset);
       String name = effect + " cut after " + cut + (reset ? " by a reset" : "");
       runner.play(name, List.of("set \"by_key\" \"" + effect + "\"", "include start"));
       Socket first = runner.socket("h1");
       host.serve(runner.party("m1"));
-      Host.daemon(() -> host.answer(first));
+      Host.startDaemon(() -> host.respond(first));
       runner.play(
           name,
           List.of(
               "c opens",
               "c > @hello \"Q\"{\"/* id=a,c=order,d=3000,k=5c0f,cluster=1 */ INSERT INTO rows\"00}",
-              "c < @welcome " + answer + " @ready",
+              "c < @welcome " + response + " @ready",
               "c > \"Q\"{\" ;\"00}",
               "c < \"I\"{} @ready"));
       return host.requests.get();
@@ -130,25 +132,29 @@
   }
 
   @Test
-  public void whatMayBeRepeatedIsServedWholeByAnotherAttempt() throws Exception {
-    for (int cut = 0; cut <= WHOLE.length; cut++) {
+  public void truncatedResponseToRepeatableRequestIsRetried() throws Exception {
+    for (int cut = 0; cut <= COMPLETE_RESPONSE.length; cut++) {
       assertEquals(
-          "cut after " + cut, SAID.contains(cut) ? 1 : 2, play("by_key", cut, false, "@row"));
+          "cut after " + cut,
+          LENGTHS_WITH_OUTCOME.contains(cut) ? 1 : 2,
+          countRequests("by_key", cut, false, "@row"));
     }
   }
 
   @Test
-  public void whatMayNotBeRepeatedHasFailed() throws Exception {
+  public void truncatedResponseToNonRepeatableRequestFails() throws Exception {
     String failed =
         "\"E\"{\"SERROR\"00\"VERROR\"00\"C40003\"00\"Mfailed, its effect is not known\"00 00}";
-    for (int cut = 0; cut <= WHOLE.length; cut++) {
+    for (int cut = 0; cut <= COMPLETE_RESPONSE.length; cut++) {
       assertEquals(
-          "cut after " + cut, 1, play("once", cut, false, SAID.contains(cut) ? "@row" : failed));
+          "cut after " + cut,
+          1,
+          countRequests("once", cut, false, LENGTHS_WITH_OUTCOME.contains(cut) ? "@row" : failed));
     }
     // A reset may discard bytes that were written before it, so the request is sure to fail only
     // where the result was never sent completely.
     for (int cut = 0; cut < RecordedExchangeRunner.bytes(ROW).length; cut++) {
-      assertEquals("reset after " + cut, 1, play("once", cut, true, failed));
+      assertEquals("reset after " + cut, 1, countRequests("once", cut, true, failed));
     }
   }
 }
