--- a/gateway/src/test/java/shelffront/gateway/ObservedChannels.java
+++ b/gateway/src/test/java/shelffront/gateway/ObservedChannels.java
@@ -22,103 +22,103 @@
 final class ObservedChannels implements Channels {
 
   /** Bytes read from peers. */
-  final AtomicLong bytes = new AtomicLong();
+  final AtomicLong bytesRead = new AtomicLong();
 
   /** Ends of peers and failed reads. */
-  final AtomicLong ends = new AtomicLong();
+  final AtomicLong endCount = new AtomicLong();
 
-  final AtomicLong accepts = new AtomicLong();
+  final AtomicLong acceptedCount = new AtomicLong();
 
   /** Writes whose completion handler has not run yet. */
-  final AtomicLong writesOut = new AtomicLong();
+  final AtomicLong pendingWrites = new AtomicLong();
 
-  private final Channels sockets;
+  private final Channels systemChannels;
 
   ObservedChannels() throws IOException {
-    sockets = Channels.sockets(1);
+    systemChannels = Channels.sockets(1);
   }
 
   @Override
   public AsynchronousSocketChannel open() throws IOException {
-    return new Watched(sockets.open());
+    return new ObservedChannel(systemChannels.open());
   }
 
   @Override
   public AsynchronousServerSocketChannel listen(SocketAddress address, int backlog)
       throws IOException {
-    return new Listener(sockets.listen(address, backlog));
+    return new ObservedListener(systemChannels.listen(address, backlog));
   }
 
   @Override
   public void shutdown() {
-    sockets.shutdown();
+    systemChannels.shutdown();
   }
 
-  private interface Seen<T> {
+  private interface CompletionObserver<T> {
 
-    void seen(T result, Throwable failure);
+    void onCompleted(T result, Throwable failure);
   }
 
-  private static <T, A> CompletionHandler<T, A> then(
-      CompletionHandler<T, ? super A> handler, Seen<T> after) {
+  private static <T, A> CompletionHandler<T, A> observing(
+      CompletionHandler<T, ? super A> handler, CompletionObserver<T> observer) {
     return new CompletionHandler<>() {
       @Override
       public void completed(T result, A attachment) {
         handler.completed(result, attachment);
-        after.seen(result, null);
+        observer.onCompleted(result, null);
       }
 
       @Override
       public void failed(Throwable failure, A attachment) {
         handler.failed(failure, attachment);
-        after.seen(null, failure);
+        observer.onCompleted(null, failure);
       }
     };
   }
 
-  private final class Listener extends AsynchronousServerSocketChannel {
+  private final class ObservedListener extends AsynchronousServerSocketChannel {
 
-    private final AsynchronousServerSocketChannel to;
+    private final AsynchronousServerSocketChannel delegate;
 
-    Listener(AsynchronousServerSocketChannel to) {
-      super(to.provider());
-      this.to = to;
+    ObservedListener(AsynchronousServerSocketChannel delegate) {
+      super(delegate.provider());
+      this.delegate = delegate;
     }
 
     @Override
     public AsynchronousServerSocketChannel bind(SocketAddress local, int backlog)
         throws IOException {
-      to.bind(local, backlog);
+      delegate.bind(local, backlog);
       return this;
     }
 
     @Override
     public <T> AsynchronousServerSocketChannel setOption(SocketOption<T> name, T value)
         throws IOException {
-      to.setOption(name, value);
+      delegate.setOption(name, value);
       return this;
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) throws IOException {
-      return to.getOption(name);
+      return delegate.getOption(name);
     }
 
     @Override
     public Set<SocketOption<?>> supportedOptions() {
-      return to.supportedOptions();
+      return delegate.supportedOptions();
     }
 
     @Override
     public <A> void accept(
         A attachment, CompletionHandler<AsynchronousSocketChannel, ? super A> handler) {
-      to.accept(
+      delegate.accept(
           attachment,
           new CompletionHandler<AsynchronousSocketChannel, A>() {
             @Override
             public void completed(AsynchronousSocketChannel channel, A given) {
-              handler.completed(new Watched(channel), given);
-              accepts.incrementAndGet();
+              handler.completed(new ObservedChannel(channel), given);
+              acceptedCount.incrementAndGet();
             }
 
             @Override
@@ -135,73 +135,73 @@
 
     @Override
     public SocketAddress getLocalAddress() throws IOException {
-      return to.getLocalAddress();
+      return delegate.getLocalAddress();
     }
 
     @Override
     public boolean isOpen() {
-      return to.isOpen();
+      return delegate.isOpen();
     }
 
     @Override
     public void close() throws IOException {
-      to.close();
+      delegate.close();
     }
   }
 
-  private final class Watched extends AsynchronousSocketChannel {
+  private final class ObservedChannel extends AsynchronousSocketChannel {
 
-    private final AsynchronousSocketChannel to;
+    private final AsynchronousSocketChannel delegate;
 
-    Watched(AsynchronousSocketChannel to) {
-      super(to.provider());
-      this.to = to;
+    ObservedChannel(AsynchronousSocketChannel delegate) {
+      super(delegate.provider());
+      this.delegate = delegate;
     }
 
     @Override
     public AsynchronousSocketChannel bind(SocketAddress local) throws IOException {
-      to.bind(local);
+      delegate.bind(local);
       return this;
     }
 
     @Override
     public <T> AsynchronousSocketChannel setOption(SocketOption<T> name, T value)
         throws IOException {
-      to.setOption(name, value);
+      delegate.setOption(name, value);
       return this;
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) throws IOException {
-      return to.getOption(name);
+      return delegate.getOption(name);
     }
 
     @Override
     public Set<SocketOption<?>> supportedOptions() {
-      return to.supportedOptions();
+      return delegate.supportedOptions();
     }
 
     @Override
     public AsynchronousSocketChannel shutdownInput() throws IOException {
-      to.shutdownInput();
+      delegate.shutdownInput();
       return this;
     }
 
     @Override
     public AsynchronousSocketChannel shutdownOutput() throws IOException {
-      to.shutdownOutput();
+      delegate.shutdownOutput();
       return this;
     }
 
     @Override
     public SocketAddress getRemoteAddress() throws IOException {
-      return to.getRemoteAddress();
+      return delegate.getRemoteAddress();
     }
 
     @Override
     public <A> void connect(
         SocketAddress remote, A attachment, CompletionHandler<Void, ? super A> handler) {
-      to.connect(remote, attachment, handler);
+      delegate.connect(remote, attachment, handler);
     }
 
     @Override
@@ -216,18 +216,18 @@
         TimeUnit unit,
         A attachment,
         CompletionHandler<Integer, ? super A> handler) {
-      to.read(
+      delegate.read(
           into,
           timeout,
           unit,
           attachment,
-          then(
+          observing(
               handler,
               (count, failure) -> {
                 if (count != null && count >= 0) {
-                  bytes.addAndGet(count);
+                  bytesRead.addAndGet(count);
                 } else if (!(failure instanceof AsynchronousCloseException)) {
-                  ends.incrementAndGet();
+                  endCount.incrementAndGet();
                 }
               }));
     }
@@ -256,13 +256,13 @@
         TimeUnit unit,
         A attachment,
         CompletionHandler<Integer, ? super A> handler) {
-      writesOut.incrementAndGet();
-      to.write(
+      pendingWrites.incrementAndGet();
+      delegate.write(
           from,
           timeout,
           unit,
           attachment,
-          then(handler, (count, failure) -> writesOut.decrementAndGet()));
+          observing(handler, (count, failure) -> pendingWrites.decrementAndGet()));
     }
 
     @Override
@@ -284,17 +284,17 @@
 
     @Override
     public SocketAddress getLocalAddress() throws IOException {
-      return to.getLocalAddress();
+      return delegate.getLocalAddress();
     }
 
     @Override
     public boolean isOpen() {
-      return to.isOpen();
+      return delegate.isOpen();
     }
 
     @Override
     public void close() throws IOException {
-      to.close();
+      delegate.close();
     }
   }
 }
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
@@ -273,7 +273,7 @@
     held = reached.poll(MISSING_MS, TimeUnit.MILLISECONDS);
     assertTrue("event loop did not reach a hold within " + MISSING_MS + " ms", held != null);
     holds.remove(held);
-    endsBefore = channels.ends.get();
+    endsBefore = channels.endCount.get();
     ended = 0;
   }
 
@@ -285,9 +285,9 @@
     until(
         "steps of the exchange did not arrive at the gateway within " + MISSING_MS + " ms",
         () ->
-            channels.bytes.get() >= written
-                && channels.accepts.get() >= opened
-                && channels.ends.get() >= endsBefore + ended);
+            channels.bytesRead.get() >= written
+                && channels.acceptedCount.get() >= opened
+                && channels.endCount.get() >= endsBefore + ended);
   }
 
   private static void until(String complaint, BooleanSupplier condition) {
@@ -321,7 +321,7 @@
     // Requires two idle observations in a row, since work may be in progress during the first.
     for (int quiet = 0; quiet < 2; ) {
       boolean busy =
-          untilTurned() < written || channels.writesOut.get() > 0 || loop.queuedTaskCount() > 0;
+          untilTurned() < written || channels.pendingWrites.get() > 0 || loop.queuedTaskCount() > 0;
       quiet = busy ? 0 : quiet + 1;
       if (System.nanoTime() > end) {
         throw new AssertionError(
