--- a/gateway/src/test/java/shelffront/gateway/DiscoveryRecoveryTest.java
+++ b/gateway/src/test/java/shelffront/gateway/DiscoveryRecoveryTest.java
@@ -94,7 +94,7 @@
     for (String repeated : FAULTS.keySet()) {
       for (String last : FAULTS.keySet()) {
         try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
-          runner.play(
+          runner.replay(
               mode + ", four times " + repeated + ", then " + last,
               steps(mode, List.of(repeated, repeated, repeated, repeated, last)));
         }
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeRunner.java
@@ -42,45 +42,45 @@
  */
 final class RecordedExchangeRunner implements AutoCloseable {
 
-  static final Path PLAYS = Path.of("src/test/resources/plays");
-  private static final Path EXAMPLE = Path.of("../docs/example-config.json");
-  private static final int MISSING_MS = 10_000;
+  static final Path EXCHANGES = Path.of("src/test/resources/plays");
+  private static final Path EXAMPLE_CONFIG = Path.of("../docs/example-config.json");
+  private static final int STEP_TIMEOUT_MS = 10_000;
 
   private final AtomicLong clock = new AtomicLong(1_800_000_000_000_000L);
-  private final Map<String, ServerSocket> parties = new HashMap<>();
-  private final Map<String, String> given = new HashMap<>();
+  private final Map<String, ServerSocket> listeners = new HashMap<>();
+  private final Map<String, String> definitions = new HashMap<>();
   private final Map<String, Socket> sockets = new HashMap<>();
   private final BlockingQueue<String> log = new ArrayBlockingQueue<>(10_000);
   private final Counters counters = new Counters();
   private final EventLoop loop = new EventLoop(clock::get, counters);
   private final Path file;
-  private String example;
+  private String exampleConfig;
   private Gateway gateway;
   private ConfigReload reload;
-  private Thread turns;
+  private Thread loopThread;
 
   /** Requested holds that the event loop has not reached yet, in request order. */
-  private final Set<CountDownLatch> holds = new LinkedHashSet<>();
+  private final Set<CountDownLatch> pendingHolds = new LinkedHashSet<>();
 
-  private final BlockingQueue<CountDownLatch> reached = new ArrayBlockingQueue<>(100);
-  private CountDownLatch held; // blocks the event loop; null while it runs
+  private final BlockingQueue<CountDownLatch> reachedHolds = new ArrayBlockingQueue<>(100);
+  private CountDownLatch activeHold; // blocks the event loop; null while it runs
   private final ObservedChannels channels = new ObservedChannels();
-  private long opened; // connections to the gateway
-  private long ended; // ends of connections since the loop was held
-  private long endsBefore;
-  private long written;
+  private long openedConnections; // connections to the gateway
+  private long endedConnections; // ends of connections since the loop was blocked
+  private long endsAtHold;
+  private long bytesWritten;
 
   RecordedExchangeRunner() throws IOException {
     file = Files.createTempFile("play", ".json");
-    example = Files.readString(EXAMPLE);
+    exampleConfig = Files.readString(EXAMPLE_CONFIG);
   }
 
-  void play(Path file) throws Exception {
-    play(file.getFileName().toString(), Files.readAllLines(file));
+  void replay(Path file) throws Exception {
+    replay(file.getFileName().toString(), Files.readAllLines(file));
   }
 
   /** Runs steps built by a test; the name appears in error messages. */
-  void play(String name, List<String> lines) throws Exception {
+  void replay(String name, List<String> lines) throws Exception {
     int number = 0;
     for (String line : lines) {
       number++;
@@ -95,8 +95,8 @@
     }
   }
 
-  ServerSocket party(String name) {
-    return parties.get(name);
+  ServerSocket listener(String name) {
+    return listeners.get(name);
   }
 
   Socket socket(String name) {
@@ -108,95 +108,95 @@
     String rest = words.length > 2 ? words[2] : "";
     switch (words[0]) {
       case "include" -> {
-        given.put("@it", named(rest));
-        play(PLAYS.resolveSibling(verb));
+        definitions.put("@it", expand(rest));
+        replay(EXCHANGES.resolveSibling(verb));
       }
       case "set" -> {
-        assertTrue(EXAMPLE + " does not contain " + verb, example.contains(verb));
-        example = example.replace(verb, rest);
+        assertTrue(EXAMPLE_CONFIG + " does not contain " + verb, exampleConfig.contains(verb));
+        exampleConfig = exampleConfig.replace(verb, rest);
       }
-      case "let" -> given.put("@" + verb, rest);
+      case "let" -> definitions.put("@" + verb, rest);
       case "listen" -> listen(verb, 0);
-      case "again" -> listen(verb, parties.get(verb).getLocalPort());
-      case "unlisten" -> parties.get(verb).close();
-      case "gateway" -> start(named(String.join(" ", verb, rest)));
+      case "again" -> listen(verb, listeners.get(verb).getLocalPort());
+      case "unlisten" -> listeners.get(verb).close();
+      case "gateway" -> start(expand(String.join(" ", verb, rest)));
       case "clock" -> {
-        if (held == null) {
-          untilAllIsRead();
+        if (activeHold == null) {
+          awaitAllInputRead();
         }
         clock.addAndGet(Long.parseLong(verb) * 1000);
-        if (held == null && holds.isEmpty()) {
-          untilTurned();
-        } else if (held == null) {
+        if (activeHold == null && pendingHolds.isEmpty()) {
+          awaitLoopTurn();
+        } else if (activeHold == null) {
           loop.post(() -> {}); // wakes the loop, which blocks before the end of its turn
         }
       }
       case "hold" -> hold(verb);
-      case "held" -> untilHeld();
-      case "arrived" -> untilArrived();
+      case "held" -> awaitHold();
+      case "arrived" -> awaitArrival();
       case "go" -> {
-        held.countDown();
-        held = null;
+        activeHold.countDown();
+        activeHold = null;
       }
-      case "log" -> awaitLog(named(String.join(" ", verb, rest).strip()));
-      case "reload" -> reload(named(String.join(" ", verb, rest)));
+      case "log" -> awaitLog(expand(String.join(" ", verb, rest).strip()));
+      case "reload" -> reload(expand(String.join(" ", verb, rest)));
       case "stop" -> loop.post(gateway::drain);
-      case "stopped" -> turns.join(MISSING_MS);
+      case "stopped" -> loopThread.join(STEP_TIMEOUT_MS);
       default -> socketStep(words[0], verb, rest);
     }
   }
 
   private void listen(String name, int port) throws IOException {
-    ServerSocket party = new ServerSocket();
-    party.setReuseAddress(true);
-    party.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 50);
-    party.setSoTimeout(MISSING_MS);
-    parties.put(name, party);
+    ServerSocket listener = new ServerSocket();
+    listener.setReuseAddress(true);
+    listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 50);
+    listener.setSoTimeout(STEP_TIMEOUT_MS);
+    listeners.put(name, listener);
   }
 
   private void socketStep(String name, String verb, String rest) throws Exception {
     switch (verb) {
       case "opens" -> {
-        opened++;
-        keep(
+        openedConnections++;
+        register(
             name,
             new Socket(
                 InetAddress.getLoopbackAddress(),
                 ((InetSocketAddress) gateway.address()).getPort()));
       }
-      case "from" -> keep(name, parties.get(rest).accept());
+      case "from" -> register(name, listeners.get(rest).accept());
       case ">" -> {
-        byte[] bytes = bytes(named(rest));
-        written += bytes.length;
+        byte[] bytes = bytes(expand(rest));
+        bytesWritten += bytes.length;
         sockets.get(name).getOutputStream().write(bytes);
       }
       case "<" -> {
-        byte[] expected = bytes(named(rest));
-        byte[] got = sockets.get(name).getInputStream().readNBytes(expected.length);
-        assertEquals(readable(expected), readable(got));
+        byte[] expected = bytes(expand(rest));
+        byte[] actual = sockets.get(name).getInputStream().readNBytes(expected.length);
+        assertEquals(readable(expected), readable(actual));
       }
       case "closes" -> {
-        ended++;
+        endedConnections++;
         sockets.get(name).close();
       }
       case "resets" -> {
-        ended++;
+        endedConnections++;
         sockets.get(name).setSoLinger(true, 0);
         sockets.get(name).close();
       }
-      case "closed" -> assertEquals("", readable(rest(sockets.get(name))));
+      case "closed" -> assertEquals("", readable(readToEnd(sockets.get(name))));
       case "ends" ->
           assertEquals(
               "end of stream without a reset", -1, sockets.get(name).getInputStream().read());
       case "half" -> {
-        ended++;
+        endedConnections++;
         sockets.get(name).shutdownOutput();
       }
       default -> throw new IllegalArgumentException("unknown step \"" + name + " " + verb + "\"");
     }
   }
 
-  private static byte[] rest(Socket socket) throws IOException {
+  private static byte[] readToEnd(Socket socket) throws IOException {
     try {
       return socket.getInputStream().readAllBytes();
     } catch (SocketException e) {
@@ -204,8 +204,8 @@
     }
   }
 
-  private void keep(String name, Socket socket) throws SocketException {
-    socket.setSoTimeout(MISSING_MS);
+  private void register(String name, Socket socket) throws SocketException {
+    socket.setSoTimeout(STEP_TIMEOUT_MS);
     sockets.put(name, socket);
   }
 
@@ -215,18 +215,19 @@
         new GatewayConfig(
             "n0",
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            GatewayConfig.parseAddress(named("$d")),
+            GatewayConfig.parseAddress(expand("$d")),
             7,
-            Integer.parseInt(given.getOrDefault("@sockets", "1024")),
+            Integer.parseInt(definitions.getOrDefault("@sockets", "1024")),
             100,
-            RoutingSettingsCodec.read((Map<?, ?>) JsonReader.parseObject(example).get("settings")),
+            RoutingSettingsCodec.read(
+                (Map<?, ?>) JsonReader.parseObject(exampleConfig).get("settings")),
             EndpointList.read(JsonReader.parseObject(known)));
     EventLog lines = line -> log.add(line.toString());
     Network network = Network.open(loop, channels, new ResourceBudget(1 << 20), counters, lines);
     gateway = new Gateway(network, config);
     reload = new ConfigReload(network, gateway, Map.of("BALANCER_CONFIG", file.toString()));
     gateway.start();
-    turns =
+    loopThread =
         new Thread(
             () -> {
               try {
@@ -235,7 +236,7 @@
                 Thread.currentThread().interrupt();
               }
             });
-    turns.start();
+    loopThread.start();
   }
 
   /**
@@ -245,14 +246,14 @@
    */
   private void hold(String delay) throws Exception {
     CountDownLatch hold = new CountDownLatch(1);
-    holds.add(hold);
+    pendingHolds.add(hold);
     Runnable block =
         () -> {
-          reached.add(hold);
+          reachedHolds.add(hold);
           try {
-            if (!hold.await(MISSING_MS, TimeUnit.MILLISECONDS)) {
+            if (!hold.await(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
               throw new IllegalStateException(
-                  "event loop was not released within " + MISSING_MS + " ms");
+                  "event loop was not released within " + STEP_TIMEOUT_MS + " ms");
             }
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -260,41 +261,42 @@
         };
     if (delay.isEmpty()) {
       loop.post(block);
-      untilHeld();
+      awaitHold();
     } else {
       loop.post(() -> loop.scheduleAt(loop.nowMicros() + Long.parseLong(delay) * 1000, block));
-      if (held == null) {
-        untilTurned();
+      if (activeHold == null) {
+        awaitLoopTurn();
       }
     }
   }
 
-  private void untilHeld() throws InterruptedException {
-    held = reached.poll(MISSING_MS, TimeUnit.MILLISECONDS);
-    assertTrue("event loop did not reach a hold within " + MISSING_MS + " ms", held != null);
-    holds.remove(held);
-    endsBefore = channels.endCount.get();
-    ended = 0;
+  private void awaitHold() throws InterruptedException {
+    activeHold = reachedHolds.poll(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    assertTrue(
+        "event loop did not reach a hold within " + STEP_TIMEOUT_MS + " ms", activeHold != null);
+    pendingHolds.remove(activeHold);
+    endsAtHold = channels.endCount.get();
+    endedConnections = 0;
   }
 
   /**
    * Waits until everything that the exchange has done is in the event loop's queue: bytes written,
    * connections opened, and connections ended since the loop was blocked.
    */
-  private void untilArrived() {
-    until(
-        "steps of the exchange did not arrive at the gateway within " + MISSING_MS + " ms",
+  private void awaitArrival() {
+    awaitCondition(
+        "steps of the exchange did not arrive at the gateway within " + STEP_TIMEOUT_MS + " ms",
         () ->
-            channels.bytesRead.get() >= written
-                && channels.acceptedCount.get() >= opened
-                && channels.endCount.get() >= endsBefore + ended);
+            channels.bytesRead.get() >= bytesWritten
+                && channels.acceptedCount.get() >= openedConnections
+                && channels.endCount.get() >= endsAtHold + endedConnections);
   }
 
-  private static void until(String complaint, BooleanSupplier condition) {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
+  private static void awaitCondition(String failure, BooleanSupplier condition) {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STEP_TIMEOUT_MS);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError(complaint);
+        throw new AssertionError(failure);
       }
       Thread.onSpinWait();
     }
@@ -306,7 +308,8 @@
    */
   private void reload(String text) throws IOException {
     Files.writeString(
-        file, text.matches("[0-9.:]+ *") ? example.replace("127.0.0.1:8500", text.strip()) : text);
+        file,
+        text.matches("[0-9.:]+ *") ? exampleConfig.replace("127.0.0.1:8500", text.strip()) : text);
     reload.request();
   }
 
@@ -316,33 +319,39 @@
    * after the change, and on when a pending write completes, since the next command starts only
    * then.
    */
-  private void untilAllIsRead() throws Exception {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
+  private void awaitAllInputRead() throws Exception {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STEP_TIMEOUT_MS);
     // Requires two idle observations in a row, since work may be in progress during the first.
     for (int quiet = 0; quiet < 2; ) {
       boolean busy =
-          untilTurned() < written || channels.pendingWrites.get() > 0 || loop.queuedTaskCount() > 0;
+          awaitLoopTurn() < bytesWritten
+              || channels.pendingWrites.get() > 0
+              || loop.queuedTaskCount() > 0;
       quiet = busy ? 0 : quiet + 1;
       if (System.nanoTime() > end) {
         throw new AssertionError(
-            "gateway did not read all " + written + " bytes within " + MISSING_MS + " ms");
+            "gateway did not read all "
+                + bytesWritten
+                + " bytes within "
+                + STEP_TIMEOUT_MS
+                + " ms");
       }
     }
   }
 
   /** Waits for one turn of the event loop; returns the bytes that the gateway has read by then. */
-  private long untilTurned() throws Exception {
+  private long awaitLoopTurn() throws Exception {
     CompletableFuture<Long> read = new CompletableFuture<>();
     loop.post(() -> read.complete(counters.get(Counters.Name.BYTES_IN)));
-    return read.get(MISSING_MS, TimeUnit.MILLISECONDS);
+    return read.get(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   private void awaitLog(String wanted) throws InterruptedException {
     StringBuilder others = new StringBuilder();
-    String line = log.poll(MISSING_MS, TimeUnit.MILLISECONDS);
+    String line = log.poll(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     while (line != null && !line.contains(wanted)) {
       others.append('\n').append(line);
-      line = log.poll(MISSING_MS, TimeUnit.MILLISECONDS);
+      line = log.poll(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
     if (line == null) {
       throw new AssertionError("no log line contains \"" + wanted + "\"; lines read:" + others);
@@ -350,12 +359,13 @@
   }
 
   /** Replaces defined words by their values and {@code $NAME} by the address of a listener. */
-  private String named(String text) {
-    for (Map.Entry<String, String> word : given.entrySet()) {
+  private String expand(String text) {
+    for (Map.Entry<String, String> word : definitions.entrySet()) {
       text = text.replace(word.getKey(), word.getValue());
     }
-    for (Map.Entry<String, ServerSocket> party : parties.entrySet()) {
-      text = text.replace("$" + party.getKey(), "127.0.0.1:" + party.getValue().getLocalPort());
+    for (Map.Entry<String, ServerSocket> listener : listeners.entrySet()) {
+      text =
+          text.replace("$" + listener.getKey(), "127.0.0.1:" + listener.getValue().getLocalPort());
     }
     return text;
   }
@@ -420,8 +430,8 @@
   public void close() throws IOException {
     loop.post(loop::stop);
     try {
-      if (turns != null) {
-        turns.join(MISSING_MS);
+      if (loopThread != null) {
+        loopThread.join(STEP_TIMEOUT_MS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -429,8 +439,8 @@
     for (Socket socket : sockets.values()) {
       socket.close();
     }
-    for (ServerSocket party : parties.values()) {
-      party.close();
+    for (ServerSocket listener : listeners.values()) {
+      listener.close();
     }
     if (gateway != null) {
       gateway.close();
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
@@ -22,7 +22,7 @@
 
   @Parameters(name = "{0}")
   public static List<Object[]> exchanges() throws IOException {
-    try (Stream<Path> files = Files.list(RecordedExchangeRunner.PLAYS)) {
+    try (Stream<Path> files = Files.list(RecordedExchangeRunner.EXCHANGES)) {
       return files
           .filter(f -> f.toString().endsWith(".play"))
           .sorted()
@@ -34,7 +34,7 @@
   @Test
   public void matchesRecording() throws Exception {
     try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
-      runner.play(exchange);
+      runner.replay(exchange);
     }
   }
 }
--- a/gateway/src/test/java/shelffront/gateway/TruncatedResponseTest.java
+++ b/gateway/src/test/java/shelffront/gateway/TruncatedResponseTest.java
@@ -115,11 +115,11 @@
     try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
       Host host = new Host(cut, reset);
       String name = effect + " cut after " + cut + (reset ? " by a reset" : "");
-      runner.play(name, List.of("set \"by_key\" \"" + effect + "\"", "include start"));
+      runner.replay(name, List.of("set \"by_key\" \"" + effect + "\"", "include start"));
       Socket first = runner.socket("h1");
-      host.serve(runner.party("m1"));
+      host.serve(runner.listener("m1"));
       Host.startDaemon(() -> host.respond(first));
-      runner.play(
+      runner.replay(
           name,
           List.of(
               "c opens",
