--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -36,7 +36,7 @@
   private final FrontendConnections acceptedBy;
 
   private final StartupHandshake handshake = new StartupHandshake(this);
-  private final CommandQueue waiting = new CommandQueue();
+  private final CommandQueue queuedCommands = new CommandQueue();
   private final ClientActivity activity;
 
   /** Target of a move in progress; set by {@link #moveTo}. */
@@ -54,7 +54,7 @@
   private ClientRequest current;
 
   /** Bytes of queued commands and of the unwritten response, charged to the memory budget. */
-  private int heldBytes;
+  private int reservedBytes;
 
   /** Bounds the wait for the next complete command; cancelled while a request is in progress. */
   private Deadline commandDeadline;
@@ -68,15 +68,15 @@
   }
 
   private void scheduleFirstCommandTimeout() {
-    scheduleExpiry(activity.firstCommandDeadlineMicros(), CloseReason.STARTUP_TIMEOUT);
+    scheduleTimeout(activity.firstCommandDeadlineMicros(), CloseReason.STARTUP_TIMEOUT);
   }
 
-  private void scheduleExpiry(long atMicros, CloseReason reason) {
-    commandDeadline = network.loop().scheduleAt(atMicros, () -> expire(reason));
+  private void scheduleTimeout(long atMicros, CloseReason reason) {
+    commandDeadline = network.loop().scheduleAt(atMicros, () -> closeOnTimeout(reason));
   }
 
   /** Starts reading; may close the connection synchronously, so the caller registers it first. */
-  void begin() {
+  void start() {
     startReading();
   }
 
@@ -87,7 +87,7 @@
   /** Whether no request is in progress or queued and all output has been written. */
   @Override
   public boolean isIdle() {
-    return current == null && waiting.isEmpty() && isOutputEmpty();
+    return current == null && queuedCommands.isEmpty() && isOutputEmpty();
   }
 
   /** Whether the client has sent no complete command within the usual time after connecting. */
@@ -96,18 +96,18 @@
   }
 
   /** Whether it may be closed: nothing is outstanding, and a partial command had time to arrive. */
-  boolean mayRetire() {
-    return owesNothing() && activity.isQuiet(nowMicros());
+  boolean isEvictable() {
+    return hasNothingOutstanding() && activity.isQuiet(nowMicros());
   }
 
   /**
-   * Like {@link #mayRetire()}, with a shorter wait, for when no other connection can be evicted.
+   * Like {@link #isEvictable()}, with a shorter wait, for when no other connection can be evicted.
    */
-  boolean mayMakeRoom() {
-    return owesNothing() && activity.isBrieflyQuiet(nowMicros());
+  boolean isEvictableUnderPressure() {
+    return hasNothingOutstanding() && activity.isBrieflyQuiet(nowMicros());
   }
 
-  private boolean owesNothing() {
+  private boolean hasNothingOutstanding() {
     return isIdle() && !isEnding() && !hasUnprocessedInput();
   }
 
@@ -115,14 +115,14 @@
    * Closes the connection in order if nothing is outstanding. A command that crosses the close is
    * discarded unexecuted, so the client can send it on another connection.
    */
-  boolean retire(CloseReason reason) {
-    return mayMakeRoom() && tryCloseInOrder(reason);
+  boolean closeIfIdle(CloseReason reason) {
+    return isEvictableUnderPressure() && tryCloseInOrder(reason);
   }
 
   /** Closes the connection, or checks again later if it is busy or has unprocessed input. */
-  private void expire(CloseReason reason) {
+  private void closeOnTimeout(CloseReason reason) {
     if (!isIdle() || !tryCloseInOrder(reason)) {
-      scheduleExpiry(nowMicros() + TIMEOUT_RECHECK_MICROS, reason);
+      scheduleTimeout(nowMicros() + TIMEOUT_RECHECK_MICROS, reason);
     }
   }
 
@@ -133,7 +133,7 @@
   }
 
   /** Number of client connections of the same tenant; 0 before admission. */
-  int siblingCount() {
+  int tenantConnectionCount() {
     return handler == null ? 0 : handler.clientCount();
   }
 
@@ -141,7 +141,7 @@
   public void endWithError(ProtocolException why, CloseReason reason) {
     if (inputFailure == null && !isClosed()) {
       failInput(why, reason);
-      takeCommands();
+      processCommands();
     }
   }
 
@@ -152,7 +152,7 @@
 
   @Override
   protected boolean wantsInput() {
-    return inputFailure == null && !handshake.isLookingUpTenant() && !waiting.isFull();
+    return inputFailure == null && !handshake.isLookingUpTenant() && !queuedCommands.isFull();
   }
 
   @Override
@@ -166,11 +166,11 @@
     } catch (ProtocolException e) {
       failInput(e, ClientErrors.closeReasonOf(e.sqlState()));
     }
-    boolean begun = activity.recordIncompleteCommand(bytes.hasRemaining() && wantsInput());
-    if (begun && activity.hasSentCommand() && isIdle()) {
+    boolean commandBegun = activity.recordIncompleteCommand(bytes.hasRemaining() && wantsInput());
+    if (commandBegun && activity.hasSentCommand() && isIdle()) {
       onIdle();
     }
-    takeCommands();
+    processCommands();
   }
 
   private void readCommands(ByteBuffer bytes) throws ProtocolException {
@@ -180,29 +180,29 @@
         return;
       }
       // Protects the heap: queued commands count against the budget like active ones.
-      if (!tryHold(message.body().length)) {
+      if (!tryReserve(message.body().length)) {
         throw new ProtocolException(SqlState.OUT_OF_MEMORY, "there is no room for the command");
       }
-      waiting.add(message, arrivalMicrosOfConsumed(bytes));
+      queuedCommands.add(message, arrivalMicrosOfConsumed(bytes));
       activity.recordCommand();
     }
   }
 
-  private boolean tryHold(int bytes) {
-    boolean taken = network.budget().tryAcquire(bytes);
-    heldBytes += taken ? bytes : 0;
-    return taken;
+  private boolean tryReserve(int bytes) {
+    boolean acquired = network.budget().tryAcquire(bytes);
+    reservedBytes += acquired ? bytes : 0;
+    return acquired;
   }
 
   private void failInput(ProtocolException why, CloseReason reason) {
     inputFailure = why.getMessage();
-    waiting.addFailure(why, reason, nowMicros());
+    queuedCommands.addFailure(why, reason, nowMicros());
   }
 
   @Override
   protected void onInputOverflow(CloseReason reason) {
     failInput(ClientErrors.inputOverflow(reason), reason);
-    takeCommands();
+    processCommands();
   }
 
   /** Sends a startup message. */
@@ -214,7 +214,7 @@
   void onTenantLookedUp(ProtocolException failure) {
     if (failure != null) {
       failInput(failure, CloseReason.NO_TENANT);
-      takeCommands();
+      processCommands();
       return;
     }
     reofferInput();
@@ -223,7 +223,7 @@
   /** Moves to the event loop that owns the tenant; the startup continues there. */
   void moveTo(FrontendConnections home) {
     destination = home;
-    moveToLoop(home.network, this::arrive);
+    moveToLoop(home.network, this::resumeOnNewLoop);
   }
 
   @Override
@@ -232,7 +232,7 @@
     frontend.onMovedAway(this, destination);
   }
 
-  private void arrive() {
+  private void resumeOnNewLoop() {
     frontend = destination;
     frontend.onArrived(this);
     scheduleFirstCommandTimeout();
@@ -251,7 +251,7 @@
   /** Restarts the timeout that closes connections that stay idle or stop within a command. */
   private void onIdle() {
     commandDeadline.cancel();
-    scheduleExpiry(activity.nextCommandDeadlineMicros(nowMicros()), CloseReason.IDLE);
+    scheduleTimeout(activity.nextCommandDeadlineMicros(nowMicros()), CloseReason.IDLE);
     frontend.onUsed(this);
   }
 
@@ -259,14 +259,14 @@
    * Starts queued commands while no request is in progress and all responses have been written. No
    * command is started once the client's end has been read, even if a write is still outstanding.
    */
-  private void takeCommands() {
-    while (!isEnding() && current == null && isOutputEmpty() && !waiting.isEmpty()) {
-      Command command = waiting.poll();
+  private void processCommands() {
+    while (!isEnding() && current == null && isOutputEmpty() && !queuedCommands.isEmpty()) {
+      Command command = queuedCommands.poll();
       try {
-        take(command);
+        process(command);
       } catch (ProtocolException e) {
         network.counters().add(Counters.Name.REQUESTS_INVALID);
-        answer(ClientErrors.invalid(e));
+        respond(ClientErrors.invalid(e));
       }
       if (current == null && !command.isFailure() && !isClosed()) {
         onIdle();
@@ -275,7 +275,7 @@
     readMore();
   }
 
-  private void take(Command command) throws ProtocolException {
+  private void process(Command command) throws ProtocolException {
     if (command.isFailure()) {
       write(ClientErrors.fatal(command.failure()));
       closeWhenWritten(command.closeReason());
@@ -286,7 +286,7 @@
       return;
     }
     switch (message.type()) {
-      case 'Q' -> takeQuery(message, command.arrivalMicros());
+      case 'Q' -> processQuery(message, command.arrivalMicros());
       case 'X' -> close(CloseReason.TERMINATED);
       case 'S' -> {
         skippingToSync = false;
@@ -303,10 +303,10 @@
     }
   }
 
-  private void takeQuery(Message message, long arrivalMicros) throws ProtocolException {
+  private void processQuery(Message message, long arrivalMicros) throws ProtocolException {
     byte[] statement = RequestParser.statementOf(message);
     if (RequestParser.isBlank(statement)) {
-      answer(Message.emptyQueryResponse());
+      respond(Message.emptyQueryResponse());
       return;
     }
     ParsedRequest parsed =
@@ -325,7 +325,7 @@
 
   @Override
   public void onServed(byte[] messages) {
-    if (!tryHold(messages.length)) {
+    if (!tryReserve(messages.length)) {
       onFailed(); // The memory budget has no room for the value until the client reads it.
       return;
     }
@@ -353,28 +353,28 @@
 
   private void finishRequest(byte[] messages) {
     current = null;
-    answer(messages);
+    respond(messages);
     onIdle();
     frontend.onMaybeIdle(this);
   }
 
-  private void answer(byte[] messages) {
+  private void respond(byte[] messages) {
     write(messages);
     write(Message.readyForQuery());
   }
 
   @Override
   protected void onOutputWritten() {
-    network.budget().release(heldBytes - waiting.bytes());
-    heldBytes = waiting.bytes();
-    takeCommands();
+    network.budget().release(reservedBytes - queuedCommands.bytes());
+    reservedBytes = queuedCommands.bytes();
+    processCommands();
     frontend.onMaybeIdle(this);
   }
 
   @Override
   protected void onClosed(CloseReason reason) {
     commandDeadline.cancel();
-    network.budget().release(heldBytes);
+    network.budget().release(reservedBytes);
     if (current != null) {
       network.counters().add(Counters.Name.REQUESTS_LEFT);
       handler.onRequestAbandoned(current);
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -53,7 +53,7 @@
   private boolean recheckScheduled;
 
   /** No slot became free within the wait: new connections are accepted and rejected at once. */
-  private boolean rejectsNewcomers;
+  private boolean rejectsNewConnections;
 
   private boolean draining;
 
@@ -62,19 +62,19 @@
 
   /** Binds the listener; connections are accepted after {@link #accept} is called. */
   public FrontendConnections(
-      Network network, InetSocketAddress listen, int maxConnections, TenantLookup door)
+      Network network, InetSocketAddress listen, int maxConnections, TenantLookup tenantLookup)
       throws IOException {
     this.network = network;
     maxLingering = Math.max(1, maxConnections / LINGERING_DIVISOR);
     this.maxConnections = maxConnections;
-    this.tenantLookup = door;
+    this.tenantLookup = tenantLookup;
     listener = network.channels().listen(listen, BACKLOG);
   }
 
   /** An instance without a listener: its connections arrive from another event loop. */
-  public FrontendConnections(Network network, TenantLookup door) {
+  public FrontendConnections(Network network, TenantLookup tenantLookup) {
     this.network = network;
-    this.tenantLookup = door;
+    this.tenantLookup = tenantLookup;
     maxConnections = Integer.MAX_VALUE;
     maxLingering = Integer.MAX_VALUE;
     listener = null;
@@ -110,7 +110,7 @@
     }
     ClientConnection connection = new ClientConnection(this, channel);
     connections.add(connection);
-    connection.begin();
+    connection.start();
     if (connections.size() + movedAwayCount() > maxConnections && !evict()) {
       connection.endWithError(
           new ProtocolException(SqlState.TOO_MANY_CONNECTIONS, "too many connections"),
@@ -150,21 +150,25 @@
   private boolean evict() {
     ClientConnection victim = null;
     for (ClientConnection candidate : connections) {
-      if (!candidate.mayRetire()) {
+      if (!candidate.isEvictable()) {
         continue;
       }
       if (candidate.isSilent()) {
-        return candidate.retire(CloseReason.EVICTED);
+        return candidate.closeIfIdle(CloseReason.EVICTED);
       }
-      if (victim == null || candidate.siblingCount() > victim.siblingCount()) {
+      if (victim == null || candidate.tenantConnectionCount() > victim.tenantConnectionCount()) {
         victim = candidate;
       }
     }
     if (victim == null) {
       // Many clients connected at the same time, so none has been silent for long.
-      victim = connections.stream().filter(ClientConnection::mayMakeRoom).findFirst().orElse(null);
+      victim =
+          connections.stream()
+              .filter(ClientConnection::isEvictableUnderPressure)
+              .findFirst()
+              .orElse(null);
     }
-    return victim != null && victim.retire(CloseReason.EVICTED);
+    return victim != null && victim.closeIfIdle(CloseReason.EVICTED);
   }
 
   private int movedAwayCount() {
@@ -203,8 +207,8 @@
 
   /** Called when a connection may have become idle; closes it if the gateway drains. */
   void onMaybeIdle(ClientConnection connection) {
-    if (draining && connection.mayRetire()) {
-      connection.retire(CloseReason.DRAINED);
+    if (draining && connection.isEvictable()) {
+      connection.closeIfIdle(CloseReason.DRAINED);
     }
     acceptNext(); // An idle connection may be evicted for a client that waits in the backlog.
   }
@@ -238,12 +242,12 @@
     if (listener == null || accepting || !listener.isOpen()) {
       return;
     }
-    boolean room = connections.size() + movedAwayCount() < maxConnections || evict();
-    rejectsNewcomers &= !room;
+    boolean hasSlot = connections.size() + movedAwayCount() < maxConnections || evict();
+    rejectsNewConnections &= !hasSlot;
     if (accepting) {
       return; // the eviction has already started an accept
     }
-    if (room || rejectsNewcomers) {
+    if (hasSlot || rejectsNewConnections) {
       accept();
     } else if (!recheckScheduled) {
       recheckScheduled = true;
@@ -253,7 +257,7 @@
               network.loop().nowMicros() + ClientActivity.BRIEF_SILENCE_MICROS + 1,
               () -> {
                 recheckScheduled = false;
-                rejectsNewcomers = true;
+                rejectsNewConnections = true;
                 acceptNext();
               });
     }
--- a/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
+++ b/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
@@ -53,15 +53,15 @@
   /** Runs one step; false if the startup is complete or waits for input, lookup or move. */
   boolean advance(ByteBuffer bytes) throws ProtocolException {
     return switch (step) {
-      case STARTUP_MESSAGE, TENANT_LOOKUP -> takeStartupMessage(bytes);
-      case TENANT_KNOWN -> enterLoopOfTenant();
+      case STARTUP_MESSAGE, TENANT_LOOKUP -> processStartupMessage(bytes);
+      case TENANT_KNOWN -> continueOnTenantLoop();
       case ADMISSION -> authenticate();
-      case PASSWORD -> takePassword(bytes);
+      case PASSWORD -> processPassword(bytes);
       case COMPLETE -> false;
     };
   }
 
-  private boolean takeStartupMessage(ByteBuffer bytes) throws ProtocolException {
+  private boolean processStartupMessage(ByteBuffer bytes) throws ProtocolException {
     Message message = Message.nextStartup(bytes);
     if (message == null || connection.isClosed()) {
       return false;
@@ -93,7 +93,7 @@
       step = Step.TENANT_LOOKUP;
       return false;
     }
-    return enterLoopOfTenant();
+    return continueOnTenantLoop();
   }
 
   private void onTenantLookedUp(ProtocolException failure) {
@@ -101,7 +101,7 @@
     connection.onTenantLookedUp(failure);
   }
 
-  private boolean enterLoopOfTenant() throws ProtocolException {
+  private boolean continueOnTenantLoop() throws ProtocolException {
     FrontendConnections frontend = connection.frontend();
     FrontendConnections home = frontend.tenantLookup.connectionsFor(parameters, frontend);
     step = Step.ADMISSION;
@@ -123,7 +123,7 @@
     return false;
   }
 
-  private boolean takePassword(ByteBuffer bytes) throws ProtocolException {
+  private boolean processPassword(ByteBuffer bytes) throws ProtocolException {
     Message message = Message.next(bytes, "p", MAX_PASSWORD_LENGTH);
     if (message == null || connection.isClosed()) {
       return false;
