--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -23,8 +23,11 @@
 
   private static final int MAX_STARTUP_MESSAGE_BYTES = 8192;
 
-  /** The parts of a response follow each other closely: a longer gap means it is malformed. */
-  private static final long RESPONSE_STALL_MICROS = 250_000;
+  /**
+   * Hosts send a response in one piece or in quick succession, so a response that is still
+   * incomplete this long after its first bytes is malformed.
+   */
+  private static final long RESPONSE_TIMEOUT_MICROS = 250_000;
 
   final BackendHost host;
   private final InetSocketAddress address;
@@ -43,18 +46,18 @@
   private QueryResponse response = new QueryResponse();
 
   /** Bytes of the response that are charged to the memory budget. */
-  private int heldBytes;
+  private int reservedBytes;
 
   BackendConnection(
       Network network,
       AsynchronousSocketChannel channel,
       BackendHost host,
-      BackendConnections backends,
+      BackendConnections backend,
       long connectTimeoutMicros) {
     super(network, "host", channel, Message.MAX_ROW_BYTES);
     this.host = host;
     address = host.address;
-    this.backend = backends;
+    this.backend = backend;
     this.openDeadline =
         network
             .loop()
@@ -79,7 +82,7 @@
     return ready;
   }
 
-  void begin(BackendCall next, byte[] query) {
+  void send(BackendCall next, byte[] query) {
     cancel(idleDeadline);
     call = next;
     requestWritten = false;
@@ -110,7 +113,8 @@
   @Override
   protected void onBytesReceived(ByteBuffer bytes) {
     try {
-      while (!isClosed() && (ready ? takeResponseMessage(bytes) : takeStartupMessage(bytes))) {
+      while (!isClosed()
+          && (ready ? processResponseMessage(bytes) : processStartupMessage(bytes))) {
         continue;
       }
     } catch (ProtocolException e) {
@@ -126,7 +130,8 @@
           network
               .loop()
               .scheduleAt(
-                  nowMicros() + RESPONSE_STALL_MICROS, () -> closeAsMalformed("it does not go on"));
+                  nowMicros() + RESPONSE_TIMEOUT_MICROS,
+                  () -> closeAsMalformed("it does not go on"));
     }
   }
 
@@ -137,7 +142,7 @@
   }
 
   /** Processes a message up to the first ReadyForQuery; false if no complete one is available. */
-  private boolean takeStartupMessage(ByteBuffer bytes) throws ProtocolException {
+  private boolean processStartupMessage(ByteBuffer bytes) throws ProtocolException {
     Message message = Message.next(bytes, "RSKNZE", MAX_STARTUP_MESSAGE_BYTES);
     if (message == null) {
       return false;
@@ -160,7 +165,7 @@
    * of a response, close the connection. Otherwise they would be read as the response to the next
    * request.
    */
-  private boolean takeResponseMessage(ByteBuffer bytes) throws ProtocolException {
+  private boolean processResponseMessage(ByteBuffer bytes) throws ProtocolException {
     if (!bytes.hasRemaining()) {
       return false;
     }
@@ -176,12 +181,12 @@
     if (message == null) {
       return false;
     }
-    response.take(message);
-    if (!network.budget().tryAcquire(response.heldBytes() - heldBytes)) {
+    response.apply(message);
+    if (!network.budget().tryAcquire(response.keptBytes() - reservedBytes)) {
       close(CloseReason.NO_MEMORY);
       return false;
     }
-    heldBytes = response.heldBytes();
+    reservedBytes = response.keptBytes();
     if (response.isComplete()) {
       // If the buffer is full, surplus bytes may still be unread in the socket.
       finish(bytes.hasRemaining() || bytes.limit() == bytes.capacity());
@@ -194,7 +199,7 @@
   private void finish(boolean surplus) {
     BackendCall completedCall = call;
     call = null;
-    BackendResponse reply = response.toBackendResponse(completedCall.attempt == null);
+    BackendResponse outcome = response.toBackendResponse(completedCall.attempt == null);
     discardResponse();
     if (surplus) {
       close(CloseReason.SURPLUS);
@@ -202,7 +207,7 @@
       backend.onConnectionFree(
           this); // before the outcome is reported: the next attempt may need this connection
     }
-    backend.finishCall(completedCall, reply);
+    backend.finishCall(completedCall, outcome);
   }
 
   /**
@@ -216,14 +221,14 @@
     cancel(idleDeadline);
     BackendCall interruptedCall = call;
     call = null;
-    BackendResponse reply = null;
+    BackendResponse outcome = null;
     if (interruptedCall != null) {
       boolean outcomeKnown =
           response.isOutcomeKnown()
               && !messageIncomplete
               && !malformed
               && reason != CloseReason.NO_MEMORY;
-      reply =
+      outcome =
           outcomeKnown
               ? response.toBackendResponse(interruptedCall.attempt == null)
               : BackendResponse.of(
@@ -234,7 +239,7 @@
     discardResponse();
     backend.onConnectionClosed(this);
     if (interruptedCall != null) {
-      backend.finishCall(interruptedCall, reply);
+      backend.finishCall(interruptedCall, outcome);
     }
   }
 
@@ -245,8 +250,8 @@
   private void discardResponse() {
     cancel(responseDeadline);
     responseDeadline = null;
-    network.budget().release(heldBytes);
-    heldBytes = 0;
+    network.budget().release(reservedBytes);
+    reservedBytes = 0;
     response = new QueryResponse();
   }
 
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -53,9 +53,9 @@
    * Idle connections are closed after four fifths of the idle timeout of hosts, so that the gateway
    * closes them first.
    */
-  private static final int IDLE_PARTS_USED = 4;
+  private static final int IDLE_FRACTION_NUMERATOR = 4;
 
-  private static final int IDLE_PARTS = 5;
+  private static final int IDLE_FRACTION_DENOMINATOR = 5;
 
   private static final byte[] HEALTH_CHECK_QUERY = Message.query("SHOW usage".getBytes(US_ASCII));
 
@@ -131,7 +131,7 @@
     call.endDeadline =
         network
             .loop()
-            .scheduleAt(attempt.request.deadlineMicros, () -> giveUp(call, AttemptStatus.TIMEOUT));
+            .scheduleAt(attempt.request.deadlineMicros, () -> timeOut(call, AttemptStatus.TIMEOUT));
     assignConnection(call);
   }
 
@@ -144,7 +144,7 @@
         network
             .loop()
             .scheduleAfter(
-                limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.TIMEOUT));
+                limits.connectTimeoutMicros(), () -> timeOut(call, AttemptStatus.TIMEOUT));
     assignConnection(call);
   }
 
@@ -204,7 +204,7 @@
         network
             .loop()
             .scheduleAfter(
-                limits.connectTimeoutMicros(), () -> giveUp(call, AttemptStatus.CONNECT_FAILED));
+                limits.connectTimeoutMicros(), () -> timeOut(call, AttemptStatus.CONNECT_FAILED));
     host.waitingCalls.add(call);
     if (host.openingCount < host.waitingCalls.size()) {
       openConnection(host);
@@ -322,7 +322,9 @@
       host.idleConnections.addLast(connection);
       connection.closeWhenIdleAt(
           network.loop().nowMicros()
-              + limits.connectionIdleMicros() * IDLE_PARTS_USED / IDLE_PARTS);
+              + limits.connectionIdleMicros()
+                  * IDLE_FRACTION_NUMERATOR
+                  / IDLE_FRACTION_DENOMINATOR);
     }
   }
 
@@ -332,12 +334,12 @@
     }
     call.connection = connection;
     if (call.attempt == null) {
-      connection.begin(call, HEALTH_CHECK_QUERY);
+      connection.send(call, HEALTH_CHECK_QUERY);
       return;
     }
     call.attempt.sentAtMicros = network.loop().nowMicros();
     long timeLeftMicros = call.attempt.request.deadlineMicros - network.loop().nowMicros();
-    connection.begin(
+    connection.send(
         call,
         Message.query(
             call.attempt.request.statement.withTimeToDeadlineMillis(
@@ -359,7 +361,7 @@
     }
   }
 
-  private void giveUp(BackendCall call, AttemptStatus status) {
+  private void timeOut(BackendCall call, AttemptStatus status) {
     abandon(call, CloseReason.TIMED_OUT);
     if (call.attempt == null && call.host != null) {
       // If the machine vanished and came back, its old connections look open but are dead, and each
--- a/gateway/src/main/java/shelffront/backend/LoadReportParser.java
+++ b/gateway/src/main/java/shelffront/backend/LoadReportParser.java
@@ -27,7 +27,7 @@
   private LoadReportParser() {}
 
   /** Parses a load report; null if any part of the text is malformed. */
-  static LoadReport read(String text) {
+  static LoadReport parse(String text) {
     if (text == null || text.length() > MAX_LENGTH) {
       return null;
     }
@@ -53,16 +53,16 @@
     return new LoadReport(position, role, -1, -1, -1);
   }
 
-  static Role role(String word) {
-    return "writer".equals(word)
+  static Role parseRole(String name) {
+    return "writer".equals(name)
         ? Role.PRIMARY
-        : "reader".equals(word) ? Role.REPLICA : Role.UNKNOWN;
+        : "reader".equals(name) ? Role.REPLICA : Role.UNKNOWN;
   }
 
   /**
    * Parses a position in Unix milliseconds; zero or malformed text gives {@link Router#UNKNOWN}.
    */
-  static long position(String milliseconds) {
+  static long parsePositionMicros(String milliseconds) {
     long position =
         milliseconds == null
             ? Router.UNKNOWN
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -18,12 +18,12 @@
  */
 final class QueryResponse {
 
-  private enum Part {
+  private enum Stage {
     DESCRIPTION,
     ROW,
     COMPLETION,
     READY,
-    OVER
+    DONE
   }
 
   /** Limit for messages other than DataRow. */
@@ -41,7 +41,7 @@
 
   private final ByteArrayOutputStream messages = new ByteArrayOutputStream();
   private final Map<String, String> parameters = new HashMap<>();
-  private Part expected = Part.DESCRIPTION;
+  private Stage expectedStage = Stage.DESCRIPTION;
   private String value; // the single column of the row
   private String errorCode;
   private boolean fatal;
@@ -52,12 +52,12 @@
    */
   Message next(ByteBuffer in) throws ProtocolException {
     String types =
-        switch (expected) {
+        switch (expectedStage) {
           case DESCRIPTION -> "TESN";
           case ROW -> "DESN";
           case COMPLETION -> "CESN";
           case READY -> "ZSN";
-          case OVER -> "";
+          case DONE -> "";
         };
     return Message.next(
         in,
@@ -68,69 +68,69 @@
   }
 
   /** Applies a message from {@link #next}; throws if its body is malformed. */
-  void take(Message message) throws ProtocolException {
+  void apply(Message message) throws ProtocolException {
     switch (message.type()) {
       case 'S' -> {
-        String[] words = message.texts(2);
-        if (REPORTED_PARAMETERS.contains(words[0])) {
-          parameters.put(words[0], words[1]);
+        String[] nameAndValue = message.texts(2);
+        if (REPORTED_PARAMETERS.contains(nameAndValue[0])) {
+          parameters.put(nameAndValue[0], nameAndValue[1]);
         }
       }
       case 'N' -> message.errorFields();
       case 'T' -> {
         message.requireOneColumnDescribed();
-        keep(message, Part.ROW);
+        keep(message, Stage.ROW);
       }
       case 'D' -> {
         value = message.onlyColumn();
-        keep(message, Part.COMPLETION);
+        keep(message, Stage.COMPLETION);
       }
       case 'C' -> {
         if (!message.texts(1)[0].matches("SHOW|[A-Z]+( [0-9]+)? 1")) {
           throw new ProtocolException(
               SqlState.PROTOCOL_VIOLATION, "not the tag of a command with one row");
         }
-        keep(message, Part.READY);
+        keep(message, Stage.READY);
       }
-      case 'E' -> takeError(message);
+      case 'E' -> applyError(message);
       default -> {
         if (message.body().length != 1 || message.body()[0] != 'I') {
           throw new ProtocolException(
               SqlState.PROTOCOL_VIOLATION, "not the state of a session outside a transaction");
         }
-        expected = Part.OVER;
+        expectedStage = Stage.DONE;
       }
     }
   }
 
-  private void takeError(Message message) throws ProtocolException {
+  private void applyError(Message message) throws ProtocolException {
     Map<Character, String> fields = message.errorFields();
     errorCode = fields.getOrDefault('C', "");
     fatal = "FATAL".equals(fields.get('S'));
     if (!errorCode.matches("[0-9A-Z]{5}")) {
       throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "not an SQLSTATE");
     }
-    expected = Part.READY;
+    expectedStage = Stage.READY;
   }
 
-  private void keep(Message message, Part next) {
+  private void keep(Message message, Stage next) {
     messages.writeBytes(message.bytes());
-    expected = next;
+    expectedStage = next;
   }
 
   /** Whether at least one part of the response has been received. */
   boolean hasBegun() {
-    return expected != Part.DESCRIPTION || !parameters.isEmpty();
+    return expectedStage != Stage.DESCRIPTION || !parameters.isEmpty();
   }
 
   /** Whether ReadyForQuery has been received. */
   boolean isComplete() {
-    return expected == Part.OVER;
+    return expectedStage == Stage.DONE;
   }
 
   /** Whether the outcome has been received; the host may close the connection from here on. */
   boolean isOutcomeKnown() {
-    return expected == Part.READY || isComplete();
+    return expectedStage == Stage.READY || isComplete();
   }
 
   /** Whether the host closes the connection after this error, without ReadyForQuery. */
@@ -139,21 +139,21 @@
   }
 
   /** Size of the messages kept for the client, in bytes. */
-  int heldBytes() {
+  int keptBytes() {
     return messages.size();
   }
 
   /** Returns the outcome of a complete response. A malformed load report only drops the report. */
-  BackendResponse toBackendResponse(boolean probe) {
+  BackendResponse toBackendResponse(boolean healthCheck) {
     AttemptStatus status =
         errorCode == null
             ? AttemptStatus.OK
             : STATUS_BY_SQLSTATE.getOrDefault(errorCode, AttemptStatus.ERROR);
-    LoadReport report = LoadReportParser.read(probe ? value : parameters.get("usage"));
+    LoadReport report = LoadReportParser.parse(healthCheck ? value : parameters.get("usage"));
     return new BackendResponse(
         status,
-        LoadReportParser.role(parameters.get("server_role")),
-        LoadReportParser.position(parameters.get("commit_clock")),
+        LoadReportParser.parseRole(parameters.get("server_role")),
+        LoadReportParser.parsePositionMicros(parameters.get("commit_clock")),
         report,
         status == AttemptStatus.OK ? messages.toByteArray() : null);
   }
--- a/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
+++ b/gateway/src/test/java/shelffront/backend/LoadReportParserTest.java
@@ -15,9 +15,9 @@
   public void readsPositionRoundedDownAndRole() {
     assertEquals(
         new LoadReport(1_767_225_600_123_456L, Role.REPLICA, -1, -1, -1),
-        LoadReportParser.read("x0=1767225600.1234569,x1=0,queue=3"));
+        LoadReportParser.parse("x0=1767225600.1234569,x1=0,queue=3"));
     assertEquals(
-        new LoadReport(Router.UNKNOWN, Role.PRIMARY, -1, -1, -1), LoadReportParser.read("x1=1"));
+        new LoadReport(Router.UNKNOWN, Role.PRIMARY, -1, -1, -1), LoadReportParser.parse("x1=1"));
   }
 
   @Test
@@ -37,7 +37,7 @@
           "x0=1.2.3",
           "a".repeat(5000)
         }) {
-      assertNull(text, LoadReportParser.read(text));
+      assertNull(text, LoadReportParser.parse(text));
     }
   }
 
@@ -51,18 +51,18 @@
       assertEquals(
           text,
           new LoadReport(Router.UNKNOWN, Role.UNKNOWN, -1, -1, -1),
-          LoadReportParser.read(text));
+          LoadReportParser.parse(text));
     }
     assertEquals(
-        new LoadReport(1_000_000L, Role.REPLICA, -1, -1, -1), LoadReportParser.read("x0=1,x1=0"));
-    assertEquals(Router.UNKNOWN, LoadReportParser.position("0"));
+        new LoadReport(1_000_000L, Role.REPLICA, -1, -1, -1), LoadReportParser.parse("x0=1,x1=0"));
+    assertEquals(Router.UNKNOWN, LoadReportParser.parsePositionMicros("0"));
   }
 
   @Test
   public void parsesPositionsInWholeMilliseconds() {
-    assertEquals(1_767_225_600_123_000L, LoadReportParser.position("1767225600123"));
+    assertEquals(1_767_225_600_123_000L, LoadReportParser.parsePositionMicros("1767225600123"));
     for (String text : new String[] {null, "", "-1", "1.5", "99999999999999999999", "x"}) {
-      assertEquals(Router.UNKNOWN, LoadReportParser.position(text));
+      assertEquals(Router.UNKNOWN, LoadReportParser.parsePositionMicros(text));
     }
   }
 }
