--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -131,12 +131,16 @@
               .loop()
               .scheduleAt(
                   nowMicros() + RESPONSE_TIMEOUT_MICROS,
-                  () -> closeAsMalformed("it does not go on"));
+                  () ->
+                      closeAsMalformed(
+                          "response is incomplete "
+                              + RESPONSE_TIMEOUT_MICROS
+                              + " us after its first bytes"));
     }
   }
 
   private void closeAsMalformed(String why) {
-    network.log().println("spoilt answer of " + host.id + ": " + why);
+    network.log().println("malformed response from host " + host.id + ": " + why);
     malformed = true;
     close(CloseReason.BAD_ANSWER);
   }
@@ -175,7 +179,10 @@
     }
     if (!requestWritten) {
       throw new ProtocolException(
-          SqlState.PROTOCOL_VIOLATION, "it came before the request was written");
+          SqlState.PROTOCOL_VIOLATION,
+          "received "
+              + bytes.remaining()
+              + " bytes before the request was written completely, expected none");
     }
     Message message = response.next(bytes);
     if (message == null) {
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -88,7 +88,10 @@
       case 'C' -> {
         if (!message.texts(1)[0].matches("SHOW|[A-Z]+( [0-9]+)? 1")) {
           throw new ProtocolException(
-              SqlState.PROTOCOL_VIOLATION, "not the tag of a command with one row");
+              SqlState.PROTOCOL_VIOLATION,
+              "CommandComplete tag of "
+                  + (message.body().length - 1)
+                  + " bytes is not that of SHOW or of a command with exactly one row");
         }
         keep(message, Stage.READY);
       }
@@ -96,7 +99,10 @@
       default -> {
         if (message.body().length != 1 || message.body()[0] != 'I') {
           throw new ProtocolException(
-              SqlState.PROTOCOL_VIOLATION, "not the state of a session outside a transaction");
+              SqlState.PROTOCOL_VIOLATION,
+              "ReadyForQuery with "
+                  + message.body().length
+                  + " bytes does not report an idle session, expected the single byte I");
         }
         expectedStage = Stage.DONE;
       }
@@ -108,7 +114,11 @@
     errorCode = fields.getOrDefault('C', "");
     fatal = "FATAL".equals(fields.get('S'));
     if (!errorCode.matches("[0-9A-Z]{5}")) {
-      throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "not an SQLSTATE");
+      throw new ProtocolException(
+          SqlState.PROTOCOL_VIOLATION,
+          "ErrorResponse has an SQLSTATE of "
+              + errorCode.length()
+              + " characters, expected 5 characters of 0-9 and A-Z");
     }
     expectedStage = Stage.READY;
   }
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -131,7 +131,9 @@
   private void acceptFailed(Throwable failure) {
     accepting = false;
     if (listener.isOpen()) {
-      network.log().println("accept failed: " + failure);
+      network
+          .log()
+          .println("accept failed: " + failure + "; retrying in " + ACCEPT_BACKOFF_MICROS + " us");
       network
           .loop()
           .scheduleAt(network.loop().nowMicros() + ACCEPT_BACKOFF_MICROS, this::acceptNext);
