--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -15,15 +15,19 @@
 /**
  * A connection to a database host.
  *
- * <p>Invariants: it carries a single call at a time; a call is written only once the host has
- * declared it ready; a call is abandoned by closing it; bytes that belong to no call end it.
+ * <p>Invariants: a connection runs one call at a time; a call is written only after the host has
+ * sent ReadyForQuery; abandoning a call closes the connection; bytes that belong to no call close
+ * it too. Runs on the loop thread.
  */
 final class BackendConnection extends Connection {
 
   private static final int MAX_STARTUP_MESSAGE_BYTES = 8192;
 
-  /** An answer comes in one piece or in quick succession: one that stops half-way is spoilt. */
-  private static final long RESPONSE_STALL_MICROS = 250_000;
+  /**
+   * Hosts send a response in one piece or in quick succession, so a response that is still
+   * incomplete this long after its first bytes is malformed.
+   */
+  private static final long RESPONSE_TIMEOUT_MICROS = 250_000;
 
   final BackendHost host;
   private final InetSocketAddress address;
@@ -35,40 +39,40 @@
   private BackendCall call;
   private boolean requestWritten;
 
-  /** Part of a message has come. */
+  /** The input ends in a partial message. */
   private boolean messageIncomplete;
 
   private boolean malformed;
   private QueryResponse response = new QueryResponse();
 
-  /** Bytes of the response that are held from the memory budget. */
-  private int heldBytes;
+  /** Bytes of the response that are charged to the memory budget. */
+  private int reservedBytes;
 
   BackendConnection(
       Network network,
       AsynchronousSocketChannel channel,
       BackendHost host,
-      BackendConnections backends,
+      BackendConnections backend,
       long connectTimeoutMicros) {
     super(network, "host", channel, Message.MAX_ROW_BYTES);
     this.host = host;
     address = host.address;
-    this.backend = backends;
+    this.backend = backend;
     this.openDeadline =
         network
             .loop()
             .scheduleAfter(connectTimeoutMicros, () -> close(CloseReason.CONNECT_TIMEOUT));
   }
 
-  /** Connects; may end it at once, so whoever counts it has done so before. */
+  /** Connects; may close the connection synchronously, so the caller registers it first. */
   void open() {
     write(Message.startup(backend.login.user(), backend.login.database()));
     connect(address);
   }
 
   /**
-   * Whether its host is still the one in the list: another address is another machine, with other
-   * data.
+   * Whether the host still has the address of this connection. A host with another address is
+   * another machine, with other data.
    */
   boolean isCurrent() {
     return address.equals(host.address);
@@ -78,7 +82,7 @@
     return ready;
   }
 
-  void begin(BackendCall next, byte[] query) {
+  void send(BackendCall next, byte[] query) {
     cancel(idleDeadline);
     call = next;
     requestWritten = false;
@@ -100,10 +104,7 @@
     requestWritten = call != null;
   }
 
-  /**
-   * Ends the call's stay here by closing: a host connection never carries another after an open
-   * one.
-   */
+  /** Closes the connection: it cannot be reused, because the response is still outstanding. */
   void abandon(CloseReason reason) {
     call = null;
     close(reason);
@@ -112,7 +113,8 @@
   @Override
   protected void onBytesReceived(ByteBuffer bytes) {
     try {
-      while (!isClosed() && (ready ? takeResponseMessage(bytes) : takeStartupMessage(bytes))) {
+      while (!isClosed()
+          && (ready ? processResponseMessage(bytes) : processStartupMessage(bytes))) {
         continue;
       }
     } catch (ProtocolException e) {
@@ -128,20 +130,23 @@
           network
               .loop()
               .scheduleAt(
-                  nowMicros() + RESPONSE_STALL_MICROS, () -> closeAsMalformed("it does not go on"));
+                  nowMicros() + RESPONSE_TIMEOUT_MICROS,
+                  () ->
+                      closeAsMalformed(
+                          "response is incomplete "
+                              + RESPONSE_TIMEOUT_MICROS
+                              + " us after its first bytes"));
     }
   }
 
   private void closeAsMalformed(String why) {
-    network.log().println("spoilt answer of " + host.id + ": " + why);
+    network.log().println("malformed response from host " + host.id + ": " + why);
     malformed = true;
     close(CloseReason.BAD_ANSWER);
   }
 
-  /**
-   * Takes a message that comes before the first ReadyForQuery; false where there is no whole one.
-   */
-  private boolean takeStartupMessage(ByteBuffer bytes) throws ProtocolException {
+  /** Processes a message up to the first ReadyForQuery; false if no complete one is available. */
+  private boolean processStartupMessage(ByteBuffer bytes) throws ProtocolException {
     Message message = Message.next(bytes, "RSKNZE", MAX_STARTUP_MESSAGE_BYTES);
     if (message == null) {
       return false;
@@ -159,12 +164,12 @@
   }
 
   /**
-   * Takes a message of the answer; false where there is no whole one. Guards against bytes that
-   * belong to no request, such as a second copy of an answer: what comes while nothing is asked, or
-   * before the request was written whole, ends the connection, or it would be read as the answer to
-   * the next request.
+   * Processes a message of the response; false if no complete one is available. Bytes that arrive
+   * while no request is active, or before the request was written completely, such as a second copy
+   * of a response, close the connection. Otherwise they would be read as the response to the next
+   * request.
    */
-  private boolean takeResponseMessage(ByteBuffer bytes) throws ProtocolException {
+  private boolean processResponseMessage(ByteBuffer bytes) throws ProtocolException {
     if (!bytes.hasRemaining()) {
       return false;
     }
@@ -174,20 +179,23 @@
     }
     if (!requestWritten) {
       throw new ProtocolException(
-          SqlState.PROTOCOL_VIOLATION, "it came before the request was written");
+          SqlState.PROTOCOL_VIOLATION,
+          "received "
+              + bytes.remaining()
+              + " bytes before the request was written completely, expected none");
     }
     Message message = response.next(bytes);
     if (message == null) {
       return false;
     }
-    response.take(message);
-    if (!network.budget().tryAcquire(response.heldBytes() - heldBytes)) {
+    response.apply(message);
+    if (!network.budget().tryAcquire(response.keptBytes() - reservedBytes)) {
       close(CloseReason.NO_MEMORY);
       return false;
     }
-    heldBytes = response.heldBytes();
+    reservedBytes = response.keptBytes();
     if (response.isComplete()) {
-      // A buffer that is full to the end may hide surplus that the socket still holds.
+      // If the buffer is full, surplus bytes may still be unread in the socket.
       finish(bytes.hasRemaining() || bytes.limit() == bytes.capacity());
     } else if (response.isFatal()) {
       close(CloseReason.REFUSED_BY_HOST);
@@ -198,21 +206,21 @@
   private void finish(boolean surplus) {
     BackendCall completedCall = call;
     call = null;
-    BackendResponse reply = response.toBackendResponse(completedCall.attempt == null);
+    BackendResponse outcome = response.toBackendResponse(completedCall.attempt == null);
     discardResponse();
     if (surplus) {
       close(CloseReason.SURPLUS);
     } else {
       backend.onConnectionFree(
-          this); // before the outcome, whose next send may want this connection
+          this); // before the outcome is reported: the next attempt may need this connection
     }
-    backend.finishCall(completedCall, reply);
+    backend.finishCall(completedCall, outcome);
   }
 
   /**
-   * A connection that breaks before the request's last byte was handed to the socket proves that it
-   * never ran; after that it may have, unless the host had said how it ended. What was spoilt
-   * proves nothing.
+   * Reports the outcome of the interrupted call. If the connection fails before the last byte of
+   * the request was passed to the socket, the request was not executed. After that it may have
+   * been, unless the host has already reported the outcome. A malformed response proves nothing.
    */
   @Override
   protected void onClosed(CloseReason reason) {
@@ -220,14 +228,14 @@
     cancel(idleDeadline);
     BackendCall interruptedCall = call;
     call = null;
-    BackendResponse reply = null;
+    BackendResponse outcome = null;
     if (interruptedCall != null) {
       boolean outcomeKnown =
           response.isOutcomeKnown()
               && !messageIncomplete
               && !malformed
               && reason != CloseReason.NO_MEMORY;
-      reply =
+      outcome =
           outcomeKnown
               ? response.toBackendResponse(interruptedCall.attempt == null)
               : BackendResponse.of(
@@ -238,18 +246,19 @@
     discardResponse();
     backend.onConnectionClosed(this);
     if (interruptedCall != null) {
-      backend.finishCall(interruptedCall, reply);
+      backend.finishCall(interruptedCall, outcome);
     }
   }
 
   /**
-   * Host connections are many and kept for long: none keeps the room that its greatest answer took.
+   * Releases the memory of the response. Host connections are many and long-lived, so none keeps a
+   * buffer of the size of its largest response.
    */
   private void discardResponse() {
     cancel(responseDeadline);
     responseDeadline = null;
-    network.budget().release(heldBytes);
-    heldBytes = 0;
+    network.budget().release(reservedBytes);
+    reservedBytes = 0;
     response = new QueryResponse();
   }
 
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -12,21 +12,22 @@
 import shelffront.routing.LoadReport;
 
 /**
- * What a host says to one query, message by message: RowDescription, one DataRow of one column,
- * CommandComplete, or an ErrorResponse; then ReadyForQuery. Anything else, whole or in part, is a
- * spoilt answer: of it nothing counts.
+ * Parses a host's response to one query: RowDescription, one DataRow with one column and
+ * CommandComplete, or an ErrorResponse; then ReadyForQuery. Any other message sequence or content
+ * is malformed, and no part of a malformed response is used.
  */
 final class QueryResponse {
 
-  private enum Part {
+  private enum Stage {
     DESCRIPTION,
     ROW,
     COMPLETION,
     READY,
-    OVER
+    DONE
   }
 
-  private static final int MAX_OTHER_BYTES = 8192; // Any message but a row.
+  /** Limit for messages other than DataRow. */
+  private static final int MAX_OTHER_BYTES = 8192;
 
   private static final Map<String, AttemptStatus> STATUS_BY_SQLSTATE =
       Map.of(
@@ -40,23 +41,23 @@
 
   private final ByteArrayOutputStream messages = new ByteArrayOutputStream();
   private final Map<String, String> parameters = new HashMap<>();
-  private Part expected = Part.DESCRIPTION;
-  private String value; // the only column of the row
+  private Stage expectedStage = Stage.DESCRIPTION;
+  private String value; // the single column of the row
   private String errorCode;
   private boolean fatal;
 
   /**
-   * The next message, or null where more bytes are needed; its type and length are judged before
-   * its body came.
+   * Reads the next message, or returns null if more bytes are needed. Type and length are checked
+   * before the body has arrived.
    */
   Message next(ByteBuffer in) throws ProtocolException {
     String types =
-        switch (expected) {
+        switch (expectedStage) {
           case DESCRIPTION -> "TESN";
           case ROW -> "DESN";
           case COMPLETION -> "CESN";
           case READY -> "ZSN";
-          case OVER -> "";
+          case DONE -> "";
         };
     return Message.next(
         in,
@@ -66,93 +67,103 @@
             : MAX_OTHER_BYTES);
   }
 
-  /** Takes the message that {@link #next} gave; throws where its body does not fit. */
-  void take(Message message) throws ProtocolException {
+  /** Applies a message from {@link #next}; throws if its body is malformed. */
+  void apply(Message message) throws ProtocolException {
     switch (message.type()) {
       case 'S' -> {
-        String[] words = message.texts(2);
-        if (REPORTED_PARAMETERS.contains(words[0])) {
-          parameters.put(words[0], words[1]);
+        String[] nameAndValue = message.texts(2);
+        if (REPORTED_PARAMETERS.contains(nameAndValue[0])) {
+          parameters.put(nameAndValue[0], nameAndValue[1]);
         }
       }
       case 'N' -> message.errorFields();
       case 'T' -> {
         message.requireOneColumnDescribed();
-        keep(message, Part.ROW);
+        keep(message, Stage.ROW);
       }
       case 'D' -> {
         value = message.onlyColumn();
-        keep(message, Part.COMPLETION);
+        keep(message, Stage.COMPLETION);
       }
       case 'C' -> {
         if (!message.texts(1)[0].matches("SHOW|[A-Z]+( [0-9]+)? 1")) {
           throw new ProtocolException(
-              SqlState.PROTOCOL_VIOLATION, "not the tag of a command with one row");
+              SqlState.PROTOCOL_VIOLATION,
+              "CommandComplete tag of "
+                  + (message.body().length - 1)
+                  + " bytes is not that of SHOW or of a command with exactly one row");
         }
-        keep(message, Part.READY);
+        keep(message, Stage.READY);
       }
-      case 'E' -> takeError(message);
+      case 'E' -> applyError(message);
       default -> {
         if (message.body().length != 1 || message.body()[0] != 'I') {
           throw new ProtocolException(
-              SqlState.PROTOCOL_VIOLATION, "not the state of a session outside a transaction");
+              SqlState.PROTOCOL_VIOLATION,
+              "ReadyForQuery with "
+                  + message.body().length
+                  + " bytes does not report an idle session, expected the single byte I");
         }
-        expected = Part.OVER;
+        expectedStage = Stage.DONE;
       }
     }
   }
 
-  private void takeError(Message message) throws ProtocolException {
+  private void applyError(Message message) throws ProtocolException {
     Map<Character, String> fields = message.errorFields();
     errorCode = fields.getOrDefault('C', "");
     fatal = "FATAL".equals(fields.get('S'));
     if (!errorCode.matches("[0-9A-Z]{5}")) {
-      throw new ProtocolException(SqlState.PROTOCOL_VIOLATION, "not an SQLSTATE");
+      throw new ProtocolException(
+          SqlState.PROTOCOL_VIOLATION,
+          "ErrorResponse has an SQLSTATE of "
+              + errorCode.length()
+              + " characters, expected 5 characters of 0-9 and A-Z");
     }
-    expected = Part.READY;
+    expectedStage = Stage.READY;
   }
 
-  private void keep(Message message, Part next) {
+  private void keep(Message message, Stage next) {
     messages.writeBytes(message.bytes());
-    expected = next;
+    expectedStage = next;
   }
 
-  /** Some of it has come. */
+  /** Whether at least one part of the response has been received. */
   boolean hasBegun() {
-    return expected != Part.DESCRIPTION || !parameters.isEmpty();
+    return expectedStage != Stage.DESCRIPTION || !parameters.isEmpty();
   }
 
-  /** ReadyForQuery has come. */
+  /** Whether ReadyForQuery has been received. */
   boolean isComplete() {
-    return expected == Part.OVER;
+    return expectedStage == Stage.DONE;
   }
 
-  /** All that tells how the query ended has come; the host may close here. */
+  /** Whether the outcome has been received; the host may close the connection from here on. */
   boolean isOutcomeKnown() {
-    return expected == Part.READY || isComplete();
+    return expectedStage == Stage.READY || isComplete();
   }
 
-  /** The host ends the connection with this error, and no ReadyForQuery follows. */
+  /** Whether the host closes the connection after this error, without ReadyForQuery. */
   boolean isFatal() {
     return fatal;
   }
 
-  /** Bytes held for the client. */
-  int heldBytes() {
+  /** Size of the messages kept for the client, in bytes. */
+  int keptBytes() {
     return messages.size();
   }
 
-  /** What it says once it is whole; a report that can't be read spoils only the report. */
-  BackendResponse toBackendResponse(boolean probe) {
+  /** Returns the outcome of a complete response. A malformed load report only drops the report. */
+  BackendResponse toBackendResponse(boolean healthCheck) {
     AttemptStatus status =
         errorCode == null
             ? AttemptStatus.OK
             : STATUS_BY_SQLSTATE.getOrDefault(errorCode, AttemptStatus.ERROR);
-    LoadReport report = LoadReportParser.read(probe ? value : parameters.get("usage"));
+    LoadReport report = LoadReportParser.parse(healthCheck ? value : parameters.get("usage"));
     return new BackendResponse(
         status,
-        LoadReportParser.role(parameters.get("server_role")),
-        LoadReportParser.position(parameters.get("commit_clock")),
+        LoadReportParser.parseRole(parameters.get("server_role")),
+        LoadReportParser.parsePositionMicros(parameters.get("commit_clock")),
         report,
         status == AttemptStatus.OK ? messages.toByteArray() : null);
   }
--- a/gateway/src/test/java/shelffront/gateway/ObservedChannels.java
+++ b/gateway/src/test/java/shelffront/gateway/ObservedChannels.java
@@ -15,107 +15,110 @@
 import shelffront.net.Channels;
 
 /**
- * The machine's sockets, with a count of what has become of each call once its result stands in the
- * loop's queue. A play that goes on earlier would depend on the race between the system's threads.
+ * System sockets that count each operation once its result is in the event loop's queue. A recorded
+ * exchange waits for these counts; without them it would depend on the race between the threads of
+ * the system.
  */
 final class ObservedChannels implements Channels {
 
-  /** Bytes that were read, ends of peers that were read, connections accepted. */
-  final AtomicLong bytes = new AtomicLong();
+  /** Bytes read from peers. */
+  final AtomicLong bytesRead = new AtomicLong();
 
-  final AtomicLong ends = new AtomicLong();
-  final AtomicLong accepts = new AtomicLong();
+  /** Ends of peers and failed reads. */
+  final AtomicLong endCount = new AtomicLong();
 
-  /** Writes begun whose completion was not passed on yet. */
-  final AtomicLong writesOut = new AtomicLong();
+  final AtomicLong acceptedCount = new AtomicLong();
 
-  private final Channels sockets;
+  /** Writes whose completion handler has not run yet. */
+  final AtomicLong pendingWrites = new AtomicLong();
+
+  private final Channels systemChannels;
 
   ObservedChannels() throws IOException {
-    sockets = Channels.sockets(1);
+    systemChannels = Channels.sockets(1);
   }
 
   @Override
   public AsynchronousSocketChannel open() throws IOException {
-    return new Watched(sockets.open());
+    return new ObservedChannel(systemChannels.open());
   }
 
   @Override
   public AsynchronousServerSocketChannel listen(SocketAddress address, int backlog)
       throws IOException {
-    return new Listener(sockets.listen(address, backlog));
+    return new ObservedListener(systemChannels.listen(address, backlog));
   }
 
   @Override
   public void shutdown() {
-    sockets.shutdown();
+    systemChannels.shutdown();
   }
 
-  private interface Seen<T> {
+  private interface CompletionObserver<T> {
 
-    void seen(T result, Throwable failure);
+    void onCompleted(T result, Throwable failure);
   }
 
-  private static <T, A> CompletionHandler<T, A> then(
-      CompletionHandler<T, ? super A> handler, Seen<T> after) {
+  private static <T, A> CompletionHandler<T, A> observing(
+      CompletionHandler<T, ? super A> handler, CompletionObserver<T> observer) {
     return new CompletionHandler<>() {
       @Override
       public void completed(T result, A attachment) {
         handler.completed(result, attachment);
-        after.seen(result, null);
+        observer.onCompleted(result, null);
       }
 
       @Override
       public void failed(Throwable failure, A attachment) {
         handler.failed(failure, attachment);
-        after.seen(null, failure);
+        observer.onCompleted(null, failure);
       }
     };
   }
 
-  private final class Listener extends AsynchronousServerSocketChannel {
+  private final class ObservedListener extends AsynchronousServerSocketChannel {
 
-    private final AsynchronousServerSocketChannel to;
+    private final AsynchronousServerSocketChannel delegate;
 
-    Listener(AsynchronousServerSocketChannel to) {
-      super(to.provider());
-      this.to = to;
+    ObservedListener(AsynchronousServerSocketChannel delegate) {
+      super(delegate.provider());
+      this.delegate = delegate;
     }
 
     @Override
     public AsynchronousServerSocketChannel bind(SocketAddress local, int backlog)
         throws IOException {
-      to.bind(local, backlog);
+      delegate.bind(local, backlog);
       return this;
     }
 
     @Override
     public <T> AsynchronousServerSocketChannel setOption(SocketOption<T> name, T value)
         throws IOException {
-      to.setOption(name, value);
+      delegate.setOption(name, value);
       return this;
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) throws IOException {
-      return to.getOption(name);
+      return delegate.getOption(name);
     }
 
     @Override
     public Set<SocketOption<?>> supportedOptions() {
-      return to.supportedOptions();
+      return delegate.supportedOptions();
     }
 
     @Override
     public <A> void accept(
         A attachment, CompletionHandler<AsynchronousSocketChannel, ? super A> handler) {
-      to.accept(
+      delegate.accept(
           attachment,
           new CompletionHandler<AsynchronousSocketChannel, A>() {
             @Override
             public void completed(AsynchronousSocketChannel channel, A given) {
-              handler.completed(new Watched(channel), given);
-              accepts.incrementAndGet();
+              handler.completed(new ObservedChannel(channel), given);
+              acceptedCount.incrementAndGet();
             }
 
             @Override
@@ -132,73 +135,73 @@
 
     @Override
     public SocketAddress getLocalAddress() throws IOException {
-      return to.getLocalAddress();
+      return delegate.getLocalAddress();
     }
 
     @Override
     public boolean isOpen() {
-      return to.isOpen();
+      return delegate.isOpen();
     }
 
     @Override
     public void close() throws IOException {
-      to.close();
+      delegate.close();
     }
   }
 
-  private final class Watched extends AsynchronousSocketChannel {
+  private final class ObservedChannel extends AsynchronousSocketChannel {
 
-    private final AsynchronousSocketChannel to;
+    private final AsynchronousSocketChannel delegate;
 
-    Watched(AsynchronousSocketChannel to) {
-      super(to.provider());
-      this.to = to;
+    ObservedChannel(AsynchronousSocketChannel delegate) {
+      super(delegate.provider());
+      this.delegate = delegate;
     }
 
     @Override
     public AsynchronousSocketChannel bind(SocketAddress local) throws IOException {
-      to.bind(local);
+      delegate.bind(local);
       return this;
     }
 
     @Override
     public <T> AsynchronousSocketChannel setOption(SocketOption<T> name, T value)
         throws IOException {
-      to.setOption(name, value);
+      delegate.setOption(name, value);
       return this;
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) throws IOException {
-      return to.getOption(name);
+      return delegate.getOption(name);
     }
 
     @Override
     public Set<SocketOption<?>> supportedOptions() {
-      return to.supportedOptions();
+      return delegate.supportedOptions();
     }
 
     @Override
     public AsynchronousSocketChannel shutdownInput() throws IOException {
-      to.shutdownInput();
+      delegate.shutdownInput();
       return this;
     }
 
     @Override
     public AsynchronousSocketChannel shutdownOutput() throws IOException {
-      to.shutdownOutput();
+      delegate.shutdownOutput();
       return this;
     }
 
     @Override
     public SocketAddress getRemoteAddress() throws IOException {
-      return to.getRemoteAddress();
+      return delegate.getRemoteAddress();
     }
 
     @Override
     public <A> void connect(
         SocketAddress remote, A attachment, CompletionHandler<Void, ? super A> handler) {
-      to.connect(remote, attachment, handler);
+      delegate.connect(remote, attachment, handler);
     }
 
     @Override
@@ -213,18 +216,18 @@
         TimeUnit unit,
         A attachment,
         CompletionHandler<Integer, ? super A> handler) {
-      to.read(
+      delegate.read(
           into,
           timeout,
           unit,
           attachment,
-          then(
+          observing(
               handler,
               (count, failure) -> {
                 if (count != null && count >= 0) {
-                  bytes.addAndGet(count);
+                  bytesRead.addAndGet(count);
                 } else if (!(failure instanceof AsynchronousCloseException)) {
-                  ends.incrementAndGet();
+                  endCount.incrementAndGet();
                 }
               }));
     }
@@ -253,13 +256,13 @@
         TimeUnit unit,
         A attachment,
         CompletionHandler<Integer, ? super A> handler) {
-      writesOut.incrementAndGet();
-      to.write(
+      pendingWrites.incrementAndGet();
+      delegate.write(
           from,
           timeout,
           unit,
           attachment,
-          then(handler, (count, failure) -> writesOut.decrementAndGet()));
+          observing(handler, (count, failure) -> pendingWrites.decrementAndGet()));
     }
 
     @Override
@@ -281,17 +284,17 @@
 
     @Override
     public SocketAddress getLocalAddress() throws IOException {
-      return to.getLocalAddress();
+      return delegate.getLocalAddress();
     }
 
     @Override
     public boolean isOpen() {
-      return to.isOpen();
+      return delegate.isOpen();
     }
 
     @Override
     public void close() throws IOException {
-      to.close();
+      delegate.close();
     }
   }
 }
--- a/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
+++ b/gateway/src/test/java/shelffront/gateway/RecordedExchangeTest.java
@@ -10,19 +10,19 @@
 import org.junit.runners.Parameterized;
 import org.junit.runners.Parameterized.Parameters;
 
-/** Every recorded exchange of src/test/resources/plays, byte for byte. */
+/** Runs every recorded exchange of src/test/resources/plays and compares it byte for byte. */
 @RunWith(Parameterized.class)
 public class RecordedExchangeTest {
 
-  private final Path play;
+  private final Path exchange;
 
-  public RecordedExchangeTest(String name, Path play) {
-    this.play = play;
+  public RecordedExchangeTest(String name, Path exchange) {
+    this.exchange = exchange;
   }
 
   @Parameters(name = "{0}")
-  public static List<Object[]> plays() throws IOException {
-    try (Stream<Path> files = Files.list(RecordedExchangeRunner.PLAYS)) {
+  public static List<Object[]> exchanges() throws IOException {
+    try (Stream<Path> files = Files.list(RecordedExchangeRunner.EXCHANGES)) {
       return files
           .filter(f -> f.toString().endsWith(".play"))
           .sorted()
@@ -32,9 +32,9 @@
   }
 
   @Test
-  public void goesAsRecorded() throws Exception {
+  public void matchesRecording() throws Exception {
     try (RecordedExchangeRunner runner = new RecordedExchangeRunner()) {
-      runner.play(play);
+      runner.replay(exchange);
     }
   }
 }
