--- a/core/src/main/java/shelffront/rollout/FencingGuard.java
+++ b/core/src/main/java/shelffront/rollout/FencingGuard.java
@@ -1,22 +1,23 @@
 package shelffront.rollout;
 
 /**
- * Fences operations by their epoch, where they take effect. The last guard, for a gateway that was
- * stopped between looking at its lease and acting, which no lease can prevent.
+ * Rejects operations with an outdated fencing token (epoch) at the resource that they change. This
+ * covers the case that a lease cannot: a gateway that is paused between checking its lease and
+ * executing the operation.
  *
- * <p>Invariant: the epoch of what it admits never falls. Threads: belongs to one.
+ * <p>Invariant: the epochs of admitted operations never decrease. Threads: confined to one thread.
  */
 public final class FencingGuard {
 
   private long newestEpoch;
 
-  /** Whether an operation under this epoch is admitted: none newer was admitted before it. */
+  /** Admits an operation unless an operation with a newer epoch has been admitted before. */
   public boolean admits(long epoch) {
     newestEpoch = Math.max(newestEpoch, epoch);
     return epoch == newestEpoch;
   }
 
-  /** The newest epoch that was admitted; 0 before the first. */
+  /** Returns the newest admitted epoch, or 0 if no operation has been admitted. */
   public long newestEpoch() {
     return newestEpoch;
   }
--- a/core/src/main/java/shelffront/rollout/LeaseHolder.java
+++ b/core/src/main/java/shelffront/rollout/LeaseHolder.java
@@ -4,40 +4,41 @@
 import java.util.Set;
 
 /**
- * A gateway's side of one subject: whether it may act, under which state, and what it has to write
- * to the coordination store.
+ * The state machine of one gateway for one subject. It decides whether the gateway may act, under
+ * which rollout state, and which request the coordination store has to receive next.
  *
- * <p>Invariants: it acts only under a lease, and a lease runs from when the write that renewed it
- * was sent. It takes up a state only as a member, only one that was read in its present term, and
- * none older than the one it has. It acknowledges an epoch only once nothing of it is open under an
- * older one.
+ * <p>Invariants: the gateway acts only while it holds a lease, and a lease starts when the write
+ * that renewed it was sent. A rollout state is adopted only while the gateway is a member, only if
+ * it was read in the current term, and only if its epoch is not lower than that of the current
+ * state. An epoch is acknowledged only once no operation of this gateway is open under an older
+ * epoch.
  *
- * <p>A value: each event gives the next one, so any thread may read it. Whoever drives it has one
- * write or read of its own key out at a time; reads of the state may overlap and come late or
- * doubled, and name the term in which they were sent. Times are microseconds of the holder's own
- * monotonic clock.
+ * <p>Immutable: each event returns the next value, so any thread may read one. The caller keeps at
+ * most one write or read of the member key in flight. Reads of the rollout state may overlap, and
+ * their responses may be late or duplicated; each names the term in which it was sent. Times are
+ * microseconds of the gateway's own monotonic clock.
  */
 public final class LeaseHolder {
 
-  /** What it wants done at the coordination store. */
+  /** A request to the coordination store. */
   public sealed interface Action {}
 
-  /** Write this to its key where the key has that index; index 0: where there is none. */
+  /** Check-and-set of the member key; an expected index of 0 means that the key must not exist. */
   public record Write(long expectedIndex, Member member) implements Action {}
 
-  /** Read its own key: what became of a write is not known. */
+  /** Read of the member key, needed when the outcome of a write is unknown. */
   public record ReadOwnKey() implements Action {}
 
   private static final int FIRST_TERM = 1;
   private static final long NEVER = Long.MIN_VALUE;
 
   /**
-   * Its key as far as it knows.
+   * The last known content of the member key.
    *
-   * @param term grows each time that it has to join anew
-   * @param keyIndex 0 before it has joined
-   * @param acknowledgedEpoch what its key says
-   * @param isUncertain whether a write may have changed the key
+   * @param term incremented each time the gateway has to rejoin
+   * @param keyIndex the index of the key, or 0 before the gateway has joined
+   * @param acknowledgedEpoch the epoch stored in the key
+   * @param isUncertain whether a write with an unknown outcome may have changed the key
    */
   private record Membership(int term, long keyIndex, long acknowledgedEpoch, boolean isUncertain) {
 
@@ -59,9 +60,9 @@
   }
 
   /**
-   * What it may act under, and until when.
+   * The adopted rollout state and the validity of the lease on it.
    *
-   * @param state null where it has taken up none
+   * @param state the adopted state, or null if none has been adopted
    */
   private record Lease(RolloutState state, long expiresAtMicros, long renewAtMicros) {
 
@@ -99,7 +100,7 @@
     return new LeaseHolder(timings, disabledRules, newMembership, newLease);
   }
 
-  /** One that is no member yet. */
+  /** Returns a holder that has not joined. */
   public static LeaseHolder absent(LeaseTimings timings) {
     return absent(timings, EnumSet.noneOf(SafetyRule.class));
   }
@@ -109,38 +110,38 @@
         timings, disabledRules, Membership.notJoined(FIRST_TERM), Lease.none(NEVER));
   }
 
-  /** Grows each time that it has to join anew; its key is named by it. */
+  /** Returns the term, which is part of the member key and is incremented on each rejoin. */
   public int term() {
     return membership.term();
   }
 
-  /** Whether it is a member, as far as it knows. */
+  /** Returns whether the gateway is a member according to its last known member key. */
   public boolean isMember() {
     return membership.isJoined();
   }
 
-  /** The index of its key as last known; 0 before it has joined. */
+  /** Returns the last known index of the member key, or 0 before the gateway has joined. */
   public long index() {
     return membership.keyIndex();
   }
 
-  /** What it may act under; null: it is in the safe stage. */
+  /** Returns the state under which the gateway may act, or null if it is in the safe stage. */
   public RolloutState inForce(long nowMicros) {
     return nowMicros < lease.expiresAtMicros() || isDisabled(SafetyRule.LEASE)
         ? lease.state()
         : null;
   }
 
-  /** When what is in force lapses unless it is renewed. */
+  /** Returns when the lease expires unless it is renewed. */
   public long leaseUntil() {
     return lease.expiresAtMicros();
   }
 
   /**
-   * What it wants done now; null: nothing before {@link #wakeAt}.
+   * Returns the request that is due now, or null if none is due before {@link #wakeAt}.
    *
-   * @param oldestOpenEpoch the oldest epoch under which an operation of it is open; the greatest
-   *     number where none is
+   * @param oldestOpenEpoch the oldest epoch under which an operation of this gateway is open, or
+   *     {@link Long#MAX_VALUE} if none is open
    */
   public Action nextAction(long nowMicros, long oldestOpenEpoch) {
     if (membership.isUncertain()) {
@@ -154,7 +155,7 @@
     return hasToWrite ? new Write(membership.keyIndex(), new Member(epoch, false)) : null;
   }
 
-  /** That of the state it has, once nothing is open under an older one; else the one before. */
+  /** The epoch of the adopted state once no older operation is open, else the previous one. */
   private long epochToAcknowledge(long oldestOpenEpoch) {
     RolloutState state = lease.state();
     boolean isQuiet =
@@ -163,14 +164,14 @@
   }
 
   /**
-   * When it has to be asked again for an action, if nothing happens before but the end of
-   * operations.
+   * Returns when {@link #nextAction} has to be called again if no event other than the end of
+   * operations occurs before.
    */
   public long wakeAt() {
     return lease.renewAtMicros();
   }
 
-  /** Whether it waits for operations under an older epoch before it acknowledges what it has. */
+  /** Returns whether the next acknowledgement waits for operations under an older epoch. */
   public boolean waitsForOpenOperations() {
     return membership.isJoined()
         && lease.state() != null
@@ -178,10 +179,11 @@
   }
 
   /**
-   * A write was answered.
+   * Handles the response to a write.
    *
-   * @param sentAtMicros when it was sent: the lease runs from there
-   * @param newIndex of its key, where the write was taken
+   * @param sentAtMicros when the write was sent, which is when the renewed lease starts
+   * @param taken whether the check-and-set succeeded
+   * @param newIndex the new index of the member key if the check-and-set succeeded
    */
   public LeaseHolder onWriteAnswered(
       long sentAtMicros, long nowMicros, Write write, boolean taken, long newIndex) {
@@ -195,18 +197,18 @@
             fromMicros + timings.leaseMicros(), fromMicros + timings.renewIntervalMicros()));
   }
 
-  /** No answer came, or one that does not say: its key has to be read. */
+  /** Handles a write with an unknown outcome, after which the member key has to be read. */
   public LeaseHolder onWriteUnknown(long nowMicros) {
     return with(
         membership.asUncertain(), lease.withRenewAt(nowMicros + timings.renewIntervalMicros()));
   }
 
   /**
-   * Its own key was read. One that is gone or revoked ends the membership: it joins anew, under the
-   * next term.
+   * Handles a read of the member key. A removed or revoked key ends the membership; the gateway
+   * then rejoins under the next term.
    *
-   * @param member null where there is no such key
-   * @param keyIndex of the key, where there is one
+   * @param member the member, or null if the key does not exist
+   * @param keyIndex the index of the key if it exists
    */
   public LeaseHolder onOwnKeyRead(long nowMicros, Member member, long keyIndex) {
     if (member == null && !membership.isJoined()) {
@@ -219,9 +221,9 @@
   }
 
   /**
-   * The subject's state was read.
+   * Handles a read of the rollout state.
    *
-   * @param readTerm the term in which the read was sent, while it was a member
+   * @param readTerm the term in which the read was sent; the gateway was a member then
    */
   public LeaseHolder onStateRead(int readTerm, RolloutState state) {
     return wasReadAsMember(readTerm) && isNotOlder(state)
@@ -229,7 +231,10 @@
         : this;
   }
 
-  /** What was read before it joined may be older than what the leader has counted it for. */
+  /**
+   * A state read before joining may be older than the state at which the leader first found this
+   * member.
+   */
   private boolean wasReadAsMember(int readTerm) {
     return readTerm == membership.term() && membership.isJoined()
         || isDisabled(SafetyRule.JOIN_FIRST);
@@ -246,7 +251,8 @@
   }
 
   /**
-   * Everything that its behaviour depends on, with times relative to now: equal texts behave alike.
+   * Encodes all state that affects future behaviour, with times relative to now. Holders with equal
+   * fingerprints behave identically.
    */
   String fingerprint(long nowMicros) {
     long toRenewalMicros = lease.renewAtMicros() - nowMicros;
--- a/core/src/main/java/shelffront/rollout/LeaseTimings.java
+++ b/core/src/main/java/shelffront/rollout/LeaseTimings.java
@@ -1,15 +1,15 @@
 package shelffront.rollout;
 
 /**
- * How long leases, operations and suspicion may last, in microseconds. The same at all gateways of
- * a fleet: one with a longer lease breaks what the others count on.
+ * The timeouts of leases, in microseconds. All gateways of a fleet must use the same values: the
+ * other gateways would consider a longer lease expired while it is still valid.
  *
- * @param leaseMicros from when a renewal was sent to the end of what it allows
- * @param operationMicros the longest that an operation begun under a lease goes on after its end (a
+ * @param leaseMicros the lease duration, counted from when the renewal was sent
+ * @param operationMicros how long an operation may continue after its lease has expired (a
  *     request's deadline)
- * @param clockDrift the most that any machine's clock runs fast or slow, as a part of one, below 1
- * @param suspectAfterMicros a member that did not renew for so long blocks an advance no more and
- *     is revoked
+ * @param clockDrift the maximum rate error of any machine's clock, as a fraction below 1
+ * @param suspectAfterMicros how long a member may go without renewal before it is revoked, so that
+ *     it stops blocking an advance
  */
 public record LeaseTimings(
     long leaseMicros, long operationMicros, double clockDrift, long suspectAfterMicros) {
@@ -18,33 +18,42 @@
 
   private static final int RENEWALS_PER_LEASE = 3;
 
-  /** Throws where nothing sensible follows from the figures. */
+  /** Throws {@link IllegalArgumentException} if a value is out of range. */
   public LeaseTimings {
     if (leaseMicros <= 0
         || operationMicros < 0
         || suspectAfterMicros < 0
         || !(clockDrift >= 0 && clockDrift < 1)) {
       throw new IllegalArgumentException(
-          "a lease above 0, no negative times and a drift of 0 to 1 are wanted");
+          "invalid lease timings: leaseMicros="
+              + leaseMicros
+              + " (must be above 0), operationMicros="
+              + operationMicros
+              + " and suspectAfterMicros="
+              + suspectAfterMicros
+              + " (must not be negative), clockDrift="
+              + clockDrift
+              + " (must be at least 0 and below 1)");
     }
   }
 
   /**
-   * How long a leader waits, by its own clock, from when it saw a member revoked until nothing of
-   * that member can still be in force. Saw, and not wrote: what it reads was written before, and
-   * the renewal that the revoking cut off before that, so no delay of messages adds to it. The
-   * holder's clock may be slow by the drift and the leader's fast by it.
+   * Returns how long a leader waits by its own clock, after reading a member as revoked, until no
+   * lease or operation of that member can remain. The time counts from the read: the revocation was
+   * written before it, and the last successful renewal was sent before the revocation, so message
+   * delays do not extend the bound. It allows for a member's clock that is slow and a leader's
+   * clock that is fast by the maximum drift.
    */
   public long leaseExpiryBoundMicros() {
     return (long) Math.ceil((leaseMicros + operationMicros) * (1 + clockDrift) / (1 - clockDrift));
   }
 
-  /** How often a lease is renewed: two renewals may be lost before it expires. */
+  /** Returns the renewal interval; a lease outlasts two lost renewals. */
   public long renewIntervalMicros() {
     return leaseMicros / RENEWALS_PER_LEASE;
   }
 
-  /** How long a call of the coordination store that failed waits until it is made again. */
+  /** Returns the delay before a failed call of the coordination store is retried. */
   public long retryIntervalMicros() {
     return renewIntervalMicros() / RETRIES_PER_RENEWAL;
   }
--- a/core/src/main/java/shelffront/rollout/Member.java
+++ b/core/src/main/java/shelffront/rollout/Member.java
@@ -1,15 +1,15 @@
 package shelffront.rollout;
 
 /**
- * A gateway that may act on a subject, as the coordination store keeps it.
+ * The entry in the coordination store of a gateway that may act on a subject.
  *
- * @param epoch that it has acknowledged: no operation of it is open under an older one; 0 before
- *     the first
- * @param revoked whether a leader has ended its membership; its lease may still run
+ * @param epoch the last acknowledged epoch, or 0 if none; the gateway has no operation open under
+ *     an older epoch
+ * @param revoked whether a leader has ended the membership; the gateway's lease may still be valid
  */
 public record Member(long epoch, boolean revoked) {
 
-  /** The same, its membership ended. */
+  /** Returns a copy that is marked as revoked. */
   public Member asRevoked() {
     return new Member(epoch, true);
   }
--- a/core/src/main/java/shelffront/rollout/RolloutLeader.java
+++ b/core/src/main/java/shelffront/rollout/RolloutLeader.java
@@ -10,44 +10,41 @@
 /**
  * Decides when a subject advances to its next stage, and which members are revoked and removed.
  *
- * <p>Invariants: it advances only where each member has acknowledged the state that was read, or
- * was seen revoked by this leader itself for longer than any lease can last. Any gateway may lead,
- * several at once by mistake too: each write names the index that it replaces, so of two only one
- * is taken.
+ * <p>Invariants: a subject advances only if each member has acknowledged the state that was read,
+ * or this leader itself has observed the member as revoked for longer than any lease can last. Any
+ * gateway may lead. Two concurrent leaders are safe, because every write is a check-and-set on the
+ * index that it replaces and only one of two conflicting writes succeeds.
  *
- * <p>A value: a read of the coordination store gives the next one, so any thread may read it. Times
- * are microseconds of the leader's own monotonic clock.
+ * <p>Immutable: each read of the coordination store returns the next value, so any thread may read
+ * one. Times are microseconds of the leader's own monotonic clock.
  */
 public final class RolloutLeader {
 
-  /** A member as it was read. */
+  /** A member and the index of its key. */
   public record VersionedMember(Member member, long index) {}
 
-  /**
-   * What it wants done at the coordination store, in this order; each only where the key still has
-   * the index.
-   */
+  /** A write to the coordination store, applied only if the key still has the expected index. */
   public sealed interface Action {}
 
   /** Advance the subject to its next stage. */
   public record Advance(long expectedIndex, RolloutState newState) implements Action {}
 
-  /** End a membership that holds up an advance. */
+  /** End the membership of a member that has stopped renewing. */
   public record Revoke(String memberKey, long expectedIndex, Member revoked) implements Action {}
 
-  /** Remove the key of a revoked member whose lease has expired for certain. */
+  /** Remove the key of a revoked member whose lease must have expired. */
   public record RemoveMember(String memberKey, long expectedIndex) implements Action {}
 
-  /** Since when a member's key has had the same index, by the leader's clock. */
+  /** The index of a member's key and when this leader first read it, by the leader's clock. */
   private record Sighting(long index, long sinceMicros) {}
 
   /**
-   * Of the time after which a member is suspected: where no advance is wanted, members that are
-   * gone are removed only in the end.
+   * Multiplies the suspicion timeout while no advance is pending: members that are gone block
+   * nothing then, and their removal can wait.
    */
   private static final int IDLE_SUSPICION_FACTOR = 10;
 
-  /** Before its first read; halved, so that a difference to it does not overflow. */
+  /** Time of the last read before the first one; halved so that subtracting it cannot overflow. */
   private static final long LONG_AGO = Long.MIN_VALUE / 2;
 
   private static final long NEVER = Long.MAX_VALUE;
@@ -77,7 +74,7 @@
     this.wakeAtMicros = wakeAtMicros;
   }
 
-  /** One that has read nothing yet. */
+  /** Returns a leader that has not read the coordination store. */
   public static RolloutLeader fresh(LeaseTimings timings) {
     return fresh(timings, EnumSet.noneOf(SafetyRule.class));
   }
@@ -87,23 +84,28 @@
         timings, disabledRules, Map.of(), List.of(), List.of(), LONG_AGO, NEVER);
   }
 
+  /** Returns the writes that are due, in the order in which they must be sent. */
   public List<Action> actions() {
     return actions;
   }
 
   /**
-   * Keys of the members that an advance waits for; empty where none is wanted or nothing blocks it.
+   * Returns the keys of the members that block the pending advance; empty if no advance is pending
+   * or no member blocks it.
    */
   public List<String> blockingMembers() {
     return blockingMembers;
   }
 
-  /** When to read again even if nothing changes; the greatest number: not before something does. */
+  /**
+   * Returns when to read again if nothing changes before, or {@link Long#MAX_VALUE} if a read is
+   * needed only after a change.
+   */
   public long wakeAt() {
     return wakeAtMicros;
   }
 
-  /** The same, its actions done or given up. */
+  /** Returns a copy without actions, for use once they were performed or abandoned. */
   public RolloutLeader withoutActions() {
     return new RolloutLeader(
         timings,
@@ -116,11 +118,11 @@
   }
 
   /**
-   * Takes in a read of the coordination store: of the state first, then of the members. The order
-   * is what keeps it safe: whoever joined after the members were read has read the state later
-   * still.
+   * Handles a read of the coordination store. Safety depends on reading the state before the
+   * members: a gateway that joins after the members were read reads the state later still, so it
+   * cannot adopt an older state than the one that was read here.
    *
-   * @param nowMicros when the answer came
+   * @param nowMicros when the response arrived
    */
   public RolloutLeader onRead(
       long nowMicros, RolloutState state, long stateIndex, Map<String, VersionedMember> members) {
@@ -129,7 +131,7 @@
     return review.conclude(stateIndex);
   }
 
-  /** One pass over the members that were read, and what follows from it. */
+  /** Evaluates one read: collects the blocking members and the resulting actions. */
   private final class Review {
 
     private final long nowMicros;
@@ -146,8 +148,8 @@
       this.nowMicros = nowMicros;
       this.state = state;
       advanceWanted = state.stage() != state.target();
-      // Members are not blamed for a time in which nobody reached the store: they renew as it comes
-      // back.
+      // The coordination store may have been unreachable for the members too, so an interval in
+      // which this leader read nothing does not count as missing renewals.
       wasBlind = nowMicros - lastReadAtMicros > timings.suspectAfterMicros() / 2;
       suspectAfterMicros =
           timings.suspectAfterMicros() * (advanceWanted ? 1 : IDLE_SUSPICION_FACTOR);
@@ -163,7 +165,7 @@
       }
     }
 
-    /** The sighting before, where the key has not changed since; else one from now on. */
+    /** Returns the earlier observation if the key is unchanged, else a new one as of now. */
     private Sighting sighting(String memberKey, VersionedMember read) {
       Sighting before = sightings.get(memberKey);
       boolean revoked = read.member().revoked();
@@ -175,7 +177,7 @@
           read.index(), countsFromBefore ? nowMicros - leaseExpiryMicros() : nowMicros);
     }
 
-    /** Blocks an advance until its lease has expired for certain, then is removed. */
+    /** A revoked member blocks an advance until its lease must have expired; then it is removed. */
     private void addRevoked(String memberKey, Sighting sighting) {
       long expiresAtMicros = sighting.sinceMicros() + leaseExpiryMicros();
       if (nowMicros >= expiresAtMicros) {
@@ -186,7 +188,7 @@
       }
     }
 
-    /** Blocks an advance until it acknowledges; revoked once it has not renewed for too long. */
+    /** An active member blocks an advance until it acknowledges the epoch or is revoked. */
     private void addActive(String memberKey, VersionedMember read, Sighting sighting) {
       boolean blocks =
           advanceWanted
@@ -217,7 +219,7 @@
     }
   }
 
-  /** From when a member was seen revoked until nothing of it can still be in force. */
+  /** The wait after observing a revocation until no lease or operation of the member can remain. */
   private long leaseExpiryMicros() {
     if (disabledRules.contains(SafetyRule.LAPSE)) {
       return 0;
@@ -227,7 +229,10 @@
         : timings.leaseExpiryBoundMicros();
   }
 
-  /** Everything that its behaviour depends on, with times relative to now. */
+  /**
+   * Encodes all state that affects future behaviour, with times relative to now. Leaders with equal
+   * fingerprints behave identically.
+   */
   String fingerprint(long nowMicros) {
     long greatestAgeMicros =
         Math.max(timings.suspectAfterMicros(), timings.leaseExpiryBoundMicros());
--- a/core/src/main/java/shelffront/rollout/RolloutState.java
+++ b/core/src/main/java/shelffront/rollout/RolloutState.java
@@ -1,22 +1,22 @@
 package shelffront.rollout;
 
 /**
- * Where a subject stands, as the coordination store keeps it.
+ * The rollout state of a subject, as stored in the coordination store.
  *
- * @param epoch grows by one with each advance, from 1: the fencing token of an operation
- * @param stage the stage in force, by its place in the subject's order, from 0
- * @param target the stage that is wanted; advances lead there one by one
+ * @param epoch the fencing token of operations; starts at 1 and is incremented by each advance
+ * @param stage the current stage, as an index into the subject's ordered stages, from 0
+ * @param target the requested stage, reached by advancing one stage at a time
  */
 public record RolloutState(long epoch, int stage, int target) {
 
-  /** One stage towards the target, under the next epoch; itself where it is there. */
+  /** Returns the state one stage closer to the target, or this state if it is at the target. */
   public RolloutState next() {
     return stage == target
         ? this
         : new RolloutState(epoch + 1, stage + Integer.signum(target - stage), target);
   }
 
-  /** The same, on its way to another target. No advance by itself, so the epoch stays. */
+  /** Returns a copy with another target. The stage does not change, so the epoch stays. */
   public RolloutState withTarget(int newTarget) {
     return new RolloutState(epoch, stage, newTarget);
   }
--- a/core/src/main/java/shelffront/rollout/SafetyRule.java
+++ b/core/src/main/java/shelffront/rollout/SafetyRule.java
@@ -1,30 +1,30 @@
 package shelffront.rollout;
 
 /**
- * The rules that the safety of a rollout rests on. The model checker disables each and has to find
- * what then goes wrong; nothing else disables any.
+ * The rules that the safety of a rollout depends on. The model checker disables one at a time and
+ * must find a violation; production code disables none.
  */
 public enum SafetyRule {
-  /** A stage is in force under a lease only. */
+  /** A stage is in force only under a valid lease. */
   LEASE,
-  /** A lease runs from when its renewal was sent, not from when the answer came. */
+  /** A lease starts when its renewal was sent, not when the response arrived. */
   LEASE_FROM_SEND,
-  /** Nobody takes up a state older than the one it has. */
+  /** A gateway never replaces its state with one of a lower epoch. */
   EPOCH,
-  /** Only what was read after joining is taken up. */
+  /** A gateway adopts only states that were read after it joined. */
   JOIN_FIRST,
-  /** An advance waits for every member's acknowledgement. */
+  /** An advance waits for the acknowledgement of every member. */
   ACKNOWLEDGED,
-  /** It is given only once no operation is open under the epoch before. */
+  /** A gateway acknowledges an epoch only once no operation is open under an older one. */
   QUIET,
-  /** A revoked member counts as gone only once its lease has expired for certain. */
+  /** A revoked member blocks advances until its lease must have expired. */
   LAPSE,
-  /** Each leader counts that time from when it saw the member revoked itself. */
+  /** Each leader counts that time from its own first observation of the revocation. */
   OWN_LAPSE,
-  /** That time allows for clocks that drift apart. */
+  /** That time allows for the maximum clock drift. */
   DRIFT,
-  /** The state is read before the members. */
+  /** A leader reads the state before the members. */
   STANDING_FIRST,
-  /** Every write names the index that it replaces. */
+  /** Every write is a check-and-set on the index that it replaces. */
   CHECK_AND_SET
 }
