--- a/core/src/main/java/shelffront/distribution/ChangeLog.java
+++ b/core/src/main/java/shelffront/distribution/ChangeLog.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The last changes of one incarnation. Invariants: no gap between them; bounded in number and in
- * characters. Threads: guarded by its owner.
+ * The most recent changes of one incarnation. Invariants: the changes have no gap, and both their
+ * number and their total characters are bounded. Threads: not thread-safe; guarded by its owner.
  */
 final class ChangeLog {
 
@@ -15,7 +15,7 @@
   private final long maxCharacters;
   private final ArrayDeque<RecordChange> changes = new ArrayDeque<>();
   private long characters;
-  private Version start; // changes after this one are here
+  private Version start; // exclusive: the log holds every change after this version
 
   ChangeLog(int maxChanges, long maxCharacters, Version start) {
     this.maxChanges = maxChanges;
@@ -23,7 +23,7 @@
     this.start = start;
   }
 
-  /** Adds the change that follows the last one; the oldest ones go where a bound is passed. */
+  /** Appends the change that follows the last one, and evicts the oldest ones above a bound. */
   void append(RecordChange change) {
     changes.addLast(change);
     characters += change.size();
@@ -34,22 +34,22 @@
     }
   }
 
-  /** Forgets all; what follows comes after this version. */
+  /** Discards all changes; the next one appended must follow this version. */
   void restart(Version version) {
     changes.clear();
     characters = 0;
     start = version;
   }
 
-  /** Whether every change after this version is here. */
+  /** Returns whether the log holds every change after this version. */
   boolean reaches(Version after) {
     return after.incarnation() == start.incarnation() && !after.isBefore(start);
   }
 
-  /** The changes after a version that it {@link #reaches}, of the names that match. */
+  /** Returns the matching changes after a version that the log {@link #reaches}, in order. */
   List<RecordChange> after(Version version, SubscriptionFilter filter) {
     List<RecordChange> found = new ArrayList<>();
-    // From the newest: a subscriber lacks few of many.
+    // Iterates from the newest, since a subscriber usually lacks few of many changes.
     Iterator<RecordChange> newestFirst = changes.descendingIterator();
     while (newestFirst.hasNext()) {
       RecordChange change = newestFirst.next();
--- a/core/src/main/java/shelffront/distribution/DistributorEndpoint.java
+++ b/core/src/main/java/shelffront/distribution/DistributorEndpoint.java
@@ -1,10 +1,10 @@
 package shelffront.distribution;
 
 /**
- * A distributor that may be asked.
+ * A distributor that subscribers may connect to.
  *
  * @param address host and port
- * @param region where it stands
- * @param zone of the region; empty for a distributor of the whole region
+ * @param region the region of the distributor
+ * @param zone the zone within the region, or empty for a distributor of the whole region
  */
 public record DistributorEndpoint(String address, String region, String zone) {}
--- a/core/src/main/java/shelffront/distribution/DistributorSelector.java
+++ b/core/src/main/java/shelffront/distribution/DistributorSelector.java
@@ -9,22 +9,23 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects which distributor a subscriber asks next, and when.
+ * Selects the distributor that a subscriber connects to next, and when.
  *
- * <p>Invariants: those of its own zone come first, then those of its region, then any; within each
- * group the order is that of rendezvous hashing over the subscriber's name, so that the subscribers
- * of one that fails spread evenly over the others. One that failed is left out for a backoff that
- * doubles. Times are microseconds. Threads: belongs to its subscriber's.
+ * <p>Invariants: distributors of the subscriber's zone come first, then those of its region, then
+ * all others. Within each group the order is that of rendezvous hashing over the subscriber's name,
+ * so that the subscribers of a failed distributor spread evenly over the others. A failed
+ * distributor is skipped for a backoff that doubles with each failure. Times are microseconds.
+ * Threads: confined to the subscriber's thread.
  */
 public final class DistributorSelector {
 
   /** The backoff after a first failure. */
   public static final long INITIAL_BACKOFF_MICROS = 500_000;
 
-  /** The longest backoff. */
+  /** The upper bound of the backoff. */
   public static final long MAX_BACKOFF_MICROS = 2_000_000;
 
-  /** Which distributor to ask, and from when on. */
+  /** The distributor to connect to and the earliest time to do so. */
   public record Selection(DistributorEndpoint endpoint, long atMicros) {}
 
   private static final int SAME_ZONE = 0;
@@ -42,10 +43,10 @@
   private final Random random;
 
   /**
-   * A selector for one subscriber.
+   * Creates a selector for one subscriber.
    *
-   * @param endpoints one at least, in any order
-   * @param jitterMicros reconnects begin at a random moment within so many microseconds
+   * @param endpoints the distributors in any order; must not be empty
+   * @param jitterMicros the upper bound of the random delay before each connect
    */
   public DistributorSelector(
       String subscriber,
@@ -55,7 +56,8 @@
       long jitterMicros,
       Random random) {
     if (endpoints.isEmpty()) {
-      throw new IllegalArgumentException("there is no distributor to ask");
+      throw new IllegalArgumentException(
+          "no distributors configured for subscriber " + subscriber + "; at least one is required");
     }
     preferenceOrder = new ArrayList<>(endpoints);
     preferenceOrder.sort(
@@ -73,20 +75,20 @@
     return endpoint.zone().equals(zone) ? SAME_ZONE : SAME_REGION;
   }
 
-  /** Rendezvous hashing: a random figure that the subscriber and the distributor determine. */
+  /** Returns the rendezvous-hashing weight of a subscriber and distributor pair. */
   private static double rank(String subscriber, DistributorEndpoint endpoint) {
     long ownSeed = new SplittableRandom(subscriber.hashCode()).nextLong();
     return new SplittableRandom(ownSeed ^ endpoint.address().hashCode()).nextDouble();
   }
 
-  /** All of them, the preferred first. */
+  /** Returns all distributors, the most preferred first. */
   public List<DistributorEndpoint> preferenceOrder() {
     return List.copyOf(preferenceOrder);
   }
 
   /**
-   * The first that is not left out, at a moment within the jitter; else the one that comes back
-   * first.
+   * Returns the most preferred distributor that is not in backoff, delayed by a random jitter. If
+   * all are in backoff, returns the one whose backoff ends first.
    */
   public Selection next(long nowMicros) {
     long startMicros = nowMicros + (jitterMicros == 0 ? 0 : random.nextLong(jitterMicros));
@@ -106,7 +108,7 @@
     return healthByEndpoint.get(endpoint).leftOutUntilMicros;
   }
 
-  /** It broke, was silent, or its view was older than another's. */
+  /** Records a broken connection, a timeout, or a view older than that of another distributor. */
   public void recordFailure(DistributorEndpoint endpoint, long nowMicros) {
     Health health = healthByEndpoint.get(endpoint);
     health.backoffMicros =
@@ -116,14 +118,14 @@
     health.leftOutUntilMicros = nowMicros + health.backoffMicros;
   }
 
-  /** It gave a fresh answer. */
+  /** Records an up-to-date response, which ends the backoff. */
   public void recordSuccess(DistributorEndpoint endpoint) {
     Health health = healthByEndpoint.get(endpoint);
     health.backoffMicros = 0;
     health.leftOutUntilMicros = 0;
   }
 
-  /** Whether one that is preferred to this could be tried again. */
+  /** Returns whether a distributor preferred to the current one is not in backoff. */
   public boolean hasPreferredAlternative(DistributorEndpoint current, long nowMicros) {
     for (DistributorEndpoint endpoint : preferenceOrder) {
       if (endpoint.equals(current)) {
--- a/core/src/main/java/shelffront/distribution/NegativeCache.java
+++ b/core/src/main/java/shelffront/distribution/NegativeCache.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * Names that had no record when they were last asked for, remembered for a while, so that a flood
- * of clients that name unknown databases stops here. Bounded: the one remembered for longest goes
- * first. Times are microseconds. Threads: guarded by its owner.
+ * Caches names that had no record at their last lookup, so that many clients connecting with
+ * unknown database names do not load the distributors. The cache is bounded and evicts the oldest
+ * entry first. Times are microseconds. Threads: not thread-safe; guarded by its owner.
  */
 public final class NegativeCache {
 
   private final long timeToLiveMicros;
   private final LinkedHashMap<String, Long> expiryByName;
 
-  /** Remembers at most so many names, each for so long. */
+  /** Creates a cache of at most {@code maxNames} names that each expire after the time to live. */
   public NegativeCache(int maxNames, long timeToLiveMicros) {
     this.timeToLiveMicros = timeToLiveMicros;
     expiryByName =
@@ -27,18 +27,18 @@
         };
   }
 
-  /** Remembers that a name has no record; it is the youngest from here on. */
+  /** Adds a name without a record, or renews its entry and makes it the newest. */
   public void add(String name, long nowMicros) {
     expiryByName.remove(name);
     expiryByName.put(name, nowMicros + timeToLiveMicros);
   }
 
-  /** It has a record now, whatever was remembered. */
+  /** Removes a name that has a record now. */
   public void remove(String name) {
     expiryByName.remove(name);
   }
 
-  /** Whether the name is remembered to have no record. */
+  /** Returns whether the cache has an unexpired entry for the name. */
   public boolean contains(String name, long nowMicros) {
     Long expiresAtMicros = expiryByName.get(name);
     if (expiresAtMicros != null && nowMicros >= expiresAtMicros) {
--- a/core/src/main/java/shelffront/distribution/RecordChange.java
+++ b/core/src/main/java/shelffront/distribution/RecordChange.java
@@ -1,11 +1,11 @@
 package shelffront.distribution;
 
 /**
- * One change of one record. The latest change of a name stands for the record.
+ * A change of one record. The latest change of a name represents the record.
  *
- * @param version of the history that the change led to
- * @param name of the record
- * @param document the whole record after the change; null where it was removed
+ * @param version the version that the change produced
+ * @param name the name of the record
+ * @param document the complete record after the change, or null if it was removed
  */
 public record RecordChange(Version version, String name, String document) {
 
@@ -13,7 +13,7 @@
     return document == null;
   }
 
-  /** Characters that it holds, for bounds. */
+  /** Returns the size in characters, for the bounds of the change log. */
   int size() {
     return name.length() + (document == null ? 0 : document.length());
   }
--- a/core/src/main/java/shelffront/distribution/RecordTable.java
+++ b/core/src/main/java/shelffront/distribution/RecordTable.java
@@ -7,20 +7,20 @@
 import java.util.Objects;
 
 /**
- * All records at one version, and the last changes that led there. Invariants: the version never
- * steps back, and no record's older state is kept.
+ * All records as of one version, with a bounded log of the changes that led to it. Invariants: the
+ * version never decreases, and only the latest state of each record is held.
  *
- * <p>Threads: not safe for several; its owner has a lock.
+ * <p>Threads: not thread-safe; guarded by its owner's lock.
  */
 public final class RecordTable {
 
-  /** What became of a change that was offered. */
+  /** The result of applying a change. */
   public enum ApplyResult {
-    /** It was the next one and is in force. */
+    /** The change was the next one and is in force. */
     APPLIED,
-    /** It stands already, or a newer history does. */
+    /** The table is already at the version of the change or at a newer one. */
     ALREADY_KNOWN,
-    /** Changes before it are missing; only a snapshot helps. */
+    /** Changes before this one are missing, so a snapshot is required. */
     GAP
   }
 
@@ -28,7 +28,7 @@
   private final ChangeLog log;
   private Version version = Version.NONE;
 
-  /** Keeps so many changes of so many characters for subscribers that lag. */
+  /** Creates an empty table whose change log has these bounds. */
   public RecordTable(int maxLogChanges, long maxLogCharacters) {
     log = new ChangeLog(maxLogChanges, maxLogCharacters, Version.NONE);
   }
@@ -41,12 +41,12 @@
     return records.size();
   }
 
-  /** The record of a name; null where there is none. */
+  /** Returns the record of a name, or null if none exists. */
   public RecordChange record(String name) {
     return records.get(name);
   }
 
-  /** Takes the change that follows the present version. */
+  /** Applies a change if it directly follows the current version. */
   public ApplyResult apply(RecordChange change) {
     if (!version.isBefore(change.version())) {
       return ApplyResult.ALREADY_KNOWN;
@@ -61,9 +61,9 @@
   }
 
   /**
-   * Takes all records as of a version in place of what it has; false, and nothing is changed, where
-   * that would be a step back. Subscribers that stand at older versions need a snapshot from here
-   * on.
+   * Replaces all records by a snapshot. Returns false and changes nothing if the snapshot is older
+   * than the table. Subscribers at older versions need a snapshot afterwards, because the change
+   * log restarts.
    */
   public boolean install(Update.Snapshot snapshot) {
     if (snapshot.version().isBefore(version)) {
@@ -85,8 +85,8 @@
   }
 
   /**
-   * What a subscriber at a version lacks; null where it is ahead of this table, which then has
-   * nothing to say.
+   * Returns the update that brings a subscriber to this table's version, or null if the subscriber
+   * is ahead of this table.
    */
   public Update updateFor(Version subscriberVersion, SubscriptionFilter filter) {
     if (version.isBefore(subscriberVersion)) {
@@ -97,7 +97,7 @@
         : snapshot(filter);
   }
 
-  /** All records that a subscriber follows. */
+  /** Returns a snapshot of all records that match the filter. */
   public Update.Snapshot snapshot(SubscriptionFilter filter) {
     List<RecordChange> found = new ArrayList<>();
     if (filter.matchesAll()) {
--- a/core/src/main/java/shelffront/distribution/ReplicatedView.java
+++ b/core/src/main/java/shelffront/distribution/ReplicatedView.java
@@ -12,31 +12,32 @@
 /**
  * The records of the names that a subscriber follows, as of one version.
  *
- * <p>Invariants, each a {@link Guard}: the version never steps back, and no record does; changes
- * are taken only on top of the version that they follow. What is in force changes by what {@link
- * #apply} and {@link #follow} give, in that order.
+ * <p>Invariants, each enforced by a {@link Guard}: neither the version of the view nor that of a
+ * record ever decreases, and changes are applied only to the version that they follow. The records
+ * in force change only by the changes that {@link #apply} returns and by the records that {@link
+ * #follow} accepts, in the order of these calls.
  *
- * <p>The set of names has an edition. A distributor answers for the edition that it was given; an
- * answer for another one is of no use, since changes of a name that it does not know of would be
- * missing between two versions.
+ * <p>The set of names has an edition, and an update is valid only for the edition that the
+ * distributor received with the subscription. An update for another edition is discarded, since it
+ * may lack changes of a name that the distributor did not know of.
  *
- * <p>Threads: not safe for several; its owner has a lock.
+ * <p>Threads: not thread-safe; guarded by its owner's lock.
  */
 public final class ReplicatedView {
 
-  /** The rules that keep the view right; tests disable single ones to see that each is missed. */
+  /** The rules that keep the view consistent. Tests disable each one and expect a violation. */
   enum Guard {
-    /** Nothing older than the view is taken. */
+    /** An update older than the view is discarded. */
     VIEW_NEVER_STEPS_BACK,
-    /** Changes are taken only on top of the version that they follow. */
+    /** Changes are applied only to the version that they follow. */
     CHANGES_FOLLOW,
     /** An older state of a record does not replace a newer one. */
     RECORD_NEVER_STEPS_BACK,
-    /** What a snapshot does not hold is removed. */
+    /** A record that is absent from a snapshot is removed. */
     ABSENT_IS_REMOVED,
-    /** An answer for another set of names is not taken. */
+    /** An update for another edition of the names is discarded. */
     EDITION,
-    /** A record that was fetched from a distributor behind this view is not taken. */
+    /** A record fetched from a distributor behind this view is discarded. */
     FETCHED_NOT_BEHIND
   }
 
@@ -46,7 +47,7 @@
   private Version version = Version.NONE;
   private long edition;
 
-  /** A view of nothing, with all guards. */
+  /** Creates an empty view with all guards enabled. */
   public ReplicatedView() {
     this(EnumSet.allOf(Guard.class));
   }
@@ -55,7 +56,7 @@
     this.guards = guards;
   }
 
-  /** Begins with what an earlier run had in force. */
+  /** Initialises the view from the last known good records of an earlier run. */
   public void restore(Version cachedVersion, Collection<RecordChange> cachedRecords) {
     version = cachedVersion;
     for (RecordChange record : cachedRecords) {
@@ -68,7 +69,7 @@
     return version;
   }
 
-  /** Counts how often names were added to those that distributors are asked to follow. */
+  /** Returns the edition, which is incremented each time names are added to the subscription. */
   public long edition() {
     return edition;
   }
@@ -81,7 +82,7 @@
     return List.copyOf(records.values());
   }
 
-  /** The record of a name that it follows; null where there is none. */
+  /** Returns the record of a followed name, or null if none exists. */
   public RecordChange record(String name) {
     return records.get(name);
   }
@@ -91,17 +92,20 @@
   }
 
   /**
-   * Begins to ask for names, from this edition on; each is followed once {@link #follow} was given
-   * its record.
+   * Starts a new edition because names are being added, and returns it. Each added name is followed
+   * once its fetched record was passed to {@link #follow}.
    */
   public long beginEdition() {
     return ++edition;
   }
 
   /**
-   * Follows a name, with its record as a distributor had it at a version. False where that
-   * distributor is behind this view: changes of the name that this view has passed may be missing,
-   * and it has to be fetched again.
+   * Starts to follow a name with the record that was fetched from a distributor.
+   *
+   * @param fetched the fetched record
+   * @param asOf the version of the distributor at the fetch
+   * @return false if the distributor is behind this view; changes of the name may then be missing,
+   *     and the record has to be fetched again
    */
   public boolean follow(String name, RecordChange fetched, Version asOf) {
     if (asOf.isBefore(version) && guards.contains(Guard.FETCHED_NOT_BEHIND)) {
@@ -113,8 +117,8 @@
   }
 
   /**
-   * Follows a name no longer. The edition stays: a distributor that still counts the name among
-   * those followed gives more than is wanted, and never less.
+   * Stops following a name. The edition stays the same: a distributor that still includes the name
+   * only sends changes that are ignored, and omits none that are needed.
    */
   public void unfollow(String name) {
     names.remove(name);
@@ -122,8 +126,8 @@
   }
 
   /**
-   * Takes what a distributor gave for an edition of the names, and gives the changes that come into
-   * force by it. What does not fit changes nothing and gives nothing.
+   * Applies an update that a distributor sent for an edition of the names, and returns the changes
+   * that come into force. An update that violates a guard is discarded and yields an empty list.
    */
   public List<RecordChange> apply(Update update, long forEdition) {
     if (!fits(update, forEdition)) {
@@ -156,7 +160,7 @@
     Set<String> present = new HashSet<>();
     snapshot.records().forEach(record -> present.add(record.name()));
     for (RecordChange known : List.copyOf(records.values())) {
-      // It may have been fetched from a distributor that is ahead of this snapshot.
+      // The record may have been fetched from a distributor that is ahead of this snapshot.
       boolean isAhead = snapshot.version().isBefore(known.version());
       if (!present.contains(known.name()) && !isAhead && guards.contains(Guard.ABSENT_IS_REMOVED)) {
         records.remove(known.name());
--- a/core/src/main/java/shelffront/distribution/Staleness.java
+++ b/core/src/main/java/shelffront/distribution/Staleness.java
@@ -1,24 +1,27 @@
 package shelffront.distribution;
 
 /**
- * How old a view may be at most. What an answer says held when it was made, and nobody knows how
- * long it was on its way: an answer may lie in the buffer of a process that was stopped for
- * minutes. So its age counts from when its question was sent, by the monotonic clock of whoever
- * asked, plus the age that it states itself.
+ * Computes an upper bound of the age of a view. The transit time of a response is unknown: a
+ * response may stay for minutes in the receive buffer of a process that was stopped. The age is
+ * therefore counted from when the request was sent, by the requester's monotonic clock, plus the
+ * age that the response states.
  *
- * <p>Invariant: a later confirmation never makes the view older. Times are microseconds. Threads:
- * guarded by its owner.
+ * <p>Invariant: a later confirmation never increases the age. Times are microseconds. Threads: not
+ * thread-safe; guarded by its owner.
  */
 public final class Staleness {
 
-  /** The age of a view that was never confirmed. */
+  /** The age of a view that has not been confirmed. */
   public static final long NEVER = Long.MAX_VALUE;
 
   private boolean confirmed;
   private long currentAsOfMicros;
 
   /**
-   * An answer has come to a question sent at this time, from somebody whose own view had this age.
+   * Records a response.
+   *
+   * @param sentAtMicros when the request was sent
+   * @param statedAgeMicros the age of the responder's view, or {@link #NEVER}
    */
   public void confirm(long sentAtMicros, long statedAgeMicros) {
     if (statedAgeMicros == NEVER) {
@@ -29,7 +32,7 @@
     confirmed = true;
   }
 
-  /** The greatest age that the view may have; {@link #NEVER} before it was confirmed. */
+  /** Returns the maximum age of the view, or {@link #NEVER} if it has not been confirmed. */
   public long maxAgeMicros(long nowMicros) {
     return confirmed ? nowMicros - currentAsOfMicros : NEVER;
   }
--- a/core/src/main/java/shelffront/distribution/SubscriptionFilter.java
+++ b/core/src/main/java/shelffront/distribution/SubscriptionFilter.java
@@ -3,17 +3,17 @@
 import java.util.Set;
 
 /**
- * Which records a subscriber follows.
+ * Selects the records that a subscriber follows.
  *
- * @param matchesAll whether it follows every record, whatever the names
- * @param names those that it follows otherwise
+ * @param matchesAll whether the filter matches every record; {@code names} is ignored then
+ * @param names the names that the filter matches otherwise
  */
 public record SubscriptionFilter(boolean matchesAll, Set<String> names) {
 
-  /** Follows every record. */
+  /** Matches every record. */
   public static final SubscriptionFilter ALL = new SubscriptionFilter(true, Set.of());
 
-  /** Follows the records of these names, as they are now. */
+  /** Returns a filter of these names; later modifications of the set have no effect. */
   public static SubscriptionFilter ofNames(Set<String> names) {
     return new SubscriptionFilter(false, Set.copyOf(names));
   }
--- a/core/src/main/java/shelffront/distribution/Update.java
+++ b/core/src/main/java/shelffront/distribution/Update.java
@@ -4,26 +4,33 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a subscriber is given, so that it stands at a version. Immutable. */
+/** An update that brings a subscriber to a version. Immutable. */
 public sealed interface Update {
 
-  /** Where whoever takes this stands afterwards. */
+  /** Returns the version of the subscriber after it applied this update. */
   Version version();
 
   /**
-   * The changes after the version where the subscriber stood up to this one, in their order, of
-   * what it follows.
+   * The changes of the followed records, in order.
+   *
+   * @param after the version that the subscriber must have, exclusive
+   * @param version the version after the last change, inclusive
    */
   record Changes(Version after, Version version, List<RecordChange> changes) implements Update {}
 
-  /** Every record that there is of what it follows; a name that is not among them has none. */
+  /** All existing records that match the subscription; a followed name not in it has no record. */
   record Snapshot(Version version, List<RecordChange> records) implements Update {
 
     /**
-     * From a store that goes on changing while it is read: the records as they were listed after a
-     * first version was read, and all changes from that version up to one that was read after the
-     * list. Taken for a snapshot at the first version, the list would hold later changes and lack
-     * what was removed later, and two such snapshots of one version would differ.
+     * Assembles a consistent snapshot from a store that changes while it is read. The caller reads
+     * a first version, then lists the records, then reads the changes since the first version.
+     * Without those changes the list would not be a snapshot at the first version: it could hold
+     * later changes and lack records that were removed later, so that two snapshots of the same
+     * version could differ.
+     *
+     * @param last the version of the last change, and that of the snapshot
+     * @param listed the listed records
+     * @param since all changes after the first version up to {@code last}
      */
     public static Snapshot assemble(
         Version last, List<RecordChange> listed, List<RecordChange> since) {
--- a/core/src/main/java/shelffront/distribution/Version.java
+++ b/core/src/main/java/shelffront/distribution/Version.java
@@ -1,16 +1,16 @@
 package shelffront.distribution;
 
 /**
- * A place in the history of all records. Sequences count changes and grow by one; an incarnation
- * begins a new history, after an engine was restored from older data, and is greater than those
- * before it.
+ * A position in the history of all records. The sequence is incremented by each change. A new
+ * incarnation, greater than all earlier ones, starts after the coordination store was restored from
+ * older data.
  */
 public record Version(long incarnation, long sequence) implements Comparable<Version> {
 
-  /** Before any history. */
+  /** The version before any change. */
   public static final Version NONE = new Version(0, 0);
 
-  /** The version of the next change of the same incarnation. */
+  /** Returns the version of the next change of the same incarnation. */
   public Version next() {
     return new Version(incarnation, sequence + 1);
   }
