--- a/gateway/src/main/java/shelffront/rolloutcontrol/ErrorReporter.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/ErrorReporter.java
@@ -5,7 +5,7 @@
 import shelffront.coordination.CoordinationException;
 import shelffront.net.EventLog;
 
-/** Logs each source's error once, until it is over or another. Any thread may call. */
+/** Logs the error of each source once, until it is cleared or its code changes. Thread-safe. */
 final class ErrorReporter {
 
   private final EventLog log;
@@ -21,7 +21,7 @@
     }
   }
 
-  /** The source's error is over. */
+  /** Records that the source works again, so that its next error is logged. */
   void clear(String source) {
     lastCodeBySource.remove(source);
   }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/InForce.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/InForce.java
@@ -3,10 +3,10 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * The snapshot of what a gateway may act under. Immutable.
+ * The rollout state under which a gateway may act, and the expiry of its lease. Immutable.
  *
- * @param state where the subject stands
- * @param untilMicros when the lease on it expires
+ * @param state the adopted rollout state of the subject
+ * @param untilMicros when the lease expires
  */
 record InForce(RolloutState state, long untilMicros) {
 
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
@@ -12,26 +12,26 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * Tries to lead the fleet's rollouts, and advances the subjects while it does.
+ * Campaigns to become the rollout leader of the fleet, and advances the subjects while it leads.
  *
- * <p>The leader is found by a key that its holder writes anew in time; who sees it unchanged for
- * long enough takes it over. That saves the coordination store work and no more: what keeps stages
- * apart is in {@link RolloutLeader} and does not rest on there being one leader.
+ * <p>The leader renews a key in the coordination store; a gateway that reads the key unchanged for
+ * long enough takes it over. A single leader only reduces the load on the coordination store. The
+ * safety of rollouts is ensured by {@link RolloutLeader} and does not depend on it.
  *
- * <p>Threads: {@link #run} has one of its own, which alone touches the state here; others read
- * whether it leads, and call {@link #wake}.
+ * <p>Threads: {@link #run} has a thread of its own, which alone modifies this object's state. Other
+ * threads call {@link #leads} and {@link #wake}.
  */
 final class LeadershipLoop implements Runnable {
 
   private static final String ERROR_SOURCE = "owner";
 
-  /** Of the suspicion time: a leader's key that is unchanged for so long is taken over. */
+  /** A leader key unchanged for this multiple of the suspicion timeout is taken over. */
   private static final int TAKEOVER_FACTOR = 2;
 
-  /** Between reads while a subject is on its way, at most. */
+  /** Maximum interval between reads while a subject has not reached its target. */
   private static final long MAX_POLL_MICROS = 100_000;
 
-  /** Reads while a subject is on its way, in the time between two renewals. */
+  /** Reads per renewal interval while a subject has not reached its target. */
   private static final int POLLS_PER_RENEWAL = 4;
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -66,12 +66,12 @@
     this.log = log;
   }
 
-  /** Whether this gateway leads, as far as it knows. */
+  /** Returns whether this gateway was the leader at its last check; it may have been replaced. */
   boolean leads() {
     return leads;
   }
 
-  /** Has the thread look at the subjects at once. */
+  /** Makes the thread process its subjects now. */
   synchronized void wake() {
     notifyAll();
   }
@@ -108,7 +108,7 @@
     leads = (key.isOwn() || isFree(key)) && store.writeLeader(key.index(), ++heartbeat);
     if (leads != led) {
       log.println(leads ? "owns the fleet's stages" : "owns the fleet's stages no longer");
-      leaders.clear(); // what was seen before tells nothing of the time between
+      leaders.clear(); // observations from an earlier leadership do not cover the time in between
       subjects.forEach(subject -> subject.setBlockingMembers(List.of()));
     }
   }
@@ -118,14 +118,14 @@
     return key.index() == 0 || unchangedMicros > TAKEOVER_FACTOR * timings.suspectAfterMicros();
   }
 
-  /** Reads a subject and does what is due; gives when to read it again. */
+  /** Reads a subject, performs the actions that are due, and returns when to read it again. */
   private long lead(Subject subject) throws CoordinationException {
     Optional<RolloutStore.VersionedState> read = store.readState(subject);
     if (read.isEmpty()) {
       store.writeState(subject, 0, RolloutCoordinator.FIRST_STATE);
       return MonotonicClock.nowMicros();
     }
-    // The members after the state: see RolloutLeader.onRead.
+    // Members must be read after the state; see RolloutLeader.onRead.
     Map<String, RolloutLeader.VersionedMember> members = store.readMembers(subject);
     RolloutState state = read.get().state();
     RolloutLeader leader =
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
@@ -14,15 +14,16 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * Keeps the leases of one shard of subjects: does what each subject's {@link LeaseHolder} wants
- * done at the coordination store, and publishes what is in force.
+ * Maintains the leases of one shard of subjects. It sends the requests of each subject's {@link
+ * LeaseHolder} to the coordination store, and publishes the state in force.
  *
- * <p>Invariants: a subject has one write or read of its own key out at a time. Its snapshot is
- * published before its open operations are looked at, and after each change of its holder.
+ * <p>Invariants: each subject has at most one write or read of its member key in flight. The
+ * snapshot of a subject is published before its open operations are counted, and after each change
+ * of its holder.
  *
- * <p>Threads: {@link #run} has one of its own; the watcher calls {@link #readStates} and {@link
- * #wake} from another. Holders are guarded by this object's lock, which is never held during a call
- * of the store.
+ * <p>Threads: {@link #run} has a thread of its own; {@link StateWatcher} calls {@link #readStates}
+ * and {@link #wake} from another. The holders are guarded by this object's lock, which is never
+ * held during a call of the coordination store.
  */
 final class LeaseKeeper implements Runnable {
 
@@ -70,7 +71,7 @@
     }
   }
 
-  /** Does all that is due for a subject; gives when to look again, by this time at the latest. */
+  /** Performs all due actions of a subject and returns when to process it next, capped as given. */
   private long keep(Subject subject, long latestMicros) {
     long wakeAtMicros = latestMicros;
     try {
@@ -94,13 +95,13 @@
     }
   }
 
-  /** Does what the subject's holder wants; false where it wants nothing now. */
+  /** Performs the next action of the subject's holder; returns false if none is due. */
   private boolean performNextAction(Subject subject) throws CoordinationException {
     LeaseHolder.Action action;
     String memberKey;
     long sentAtMicros = MonotonicClock.nowMicros();
     synchronized (this) {
-      // Before what is open is looked at: see Subject.beginOperation.
+      // Publish before counting the open operations; see Subject.beginOperation.
       publish(subject);
       LeaseHolder holder = holders.get(subject);
       action = holder.nextAction(sentAtMicros, subject.openOperations().oldestEpoch());
@@ -139,7 +140,7 @@
     try {
       newIndex = store.writeOwnMember(memberKey, write, sentAtMicros);
     } finally {
-      // Also where the call failed: what became of the write is not known then.
+      // If the call failed, the outcome of the write is unknown.
       synchronized (this) {
         LeaseHolder holder = holders.get(subject);
         long nowMicros = MonotonicClock.nowMicros();
@@ -152,14 +153,14 @@
     }
   }
 
-  /** Reads where all subjects stand, and takes it up. */
+  /** Reads the rollout states of all subjects of the shard and adopts them. */
   void readStates() throws CoordinationException {
     for (Subject subject : subjects) {
       readState(subject);
     }
   }
 
-  /** Reads where a subject stands, as a member, and takes it up. */
+  /** Reads the rollout state of a subject and adopts it, if this gateway is a member. */
   private void readState(Subject subject) throws CoordinationException {
     int term;
     synchronized (this) {
@@ -177,18 +178,18 @@
     }
   }
 
-  /** Has the thread look at its subjects at once. */
+  /** Makes the thread process its subjects now. */
   synchronized void wake() {
     notifyAll();
   }
 
-  /** Under the lock. */
+  /** Replaces the holder and publishes its state; the caller holds the lock. */
   private void update(Subject subject, LeaseHolder next) {
     holders.put(subject, next);
     publish(subject);
   }
 
-  /** Makes what the holder has in force the snapshot; under the lock. */
+  /** Publishes the holder's state in force as the snapshot; the caller holds the lock. */
   private void publish(Subject subject) {
     long nowMicros = MonotonicClock.nowMicros();
     LeaseHolder holder = holders.get(subject);
@@ -215,8 +216,8 @@
   }
 
   /**
-   * Ends what is in force, once its thread has ended. Removes the memberships under which nothing
-   * is open, so that no advance waits for them; others expire.
+   * Returns all subjects to the safe stage; called after the thread has ended. Memberships without
+   * open operations are removed, so that no advance waits for them. The others expire.
    */
   void leave() {
     for (Subject subject : subjects) {
--- a/gateway/src/main/java/shelffront/rolloutcontrol/MonotonicClock.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/MonotonicClock.java
@@ -1,6 +1,6 @@
 package shelffront.rolloutcontrol;
 
-/** This machine's monotonic clock, which all leases here run by. Any thread may call. */
+/** The monotonic clock of this machine, by which all leases are timed. Thread-safe. */
 final class MonotonicClock {
 
   private static final long NANOS_PER_MICRO = 1000;
--- a/gateway/src/main/java/shelffront/rolloutcontrol/OpenOperations.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/OpenOperations.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentSkipListMap;
 
-/** Counts the operations that are open under each epoch. Threads: any may call, none waits. */
+/** Counts the open operations of each epoch. Thread-safe; calls do not wait for operations. */
 final class OpenOperations {
 
-  /** The oldest epoch where nothing is open. */
+  /** The result of {@link #oldestEpoch} if no operation is open. */
   static final long NONE = Long.MAX_VALUE;
 
   private final ConcurrentSkipListMap<Long, Integer> countByEpoch = new ConcurrentSkipListMap<>();
@@ -19,7 +19,7 @@
     countByEpoch.computeIfPresent(epoch, (key, count) -> count == 1 ? null : count - 1);
   }
 
-  /** The oldest epoch under which an operation is open; {@link #NONE} where none is. */
+  /** Returns the oldest epoch with an open operation, or {@link #NONE}. */
   long oldestEpoch() {
     Map.Entry<Long, Integer> first = countByEpoch.firstEntry();
     return first == null ? NONE : first.getKey();
--- a/gateway/src/main/java/shelffront/rolloutcontrol/Operation.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/Operation.java
@@ -3,12 +3,12 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * An operation that is open under a stage: until it is closed the gateway acknowledges no later
- * epoch. Any thread may call; closing it more than once does no harm.
+ * An operation that runs under a stage. The gateway acknowledges no later epoch until the operation
+ * is closed. Thread-safe; closing is idempotent.
  */
 public interface Operation extends AutoCloseable {
 
-  /** The state under which it was begun; its epoch is the operation's fencing token. */
+  /** Returns the state under which the operation began; its epoch is the fencing token. */
   RolloutState state();
 
   @Override
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
@@ -14,15 +14,17 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * The part {@code fleet} of a hosted gateway's settings.
+ * The {@code fleet} section of the settings of a multi-tenant gateway.
  *
- * @param engineHost the engine's agent
- * @param fleet names the keys: gateways of one fleet share it
- * @param gatewayName of this gateway, its own in the fleet
- * @param stagesBySubject by name, the stages of each in order; the first is in force at the
- *     beginning
- * @param shards threads that keep leases, each with its part of the subjects
- * @param historyFile where what came into force is written, a JSON object a line; null: nowhere
+ * @param engineHost the host of the coordination store's agent
+ * @param enginePort the port of the coordination store's agent
+ * @param fleet the name of the fleet, which is part of all keys in the coordination store
+ * @param gatewayName the name of this gateway, unique within the fleet
+ * @param leaseTimings the timeouts of leases, equal at all gateways of the fleet
+ * @param stagesBySubject the ordered stages of each subject, by subject name; a new subject starts
+ *     at its first stage
+ * @param shards the number of threads that maintain leases; the subjects are spread over them
+ * @param historyFile the file for {@link RolloutHistory}, or null for none
  */
 public record RolloutConfig(
     String engineHost,
@@ -61,7 +63,12 @@
   private static final int DEFAULT_SHARDS = 2;
   private static final int MIN_STAGES = 2;
 
-  /** Reads the object at a pointer; throws with the pointer to the first field at fault. */
+  /**
+   * Reads the section from JSON.
+   *
+   * @param pointer the JSON pointer of the section
+   * @throws SpecException with the pointer of the first invalid field
+   */
   public static RolloutConfig read(JsonNode json, String pointer) throws SpecException {
     if (!json.isObject()) {
       throw new SpecException(pointer, "is not an object");
@@ -69,7 +76,7 @@
     TenantSpecCodec.onlyFields(json, pointer, FIELDS);
     String engine = json.path("engine").asText();
     if (!engine.matches(ADDRESS_PATTERN)) {
-      throw new SpecException(pointer + "/engine", "is not an address host:port");
+      throw new SpecException(pointer + "/engine", "is not an address of the form host:port");
     }
     int colon = engine.lastIndexOf(':');
     LeaseTimings leaseTimings = leaseTimings(json, pointer);
@@ -109,7 +116,7 @@
           stages(subject.getValue(), pointer + "/" + subject.getKey()));
     }
     if (stagesBySubject.isEmpty()) {
-      throw new SpecException(pointer, "names no subject");
+      throw new SpecException(pointer, "lists no subject; at least one is required");
     }
     return stagesBySubject;
   }
@@ -120,7 +127,7 @@
       stages.add(name(stage.asText(), pointer + "/" + stages.size()));
     }
     if (stages.size() < MIN_STAGES || new HashSet<>(stages).size() < stages.size()) {
-      throw new SpecException(pointer, "is not a list of two stages or more, each of another name");
+      throw new SpecException(pointer, "is not a list of at least two stages with distinct names");
     }
     return List.copyOf(stages);
   }
@@ -128,7 +135,9 @@
   private static String name(String text, String pointer) throws SpecException {
     if (!text.matches(NAME_PATTERN)) {
       throw new SpecException(
-          pointer, "is not a name of letters, digits, dots, dashes and underscores");
+          pointer,
+          "is not a name of 1 to 64 letters, digits, dots, dashes and underscores that starts with"
+              + " a letter or digit");
     }
     return text;
   }
@@ -143,7 +152,7 @@
     return value.asDouble(DEFAULT_CLOCK_DRIFT);
   }
 
-  /** What a whole number may be, and what it is where it is absent. */
+  /** The bounds of a whole number, inclusive, and its default. */
   private record Range(long least, long most, long absent) {
 
     boolean contains(JsonNode value) {
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
@@ -17,23 +17,24 @@
 import shelffront.rolloutcontrol.RolloutException.UnknownSubject;
 
 /**
- * A gateway's part in the rollouts of its fleet: what other parts of the program and the
- * administration call. It owns the subjects and the threads that work on them.
+ * The entry point to rollouts for the rest of the gateway and for the administration API. It owns
+ * the subjects and the threads that process them.
  *
- * <p>Invariant: what is in force here is in force under a lease; without one a subject is in the
- * safe stage, in which nothing begins.
+ * <p>Invariant: a stage is in force only under a lease. Without a lease a subject is in the safe
+ * stage, in which no operation begins.
  *
- * <p>Threads: one for each shard of subjects ({@link LeaseKeeper}), one that watches where subjects
- * stand ({@link StateWatcher}), and one that tries to lead ({@link LeadershipLoop}). Whoever acts
- * reads a snapshot without a lock: {@link #inForce}, or {@link #beginOperation} where the operation
- * takes time. Calls of the administration block for a bounded time.
+ * <p>Threads: one for each shard of subjects ({@link LeaseKeeper}), one that watches rollout states
+ * ({@link StateWatcher}), and one that campaigns for leadership ({@link LeadershipLoop}). {@link
+ * #inForce} and {@link #beginOperation} read a snapshot without a lock; use the latter for an
+ * operation that takes time. {@link #status} and {@link #requestStage} call the coordination store
+ * and block for a bounded time.
  */
 public final class RolloutCoordinator implements AutoCloseable {
 
-  /** Where a subject stands that has no state in the store yet. */
+  /** The state that the leader writes for a subject without a state in the store. */
   static final RolloutState FIRST_STATE = new RolloutState(1, 0, 0);
 
-  /** What is shown of a subject that has no state in the store yet. */
+  /** The state reported for a subject without a state in the store. */
   private static final RolloutState NO_STATE = new RolloutState(0, 0, 0);
 
   private final Map<String, Subject> subjects = new HashMap<>();
@@ -45,11 +46,11 @@
   private final StateWatcher watcher;
 
   /**
-   * Connects to nothing before {@link #start}.
+   * Creates a coordinator that sends no request before {@link #start}.
    *
-   * @param coordinationStore is closed with this
-   * @param instance of this process: a gateway that starts again is another one, whose leases
-   *     nobody remembers
+   * @param coordinationStore closed together with this coordinator
+   * @param instance identifies this process; a restarted gateway must use another value, because it
+   *     has lost the state of its earlier leases
    */
   public RolloutCoordinator(
       RolloutConfig config,
@@ -71,7 +72,7 @@
     watcher = new StateWatcher(keepers, leadership, timings, store, threads, errors);
   }
 
-  /** Spreads the subjects over the shards; some may stay empty. */
+  /** Distributes the subjects over the shards by hash; a shard may be empty. */
   private List<List<Subject>> shards(RolloutConfig config) {
     List<List<Subject>> shards = new ArrayList<>();
     for (int i = 0; i < config.shards(); i++) {
@@ -88,7 +89,7 @@
     return shards;
   }
 
-  /** Starts its threads, and with them the membership of this gateway. */
+  /** Starts the threads; this gateway then joins as a member of each subject. */
   public void start() {
     for (int i = 0; i < keepers.size(); i++) {
       if (!keepers.get(i).isEmpty()) {
@@ -107,25 +108,22 @@
     return subject;
   }
 
-  /** What this gateway may act under at this moment; null: the safe stage. Waits for nothing. */
+  /** Returns the state in force, or null in the safe stage. Does not block. */
   public RolloutState inForce(String subjectName) throws UnknownSubject {
     return subject(subjectName).stateInForce();
   }
 
-  /**
-   * Begins an operation under what is in force; null: in the safe stage nothing begins. Waits for
-   * nothing.
-   */
+  /** Begins an operation under the state in force; null in the safe stage. Does not block. */
   public Operation beginOperation(String subjectName) throws UnknownSubject {
     return subject(subjectName).beginOperation();
   }
 
   /**
-   * Where a subject stands.
+   * The status of a subject.
    *
-   * @param stageInForceHere null: the safe stage
-   * @param isLeader whether this gateway leads the fleet's rollouts
-   * @param blockingMembers where it leads, the members that hold up the next advance
+   * @param stageInForceHere the stage in force at this gateway, or null for the safe stage
+   * @param isLeader whether this gateway is the rollout leader
+   * @param blockingMembers the members that block the next advance; empty unless this gateway leads
    */
   public record SubjectStatus(
       String subject,
@@ -136,7 +134,7 @@
       boolean isLeader,
       List<String> blockingMembers) {}
 
-  /** Where all subjects stand, by name, or the one that is named; null: all. */
+  /** Returns the status of the named subject, or of all subjects by name if the name is null. */
   public List<SubjectStatus> status(String subjectName)
       throws RolloutException, CoordinationException {
     Collection<Subject> wanted =
@@ -163,10 +161,10 @@
   }
 
   /**
-   * Asks that a subject go to a stage, one after another.
+   * Sets the target stage of a subject. The leader then advances the subject one stage at a time.
    *
-   * @return where it stands now
-   * @throws Contended where another changed the subject in the same moment; nothing was changed
+   * @return the new state
+   * @throws Contended if the subject was modified concurrently; nothing was changed
    */
   public RolloutState requestStage(String subjectName, String stageName)
       throws RolloutException, CoordinationException {
@@ -185,7 +183,7 @@
     return next;
   }
 
-  /** Ends its threads, then what it has in force. */
+  /** Stops the threads, then returns all subjects to the safe stage. */
   @Override
   public void close() {
     threads.close();
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutException.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutException.java
@@ -3,7 +3,7 @@
 import shelffront.coordination.OperatorException;
 
 /**
- * What can be wrong with a call on stages; all kinds are listed in {@code
+ * An invalid or conflicting request for a rollout. The codes are documented in {@code
  * docs/operators/fleet-changes.md}.
  */
 public abstract sealed class RolloutException extends OperatorException {
@@ -14,7 +14,7 @@
     super(code, what, advice, null);
   }
 
-  /** There is no subject of this name. */
+  /** No subject has this name. */
   public static final class UnknownSubject extends RolloutException {
 
     private static final long serialVersionUID = 1L;
@@ -22,8 +22,8 @@
     UnknownSubject(String subject) {
       super(
           "unknown-subject",
-          "this gateway has no subject " + subject,
-          "Name one of those under /fleet/subjects in its settings.");
+          "this gateway has no subject named " + subject,
+          "Use one of the subjects under /fleet/subjects in the gateway's settings.");
     }
   }
 
@@ -35,12 +35,13 @@
     UnknownStage(String subject, String stage) {
       super(
           "unknown-stage",
-          subject + " has no stage " + stage,
-          "Name one of the subject's stages; give all gateways the same list, in the same order.");
+          "subject " + subject + " has no stage named " + stage,
+          "Use one of the subject's configured stages. All gateways must have the same list of"
+              + " stages in the same order.");
     }
   }
 
-  /** Somebody else changed the subject in the same moment. */
+  /** The subject was modified concurrently. */
   public static final class Contended extends RolloutException {
 
     private static final long serialVersionUID = 1L;
@@ -48,8 +49,8 @@
     Contended(String subject) {
       super(
           "contended",
-          subject + " was changed by another in the same moment",
-          "Look where it stands now and ask again if that is still wanted.");
+          "subject " + subject + " was modified concurrently; nothing was changed",
+          "Read the subject's status and repeat the request if it is still needed.");
     }
   }
 }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutHistory.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutHistory.java
@@ -11,22 +11,22 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * What came into force here and when, a JSON object a line, for whoever holds a fleet's histories
- * against each other. Times are microseconds of this machine's monotonic clock. A line is in the
- * file when its method returns; an {@link UncheckedIOException} says that it is not. Any thread may
- * call.
+ * Writes which stage came into force at this gateway and when, as one JSON object per line. The
+ * histories of a fleet can be compared to check that only adjacent stages were in force together.
+ * Times are microseconds of this machine's monotonic clock. Each line is flushed to the file before
+ * the method returns; otherwise the method throws an {@link UncheckedIOException}. Thread-safe.
  */
 public final class RolloutHistory implements AutoCloseable {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final Writer out; // null: nothing is recorded
+  private final Writer out; // null if recording is disabled
 
   private RolloutHistory(Writer out) {
     this.out = out;
   }
 
-  /** Appends to the file; null: nowhere. */
+  /** Opens a history that appends to the file, or one that records nothing if it is null. */
   public static RolloutHistory appendingTo(Path file) throws IOException {
     return new RolloutHistory(
         file == null
@@ -34,7 +34,7 @@
             : Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
   }
 
-  /** What is in force from now until a time; a state of null: the safe stage. */
+  /** Records the state in force from now until a time; a null state is the safe stage. */
   void recordInForce(
       String instance, String subject, RolloutState state, long untilMicros, long nowMicros) {
     ObjectNode line = line(nowMicros, instance, state == null ? "safe" : "force", subject, state);
@@ -44,7 +44,7 @@
     write(line);
   }
 
-  /** The leader has advanced a subject. */
+  /** Records that this gateway, as the leader, advanced a subject. */
   void recordAdvance(String instance, String subject, RolloutState newState, long nowMicros) {
     write(line(nowMicros, instance, "move", subject, newState));
   }
@@ -68,7 +68,7 @@
       out.write(line + "\n");
       out.flush();
     } catch (IOException e) {
-      throw new UncheckedIOException("the history can't be written", e);
+      throw new UncheckedIOException("cannot write to the rollout history file: " + line, e);
     }
   }
 
@@ -79,7 +79,7 @@
         out.close();
       }
     } catch (IOException e) {
-      throw new UncheckedIOException("the history can't be closed", e);
+      throw new UncheckedIOException("cannot close the rollout history file", e);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutStore.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutStore.java
@@ -17,29 +17,30 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * A fleet's rollouts in the coordination store: its keys, and what they hold as JSON.
+ * Reads and writes a fleet's rollouts in the coordination store. This class defines the keys and
+ * their values; states and members are JSON.
  *
  * <pre>
  *   shelffront/FLEET/standing/SUBJECT                   the state of a subject
  *   shelffront/FLEET/members/SUBJECT/INSTANCE.TERM      a member of a subject
- *   shelffront/FLEET/owner                              the leader: its instance and a count
+ *   shelffront/FLEET/owner                              the leader: its instance and heartbeat
  * </pre>
  *
- * <p>Threads: any may call; a call blocks for a bounded time. A {@link CoordinationException} says
- * that nothing is known of the outcome, an {@link EngineGarbled} that a key holds something else.
+ * <p>Thread-safe; each call blocks for a bounded time. A {@link CoordinationException} means that
+ * the outcome of the call is unknown, and an {@link EngineGarbled} that a value is malformed.
  */
 final class RolloutStore implements AutoCloseable {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** A subject's state as it was read. */
+  /** The state of a subject and the index of its key. */
   record VersionedState(RolloutState state, long index) {}
 
   /**
-   * The leader's key as it was read.
+   * The leader key.
    *
-   * @param index 0 where there is no such key
-   * @param isOwn whether this instance wrote it
+   * @param index the index of the key, or 0 if it does not exist
+   * @param isOwn whether this instance wrote the key
    */
   record LeaderKey(long index, boolean isOwn) {}
 
@@ -49,7 +50,7 @@
   private final String membersPrefix;
   private final String leaderKey;
 
-  /** Of one instance, which is a run of a gateway: its keys are its own. */
+  /** Creates the store of one instance, that is, of one run of a gateway with keys of its own. */
   RolloutStore(CoordinationStore store, String fleet, String instance) {
     this.store = store;
     this.instance = instance;
@@ -72,7 +73,7 @@
         : Optional.of(new VersionedState(parseState(subject, value), value.index()));
   }
 
-  /** Whether it was written; index 0: only where the subject has no state yet. */
+  /** Writes a state and returns whether the index matched; 0 requires that no state exists. */
   boolean writeState(Subject subject, long expectedIndex, RolloutState state)
       throws CoordinationException {
     String text =
@@ -84,7 +85,7 @@
     return store.checkAndSet(statePrefix + subject.name(), expectedIndex, text);
   }
 
-  /** The index of all states, once it has passed this one or the watch has ended. */
+  /** Waits until the states change after the given index or the watch ends; returns the index. */
   long awaitStates(long afterIndex) throws CoordinationException {
     return store.watch(statePrefix, afterIndex).index();
   }
@@ -96,7 +97,13 @@
     long epoch = json.path("epoch").asLong();
     if (stage < 0 || target < 0 || epoch < 1) {
       throw new EngineGarbled(
-          value.key() + " names no stages that this gateway knows: " + value.text(), null);
+          "malformed rollout state at key "
+              + value.key()
+              + ": "
+              + value.text()
+              + "; expected epoch of at least 1, and stage and target among the stages configured"
+              + " at this gateway",
+          null);
     }
     return new RolloutState(epoch, stage, target);
   }
@@ -107,7 +114,7 @@
     return membersPrefix + subject.name() + "/" + instance + "." + term;
   }
 
-  /** The member of a key without what all members of its subject have in front. */
+  /** Returns the name of a member, which is its key without the prefix of the subject's members. */
   String memberName(Subject subject, String memberKey) {
     return memberKey.substring((membersPrefix + subject.name() + "/").length());
   }
@@ -119,7 +126,7 @@
         : Optional.of(new VersionedMember(parseMember(value), value.index()));
   }
 
-  /** All members of a subject by their keys, in the order of the keys. */
+  /** Returns all members of a subject by key, sorted by key. */
   Map<String, VersionedMember> readMembers(Subject subject) throws CoordinationException {
     Map<String, VersionedMember> members = new TreeMap<>();
     for (Value value : store.list(membersPrefix + subject.name() + "/").values()) {
@@ -129,10 +136,11 @@
   }
 
   /**
-   * Writes this instance's member and reads it back.
+   * Writes the member of this instance and reads it back to learn its index.
    *
-   * @param nonce makes each write's text its own, so that its writer knows it again
-   * @return the key's new index; empty where it is not known that this write is what it holds
+   * @param nonce makes the value unique, so that the read can be matched to this write
+   * @return the new index of the key, or empty if the write failed or the key does not hold its
+   *     value
    */
   OptionalLong writeOwnMember(String memberKey, LeaseHolder.Write write, long nonce)
       throws CoordinationException {
@@ -146,7 +154,7 @@
         : OptionalLong.empty();
   }
 
-  /** Whether the key still had the index. */
+  /** Marks a member as revoked; returns whether the key still had the expected index. */
   boolean revoke(String memberKey, long expectedIndex, Member revoked)
       throws CoordinationException {
     return store.checkAndSet(memberKey, expectedIndex, memberText(revoked, 0));
@@ -167,7 +175,13 @@
   private static Member parseMember(Value value) throws EngineGarbled {
     JsonNode json = ValueJson.object(value);
     if (!json.path("epoch").isIntegralNumber() || !json.path("revoked").isBoolean()) {
-      throw new EngineGarbled(value.key() + " is no member: " + value.text(), null);
+      throw new EngineGarbled(
+          "malformed member at key "
+              + value.key()
+              + ": "
+              + value.text()
+              + "; expected an integer epoch and a boolean revoked",
+          null);
     }
     return new Member(json.path("epoch").asLong(), json.path("revoked").asBoolean());
   }
@@ -181,7 +195,7 @@
         : new LeaderKey(value.index(), value.text().startsWith(instance + " "));
   }
 
-  /** Claims or renews leadership; whether the key still had the index. */
+  /** Claims or renews leadership; returns whether the key still had the expected index. */
   boolean writeLeader(long expectedIndex, long heartbeat) throws CoordinationException {
     return store.checkAndSet(leaderKey, expectedIndex, instance + " " + heartbeat);
   }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
@@ -5,8 +5,9 @@
 import shelffront.rollout.LeaseTimings;
 
 /**
- * Watches where subjects stand, and has those that changed read at once. A watch that breaks or
- * says nothing is begun anew; leases are kept without it. Threads: {@link #run} has one of its own.
+ * Watches the rollout states in the coordination store, and has all subjects read again when one
+ * changes. A failed or expired watch is restarted. The watch only reduces latency: lease renewals
+ * read the states too. Threads: {@link #run} has a thread of its own.
  */
 final class StateWatcher implements Runnable {
 
@@ -48,12 +49,12 @@
     }
   }
 
-  /** Waits for a change after an index; gives the index to watch from next. */
+  /** Waits for a change after an index and returns the index for the next watch. */
   private long watch(long lastIndex) throws CoordinationException {
     long index = store.awaitStates(lastIndex);
     errors.clear(ERROR_SOURCE);
     if (index < lastIndex) {
-      index = 0; // the store began anew
+      index = 0; // the store was reset or restored from older data
     }
     if (index != lastIndex) {
       for (LeaseKeeper keeper : keepers) {
--- a/gateway/src/main/java/shelffront/rolloutcontrol/Subject.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/Subject.java
@@ -4,11 +4,12 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * One subject as this gateway has it: its stages, the snapshot in force, and the operations that
- * are open under it.
+ * A subject at this gateway: its stages, the snapshot of the state in force, and the open
+ * operations.
  *
- * <p>Threads: any may read and begin operations, without a lock. The snapshot is written under the
- * lock of its {@link LeaseKeeper}, the blocking members by the {@link LeadershipLoop}.
+ * <p>Threads: any thread may read and begin operations without a lock. The snapshot is written by
+ * the {@link LeaseKeeper} of the subject's shard, under its lock until its thread has ended. The
+ * blocking members are written by the {@link LeadershipLoop}.
  */
 final class Subject {
 
@@ -31,7 +32,7 @@
     return stages.get(stage);
   }
 
-  /** The stage's place in the order; -1 where there is none of this name. */
+  /** Returns the index of a stage in the configured order, or -1 if it is unknown. */
   int stageIndex(String stageName) {
     return stages.indexOf(stageName);
   }
@@ -40,7 +41,7 @@
     return openOperations;
   }
 
-  /** The last snapshot, which may have expired; null: the safe stage. */
+  /** Returns the last snapshot, which may have expired, or null in the safe stage. */
   InForce snapshot() {
     return inForce;
   }
@@ -49,7 +50,7 @@
     inForce = snapshot;
   }
 
-  /** What this gateway may act under at this moment; null: the safe stage. */
+  /** Returns the state in force now, or null in the safe stage. */
   RolloutState stateInForce() {
     InForce snapshot = inForce;
     return snapshot == null || snapshot.isExpired(MonotonicClock.nowMicros())
@@ -57,7 +58,7 @@
         : snapshot.state();
   }
 
-  /** Begins an operation under what is in force; null: in the safe stage nothing begins. */
+  /** Begins an operation under the state in force; returns null in the safe stage. */
   Operation beginOperation() {
     while (true) {
       RolloutState state = stateInForce();
@@ -66,8 +67,9 @@
       }
       openOperations.enter(state.epoch());
       InForce after = inForce;
-      // The stage may have changed in between: its keeper may have looked at what is open before
-      // this operation was counted.
+      // If the state changed in between, the open operations may have been checked, and the new
+      // epoch acknowledged, before this operation was counted. Only an unchanged epoch excludes
+      // that, because each change is published before that check.
       if (after != null && after.state().epoch() == state.epoch()) {
         return new CountedOperation(state);
       }
@@ -75,7 +77,7 @@
     }
   }
 
-  /** The members that block the next advance, known where this gateway leads. */
+  /** Returns the members that block the next advance; empty unless this gateway leads. */
   List<String> blockingMembers() {
     return blockingMembers;
   }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/WorkerThreads.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/WorkerThreads.java
@@ -6,8 +6,8 @@
 import shelffront.net.EventLog;
 
 /**
- * The threads of one coordinator. Invariant: once it is closed, {@link #pause} returns at once, so
- * that every loop ends at its next turn.
+ * The threads of one coordinator. Invariant: after {@link #close}, {@link #pause} returns
+ * immediately, so every loop ends at its next iteration.
  */
 final class WorkerThreads implements AutoCloseable {
 
@@ -23,7 +23,7 @@
     this.log = log;
   }
 
-  /** Starts a daemon; a fault ends it, with a line in the log. */
+  /** Starts a daemon thread. A {@link RuntimeException} ends it and is logged. */
   void start(String name, Runnable task) {
     Thread thread = new Thread(() -> runLogged(name, task), name);
     thread.setDaemon(true);
@@ -43,7 +43,7 @@
     return closed;
   }
 
-  /** Waits until the time comes or the monitor is notified; the caller holds the monitor. */
+  /** Waits until the time or a notification of the monitor, which the caller must hold. */
   void pause(Object monitor, long untilMicros) {
     long leftMicros = untilMicros - MonotonicClock.nowMicros();
     try {
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Interrupts the threads and waits for each a bounded time. */
+  /** Interrupts the threads and waits a bounded time for each to end. */
   @Override
   public void close() {
     closed = true;
--- a/gateway/src/main/java/shelffront/rolloutcontrol/package-info.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/package-info.java
@@ -1,14 +1,14 @@
 /**
- * Rollouts of a fleet, on threads: what the rules of {@code core}'s {@code shelffront.rollout} want
- * done is done here at the coordination store.
+ * Runs rollouts against the coordination store. The decisions are made by the state machines in
+ * {@code shelffront.rollout} of the core module; this package performs their actions on threads.
  *
- * <p>{@link shelffront.rolloutcontrol.RolloutCoordinator} is what the rest of the program calls. It
- * has a {@code LeaseKeeper} for each shard of subjects, a {@code StateWatcher} and a {@code
- * LeadershipLoop}; each runs on a thread of its own and uses {@code RolloutStore}, which knows the
- * keys and their JSON. {@link shelffront.rolloutcontrol.Operation} is what goes on under a stage.
- * {@link shelffront.rolloutcontrol.RolloutException} has the errors, {@link
- * shelffront.rolloutcontrol.RolloutHistory} the record of what was in force.
+ * <p>{@link shelffront.rolloutcontrol.RolloutCoordinator} is the entry point for the rest of the
+ * gateway. It has a {@code LeaseKeeper} for each shard of subjects, a {@code StateWatcher} and a
+ * {@code LeadershipLoop}. Each runs on a thread of its own and uses {@code RolloutStore}, which
+ * defines the keys and their values. {@link shelffront.rolloutcontrol.Operation} is an operation
+ * that runs under a stage. {@link shelffront.rolloutcontrol.RolloutException} lists the errors, and
+ * {@link shelffront.rolloutcontrol.RolloutHistory} records which stages were in force.
  *
- * <p>{@code docs/design/stages.md} has the mechanism and what is proved of it.
+ * <p>The protocol and its safety argument are described in the package {@code shelffront.rollout}.
  */
 package shelffront.rolloutcontrol;
