--- a/core/src/test/java/shelffront/rollout/RolloutModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -13,61 +13,64 @@
 import java.util.function.UnaryOperator;
 
 /**
- * An explicit-state checker of the mechanism: plays {@link LeaseHolder} and {@link RolloutLeader}
- * themselves through every order of events, breadth first, so that a counter-example is a shortest
- * one. Two gateways, two owners, one engine.
+ * An explicit-state model checker of rollouts. It runs the production classes {@link LeaseHolder}
+ * and {@link RolloutLeader} through every order of events, breadth first, so that a counter-example
+ * is a shortest one. The model has up to two gateways, up to two leaders and one coordination
+ * store.
  *
- * <p>A step is one of: time passes; a process writes, reads or looks, and the answer comes, comes
- * late, or is lost; a request is held up and taken later, though its sender has given it up; a late
- * answer comes once more; an act begins or ends; a gateway or an owner restarts with no memory;
- * somebody turns the target round. A process that is paused is one that takes no step while time
- * passes. The first gateway's clock is slow by the drift and the first owner's fast. States are
- * told apart by a hash of 64 bits of all that matters to what can follow.
+ * <p>A step is one of: time passes; a process sends a read or write, whose response arrives, is
+ * delayed or is lost; a write is delayed and applied after its sender has given up; a delayed
+ * response is delivered again; an operation begins or ends; a gateway or a leader restarts without
+ * its state; the target is reversed. A paused process is one that takes no step while time passes.
+ * The first gateway's clock is slow and the first leader's clock is fast by the maximum drift.
+ * States are identified by a 64-bit hash of everything that affects future behaviour.
  */
 final class RolloutModel {
 
-  /** Units of time in a step, by a true clock; the drift is a quarter. */
-  private static final int TRUE = 4;
+  /** Time units per step of an accurate clock; the drift is a quarter. */
+  private static final int ACCURATE_CLOCK_UNITS = 4;
 
-  private static final int SLOW = 3;
-  private static final int FAST = 5;
+  private static final int SLOW_CLOCK_UNITS = 3;
+  private static final int FAST_CLOCK_UNITS = 5;
 
-  /** A request on its way, of a process that waits for it no longer. */
-  private record DelayedRequest(String what, UnaryOperator<Engine> effect) {}
+  /** A write in flight whose sender has given up waiting for the response. */
+  private record DelayedWrite(String description, UnaryOperator<Store> effect) {}
 
-  /** What the engine keeps. */
-  private record Engine(
+  /** The contents of the coordination store. */
+  private record Store(
       RolloutState rolloutState,
       long index,
       Map<String, RolloutLeader.VersionedMember> members,
       long next) {
 
-    Engine writeMember(String key, long at, Member member, boolean checked) {
+    Store writeMember(String key, long expectedIndex, Member member, boolean checksIndex) {
       RolloutLeader.VersionedMember now = members.get(key);
-      if (checked && (now == null ? 0 : now.index()) != at) {
+      if (checksIndex && (now == null ? 0 : now.index()) != expectedIndex) {
         return this;
       }
       Map<String, RolloutLeader.VersionedMember> map = new TreeMap<>(members);
       map.put(key, new RolloutLeader.VersionedMember(member, next));
-      return new Engine(rolloutState, index, map, next + 1);
+      return new Store(rolloutState, index, map, next + 1);
     }
 
-    Engine removeMember(String key, long at, boolean checked) {
+    Store removeMember(String key, long expectedIndex, boolean checksIndex) {
       RolloutLeader.VersionedMember now = members.get(key);
-      if (now == null || checked && now.index() != at) {
+      if (now == null || checksIndex && now.index() != expectedIndex) {
         return this;
       }
       Map<String, RolloutLeader.VersionedMember> map = new TreeMap<>(members);
       map.remove(key);
-      return new Engine(rolloutState, index, map, next);
+      return new Store(rolloutState, index, map, next);
     }
 
-    Engine writeState(long at, RolloutState newState, boolean checked) {
-      return checked && index != at ? this : new Engine(newState, next, members, next + 1);
+    Store writeState(long expectedIndex, RolloutState newState, boolean checksIndex) {
+      return checksIndex && index != expectedIndex
+          ? this
+          : new Store(newState, next, members, next + 1);
     }
   }
 
-  /** A gateway: what it is, its clock, and the epoch and end of an act that goes on. */
+  /** A gateway: its holder and clock, its open operation, its write in flight, a delayed read. */
   private record Gateway(
       int incarnation,
       LeaseHolder holder,
@@ -76,14 +79,24 @@
       long openUntil,
       LeaseHolder.Write writeInFlight,
       long sentAt,
-      boolean writeTaken,
+      boolean writeApplied,
       long answeredIndex,
-      RolloutState lateState,
-      int lateTerm) {
+      RolloutState delayedState,
+      int delayedTerm) {
 
     Gateway with(LeaseHolder next) {
       return new Gateway(
-          incarnation, next, clock, openUnder, openUntil, null, 0, false, 0, lateState, lateTerm);
+          incarnation,
+          next,
+          clock,
+          openUnder,
+          openUntil,
+          null,
+          0,
+          false,
+          0,
+          delayedState,
+          delayedTerm);
     }
 
     Gateway at(long time) {
@@ -96,10 +109,10 @@
           openUntil,
           writeInFlight,
           sentAt,
-          writeTaken,
+          writeApplied,
           answeredIndex,
-          lateState,
-          lateTerm);
+          delayedState,
+          delayedTerm);
     }
 
     Gateway withOperation(RolloutState under, long until) {
@@ -111,13 +124,13 @@
           until,
           writeInFlight,
           sentAt,
-          writeTaken,
+          writeApplied,
           answeredIndex,
-          lateState,
-          lateTerm);
+          delayedState,
+          delayedTerm);
     }
 
-    Gateway withWriteInFlight(LeaseHolder.Write write, boolean wasTaken, long index) {
+    Gateway withWriteInFlight(LeaseHolder.Write write, boolean wasApplied, long index) {
       return new Gateway(
           incarnation,
           holder,
@@ -126,13 +139,13 @@
           openUntil,
           write,
           clock,
-          wasTaken,
+          wasApplied,
           index,
-          lateState,
-          lateTerm);
+          delayedState,
+          delayedTerm);
     }
 
-    Gateway withLateState(RolloutState what) {
+    Gateway withDelayedState(RolloutState description) {
       return new Gateway(
           incarnation,
           holder,
@@ -141,9 +154,9 @@
           openUntil,
           writeInFlight,
           sentAt,
-          writeTaken,
+          writeApplied,
           answeredIndex,
-          what,
+          description,
           holder.term());
     }
 
@@ -156,11 +169,11 @@
     }
   }
 
-  /** An owner, its clock, and what it has read of a look that is not over. */
+  /** A leader, its clock, and the first half of a read that is not complete. */
   private record LeaderProcess(
       RolloutLeader leader,
       long clock,
-      RolloutState standing,
+      RolloutState readState,
       long index,
       Map<String, RolloutLeader.VersionedMember> members) {
 
@@ -170,50 +183,55 @@
   }
 
   private record State(
-      Engine engine,
+      Store store,
       List<Gateway> gateways,
       List<LeaderProcess> leaders,
-      List<DelayedRequest> delayedRequests,
+      List<DelayedWrite> delayedWrites,
       int faults,
-      int turns,
+      int reversals,
       int ticks,
-      State before,
+      State predecessor,
       String step) {}
 
-  /** How an exploration ended: the states that were told apart, and a counter-example or null. */
+  /** The number of distinct states, the depth reached, and a counter-example or null. */
   record Result(long states, int depth, List<String> trace) {}
 
   /**
-   * A lease that a slow clock ends in the third step, and a lapse that a fast one reaches there and
-   * not before.
+   * A lease that expires in the third step by a slow clock, and an expiry bound that a fast clock
+   * reaches in that step and not before.
    */
   private final LeaseTimings timings = new LeaseTimings(7, 0, 0.25, 0);
 
   private final Set<SafetyRule> disabledRules;
-  private final boolean checked;
+  private final boolean checksIndex;
   private final int gateways;
   private final int leaders;
   private final int faults;
-  private final int retargets;
+  private final int maxReversals;
 
   /**
-   * @param faults late answers, requests held up, looks in two parts and restarts, in all
-   * @param turns how often the target may be turned round
+   * Creates a model.
+   *
+   * @param faults the maximum total number of delayed responses, delayed writes, reads in two parts
+   *     and restarts
+   * @param reversals the maximum number of reversals of the target
    */
-  RolloutModel(int gateways, int owners, int faults, int turns, SafetyRule... off) {
+  RolloutModel(int gateways, int leaders, int faults, int reversals, SafetyRule... disabledRules) {
     this.gateways = gateways;
-    this.leaders = owners;
+    this.leaders = leaders;
     this.faults = faults;
-    this.retargets = turns;
+    this.maxReversals = reversals;
     this.disabledRules =
-        off.length == 0 ? EnumSet.noneOf(SafetyRule.class) : EnumSet.of(off[0], off);
-    checked = !this.disabledRules.contains(SafetyRule.CHECK_AND_SET);
+        disabledRules.length == 0
+            ? EnumSet.noneOf(SafetyRule.class)
+            : EnumSet.of(disabledRules[0], disabledRules);
+    checksIndex = !this.disabledRules.contains(SafetyRule.CHECK_AND_SET);
   }
 
   /**
-   * Every state that so many steps lead to.
+   * Explores every state within the given number of steps, up to the first violation.
    *
-   * @param joined whether the gateways have joined and taken up the first stage at the start
+   * @param joined whether the gateways have joined and adopted the first stage at the start
    */
   Result explore(boolean joined, int depth) {
     Map<Long, Integer> seen = new HashMap<>();
@@ -226,7 +244,7 @@
         steps(state, after::add);
         for (State s : after) {
           if (seen.putIfAbsent(hash(s), d + 1) == null) {
-            if (isBroken(s)) {
+            if (violatesInvariant(s)) {
               return new Result(seen.size(), d + 1, trace(s));
             }
             next.add(s);
@@ -239,7 +257,7 @@
   }
 
   private State start(boolean joined) {
-    Engine engine = new Engine(new RolloutState(1, 0, 3), 1, Map.of(), 2);
+    Store store = new Store(new RolloutState(1, 0, 3), 1, Map.of(), 2);
     List<Gateway> all = new ArrayList<>();
     for (int number = 0; number < gateways; number++) {
       Gateway gateway =
@@ -258,52 +276,51 @@
       for (int round = 0; joined && round < 2; round++) {
         LeaseHolder.Write write =
             (LeaseHolder.Write) gateway.holder().nextAction(0, Long.MAX_VALUE);
-        engine =
-            engine.writeMember(gateway.key(number), write.expectedIndex(), write.member(), true);
+        store = store.writeMember(gateway.key(number), write.expectedIndex(), write.member(), true);
         gateway =
             gateway.with(
                 gateway
                     .holder()
                     .onWriteAnswered(
-                        0, 0, write, true, engine.members().get(gateway.key(number)).index()));
+                        0, 0, write, true, store.members().get(gateway.key(number)).index()));
         gateway =
             gateway.with(
-                gateway.holder().onStateRead(gateway.holder().term(), engine.rolloutState()));
+                gateway.holder().onStateRead(gateway.holder().term(), store.rolloutState()));
       }
       all.add(gateway);
     }
-    LeaderProcess mover =
+    LeaderProcess leaderProcess =
         new LeaderProcess(RolloutLeader.fresh(timings, disabledRules), 0, null, 0, null);
     return new State(
-        engine,
+        store,
         all,
-        Collections.nCopies(leaders, mover),
+        Collections.nCopies(leaders, leaderProcess),
         List.of(),
         faults,
-        retargets,
+        maxReversals,
         0,
         null,
         "start");
   }
 
-  /** At most two neighbouring stages in force, and nobody further from the engine than one. */
-  private static boolean isBroken(State state) {
-    int least = state.engine().rolloutState().stage();
-    int most = least;
+  /** The invariant: all stages in force and the stored stage lie within two adjacent stages. */
+  private static boolean violatesInvariant(State state) {
+    int lowestStage = state.store().rolloutState().stage();
+    int highestStage = lowestStage;
     for (Gateway gateway : state.gateways()) {
       RolloutState inForce = gateway.inForce();
       if (inForce != null) {
-        least = Math.min(least, inForce.stage());
-        most = Math.max(most, inForce.stage());
+        lowestStage = Math.min(lowestStage, inForce.stage());
+        highestStage = Math.max(highestStage, inForce.stage());
       }
     }
-    return most - least > 1;
+    return highestStage - lowestStage > 1;
   }
 
   private static List<String> trace(State state) {
     List<String> lines = new ArrayList<>();
-    for (State each = state; each != null; each = each.before()) {
-      lines.add(0, each.step() + " -> engine " + each.engine().rolloutState());
+    for (State each = state; each != null; each = each.predecessor()) {
+      lines.add(0, each.step() + " -> store " + each.store().rolloutState());
     }
     return lines;
   }
@@ -314,44 +331,44 @@
       gateway(state, number, successors);
     }
     for (int number = 0; number < state.leaders().size(); number++) {
-      mover(state, number, successors);
+      leaderProcess(state, number, successors);
     }
-    for (int number = 0; number < state.delayedRequests().size(); number++) {
-      DelayedRequest held = state.delayedRequests().get(number);
-      List<DelayedRequest> rest = new ArrayList<>(state.delayedRequests());
+    for (int number = 0; number < state.delayedWrites().size(); number++) {
+      DelayedWrite request = state.delayedWrites().get(number);
+      List<DelayedWrite> rest = new ArrayList<>(state.delayedWrites());
       rest.remove(number);
       successors.accept(
           new State(
-              held.effect().apply(state.engine()),
+              request.effect().apply(state.store()),
               state.gateways(),
               state.leaders(),
               rest,
               state.faults(),
-              state.turns(),
+              state.reversals(),
               state.ticks(),
               state,
-              held.what() + " is taken after all"));
+              request.description() + " is applied after a delay"));
     }
-    if (state.turns() > 0) {
+    if (state.reversals() > 0) {
       successors.accept(
           new State(
               state
-                  .engine()
+                  .store()
                   .writeState(
-                      state.engine().index(),
+                      state.store().index(),
                       state
-                          .engine()
+                          .store()
                           .rolloutState()
-                          .withTarget(state.engine().rolloutState().target() == 0 ? 3 : 0),
+                          .withTarget(state.store().rolloutState().target() == 0 ? 3 : 0),
                       true),
               state.gateways(),
               state.leaders(),
-              state.delayedRequests(),
+              state.delayedWrites(),
               state.faults(),
-              state.turns() - 1,
+              state.reversals() - 1,
               state.ticks(),
               state,
-              "the target is turned round"));
+              "the target is reversed"));
     }
   }
 
@@ -359,60 +376,61 @@
     List<Gateway> gateways = new ArrayList<>();
     for (int number = 0; number < state.gateways().size(); number++) {
       Gateway gateway = state.gateways().get(number);
-      gateways.add(gateway.at(gateway.clock() + (number == 0 ? SLOW : TRUE)));
+      gateways.add(
+          gateway.at(gateway.clock() + (number == 0 ? SLOW_CLOCK_UNITS : ACCURATE_CLOCK_UNITS)));
     }
-    List<LeaderProcess> movers = new ArrayList<>();
+    List<LeaderProcess> leaderProcesses = new ArrayList<>();
     for (int number = 0; number < state.leaders().size(); number++) {
-      LeaderProcess mover = state.leaders().get(number);
-      movers.add(
+      LeaderProcess leaderProcess = state.leaders().get(number);
+      leaderProcesses.add(
           new LeaderProcess(
-              mover.leader(),
-              mover.clock() + (number == 0 ? FAST : TRUE),
-              mover.standing(),
-              mover.index(),
-              mover.members()));
+              leaderProcess.leader(),
+              leaderProcess.clock() + (number == 0 ? FAST_CLOCK_UNITS : ACCURATE_CLOCK_UNITS),
+              leaderProcess.readState(),
+              leaderProcess.index(),
+              leaderProcess.members()));
     }
     successors.accept(
         new State(
-            state.engine(),
+            state.store(),
             gateways,
-            movers,
-            state.delayedRequests(),
+            leaderProcesses,
+            state.delayedWrites(),
             state.faults(),
-            state.turns(),
+            state.reversals(),
             state.ticks() + 1,
             state,
             "time passes"));
   }
 
-  private State set(State state, Engine engine, int number, Gateway gateway, String step) {
-    return set(state, engine, number, gateway, state.delayedRequests(), state.faults(), step);
+  private State set(State state, Store store, int number, Gateway gateway, String step) {
+    return set(state, store, number, gateway, state.delayedWrites(), state.faults(), step);
   }
 
   private State set(
       State state,
-      Engine engine,
+      Store store,
       int number,
       Gateway gateway,
-      List<DelayedRequest> loose,
-      int left,
+      List<DelayedWrite> delayed,
+      int faultsLeft,
       String step) {
     List<Gateway> gateways = new ArrayList<>(state.gateways());
     gateways.set(number, gateway);
     return new State(
-        engine,
+        store,
         gateways,
         state.leaders(),
-        loose,
-        left,
-        state.turns(),
+        delayed,
+        faultsLeft,
+        state.reversals(),
         state.ticks(),
         state,
         "gateway " + number + " " + step);
   }
 
-  private static List<DelayedRequest> plus(List<DelayedRequest> loose, DelayedRequest one) {
-    List<DelayedRequest> all = new ArrayList<>(loose);
+  private static List<DelayedWrite> plus(List<DelayedWrite> delayed, DelayedWrite one) {
+    List<DelayedWrite> all = new ArrayList<>(delayed);
     all.add(one);
     return all;
   }
@@ -421,149 +439,152 @@
     Gateway gateway = state.gateways().get(number);
     LeaseHolder holder = gateway.holder();
     long now = gateway.clock();
-    Engine engine = state.engine();
+    Store store = state.store();
     String key = gateway.key(number);
     boolean fault = state.faults() > 0;
     if (gateway.writeInFlight() != null) {
       successors.accept(
           set(
               state,
-              engine,
+              store,
               number,
               gateway.with(
                   holder.onWriteAnswered(
                       gateway.sentAt(),
                       now,
                       gateway.writeInFlight(),
-                      gateway.writeTaken(),
+                      gateway.writeApplied(),
                       gateway.answeredIndex())),
-              "hears late that its write was " + (gateway.writeTaken() ? "" : "not ") + "taken"));
+              "receives the delayed response that its write was "
+                  + (gateway.writeApplied() ? "" : "not ")
+                  + "applied"));
     } else {
       LeaseHolder.Action action =
           holder.nextAction(
               now, gateway.openUnder() == null ? Long.MAX_VALUE : gateway.openUnder().epoch());
       if (action instanceof LeaseHolder.Write write) {
-        Engine after = engine.writeMember(key, write.expectedIndex(), write.member(), checked);
-        boolean taken = after != engine;
-        long index = taken ? after.members().get(key).index() : 0;
-        String what = "write of " + key + " " + write;
+        Store after = store.writeMember(key, write.expectedIndex(), write.member(), checksIndex);
+        boolean applied = after != store;
+        long index = applied ? after.members().get(key).index() : 0;
+        String description = "write of " + key + " " + write;
         successors.accept(
             set(
                 state,
                 after,
                 number,
-                gateway.with(holder.onWriteAnswered(now, now, write, taken, index)),
-                what + (taken ? "" : " fails")));
+                gateway.with(holder.onWriteAnswered(now, now, write, applied, index)),
+                description + (applied ? "" : " fails")));
         if (fault) {
           successors.accept(
               set(
                   state,
                   after,
                   number,
-                  gateway.withWriteInFlight(write, taken, index),
-                  state.delayedRequests(),
+                  gateway.withWriteInFlight(write, applied, index),
+                  state.delayedWrites(),
                   state.faults() - 1,
-                  what + ", its answer is late"));
+                  description + ", its response is delayed"));
           successors.accept(
               set(
                   state,
-                  engine,
+                  store,
                   number,
                   gateway.with(holder.onWriteUnknown(now)),
                   plus(
-                      state.delayedRequests(),
-                      new DelayedRequest(
-                          what,
+                      state.delayedWrites(),
+                      new DelayedWrite(
+                          description,
                           current ->
                               current.writeMember(
-                                  key, write.expectedIndex(), write.member(), checked))),
+                                  key, write.expectedIndex(), write.member(), checksIndex))),
                   state.faults() - 1,
-                  what + " is held up and given up"));
+                  description + " is delayed and given up"));
         }
       } else if (action instanceof LeaseHolder.ReadOwnKey) {
-        RolloutLeader.VersionedMember seen = engine.members().get(key);
+        RolloutLeader.VersionedMember seen = store.members().get(key);
         successors.accept(
             set(
                 state,
-                engine,
+                store,
                 number,
                 gateway.with(
                     holder.onOwnKeyRead(
                         now, seen == null ? null : seen.member(), seen == null ? 0 : seen.index())),
-                "looks at " + key));
+                "reads " + key));
       }
     }
     if (holder.isMember() || disabledRules.contains(SafetyRule.JOIN_FIRST)) {
-      LeaseHolder heard = holder.onStateRead(holder.term(), engine.rolloutState());
-      if (heard != holder) {
+      LeaseHolder updated = holder.onStateRead(holder.term(), store.rolloutState());
+      if (updated != holder) {
         successors.accept(
             set(
                 state,
-                engine,
+                store,
                 number,
                 new Gateway(
                     gateway.incarnation(),
-                    heard,
+                    updated,
                     now,
                     gateway.openUnder(),
                     gateway.openUntil(),
                     gateway.writeInFlight(),
                     gateway.sentAt(),
-                    gateway.writeTaken(),
+                    gateway.writeApplied(),
                     gateway.answeredIndex(),
-                    gateway.lateState(),
-                    gateway.lateTerm()),
-                "reads the standing"));
+                    gateway.delayedState(),
+                    gateway.delayedTerm()),
+                "reads the state"));
       }
-      if (fault && gateway.lateState() == null) {
+      if (fault && gateway.delayedState() == null) {
         successors.accept(
             set(
                 state,
-                engine,
+                store,
                 number,
-                gateway.withLateState(engine.rolloutState()),
-                state.delayedRequests(),
+                gateway.withDelayedState(store.rolloutState()),
+                state.delayedWrites(),
                 state.faults() - 1,
-                "reads the standing, the answer is late"));
+                "reads the state, the response is delayed"));
       }
     }
-    if (gateway.lateState() != null) { // it stays: it may come once more
+    if (gateway.delayedState() != null) { // kept, since it may be delivered again
       successors.accept(
           set(
               state,
-              engine,
+              store,
               number,
               new Gateway(
                   gateway.incarnation(),
-                  holder.onStateRead(gateway.lateTerm(), gateway.lateState()),
+                  holder.onStateRead(gateway.delayedTerm(), gateway.delayedState()),
                   now,
                   gateway.openUnder(),
                   gateway.openUntil(),
                   gateway.writeInFlight(),
                   gateway.sentAt(),
-                  gateway.writeTaken(),
+                  gateway.writeApplied(),
                   gateway.answeredIndex(),
-                  gateway.lateState(),
-                  gateway.lateTerm()),
-              "hears a late answer " + gateway.lateState()));
+                  gateway.delayedState(),
+                  gateway.delayedTerm()),
+              "receives a delayed response " + gateway.delayedState()));
     }
     if (gateway.openUnder() == null && holder.inForce(now) != null) {
       successors.accept(
           set(
               state,
-              engine,
+              store,
               number,
               gateway.withOperation(
                   holder.inForce(now), holder.leaseUntil() + timings.operationMicros()),
-              "begins an act"));
+              "begins an operation"));
     } else if (gateway.openUnder() != null) {
-      successors.accept(set(state, engine, number, gateway.withOperation(null, 0), "ends an act"));
+      successors.accept(
+          set(state, store, number, gateway.withOperation(null, 0), "ends an operation"));
     }
     if (fault) {
       successors.accept(
           set(
               state,
-              engine,
+              store,
               number,
               new Gateway(
                   gateway.incarnation() + 1,
@@ -577,7 +598,7 @@
                   0,
                   null,
                   0),
-              state.delayedRequests(),
+              state.delayedWrites(),
               state.faults() - 1,
               "restarts"));
     }
@@ -585,125 +606,135 @@
 
   private State set(
       State state,
-      Engine engine,
+      Store store,
       int number,
-      LeaderProcess mover,
-      List<DelayedRequest> loose,
-      int left,
+      LeaderProcess leaderProcess,
+      List<DelayedWrite> delayed,
+      int faultsLeft,
       String step) {
-    List<LeaderProcess> movers = new ArrayList<>(state.leaders());
-    movers.set(number, mover);
+    List<LeaderProcess> leaderProcesses = new ArrayList<>(state.leaders());
+    leaderProcesses.set(number, leaderProcess);
     return new State(
-        engine,
+        store,
         state.gateways(),
-        movers,
-        loose,
-        left,
-        state.turns(),
+        leaderProcesses,
+        delayed,
+        faultsLeft,
+        state.reversals(),
         state.ticks(),
         state,
-        "owner " + number + " " + step);
+        "leader " + number + " " + step);
   }
 
-  private void mover(State state, int number, Consumer<State> successors) {
-    LeaderProcess mover = state.leaders().get(number);
-    Engine engine = state.engine();
-    if (mover.standing() == null && mover.members() == null) {
+  private void leaderProcess(State state, int number, Consumer<State> successors) {
+    LeaderProcess leaderProcess = state.leaders().get(number);
+    Store store = state.store();
+    if (leaderProcess.readState() == null && leaderProcess.members() == null) {
       successors.accept(
           set(
               state,
-              engine,
+              store,
               number,
-              mover.with(
-                  mover
+              leaderProcess.with(
+                  leaderProcess
                       .leader()
                       .onRead(
-                          mover.clock(), engine.rolloutState(), engine.index(), engine.members())),
-              state.delayedRequests(),
+                          leaderProcess.clock(),
+                          store.rolloutState(),
+                          store.index(),
+                          store.members())),
+              state.delayedWrites(),
               state.faults(),
-              "looks"));
+              "reads the state and the members"));
       if (state.faults() > 0) {
-        LeaderProcess half =
+        LeaderProcess partialRead =
             disabledRules.contains(SafetyRule.STANDING_FIRST)
-                ? new LeaderProcess(mover.leader(), mover.clock(), null, 0, engine.members())
+                ? new LeaderProcess(
+                    leaderProcess.leader(), leaderProcess.clock(), null, 0, store.members())
                 : new LeaderProcess(
-                    mover.leader(), mover.clock(), engine.rolloutState(), engine.index(), null);
+                    leaderProcess.leader(),
+                    leaderProcess.clock(),
+                    store.rolloutState(),
+                    store.index(),
+                    null);
         successors.accept(
             set(
                 state,
-                engine,
+                store,
                 number,
-                half,
-                state.delayedRequests(),
+                partialRead,
+                state.delayedWrites(),
                 state.faults() - 1,
-                "begins a look"));
+                "begins a read in two parts"));
       }
     } else {
-      RolloutState standing = mover.standing() != null ? mover.standing() : engine.rolloutState();
-      long index = mover.standing() != null ? mover.index() : engine.index();
+      RolloutState readState =
+          leaderProcess.readState() != null ? leaderProcess.readState() : store.rolloutState();
+      long index = leaderProcess.readState() != null ? leaderProcess.index() : store.index();
       Map<String, RolloutLeader.VersionedMember> members =
-          mover.members() != null ? mover.members() : engine.members();
+          leaderProcess.members() != null ? leaderProcess.members() : store.members();
       successors.accept(
           set(
               state,
-              engine,
+              store,
               number,
-              mover.with(mover.leader().onRead(mover.clock(), standing, index, members)),
-              state.delayedRequests(),
+              leaderProcess.with(
+                  leaderProcess.leader().onRead(leaderProcess.clock(), readState, index, members)),
+              state.delayedWrites(),
               state.faults(),
-              "ends its look"));
+              "completes its read"));
     }
-    for (RolloutLeader.Action action : mover.leader().actions()) {
-      UnaryOperator<Engine> effect = current -> effect(current, action);
+    for (RolloutLeader.Action action : leaderProcess.leader().actions()) {
+      UnaryOperator<Store> effect = current -> effect(current, action);
       successors.accept(
           set(
               state,
-              effect.apply(engine),
+              effect.apply(store),
               number,
-              mover.with(mover.leader().withoutActions()),
-              state.delayedRequests(),
+              leaderProcess.with(leaderProcess.leader().withoutActions()),
+              state.delayedWrites(),
               state.faults(),
               action.toString()));
       if (state.faults() > 0) {
         successors.accept(
             set(
                 state,
-                engine,
+                store,
                 number,
-                mover.with(mover.leader().withoutActions()),
-                plus(state.delayedRequests(), new DelayedRequest("the owner's " + action, effect)),
+                leaderProcess.with(leaderProcess.leader().withoutActions()),
+                plus(state.delayedWrites(), new DelayedWrite("the leader's " + action, effect)),
                 state.faults() - 1,
-                action + " is held up and given up"));
+                action + " is delayed and given up"));
       }
     }
     if (state.faults() > 0) {
       successors.accept(
           set(
               state,
-              engine,
+              store,
               number,
-              mover.with(RolloutLeader.fresh(timings, disabledRules)),
-              state.delayedRequests(),
+              leaderProcess.with(RolloutLeader.fresh(timings, disabledRules)),
+              state.delayedWrites(),
               state.faults() - 1,
               "restarts"));
     }
   }
 
-  private Engine effect(Engine engine, RolloutLeader.Action action) {
-    if (action instanceof RolloutLeader.Advance move) {
-      return engine.writeState(move.expectedIndex(), move.newState(), checked);
+  private Store effect(Store store, RolloutLeader.Action action) {
+    if (action instanceof RolloutLeader.Advance advance) {
+      return store.writeState(advance.expectedIndex(), advance.newState(), checksIndex);
     }
     if (action instanceof RolloutLeader.Revoke revoke) {
-      return engine.writeMember(
-          revoke.memberKey(), revoke.expectedIndex(), revoke.revoked(), checked);
+      return store.writeMember(
+          revoke.memberKey(), revoke.expectedIndex(), revoke.revoked(), checksIndex);
     }
     RolloutLeader.RemoveMember remove = (RolloutLeader.RemoveMember) action;
-    return engine.removeMember(remove.memberKey(), remove.expectedIndex(), checked);
+    return store.removeMember(remove.memberKey(), remove.expectedIndex(), checksIndex);
   }
 
   private static long hash(State state) {
     StringBuilder text = new StringBuilder(256);
-    text.append(state.engine()).append(state.faults()).append(state.turns());
+    text.append(state.store()).append(state.faults()).append(state.reversals());
     for (Gateway gateway : state.gateways()) {
       text.append('|')
           .append(gateway.incarnation())
@@ -712,19 +743,19 @@
           .append(gateway.openUnder() == null ? 0 : gateway.openUntil() - gateway.clock())
           .append(gateway.writeInFlight())
           .append(gateway.writeInFlight() == null ? 0 : gateway.sentAt() - gateway.clock())
-          .append(gateway.writeTaken())
+          .append(gateway.writeApplied())
           .append(gateway.answeredIndex())
-          .append(gateway.lateState())
-          .append(gateway.lateTerm());
+          .append(gateway.delayedState())
+          .append(gateway.delayedTerm());
     }
-    for (LeaderProcess mover : state.leaders()) {
+    for (LeaderProcess leaderProcess : state.leaders()) {
       text.append('|')
-          .append(mover.leader().fingerprint(mover.clock()))
-          .append(mover.standing())
-          .append(mover.index())
-          .append(mover.members());
+          .append(leaderProcess.leader().fingerprint(leaderProcess.clock()))
+          .append(leaderProcess.readState())
+          .append(leaderProcess.index())
+          .append(leaderProcess.members());
     }
-    state.delayedRequests().forEach(held -> text.append('|').append(held.what()));
+    state.delayedWrites().forEach(request -> text.append('|').append(request.description()));
     long hash = 0xcbf29ce484222325L;
     for (int number = 0; number < text.length(); number++) {
       hash = (hash ^ text.charAt(number)) * 0x100000001b3L;
--- a/core/src/test/java/shelffront/rollout/RolloutModelTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModelTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every order of events of a small fleet, to a depth; and that each rule, switched off, is missed.
- * The property {@code stage.deeper} adds to the depths: with 2 there are 5.4 million states, in
- * about a minute on eight cores.
+ * Checks every order of events of a small fleet up to a depth, and that disabling any one safety
+ * rule leads to a violation. The system property {@code stage.deeper} adds to the depths; with 2
+ * the check covers 5.4 million states and takes about a minute on eight cores.
  */
 class RolloutModelTest {
 
-  @ParameterizedTest(name = "{0} gateways, {1} owners, {2} faults, joined {4}, depth {5}")
+  @ParameterizedTest(name = "{0} gateways, {1} leaders, {2} faults, joined {4}, depth {5}")
   @CsvSource({
     "1, 1, 1, 1, true, 11",
     "1, 1, 2, 1, true, 9",
@@ -21,16 +21,16 @@
     "2, 1, 1, 1, true, 7",
     "2, 2, 1, 1, false, 6"
   })
-  void noOrderOfEventsPutsThreeStagesInForce(
-      int gateways, int owners, int faults, int turns, boolean joined, int depth) {
+  void atMostTwoAdjacentStagesAreInForceInEveryOrderOfEvents(
+      int gateways, int leaders, int faults, int reversals, boolean joined, int depth) {
     RolloutModel.Result result =
-        new RolloutModel(gateways, owners, faults, turns)
+        new RolloutModel(gateways, leaders, faults, reversals)
             .explore(joined, depth + Integer.getInteger("stage.deeper", 0));
     System.out.println(
         gateways
             + " gateways, "
-            + owners
-            + " owners: "
+            + leaders
+            + " leaders: "
             + result.states()
             + " states to depth "
             + result.depth());
@@ -38,8 +38,8 @@
   }
 
   /**
-   * The counter-example is a shortest one; its length says how far an exploration has to go to be
-   * worth something.
+   * The counter-example is a shortest one, so its length is the depth that an exploration needs to
+   * detect the missing rule.
    */
   @ParameterizedTest
   @CsvSource({
@@ -55,12 +55,13 @@
     "STANDING_FIRST, 2, 1, false",
     "CHECK_AND_SET, 1, 0, true"
   })
-  void eachDisabledRuleHasACounterExample(SafetyRule rule, int owners, int faults, boolean joined) {
-    RolloutModel.Result result = new RolloutModel(1, owners, faults, 0, rule).explore(joined, 13);
+  void everyDisabledRuleLeadsToAViolation(
+      SafetyRule rule, int leaders, int faults, boolean joined) {
+    RolloutModel.Result result = new RolloutModel(1, leaders, faults, 0, rule).explore(joined, 13);
     System.out.println(rule + ": " + result.states() + " states, " + result.depth() + " steps");
-    assertNotNull(result.trace(), "nothing goes wrong without it");
+    assertNotNull(result.trace(), "no violation found with the rule " + rule + " disabled");
     assertNull(
-        new RolloutModel(1, owners, faults, 0)
+        new RolloutModel(1, leaders, faults, 0)
             .explore(joined, Math.min(9, result.depth()))
             .trace());
   }
