--- a/core/src/test/java/shelffront/distribution/DistributionModel.java
+++ b/core/src/test/java/shelffront/distribution/DistributionModel.java
@@ -11,21 +11,22 @@
 import shelffront.distribution.ReplicatedView.Guard;
 
 /**
- * Plays the code itself in drawn orders of events: an engine that takes changes and may be restored
- * from older data, two distributors that follow it at their own pace and restart, and a subscriber
- * whose questions and answers are late, lost, doubled and out of order.
+ * Runs the production classes through random orders of events. The model has a change store that
+ * accepts changes and may be restored from older data, two distributors that follow it at their own
+ * pace and may restart, and a subscriber whose requests and responses may be delayed, lost,
+ * duplicated and reordered.
  */
 final class DistributionModel {
 
   private static final int STEPS = 120;
   private static final List<String> NAMES = List.of("a", "b", "c");
 
-  /** The history as the engine has it; a new incarnation forgets the end of it. */
-  private static final class EngineModel {
+  /** The history of the change store; a restore drops its end and starts a new incarnation. */
+  private static final class StoreModel {
 
     private final List<RecordChange> history = new ArrayList<>();
     private Version version = new Version(1, 0);
-    private Version restoredAt = version; // changes up to here can be had by a snapshot only
+    private Version restoredAt = version; // changes up to here are available by snapshot only
 
     void change(String name, String document) {
       version = version.next();
@@ -60,10 +61,7 @@
       return records;
     }
 
-    /**
-     * As an engine is read that goes on changing: a version, then the records, then the changes
-     * since.
-     */
+    /** Reads a store that changes meanwhile: a version, the records, then the changes since. */
     Update.Snapshot snapshot(Version readFirst) {
       List<RecordChange> since =
           history.stream().filter(change -> readFirst.isBefore(change.version())).toList();
@@ -71,49 +69,49 @@
     }
   }
 
-  /** An answer on its way, with the edition of names that its question named. */
+  /** A response in flight, with the edition of names that its request was for. */
   private record InFlight(Update update, long edition) {}
 
   private record Fetched(RecordChange record, Version asOf) {}
 
-  private final EngineModel engine = new EngineModel();
+  private final StoreModel store = new StoreModel();
   private final RecordTable[] distributors = {new RecordTable(4, 1000), new RecordTable(4, 1000)};
   private final ReplicatedView view;
-  private Set<String> toldNames = Set.of();
-  private long toldEdition;
-  private final List<InFlight> answers = new ArrayList<>();
+  private Set<String> subscribedNames = Set.of();
+  private long subscribedEdition;
+  private final List<InFlight> responses = new ArrayList<>();
   private final Map<String, Fetched> fetches = new HashMap<>();
   private final Map<String, RecordChange> inForce = new HashMap<>();
-  private final Map<String, Version> lastInForce = new HashMap<>(); // removals too
+  private final Map<String, Version> lastInForce = new HashMap<>(); // includes removals
   private final Random random;
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
 
   private DistributionModel(long seed, Set<Guard> guards) {
     random = new Random(seed);
     view = new ReplicatedView(guards);
   }
 
-  /** What breaks in the order of events that a seed draws; empty where nothing does. */
-  static List<String> play(long seed, Set<Guard> guards) {
+  /** Runs the order of events of a seed and returns the violations. */
+  static List<String> run(long seed, Set<Guard> guards) {
     DistributionModel model = new DistributionModel(seed, guards);
-    for (int i = 0; i < STEPS && model.broken.isEmpty(); i++) {
+    for (int i = 0; i < STEPS && model.violations.isEmpty(); i++) {
       model.step();
       model.check();
     }
-    if (model.broken.isEmpty()) {
+    if (model.violations.isEmpty()) {
       model.converge();
     }
-    return model.broken;
+    return model.violations;
   }
 
   private void step() {
     RecordTable distributor = distributors[random.nextInt(2)];
     String name = NAMES.get(random.nextInt(NAMES.size()));
     switch (random.nextInt(12)) {
-      case 0, 1 -> engine.change(name, "d" + random.nextInt(1000));
-      case 2 -> engine.change(name, null);
+      case 0, 1 -> store.change(name, "d" + random.nextInt(1000));
+      case 2 -> store.change(name, null);
       case 3, 4 -> follow(distributor);
-      case 5, 6 -> ask(distributor);
+      case 5, 6 -> poll(distributor);
       case 7, 8 -> deliver();
       case 9 -> {
         if (!view.follows(name)
@@ -123,12 +121,12 @@
           fetch(name, distributor);
         }
       }
-      case 10 -> fetches.entrySet().removeIf(each -> added(each.getKey(), each.getValue()));
-      default -> rarely(name);
+      case 10 -> fetches.entrySet().removeIf(each -> completeFetch(each.getKey(), each.getValue()));
+      default -> rareStep(name);
     }
   }
 
-  private void rarely(String name) {
+  private void rareStep(String name) {
     switch (random.nextInt(5)) {
       case 0 -> distributors[random.nextInt(2)] = new RecordTable(4, 1000);
       case 1 -> {
@@ -138,86 +136,87 @@
       }
       case 2 -> {
         if (random.nextInt(3) == 0) {
-          engine.restore(random.nextInt(3));
+          store.restore(random.nextInt(3));
         }
       }
       case 3 -> resubscribe();
-      default -> answers.clear();
+      default -> responses.clear();
     }
   }
 
-  /** A distributor reads what it lacks, one change or all, or a snapshot where there is a gap. */
+  /** A distributor reads some or all missing changes, or a snapshot if there is a gap. */
   private void follow(RecordTable distributor) {
     Version behind = distributor.version();
-    if (behind.incarnation() != engine.version.incarnation()
-        || behind.isBefore(engine.restoredAt)
+    if (behind.incarnation() != store.version.incarnation()
+        || behind.isBefore(store.restoredAt)
         || random.nextInt(8) == 0) {
       distributor.install(
-          engine.snapshot(engine.restoredAt.isBefore(behind) ? behind : engine.restoredAt));
+          store.snapshot(store.restoredAt.isBefore(behind) ? behind : store.restoredAt));
       return;
     }
     int most = 1 + random.nextInt(6);
-    for (RecordChange change : engine.history) {
+    for (RecordChange change : store.history) {
       if (behind.isBefore(change.version()) && most-- > 0) {
         distributor.apply(change);
       }
     }
   }
 
-  private void ask(RecordTable distributor) {
+  private void poll(RecordTable distributor) {
     Update update =
         distributor.version().equals(Version.NONE)
             ? null
-            : distributor.updateFor(view.version(), SubscriptionFilter.ofNames(toldNames));
+            : distributor.updateFor(view.version(), SubscriptionFilter.ofNames(subscribedNames));
     if (update != null) {
-      answers.add(new InFlight(update, toldEdition));
+      responses.add(new InFlight(update, subscribedEdition));
     }
   }
 
-  /** Distributors hear the names with the edition that they make up. */
-  private void tell(Set<String> names) {
-    toldNames = names;
-    toldEdition = view.edition();
+  /** Distributors receive the names together with their edition. */
+  private void sendNames(Set<String> names) {
+    subscribedNames = names;
+    subscribedEdition = view.edition();
   }
 
   private void fetch(String name, RecordTable distributor) {
-    Set<String> names = new HashSet<>(toldNames);
+    Set<String> names = new HashSet<>(subscribedNames);
     names.add(name);
-    tell(names);
+    sendNames(names);
     fetches.put(name, new Fetched(distributor.record(name), distributor.version()));
   }
 
-  /** Another distributor is followed: answers of calls to the one before count no more. */
+  /** Switches distributors; responses of the previous one are discarded. */
   private void resubscribe() {
     fetches.clear();
-    answers.clear();
-    tell(view.names());
+    responses.clear();
+    sendNames(view.names());
   }
 
-  private boolean added(String name, Fetched fetched) {
+  private boolean completeFetch(String name, Fetched fetched) {
     if (fetched.record() != null && view.follow(name, fetched.record(), fetched.asOf())) {
-      took(view.record(name));
+      putInForce(view.record(name));
     }
     return true;
   }
 
-  /** Any of those on their way, which may stay to come once more. */
+  /** Delivers a random response in flight, which may stay to be delivered again. */
   private void deliver() {
-    if (!answers.isEmpty()) {
-      int which = random.nextInt(answers.size());
-      InFlight answer = random.nextInt(4) == 0 ? answers.get(which) : answers.remove(which);
+    if (!responses.isEmpty()) {
+      int which = random.nextInt(responses.size());
+      InFlight response = random.nextInt(4) == 0 ? responses.get(which) : responses.remove(which);
       Version before = view.version();
-      view.apply(answer.update(), answer.edition()).forEach(this::took);
+      view.apply(response.update(), response.edition()).forEach(this::putInForce);
       if (view.version().isBefore(before)) {
-        broken.add("the view stepped back from " + before + " to " + view.version());
+        violations.add(
+            "the version of the view decreased from " + before + " to " + view.version());
       }
     }
   }
 
-  private void took(RecordChange change) {
+  private void putInForce(RecordChange change) {
     Version before = lastInForce.put(change.name(), change.version());
     if (before != null && change.version().isBefore(before)) {
-      broken.add(change + " came into force after " + before);
+      violations.add(change + " came into force after " + before);
     }
     if (change.isRemoval()) {
       inForce.remove(change.name());
@@ -226,37 +225,45 @@
     }
   }
 
-  /** Each name that is followed has the engine's state as of the view's version, or a newer one. */
+  /** Each followed name must have the stored state as of the view's version, or a newer one. */
   private void check() {
-    if (view.version().incarnation() != engine.version.incarnation()) {
+    if (view.version().incarnation() != store.version.incarnation()) {
       return;
     }
-    Map<String, RecordChange> due = engine.recordsAt(view.version());
+    Map<String, RecordChange> expected = store.recordsAt(view.version());
     for (String name : view.names()) {
       RecordChange held = view.record(name);
       boolean newer = held != null && view.version().isBefore(held.version());
-      if (!newer && !Objects.equals(held, due.get(name))) {
-        broken.add(
-            "at " + view.version() + " " + name + " is " + held + " and not " + due.get(name));
+      if (!newer && !Objects.equals(held, expected.get(name))) {
+        violations.add(
+            "at version "
+                + view.version()
+                + " the view holds "
+                + held
+                + " for "
+                + name
+                + ", expected "
+                + expected.get(name));
       }
       if (!Objects.equals(held, inForce.get(name))) {
-        broken.add(held + " is held and " + inForce.get(name) + " in force");
+        violations.add("the view holds " + held + ", but " + inForce.get(name) + " is in force");
       }
     }
   }
 
   private void converge() {
     RecordTable distributor = distributors[0];
-    distributor.install(engine.snapshot(engine.version));
-    answers.clear();
+    distributor.install(store.snapshot(store.version));
+    responses.clear();
     fetches.clear();
-    ask(distributor);
-    if (!answers.isEmpty()) {
+    poll(distributor);
+    if (!responses.isEmpty()) {
       deliver();
     }
     check();
-    if (!view.version().equals(engine.version)) {
-      broken.add("it stays at " + view.version() + " of " + engine.version);
+    if (!view.version().equals(store.version)) {
+      violations.add(
+          "the view stays at version " + view.version() + ", the store is at " + store.version);
     }
   }
 }
--- a/core/src/test/java/shelffront/distribution/DistributionModelTest.java
+++ b/core/src/test/java/shelffront/distribution/DistributionModelTest.java
@@ -16,27 +16,24 @@
 class DistributionModelTest {
 
   @Property(tries = 3000)
-  void noOrderOfEventsBreaksTheView(@ForAll long seed) {
-    assertEquals(List.of(), DistributionModel.play(seed, EnumSet.allOf(Guard.class)));
+  void theViewStaysConsistentInAnyOrderOfEvents(@ForAll long seed) {
+    assertEquals(List.of(), DistributionModel.run(seed, EnumSet.allOf(Guard.class)));
   }
 
-  /**
-   * A test that can't fail proves nothing: each guard, switched off, is missed within some thousand
-   * orders.
-   */
+  /** Ensures that the model can detect a fault of each guard: disabling it causes a violation. */
   @ParameterizedTest
   @EnumSource(Guard.class)
-  void eachGuardIsMissed(Guard guard) {
+  void disablingAnyGuardCausesAViolation(Guard guard) {
     Set<Guard> others = EnumSet.complementOf(EnumSet.of(guard));
     boolean caught = false;
     for (long seed = 0; seed < 20_000 && !caught; seed++) {
-      caught = !DistributionModel.play(seed, others).isEmpty();
+      caught = !DistributionModel.run(seed, others).isEmpty();
     }
-    assertTrue(caught, "nothing breaks without " + guard);
+    assertTrue(caught, "no violation found with the guard " + guard + " disabled");
   }
 
   @Test
-  void aSubscriberBehindTheLogIsGivenASnapshot() {
+  void aSubscriberBehindTheChangeLogGetsASnapshot() {
     RecordTable table = new RecordTable(2, 1000);
     for (int i = 1; i <= 5; i++) {
       table.apply(new RecordChange(new Version(0, i), "a", "d" + i));
@@ -48,6 +45,6 @@
     assertEquals(
         null,
         table.updateFor(new Version(0, 6), SubscriptionFilter.ALL),
-        "one that is ahead is told nothing");
+        "a subscriber that is ahead gets no update");
   }
 }
--- a/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
+++ b/core/src/test/java/shelffront/distribution/DistributorSelectorTest.java
@@ -27,13 +27,13 @@
     return all;
   }
 
-  private static DistributorSelector choice(String subscriber) {
+  private static DistributorSelector selector(String subscriber) {
     return new DistributorSelector(subscriber, "r1", "y", endpoints(), 0, new Random(1));
   }
 
   @Test
-  void theOwnZoneComesFirstThenTheRegionThenAny() {
-    List<DistributorEndpoint> order = choice("g").preferenceOrder();
+  void theOwnZoneIsPreferredThenTheRegionThenOthers() {
+    List<DistributorEndpoint> order = selector("g").preferenceOrder();
     assertTrue(
         order.subList(0, 3).stream()
             .allMatch(endpoint -> endpoint.region().equals("r1") && endpoint.zone().equals("y")));
@@ -43,18 +43,18 @@
     assertTrue(order.subList(6, 12).stream().allMatch(endpoint -> endpoint.region().equals("r2")));
   }
 
-  /** Those of one that fails must not all go to one other. */
+  /** The subscribers of a failed distributor must not all move to the same other one. */
   @Test
-  void subscribersSpreadOverDistributorsAndOverThoseLeftWhenOneFails() {
+  void subscribersSpreadEvenlyAndSpreadOverTheRemainingDistributorsAfterAFailure() {
     Map<String, Integer> first = new HashMap<>();
     Map<String, Integer> second = new HashMap<>();
     for (int i = 0; i < 900; i++) {
-      DistributorSelector choice = choice("g" + i);
-      DistributorEndpoint chosen = choice.next(0).endpoint();
+      DistributorSelector selector = selector("g" + i);
+      DistributorEndpoint chosen = selector.next(0).endpoint();
       first.merge(chosen.address(), 1, Integer::sum);
       if (chosen.address().equals("r1y0:1")) {
-        choice.recordFailure(chosen, 0);
-        second.merge(choice.next(0).endpoint().address(), 1, Integer::sum);
+        selector.recordFailure(chosen, 0);
+        second.merge(selector.next(0).endpoint().address(), 1, Integer::sum);
       }
     }
     first.values().forEach(count -> assertTrue(count > 240 && count < 360, first.toString()));
@@ -63,73 +63,78 @@
   }
 
   @Test
-  void oneThatFailedIsLeftOutForAPauseThatDoublesAndIsPreferredAgainAfterwards() {
-    DistributorSelector choice = choice("g");
-    DistributorEndpoint preferred = choice.preferenceOrder().get(0);
-    choice.recordFailure(preferred, 0);
-    assertEquals(choice.preferenceOrder().get(1), choice.next(0).endpoint());
-    assertFalse(choice.hasPreferredAlternative(choice.preferenceOrder().get(1), 0));
+  void aFailedDistributorIsSkippedForADoublingBackoffAndPreferredAgainAfterwards() {
+    DistributorSelector selector = selector("g");
+    DistributorEndpoint preferred = selector.preferenceOrder().get(0);
+    selector.recordFailure(preferred, 0);
+    assertEquals(selector.preferenceOrder().get(1), selector.next(0).endpoint());
+    assertFalse(selector.hasPreferredAlternative(selector.preferenceOrder().get(1), 0));
     assertTrue(
-        choice.hasPreferredAlternative(
-            choice.preferenceOrder().get(1), DistributorSelector.INITIAL_BACKOFF_MICROS));
-    choice.recordFailure(preferred, SECOND);
+        selector.hasPreferredAlternative(
+            selector.preferenceOrder().get(1), DistributorSelector.INITIAL_BACKOFF_MICROS));
+    selector.recordFailure(preferred, SECOND);
     assertFalse(
-        choice.hasPreferredAlternative(
-            choice.preferenceOrder().get(1), SECOND + DistributorSelector.INITIAL_BACKOFF_MICROS));
+        selector.hasPreferredAlternative(
+            selector.preferenceOrder().get(1),
+            SECOND + DistributorSelector.INITIAL_BACKOFF_MICROS));
     for (int i = 0; i < 10; i++) {
-      choice.recordFailure(preferred, 2 * SECOND);
+      selector.recordFailure(preferred, 2 * SECOND);
     }
     assertTrue(
-        choice.hasPreferredAlternative(
-            choice.preferenceOrder().get(1), 2 * SECOND + DistributorSelector.MAX_BACKOFF_MICROS));
-    choice.recordSuccess(preferred);
-    assertEquals(preferred, choice.next(2 * SECOND).endpoint());
+        selector.hasPreferredAlternative(
+            selector.preferenceOrder().get(1),
+            2 * SECOND + DistributorSelector.MAX_BACKOFF_MICROS));
+    selector.recordSuccess(preferred);
+    assertEquals(preferred, selector.next(2 * SECOND).endpoint());
   }
 
   @Test
-  void whereAllAreLeftOutTheSoonestIsAskedWhenItsPauseIsOver() {
-    DistributorSelector choice = choice("g");
-    choice.preferenceOrder().forEach(endpoint -> choice.recordFailure(endpoint, 0));
-    choice.recordFailure(choice.preferenceOrder().get(0), 0);
+  void ifAllAreInBackoffTheOneWhoseBackoffEndsFirstIsSelected() {
+    DistributorSelector selector = selector("g");
+    selector.preferenceOrder().forEach(endpoint -> selector.recordFailure(endpoint, 0));
+    selector.recordFailure(selector.preferenceOrder().get(0), 0);
     assertEquals(
         new DistributorSelector.Selection(
-            choice.preferenceOrder().get(1), DistributorSelector.INITIAL_BACKOFF_MICROS),
-        choice.next(0));
+            selector.preferenceOrder().get(1), DistributorSelector.INITIAL_BACKOFF_MICROS),
+        selector.next(0));
   }
 
   /**
-   * An answer that lay in the buffer of a stopped process says nothing of the time it lay there.
+   * The transit time of a response is unknown; a response may wait in the receive buffer of a
+   * stopped process.
    */
   @Test
-  void ageCountsFromTheQuestionAndAddsWhatTheAnswerStates() {
-    Staleness freshness = new Staleness();
-    assertEquals(Staleness.NEVER, freshness.maxAgeMicros(5 * SECOND));
-    freshness.confirm(SECOND, 2 * SECOND);
-    assertEquals(100 * SECOND, freshness.maxAgeMicros(99 * SECOND));
-    freshness.confirm(98 * SECOND, Staleness.NEVER);
-    assertEquals(100 * SECOND, freshness.maxAgeMicros(99 * SECOND));
-    freshness.confirm(98 * SECOND, 0);
-    freshness.confirm(98 * SECOND, 3 * SECOND);
+  void ageCountsFromTheRequestAndIncludesTheStatedAge() {
+    Staleness staleness = new Staleness();
+    assertEquals(Staleness.NEVER, staleness.maxAgeMicros(5 * SECOND));
+    staleness.confirm(SECOND, 2 * SECOND);
+    assertEquals(100 * SECOND, staleness.maxAgeMicros(99 * SECOND));
+    staleness.confirm(98 * SECOND, Staleness.NEVER);
+    assertEquals(100 * SECOND, staleness.maxAgeMicros(99 * SECOND));
+    staleness.confirm(98 * SECOND, 0);
+    staleness.confirm(98 * SECOND, 3 * SECOND);
     assertEquals(
-        SECOND, freshness.maxAgeMicros(99 * SECOND), "an older confirmation takes nothing back");
+        SECOND,
+        staleness.maxAgeMicros(99 * SECOND),
+        "an older confirmation does not increase the age");
   }
 
   @Test
-  void absentNamesAreRememberedForAWhileAndBounded() {
-    NegativeCache absent = new NegativeCache(2, SECOND);
-    absent.add("a", 0);
-    assertTrue(absent.contains("a", SECOND - 1));
-    assertFalse(absent.contains("a", SECOND));
-    absent.add("a", 0);
-    absent.add("b", 0);
-    absent.add("c", 0);
-    assertFalse(absent.contains("a", 1), "the one remembered for longest went");
-    absent.remove("b");
-    assertFalse(absent.contains("b", 1));
+  void absentNamesAreCachedUntilTheyExpireOrAreEvicted() {
+    NegativeCache negativeCache = new NegativeCache(2, SECOND);
+    negativeCache.add("a", 0);
+    assertTrue(negativeCache.contains("a", SECOND - 1));
+    assertFalse(negativeCache.contains("a", SECOND));
+    negativeCache.add("a", 0);
+    negativeCache.add("b", 0);
+    negativeCache.add("c", 0);
+    assertFalse(negativeCache.contains("a", 1), "the oldest entry was evicted");
+    negativeCache.remove("b");
+    assertFalse(negativeCache.contains("b", 1));
   }
 
   @Test
-  void theBoundsOfTheOperatorsAreSumsOfTheStandardTimings() {
+  void theStandardTimingsKeepTheDocumentedPropagationBounds() {
     assertTrue(DistributionTimings.STANDARD.propagationBoundMicros(1) <= 5 * SECOND);
     assertTrue(DistributionTimings.STANDARD.propagationBoundMicros(3) <= 14 * SECOND);
   }
