--- a/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
@@ -21,8 +21,8 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * One gateway's rollouts on a coordination store in memory, its settings, and the page of its
- * errors.
+ * Tests the rollouts of one gateway with an in-memory coordination store, their settings, and the
+ * completeness of the documented error codes.
  */
 class RolloutCoordinatorTest {
 
@@ -49,7 +49,7 @@
       }
       seen.add(line);
     }
-    throw new AssertionError("no " + wanted + " in " + seen);
+    throw new AssertionError("no log line contains \"" + wanted + "\"; lines seen: " + seen);
   }
 
   @Test
@@ -63,7 +63,7 @@
             "1",
             RolloutHistory.appendingTo(null),
             line -> log.add(String.valueOf(line)))) {
-      assertNull(coordinator.inForce("s"), "the safe stage until it has joined");
+      assertNull(coordinator.inForce("s"), "safe stage before the gateway has joined");
       assertNull(coordinator.beginOperation("s"));
       coordinator.start();
       awaitLine(log, "stage of s is one");
@@ -74,7 +74,7 @@
       assertEquals(
           "two",
           coordinator.status("s").get(0).stage(),
-          "nothing further while something goes on under one");
+          "no second advance while an operation is open under the stage one");
       assertTrue(
           store.list("shelffront/f/members/").values().get(0).text().contains("\"epoch\":1"));
       await()
@@ -91,11 +91,11 @@
     }
     assertTrue(
         store.list("shelffront/f/members/").values().isEmpty(),
-        "it has left: no move waits for it");
+        "closing the coordinator removes its member");
   }
 
   @Test
-  void aStateThatCantBeReadIsLoggedAndLeavesTheSafeStage() throws Exception {
+  void aMalformedStateIsLoggedAndTheSubjectStaysInTheSafeStage() throws Exception {
     BlockingQueue<String> log = new LinkedBlockingQueue<>();
     InMemoryCoordinationStore store = new InMemoryCoordinationStore();
     store.checkAndSet(
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void aSettingAtFaultIsNamedByItsPointer() throws Exception {
+  void anInvalidSettingIsReportedWithItsPointer() throws Exception {
     assertEquals(2, config("").shards());
     for (String[] bad :
         new String[][] {
@@ -135,9 +135,9 @@
     }
   }
 
-  /** Each error that there is stands on the page with its code. */
+  /** Every error code must be documented, so that an operator can look it up. */
   @Test
-  void theOperatorsPageNamesEveryError() throws Exception {
+  void theOperatorsPageDocumentsEveryErrorCode() throws Exception {
     String page = Files.readString(Path.of("../docs/operators/fleet-changes.md"));
     List<Class<?>> kinds =
         new ArrayList<>(List.of(RolloutException.class.getPermittedSubclasses()));
