--- a/core/src/main/java/shelffront/rollout/LeaseHolder.java
+++ b/core/src/main/java/shelffront/rollout/LeaseHolder.java
@@ -159,7 +159,8 @@
   private long epochToAcknowledge(long oldestOpenEpoch) {
     RolloutState state = lease.state();
     boolean isQuiet =
-        state != null && (oldestOpenEpoch >= state.epoch() || isDisabled(SafetyRule.QUIET));
+        state != null
+            && (oldestOpenEpoch >= state.epoch() || isDisabled(SafetyRule.NO_OLDER_OPERATION));
     return isQuiet ? state.epoch() : membership.acknowledgedEpoch();
   }
 
@@ -237,13 +238,13 @@
    */
   private boolean wasReadAsMember(int readTerm) {
     return readTerm == membership.term() && membership.isJoined()
-        || isDisabled(SafetyRule.JOIN_FIRST);
+        || isDisabled(SafetyRule.JOIN_BEFORE_READ);
   }
 
   private boolean isNotOlder(RolloutState state) {
     return lease.state() == null
         || state.epoch() >= lease.state().epoch()
-        || isDisabled(SafetyRule.EPOCH);
+        || isDisabled(SafetyRule.EPOCH_NEVER_DECREASES);
   }
 
   private boolean isDisabled(SafetyRule rule) {
--- a/core/src/main/java/shelffront/rollout/RolloutLeader.java
+++ b/core/src/main/java/shelffront/rollout/RolloutLeader.java
@@ -172,7 +172,7 @@
       if (before != null && before.index() == read.index() && (revoked || !wasBlind)) {
         return before;
       }
-      boolean countsFromBefore = revoked && disabledRules.contains(SafetyRule.OWN_LAPSE);
+      boolean countsFromBefore = revoked && disabledRules.contains(SafetyRule.OWN_OBSERVATION);
       return new Sighting(
           read.index(), countsFromBefore ? nowMicros - leaseExpiryMicros() : nowMicros);
     }
@@ -193,7 +193,7 @@
       boolean blocks =
           advanceWanted
               && read.member().epoch() != state.epoch()
-              && !disabledRules.contains(SafetyRule.ACKNOWLEDGED);
+              && !disabledRules.contains(SafetyRule.ALL_MEMBERS_ACKNOWLEDGED);
       if (blocks) {
         blocking.add(memberKey);
       }
@@ -221,10 +221,10 @@
 
   /** The wait after observing a revocation until no lease or operation of the member can remain. */
   private long leaseExpiryMicros() {
-    if (disabledRules.contains(SafetyRule.LAPSE)) {
+    if (disabledRules.contains(SafetyRule.REVOKED_LEASE_EXPIRY)) {
       return 0;
     }
-    return disabledRules.contains(SafetyRule.DRIFT)
+    return disabledRules.contains(SafetyRule.CLOCK_DRIFT)
         ? timings.leaseMicros() + timings.operationMicros()
         : timings.leaseExpiryBoundMicros();
   }
--- a/core/src/main/java/shelffront/rollout/SafetyRule.java
+++ b/core/src/main/java/shelffront/rollout/SafetyRule.java
@@ -10,21 +10,21 @@
   /** A lease starts when its renewal was sent, not when the response arrived. */
   LEASE_FROM_SEND,
   /** A gateway never replaces its state with one of a lower epoch. */
-  EPOCH,
+  EPOCH_NEVER_DECREASES,
   /** A gateway adopts only states that were read after it joined. */
-  JOIN_FIRST,
+  JOIN_BEFORE_READ,
   /** An advance waits for the acknowledgement of every member. */
-  ACKNOWLEDGED,
+  ALL_MEMBERS_ACKNOWLEDGED,
   /** A gateway acknowledges an epoch only once no operation is open under an older one. */
-  QUIET,
+  NO_OLDER_OPERATION,
   /** A revoked member blocks advances until its lease must have expired. */
-  LAPSE,
+  REVOKED_LEASE_EXPIRY,
   /** Each leader counts that time from its own first observation of the revocation. */
-  OWN_LAPSE,
+  OWN_OBSERVATION,
   /** That time allows for the maximum clock drift. */
-  DRIFT,
+  CLOCK_DRIFT,
   /** A leader reads the state before the members. */
-  STANDING_FIRST,
+  STATE_BEFORE_MEMBERS,
   /** Every write is a check-and-set on the index that it replaces. */
   CHECK_AND_SET
 }
--- a/core/src/test/java/shelffront/rollout/RolloutModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -513,7 +513,7 @@
                 "reads " + key));
       }
     }
-    if (holder.isMember() || disabledRules.contains(SafetyRule.JOIN_FIRST)) {
+    if (holder.isMember() || disabledRules.contains(SafetyRule.JOIN_BEFORE_READ)) {
       LeaseHolder updated = holder.onStateRead(holder.term(), store.rolloutState());
       if (updated != holder) {
         successors.accept(
@@ -648,7 +648,7 @@
               "reads the state and the members"));
       if (state.faults() > 0) {
         LeaderProcess partialRead =
-            disabledRules.contains(SafetyRule.STANDING_FIRST)
+            disabledRules.contains(SafetyRule.STATE_BEFORE_MEMBERS)
                 ? new LeaderProcess(
                     leaderProcess.leader(), leaderProcess.clock(), null, 0, store.members())
                 : new LeaderProcess(
--- a/core/src/test/java/shelffront/rollout/RolloutModelTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModelTest.java
@@ -45,14 +45,14 @@
   @CsvSource({
     "LEASE, 1, 0, true",
     "LEASE_FROM_SEND, 1, 1, true",
-    "EPOCH, 1, 1, true",
-    "JOIN_FIRST, 1, 0, false",
-    "ACKNOWLEDGED, 1, 0, true",
-    "QUIET, 1, 0, true",
-    "LAPSE, 1, 0, true",
-    "OWN_LAPSE, 2, 0, true",
-    "DRIFT, 1, 0, true",
-    "STANDING_FIRST, 2, 1, false",
+    "EPOCH_NEVER_DECREASES, 1, 1, true",
+    "JOIN_BEFORE_READ, 1, 0, false",
+    "ALL_MEMBERS_ACKNOWLEDGED, 1, 0, true",
+    "NO_OLDER_OPERATION, 1, 0, true",
+    "REVOKED_LEASE_EXPIRY, 1, 0, true",
+    "OWN_OBSERVATION, 2, 0, true",
+    "CLOCK_DRIFT, 1, 0, true",
+    "STATE_BEFORE_MEMBERS, 2, 1, false",
     "CHECK_AND_SET, 1, 0, true"
   })
   void everyDisabledRuleLeadsToAViolation(
