--- a/core/src/main/java/shelffront/rollout/LeaseHolder.java
+++ b/core/src/main/java/shelffront/rollout/LeaseHolder.java
@@ -101,11 +101,11 @@
   }
 
   /** Returns a holder that has not joined. */
-  public static LeaseHolder absent(LeaseTimings timings) {
-    return absent(timings, EnumSet.noneOf(SafetyRule.class));
+  public static LeaseHolder notJoined(LeaseTimings timings) {
+    return notJoined(timings, EnumSet.noneOf(SafetyRule.class));
   }
 
-  static LeaseHolder absent(LeaseTimings timings, Set<SafetyRule> disabledRules) {
+  static LeaseHolder notJoined(LeaseTimings timings, Set<SafetyRule> disabledRules) {
     return new LeaseHolder(
         timings, disabledRules, Membership.notJoined(FIRST_TERM), Lease.none(NEVER));
   }
@@ -121,7 +121,7 @@
   }
 
   /** Returns the last known index of the member key, or 0 before the gateway has joined. */
-  public long index() {
+  public long keyIndex() {
     return membership.keyIndex();
   }
 
@@ -133,12 +133,12 @@
   }
 
   /** Returns when the lease expires unless it is renewed. */
-  public long leaseUntil() {
+  public long leaseExpiresAtMicros() {
     return lease.expiresAtMicros();
   }
 
   /**
-   * Returns the request that is due now, or null if none is due before {@link #wakeAt}.
+   * Returns the request that is due now, or null if none is due before {@link #nextActionAtMicros}.
    *
    * @param oldestOpenEpoch the oldest epoch under which an operation of this gateway is open, or
    *     {@link Long#MAX_VALUE} if none is open
@@ -148,27 +148,27 @@
       return new ReadOwnKey();
     }
     long epoch = epochToAcknowledge(oldestOpenEpoch);
-    boolean hasToWrite =
+    boolean isWriteDue =
         !membership.isJoined()
             || epoch > membership.acknowledgedEpoch()
             || nowMicros >= lease.renewAtMicros();
-    return hasToWrite ? new Write(membership.keyIndex(), new Member(epoch, false)) : null;
+    return isWriteDue ? new Write(membership.keyIndex(), new Member(epoch, false)) : null;
   }
 
   /** The epoch of the adopted state once no older operation is open, else the previous one. */
   private long epochToAcknowledge(long oldestOpenEpoch) {
     RolloutState state = lease.state();
-    boolean isQuiet =
+    boolean mayAcknowledge =
         state != null
             && (oldestOpenEpoch >= state.epoch() || isDisabled(SafetyRule.NO_OLDER_OPERATION));
-    return isQuiet ? state.epoch() : membership.acknowledgedEpoch();
+    return mayAcknowledge ? state.epoch() : membership.acknowledgedEpoch();
   }
 
   /**
    * Returns when {@link #nextAction} has to be called again if no event other than the end of
    * operations occurs before.
    */
-  public long wakeAt() {
+  public long nextActionAtMicros() {
     return lease.renewAtMicros();
   }
 
@@ -183,23 +183,24 @@
    * Handles the response to a write.
    *
    * @param sentAtMicros when the write was sent, which is when the renewed lease starts
-   * @param taken whether the check-and-set succeeded
+   * @param succeeded whether the check-and-set succeeded
    * @param newIndex the new index of the member key if the check-and-set succeeded
    */
-  public LeaseHolder onWriteAnswered(
-      long sentAtMicros, long nowMicros, Write write, boolean taken, long newIndex) {
-    if (!taken) {
-      return onWriteUnknown(nowMicros);
+  public LeaseHolder onWriteResponse(
+      long sentAtMicros, long nowMicros, Write write, boolean succeeded, long newIndex) {
+    if (!succeeded) {
+      return onWriteOutcomeUnknown(nowMicros);
     }
-    long fromMicros = isDisabled(SafetyRule.LEASE_FROM_SEND) ? nowMicros : sentAtMicros;
+    long leaseStartMicros = isDisabled(SafetyRule.LEASE_FROM_SEND) ? nowMicros : sentAtMicros;
     return with(
         membership.atKey(newIndex, write.member().epoch()),
         lease.renewed(
-            fromMicros + timings.leaseMicros(), fromMicros + timings.renewIntervalMicros()));
+            leaseStartMicros + timings.leaseMicros(),
+            leaseStartMicros + timings.renewIntervalMicros()));
   }
 
   /** Handles a write with an unknown outcome, after which the member key has to be read. */
-  public LeaseHolder onWriteUnknown(long nowMicros) {
+  public LeaseHolder onWriteOutcomeUnknown(long nowMicros) {
     return with(
         membership.asUncertain(), lease.withRenewAt(nowMicros + timings.renewIntervalMicros()));
   }
--- a/core/src/test/java/shelffront/rollout/RolloutModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -263,7 +263,7 @@
       Gateway gateway =
           new Gateway(
               0,
-              LeaseHolder.absent(timings, disabledRules),
+              LeaseHolder.notJoined(timings, disabledRules),
               0,
               null,
               0,
@@ -281,7 +281,7 @@
             gateway.with(
                 gateway
                     .holder()
-                    .onWriteAnswered(
+                    .onWriteResponse(
                         0, 0, write, true, store.members().get(gateway.key(number)).index()));
         gateway =
             gateway.with(
@@ -449,7 +449,7 @@
               store,
               number,
               gateway.with(
-                  holder.onWriteAnswered(
+                  holder.onWriteResponse(
                       gateway.sentAt(),
                       now,
                       gateway.writeInFlight(),
@@ -472,7 +472,7 @@
                 state,
                 after,
                 number,
-                gateway.with(holder.onWriteAnswered(now, now, write, applied, index)),
+                gateway.with(holder.onWriteResponse(now, now, write, applied, index)),
                 description + (applied ? "" : " fails")));
         if (fault) {
           successors.accept(
@@ -489,7 +489,7 @@
                   state,
                   store,
                   number,
-                  gateway.with(holder.onWriteUnknown(now)),
+                  gateway.with(holder.onWriteOutcomeUnknown(now)),
                   plus(
                       state.delayedWrites(),
                       new DelayedWrite(
@@ -574,7 +574,7 @@
               store,
               number,
               gateway.withOperation(
-                  holder.inForce(now), holder.leaseUntil() + timings.operationMicros()),
+                  holder.inForce(now), holder.leaseExpiresAtMicros() + timings.operationMicros()),
               "begins an operation"));
     } else if (gateway.openUnder() != null) {
       successors.accept(
@@ -588,7 +588,7 @@
               number,
               new Gateway(
                   gateway.incarnation() + 1,
-                  LeaseHolder.absent(timings, disabledRules),
+                  LeaseHolder.notJoined(timings, disabledRules),
                   now,
                   null,
                   0,
--- a/core/src/test/java/shelffront/rollout/RolloutTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutTest.java
@@ -90,11 +90,11 @@
 
   @Test
   void aHolderJoinsTakesUpTheStateAndFallsBackWhenItsLeaseExpires() {
-    LeaseHolder holder = LeaseHolder.absent(TIMINGS);
+    LeaseHolder holder = LeaseHolder.notJoined(TIMINGS);
     assertNull(holder.onStateRead(1, FIRST_STATE).inForce(0), "not a member yet");
     LeaseHolder.Write join =
         assertInstanceOf(LeaseHolder.Write.class, holder.nextAction(0, Long.MAX_VALUE));
-    holder = holder.onWriteAnswered(0, 40, join, true, 3).onStateRead(1, FIRST_STATE);
+    holder = holder.onWriteResponse(0, 40, join, true, 3).onStateRead(1, FIRST_STATE);
     assertEquals(FIRST_STATE, holder.inForce(2_999));
     assertNull(holder.inForce(3_000), "the lease starts when the write was sent");
     assertEquals(
@@ -103,7 +103,7 @@
         "no older operation is open");
     assertNull(holder.nextAction(100, 0), "an operation is open under an older epoch");
     assertTrue(holder.waitsForOpenOperations());
-    LeaseHolder gone = holder.onWriteUnknown(100).onOwnKeyRead(110, new Member(0, true), 4);
+    LeaseHolder gone = holder.onWriteOutcomeUnknown(100).onOwnKeyRead(110, new Member(0, true), 4);
     assertNull(gone.inForce(110));
     assertFalse(gone.isMember());
     assertEquals(2, gone.term(), "the gateway rejoins under a new member key");
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
@@ -51,7 +51,7 @@
     this.errors = errors;
     this.history = history;
     this.log = log;
-    subjects.forEach(subject -> holders.put(subject, LeaseHolder.absent(timings)));
+    subjects.forEach(subject -> holders.put(subject, LeaseHolder.notJoined(timings)));
   }
 
   boolean isEmpty() {
@@ -90,7 +90,9 @@
       publish(subject);
       LeaseHolder holder = holders.get(subject);
       long holderWakeMicros =
-          holder.waitsForOpenOperations() ? MonotonicClock.nowMicros() : holder.wakeAt();
+          holder.waitsForOpenOperations()
+              ? MonotonicClock.nowMicros()
+              : holder.nextActionAtMicros();
       return Math.min(wakeAtMicros, holderWakeMicros);
     }
   }
@@ -147,8 +149,8 @@
         update(
             subject,
             newIndex.isPresent()
-                ? holder.onWriteAnswered(sentAtMicros, nowMicros, write, true, newIndex.getAsLong())
-                : holder.onWriteUnknown(nowMicros));
+                ? holder.onWriteResponse(sentAtMicros, nowMicros, write, true, newIndex.getAsLong())
+                : holder.onWriteOutcomeUnknown(nowMicros));
       }
     }
   }
@@ -194,7 +196,7 @@
     long nowMicros = MonotonicClock.nowMicros();
     LeaseHolder holder = holders.get(subject);
     RolloutState state = holder.inForce(nowMicros);
-    InForce next = state == null ? null : new InForce(state, holder.leaseUntil());
+    InForce next = state == null ? null : new InForce(state, holder.leaseExpiresAtMicros());
     InForce before = subject.snapshot();
     if (Objects.equals(next, before)) {
       return;
@@ -233,7 +235,7 @@
 
   private void removeOwnMember(Subject subject, LeaseHolder holder) {
     try {
-      store.removeMember(store.ownMemberKey(subject, holder.term()), holder.index());
+      store.removeMember(store.ownMemberKey(subject, holder.term()), holder.keyIndex());
     } catch (CoordinationException e) {
       errors.report(subject.name(), e);
     }
