--- a/core/src/main/java/shelffront/rollout/RolloutLeader.java
+++ b/core/src/main/java/shelffront/rollout/RolloutLeader.java
@@ -36,7 +36,7 @@
   public record RemoveMember(String memberKey, long expectedIndex) implements Action {}
 
   /** The index of a member's key and when this leader first read it, by the leader's clock. */
-  private record Sighting(long index, long sinceMicros) {}
+  private record Observation(long index, long sinceMicros) {}
 
   /**
    * Multiplies the suspicion timeout while no advance is pending: members that are gone block
@@ -45,43 +45,49 @@
   private static final int IDLE_SUSPICION_FACTOR = 10;
 
   /** Time of the last read before the first one; halved so that subtracting it cannot overflow. */
-  private static final long LONG_AGO = Long.MIN_VALUE / 2;
+  private static final long BEFORE_FIRST_READ_MICROS = Long.MIN_VALUE / 2;
 
-  private static final long NEVER = Long.MAX_VALUE;
+  private static final long NO_READ_DUE = Long.MAX_VALUE;
 
   private final LeaseTimings timings;
   private final Set<SafetyRule> disabledRules;
-  private final Map<String, Sighting> sightings;
+  private final Map<String, Observation> observations;
   private final List<Action> actions;
   private final List<String> blockingMembers;
   private final long lastReadAtMicros;
-  private final long wakeAtMicros;
+  private final long nextReadAtMicros;
 
   private RolloutLeader(
       LeaseTimings timings,
       Set<SafetyRule> disabledRules,
-      Map<String, Sighting> sightings,
+      Map<String, Observation> observations,
       List<Action> actions,
       List<String> blockingMembers,
       long lastReadAtMicros,
-      long wakeAtMicros) {
+      long nextReadAtMicros) {
     this.timings = timings;
     this.disabledRules = disabledRules;
-    this.sightings = sightings;
+    this.observations = observations;
     this.actions = actions;
     this.blockingMembers = blockingMembers;
     this.lastReadAtMicros = lastReadAtMicros;
-    this.wakeAtMicros = wakeAtMicros;
+    this.nextReadAtMicros = nextReadAtMicros;
   }
 
   /** Returns a leader that has not read the coordination store. */
-  public static RolloutLeader fresh(LeaseTimings timings) {
-    return fresh(timings, EnumSet.noneOf(SafetyRule.class));
+  public static RolloutLeader initial(LeaseTimings timings) {
+    return initial(timings, EnumSet.noneOf(SafetyRule.class));
   }
 
-  static RolloutLeader fresh(LeaseTimings timings, Set<SafetyRule> disabledRules) {
+  static RolloutLeader initial(LeaseTimings timings, Set<SafetyRule> disabledRules) {
     return new RolloutLeader(
-        timings, disabledRules, Map.of(), List.of(), List.of(), LONG_AGO, NEVER);
+        timings,
+        disabledRules,
+        Map.of(),
+        List.of(),
+        List.of(),
+        BEFORE_FIRST_READ_MICROS,
+        NO_READ_DUE);
   }
 
   /** Returns the writes that are due, in the order in which they must be sent. */
@@ -101,8 +107,8 @@
    * Returns when to read again if nothing changes before, or {@link Long#MAX_VALUE} if a read is
    * needed only after a change.
    */
-  public long wakeAt() {
-    return wakeAtMicros;
+  public long nextReadAtMicros() {
+    return nextReadAtMicros;
   }
 
   /** Returns a copy without actions, for use once they were performed or abandoned. */
@@ -110,11 +116,11 @@
     return new RolloutLeader(
         timings,
         disabledRules,
-        sightings,
+        observations,
         List.of(),
         blockingMembers,
         lastReadAtMicros,
-        wakeAtMicros);
+        nextReadAtMicros);
   }
 
   /**
@@ -127,8 +133,8 @@
   public RolloutLeader onRead(
       long nowMicros, RolloutState state, long stateIndex, Map<String, VersionedMember> members) {
     Review review = new Review(nowMicros, state);
-    members.forEach(review::add);
-    return review.conclude(stateIndex);
+    members.forEach(review::evaluate);
+    return review.finish(stateIndex);
   }
 
   /** Evaluates one read: collects the blocking members and the resulting actions. */
@@ -136,86 +142,87 @@
 
     private final long nowMicros;
     private final RolloutState state;
-    private final boolean advanceWanted;
-    private final boolean wasBlind;
+    private final boolean isAdvancePending;
+    private final boolean hadReadGap;
     private final long suspectAfterMicros;
-    private final Map<String, Sighting> seen = new TreeMap<>();
-    private final List<Action> wantedActions = new ArrayList<>();
+    private final Map<String, Observation> newObservations = new TreeMap<>();
+    private final List<Action> dueActions = new ArrayList<>();
     private final List<String> blocking = new ArrayList<>();
-    private long nextReadAtMicros = NEVER;
+    private long earliestReadAtMicros = NO_READ_DUE;
 
     private Review(long nowMicros, RolloutState state) {
       this.nowMicros = nowMicros;
       this.state = state;
-      advanceWanted = state.stage() != state.target();
+      isAdvancePending = state.stage() != state.target();
       // The coordination store may have been unreachable for the members too, so an interval in
       // which this leader read nothing does not count as missing renewals.
-      wasBlind = nowMicros - lastReadAtMicros > timings.suspectAfterMicros() / 2;
+      hadReadGap = nowMicros - lastReadAtMicros > timings.suspectAfterMicros() / 2;
       suspectAfterMicros =
-          timings.suspectAfterMicros() * (advanceWanted ? 1 : IDLE_SUSPICION_FACTOR);
+          timings.suspectAfterMicros() * (isAdvancePending ? 1 : IDLE_SUSPICION_FACTOR);
     }
 
-    private void add(String memberKey, VersionedMember read) {
-      Sighting sighting = sighting(memberKey, read);
-      seen.put(memberKey, sighting);
+    private void evaluate(String memberKey, VersionedMember read) {
+      Observation observation = observation(memberKey, read);
+      newObservations.put(memberKey, observation);
       if (read.member().revoked()) {
-        addRevoked(memberKey, sighting);
+        evaluateRevoked(memberKey, observation);
       } else {
-        addActive(memberKey, read, sighting);
+        evaluateActive(memberKey, read, observation);
       }
     }
 
     /** Returns the earlier observation if the key is unchanged, else a new one as of now. */
-    private Sighting sighting(String memberKey, VersionedMember read) {
-      Sighting before = sightings.get(memberKey);
+    private Observation observation(String memberKey, VersionedMember read) {
+      Observation before = observations.get(memberKey);
       boolean revoked = read.member().revoked();
-      if (before != null && before.index() == read.index() && (revoked || !wasBlind)) {
+      if (before != null && before.index() == read.index() && (revoked || !hadReadGap)) {
         return before;
       }
-      boolean countsFromBefore = revoked && disabledRules.contains(SafetyRule.OWN_OBSERVATION);
-      return new Sighting(
-          read.index(), countsFromBefore ? nowMicros - leaseExpiryMicros() : nowMicros);
+      boolean countsAsExpired = revoked && disabledRules.contains(SafetyRule.OWN_OBSERVATION);
+      return new Observation(
+          read.index(), countsAsExpired ? nowMicros - leaseExpiryMicros() : nowMicros);
     }
 
     /** A revoked member blocks an advance until its lease must have expired; then it is removed. */
-    private void addRevoked(String memberKey, Sighting sighting) {
-      long expiresAtMicros = sighting.sinceMicros() + leaseExpiryMicros();
+    private void evaluateRevoked(String memberKey, Observation observation) {
+      long expiresAtMicros = observation.sinceMicros() + leaseExpiryMicros();
       if (nowMicros >= expiresAtMicros) {
-        wantedActions.add(new RemoveMember(memberKey, sighting.index()));
+        dueActions.add(new RemoveMember(memberKey, observation.index()));
       } else {
         blocking.add(memberKey);
-        nextReadAtMicros = Math.min(nextReadAtMicros, expiresAtMicros);
+        earliestReadAtMicros = Math.min(earliestReadAtMicros, expiresAtMicros);
       }
     }
 
     /** An active member blocks an advance until it acknowledges the epoch or is revoked. */
-    private void addActive(String memberKey, VersionedMember read, Sighting sighting) {
+    private void evaluateActive(String memberKey, VersionedMember read, Observation observation) {
       boolean blocks =
-          advanceWanted
+          isAdvancePending
               && read.member().epoch() != state.epoch()
               && !disabledRules.contains(SafetyRule.ALL_MEMBERS_ACKNOWLEDGED);
       if (blocks) {
         blocking.add(memberKey);
       }
-      if (nowMicros - sighting.sinceMicros() < suspectAfterMicros) {
-        nextReadAtMicros = Math.min(nextReadAtMicros, sighting.sinceMicros() + suspectAfterMicros);
-      } else if (!advanceWanted || blocks) {
-        wantedActions.add(new Revoke(memberKey, read.index(), read.member().asRevoked()));
+      if (nowMicros - observation.sinceMicros() < suspectAfterMicros) {
+        earliestReadAtMicros =
+            Math.min(earliestReadAtMicros, observation.sinceMicros() + suspectAfterMicros);
+      } else if (!isAdvancePending || blocks) {
+        dueActions.add(new Revoke(memberKey, read.index(), read.member().asRevoked()));
       }
     }
 
-    private RolloutLeader conclude(long stateIndex) {
-      if (advanceWanted && blocking.isEmpty()) {
-        wantedActions.add(0, new Advance(stateIndex, state.next()));
+    private RolloutLeader finish(long stateIndex) {
+      if (isAdvancePending && blocking.isEmpty()) {
+        dueActions.add(0, new Advance(stateIndex, state.next()));
       }
       return new RolloutLeader(
           timings,
           disabledRules,
-          seen,
-          wantedActions,
-          advanceWanted ? blocking : List.of(),
+          newObservations,
+          dueActions,
+          isAdvancePending ? blocking : List.of(),
           nowMicros,
-          nextReadAtMicros);
+          earliestReadAtMicros);
     }
   }
 
@@ -237,12 +244,12 @@
     long greatestAgeMicros =
         Math.max(timings.suspectAfterMicros(), timings.leaseExpiryBoundMicros());
     StringBuilder text = new StringBuilder();
-    sightings.forEach(
-        (memberKey, sighting) ->
+    observations.forEach(
+        (memberKey, observation) ->
             text.append(memberKey)
-                .append(sighting.index())
+                .append(observation.index())
                 .append('@')
-                .append(Math.min(nowMicros - sighting.sinceMicros(), greatestAgeMicros))
+                .append(Math.min(nowMicros - observation.sinceMicros(), greatestAgeMicros))
                 .append(' '));
     return text.append(actions)
         .append(Math.min(nowMicros - lastReadAtMicros, timings.suspectAfterMicros()))
--- a/core/src/test/java/shelffront/rollout/RolloutModel.java
+++ b/core/src/test/java/shelffront/rollout/RolloutModel.java
@@ -290,7 +290,7 @@
       all.add(gateway);
     }
     LeaderProcess leaderProcess =
-        new LeaderProcess(RolloutLeader.fresh(timings, disabledRules), 0, null, 0, null);
+        new LeaderProcess(RolloutLeader.initial(timings, disabledRules), 0, null, 0, null);
     return new State(
         store,
         all,
@@ -713,7 +713,7 @@
               state,
               store,
               number,
-              leaderProcess.with(RolloutLeader.fresh(timings, disabledRules)),
+              leaderProcess.with(RolloutLeader.initial(timings, disabledRules)),
               state.delayedWrites(),
               state.faults() - 1,
               "restarts"));
--- a/core/src/test/java/shelffront/rollout/RolloutTest.java
+++ b/core/src/test/java/shelffront/rollout/RolloutTest.java
@@ -46,14 +46,14 @@
   @Test
   void theLeaderAdvancesOnceEveryMemberHasAcknowledged() {
     RolloutLeader leader =
-        RolloutLeader.fresh(TIMINGS).onRead(0, FIRST_STATE, 5, oneMember(1, false, 9));
+        RolloutLeader.initial(TIMINGS).onRead(0, FIRST_STATE, 5, oneMember(1, false, 9));
     assertEquals(List.of(new RolloutLeader.Advance(5, FIRST_STATE.next())), leader.actions());
     assertTrue(leader.blockingMembers().isEmpty());
   }
 
   @Test
   void aMemberThatRenewsBlocksTheAdvanceAndOneThatDoesNotIsRevoked() {
-    RolloutLeader leader = RolloutLeader.fresh(TIMINGS);
+    RolloutLeader leader = RolloutLeader.initial(TIMINGS);
     for (int i = 0; i < 20; i++) {
       leader = leader.onRead(i * 500, FIRST_STATE, 5, oneMember(0, false, 9 + i / 2));
       assertTrue(leader.actions().isEmpty(), "the member renews");
@@ -68,7 +68,7 @@
   @Test
   void noMemberIsRevokedForATimeInWhichTheLeaderReadNothing() {
     RolloutLeader leader =
-        RolloutLeader.fresh(TIMINGS).onRead(0, FIRST_STATE, 5, oneMember(0, false, 9));
+        RolloutLeader.initial(TIMINGS).onRead(0, FIRST_STATE, 5, oneMember(0, false, 9));
     leader = leader.onRead(60_000, FIRST_STATE, 5, oneMember(0, false, 9));
     assertTrue(
         leader.actions().isEmpty(), "the store may have been unreachable for the members too");
@@ -77,9 +77,9 @@
   @Test
   void aRevokedMemberIsRemovedOnceItsLeaseHasExpired() {
     RolloutLeader leader =
-        RolloutLeader.fresh(TIMINGS).onRead(0, FIRST_STATE, 5, oneMember(0, true, 9));
+        RolloutLeader.initial(TIMINGS).onRead(0, FIRST_STATE, 5, oneMember(0, true, 9));
     assertTrue(leader.actions().isEmpty());
-    assertEquals(TIMINGS.leaseExpiryBoundMicros(), leader.wakeAt());
+    assertEquals(TIMINGS.leaseExpiryBoundMicros(), leader.nextReadAtMicros());
     leader = leader.onRead(TIMINGS.leaseExpiryBoundMicros(), FIRST_STATE, 5, oneMember(0, true, 9));
     assertEquals(
         List.of(
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
@@ -130,7 +130,7 @@
     RolloutState state = read.get().state();
     RolloutLeader leader =
         leaders
-            .getOrDefault(subject, RolloutLeader.fresh(timings))
+            .getOrDefault(subject, RolloutLeader.initial(timings))
             .onRead(MonotonicClock.nowMicros(), state, read.get().index(), members);
     leaders.put(subject, leader.withoutActions());
     subject.setBlockingMembers(
@@ -140,7 +140,7 @@
     for (RolloutLeader.Action action : leader.actions()) {
       perform(subject, action);
     }
-    return state.stage() == state.target() ? leader.wakeAt() : nextPollMicros();
+    return state.stage() == state.target() ? leader.nextReadAtMicros() : nextPollMicros();
   }
 
   private long nextPollMicros() {
