--- a/core/src/main/java/shelffront/distribution/ReplicatedView.java
+++ b/core/src/main/java/shelffront/distribution/ReplicatedView.java
@@ -28,17 +28,17 @@
   /** The rules that keep the view consistent. Tests disable each one and expect a violation. */
   enum Guard {
     /** An update older than the view is discarded. */
-    VIEW_NEVER_STEPS_BACK,
+    VIEW_VERSION_NEVER_DECREASES,
     /** Changes are applied only to the version that they follow. */
-    CHANGES_FOLLOW,
+    CHANGES_ARE_CONTIGUOUS,
     /** An older state of a record does not replace a newer one. */
-    RECORD_NEVER_STEPS_BACK,
+    RECORD_VERSION_NEVER_DECREASES,
     /** A record that is absent from a snapshot is removed. */
-    ABSENT_IS_REMOVED,
+    SNAPSHOT_REMOVES_ABSENT,
     /** An update for another edition of the names is discarded. */
-    EDITION,
+    EDITION_MATCHES,
     /** A record fetched from a distributor behind this view is discarded. */
-    FETCHED_NOT_BEHIND
+    FETCHED_RECORD_NOT_STALE
   }
 
   private final Set<Guard> guards;
@@ -108,7 +108,7 @@
    *     and the record has to be fetched again
    */
   public boolean follow(String name, RecordChange fetched, Version asOf) {
-    if (asOf.isBefore(version) && guards.contains(Guard.FETCHED_NOT_BEHIND)) {
+    if (asOf.isBefore(version) && guards.contains(Guard.FETCHED_RECORD_NOT_STALE)) {
       return false;
     }
     names.add(name);
@@ -130,49 +130,52 @@
    * that come into force. An update that violates a guard is discarded and yields an empty list.
    */
   public List<RecordChange> apply(Update update, long forEdition) {
-    if (!fits(update, forEdition)) {
+    if (!satisfiesGuards(update, forEdition)) {
       return List.of();
     }
-    List<RecordChange> inForce = new ArrayList<>();
+    List<RecordChange> appliedChanges = new ArrayList<>();
     if (update instanceof Update.Snapshot snapshot) {
-      removeAbsent(snapshot, inForce);
-      putAll(snapshot.records(), inForce);
+      removeAbsent(snapshot, appliedChanges);
+      putAll(snapshot.records(), appliedChanges);
     } else if (update instanceof Update.Changes changes) {
-      putAll(changes.changes(), inForce);
+      putAll(changes.changes(), appliedChanges);
     }
     version = update.version();
-    return inForce;
+    return appliedChanges;
   }
 
-  private boolean fits(Update update, long forEdition) {
-    if (forEdition != edition && guards.contains(Guard.EDITION)) {
+  private boolean satisfiesGuards(Update update, long forEdition) {
+    if (forEdition != edition && guards.contains(Guard.EDITION_MATCHES)) {
       return false;
     }
     if (update instanceof Update.Changes changes
         && !changes.after().equals(version)
-        && guards.contains(Guard.CHANGES_FOLLOW)) {
+        && guards.contains(Guard.CHANGES_ARE_CONTIGUOUS)) {
       return false;
     }
-    return !update.version().isBefore(version) || !guards.contains(Guard.VIEW_NEVER_STEPS_BACK);
+    return !update.version().isBefore(version)
+        || !guards.contains(Guard.VIEW_VERSION_NEVER_DECREASES);
   }
 
-  private void removeAbsent(Update.Snapshot snapshot, List<RecordChange> inForce) {
+  private void removeAbsent(Update.Snapshot snapshot, List<RecordChange> appliedChanges) {
     Set<String> present = new HashSet<>();
     snapshot.records().forEach(record -> present.add(record.name()));
     for (RecordChange known : List.copyOf(records.values())) {
       // The record may have been fetched from a distributor that is ahead of this snapshot.
       boolean isAhead = snapshot.version().isBefore(known.version());
-      if (!present.contains(known.name()) && !isAhead && guards.contains(Guard.ABSENT_IS_REMOVED)) {
+      if (!present.contains(known.name())
+          && !isAhead
+          && guards.contains(Guard.SNAPSHOT_REMOVES_ABSENT)) {
         records.remove(known.name());
-        inForce.add(new RecordChange(snapshot.version(), known.name(), null));
+        appliedChanges.add(new RecordChange(snapshot.version(), known.name(), null));
       }
     }
   }
 
-  private void putAll(List<RecordChange> changes, List<RecordChange> inForce) {
+  private void putAll(List<RecordChange> changes, List<RecordChange> appliedChanges) {
     for (RecordChange change : changes) {
       if (names.contains(change.name()) && put(change)) {
-        inForce.add(change);
+        appliedChanges.add(change);
       }
     }
   }
@@ -181,7 +184,7 @@
     RecordChange known = records.get(change.name());
     if (known != null
         && !known.version().isBefore(change.version())
-        && guards.contains(Guard.RECORD_NEVER_STEPS_BACK)) {
+        && guards.contains(Guard.RECORD_VERSION_NEVER_DECREASES)) {
       return false;
     }
     if (change.isRemoval()) {
