--- a/core/src/main/java/shelffront/distribution/ChangeLog.java
+++ b/core/src/main/java/shelffront/distribution/ChangeLog.java
@@ -15,12 +15,12 @@
   private final long maxCharacters;
   private final ArrayDeque<RecordChange> changes = new ArrayDeque<>();
   private long characters;
-  private Version start; // exclusive: the log holds every change after this version
+  private Version startExclusive; // the log holds every change after this version
 
-  ChangeLog(int maxChanges, long maxCharacters, Version start) {
+  ChangeLog(int maxChanges, long maxCharacters, Version startExclusive) {
     this.maxChanges = maxChanges;
     this.maxCharacters = maxCharacters;
-    this.start = start;
+    this.startExclusive = startExclusive;
   }
 
   /** Appends the change that follows the last one, and evicts the oldest ones above a bound. */
@@ -30,7 +30,7 @@
     while (changes.size() > maxChanges || characters > maxCharacters) {
       RecordChange oldest = changes.removeFirst();
       characters -= oldest.size();
-      start = oldest.version();
+      startExclusive = oldest.version();
     }
   }
 
@@ -38,15 +38,17 @@
   void restart(Version version) {
     changes.clear();
     characters = 0;
-    start = version;
+    startExclusive = version;
   }
 
   /** Returns whether the log holds every change after this version. */
-  boolean reaches(Version after) {
-    return after.incarnation() == start.incarnation() && !after.isBefore(start);
+  boolean containsAllAfter(Version after) {
+    return after.incarnation() == startExclusive.incarnation() && !after.isBefore(startExclusive);
   }
 
-  /** Returns the matching changes after a version that the log {@link #reaches}, in order. */
+  /**
+   * Returns the matching changes after a version that the log {@link #containsAllAfter}, in order.
+   */
   List<RecordChange> after(Version version, SubscriptionFilter filter) {
     List<RecordChange> found = new ArrayList<>();
     // Iterates from the newest, since a subscriber usually lacks few of many changes.
--- a/core/src/main/java/shelffront/distribution/DistributorSelector.java
+++ b/core/src/main/java/shelffront/distribution/DistributorSelector.java
@@ -32,13 +32,13 @@
   private static final int SAME_REGION = 1;
   private static final int OTHER_REGION = 2;
 
-  private static final class Health {
+  private static final class BackoffState {
     private long backoffMicros;
-    private long leftOutUntilMicros;
+    private long backoffUntilMicros;
   }
 
   private final List<DistributorEndpoint> preferenceOrder;
-  private final Map<DistributorEndpoint, Health> healthByEndpoint = new HashMap<>();
+  private final Map<DistributorEndpoint, BackoffState> backoffByEndpoint = new HashMap<>();
   private final long jitterMicros;
   private final Random random;
 
@@ -63,7 +63,7 @@
     preferenceOrder.sort(
         Comparator.<DistributorEndpoint>comparingInt(endpoint -> distance(endpoint, region, zone))
             .thenComparingDouble(endpoint -> -rank(subscriber, endpoint)));
-    preferenceOrder.forEach(endpoint -> healthByEndpoint.put(endpoint, new Health()));
+    preferenceOrder.forEach(endpoint -> backoffByEndpoint.put(endpoint, new BackoffState()));
     this.jitterMicros = jitterMicros;
     this.random = random;
   }
@@ -77,8 +77,8 @@
 
   /** Returns the rendezvous-hashing weight of a subscriber and distributor pair. */
   private static double rank(String subscriber, DistributorEndpoint endpoint) {
-    long ownSeed = new SplittableRandom(subscriber.hashCode()).nextLong();
-    return new SplittableRandom(ownSeed ^ endpoint.address().hashCode()).nextDouble();
+    long subscriberSeed = new SplittableRandom(subscriber.hashCode()).nextLong();
+    return new SplittableRandom(subscriberSeed ^ endpoint.address().hashCode()).nextDouble();
   }
 
   /** Returns all distributors, the most preferred first. */
@@ -92,37 +92,37 @@
    */
   public Selection next(long nowMicros) {
     long startMicros = nowMicros + (jitterMicros == 0 ? 0 : random.nextLong(jitterMicros));
-    DistributorEndpoint soonest = preferenceOrder.get(0);
+    DistributorEndpoint earliest = preferenceOrder.get(0);
     for (DistributorEndpoint endpoint : preferenceOrder) {
-      if (leftOutUntilMicros(endpoint) <= startMicros) {
+      if (backoffUntilMicros(endpoint) <= startMicros) {
         return new Selection(endpoint, startMicros);
       }
-      if (leftOutUntilMicros(endpoint) < leftOutUntilMicros(soonest)) {
-        soonest = endpoint;
+      if (backoffUntilMicros(endpoint) < backoffUntilMicros(earliest)) {
+        earliest = endpoint;
       }
     }
-    return new Selection(soonest, leftOutUntilMicros(soonest));
+    return new Selection(earliest, backoffUntilMicros(earliest));
   }
 
-  private long leftOutUntilMicros(DistributorEndpoint endpoint) {
-    return healthByEndpoint.get(endpoint).leftOutUntilMicros;
+  private long backoffUntilMicros(DistributorEndpoint endpoint) {
+    return backoffByEndpoint.get(endpoint).backoffUntilMicros;
   }
 
   /** Records a broken connection, a timeout, or a view older than that of another distributor. */
   public void recordFailure(DistributorEndpoint endpoint, long nowMicros) {
-    Health health = healthByEndpoint.get(endpoint);
-    health.backoffMicros =
-        health.backoffMicros == 0
+    BackoffState backoff = backoffByEndpoint.get(endpoint);
+    backoff.backoffMicros =
+        backoff.backoffMicros == 0
             ? INITIAL_BACKOFF_MICROS
-            : Math.min(MAX_BACKOFF_MICROS, 2 * health.backoffMicros);
-    health.leftOutUntilMicros = nowMicros + health.backoffMicros;
+            : Math.min(MAX_BACKOFF_MICROS, 2 * backoff.backoffMicros);
+    backoff.backoffUntilMicros = nowMicros + backoff.backoffMicros;
   }
 
   /** Records an up-to-date response, which ends the backoff. */
   public void recordSuccess(DistributorEndpoint endpoint) {
-    Health health = healthByEndpoint.get(endpoint);
-    health.backoffMicros = 0;
-    health.leftOutUntilMicros = 0;
+    BackoffState backoff = backoffByEndpoint.get(endpoint);
+    backoff.backoffMicros = 0;
+    backoff.backoffUntilMicros = 0;
   }
 
   /** Returns whether a distributor preferred to the current one is not in backoff. */
@@ -131,7 +131,7 @@
       if (endpoint.equals(current)) {
         return false;
       }
-      if (leftOutUntilMicros(endpoint) <= nowMicros) {
+      if (backoffUntilMicros(endpoint) <= nowMicros) {
         return true;
       }
     }
--- a/core/src/main/java/shelffront/distribution/RecordTable.java
+++ b/core/src/main/java/shelffront/distribution/RecordTable.java
@@ -92,7 +92,7 @@
     if (version.isBefore(subscriberVersion)) {
       return null;
     }
-    return log.reaches(subscriberVersion)
+    return log.containsAllAfter(subscriberVersion)
         ? new Update.Changes(subscriberVersion, version, log.after(subscriberVersion, filter))
         : snapshot(filter);
   }
