--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
@@ -196,13 +196,13 @@
     long nowMicros = MonotonicClock.nowMicros();
     LeaseHolder holder = holders.get(subject);
     RolloutState state = holder.inForce(nowMicros);
-    InForce next = state == null ? null : new InForce(state, holder.leaseExpiresAtMicros());
-    InForce before = subject.snapshot();
+    LeasedState next = state == null ? null : new LeasedState(state, holder.leaseExpiresAtMicros());
+    LeasedState before = subject.snapshot();
     if (Objects.equals(next, before)) {
       return;
     }
     subject.setSnapshot(next);
-    long untilMicros = next == null ? nowMicros : next.untilMicros();
+    long untilMicros = next == null ? nowMicros : next.expiresAtMicros();
     history.recordInForce(store.instance(), subject.name(), state, untilMicros, nowMicros);
     if (next == null || before == null || !state.equals(before.state())) {
       logInForce(subject, state);
--- a/gateway/src/main/java/shelffront/rolloutcontrol/InForce.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeasedState.java
@@ -6,11 +6,11 @@
  * The rollout state under which a gateway may act, and the expiry of its lease. Immutable.
  *
  * @param state the adopted rollout state of the subject
- * @param untilMicros when the lease expires
+ * @param expiresAtMicros when the lease expires
  */
-record InForce(RolloutState state, long untilMicros) {
+record LeasedState(RolloutState state, long expiresAtMicros) {
 
   boolean isExpired(long nowMicros) {
-    return nowMicros >= untilMicros;
+    return nowMicros >= expiresAtMicros;
   }
 }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/Subject.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/Subject.java
@@ -16,7 +16,7 @@
   private final String name;
   private final List<String> stages;
   private final OpenOperations openOperations = new OpenOperations();
-  private volatile InForce inForce;
+  private volatile LeasedState leasedState;
   private volatile List<String> blockingMembers = List.of();
 
   Subject(String name, List<String> stages) {
@@ -42,17 +42,17 @@
   }
 
   /** Returns the last snapshot, which may have expired, or null in the safe stage. */
-  InForce snapshot() {
-    return inForce;
+  LeasedState snapshot() {
+    return leasedState;
   }
 
-  void setSnapshot(InForce snapshot) {
-    inForce = snapshot;
+  void setSnapshot(LeasedState snapshot) {
+    leasedState = snapshot;
   }
 
   /** Returns the state in force now, or null in the safe stage. */
   RolloutState stateInForce() {
-    InForce snapshot = inForce;
+    LeasedState snapshot = leasedState;
     return snapshot == null || snapshot.isExpired(MonotonicClock.nowMicros())
         ? null
         : snapshot.state();
@@ -66,7 +66,7 @@
         return null;
       }
       openOperations.enter(state.epoch());
-      InForce after = inForce;
+      LeasedState after = leasedState;
       // If the state changed in between, the open operations may have been checked, and the new
       // epoch acknowledged, before this operation was counted. Only an unchanged epoch excludes
       // that, because each change is published before that check.
