--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeaseManager.java
@@ -25,7 +25,7 @@
  * and {@link #wake} from another. The holders are guarded by this object's lock, which is never
  * held during a call of the coordination store.
  */
-final class LeaseKeeper implements Runnable {
+final class LeaseManager implements Runnable {
 
   private final List<Subject> subjects;
   private final LeaseTimings timings;
@@ -36,7 +36,7 @@
   private final EventLog log;
   private final Map<Subject, LeaseHolder> holders = new HashMap<>();
 
-  LeaseKeeper(
+  LeaseManager(
       List<Subject> subjects,
       LeaseTimings timings,
       RolloutStore store,
@@ -63,7 +63,7 @@
     while (!threads.isClosed()) {
       long wakeAtMicros = MonotonicClock.nowMicros() + timings.renewIntervalMicros();
       for (Subject subject : subjects) {
-        wakeAtMicros = keep(subject, wakeAtMicros);
+        wakeAtMicros = process(subject, wakeAtMicros);
       }
       synchronized (this) {
         threads.pause(this, wakeAtMicros);
@@ -72,13 +72,13 @@
   }
 
   /** Performs all due actions of a subject and returns when to process it next, capped as given. */
-  private long keep(Subject subject, long latestMicros) {
-    long wakeAtMicros = latestMicros;
+  private long process(Subject subject, long latestWakeMicros) {
+    long wakeAtMicros = latestWakeMicros;
     try {
-      boolean mayWantMore = true;
-      while (mayWantMore && !threads.isClosed()) {
-        mayWantMore = performNextAction(subject);
-        if (mayWantMore) {
+      boolean mayHaveMoreActions = true;
+      while (mayHaveMoreActions && !threads.isClosed()) {
+        mayHaveMoreActions = performNextAction(subject);
+        if (mayHaveMoreActions) {
           errors.clear(subject.name());
         }
       }
@@ -221,12 +221,12 @@
    * Returns all subjects to the safe stage; called after the thread has ended. Memberships without
    * open operations are removed, so that no advance waits for them. The others expire.
    */
-  void leave() {
+  void releaseAll() {
     for (Subject subject : subjects) {
       subject.setSnapshot(null);
       LeaseHolder holder = holders.get(subject);
-      boolean isQuiet = subject.openOperations().oldestEpoch() == OpenOperations.NONE;
-      if (isQuiet && holder.isMember()) {
+      boolean hasNoOpenOperations = subject.openOperations().oldestEpoch() == OpenOperations.NONE;
+      if (hasNoOpenOperations && holder.isMember()) {
         removeOwnMember(subject, holder);
       }
       history.recordInForce(store.instance(), subject.name(), null, 0, MonotonicClock.nowMicros());
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
@@ -23,11 +23,11 @@
  * <p>Invariant: a stage is in force only under a lease. Without a lease a subject is in the safe
  * stage, in which no operation begins.
  *
- * <p>Threads: one for each shard of subjects ({@link LeaseKeeper}), one that watches rollout states
- * ({@link StateWatcher}), and one that campaigns for leadership ({@link LeadershipLoop}). {@link
- * #inForce} and {@link #beginOperation} read a snapshot without a lock; use the latter for an
- * operation that takes time. {@link #status} and {@link #requestStage} call the coordination store
- * and block for a bounded time.
+ * <p>Threads: one for each shard of subjects ({@link LeaseManager}), one that watches rollout
+ * states ({@link StateWatcher}), and one that campaigns for leadership ({@link LeadershipLoop}).
+ * {@link #inForce} and {@link #beginOperation} read a snapshot without a lock; use the latter for
+ * an operation that takes time. {@link #status} and {@link #requestStage} call the coordination
+ * store and block for a bounded time.
  */
 public final class RolloutCoordinator implements AutoCloseable {
 
@@ -38,7 +38,7 @@
   private static final RolloutState NO_STATE = new RolloutState(0, 0, 0);
 
   private final Map<String, Subject> subjects = new HashMap<>();
-  private final List<LeaseKeeper> keepers = new ArrayList<>();
+  private final List<LeaseManager> leaseManagers = new ArrayList<>();
   private final RolloutStore store;
   private final RolloutHistory history;
   private final WorkerThreads threads;
@@ -65,11 +65,11 @@
     threads = new WorkerThreads(log);
     ErrorReporter errors = new ErrorReporter(log);
     for (List<Subject> shard : shards(config)) {
-      keepers.add(new LeaseKeeper(shard, timings, store, threads, errors, history, log));
+      leaseManagers.add(new LeaseManager(shard, timings, store, threads, errors, history, log));
     }
     leadership =
         new LeadershipLoop(subjects.values(), timings, store, threads, errors, history, log);
-    watcher = new StateWatcher(keepers, leadership, timings, store, threads, errors);
+    watcher = new StateWatcher(leaseManagers, leadership, timings, store, threads, errors);
   }
 
   /** Distributes the subjects over the shards by hash; a shard may be empty. */
@@ -91,9 +91,9 @@
 
   /** Starts the threads; this gateway then joins as a member of each subject. */
   public void start() {
-    for (int i = 0; i < keepers.size(); i++) {
-      if (!keepers.get(i).isEmpty()) {
-        threads.start("stages-" + i, keepers.get(i));
+    for (int i = 0; i < leaseManagers.size(); i++) {
+      if (!leaseManagers.get(i).isEmpty()) {
+        threads.start("stages-" + i, leaseManagers.get(i));
       }
     }
     threads.start("stages-watch", watcher);
@@ -187,7 +187,7 @@
   @Override
   public void close() {
     threads.close();
-    keepers.forEach(LeaseKeeper::leave);
+    leaseManagers.forEach(LeaseManager::releaseAll);
     store.close();
     history.close();
   }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
@@ -13,7 +13,7 @@
 
   private static final String ERROR_SOURCE = "watch";
 
-  private final List<LeaseKeeper> keepers;
+  private final List<LeaseManager> leaseManagers;
   private final LeadershipLoop leadership;
   private final LeaseTimings timings;
   private final RolloutStore store;
@@ -21,13 +21,13 @@
   private final ErrorReporter errors;
 
   StateWatcher(
-      List<LeaseKeeper> keepers,
+      List<LeaseManager> leaseManagers,
       LeadershipLoop leadership,
       LeaseTimings timings,
       RolloutStore store,
       WorkerThreads threads,
       ErrorReporter errors) {
-    this.keepers = keepers;
+    this.leaseManagers = leaseManagers;
     this.leadership = leadership;
     this.timings = timings;
     this.store = store;
@@ -57,9 +57,9 @@
       index = 0; // the store was reset or restored from older data
     }
     if (index != lastIndex) {
-      for (LeaseKeeper keeper : keepers) {
-        keeper.readStates();
-        keeper.wake();
+      for (LeaseManager leaseManager : leaseManagers) {
+        leaseManager.readStates();
+        leaseManager.wake();
       }
       leadership.wake();
     }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/Subject.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/Subject.java
@@ -8,7 +8,7 @@
  * operations.
  *
  * <p>Threads: any thread may read and begin operations without a lock. The snapshot is written by
- * the {@link LeaseKeeper} of the subject's shard, under its lock until its thread has ended. The
+ * the {@link LeaseManager} of the subject's shard, under its lock until its thread has ended. The
  * blocking members are written by the {@link LeadershipLoop}.
  */
 final class Subject {
