--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
@@ -19,7 +19,7 @@
  * safety of rollouts is ensured by {@link RolloutLeader} and does not depend on it.
  *
  * <p>Threads: {@link #run} has a thread of its own, which alone modifies this object's state. Other
- * threads call {@link #leads} and {@link #wake}.
+ * threads call {@link #isLeader} and {@link #wake}.
  */
 final class LeadershipLoop implements Runnable {
 
@@ -47,7 +47,7 @@
   private long leaderKeyIndex;
   private long leaderKeySinceMicros;
   private long heartbeat;
-  private volatile boolean leads;
+  private volatile boolean isLeader;
 
   LeadershipLoop(
       Collection<Subject> subjects,
@@ -67,8 +67,8 @@
   }
 
   /** Returns whether this gateway was the leader at its last check; it may have been replaced. */
-  boolean leads() {
-    return leads;
+  boolean isLeader() {
+    return isLeader;
   }
 
   /** Makes the thread process its subjects now. */
@@ -83,9 +83,9 @@
       long wakeAtMicros = MonotonicClock.nowMicros() + timings.renewIntervalMicros();
       try {
         renewOrTakeOver();
-        if (leads) {
+        if (isLeader) {
           for (Subject subject : subjects) {
-            wakeAtMicros = Math.min(wakeAtMicros, lead(subject));
+            wakeAtMicros = Math.min(wakeAtMicros, process(subject));
           }
         }
         errors.clear(ERROR_SOURCE);
@@ -104,22 +104,22 @@
       leaderKeyIndex = key.index();
       leaderKeySinceMicros = MonotonicClock.nowMicros();
     }
-    boolean led = leads;
-    leads = (key.isOwn() || isFree(key)) && store.writeLeader(key.index(), ++heartbeat);
-    if (leads != led) {
-      log.println(leads ? "owns the fleet's stages" : "owns the fleet's stages no longer");
+    boolean wasLeader = isLeader;
+    isLeader = (key.isOwn() || isAbsentOrStale(key)) && store.writeLeader(key.index(), ++heartbeat);
+    if (isLeader != wasLeader) {
+      log.println(isLeader ? "owns the fleet's stages" : "owns the fleet's stages no longer");
       leaders.clear(); // observations from an earlier leadership do not cover the time in between
       subjects.forEach(subject -> subject.setBlockingMembers(List.of()));
     }
   }
 
-  private boolean isFree(RolloutStore.LeaderKey key) {
+  private boolean isAbsentOrStale(RolloutStore.LeaderKey key) {
     long unchangedMicros = MonotonicClock.nowMicros() - leaderKeySinceMicros;
     return key.index() == 0 || unchangedMicros > TAKEOVER_FACTOR * timings.suspectAfterMicros();
   }
 
   /** Reads a subject, performs the actions that are due, and returns when to read it again. */
-  private long lead(Subject subject) throws CoordinationException {
+  private long process(Subject subject) throws CoordinationException {
     Optional<RolloutStore.VersionedState> read = store.readState(subject);
     if (read.isEmpty()) {
       store.writeState(subject, 0, RolloutCoordinator.FIRST_STATE);
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
@@ -156,7 +156,7 @@
         subject.stageName(state.target()),
         state.epoch(),
         here == null ? null : subject.stageName(here.stage()),
-        leadership.leads(),
+        leadership.isLeader(),
         subject.blockingMembers());
   }
 
