--- a/gateway/src/main/java/shelffront/rolloutcontrol/OpenOperations.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/OpenOperations.java
@@ -11,11 +11,11 @@
 
   private final ConcurrentSkipListMap<Long, Integer> countByEpoch = new ConcurrentSkipListMap<>();
 
-  void enter(long epoch) {
+  void begin(long epoch) {
     countByEpoch.merge(epoch, 1, Integer::sum);
   }
 
-  void leave(long epoch) {
+  void end(long epoch) {
     countByEpoch.computeIfPresent(epoch, (key, count) -> count == 1 ? null : count - 1);
   }
 
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
@@ -153,10 +153,10 @@
   }
 
   /** The bounds of a whole number, inclusive, and its default. */
-  private record Range(long least, long most, long absent) {
+  private record Range(long min, long max, long defaultValue) {
 
     boolean contains(JsonNode value) {
-      return value.isIntegralNumber() && value.asLong() >= least && value.asLong() <= most;
+      return value.isIntegralNumber() && value.asLong() >= min && value.asLong() <= max;
     }
   }
 
@@ -166,8 +166,8 @@
     if (!value.isMissingNode() && !range.contains(value)) {
       throw new SpecException(
           pointer + "/" + field,
-          "is not a whole number from " + range.least() + " to " + range.most());
+          "is not a whole number from " + range.min() + " to " + range.max());
     }
-    return value.asLong(range.absent());
+    return value.asLong(range.defaultValue());
   }
 }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutStore.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutStore.java
@@ -86,7 +86,7 @@
   }
 
   /** Waits until the states change after the given index or the watch ends; returns the index. */
-  long awaitStates(long afterIndex) throws CoordinationException {
+  long awaitStateChange(long afterIndex) throws CoordinationException {
     return store.watch(statePrefix, afterIndex).index();
   }
 
--- a/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
@@ -51,7 +51,7 @@
 
   /** Waits for a change after an index and returns the index for the next watch. */
   private long watch(long lastIndex) throws CoordinationException {
-    long index = store.awaitStates(lastIndex);
+    long index = store.awaitStateChange(lastIndex);
     errors.clear(ERROR_SOURCE);
     if (index < lastIndex) {
       index = 0; // the store was reset or restored from older data
--- a/gateway/src/main/java/shelffront/rolloutcontrol/Subject.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/Subject.java
@@ -65,7 +65,7 @@
       if (state == null) {
         return null;
       }
-      openOperations.enter(state.epoch());
+      openOperations.begin(state.epoch());
       LeasedState after = leasedState;
       // If the state changed in between, the open operations may have been checked, and the new
       // epoch acknowledged, before this operation was counted. Only an unchanged epoch excludes
@@ -73,7 +73,7 @@
       if (after != null && after.state().epoch() == state.epoch()) {
         return new CountedOperation(state);
       }
-      openOperations.leave(state.epoch());
+      openOperations.end(state.epoch());
     }
   }
 
@@ -104,7 +104,7 @@
     public synchronized void close() {
       if (!closed) {
         closed = true;
-        openOperations.leave(state.epoch());
+        openOperations.end(state.epoch());
       }
     }
   }
