--- a/gateway/src/main/java/shelffront/rolloutcontrol/ErrorReporter.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/ErrorReporter.java
@@ -17,7 +17,7 @@
 
   void report(String source, CoordinationException error) {
     if (!error.code().equals(lastCodeBySource.put(source, error.code()))) {
-      log.println("stages " + source + " " + error.code() + ": " + error.getMessage());
+      log.println("rollout " + source + ": " + error.code() + ": " + error.getMessage());
     }
   }
 
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
@@ -23,7 +23,7 @@
  */
 final class LeadershipLoop implements Runnable {
 
-  private static final String ERROR_SOURCE = "owner";
+  private static final String ERROR_SOURCE = "leadership";
 
   /** A leader key unchanged for this multiple of the suspicion timeout is taken over. */
   private static final int TAKEOVER_FACTOR = 2;
@@ -107,7 +107,10 @@
     boolean wasLeader = isLeader;
     isLeader = (key.isOwn() || isAbsentOrStale(key)) && store.writeLeader(key.index(), ++heartbeat);
     if (isLeader != wasLeader) {
-      log.println(isLeader ? "owns the fleet's stages" : "owns the fleet's stages no longer");
+      log.println(
+          "rollout leadership: instance "
+              + store.instance()
+              + (isLeader ? " is now the leader" : " is no longer the leader"));
       leaders.clear(); // observations from an earlier leadership do not cover the time in between
       subjects.forEach(subject -> subject.setBlockingMembers(List.of()));
     }
@@ -164,9 +167,9 @@
     if (store.writeState(subject, advance.expectedIndex(), newState)) {
       history.recordAdvance(store.instance(), subject.name(), newState, MonotonicClock.nowMicros());
       log.println(
-          "moved "
+          "rollout "
               + subject.name()
-              + " to "
+              + ": advanced to stage "
               + subject.stageName(newState.stage())
               + ", epoch "
               + newState.epoch());
@@ -176,9 +179,9 @@
   private void revoke(RolloutLeader.Revoke revoke) throws CoordinationException {
     if (store.revoke(revoke.memberKey(), revoke.expectedIndex(), revoke.revoked())) {
       log.println(
-          "revoked "
+          "rollout leadership: revoked member "
               + revoke.memberKey()
-              + ", which did not renew; its lease may run for "
+              + " because it stopped renewing its lease; the lease may remain valid for up to "
               + timings.leaseExpiryBoundMicros() / MICROS_PER_MILLI
               + " ms");
     }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeaseManager.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeaseManager.java
@@ -212,9 +212,9 @@
   private void logInForce(Subject subject, RolloutState state) {
     String stage =
         state == null
-            ? "the safe one"
-            : subject.stageName(state.stage()) + ", epoch " + state.epoch();
-    log.println("stage of " + subject.name() + " is " + stage);
+            ? "safe stage in force"
+            : "stage " + subject.stageName(state.stage()) + " in force, epoch " + state.epoch();
+    log.println("rollout " + subject.name() + ": " + stage);
   }
 
   /**
--- a/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
@@ -11,7 +11,7 @@
  */
 final class StateWatcher implements Runnable {
 
-  private static final String ERROR_SOURCE = "watch";
+  private static final String ERROR_SOURCE = "state watch";
 
   private final List<LeaseManager> leaseManagers;
   private final LeadershipLoop leadership;
--- a/gateway/src/main/java/shelffront/rolloutcontrol/WorkerThreads.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/WorkerThreads.java
@@ -35,7 +35,8 @@
     try {
       task.run();
     } catch (RuntimeException e) {
-      log.println(name + " has ended, what it kept in force lapses: " + e);
+      log.println(
+          "thread " + name + " ended by an exception; leases that it renewed will expire: " + e);
     }
   }
 
--- a/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
@@ -66,11 +66,11 @@
       assertNull(coordinator.inForce("s"), "safe stage before the gateway has joined");
       assertNull(coordinator.beginOperation("s"));
       coordinator.start();
-      awaitLine(log, "stage of s is one");
+      awaitLine(log, "rollout s: stage one in force, epoch ");
       Operation operation = coordinator.beginOperation("s");
       assertEquals(1, operation.state().epoch());
       coordinator.requestStage("s", "three");
-      awaitLine(log, "stage of s is two");
+      awaitLine(log, "rollout s: stage two in force, epoch ");
       assertEquals(
           "two",
           coordinator.status("s").get(0).stage(),
@@ -82,7 +82,7 @@
           .until(() -> coordinator.status("s").get(0).blockingMembers().equals(List.of("g-1.1")));
       operation.close();
       operation.close();
-      awaitLine(log, "stage of s is three");
+      awaitLine(log, "rollout s: stage three in force, epoch ");
       assertThrows(
           RolloutException.UnknownStage.class, () -> coordinator.requestStage("s", "nine"));
       assertThrows(RolloutException.UnknownSubject.class, () -> coordinator.inForce("t"));
