--- a/core/src/main/java/shelffront/distribution/DistributorSelector.java
+++ b/core/src/main/java/shelffront/distribution/DistributorSelector.java
@@ -9,43 +9,44 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects which distributor a subscriber asks next, and when.
+ * Selects the distributor that a subscriber connects to next, and when.
  *
- * <p>Invariants: those of its own zone come first, then those of its region, then any; within each
- * group the order is that of rendezvous hashing over the subscriber's name, so that the subscribers
- * of one that fails spread evenly over the others. One that failed is left out for a backoff that
- * doubles. Times are microseconds. Threads: belongs to its subscriber's.
+ * <p>Invariants: distributors of the subscriber's zone come first, then those of its region, then
+ * all others. Within each group the order is that of rendezvous hashing over the subscriber's name,
+ * so that the subscribers of a failed distributor spread evenly over the others. A failed
+ * distributor is skipped for a backoff that doubles with each failure. Times are microseconds.
+ * Threads: confined to the subscriber's thread.
  */
 public final class DistributorSelector {
 
   /** The backoff after a first failure. */
   public static final long INITIAL_BACKOFF_MICROS = 500_000;
 
-  /** The longest backoff. */
+  /** The upper bound of the backoff. */
   public static final long MAX_BACKOFF_MICROS = 2_000_000;
 
-  /** Which distributor to ask, and from when on. */
+  /** The distributor to connect to and the earliest time to do so. */
   public record Selection(DistributorEndpoint endpoint, long atMicros) {}
 
   private static final int SAME_ZONE = 0;
   private static final int SAME_REGION = 1;
   private static final int OTHER_REGION = 2;
 
-  private static final class Health {
+  private static final class BackoffState {
     private long backoffMicros;
-    private long leftOutUntilMicros;
+    private long backoffUntilMicros;
   }
 
   private final List<DistributorEndpoint> preferenceOrder;
-  private final Map<DistributorEndpoint, Health> healthByEndpoint = new HashMap<>();
+  private final Map<DistributorEndpoint, BackoffState> backoffByEndpoint = new HashMap<>();
   private final long jitterMicros;
   private final Random random;
 
   /**
-   * A selector for one subscriber.
+   * Creates a selector for one subscriber.
    *
-   * @param endpoints one at least, in any order
-   * @param jitterMicros reconnects begin at a random moment within so many microseconds
+   * @param endpoints the distributors in any order; must not be empty
+   * @param jitterMicros the upper bound of the random delay before each connect
    */
   public DistributorSelector(
       String subscriber,
@@ -55,13 +56,14 @@
       long jitterMicros,
       Random random) {
     if (endpoints.isEmpty()) {
-      throw new IllegalArgumentException("there is no distributor to ask");
+      throw new IllegalArgumentException(
+          "no distributors configured for subscriber " + subscriber + "; at least one is required");
     }
     preferenceOrder = new ArrayList<>(endpoints);
     preferenceOrder.sort(
         Comparator.<DistributorEndpoint>comparingInt(endpoint -> distance(endpoint, region, zone))
             .thenComparingDouble(endpoint -> -rank(subscriber, endpoint)));
-    preferenceOrder.forEach(endpoint -> healthByEndpoint.put(endpoint, new Health()));
+    preferenceOrder.forEach(endpoint -> backoffByEndpoint.put(endpoint, new BackoffState()));
     this.jitterMicros = jitterMicros;
     this.random = random;
   }
@@ -73,63 +75,63 @@
     return endpoint.zone().equals(zone) ? SAME_ZONE : SAME_REGION;
   }
 
-  /** Rendezvous hashing: a random figure that the subscriber and the distributor determine. */
+  /** Returns the rendezvous-hashing weight of a subscriber and distributor pair. */
   private static double rank(String subscriber, DistributorEndpoint endpoint) {
-    long ownSeed = new SplittableRandom(subscriber.hashCode()).nextLong();
-    return new SplittableRandom(ownSeed ^ endpoint.address().hashCode()).nextDouble();
+    long subscriberSeed = new SplittableRandom(subscriber.hashCode()).nextLong();
+    return new SplittableRandom(subscriberSeed ^ endpoint.address().hashCode()).nextDouble();
   }
 
-  /** All of them, the preferred first. */
+  /** Returns all distributors, the most preferred first. */
   public List<DistributorEndpoint> preferenceOrder() {
     return List.copyOf(preferenceOrder);
   }
 
   /**
-   * The first that is not left out, at a moment within the jitter; else the one that comes back
-   * first.
+   * Returns the most preferred distributor that is not in backoff, delayed by a random jitter. If
+   * all are in backoff, returns the one whose backoff ends first.
    */
   public Selection next(long nowMicros) {
     long startMicros = nowMicros + (jitterMicros == 0 ? 0 : random.nextLong(jitterMicros));
-    DistributorEndpoint soonest = preferenceOrder.get(0);
+    DistributorEndpoint earliest = preferenceOrder.get(0);
     for (DistributorEndpoint endpoint : preferenceOrder) {
-      if (leftOutUntilMicros(endpoint) <= startMicros) {
+      if (backoffUntilMicros(endpoint) <= startMicros) {
         return new Selection(endpoint, startMicros);
       }
-      if (leftOutUntilMicros(endpoint) < leftOutUntilMicros(soonest)) {
-        soonest = endpoint;
+      if (backoffUntilMicros(endpoint) < backoffUntilMicros(earliest)) {
+        earliest = endpoint;
       }
     }
-    return new Selection(soonest, leftOutUntilMicros(soonest));
+    return new Selection(earliest, backoffUntilMicros(earliest));
   }
 
-  private long leftOutUntilMicros(DistributorEndpoint endpoint) {
-    return healthByEndpoint.get(endpoint).leftOutUntilMicros;
+  private long backoffUntilMicros(DistributorEndpoint endpoint) {
+    return backoffByEndpoint.get(endpoint).backoffUntilMicros;
   }
 
-  /** It broke, was silent, or its view was older than another's. */
+  /** Records a broken connection, a timeout, or a view older than that of another distributor. */
   public void recordFailure(DistributorEndpoint endpoint, long nowMicros) {
-    Health health = healthByEndpoint.get(endpoint);
-    health.backoffMicros =
-        health.backoffMicros == 0
+    BackoffState backoff = backoffByEndpoint.get(endpoint);
+    backoff.backoffMicros =
+        backoff.backoffMicros == 0
             ? INITIAL_BACKOFF_MICROS
-            : Math.min(MAX_BACKOFF_MICROS, 2 * health.backoffMicros);
-    health.leftOutUntilMicros = nowMicros + health.backoffMicros;
+            : Math.min(MAX_BACKOFF_MICROS, 2 * backoff.backoffMicros);
+    backoff.backoffUntilMicros = nowMicros + backoff.backoffMicros;
   }
 
-  /** It gave a fresh answer. */
+  /** Records an up-to-date response, which ends the backoff. */
   public void recordSuccess(DistributorEndpoint endpoint) {
-    Health health = healthByEndpoint.get(endpoint);
-    health.backoffMicros = 0;
-    health.leftOutUntilMicros = 0;
+    BackoffState backoff = backoffByEndpoint.get(endpoint);
+    backoff.backoffMicros = 0;
+    backoff.backoffUntilMicros = 0;
   }
 
-  /** Whether one that is preferred to this could be tried again. */
+  /** Returns whether a distributor preferred to the current one is not in backoff. */
   public boolean hasPreferredAlternative(DistributorEndpoint current, long nowMicros) {
     for (DistributorEndpoint endpoint : preferenceOrder) {
       if (endpoint.equals(current)) {
         return false;
       }
-      if (leftOutUntilMicros(endpoint) <= nowMicros) {
+      if (backoffUntilMicros(endpoint) <= nowMicros) {
         return true;
       }
     }
--- a/core/src/main/java/shelffront/rollout/RolloutLeader.java
+++ b/core/src/main/java/shelffront/rollout/RolloutLeader.java
@@ -10,234 +10,246 @@
 /**
  * Decides when a subject advances to its next stage, and which members are revoked and removed.
  *
- * <p>Invariants: it advances only where each member has acknowledged the state that was read, or
- * was seen revoked by this leader itself for longer than any lease can last. Any gateway may lead,
- * several at once by mistake too: each write names the index that it replaces, so of two only one
- * is taken.
+ * <p>Invariants: a subject advances only if each member has acknowledged the state that was read,
+ * or this leader itself has observed the member as revoked for longer than any lease can last. Any
+ * gateway may lead. Two concurrent leaders are safe, because every write is a check-and-set on the
+ * index that it replaces and only one of two conflicting writes succeeds.
  *
- * <p>A value: a read of the coordination store gives the next one, so any thread may read it. Times
- * are microseconds of the leader's own monotonic clock.
+ * <p>Immutable: each read of the coordination store returns the next value, so any thread may read
+ * one. Times are microseconds of the leader's own monotonic clock.
  */
 public final class RolloutLeader {
 
-  /** A member as it was read. */
+  /** A member and the index of its key. */
   public record VersionedMember(Member member, long index) {}
 
-  /**
-   * What it wants done at the coordination store, in this order; each only where the key still has
-   * the index.
-   */
+  /** A write to the coordination store, applied only if the key still has the expected index. */
   public sealed interface Action {}
 
   /** Advance the subject to its next stage. */
   public record Advance(long expectedIndex, RolloutState newState) implements Action {}
 
-  /** End a membership that holds up an advance. */
+  /** End the membership of a member that has stopped renewing. */
   public record Revoke(String memberKey, long expectedIndex, Member revoked) implements Action {}
 
-  /** Remove the key of a revoked member whose lease has expired for certain. */
+  /** Remove the key of a revoked member whose lease must have expired. */
   public record RemoveMember(String memberKey, long expectedIndex) implements Action {}
 
-  /** Since when a member's key has had the same index, by the leader's clock. */
-  private record Sighting(long index, long sinceMicros) {}
+  /** The index of a member's key and when this leader first read it, by the leader's clock. */
+  private record Observation(long index, long sinceMicros) {}
 
   /**
-   * Of the time after which a member is suspected: where no advance is wanted, members that are
-   * gone are removed only in the end.
+   * Multiplies the suspicion timeout while no advance is pending: members that are gone block
+   * nothing then, and their removal can wait.
    */
   private static final int IDLE_SUSPICION_FACTOR = 10;
 
-  /** Before its first read; halved, so that a difference to it does not overflow. */
-  private static final long LONG_AGO = Long.MIN_VALUE / 2;
+  /** Time of the last read before the first one; halved so that subtracting it cannot overflow. */
+  private static final long BEFORE_FIRST_READ_MICROS = Long.MIN_VALUE / 2;
 
-  private static final long NEVER = Long.MAX_VALUE;
+  private static final long NO_READ_DUE = Long.MAX_VALUE;
 
   private final LeaseTimings timings;
   private final Set<SafetyRule> disabledRules;
-  private final Map<String, Sighting> sightings;
+  private final Map<String, Observation> observations;
   private final List<Action> actions;
   private final List<String> blockingMembers;
   private final long lastReadAtMicros;
-  private final long wakeAtMicros;
+  private final long nextReadAtMicros;
 
   private RolloutLeader(
       LeaseTimings timings,
       Set<SafetyRule> disabledRules,
-      Map<String, Sighting> sightings,
+      Map<String, Observation> observations,
       List<Action> actions,
       List<String> blockingMembers,
       long lastReadAtMicros,
-      long wakeAtMicros) {
+      long nextReadAtMicros) {
     this.timings = timings;
     this.disabledRules = disabledRules;
-    this.sightings = sightings;
+    this.observations = observations;
     this.actions = actions;
     this.blockingMembers = blockingMembers;
     this.lastReadAtMicros = lastReadAtMicros;
-    this.wakeAtMicros = wakeAtMicros;
+    this.nextReadAtMicros = nextReadAtMicros;
   }
 
-  /** One that has read nothing yet. */
-  public static RolloutLeader fresh(LeaseTimings timings) {
-    return fresh(timings, EnumSet.noneOf(SafetyRule.class));
+  /** Returns a leader that has not read the coordination store. */
+  public static RolloutLeader initial(LeaseTimings timings) {
+    return initial(timings, EnumSet.noneOf(SafetyRule.class));
   }
 
-  static RolloutLeader fresh(LeaseTimings timings, Set<SafetyRule> disabledRules) {
+  static RolloutLeader initial(LeaseTimings timings, Set<SafetyRule> disabledRules) {
     return new RolloutLeader(
-        timings, disabledRules, Map.of(), List.of(), List.of(), LONG_AGO, NEVER);
+        timings,
+        disabledRules,
+        Map.of(),
+        List.of(),
+        List.of(),
+        BEFORE_FIRST_READ_MICROS,
+        NO_READ_DUE);
   }
 
+  /** Returns the writes that are due, in the order in which they must be sent. */
   public List<Action> actions() {
     return actions;
   }
 
   /**
-   * Keys of the members that an advance waits for; empty where none is wanted or nothing blocks it.
+   * Returns the keys of the members that block the pending advance; empty if no advance is pending
+   * or no member blocks it.
    */
   public List<String> blockingMembers() {
     return blockingMembers;
   }
 
-  /** When to read again even if nothing changes; the greatest number: not before something does. */
-  public long wakeAt() {
-    return wakeAtMicros;
+  /**
+   * Returns when to read again if nothing changes before, or {@link Long#MAX_VALUE} if a read is
+   * needed only after a change.
+   */
+  public long nextReadAtMicros() {
+    return nextReadAtMicros;
   }
 
-  /** The same, its actions done or given up. */
+  /** Returns a copy without actions, for use once they were performed or abandoned. */
   public RolloutLeader withoutActions() {
     return new RolloutLeader(
         timings,
         disabledRules,
-        sightings,
+        observations,
         List.of(),
         blockingMembers,
         lastReadAtMicros,
-        wakeAtMicros);
+        nextReadAtMicros);
   }
 
   /**
-   * Takes in a read of the coordination store: of the state first, then of the members. The order
-   * is what keeps it safe: whoever joined after the members were read has read the state later
-   * still.
+   * Handles a read of the coordination store. Safety depends on reading the state before the
+   * members: a gateway that joins after the members were read reads the state later still, so it
+   * cannot adopt an older state than the one that was read here.
    *
-   * @param nowMicros when the answer came
+   * @param nowMicros when the response arrived
    */
   public RolloutLeader onRead(
       long nowMicros, RolloutState state, long stateIndex, Map<String, VersionedMember> members) {
     Review review = new Review(nowMicros, state);
-    members.forEach(review::add);
-    return review.conclude(stateIndex);
+    members.forEach(review::evaluate);
+    return review.finish(stateIndex);
   }
 
-  /** One pass over the members that were read, and what follows from it. */
+  /** Evaluates one read: collects the blocking members and the resulting actions. */
   private final class Review {
 
     private final long nowMicros;
     private final RolloutState state;
-    private final boolean advanceWanted;
-    private final boolean wasBlind;
+    private final boolean isAdvancePending;
+    private final boolean hadReadGap;
     private final long suspectAfterMicros;
-    private final Map<String, Sighting> seen = new TreeMap<>();
-    private final List<Action> wantedActions = new ArrayList<>();
+    private final Map<String, Observation> newObservations = new TreeMap<>();
+    private final List<Action> dueActions = new ArrayList<>();
     private final List<String> blocking = new ArrayList<>();
-    private long nextReadAtMicros = NEVER;
+    private long earliestReadAtMicros = NO_READ_DUE;
 
     private Review(long nowMicros, RolloutState state) {
       this.nowMicros = nowMicros;
       this.state = state;
-      advanceWanted = state.stage() != state.target();
-      // Members are not blamed for a time in which nobody reached the store: they renew as it comes
-      // back.
-      wasBlind = nowMicros - lastReadAtMicros > timings.suspectAfterMicros() / 2;
+      isAdvancePending = state.stage() != state.target();
+      // The coordination store may have been unreachable for the members too, so an interval in
+      // which this leader read nothing does not count as missing renewals.
+      hadReadGap = nowMicros - lastReadAtMicros > timings.suspectAfterMicros() / 2;
       suspectAfterMicros =
-          timings.suspectAfterMicros() * (advanceWanted ? 1 : IDLE_SUSPICION_FACTOR);
+          timings.suspectAfterMicros() * (isAdvancePending ? 1 : IDLE_SUSPICION_FACTOR);
     }
 
-    private void add(String memberKey, VersionedMember read) {
-      Sighting sighting = sighting(memberKey, read);
-      seen.put(memberKey, sighting);
+    private void evaluate(String memberKey, VersionedMember read) {
+      Observation observation = observation(memberKey, read);
+      newObservations.put(memberKey, observation);
       if (read.member().revoked()) {
-        addRevoked(memberKey, sighting);
+        evaluateRevoked(memberKey, observation);
       } else {
-        addActive(memberKey, read, sighting);
+        evaluateActive(memberKey, read, observation);
       }
     }
 
-    /** The sighting before, where the key has not changed since; else one from now on. */
-    private Sighting sighting(String memberKey, VersionedMember read) {
-      Sighting before = sightings.get(memberKey);
+    /** Returns the earlier observation if the key is unchanged, else a new one as of now. */
+    private Observation observation(String memberKey, VersionedMember read) {
+      Observation before = observations.get(memberKey);
       boolean revoked = read.member().revoked();
-      if (before != null && before.index() == read.index() && (revoked || !wasBlind)) {
+      if (before != null && before.index() == read.index() && (revoked || !hadReadGap)) {
         return before;
       }
-      boolean countsFromBefore = revoked && disabledRules.contains(SafetyRule.OWN_LAPSE);
-      return new Sighting(
-          read.index(), countsFromBefore ? nowMicros - leaseExpiryMicros() : nowMicros);
+      boolean countsAsExpired = revoked && disabledRules.contains(SafetyRule.OWN_OBSERVATION);
+      return new Observation(
+          read.index(), countsAsExpired ? nowMicros - leaseExpiryMicros() : nowMicros);
     }
 
-    /** Blocks an advance until its lease has expired for certain, then is removed. */
-    private void addRevoked(String memberKey, Sighting sighting) {
-      long expiresAtMicros = sighting.sinceMicros() + leaseExpiryMicros();
+    /** A revoked member blocks an advance until its lease must have expired; then it is removed. */
+    private void evaluateRevoked(String memberKey, Observation observation) {
+      long expiresAtMicros = observation.sinceMicros() + leaseExpiryMicros();
       if (nowMicros >= expiresAtMicros) {
-        wantedActions.add(new RemoveMember(memberKey, sighting.index()));
+        dueActions.add(new RemoveMember(memberKey, observation.index()));
       } else {
         blocking.add(memberKey);
-        nextReadAtMicros = Math.min(nextReadAtMicros, expiresAtMicros);
+        earliestReadAtMicros = Math.min(earliestReadAtMicros, expiresAtMicros);
       }
     }
 
-    /** Blocks an advance until it acknowledges; revoked once it has not renewed for too long. */
-    private void addActive(String memberKey, VersionedMember read, Sighting sighting) {
+    /** An active member blocks an advance until it acknowledges the epoch or is revoked. */
+    private void evaluateActive(String memberKey, VersionedMember read, Observation observation) {
       boolean blocks =
-          advanceWanted
+          isAdvancePending
               && read.member().epoch() != state.epoch()
-              && !disabledRules.contains(SafetyRule.ACKNOWLEDGED);
+              && !disabledRules.contains(SafetyRule.ALL_MEMBERS_ACKNOWLEDGED);
       if (blocks) {
         blocking.add(memberKey);
       }
-      if (nowMicros - sighting.sinceMicros() < suspectAfterMicros) {
-        nextReadAtMicros = Math.min(nextReadAtMicros, sighting.sinceMicros() + suspectAfterMicros);
-      } else if (!advanceWanted || blocks) {
-        wantedActions.add(new Revoke(memberKey, read.index(), read.member().asRevoked()));
+      if (nowMicros - observation.sinceMicros() < suspectAfterMicros) {
+        earliestReadAtMicros =
+            Math.min(earliestReadAtMicros, observation.sinceMicros() + suspectAfterMicros);
+      } else if (!isAdvancePending || blocks) {
+        dueActions.add(new Revoke(memberKey, read.index(), read.member().asRevoked()));
       }
     }
 
-    private RolloutLeader conclude(long stateIndex) {
-      if (advanceWanted && blocking.isEmpty()) {
-        wantedActions.add(0, new Advance(stateIndex, state.next()));
+    private RolloutLeader finish(long stateIndex) {
+      if (isAdvancePending && blocking.isEmpty()) {
+        dueActions.add(0, new Advance(stateIndex, state.next()));
       }
       return new RolloutLeader(
           timings,
           disabledRules,
-          seen,
-          wantedActions,
-          advanceWanted ? blocking : List.of(),
+          newObservations,
+          dueActions,
+          isAdvancePending ? blocking : List.of(),
           nowMicros,
-          nextReadAtMicros);
+          earliestReadAtMicros);
     }
   }
 
-  /** From when a member was seen revoked until nothing of it can still be in force. */
+  /** The wait after observing a revocation until no lease or operation of the member can remain. */
   private long leaseExpiryMicros() {
-    if (disabledRules.contains(SafetyRule.LAPSE)) {
+    if (disabledRules.contains(SafetyRule.REVOKED_LEASE_EXPIRY)) {
       return 0;
     }
-    return disabledRules.contains(SafetyRule.DRIFT)
+    return disabledRules.contains(SafetyRule.CLOCK_DRIFT)
         ? timings.leaseMicros() + timings.operationMicros()
         : timings.leaseExpiryBoundMicros();
   }
 
-  /** Everything that its behaviour depends on, with times relative to now. */
+  /**
+   * Encodes all state that affects future behaviour, with times relative to now. Leaders with equal
+   * fingerprints behave identically.
+   */
   String fingerprint(long nowMicros) {
     long greatestAgeMicros =
         Math.max(timings.suspectAfterMicros(), timings.leaseExpiryBoundMicros());
     StringBuilder text = new StringBuilder();
-    sightings.forEach(
-        (memberKey, sighting) ->
+    observations.forEach(
+        (memberKey, observation) ->
             text.append(memberKey)
-                .append(sighting.index())
+                .append(observation.index())
                 .append('@')
-                .append(Math.min(nowMicros - sighting.sinceMicros(), greatestAgeMicros))
+                .append(Math.min(nowMicros - observation.sinceMicros(), greatestAgeMicros))
                 .append(' '));
     return text.append(actions)
         .append(Math.min(nowMicros - lastReadAtMicros, timings.suspectAfterMicros()))
--- a/gateway/src/main/java/shelffront/rolloutcontrol/ErrorReporter.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/ErrorReporter.java
@@ -5,7 +5,7 @@
 import shelffront.coordination.CoordinationException;
 import shelffront.net.EventLog;
 
-/** Logs each source's error once, until it is over or another. Any thread may call. */
+/** Logs the error of each source once, until it is cleared or its code changes. Thread-safe. */
 final class ErrorReporter {
 
   private final EventLog log;
@@ -17,11 +17,11 @@
 
   void report(String source, CoordinationException error) {
     if (!error.code().equals(lastCodeBySource.put(source, error.code()))) {
-      log.println("stages " + source + " " + error.code() + ": " + error.getMessage());
+      log.println("rollout " + source + ": " + error.code() + ": " + error.getMessage());
     }
   }
 
-  /** The source's error is over. */
+  /** Records that the source works again, so that its next error is logged. */
   void clear(String source) {
     lastCodeBySource.remove(source);
   }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeadershipLoop.java
@@ -12,26 +12,26 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * Tries to lead the fleet's rollouts, and advances the subjects while it does.
+ * Campaigns to become the rollout leader of the fleet, and advances the subjects while it leads.
  *
- * <p>The leader is found by a key that its holder writes anew in time; who sees it unchanged for
- * long enough takes it over. That saves the coordination store work and no more: what keeps stages
- * apart is in {@link RolloutLeader} and does not rest on there being one leader.
+ * <p>The leader renews a key in the coordination store; a gateway that reads the key unchanged for
+ * long enough takes it over. A single leader only reduces the load on the coordination store. The
+ * safety of rollouts is ensured by {@link RolloutLeader} and does not depend on it.
  *
- * <p>Threads: {@link #run} has one of its own, which alone touches the state here; others read
- * whether it leads, and call {@link #wake}.
+ * <p>Threads: {@link #run} has a thread of its own, which alone modifies this object's state. Other
+ * threads call {@link #isLeader} and {@link #wake}.
  */
 final class LeadershipLoop implements Runnable {
 
-  private static final String ERROR_SOURCE = "owner";
+  private static final String ERROR_SOURCE = "leadership";
 
-  /** Of the suspicion time: a leader's key that is unchanged for so long is taken over. */
+  /** A leader key unchanged for this multiple of the suspicion timeout is taken over. */
   private static final int TAKEOVER_FACTOR = 2;
 
-  /** Between reads while a subject is on its way, at most. */
+  /** Maximum interval between reads while a subject has not reached its target. */
   private static final long MAX_POLL_MICROS = 100_000;
 
-  /** Reads while a subject is on its way, in the time between two renewals. */
+  /** Reads per renewal interval while a subject has not reached its target. */
   private static final int POLLS_PER_RENEWAL = 4;
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -47,7 +47,7 @@
   private long leaderKeyIndex;
   private long leaderKeySinceMicros;
   private long heartbeat;
-  private volatile boolean leads;
+  private volatile boolean isLeader;
 
   LeadershipLoop(
       Collection<Subject> subjects,
@@ -66,12 +66,12 @@
     this.log = log;
   }
 
-  /** Whether this gateway leads, as far as it knows. */
-  boolean leads() {
-    return leads;
+  /** Returns whether this gateway was the leader at its last check; it may have been replaced. */
+  boolean isLeader() {
+    return isLeader;
   }
 
-  /** Has the thread look at the subjects at once. */
+  /** Makes the thread process its subjects now. */
   synchronized void wake() {
     notifyAll();
   }
@@ -83,9 +83,9 @@
       long wakeAtMicros = MonotonicClock.nowMicros() + timings.renewIntervalMicros();
       try {
         renewOrTakeOver();
-        if (leads) {
+        if (isLeader) {
           for (Subject subject : subjects) {
-            wakeAtMicros = Math.min(wakeAtMicros, lead(subject));
+            wakeAtMicros = Math.min(wakeAtMicros, process(subject));
           }
         }
         errors.clear(ERROR_SOURCE);
@@ -104,33 +104,36 @@
       leaderKeyIndex = key.index();
       leaderKeySinceMicros = MonotonicClock.nowMicros();
     }
-    boolean led = leads;
-    leads = (key.isOwn() || isFree(key)) && store.writeLeader(key.index(), ++heartbeat);
-    if (leads != led) {
-      log.println(leads ? "owns the fleet's stages" : "owns the fleet's stages no longer");
-      leaders.clear(); // what was seen before tells nothing of the time between
+    boolean wasLeader = isLeader;
+    isLeader = (key.isOwn() || isAbsentOrStale(key)) && store.writeLeader(key.index(), ++heartbeat);
+    if (isLeader != wasLeader) {
+      log.println(
+          "rollout leadership: instance "
+              + store.instance()
+              + (isLeader ? " is now the leader" : " is no longer the leader"));
+      leaders.clear(); // observations from an earlier leadership do not cover the time in between
       subjects.forEach(subject -> subject.setBlockingMembers(List.of()));
     }
   }
 
-  private boolean isFree(RolloutStore.LeaderKey key) {
+  private boolean isAbsentOrStale(RolloutStore.LeaderKey key) {
     long unchangedMicros = MonotonicClock.nowMicros() - leaderKeySinceMicros;
     return key.index() == 0 || unchangedMicros > TAKEOVER_FACTOR * timings.suspectAfterMicros();
   }
 
-  /** Reads a subject and does what is due; gives when to read it again. */
-  private long lead(Subject subject) throws CoordinationException {
+  /** Reads a subject, performs the actions that are due, and returns when to read it again. */
+  private long process(Subject subject) throws CoordinationException {
     Optional<RolloutStore.VersionedState> read = store.readState(subject);
     if (read.isEmpty()) {
       store.writeState(subject, 0, RolloutCoordinator.FIRST_STATE);
       return MonotonicClock.nowMicros();
     }
-    // The members after the state: see RolloutLeader.onRead.
+    // Members must be read after the state; see RolloutLeader.onRead.
     Map<String, RolloutLeader.VersionedMember> members = store.readMembers(subject);
     RolloutState state = read.get().state();
     RolloutLeader leader =
         leaders
-            .getOrDefault(subject, RolloutLeader.fresh(timings))
+            .getOrDefault(subject, RolloutLeader.initial(timings))
             .onRead(MonotonicClock.nowMicros(), state, read.get().index(), members);
     leaders.put(subject, leader.withoutActions());
     subject.setBlockingMembers(
@@ -140,7 +143,7 @@
     for (RolloutLeader.Action action : leader.actions()) {
       perform(subject, action);
     }
-    return state.stage() == state.target() ? leader.wakeAt() : nextPollMicros();
+    return state.stage() == state.target() ? leader.nextReadAtMicros() : nextPollMicros();
   }
 
   private long nextPollMicros() {
@@ -164,9 +167,9 @@
     if (store.writeState(subject, advance.expectedIndex(), newState)) {
       history.recordAdvance(store.instance(), subject.name(), newState, MonotonicClock.nowMicros());
       log.println(
-          "moved "
+          "rollout "
               + subject.name()
-              + " to "
+              + ": advanced to stage "
               + subject.stageName(newState.stage())
               + ", epoch "
               + newState.epoch());
@@ -176,9 +179,9 @@
   private void revoke(RolloutLeader.Revoke revoke) throws CoordinationException {
     if (store.revoke(revoke.memberKey(), revoke.expectedIndex(), revoke.revoked())) {
       log.println(
-          "revoked "
+          "rollout leadership: revoked member "
               + revoke.memberKey()
-              + ", which did not renew; its lease may run for "
+              + " because it stopped renewing its lease; the lease may remain valid for up to "
               + timings.leaseExpiryBoundMicros() / MICROS_PER_MILLI
               + " ms");
     }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/LeaseKeeper.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/LeaseManager.java
@@ -14,17 +14,18 @@
 import shelffront.rollout.RolloutState;
 
 /**
- * Keeps the leases of one shard of subjects: does what each subject's {@link LeaseHolder} wants
- * done at the coordination store, and publishes what is in force.
+ * Maintains the leases of one shard of subjects. It sends the requests of each subject's {@link
+ * LeaseHolder} to the coordination store, and publishes the state in force.
  *
- * <p>Invariants: a subject has one write or read of its own key out at a time. Its snapshot is
- * published before its open operations are looked at, and after each change of its holder.
+ * <p>Invariants: each subject has at most one write or read of its member key in flight. The
+ * snapshot of a subject is published before its open operations are counted, and after each change
+ * of its holder.
  *
- * <p>Threads: {@link #run} has one of its own; the watcher calls {@link #readStates} and {@link
- * #wake} from another. Holders are guarded by this object's lock, which is never held during a call
- * of the store.
+ * <p>Threads: {@link #run} has a thread of its own; {@link StateWatcher} calls {@link #readStates}
+ * and {@link #wake} from another. The holders are guarded by this object's lock, which is never
+ * held during a call of the coordination store.
  */
-final class LeaseKeeper implements Runnable {
+final class LeaseManager implements Runnable {
 
   private final List<Subject> subjects;
   private final LeaseTimings timings;
@@ -35,7 +36,7 @@
   private final EventLog log;
   private final Map<Subject, LeaseHolder> holders = new HashMap<>();
 
-  LeaseKeeper(
+  LeaseManager(
       List<Subject> subjects,
       LeaseTimings timings,
       RolloutStore store,
@@ -50,7 +51,7 @@
     this.errors = errors;
     this.history = history;
     this.log = log;
-    subjects.forEach(subject -> holders.put(subject, LeaseHolder.absent(timings)));
+    subjects.forEach(subject -> holders.put(subject, LeaseHolder.notJoined(timings)));
   }
 
   boolean isEmpty() {
@@ -62,7 +63,7 @@
     while (!threads.isClosed()) {
       long wakeAtMicros = MonotonicClock.nowMicros() + timings.renewIntervalMicros();
       for (Subject subject : subjects) {
-        wakeAtMicros = keep(subject, wakeAtMicros);
+        wakeAtMicros = process(subject, wakeAtMicros);
       }
       synchronized (this) {
         threads.pause(this, wakeAtMicros);
@@ -70,14 +71,14 @@
     }
   }
 
-  /** Does all that is due for a subject; gives when to look again, by this time at the latest. */
-  private long keep(Subject subject, long latestMicros) {
-    long wakeAtMicros = latestMicros;
+  /** Performs all due actions of a subject and returns when to process it next, capped as given. */
+  private long process(Subject subject, long latestWakeMicros) {
+    long wakeAtMicros = latestWakeMicros;
     try {
-      boolean mayWantMore = true;
-      while (mayWantMore && !threads.isClosed()) {
-        mayWantMore = performNextAction(subject);
-        if (mayWantMore) {
+      boolean mayHaveMoreActions = true;
+      while (mayHaveMoreActions && !threads.isClosed()) {
+        mayHaveMoreActions = performNextAction(subject);
+        if (mayHaveMoreActions) {
           errors.clear(subject.name());
         }
       }
@@ -89,18 +90,20 @@
       publish(subject);
       LeaseHolder holder = holders.get(subject);
       long holderWakeMicros =
-          holder.waitsForOpenOperations() ? MonotonicClock.nowMicros() : holder.wakeAt();
+          holder.waitsForOpenOperations()
+              ? MonotonicClock.nowMicros()
+              : holder.nextActionAtMicros();
       return Math.min(wakeAtMicros, holderWakeMicros);
     }
   }
 
-  /** Does what the subject's holder wants; false where it wants nothing now. */
+  /** Performs the next action of the subject's holder; returns false if none is due. */
   private boolean performNextAction(Subject subject) throws CoordinationException {
     LeaseHolder.Action action;
     String memberKey;
     long sentAtMicros = MonotonicClock.nowMicros();
     synchronized (this) {
-      // Before what is open is looked at: see Subject.beginOperation.
+      // Publish before counting the open operations; see Subject.beginOperation.
       publish(subject);
       LeaseHolder holder = holders.get(subject);
       action = holder.nextAction(sentAtMicros, subject.openOperations().oldestEpoch());
@@ -139,27 +142,27 @@
     try {
       newIndex = store.writeOwnMember(memberKey, write, sentAtMicros);
     } finally {
-      // Also where the call failed: what became of the write is not known then.
+      // If the call failed, the outcome of the write is unknown.
       synchronized (this) {
         LeaseHolder holder = holders.get(subject);
         long nowMicros = MonotonicClock.nowMicros();
         update(
             subject,
             newIndex.isPresent()
-                ? holder.onWriteAnswered(sentAtMicros, nowMicros, write, true, newIndex.getAsLong())
-                : holder.onWriteUnknown(nowMicros));
+                ? holder.onWriteResponse(sentAtMicros, nowMicros, write, true, newIndex.getAsLong())
+                : holder.onWriteOutcomeUnknown(nowMicros));
       }
     }
   }
 
-  /** Reads where all subjects stand, and takes it up. */
+  /** Reads the rollout states of all subjects of the shard and adopts them. */
   void readStates() throws CoordinationException {
     for (Subject subject : subjects) {
       readState(subject);
     }
   }
 
-  /** Reads where a subject stands, as a member, and takes it up. */
+  /** Reads the rollout state of a subject and adopts it, if this gateway is a member. */
   private void readState(Subject subject) throws CoordinationException {
     int term;
     synchronized (this) {
@@ -177,29 +180,29 @@
     }
   }
 
-  /** Has the thread look at its subjects at once. */
+  /** Makes the thread process its subjects now. */
   synchronized void wake() {
     notifyAll();
   }
 
-  /** Under the lock. */
+  /** Replaces the holder and publishes its state; the caller holds the lock. */
   private void update(Subject subject, LeaseHolder next) {
     holders.put(subject, next);
     publish(subject);
   }
 
-  /** Makes what the holder has in force the snapshot; under the lock. */
+  /** Publishes the holder's state in force as the snapshot; the caller holds the lock. */
   private void publish(Subject subject) {
     long nowMicros = MonotonicClock.nowMicros();
     LeaseHolder holder = holders.get(subject);
     RolloutState state = holder.inForce(nowMicros);
-    InForce next = state == null ? null : new InForce(state, holder.leaseUntil());
-    InForce before = subject.snapshot();
+    LeasedState next = state == null ? null : new LeasedState(state, holder.leaseExpiresAtMicros());
+    LeasedState before = subject.snapshot();
     if (Objects.equals(next, before)) {
       return;
     }
     subject.setSnapshot(next);
-    long untilMicros = next == null ? nowMicros : next.untilMicros();
+    long untilMicros = next == null ? nowMicros : next.expiresAtMicros();
     history.recordInForce(store.instance(), subject.name(), state, untilMicros, nowMicros);
     if (next == null || before == null || !state.equals(before.state())) {
       logInForce(subject, state);
@@ -209,21 +212,21 @@
   private void logInForce(Subject subject, RolloutState state) {
     String stage =
         state == null
-            ? "the safe one"
-            : subject.stageName(state.stage()) + ", epoch " + state.epoch();
-    log.println("stage of " + subject.name() + " is " + stage);
+            ? "safe stage in force"
+            : "stage " + subject.stageName(state.stage()) + " in force, epoch " + state.epoch();
+    log.println("rollout " + subject.name() + ": " + stage);
   }
 
   /**
-   * Ends what is in force, once its thread has ended. Removes the memberships under which nothing
-   * is open, so that no advance waits for them; others expire.
+   * Returns all subjects to the safe stage; called after the thread has ended. Memberships without
+   * open operations are removed, so that no advance waits for them. The others expire.
    */
-  void leave() {
+  void releaseAll() {
     for (Subject subject : subjects) {
       subject.setSnapshot(null);
       LeaseHolder holder = holders.get(subject);
-      boolean isQuiet = subject.openOperations().oldestEpoch() == OpenOperations.NONE;
-      if (isQuiet && holder.isMember()) {
+      boolean hasNoOpenOperations = subject.openOperations().oldestEpoch() == OpenOperations.NONE;
+      if (hasNoOpenOperations && holder.isMember()) {
         removeOwnMember(subject, holder);
       }
       history.recordInForce(store.instance(), subject.name(), null, 0, MonotonicClock.nowMicros());
@@ -232,7 +235,7 @@
 
   private void removeOwnMember(Subject subject, LeaseHolder holder) {
     try {
-      store.removeMember(store.ownMemberKey(subject, holder.term()), holder.index());
+      store.removeMember(store.ownMemberKey(subject, holder.term()), holder.keyIndex());
     } catch (CoordinationException e) {
       errors.report(subject.name(), e);
     }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/StateWatcher.java
@@ -5,14 +5,15 @@
 import shelffront.rollout.LeaseTimings;
 
 /**
- * Watches where subjects stand, and has those that changed read at once. A watch that breaks or
- * says nothing is begun anew; leases are kept without it. Threads: {@link #run} has one of its own.
+ * Watches the rollout states in the coordination store, and has all subjects read again when one
+ * changes. A failed or expired watch is restarted. The watch only reduces latency: lease renewals
+ * read the states too. Threads: {@link #run} has a thread of its own.
  */
 final class StateWatcher implements Runnable {
 
-  private static final String ERROR_SOURCE = "watch";
+  private static final String ERROR_SOURCE = "state watch";
 
-  private final List<LeaseKeeper> keepers;
+  private final List<LeaseManager> leaseManagers;
   private final LeadershipLoop leadership;
   private final LeaseTimings timings;
   private final RolloutStore store;
@@ -20,13 +21,13 @@
   private final ErrorReporter errors;
 
   StateWatcher(
-      List<LeaseKeeper> keepers,
+      List<LeaseManager> leaseManagers,
       LeadershipLoop leadership,
       LeaseTimings timings,
       RolloutStore store,
       WorkerThreads threads,
       ErrorReporter errors) {
-    this.keepers = keepers;
+    this.leaseManagers = leaseManagers;
     this.leadership = leadership;
     this.timings = timings;
     this.store = store;
@@ -48,17 +49,17 @@
     }
   }
 
-  /** Waits for a change after an index; gives the index to watch from next. */
+  /** Waits for a change after an index and returns the index for the next watch. */
   private long watch(long lastIndex) throws CoordinationException {
-    long index = store.awaitStates(lastIndex);
+    long index = store.awaitStateChange(lastIndex);
     errors.clear(ERROR_SOURCE);
     if (index < lastIndex) {
-      index = 0; // the store began anew
+      index = 0; // the store was reset or restored from older data
     }
     if (index != lastIndex) {
-      for (LeaseKeeper keeper : keepers) {
-        keeper.readStates();
-        keeper.wake();
+      for (LeaseManager leaseManager : leaseManagers) {
+        leaseManager.readStates();
+        leaseManager.wake();
       }
       leadership.wake();
     }
