--- a/gateway/src/main/java/shelffront/config/EndpointList.java
+++ b/gateway/src/main/java/shelffront/config/EndpointList.java
@@ -10,8 +10,12 @@
 import shelffront.routing.Endpoint;
 
 /**
- * A list of database hosts in discovery's form: the module's members, and where each is to be
- * reached.
+ * A snapshot or delta of the endpoints of a tenant in the JSON format of discovery: the endpoints
+ * as the decision module sees them, and the network address of each endpoint that is not removed.
+ *
+ * @param revision revision of the list at discovery
+ * @param complete whether this is a snapshot; a delta otherwise
+ * @param addresses network addresses by endpoint id
  */
 public record EndpointList(
     long revision,
@@ -33,8 +37,8 @@
   }
 
   /**
-   * The list after news: those of a complete one alone, else with the changes put in and those gone
-   * left out.
+   * Returns the list after an update. A snapshot replaces the list; a delta adds or replaces the
+   * endpoints that it names and removes those whose availability is {@code REMOVED}.
    */
   public EndpointList apply(EndpointList news) {
     if (news.complete) {
@@ -51,9 +55,10 @@
   }
 
   /**
-   * Reads a list as discovery and the configuration write it.
+   * Reads an endpoint list in the format that discovery and the configuration file share.
    *
-   * @throws MalformedInputException where an entry lacks a field or has one that does not fit
+   * @throws MalformedInputException if a required field of an entry is missing, or if a field has
+   *     the wrong type or an unknown value
    */
   public static EndpointList read(Map<?, ?> object) throws MalformedInputException {
     List<Endpoint> members = new ArrayList<>();
--- a/gateway/src/main/java/shelffront/config/GatewayConfig.java
+++ b/gateway/src/main/java/shelffront/config/GatewayConfig.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import shelffront.routing.RoutingSettings;
 
-/** What the environment and the configuration file tell a gateway at its start. */
+/** The configuration of a single-tenant gateway, from the environment and a JSON file. */
 public record GatewayConfig(
     String name,
     InetSocketAddress listenAddress,
@@ -28,9 +28,11 @@
   private static final int MAX_FILE_BYTES = 1 << 20;
 
   /**
-   * Reads the file that the environment names; its variables go before the file's values.
+   * Reads the configuration file that the environment names. Environment variables take precedence
+   * over the values of the file.
    *
-   * @throws MalformedInputException where a value is missing or does not fit
+   * @throws IOException if the file cannot be read
+   * @throws MalformedInputException if a required value is missing or a value is invalid
    */
   public static GatewayConfig fromEnvironment(Map<String, String> environment)
       throws IOException, MalformedInputException {
@@ -49,22 +51,30 @@
         EndpointList.read(JsonReader.part(top, "known")));
   }
 
-  /** The configuration file that the environment names. */
+  /**
+   * Returns the path of the configuration file.
+   *
+   * @throws MalformedInputException if the environment does not name one
+   */
   public static Path file(Map<String, String> environment) throws MalformedInputException {
     String path = environment.get("BALANCER_CONFIG");
     if (path == null) {
-      throw new MalformedInputException("BALANCER_CONFIG is not set");
+      throw new MalformedInputException(
+          "environment variable BALANCER_CONFIG is not set; it must name the configuration file");
     }
     return Path.of(path);
   }
 
-  /** Guards a running gateway that reads its file anew against one too large for its memory. */
+  /** Limits the size, so that reloading an oversized file cannot exhaust the gateway's memory. */
   private static String text(Path path) throws IOException, MalformedInputException {
     try (InputStream in = Files.newInputStream(path)) {
       byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
       if (bytes.length > MAX_FILE_BYTES) {
         throw new MalformedInputException(
-            "the configuration is larger than " + MAX_FILE_BYTES + " bytes");
+            path
+                + " is larger than "
+                + MAX_FILE_BYTES
+                + " bytes, the limit for a configuration file");
       }
       return new String(bytes, UTF_8);
     }
@@ -81,11 +91,15 @@
     try {
       return Long.parseUnsignedLong(hex, HEXADECIMAL);
     } catch (NumberFormatException e) {
-      throw new MalformedInputException("seed is not a hexadecimal number");
+      throw new MalformedInputException(
+          "seed is \"" + hex + "\", expected an unsigned 64-bit hexadecimal number");
     }
   }
 
-  /** An address in the form {@code host:port}, with a literal host: there is no DNS to ask. */
+  /**
+   * Parses an address of the form {@code host:port}. The host must be a literal IP address, since
+   * the gateway resolves no names through DNS.
+   */
   public static InetSocketAddress parseAddress(String text) throws MalformedInputException {
     int colon = text.lastIndexOf(':');
     String host = text.substring(0, Math.max(0, colon));
--- a/gateway/src/main/java/shelffront/config/JsonReader.java
+++ b/gateway/src/main/java/shelffront/config/JsonReader.java
@@ -8,14 +8,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON with minimal-json in one pass into maps, lists, texts, numbers and booleans. */
+/**
+ * Parses JSON with minimal-json in one pass into maps, lists, strings, doubles, booleans and null.
+ */
 public final class JsonReader extends JsonHandler<List<Object>, Map<String, Object>> {
 
   private Object value;
 
   private JsonReader() {}
 
-  /** The object that the text holds. */
+  /**
+   * Parses a JSON object.
+   *
+   * @throws MalformedInputException if the text is not JSON or its top-level value is no object
+   */
   public static Map<?, ?> parseObject(String text) throws MalformedInputException {
     JsonReader json = new JsonReader();
     try {
@@ -41,7 +47,11 @@
     return number("", object, name, absent);
   }
 
-  /** The path, with its closing dot, is for the message. */
+  /**
+   * Returns the value of a number field, or a default if the field is absent.
+   *
+   * @param path prefix of the field's name in the error message, ending with a dot unless empty
+   */
   static double number(String path, Map<?, ?> object, String name, double absent)
       throws MalformedInputException {
     Object found = object.get(name);
--- a/gateway/src/main/java/shelffront/config/MalformedInputException.java
+++ b/gateway/src/main/java/shelffront/config/MalformedInputException.java
@@ -1,6 +1,6 @@
 package shelffront.config;
 
-/** Input that is not in the form of the wire; the message is one plain line. */
+/** Input that does not have the expected format. The message is a single line. */
 public final class MalformedInputException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
+++ b/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
@@ -17,7 +17,10 @@
 import shelffront.routing.RoutingSettings;
 import shelffront.routing.SafetyRules;
 
-/** Translates the settings object of the wire; keys that are not known are ignored. */
+/**
+ * Reads {@link RoutingSettings} from the JSON settings object that the configuration file and the
+ * simulator share. Unknown keys are ignored.
+ */
 public final class RoutingSettingsCodec {
 
   private static final Map<String, Idempotency> EFFECTS =
@@ -72,15 +75,15 @@
     this.values = values;
   }
 
-  /** Clock time from which the wire counts positions. */
+  /** Returns the clock time in microseconds from which positions in the input are counted. */
   public static long positionZeroMicros(Map<?, ?> facts) throws MalformedInputException {
     return new RoutingSettingsCodec("facts", facts).part("familyInfo").integer("zero", 0);
   }
 
   /**
-   * Reads the settings; absent ones have the protocol's defaults.
+   * Reads the settings. Absent settings have the protocol's defaults.
    *
-   * @throws MalformedInputException where a part is no object or a figure no number
+   * @throws MalformedInputException if a section is not an object or a numeric setting not a number
    */
   public static RoutingSettings read(Map<?, ?> facts) throws MalformedInputException {
     RoutingSettingsCodec top = new RoutingSettingsCodec("facts", facts);
--- a/gateway/src/main/java/shelffront/config/package-info.java
+++ b/gateway/src/main/java/shelffront/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Settings and endpoint lists from JSON, in the words of the wire.
+ * Reads the gateway configuration, routing settings and endpoint lists from JSON.
  *
- * <p>Input that does not fit is a {@link shelffront.config.MalformedInputException}.
+ * <p>Invalid input is reported as a {@link shelffront.config.MalformedInputException}.
  */
 package shelffront.config;
