--- a/gateway/src/main/java/shelffront/gateway/ConfigFileWatcher.java
+++ b/gateway/src/main/java/shelffront/gateway/ConfigFileWatcher.java
@@ -8,20 +8,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Looks at the configuration file once a second and tells when it was replaced or written. Has a
- * daemon thread of its own, since looking at a file may block.
+ * Polls the configuration file once per second and reports when it was replaced or written. Uses
+ * its own daemon thread, since reading file attributes may block.
  */
 final class ConfigFileWatcher {
 
   private static final long INTERVAL_MILLIS = 1000;
 
-  /** What tells one state of the file from another. */
+  /** The file attributes that are compared to detect a change. */
   private record Stamp(FileTime modified, long size, Object fileKey) {}
 
   private final Path file;
   private Stamp last;
 
-  /** Compares with the file as it is now, so it is made before the file is read for the start. */
+  /**
+   * Takes the file's present state as the baseline. Must be created before the configuration is
+   * first read, so that a change during startup is detected.
+   */
   ConfigFileWatcher(Path file) {
     this.file = file;
     last = stamp();
@@ -48,7 +51,7 @@
 
   private boolean hasChanged() {
     Stamp now = stamp();
-    // A file that is away for a moment is about to be replaced.
+    // A missing file is not a change: the file may be absent briefly while it is replaced.
     boolean changed = now != null && !now.equals(last);
     last = changed ? now : last;
     return changed;
--- a/gateway/src/main/java/shelffront/gateway/ConfigReload.java
+++ b/gateway/src/main/java/shelffront/gateway/ConfigReload.java
@@ -8,7 +8,10 @@
 import shelffront.config.MalformedInputException;
 import shelffront.net.Network;
 
-/** Reads the configuration file anew when told to (SIGHUP), on the loop thread. */
+/**
+ * Reloads the configuration file on request (SIGHUP). The file is read on the event loop; if it
+ * cannot be read or is invalid, the running configuration stays in effect.
+ */
 public final class ConfigReload {
 
   private final Network network;
@@ -20,13 +23,14 @@
     this.network = network;
     this.gateway = gateway;
     this.environment = new HashMap<>(environment);
-    // The environment stands as it was at the start; the file that replaced the first is newer.
+    // The environment is fixed at process start, so the discovery address in the file is newer and
+    // takes precedence on a reload.
     this.environment.remove("BALANCER_DISCOVERY");
   }
 
   /**
-   * May be called by any thread. Several orders before the file is read are one: it is read after
-   * the last.
+   * Requests a reload. Any thread may call. Requests that arrive before the file is read are
+   * coalesced into one reload, which reads the file after the last of them.
    */
   public void request() {
     if (requested.compareAndSet(false, true)) {
--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -20,24 +20,26 @@
 import shelffront.tenant.TenantSpec;
 
 /**
- * A listener and the tenants that it serves: the single one of the platform's file, or many.
+ * A listener and the tenants that it serves: either the single tenant of a configuration file, or
+ * many tenants.
  *
- * <p>Stops in order: {@link #drain} still serves clients that connect for a while, closes each
- * connection once it is idle, and stops the loop when none is left. Runs on the loop thread.
+ * <p>{@link #drain} stops the gateway gracefully: it keeps serving clients that connect during the
+ * drain, closes each connection once it is idle, and stops the event loop when no connection is
+ * left. Not thread-safe: runs on the event loop.
  */
 public final class Gateway {
 
   /**
-   * From the order to stop until idle connections are closed: new ones may arrive for 0.4 s, and
-   * carry requests.
+   * Delay between the start of a drain and the closing of idle connections. New connections that
+   * carry requests may arrive for 0.4 s after the stop order.
    */
   private static final long LATE_ARRIVAL_WINDOW_MICROS = 500_000;
 
   private static final long DRAIN_CHECK_INTERVAL_MICROS = 20_000;
 
   /**
-   * Of the descriptors: half for clients, three eighths for hosts, the rest for files, discovery
-   * and the JVM.
+   * Fractions of the file descriptors: one half for client connections and three eighths for host
+   * connections; the rest remains for files, discovery and the JVM.
    */
   private static final double CLIENT_SHARE = 0.5;
 
@@ -48,10 +50,13 @@
   private final FrontendConnections clients;
   private final BooleanSupplier backendsDrained;
   private final Runnable closeBackends;
-  private final Tenant singleTenant; // null where there are many
+  private final Tenant singleTenant; // null if the gateway serves many tenants
   private boolean listenerStopped;
 
-  /** The single tenant of a platform's file, whatever user and database clients name. */
+  /**
+   * Creates a gateway with a single tenant, which serves all clients regardless of the user and
+   * database in their startup message.
+   */
   public Gateway(Network network, GatewayConfig config) throws IOException {
     this.network = network;
     loop = network.loop();
@@ -88,9 +93,9 @@
   }
 
   /**
-   * Many tenants, each looked up by a client's startup message.
+   * Creates a gateway with many tenants. The startup message of a client determines its tenant.
    *
-   * @param drained whether no request of any tenant is open; asked repeatedly while it drains
+   * @param drained returns whether no tenant has an open request; polled during a drain
    * @param closeBackends closes the tenants' connections to hosts and discovery
    */
   public Gateway(
@@ -111,7 +116,7 @@
     backendsDrained = drained;
   }
 
-  /** How many of the gateway's sockets may be connections to hosts. */
+  /** Returns the maximum number of host connections for a given number of sockets. */
   public static int hostConnectionLimit(int maxSockets) {
     return (int) (maxSockets * HOST_SHARE);
   }
@@ -137,7 +142,7 @@
         0);
   }
 
-  /** The clients on the listener's loop: all but those of tenants on another loop. */
+  /** Returns the client connections on the listener's event loop; other loops have their own. */
   public FrontendConnections clients() {
     return clients;
   }
@@ -146,9 +151,12 @@
     return clients.address();
   }
 
-  /** Starts the single tenant with the endpoint list as last known, then accepts clients. */
+  /**
+   * Starts the single tenant, if there is one, with the endpoint list of its configuration, then
+   * accepts clients.
+   */
   public void start() {
-    loop.updateClock(); // loading took a while, and would count against deadlines set here
+    loop.updateClock(); // otherwise the time spent on startup counts against deadlines set here
     if (singleTenant != null) {
       singleTenant.start();
     }
@@ -156,9 +164,9 @@
   }
 
   /**
-   * Applies a changed configuration to the single tenant. Only the address of discovery may change:
-   * other settings are read once, at the start, and the running endpoint list is newer than the
-   * file's.
+   * Applies a changed configuration to the single tenant. Only the discovery address takes effect:
+   * other settings are read once at startup, and the running endpoint list is newer than the list
+   * in the file.
    */
   public void reload(GatewayConfig next) {
     singleTenant.moveDiscovery(next.discoveryAddress());
@@ -173,9 +181,9 @@
   }
 
   /**
-   * Stops the gateway in order. New connections are accepted until all are closed and no request is
-   * open; then the listener closes and the loop stops. This takes as long as it takes: the caller
-   * bounds its own wait.
+   * Stops the gateway gracefully. New connections are accepted until all connections are closed and
+   * no request is open; then the listener closes and the loop stops. The drain has no time limit of
+   * its own: callers that wait for it must bound their wait.
    */
   public void drain() {
     network.log().println("stopping");
@@ -183,19 +191,20 @@
   }
 
   /**
-   * Closes idle connections, and stops once none is left and no request is open. Until then it
-   * repeats, so that clients that connect late or send nothing do not hold up the stop.
+   * Closes idle connections, and stops the gateway if no connection is left and no request is open.
+   * Repeats itself until then, so that clients that connect late or send nothing do not delay the
+   * stop.
    */
   private void stopWhenDone() {
     clients.drain();
-    // Asked in every pass: the question is also what makes the other loops drain.
+    // Evaluated in every pass, since the call also makes the other event loops drain.
     boolean drained = backendsDrained.getAsBoolean();
     if (!clients.isEmpty() || !drained) {
       loop.scheduleAt(loop.nowMicros() + DRAIN_CHECK_INTERVAL_MICROS, this::stopWhenDone);
       return;
     }
     if (!listenerStopped) {
-      // A connection may have been accepted meanwhile: it is served before the end.
+      // A connection may be accepted while the listener closes; it is served before the stop.
       listenerStopped = true;
       clients.stopAccepting(this::stopWhenDone);
       return;
@@ -205,7 +214,7 @@
     loop.stop();
   }
 
-  /** Closes every socket at once; on the loop thread, or after it has ended. */
+  /** Closes all sockets immediately. Must run on the event loop, or after the loop has ended. */
   public void close() {
     clients.close();
     closeBackends.run();
--- a/gateway/src/main/java/shelffront/gateway/ReloadSignal.java
+++ b/gateway/src/main/java/shelffront/gateway/ReloadSignal.java
@@ -6,17 +6,19 @@
 import sun.misc.SignalHandler;
 
 /**
- * SIGHUP, the order to read the configuration file anew. Installed before the file is first read:
- * without a handler the JVM ends on this signal. Orders that come before anybody can carry them out
- * are kept, as one.
+ * Handles SIGHUP, which requests a reload of the configuration file. Must be installed before the
+ * file is first read, since the JVM terminates on this signal without a handler. Signals that
+ * arrive before {@link #handleWith} is called are coalesced into one pending request.
  *
- * <p>A process that was started with SIGHUP ignored (under {@code nohup}, or a shell's {@code trap
- * '' HUP}) keeps it ignored, and no handler is ever called. Its file is then looked at once a
- * second instead.
+ * <p>A process that was started with SIGHUP ignored (under {@code nohup}, or with a shell's {@code
+ * trap '' HUP}) keeps ignoring it, and the JVM never calls the handler. In that case the file is
+ * polled once per second instead.
+ *
+ * <p>Thread-safe: signals arrive on a thread of the JVM.
  */
 public final class ReloadSignal {
 
-  private final ConfigFileWatcher fileWatcher; // null where the signal arrives
+  private final ConfigFileWatcher fileWatcher; // null unless SIGHUP is ignored
   private Runnable reload;
   private boolean requested;
 
@@ -25,7 +27,7 @@
     fileWatcher = before == SignalHandler.SIG_IGN ? new ConfigFileWatcher(file) : null;
   }
 
-  /** For this configuration file. */
+  /** Installs the signal handler; the file is polled for changes if SIGHUP is ignored. */
   public static ReloadSignal install(Path file) {
     return new ReloadSignal(file);
   }
@@ -38,7 +40,10 @@
     }
   }
 
-  /** From now on orders are carried out by this, one at a time, on a thread of the signal's. */
+  /**
+   * Sets the action that reloads the configuration, and runs it if a request is pending. Further
+   * requests run the action one at a time, on the thread of the signal or of the file watcher.
+   */
   public synchronized void handleWith(Runnable action, EventLog log) {
     reload = action;
     if (requested) {
--- a/gateway/src/main/java/shelffront/logging/GatewayLogging.java
+++ b/gateway/src/main/java/shelffront/logging/GatewayLogging.java
@@ -14,12 +14,12 @@
 import shelffront.net.EventLog;
 
 /**
- * The log of a hosted gateway: SLF4J and Logback, written from a bounded queue that counts what it
- * drops.
+ * Configures the log of a multi-tenant gateway or a distributor: SLF4J and Logback, written through
+ * a bounded queue that counts dropped lines.
  */
 public final class GatewayLogging {
 
-  /** Turns events to bytes where they happen, and leaves the writing to the queue's own thread. */
+  /** Encodes events on the logging thread and hands them to the queue, which writes them. */
   private static final class QueueAppender extends AppenderBase<ILoggingEvent> {
 
     private final Encoder<ILoggingEvent> encoder;
@@ -39,8 +39,9 @@
   private GatewayLogging() {}
 
   /**
-   * Sends all that goes to SLF4J to the queue, as JSON lines or as text, and gives the gateway's
-   * own log.
+   * Routes all SLF4J output to the queue, as JSON lines or as text.
+   *
+   * @return the event log of the gateway, which logs at level INFO
    */
   public static EventLog open(boolean json, AsyncEventLog lines) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
