--- a/gateway/src/main/java/shelffront/store/DocumentStore.java
+++ b/gateway/src/main/java/shelffront/store/DocumentStore.java
@@ -16,17 +16,17 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * Stores what administrators have set: documents by kind and name, each with the revision of its
- * last change, and an audit entry for each change. Revisions are one increasing sequence for the
- * whole store. Kept in a file (H2's MVStore), or in memory only.
+ * Stores tenants and administration tokens: documents by kind and name, each with the revision of
+ * its last change, and an audit entry for each change. Revisions form one increasing sequence for
+ * the whole store. The store is kept in a file (H2's MVStore) or in memory only.
  *
- * <p>A change is one commit, and is on disk when its method returns. Where the commit fails, the
- * change is rolled back and the method throws an {@link MVStoreException}. Any thread may call;
- * calls are serialized.
+ * <p>Each change is one commit and is on disk when its method returns. If the commit fails, the
+ * change is rolled back and the method throws an {@link MVStoreException}. Thread-safe; calls are
+ * serialized.
  */
 public final class DocumentStore implements AutoCloseable {
 
-  /** The kinds of documents kept. */
+  /** The kinds of stored documents. */
   public enum Kind {
     TENANT,
     TOKEN
@@ -35,7 +35,13 @@
   /** A document and the revision of its last change. */
   public record Entry(String name, long revision, JsonNode document) {}
 
-  /** Who changed what, when (Unix milliseconds), from which revision to which; 0 is none. */
+  /**
+   * The record of one change.
+   *
+   * @param revision revision that the change created
+   * @param previousRevision revision of the document before the change; 0 if it did not exist
+   * @param atMillis time of the change, in Unix milliseconds
+   */
   public record AuditEntry(
       long revision,
       long previousRevision,
@@ -45,19 +51,23 @@
       Kind kind,
       String name) {}
 
-  /** The document is not at the revision that the change was made for. */
+  /** The document does not have the revision that the change expects. */
   public static final class ConflictException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     private final transient Entry present;
 
+    /** Takes the present document; null if it does not exist. */
     public ConflictException(Entry present) {
-      super("changed by another");
+      super(
+          present == null
+              ? "document does not exist"
+              : "document was changed concurrently: its revision is " + present.revision());
       this.present = present;
     }
 
-    /** As it stands now; null where there is none. */
+    /** Returns the present document; null if it does not exist. */
     public Entry present() {
       return present;
     }
@@ -66,7 +76,7 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String FORMAT = "shelffront-1";
 
-  /** Audit entries kept; the oldest go first. */
+  /** Maximum number of audit entries; the oldest are deleted first. */
   private static final int MAX_AUDIT_ENTRIES = 100_000;
 
   private final MVStore store;
@@ -86,21 +96,28 @@
   }
 
   /**
-   * Opens a store, or creates one. A file whose last write is incomplete opens at the last
-   * committed change. One that is damaged beyond that, or is no store, is left as it is.
+   * Opens a store, or creates it if the file is missing or empty. After a torn write the store
+   * opens at the last committed change. A file with other damage, or that is not a store, is not
+   * modified.
    *
-   * @throws IOException where the file can't be opened as a store
+   * @throws IOException if the file cannot be opened as a store
    */
   public static DocumentStore open(Path file) throws IOException {
     boolean exists = Files.exists(file) && Files.size(file) > 0;
     try {
       if (exists) {
-        // Read through first, and read-only: a file that can't be read must not be written to.
+        // Reads the whole file in read-only mode first, since a file that cannot be read must not
+        // be
+        // modified.
         try (MVStore readOnlyStore =
             new MVStore.Builder().fileName(file.toString()).readOnly().open()) {
           if (!readOnlyStore.hasMap("about")
               || !FORMAT.equals(readOnlyStore.openMap("about").get("format"))) {
-            throw new IOException(file + " is not a store of shelffront, or of a later form");
+            throw new IOException(
+                file
+                    + " is not a document store of format "
+                    + FORMAT
+                    + "; it may have been written by a later version");
           }
           for (String map : List.of("documents", "audits")) {
             readOnlyStore.openMap(map).forEach((name, text) -> {});
@@ -116,23 +133,23 @@
       }
       return store;
     } catch (MVStoreException e) {
-      throw new IOException(file + " can't be read as a store: " + e.getMessage(), e);
+      throw new IOException(file + " cannot be opened as a document store: " + e.getMessage(), e);
     }
   }
 
-  /** The revision of the last change; 0 before the first. */
+  /** Returns the revision of the last change; 0 before the first change. */
   public synchronized long revision() {
     Long last = auditEntries.lastKey();
     return last == null ? 0 : last;
   }
 
-  /** A document, or null. */
+  /** Returns a document, or null if it does not exist. */
   public synchronized Entry get(Kind kind, String name) {
     String text = documents.get(key(kind, name));
     return text == null ? null : entry(name, text);
   }
 
-  /** All documents of a kind, by name. */
+  /** Returns all documents of a kind, sorted by name. */
   public synchronized List<Entry> all(Kind kind) {
     List<Entry> entries = new ArrayList<>();
     String prefix = key(kind, "");
@@ -147,15 +164,15 @@
   }
 
   /**
-   * Replaces a document.
+   * Creates, replaces or removes a document.
    *
-   * @param expected the revision that it must have now; 0 where there must be none
-   * @param document null removes it
-   * @param actor who changes it, for the audit entry
-   * @param action what is done, for the audit entry
+   * @param expected revision that the document must have; 0 if it must not exist
+   * @param document new content; null removes the document
+   * @param actor who makes the change, for the audit entry
+   * @param action name of the change, for the audit entry
    * @param atMillis time of the audit entry, in Unix milliseconds
    * @return the new revision
-   * @throws ConflictException where it has another revision; nothing was changed
+   * @throws ConflictException if the document has another revision; the store is unchanged
    */
   public synchronized long put(
       Kind kind,
@@ -192,7 +209,7 @@
     return revision;
   }
 
-  /** Audit entries after a revision, oldest first, up to a limit. */
+  /** Returns at most {@code limit} audit entries after a revision, oldest first. */
   public synchronized List<AuditEntry> auditEntries(long after, int limit) {
     List<AuditEntry> found = new ArrayList<>();
     for (var keys = auditEntries.keyIterator(after + 1); keys.hasNext() && found.size() < limit; ) {
@@ -211,7 +228,10 @@
     return found;
   }
 
-  /** Everything but the audit log, as one document. Tokens are in it as hashes only. */
+  /**
+   * Exports all documents as one JSON object, without the audit log. Tokens are exported as hashes
+   * only.
+   */
   public synchronized ObjectNode export() {
     ObjectNode all = JSON.createObjectNode().put("format", FORMAT).put("revision", revision());
     for (Kind kind : Kind.values()) {
@@ -222,15 +242,21 @@
   }
 
   /**
-   * Imports all documents of an export, replacing those of the same names; each is a change of its
-   * own.
+   * Imports all documents of an export. A document replaces the stored one of the same kind and
+   * name. Each document is a separate change, so a failed commit leaves the earlier ones imported.
    *
-   * @return how many documents were imported
+   * @return number of imported documents
+   * @throws IOException if the JSON object is not an export
    */
   public synchronized int importAll(JsonNode exported, String actor, long atMillis)
       throws IOException {
     if (!FORMAT.equals(exported.path("format").asText())) {
-      throw new IOException("not an export of shelffront");
+      throw new IOException(
+          "not an export of a document store: format is \""
+              + exported.path("format").asText()
+              + "\", expected \""
+              + FORMAT
+              + "\"");
     }
     int count = 0;
     for (Kind kind : Kind.values()) {
@@ -251,7 +277,8 @@
               "import",
               atMillis);
         } catch (ConflictException e) {
-          throw new IllegalStateException("nobody else has the store meanwhile", e);
+          throw new IllegalStateException(
+              "document changed while the import held the store's lock", e);
         }
         count++;
       }
@@ -260,8 +287,8 @@
   }
 
   /**
-   * Writes the pending changes to disk; rolls them back where that fails, so that reads never see
-   * what is not on disk.
+   * Writes the pending changes to disk. If that fails, rolls them back, so that reads never return
+   * data that is not on disk.
    */
   private void commit() {
     try {
@@ -287,7 +314,7 @@
     try {
       return JSON.readTree(text);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("the store holds what is no JSON", e);
+      throw new IllegalStateException("stored document or audit entry is not valid JSON", e);
     }
   }
 
