--- a/gateway/src/main/java/shelffront/Main.java
+++ b/gateway/src/main/java/shelffront/Main.java
@@ -25,8 +25,9 @@
 import shelffront.training.TrainingRun;
 
 /**
- * The commands: {@code serve} runs a gateway, {@code benchlink} speaks the simulator's wire, {@code
- * rehearse} is the build's last step.
+ * Entry point. Without options, {@code serve} runs a single-tenant gateway, {@code benchlink} runs
+ * the simulator adapter, and {@code rehearse} runs the training run that ends the build. All other
+ * command lines go to {@link Cli}.
  */
 public final class Main {
 
@@ -37,7 +38,7 @@
   private Main() {}
 
   public static void main(String[] args) {
-    // The platform's commands load nothing of the command line's library.
+    // The commands that the platform starts are handled here, without loading picocli.
     String command = args.length == 1 ? args[0] : "";
     try {
       switch (command) {
@@ -83,8 +84,8 @@
     EventLoop loop = network.loop();
     Gateway gateway = new Gateway(network, config);
     CountDownLatch stopped = new CountDownLatch(1);
-    // The process ends when its hooks return, so the hook stays until all that was taken is
-    // answered.
+    // The process ends when its shutdown hooks return, so the hook waits until the gateway has
+    // drained and all accepted requests have a response.
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
--- a/gateway/src/main/java/shelffront/training/TrainingRun.java
+++ b/gateway/src/main/java/shelffront/training/TrainingRun.java
@@ -18,16 +18,17 @@
 import shelffront.pg.Message;
 
 /**
- * Puts a gateway through its ordinary work once, with a host, a discovery and a client of its own
- * on loopback. The build runs it so that the JVM can write down the classes in use: loading them
- * one by one took the better part of a gateway's share of its core in the first seconds.
+ * Runs a gateway under a short typical load, against a host, a discovery service and a client on
+ * the loopback interface. The build runs it so that the JVM can archive the loaded classes (class
+ * data sharing): without the archive, class loading takes most of a gateway's CPU share in the
+ * first seconds.
  */
 public final class TrainingRun {
 
   private static final int REQUESTS = 200;
   private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-  /** What a rehearsed party does on a connection. */
+  /** The server side of a connection to the emulated host or discovery service. */
   private interface ConnectionScript {
     void play(DataInputStream in, OutputStream out) throws IOException;
   }
@@ -37,7 +38,10 @@
 
   private TrainingRun() throws IOException {}
 
-  /** Runs to its end with the classes of the configuration that the environment names. */
+  /**
+   * Runs until the gateway has drained. Sends requests of all request classes in the configuration
+   * that the environment names.
+   */
   public static void run(Map<String, String> environment, Network network)
       throws IOException, MalformedInputException, InterruptedException {
     TrainingRun training = new TrainingRun();
@@ -89,12 +93,12 @@
                       script.play(
                           new DataInputStream(socket.getInputStream()), socket.getOutputStream());
                     } catch (IOException e) {
-                      // The gateway has closed, which ends this connection's part.
+                      // The gateway closed the connection, which ends this script.
                     }
                   });
             }
           } catch (IOException e) {
-            // The listener is closed with the process.
+            // The listener closes when the process ends.
           }
         });
   }
