--- a/gateway/src/main/java/shelffront/cli/Cli.java
+++ b/gateway/src/main/java/shelffront/cli/Cli.java
@@ -43,15 +43,15 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * The command line. Exit codes: 0 done, 1 it could not be done and says why, 2 the command line was
- * not understood. What the platform starts ({@code serve}, {@code benchlink} and {@code rehearse}
- * without options) never comes here.
+ * The command-line interface. Exit codes: 0 success, 1 the command failed and printed the reason, 2
+ * invalid command line. {@link shelffront.Main} handles {@code serve}, {@code benchlink} and {@code
+ * rehearse} without options, which the platform starts, and does not call this class for them.
  */
 @Command(
     name = "shelffront",
     mixinStandardHelpOptions = true,
     version = "shelffront 0.2.0",
-    description = "A gateway that routes reads and writes of replicated databases.",
+    description = "A PostgreSQL gateway that routes reads and writes to replicated databases.",
     subcommands = {
       Cli.Serve.class,
       Cli.Distribute.class,
@@ -69,7 +69,7 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final long STOP_SECONDS = 30;
 
-  /** What was asked can't be done; the message is for the one who asked. */
+  /** A command failed; the message is printed to the user. */
   private static final class Failure extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -81,7 +81,7 @@
 
   private Cli() {}
 
-  /** Gives the exit code. */
+  /** Runs a command and returns its exit code. */
   public static int run(String... arguments) {
     CommandLine line = new CommandLine(new Cli());
     line.setExecutionExceptionHandler(
@@ -97,8 +97,10 @@
   }
 
   /**
-   * Reads settings, a template or plain JSON, and names file, path and reason where they are not
-   * valid.
+   * Reads the configuration of a multi-tenant gateway from a Jsonnet template or plain JSON.
+   *
+   * @throws Failure if the configuration is invalid; the message names the file, the JSON pointer
+   *     of the value and the reason
    */
   private static MultiTenantConfig config(Path file) throws Failure {
     try {
@@ -111,16 +113,16 @@
     }
   }
 
-  /** Runs a gateway. */
+  /** Runs a multi-tenant gateway. */
   @Command(
       name = "serve",
       mixinStandardHelpOptions = true,
       description =
-          "Runs a gateway: with --config for many tenants, else as the platform's environment"
-              + " says.")
+          "Runs a gateway: for many tenants with --config, otherwise for the single tenant that the"
+              + " environment configures.")
   static final class Serve implements Callable<Integer> {
 
-    /** The form of log lines. */
+    /** Format of log lines. */
     enum Format {
       TEXT,
       JSON
@@ -129,7 +131,7 @@
     @Option(
         names = "--log",
         defaultValue = "TEXT",
-        description = "the form of log lines: ${COMPLETION-CANDIDATES}")
+        description = "format of log lines: ${COMPLETION-CANDIDATES}")
     private Format format;
 
     @Option(
@@ -194,12 +196,13 @@
     }
   }
 
-  /** Runs a distributor of a fleet's configuration. */
+  /** Runs a distributor of tenant specs to the gateways of a fleet. */
   @Command(
       name = "distribute",
       mixinStandardHelpOptions = true,
       description =
-          "Follows a fleet's engine, or other distributors, and serves gateways what they follow.")
+          "Runs a distributor: subscribes to the coordination store of a fleet or to other"
+              + " distributors, and serves updates to gateways.")
   static final class Distribute implements Callable<Integer> {
 
     @Option(
@@ -229,7 +232,10 @@
     }
   }
 
-  /** Stands in the help; without options it is started without this class. */
+  /**
+   * A command that takes no options, listed here only for the help. {@link shelffront.Main} starts
+   * it, so this class runs only if arguments were given.
+   */
   abstract static class WithoutOptions implements Callable<Integer> {
 
     @Spec private CommandSpec spec;
@@ -240,24 +246,29 @@
     }
   }
 
-  @Command(name = "benchlink", description = "Hosts the decision module on the simulator's wire.")
+  @Command(
+      name = "benchlink",
+      description =
+          "Runs the simulator adapter: the decision module on the simulator's line protocol.")
   static final class Benchlink extends WithoutOptions {}
 
   @Command(
       name = "rehearse",
-      description = "Plays some requests through a gateway and ends; the build's last step.")
+      description =
+          "Runs the training run, the last step of the build: sends requests through a gateway and"
+              + " exits.")
   static final class Rehearse extends WithoutOptions {}
 
-  /** Checks or shows settings. */
+  /** Checks or renders a configuration file. */
   @Command(
       name = "config",
       mixinStandardHelpOptions = true,
-      description = "Checks or renders a file of settings.")
+      description = "Checks or renders a configuration file.")
   static final class Config {
 
     @Command(
         name = "check",
-        description = "Says whether a file is valid, and if not, where and why.")
+        description = "Checks a configuration file, and reports where and why it is invalid.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws Failure {
       MultiTenantConfig config = config(file);
       System.out.println(file + ": valid, " + config.tenants().size() + " tenants");
@@ -266,7 +277,7 @@
 
     @Command(
         name = "render",
-        description = "Writes the JSON that a template gives, once it is valid.")
+        description = "Evaluates a valid configuration template and prints the resulting JSON.")
     int render(@Parameters(paramLabel = "FILE") Path file)
         throws Failure, IOException, SpecException {
       config(file);
@@ -275,7 +286,7 @@
     }
   }
 
-  /** A running gateway's administration. */
+  /** Client of the administration API of a running gateway. */
   static final class Remote {
 
     @Option(
@@ -283,7 +294,7 @@
         paramLabel = "HOST:PORT",
         defaultValue = "127.0.0.1:8600",
         scope = ScopeType.INHERIT,
-        description = "where the gateway's administration listens (${DEFAULT-VALUE})")
+        description = "address of the gateway's administration API (default: ${DEFAULT-VALUE})")
     private String admin;
 
     @Option(
@@ -291,7 +302,9 @@
         paramLabel = "TOKEN",
         defaultValue = "${env:SHELFFRONT_TOKEN}",
         scope = ScopeType.INHERIT,
-        description = "the administrator's token; else in the environment as SHELFFRONT_TOKEN")
+        description =
+            "token for the administration API; defaults to the environment variable"
+                + " SHELFFRONT_TOKEN")
     private String token;
 
     JsonNode call(String method, String path, String body, String... headers) throws Failure {
@@ -302,7 +315,7 @@
 
     Answered exchange(String method, String path, String body, String... headers) throws Failure {
       if (token == null || token.isEmpty()) {
-        throw new Failure("no token: give --token or set SHELFFRONT_TOKEN");
+        throw new Failure("no token given: use --token or set SHELFFRONT_TOKEN");
       }
       try {
         HttpRequest.Builder request =
@@ -329,7 +342,8 @@
         }
         return new Answered(json, answer.headers().firstValue("ETag").orElse(""));
       } catch (IOException | IllegalArgumentException e) {
-        throw new Failure("no answer from " + admin + ": " + e.getMessage());
+        throw new Failure(
+            "request to the administration API at " + admin + " failed: " + e.getMessage());
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         throw new Failure("interrupted");
@@ -337,7 +351,7 @@
     }
   }
 
-  /** Tenants of a running gateway. */
+  /** Manages the tenants of a running gateway. */
   @Command(
       name = "tenant",
       mixinStandardHelpOptions = true,
@@ -346,7 +360,7 @@
 
     @CommandLine.Mixin private Remote remote;
 
-    @Command(name = "list", description = "Names all tenants that the token may see.")
+    @Command(name = "list", description = "Lists the tenants that the token gives access to.")
     int list() throws Failure {
       for (JsonNode t : remote.call("GET", "/v1/tenants", null).path("tenants")) {
         System.out.println(
@@ -355,7 +369,7 @@
       return 0;
     }
 
-    @Command(name = "show", description = "Writes a tenant as JSON.")
+    @Command(name = "show", description = "Prints a tenant spec as JSON.")
     int show(@Parameters(paramLabel = "ID") String id) throws Failure {
       System.out.println(
           remote.call("GET", "/v1/tenants/" + id, null).path("tenant").toPrettyString());
@@ -364,7 +378,9 @@
 
     @Command(
         name = "apply",
-        description = "Makes a tenant as a file says, new or changed, and waits until it is.")
+        description =
+            "Creates or changes a tenant from a file, and waits up to 30 s until the change is in"
+                + " force.")
     int apply(@Parameters(paramLabel = "FILE") Path file)
         throws Failure, IOException, SpecException {
       JsonNode tenant = JsonnetTemplates.evaluate(file);
@@ -392,7 +408,7 @@
           : " is not in force yet";
     }
 
-    @Command(name = "remove", description = "Takes a tenant out of service.")
+    @Command(name = "remove", description = "Removes a tenant.")
     int remove(@Parameters(paramLabel = "ID") String id) throws Failure {
       String etag = remote.exchange("GET", "/v1/tenants/" + id, null).etag();
       long revision =
@@ -404,23 +420,25 @@
       return 0;
     }
 
-    @Command(name = "usage", description = "Says what a tenant uses and has done.")
+    @Command(name = "usage", description = "Prints the resource usage and counters of a tenant.")
     int usage(@Parameters(paramLabel = "ID") String id) throws Failure {
       System.out.println(remote.call("GET", "/v1/tenants/" + id + "/usage", null).toPrettyString());
       return 0;
     }
   }
 
-  /** Clients' keys of a tenant of a running gateway. */
+  /** Manages the client keys of a tenant of a running gateway. */
   @Command(
       name = "key",
       mixinStandardHelpOptions = true,
-      description = "Makes, lists and ends clients' keys.")
+      description = "Creates, lists and revokes client keys.")
   static final class KeyCommand {
 
     @CommandLine.Mixin private Remote remote;
 
-    @Command(name = "new", description = "Makes a key for a user and writes it; it is shown once.")
+    @Command(
+        name = "new",
+        description = "Creates a key for a user and prints it; the key cannot be shown again.")
     int create(
         @Parameters(paramLabel = "TENANT") String tenant,
         @Parameters(paramLabel = "USER") String user)
@@ -431,7 +449,7 @@
       return 0;
     }
 
-    @Command(name = "list", description = "Names a tenant's keys and whose they are.")
+    @Command(name = "list", description = "Lists the keys of a tenant with their users.")
     int list(@Parameters(paramLabel = "TENANT") String tenant) throws Failure {
       for (JsonNode k : remote.call("GET", "/v1/tenants/" + tenant + "/keys", null).path("keys")) {
         System.out.println(k.path("id").asText() + " " + k.path("user").asText());
@@ -439,7 +457,9 @@
       return 0;
     }
 
-    @Command(name = "end", description = "Ends a key; the last one of a tenant stays.")
+    @Command(
+        name = "end",
+        description = "Revokes a key; the last key of a tenant cannot be revoked.")
     int end(
         @Parameters(paramLabel = "TENANT") String tenant, @Parameters(paramLabel = "ID") String id)
         throws Failure {
@@ -448,16 +468,16 @@
     }
   }
 
-  /** The store of a gateway that does not run. */
+  /** Exports and imports the document store of a gateway that is not running. */
   @Command(
       name = "store",
       mixinStandardHelpOptions = true,
-      description = "Exports and imports the store of a gateway that does not run.")
+      description = "Exports and imports the document store of a gateway that is not running.")
   static final class StoreCommand {
 
     @Command(
         name = "export",
-        description = "Writes all tenants and the hashes of tokens as one JSON document.")
+        description = "Prints all tenants and token hashes as one JSON document.")
     int export(@Parameters(paramLabel = "FILE") Path file) throws IOException {
       try (DocumentStore store = DocumentStore.open(file)) {
         System.out.println(store.export().toPrettyString());
@@ -467,29 +487,32 @@
 
     @Command(
         name = "import",
-        description = "Puts in all that an export holds, in place of what has the same name.")
+        description =
+            "Imports all documents of an export, replacing stored documents of the same name.")
     int take(
         @Parameters(paramLabel = "FILE") Path file,
         @Parameters(paramLabel = "DOCUMENT") Path document)
         throws IOException, SpecException {
       JsonNode exported = TenantSpecCodec.parse(Files.readAllBytes(document));
-      // All of it is checked before any of it is put in.
+      // All tenant specs are checked before any document is imported.
       for (JsonNode tenant : exported.path("tenant")) {
         TenantSpecCodec.read(tenant);
       }
       try (DocumentStore store = DocumentStore.open(file)) {
         System.out.println(
-            store.importAll(exported, "command line", System.currentTimeMillis()) + " put in");
+            "imported "
+                + store.importAll(exported, "command line", System.currentTimeMillis())
+                + " documents");
       }
       return 0;
     }
   }
 
-  /** Administrators' tokens, of a running gateway or in the store of one that is stopped. */
+  /** Manages administration tokens of a running gateway, or in the store of a stopped one. */
   @Command(
       name = "token",
       mixinStandardHelpOptions = true,
-      description = "Makes, rotates and revokes tokens.")
+      description = "Creates, rotates and revokes administration tokens.")
   static final class TokenCommand {
 
     @CommandLine.Mixin private Remote remote;
@@ -497,12 +520,14 @@
     @Option(
         names = "--store",
         paramLabel = "FILE",
-        description = "the store of a gateway that does not run")
+        description = "document store of a gateway that is not running")
     private Path store;
 
     @Command(
         name = "new",
-        description = "Makes a token: an operator's, with --tenant that of its administrator.")
+        description =
+            "Creates an operator token, or with --tenant a token for the administrator of that"
+                + " tenant.")
     int create(@Option(names = "--tenant", paramLabel = "ID") String tenant)
         throws Failure, IOException, ConflictException {
       if (store != null) {
@@ -520,7 +545,7 @@
 
     @Command(
         name = "rotate",
-        description = "Gives a token a new secret; the old one holds for the overlap.")
+        description = "Replaces the secret of a token; the old secret stays valid for the overlap.")
     int rotate(
         @Parameters(paramLabel = "ID") String id,
         @Option(names = "--overlap-seconds", defaultValue = "0") long overlap)
@@ -531,7 +556,7 @@
       return 0;
     }
 
-    @Command(name = "revoke", description = "Ends a token.")
+    @Command(name = "revoke", description = "Revokes a token.")
     int revoke(@Parameters(paramLabel = "ID") String id) throws Failure {
       remote.call("DELETE", "/v1/tokens/" + id, null);
       return 0;
--- a/gateway/src/main/java/shelffront/cli/JsonnetTemplates.java
+++ b/gateway/src/main/java/shelffront/cli/JsonnetTemplates.java
@@ -14,18 +14,20 @@
 import sjsonnet.DefaultParseCache;
 import sjsonnet.SjsonnetMain;
 
-/** Evaluates a Jsonnet template, of which JSON is a part, by sjsonnet. */
+/** Evaluates Jsonnet templates with sjsonnet. Plain JSON files are valid templates. */
 public final class JsonnetTemplates {
 
   private JsonnetTemplates() {}
 
   /**
-   * What the file gives; imports are looked for beside it. The error of one that gives nothing
-   * names the line.
+   * Evaluates a template file. Imports are resolved relative to the directory of the file.
+   *
+   * @throws IOException if the file cannot be read
+   * @throws SpecException if the evaluation fails; the message names the file and line
    */
   public static JsonNode evaluate(Path file) throws IOException, SpecException {
     if (!Files.isReadable(file)) {
-      throw new IOException("can't be read");
+      throw new IOException("file does not exist or is not readable");
     }
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -43,7 +45,9 @@
             SjsonnetMain.main0$default$9());
     if (code != 0) {
       throw new SpecException(
-          "", "not a template: " + err.toString(UTF_8).strip().replaceAll("\\s+", " "));
+          "",
+          "cannot evaluate the Jsonnet template: "
+              + err.toString(UTF_8).strip().replaceAll("\\s+", " "));
     }
     return TenantSpecCodec.parse(out.toByteArray());
   }
