--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What the README names; the commands are Maven's and the deploy file's.
+# Targets named in the README. They run Maven, or the commands in deploy/balancer.toml.
 BALANCER_CONFIG ?= /run/balancer/config.json
 
 .PHONY: build test lint run
--- a/deploy/distribution.jsonnet
+++ b/deploy/distribution.jsonnet
@@ -1,4 +1,4 @@
-// One gateway of a fleet whose tenants come by distribution: copy, change, check with `config check`.
+// Sample: a gateway of a fleet that receives its tenants from distributors. Copy and edit it, then run `config check`.
 {
   listen: '127.0.0.1:5433',
   admin: '127.0.0.1:8600',
--- a/deploy/fleet.jsonnet
+++ b/deploy/fleet.jsonnet
@@ -1,4 +1,4 @@
-// One gateway of a fleet whose gateways change things together, stage by stage: copy, change, check with `config check`.
+// Sample: a gateway of a fleet with coordinated rollouts. Copy and edit it, then run `config check`.
 local shelffront = import 'shelffront.libsonnet';
 {
   listen: '127.0.0.1:5433',
--- a/deploy/shelffront.jsonnet
+++ b/deploy/shelffront.jsonnet
@@ -1,4 +1,4 @@
-// A gateway for many tenants on one machine: copy, change, and check with `config check`.
+// Sample: a single gateway that serves many tenants. Copy and edit it, then run `config check`.
 local shelffront = import 'shelffront.libsonnet';
 {
   listen: '127.0.0.1:5433',
--- a/deploy/shelffront.libsonnet
+++ b/deploy/shelffront.libsonnet
@@ -1,8 +1,8 @@
-// Functions for tenants and classes; every figure may be given anew in the last argument.
+// Functions for tenants and request classes; the last argument overrides any default.
 {
   class(name, giveUpMs, more={}):: { name: name, aimMs: giveUpMs / 2, giveUpMs: giveUpMs, read: 'session' } + more,
 
-  // The four kinds of request of a map: reads that may be old, reads of one's own edits, current reads, edits.
+  // Request classes of a map service: bounded-staleness reads, session reads, strong reads and writes.
   mapClasses:: [
     $.class('map-read', 1200, { read: 'bounded', boundMs: 500, worth: 2 }),
     $.class('own-edit-read', 2000, { read: 'session', worth: 3 }),
