--- a/gateway/src/test/java/shelffront/cli/CliTest.java
+++ b/gateway/src/test/java/shelffront/cli/CliTest.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void theTemplateThatIsGivenIsValid() throws Exception {
+  void sampleConfigurationsAreValid() throws Exception {
     MultiTenantConfig config =
         MultiTenantConfig.read(JsonnetTemplates.evaluate(Path.of("../deploy/shelffront.jsonnet")));
     assertEquals(1, config.tenants().size());
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aStoreIsExportedAndTakenInElsewhere() throws Exception {
+  void importOfExportCreatesTheTenantsInAnotherStore() throws Exception {
     Path document = folder.resolve("export.json");
     Path copy = folder.resolve("copy.store");
     try (DocumentStore store = DocumentStore.inMemory()) {
@@ -62,15 +62,15 @@
     assertEquals(
         1,
         Cli.run("store", "import", copy.toString(), document.toString()),
-        "a bad one is not taken in");
+        "an export with an invalid tenant spec must be rejected");
   }
 
-  /** Each bad file is refused, and the field at fault is named. */
+  /** The error of an invalid configuration has the JSON pointer of the invalid value. */
   @Test
-  void aBadFileIsRefusedByItsField() throws Exception {
+  void invalidConfigurationIsRejectedWithThePointerOfTheField() throws Exception {
     String tenant =
         "{id: 'a', classes: [{name: 'r', giveUpMs: 10, read: 'any'}], boxes: {list: []}}";
-    Map<String, String> bad =
+    Map<String, String> pointersOfInvalidFiles =
         Map.ofEntries(
             Map.entry("{listen: '127.0.0.1:70000'}", "/listen"),
             Map.entry("{listen: 'localhost:1'}", "/listen"),
@@ -102,13 +102,14 @@
                     + tenant
                     + " + {boxes: {list: [{id: 'x', address: '300.0.0.1:99999'}]}}]}",
                 "/tenants/0/boxes/list/0/address"));
-    for (Map.Entry<String, String> each : bad.entrySet()) {
-      SpecException refused =
+    for (Map.Entry<String, String> each : pointersOfInvalidFiles.entrySet()) {
+      SpecException rejection =
           assertThrows(SpecException.class, () -> read(each.getKey()), each.getKey());
-      assertEquals(each.getValue(), refused.pointer(), each.getKey() + ": " + refused.getMessage());
+      assertEquals(
+          each.getValue(), rejection.pointer(), each.getKey() + ": " + rejection.getMessage());
     }
-    SpecException torn = assertThrows(SpecException.class, () -> read("{listen: "));
-    assertTrue(torn.getMessage().contains("c.jsonnet"), torn.getMessage());
+    SpecException truncated = assertThrows(SpecException.class, () -> read("{listen: "));
+    assertTrue(truncated.getMessage().contains("c.jsonnet"), truncated.getMessage());
     assertEquals(1, Cli.run("config", "check", folder.resolve("none").toString()));
     assertEquals(2, Cli.run("config", "check"));
   }
--- a/gateway/src/test/java/shelffront/store/DocumentStoreTest.java
+++ b/gateway/src/test/java/shelffront/store/DocumentStoreTest.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * The other process: changes two documents in turn until it is killed, and says which changes
-   * were answered.
+   * Process that changes two documents alternately until it is killed. Prints the revision of each
+   * change that the store acknowledged.
    */
   public static final class Writer {
 
@@ -60,10 +60,10 @@
   }
 
   @Test
-  void everyAnsweredChangeOutlivesAKillAtAnyMoment() throws Exception {
+  void acknowledgedChangesSurviveAKillAtAnyMoment() throws Exception {
     Path file = folder.resolve("store");
     Random random = new Random(7);
-    long answered = 0;
+    long acknowledged = 0;
     for (int kill = 0; kill < KILLS; kill++) {
       Process writer =
           new ProcessBuilder(
@@ -76,43 +76,47 @@
               .redirectError(ProcessBuilder.Redirect.INHERIT)
               .start();
       try (BufferedReader out = writer.inputReader()) {
-        // Some lines, then the kill falls anywhere in the work on the next ones.
+        // The kill follows 1 to 20 acknowledged changes and hits the next ones at any point.
         for (int left = 1 + random.nextInt(20); left > 0; left--) {
-          answered = Long.parseLong(out.readLine());
+          acknowledged = Long.parseLong(out.readLine());
         }
         int spins = random.nextInt(200_000);
         while (spins-- > 0) {
           Thread.onSpinWait();
         }
-        writer.toHandle().destroyForcibly(); // SIGKILL; leaves what it wrote to be read
+        writer.toHandle().destroyForcibly(); // SIGKILL; the output written before stays readable
         for (String line = out.readLine(); line != null && !line.isEmpty(); line = out.readLine()) {
-          answered = Math.max(answered, Long.parseLong(line));
+          acknowledged = Math.max(acknowledged, Long.parseLong(line));
         }
       }
       assertTrue(writer.waitFor(30, TimeUnit.SECONDS));
       try (DocumentStore store = DocumentStore.open(file)) {
         long last = store.revision();
-        assertTrue(last >= answered, "answered up to " + answered + ", kept up to " + last);
+        assertTrue(
+            last >= acknowledged,
+            "acknowledged up to revision " + acknowledged + ", stored up to " + last);
         for (int back = 0; back < Math.min(2, last); back++) {
           DocumentStore.Entry entry = store.get(Kind.TENANT, "t" + (last - back) % 2);
           assertEquals(last - back, entry.revision());
-          assertEquals(document((int) (last - back)), entry.document(), "no half change");
+          assertEquals(
+              document((int) (last - back)), entry.document(), "no change may be partially stored");
         }
-        assertEquals(last, store.auditEntries(0, 100_000).size(), "an entry for each change");
+        assertEquals(
+            last, store.auditEntries(0, 100_000).size(), "each change must have one audit entry");
       }
     }
   }
 
   @Test
-  void aChangeForAnotherRevisionIsRefusedWithThePresentState() throws Exception {
+  void changeForAnotherRevisionIsRejectedWithThePresentDocument() throws Exception {
     try (DocumentStore store = DocumentStore.inMemory()) {
       long first = store.put(Kind.TENANT, "a", 0, document(1), "x", "create", 5);
       assertEquals(1, first);
-      ConflictException late =
+      ConflictException conflict =
           assertThrows(
               ConflictException.class,
               () -> store.put(Kind.TENANT, "a", 0, document(2), "y", "create", 6));
-      assertEquals(document(1), late.present().document());
+      assertEquals(document(1), conflict.present().document());
       assertEquals(2, store.put(Kind.TENANT, "a", 1, null, "x", "remove", 7));
       assertNull(store.get(Kind.TENANT, "a"));
       assertThrows(
@@ -126,21 +130,21 @@
   }
 
   @Test
-  void whatIsNoStoreIsRefusedAndLeftAsItIs() throws Exception {
+  void fileThatIsNotAStoreIsRejectedUnmodified() throws Exception {
     Path file = folder.resolve("other");
     byte[] text = "this is no store\n".repeat(1000).getBytes();
     Files.write(file, text);
-    IOException refused = assertThrows(IOException.class, () -> DocumentStore.open(file));
-    assertTrue(refused.getMessage().startsWith(file.toString()), refused.getMessage());
+    IOException rejection = assertThrows(IOException.class, () -> DocumentStore.open(file));
+    assertTrue(rejection.getMessage().startsWith(file.toString()), rejection.getMessage());
     assertArrayEquals(text, Files.readAllBytes(file));
   }
 
   /**
-   * A file cut anywhere opens at some change answered before, whole, or is refused; it never shows
-   * half a change.
+   * A store truncated at any length opens at an earlier committed change or is rejected unmodified.
+   * It never returns a partial change.
    */
   @Test
-  void aFileCutAtAnyLengthOpensAtAWholeChangeOrIsLeftUntouched() throws Exception {
+  void truncatedFileOpensAtACommittedChangeOrIsRejectedUnmodified() throws Exception {
     Path file = folder.resolve("whole");
     try (DocumentStore store = DocumentStore.open(file)) {
       for (int n = 1; n <= 30; n++) {
@@ -160,14 +164,14 @@
           assertEquals(document((int) last), store.get(Kind.TENANT, "t" + last % 2).document());
         }
       } catch (IOException e) {
-        assertArrayEquals(part, Files.readAllBytes(cut), "refused, yet written to");
+        assertArrayEquals(part, Files.readAllBytes(cut), "rejected file was modified");
       }
     }
-    assertTrue(opened > 0, "none opened");
+    assertTrue(opened > 0, "no truncated file opened");
   }
 
   @Test
-  void anExportIsTakenInWhole() throws Exception {
+  void importReplacesDocumentsOfTheSameNameAndAddsTheOthers() throws Exception {
     try (DocumentStore one = DocumentStore.inMemory();
         DocumentStore two = DocumentStore.inMemory()) {
       one.put(Kind.TENANT, "a", 0, document(1), "x", "create", 5);
