--- a/gateway/src/test/java/shelffront/ArchitectureTest.java
+++ b/gateway/src/test/java/shelffront/ArchitectureTest.java
@@ -9,14 +9,14 @@
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition;
 
 /**
- * Holds the arrows between the packages: one concern each, client and server side meeting only in
- * an exchange.
+ * Checks the dependencies between packages: frontend and backend do not depend on each other, and
+ * there are no cycles.
  */
 @AnalyzeClasses(packages = "shelffront", importOptions = DoNotIncludeTests.class)
 class ArchitectureTest {
 
   @ArchTest
-  static final ArchRule CLIENT_SIDE_KNOWS_NO_SERVER_SIDE =
+  static final ArchRule FRONTEND_DOES_NOT_DEPEND_ON_BACKEND =
       noClasses()
           .that()
           .resideInAPackage("shelffront.frontend..")
@@ -29,7 +29,7 @@
               "shelffront.decision..");
 
   @ArchTest
-  static final ArchRule SERVER_SIDE_KNOWS_NO_CLIENT_SIDE =
+  static final ArchRule BACKEND_DOES_NOT_DEPEND_ON_FRONTEND =
       noClasses()
           .that()
           .resideInAPackage("shelffront.backend..")
@@ -42,7 +42,7 @@
               "shelffront.decision..");
 
   @ArchTest
-  static final ArchRule FRAMING_KNOWS_NO_SOCKETS =
+  static final ArchRule MESSAGE_FRAMING_DOES_NOT_DEPEND_ON_SOCKETS =
       noClasses()
           .that()
           .resideInAPackage("shelffront.pg..")
--- a/gateway/src/test/java/shelffront/ServeIT.java
+++ b/gateway/src/test/java/shelffront/ServeIT.java
@@ -16,17 +16,20 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** The built jar under the signals of its platform. */
+/** Runs the built jar and sends it the signals that the platform uses. */
 public class ServeIT {
 
-  private static final int MISSING_MS = 20_000;
-  private static final int HANGING_MS = 60_000;
+  private static final int WAIT_TIMEOUT_MS = 20_000;
+  private static final int TEST_TIMEOUT_MS = 60_000;
 
   @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
-  /** Guards against a JVM that ends on SIGHUP, with all that the gateway had taken. */
-  @Test(timeout = HANGING_MS)
-  public void readsItsFileAnewOnSighupAndEndsOnSigterm() throws Exception {
+  /**
+   * Guards against a process that terminates on SIGHUP, the JVM's default, and drops all requests
+   * that it has accepted.
+   */
+  @Test(timeout = TEST_TIMEOUT_MS)
+  public void reloadsConfigurationOnSighupAndStopsOnSigterm() throws Exception {
     Path file = folder.newFile("config.json").toPath();
     try (ServerSocket before = listen();
         ServerSocket after = listen()) {
@@ -53,7 +56,7 @@
         await(log, "reload failed");
         signal(gateway, "TERM");
         await(log, "counters");
-        assertTrue(gateway.waitFor(MISSING_MS, TimeUnit.MILLISECONDS));
+        assertTrue(gateway.waitFor(WAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
       } finally {
         gateway.destroyForcibly();
       }
@@ -61,11 +64,11 @@
   }
 
   /**
-   * A JVM that was started with SIGHUP ignored keeps it ignored: no new configuration was taken up,
-   * and none said so.
+   * A JVM that is started with SIGHUP ignored keeps ignoring it. Guards against a gateway that then
+   * never reloads its configuration and does not log the reason.
    */
-  @Test(timeout = HANGING_MS)
-  public void saysThatSighupIsIgnoredAndTakesUpTheFileAllTheSame() throws Exception {
+  @Test(timeout = TEST_TIMEOUT_MS)
+  public void pollsConfigurationFileAndLogsTheReasonWhenSighupIsIgnored() throws Exception {
     Path file = folder.newFile("config.json").toPath();
     try (ServerSocket before = listen();
         ServerSocket after = listen()) {
@@ -98,18 +101,19 @@
   }
 
   /**
-   * Guards the build's last step, which leaves the archive of classes, and through it the first
-   * seconds.
+   * Guards the training run, the last step of the build. It fills the archive for class data
+   * sharing, which keeps class loading from delaying requests in the first seconds.
    */
-  @Test(timeout = HANGING_MS)
-  public void rehearsesEveryClassOfRequest() throws Exception {
-    Process rehearsal = start("rehearse", Map.of("BALANCER_CONFIG", "../docs/example-config.json"));
-    try (BufferedReader log = rehearsal.inputReader()) {
+  @Test(timeout = TEST_TIMEOUT_MS)
+  public void trainingRunServesRequestsOfEveryClass() throws Exception {
+    Process trainingRun =
+        start("rehearse", Map.of("BALANCER_CONFIG", "../docs/example-config.json"));
+    try (BufferedReader log = trainingRun.inputReader()) {
       await(log, "answers_served=200 ");
-      assertTrue(rehearsal.waitFor(MISSING_MS, TimeUnit.MILLISECONDS));
-      assertEquals(0, rehearsal.exitValue());
+      assertTrue(trainingRun.waitFor(WAIT_TIMEOUT_MS, TimeUnit.MILLISECONDS));
+      assertEquals(0, trainingRun.exitValue());
     } finally {
-      rehearsal.destroyForcibly();
+      trainingRun.destroyForcibly();
     }
   }
 
@@ -126,7 +130,7 @@
 
   private static ServerSocket listen() throws IOException {
     ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    socket.setSoTimeout(MISSING_MS);
+    socket.setSoTimeout(WAIT_TIMEOUT_MS);
     return socket;
   }
 
@@ -146,14 +150,14 @@
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
-  private static void await(BufferedReader log, String wanted) throws IOException {
+  private static void await(BufferedReader log, String expected) throws IOException {
     StringBuilder seen = new StringBuilder();
     for (String line = log.readLine(); line != null; line = log.readLine()) {
-      if (line.contains(wanted)) {
+      if (line.contains(expected)) {
         return;
       }
       seen.append(line).append('\n');
     }
-    throw new AssertionError("the log ended without " + wanted + ": " + seen);
+    throw new AssertionError("log ended without \"" + expected + "\": " + seen);
   }
 }
