--- a/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/ConfigurationCompatibilityTest.java
@@ -48,13 +48,13 @@
 import shelffront.tenant.TenantSpec;
 import shelffront.tenant.TenantSpecCodec;
 
-/** Settings files of each kind, as version 0.2.0 reads them. */
+/** Reads configuration files of each kind with the result that version 0.2.0 has. */
 class ConfigurationCompatibilityTest {
 
   private static final long MEBIBYTE = 1 << 20;
   private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.0.0.1", 8500);
 
-  /** What a tenant's settings say nothing about. */
+  /** Rules that a tenant spec does not configure. */
   private static final SafetyRules TENANT_RULES =
       new SafetyRules(2_000_000, 0.21, 18_000_000, 4, 2_000_000, false, 10_000_000, 20_000);
 
@@ -120,7 +120,7 @@
     return MultiTenantConfig.read(evaluated(name));
   }
 
-  /** The settings of a tenant whose {@code hosts} are left out. */
+  /** Returns the settings of a tenant spec without {@code hosts}. */
   private static RoutingSettings plainSettings(List<RequestClass> classes) {
     return new RoutingSettings(
         new GatewayIdentity(0, 1, ""),
@@ -135,7 +135,7 @@
         0);
   }
 
-  /** Everything of a tenant of the library's function but its id, weight and discovery. */
+  /** Checks the values that the tenant function of {@code shelffront.libsonnet} sets by default. */
   private static void assertLibraryTenant(TenantSpec spec) {
     assertEquals(new TenantSpec.Bounds(0, 1, 200, 100, 64, 8 * MEBIBYTE), spec.bounds());
     assertEquals(plainSettings(MAP_CLASSES), spec.settings());
@@ -155,10 +155,10 @@
     return specs;
   }
 
-  // ---- A gateway of one set, by the environment -------------------------------------------------
+  // ---- Single-tenant gateway, configured by the environment ------------------------------------
 
   @Test
-  void readsExampleOfGateway() throws Exception {
+  void readsExampleOfSingleTenantGateway() throws Exception {
     GatewayConfig config =
         GatewayConfig.fromEnvironment(
             Map.of("BALANCER_CONFIG", copy("example-config.json").toString()));
@@ -221,7 +221,7 @@
   }
 
   @Test
-  void readsEverySettingOfGateway() throws Exception {
+  void readsEverySettingOfSingleTenantGateway() throws Exception {
     GatewayConfig config =
         GatewayConfig.fromEnvironment(
             Map.of("BALANCER_CONFIG", copy("gateway-full.json").toString()));
@@ -327,7 +327,7 @@
   }
 
   @Test
-  void takesEnvironmentBeforeFileOfGateway() throws Exception {
+  void environmentTakesPrecedenceOverFile() throws Exception {
     GatewayConfig config =
         GatewayConfig.fromEnvironment(
             Map.of(
@@ -345,7 +345,7 @@
   }
 
   @Test
-  void readsEveryWordOfGatewaySettings() throws Exception {
+  void readsEveryEnumValueOfRoutingSettings() throws Exception {
     for (Map.Entry<String, LagCheck> word :
         Map.of("silent", LagCheck.NONE, "refuse", LagCheck.REJECT, "wait", LagCheck.WAIT)
             .entrySet()) {
@@ -385,10 +385,10 @@
             JsonReader.parseObject("{\"familyInfo\":{\"zero\":99}}")));
   }
 
-  // ---- A hosted gateway -------------------------------------------------------------------------
+  // ---- Multi-tenant gateway ---------------------------------------------------------------------
 
   @Test
-  void readsSampleOfHostedGateway() throws Exception {
+  void readsSampleOfMultiTenantGateway() throws Exception {
     MultiTenantConfig config = hosted("shelffront.jsonnet");
     assertEquals(
         new MultiTenantConfig(
@@ -472,7 +472,7 @@
   }
 
   @Test
-  void readsEverySettingOfHostedGatewayAndFleet() throws Exception {
+  void readsEverySettingOfMultiTenantGatewayAndFleet() throws Exception {
     MultiTenantConfig config = hosted("hosted-full.jsonnet");
     assertEquals(
         new MultiTenantConfig(
@@ -527,7 +527,7 @@
   }
 
   @Test
-  void readsDistributorThatFollowsTheEngine() throws Exception {
+  void readsDistributorThatSubscribesToTheCoordinationStore() throws Exception {
     JsonNode settings = evaluated("distributor.jsonnet");
     ObjectNode withoutListen = settings.deepCopy();
     withoutListen.remove("listen");
@@ -550,7 +550,7 @@
     }
   }
 
-  // ---- Tenants ----------------------------------------------------------------------------------
+  // ---- Tenant specs -----------------------------------------------------------------------------
 
   @Test
   void readsEverySettingOfTenant() throws Exception {
@@ -666,7 +666,7 @@
   }
 
   @Test
-  void readsTenantWithNothingButWhatItMustHave() throws Exception {
+  void readsTenantWithOnlyTheRequiredSettings() throws Exception {
     TenantSpec spec = TenantSpecCodec.read(evaluated("tenant-discovery.jsonnet"));
     assertEquals("harbour", spec.id());
     assertEquals(1, spec.weight());
--- a/gateway/src/test/java/shelffront/compatibility/FleetRecordsCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/FleetRecordsCompatibilityTest.java
@@ -16,7 +16,9 @@
 import shelffront.distribution.RecordChange;
 import shelffront.distribution.Version;
 
-/** Records of a fleet, their log and its head, as version 0.2.0 wrote them to the engine. */
+/**
+ * Reads the fleet records, change log and head that version 0.2.0 wrote to the coordination store.
+ */
 class FleetRecordsCompatibilityTest {
 
   private static final long FIRST = 1_796_289_759_131L;
@@ -112,14 +114,14 @@
   }
 
   @Test
-  void recognizesHistoryThatDoesNotContinue() throws Exception {
+  void detectsChangeLogThatDoesNotContinueTheKnownOne() throws Exception {
     ChangeStore store = store();
     Head other = new Head(new Version(SECOND, 6), "another-change", 8);
     assertThrows(EngineSteppedBack.class, () -> store.changesBetween(other, HEAD));
   }
 
   @Test
-  void continuesTheHistory() throws Exception {
+  void continuesTheChangeLog() throws Exception {
     ChangeStore store = store();
     Version written = store.write("airport", 4, tenant("airport", 9), HEAD.version());
     assertEquals(new Version(SECOND, 8), written);
@@ -131,7 +133,9 @@
         store.changesBetween(START_OF_SECOND, store.head()));
   }
 
-  /** Gateways of the version before read what this one writes, while a fleet is replaced. */
+  /**
+   * During an upgrade of a fleet, gateways of the previous version read what this version writes.
+   */
   @Test
   void writesUnderTheSameKeys() throws Exception {
     Path file = StoredResource.copy("fleet-records.jsonl", directory);
--- a/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
@@ -23,9 +23,9 @@
 import shelffront.rolloutcontrol.RolloutHistory;
 
 /**
- * Where subjects stand, their members and the owner, as version 0.2.0 wrote them to the engine:
- * drill is on its way from half to open and waits for g2, which still acts under epoch 1; valve is
- * wide, and the membership of g3 there is revoked.
+ * Reads the subjects, members and rollout leader that version 0.2.0 wrote to the coordination
+ * store. Subject drill moves from stage half to open and waits for g2, which still has epoch 1.
+ * Subject valve is at stage wide, and its member g3 is revoked.
  */
 class StagesCompatibilityTest {
 
@@ -41,7 +41,7 @@
     engine = StoredEngine.load(StoredResource.copy("fleet-stages.jsonl", directory));
   }
 
-  /** Leases are so long that none ends within a test. */
+  /** Leases of 600 s, so that none expires during a test. */
   private RolloutCoordinator stages(String name, String instance) throws Exception {
     RolloutConfig config =
         RolloutConfig.read(
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void readsWhereSubjectsStand() throws Exception {
+  void readsStagesOfSubjects() throws Exception {
     try (RolloutCoordinator stages = stages("g9", "z9")) {
       assertEquals(
           List.of(
@@ -96,9 +96,12 @@
     }
   }
 
-  /** The owner knows its own key again; another's would hold it off for two leases. */
+  /**
+   * The rollout leader recognizes its own key after a restart. A key of another leader would make
+   * it wait for two leases.
+   */
   @Test
-  void readsOwnerAndTheMemberThatHoldsUpTheMove() throws Exception {
+  void recognizesOwnLeadershipAndReportsTheBlockingMember() throws Exception {
     try (RolloutCoordinator stages = stages("g1", "a1")) {
       stages.start();
       awaitTrue(() -> stages.status("drill").get(0).blockingMembers().equals(List.of("g2-b2.1")));
@@ -111,7 +114,7 @@
   }
 
   @Test
-  void keepsAwayFromOwnershipThatAnotherHolds() throws Exception {
+  void doesNotTakeLeadershipThatAnotherGatewayHolds() throws Exception {
     try (RolloutCoordinator stages = stages("g9", "z9")) {
       stages.start();
       awaitTrue(() -> stages.inForce("drill") != null);
@@ -120,9 +123,9 @@
     }
   }
 
-  /** All other members of valve have acknowledged epoch 2. */
+  /** All members of valve except the revoked one have acknowledged epoch 2. */
   @Test
-  void waitsForTheLapseOfRevokedMember() throws Exception {
+  void waitsForTheLeaseOfRevokedMemberToExpire() throws Exception {
     try (RolloutCoordinator stages = stages("g1", "a1")) {
       stages.start();
       awaitTrue(() -> stages.status("valve").get(0).isLeader());
@@ -140,7 +143,7 @@
   }
 
   @Test
-  void movesOnOnceTheMemberHasLeft() throws Exception {
+  void advancesOnceTheBlockingMemberHasLeft() throws Exception {
     Value member = engine.read(FLEET + "members/drill/g2-b2.1");
     assertEquals("{\"epoch\":1,\"revoked\":false,\"nonce\":384534809}", member.text());
     try (RolloutCoordinator stages = stages("g1", "a1")) {
--- a/gateway/src/test/java/shelffront/compatibility/StoredEngine.java
+++ b/gateway/src/test/java/shelffront/compatibility/StoredEngine.java
@@ -12,14 +12,17 @@
 import shelffront.coordination.CoordinationStore.Value;
 import shelffront.coordination.InMemoryCoordinationStore;
 
-/** Puts the keys of a file of the stand-in engine into one in memory, with the file's indexes. */
+/**
+ * Loads a key file of the emulated coordination store into an in-memory store, with the indexes of
+ * the file.
+ */
 final class StoredEngine {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private StoredEngine() {}
 
-  /** The engine as it was once it had written an index, and nothing later. */
+  /** Loads the store as of an index, without later writes. */
   static InMemoryCoordinationStore asOf(long lastIndex, Path file) throws IOException {
     TreeMap<String, Value> values = new TreeMap<>();
     for (String line : Files.readAllLines(file)) {
--- a/gateway/src/test/java/shelffront/compatibility/TenantStoreCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/TenantStoreCompatibilityTest.java
@@ -18,7 +18,7 @@
 import shelffront.store.DocumentStore.Entry;
 import shelffront.store.DocumentStore.Kind;
 
-/** The store of tenants and tokens, as version 0.2.0 wrote it. */
+/** Reads the document store of tenants and tokens that version 0.2.0 wrote. */
 class TenantStoreCompatibilityTest {
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -76,7 +76,7 @@
     return List.of(new Entry(OPERATOR, 1, operator), new Entry(AIRPORT, 8, airport));
   }
 
-  /** The state before the last change, which is what a file with a torn tail goes back to. */
+  /** Checks the state before the last change, at which a file with a torn write opens. */
   private static void assertStateAtRevisionTen(DocumentStore store) throws IOException {
     assertEquals(10, store.revision());
     assertEquals(
