--- a/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
@@ -97,8 +97,8 @@
   }
 
   /**
-   * The rollout leader recognizes its own key after a restart. A key of another leader would make
-   * it wait for two leases.
+   * A gateway recognizes its own leader key. It would wait for two leases before replacing the key
+   * of another gateway.
    */
   @Test
   void recognizesOwnLeadershipAndReportsTheBlockingMember() throws Exception {
