--- a/gateway/src/main/java/shelffront/config/EndpointList.java
+++ b/gateway/src/main/java/shelffront/config/EndpointList.java
@@ -23,7 +23,7 @@
     List<Endpoint> endpoints,
     Map<String, InetSocketAddress> addresses) {
 
-  private static final Map<String, Availability> PHASES =
+  private static final Map<String, Availability> AVAILABILITY_BY_PHASE =
       Map.of(
           "Ready",
           Availability.READY,
@@ -40,18 +40,19 @@
    * Returns the list after an update. A snapshot replaces the list; a delta adds or replaces the
    * endpoints that it names and removes those whose availability is {@code REMOVED}.
    */
-  public EndpointList apply(EndpointList news) {
-    if (news.complete) {
-      return news;
+  public EndpointList apply(EndpointList update) {
+    if (update.complete) {
+      return update;
     }
-    Map<String, Endpoint> all = new LinkedHashMap<>();
-    endpoints.forEach(member -> all.put(member.id(), member));
-    news.endpoints.forEach(member -> all.put(member.id(), member));
-    all.values().removeIf(member -> member.availability() == Availability.REMOVED);
-    Map<String, InetSocketAddress> where = new HashMap<>(addresses);
-    where.putAll(news.addresses);
-    where.keySet().retainAll(all.keySet());
-    return new EndpointList(news.revision, true, List.copyOf(all.values()), Map.copyOf(where));
+    Map<String, Endpoint> endpointsById = new LinkedHashMap<>();
+    endpoints.forEach(member -> endpointsById.put(member.id(), member));
+    update.endpoints.forEach(member -> endpointsById.put(member.id(), member));
+    endpointsById.values().removeIf(member -> member.availability() == Availability.REMOVED);
+    Map<String, InetSocketAddress> updatedAddresses = new HashMap<>(addresses);
+    updatedAddresses.putAll(update.addresses);
+    updatedAddresses.keySet().retainAll(endpointsById.keySet());
+    return new EndpointList(
+        update.revision, true, List.copyOf(endpointsById.values()), Map.copyOf(updatedAddresses));
   }
 
   /**
@@ -71,11 +72,11 @@
         throw new MalformedInputException("a member is not an object");
       }
       String id = JsonReader.text(member, "id");
-      Availability phase = PHASES.get(JsonReader.text(member, "phase"));
-      if (phase == null) {
+      Availability availability = AVAILABILITY_BY_PHASE.get(JsonReader.text(member, "phase"));
+      if (availability == null) {
         throw new MalformedInputException("phase of " + id + " is not known");
       }
-      if (phase != Availability.REMOVED) {
+      if (availability != Availability.REMOVED) {
         addresses.put(id, GatewayConfig.parseAddress(JsonReader.text(member, "host_port")));
       }
       members.add(
@@ -87,7 +88,7 @@
               JsonReader.number(member, "size", 1),
               (long) JsonReader.number(member, "up_since_ms", 0) * 1000,
               "writer".equals(member.get("access")),
-              phase));
+              availability));
     }
     return new EndpointList(
         (long) JsonReader.number(object, "revision", 0),
--- a/gateway/src/main/java/shelffront/config/GatewayConfig.java
+++ b/gateway/src/main/java/shelffront/config/GatewayConfig.java
@@ -23,7 +23,7 @@
 
   private static final int DEFAULT_MAX_SOCKETS = 1024;
   private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
-  private static final int HEXADECIMAL = 16;
+  private static final int SEED_RADIX = 16;
   private static final int MAX_PORT = 65_535;
   private static final int MAX_FILE_BYTES = 1 << 20;
 
@@ -36,19 +36,19 @@
    */
   public static GatewayConfig fromEnvironment(Map<String, String> environment)
       throws IOException, MalformedInputException {
-    Map<?, ?> top = JsonReader.parseObject(text(file(environment)));
-    Map<?, ?> settings = JsonReader.part(top, "settings");
+    Map<?, ?> root = JsonReader.parseObject(readText(file(environment)));
+    Map<?, ?> settings = JsonReader.object(root, "settings");
     return new GatewayConfig(
-        given(environment, "BALANCER_NAME", top, "name"),
-        parseAddress(given(environment, "BALANCER_LISTEN", top, "listen")),
-        parseAddress(given(environment, "BALANCER_DISCOVERY", top, "discovery")),
-        seed(JsonReader.text(top, "seed")),
-        (int) JsonReader.number(JsonReader.part(top, "limits"), "sockets", DEFAULT_MAX_SOCKETS),
+        environmentOrFile(environment, "BALANCER_NAME", root, "name"),
+        parseAddress(environmentOrFile(environment, "BALANCER_LISTEN", root, "listen")),
+        parseAddress(environmentOrFile(environment, "BALANCER_DISCOVERY", root, "discovery")),
+        seed(JsonReader.text(root, "seed")),
+        (int) JsonReader.number(JsonReader.object(root, "limits"), "sockets", DEFAULT_MAX_SOCKETS),
         (int)
             JsonReader.number(
-                JsonReader.part(settings, "limits"), "openCap", DEFAULT_MAX_OPEN_REQUESTS),
+                JsonReader.object(settings, "limits"), "openCap", DEFAULT_MAX_OPEN_REQUESTS),
         RoutingSettingsCodec.read(settings),
-        EndpointList.read(JsonReader.part(top, "known")));
+        EndpointList.read(JsonReader.object(root, "known")));
   }
 
   /**
@@ -66,7 +66,7 @@
   }
 
   /** Limits the size, so that reloading an oversized file cannot exhaust the gateway's memory. */
-  private static String text(Path path) throws IOException, MalformedInputException {
+  private static String readText(Path path) throws IOException, MalformedInputException {
     try (InputStream in = Files.newInputStream(path)) {
       byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
       if (bytes.length > MAX_FILE_BYTES) {
@@ -80,16 +80,16 @@
     }
   }
 
-  private static String given(
-      Map<String, String> environment, String variable, Map<?, ?> top, String name)
+  private static String environmentOrFile(
+      Map<String, String> environment, String variable, Map<?, ?> root, String name)
       throws MalformedInputException {
     String value = environment.get(variable);
-    return value != null ? value : JsonReader.text(top, name);
+    return value != null ? value : JsonReader.text(root, name);
   }
 
   private static long seed(String hex) throws MalformedInputException {
     try {
-      return Long.parseUnsignedLong(hex, HEXADECIMAL);
+      return Long.parseUnsignedLong(hex, SEED_RADIX);
     } catch (NumberFormatException e) {
       throw new MalformedInputException(
           "seed is \"" + hex + "\", expected an unsigned 64-bit hexadecimal number");
--- a/gateway/src/main/java/shelffront/config/JsonReader.java
+++ b/gateway/src/main/java/shelffront/config/JsonReader.java
@@ -42,9 +42,9 @@
     throw new MalformedInputException(name + " is not a text");
   }
 
-  static double number(Map<?, ?> object, String name, double absent)
+  static double number(Map<?, ?> object, String name, double defaultValue)
       throws MalformedInputException {
-    return number("", object, name, absent);
+    return number("", object, name, defaultValue);
   }
 
   /**
@@ -52,11 +52,11 @@
    *
    * @param path prefix of the field's name in the error message, ending with a dot unless empty
    */
-  static double number(String path, Map<?, ?> object, String name, double absent)
+  static double number(String path, Map<?, ?> object, String name, double defaultValue)
       throws MalformedInputException {
     Object found = object.get(name);
     if (found == null) {
-      return absent;
+      return defaultValue;
     }
     if (found instanceof Number number) {
       return number.doubleValue();
@@ -64,7 +64,7 @@
     throw new MalformedInputException(path + name + " is not a number");
   }
 
-  static Map<?, ?> part(Map<?, ?> object, String name) throws MalformedInputException {
+  static Map<?, ?> object(Map<?, ?> object, String name) throws MalformedInputException {
     if (object.get(name) instanceof Map<?, ?> map) {
       return map;
     }
--- a/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
+++ b/gateway/src/main/java/shelffront/config/RoutingSettingsCodec.java
@@ -23,7 +23,7 @@
  */
 public final class RoutingSettingsCodec {
 
-  private static final Map<String, Idempotency> EFFECTS =
+  private static final Map<String, Idempotency> IDEMPOTENCY_BY_NAME =
       Map.of(
           "repeatable",
           Idempotency.IDEMPOTENT,
@@ -31,7 +31,7 @@
           Idempotency.IDEMPOTENCY_KEY,
           "once",
           Idempotency.NON_IDEMPOTENT);
-  private static final Map<String, DeduplicationScope> SCOPES =
+  private static final Map<String, DeduplicationScope> SCOPE_BY_NAME =
       Map.of(
           "all",
           DeduplicationScope.ALL,
@@ -39,7 +39,7 @@
           DeduplicationScope.ZONE,
           "cell",
           DeduplicationScope.REPLICA_SET);
-  private static final Map<String, Consistency> READS =
+  private static final Map<String, Consistency> CONSISTENCY_BY_NAME =
       Map.of(
           "write",
           Consistency.WRITE,
@@ -51,11 +51,11 @@
           Consistency.BOUNDED_STALENESS,
           "any",
           Consistency.EVENTUAL);
-  private static final Map<String, LagCheck> CHECKS =
+  private static final Map<String, LagCheck> LAG_CHECK_BY_NAME =
       Map.of("silent", LagCheck.NONE, "refuse", LagCheck.REJECT, "wait", LagCheck.WAIT);
-  private static final Map<String, ListedRoles> LIST_ROLES =
+  private static final Map<String, ListedRoles> LISTED_ROLES_BY_NAME =
       Map.of("silent", ListedRoles.NONE, "start", ListedRoles.AT_START, "late", ListedRoles.LATE);
-  private static final Map<String, LoadReportSource> SOURCES =
+  private static final Map<String, LoadReportSource> LOAD_REPORT_SOURCE_BY_NAME =
       Map.of(
           "silent",
           LoadReportSource.NONE,
@@ -76,8 +76,8 @@
   }
 
   /** Returns the clock time in microseconds from which positions in the input are counted. */
-  public static long positionZeroMicros(Map<?, ?> facts) throws MalformedInputException {
-    return new RoutingSettingsCodec("facts", facts).part("familyInfo").integer("zero", 0);
+  public static long positionZeroMicros(Map<?, ?> settings) throws MalformedInputException {
+    return new RoutingSettingsCodec("facts", settings).section("familyInfo").integer("zero", 0);
   }
 
   /**
@@ -85,41 +85,42 @@
    *
    * @throws MalformedInputException if a section is not an object or a numeric setting not a number
    */
-  public static RoutingSettings read(Map<?, ?> facts) throws MalformedInputException {
-    RoutingSettingsCodec top = new RoutingSettingsCodec("facts", facts);
-    RoutingSettingsCodec family = top.part("familyInfo");
-    RoutingSettingsCodec limits = top.part("limits");
-    RoutingSettingsCodec rules = top.part("guarantees");
-    RoutingSettingsCodec prices = top.part("tariffs");
-    List<RequestClass> classes = readClasses(top, family);
+  public static RoutingSettings read(Map<?, ?> settings) throws MalformedInputException {
+    RoutingSettingsCodec root = new RoutingSettingsCodec("facts", settings);
+    RoutingSettingsCodec family = root.section("familyInfo");
+    RoutingSettingsCodec limits = root.section("limits");
+    RoutingSettingsCodec rules = root.section("guarantees");
+    RoutingSettingsCodec costs = root.section("tariffs");
+    List<RequestClass> classes = readClasses(root, family);
     return new RoutingSettings(
         new GatewayIdentity(
-            (int) top.integer("selfIndex", 0),
-            (int) top.integer("balancers", 1),
-            top.text("zone", "")),
-        top.integer("period", 1000),
+            (int) root.integer("selfIndex", 0),
+            (int) root.integer("balancers", 1),
+            root.text("zone", "")),
+        root.integer("period", 1000),
         classes,
         new ConsistencySettings(
-            family.word("checks", CHECKS, LagCheck.NONE),
+            family.enumValue("checks", LAG_CHECK_BY_NAME, LagCheck.NONE),
             family.integer("patience", 0),
             family.flag("answersStamped"),
             !family.text("sessionMarks", "carried").equals("remembered")),
         new EndpointListSettings(
-            family.word("roleInList", LIST_ROLES, ListedRoles.NONE),
-            top.text("membershipMode", "push").equals("ask")),
-        top.part("loadInfo").word("source", SOURCES, LoadReportSource.NONE),
+            family.enumValue("roleInList", LISTED_ROLES_BY_NAME, ListedRoles.NONE),
+            root.text("membershipMode", "push").equals("ask")),
+        root.section("loadInfo")
+            .enumValue("source", LOAD_REPORT_SOURCE_BY_NAME, LoadReportSource.NONE),
         readRules(rules),
         readLimits(limits),
-        prices.number("crossZone", 0),
-        prices.number("probe", 0));
+        costs.number("crossZone", 0),
+        costs.number("probe", 0));
   }
 
   private static List<RequestClass> readClasses(
-      RoutingSettingsCodec top, RoutingSettingsCodec family) throws MalformedInputException {
+      RoutingSettingsCodec root, RoutingSettingsCodec family) throws MalformedInputException {
     List<?> reads = family.list("classRead");
     List<?> bounds = family.list("oldestData");
     List<RequestClass> classes = new ArrayList<>();
-    for (Object entry : top.list("categories")) {
+    for (Object entry : root.list("categories")) {
       int index = classes.size();
       RoutingSettingsCodec category =
           new RoutingSettingsCodec("facts.categories[" + index + "]", asMap(entry));
@@ -130,8 +131,8 @@
   }
 
   private static Consistency consistencyAt(List<?> reads, int index) {
-    return index < reads.size() && reads.get(index) instanceof String word
-        ? READS.getOrDefault(word, Consistency.STRONG)
+    return index < reads.size() && reads.get(index) instanceof String name
+        ? CONSISTENCY_BY_NAME.getOrDefault(name, Consistency.STRONG)
         : Consistency.STRONG;
   }
 
@@ -150,8 +151,8 @@
         deadlineMicros,
         number("points", 1),
         number("lateShare", 0),
-        word("effect", EFFECTS, Idempotency.NON_IDEMPOTENT),
-        word("group", SCOPES, DeduplicationScope.REPLICA_SET),
+        enumValue("effect", IDEMPOTENCY_BY_NAME, Idempotency.NON_IDEMPOTENT),
+        enumValue("group", SCOPE_BY_NAME, DeduplicationScope.REPLICA_SET),
         integer("dedupWindow", 0),
         consistency,
         maxStalenessMicros);
@@ -187,7 +188,7 @@
     return value instanceof Map<?, ?> map ? map : Map.of();
   }
 
-  private RoutingSettingsCodec part(String name) throws MalformedInputException {
+  private RoutingSettingsCodec section(String name) throws MalformedInputException {
     Object value = values.get(name);
     if (value != null && !(value instanceof Map)) {
       throw new MalformedInputException(path + "." + name + " is not an object");
@@ -199,23 +200,23 @@
     return values.get(name) instanceof List<?> list ? list : List.of();
   }
 
-  private double number(String name, double absent) throws MalformedInputException {
-    return JsonReader.number(path + ".", values, name, absent);
+  private double number(String name, double defaultValue) throws MalformedInputException {
+    return JsonReader.number(path + ".", values, name, defaultValue);
   }
 
-  private long integer(String name, long absent) throws MalformedInputException {
-    return (long) number(name, absent);
+  private long integer(String name, long defaultValue) throws MalformedInputException {
+    return (long) number(name, defaultValue);
   }
 
-  private String text(String name, String absent) {
-    return values.get(name) instanceof String text ? text : absent;
+  private String text(String name, String defaultValue) {
+    return values.get(name) instanceof String text ? text : defaultValue;
   }
 
   private boolean flag(String name) {
     return values.get(name) instanceof Boolean flag && flag;
   }
 
-  private <T> T word(String name, Map<String, T> words, T absent) {
-    return words.getOrDefault(text(name, ""), absent);
+  private <T> T enumValue(String name, Map<String, T> valuesByName, T defaultValue) {
+    return valuesByName.getOrDefault(text(name, ""), defaultValue);
   }
 }
