--- a/gateway/src/main/java/shelffront/store/DocumentStore.java
+++ b/gateway/src/main/java/shelffront/store/DocumentStore.java
@@ -183,9 +183,9 @@
       String action,
       long atMillis)
       throws ConflictException {
-    Entry present = get(kind, name);
-    if ((present == null ? 0 : present.revision()) != expected) {
-      throw new ConflictException(present);
+    Entry current = get(kind, name);
+    if ((current == null ? 0 : current.revision()) != expected) {
+      throw new ConflictException(current);
     }
     long revision = revision() + 1;
     if (document == null) {
@@ -264,15 +264,15 @@
       exported
           .path(kind.name().toLowerCase(Locale.ROOT))
           .fields()
-          .forEachRemaining(field -> documentsByName.put(field.getKey(), field.getValue()));
-      for (var each : documentsByName.entrySet()) {
-        Entry present = get(kind, each.getKey());
+          .forEachRemaining(child -> documentsByName.put(child.getKey(), child.getValue()));
+      for (var field : documentsByName.entrySet()) {
+        Entry current = get(kind, field.getKey());
         try {
           put(
               kind,
-              each.getKey(),
-              present == null ? 0 : present.revision(),
-              each.getValue(),
+              field.getKey(),
+              current == null ? 0 : current.revision(),
+              field.getValue(),
               actor,
               "import",
               atMillis);
