--- a/gateway/src/main/java/shelffront/Main.java
+++ b/gateway/src/main/java/shelffront/Main.java
@@ -31,9 +31,9 @@
  */
 public final class Main {
 
-  private static final long BUFFER_BYTES = 32L << 20;
-  private static final long STOP_SECONDS = 30;
-  private static final long LOG_MILLISECONDS = 2000;
+  private static final long MAX_BUFFER_BYTES = 32L << 20;
+  private static final long STOP_TIMEOUT_SECONDS = 30;
+  private static final long LOG_CLOSE_TIMEOUT_MILLIS = 2000;
 
   private Main() {}
 
@@ -43,7 +43,7 @@
     try {
       switch (command) {
         case "serve" -> serve();
-        case "rehearse" -> rehearse();
+        case "rehearse" -> trainingRun();
         case "benchlink" ->
             new SimulatorAdapter(
                     new FileInputStream(FileDescriptor.in),
@@ -59,28 +59,29 @@
     }
   }
 
-  private static Network network(EventLog log) throws IOException {
+  private static Network openNetwork(EventLog log) throws IOException {
     Counters counters = new Counters();
     EventLoop loop =
         new EventLoop(() -> ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()), counters);
-    return Network.open(loop, new ResourceBudget(BUFFER_BYTES), counters, log);
+    return Network.open(loop, new ResourceBudget(MAX_BUFFER_BYTES), counters, log);
   }
 
-  private static AsyncEventLog log() {
+  private static AsyncEventLog openLog() {
     return new AsyncEventLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
   }
 
-  private static void rehearse() throws IOException, MalformedInputException, InterruptedException {
-    AsyncEventLog log = log();
-    TrainingRun.run(System.getenv(), network(log));
-    log.close(LOG_MILLISECONDS);
+  private static void trainingRun()
+      throws IOException, MalformedInputException, InterruptedException {
+    AsyncEventLog log = openLog();
+    TrainingRun.run(System.getenv(), openNetwork(log));
+    log.close(LOG_CLOSE_TIMEOUT_MILLIS);
   }
 
   private static void serve() throws IOException, MalformedInputException, InterruptedException {
     ReloadSignal reloadSignal = ReloadSignal.install(GatewayConfig.file(System.getenv()));
     GatewayConfig config = GatewayConfig.fromEnvironment(System.getenv());
-    AsyncEventLog log = log();
-    Network network = network(log);
+    AsyncEventLog log = openLog();
+    Network network = openNetwork(log);
     EventLoop loop = network.loop();
     Gateway gateway = new Gateway(network, config);
     CountDownLatch stopped = new CountDownLatch(1);
@@ -92,8 +93,8 @@
                 () -> {
                   loop.post(gateway::drain);
                   try {
-                    stopped.await(STOP_SECONDS, TimeUnit.SECONDS);
-                    log.close(LOG_MILLISECONDS);
+                    stopped.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                    log.close(LOG_CLOSE_TIMEOUT_MILLIS);
                   } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                   }
--- a/gateway/src/main/java/shelffront/training/TrainingRun.java
+++ b/gateway/src/main/java/shelffront/training/TrainingRun.java
@@ -30,7 +30,7 @@
 
   /** The server side of a connection to the emulated host or discovery service. */
   private interface ConnectionScript {
-    void play(DataInputStream in, OutputStream out) throws IOException;
+    void run(DataInputStream in, OutputStream out) throws IOException;
   }
 
   private final ServerSocket host = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -45,27 +45,27 @@
   public static void run(Map<String, String> environment, Network network)
       throws IOException, MalformedInputException, InterruptedException {
     TrainingRun training = new TrainingRun();
-    GatewayConfig given = GatewayConfig.fromEnvironment(environment);
+    GatewayConfig baseConfig = GatewayConfig.fromEnvironment(environment);
     GatewayConfig config =
         new GatewayConfig(
-            given.name(),
+            baseConfig.name(),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             (InetSocketAddress) training.discovery.getLocalSocketAddress(),
-            given.seed(),
-            given.maxSockets(),
-            given.maxOpenRequests(),
-            given.settings(),
-            given.knownEndpoints());
+            baseConfig.seed(),
+            baseConfig.maxSockets(),
+            baseConfig.maxOpenRequests(),
+            baseConfig.settings(),
+            baseConfig.knownEndpoints());
     Gateway gateway = new Gateway(network, config);
-    serve(training.host, TrainingRun::answerQueries);
-    serve(training.discovery, training::sendEndpointList);
+    acceptInBackground(training.host, TrainingRun::serveQueries);
+    acceptInBackground(training.discovery, training::sendEndpointList);
     InetSocketAddress address = (InetSocketAddress) gateway.address();
-    inBackground(
+    startDaemon(
         () -> {
           try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.setSoTimeout(READ_TIMEOUT_MILLIS);
             sendRequests(
-                given, new DataInputStream(client.getInputStream()), client.getOutputStream());
+                baseConfig, new DataInputStream(client.getInputStream()), client.getOutputStream());
           } catch (IOException e) {
             network.log().println("rehearsal: " + e);
           }
@@ -75,22 +75,22 @@
     network.loop().run();
   }
 
-  private static void inBackground(Runnable task) {
+  private static void startDaemon(Runnable task) {
     Thread thread = new Thread(task, "rehearsal");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private static void serve(ServerSocket listener, ConnectionScript script) {
-    inBackground(
+  private static void acceptInBackground(ServerSocket listener, ConnectionScript script) {
+    startDaemon(
         () -> {
           try {
             while (true) {
               Socket socket = listener.accept();
-              inBackground(
+              startDaemon(
                   () -> {
                     try (socket) {
-                      script.play(
+                      script.run(
                           new DataInputStream(socket.getInputStream()), socket.getOutputStream());
                     } catch (IOException e) {
                       // The gateway closed the connection, which ends this script.
@@ -106,7 +106,7 @@
   private static void sendRequests(GatewayConfig config, DataInputStream in, OutputStream out)
       throws IOException {
     out.write(Message.startup("api", "ledger"));
-    readUntilReady(in);
+    skipUntilReady(in);
     for (int i = 0; i < REQUESTS; i++) {
       String name =
           config
@@ -126,13 +126,13 @@
                       + i % 20
                       + "'")
                   .getBytes(ISO_8859_1)));
-      readUntilReady(in);
+      skipUntilReady(in);
     }
     out.write(Message.query("no request".getBytes(ISO_8859_1)));
-    readUntilReady(in);
+    skipUntilReady(in);
   }
 
-  private static void readUntilReady(DataInputStream in) throws IOException {
+  private static void skipUntilReady(DataInputStream in) throws IOException {
     while (skipMessage(in) != 'Z') {
       continue;
     }
@@ -144,17 +144,18 @@
     return type;
   }
 
-  private static void answerQueries(DataInputStream in, OutputStream out) throws IOException {
+  private static void serveQueries(DataInputStream in, OutputStream out) throws IOException {
     in.skipNBytes(in.readInt() - 4L);
     out.write(Message.authenticationOk());
     out.write(Message.readyForQuery());
     while (true) {
       in.readUnsignedByte();
       byte[] query = in.readNBytes(in.readInt() - 4);
-      boolean probe = new String(query, ISO_8859_1).startsWith("SHOW");
-      String value = probe ? "x0=" + System.currentTimeMillis() / 1000 + ",x1=1,queue=0" : "value";
+      boolean healthCheck = new String(query, ISO_8859_1).startsWith("SHOW");
+      String value =
+          healthCheck ? "x0=" + System.currentTimeMillis() / 1000 + ",x1=1,queue=0" : "value";
       out.write(
-          join(
+          concatenate(
               new Message('T', ("\0\1v\0" + "\0".repeat(18)).getBytes(ISO_8859_1)).bytes(),
               new Message('D', ("\0\1\0\0\0" + (char) value.length() + value).getBytes(ISO_8859_1))
                   .bytes(),
@@ -164,7 +165,7 @@
     }
   }
 
-  private static byte[] join(byte[]... parts) {
+  private static byte[] concatenate(byte[]... parts) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (byte[] part : parts) {
       all.writeBytes(part);
