--- a/gateway/src/main/java/shelffront/cli/Cli.java
+++ b/gateway/src/main/java/shelffront/cli/Cli.java
@@ -67,7 +67,8 @@
 public final class Cli {
 
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final long STOP_SECONDS = 30;
+  private static final long STOP_TIMEOUT_SECONDS = 30;
+  private static final long LOG_CLOSE_TIMEOUT_MILLIS = 2000;
 
   /** A command failed; the message is printed to the user. */
   private static final class Failure extends Exception {
@@ -102,7 +103,7 @@
    * @throws Failure if the configuration is invalid; the message names the file, the JSON pointer
    *     of the value and the reason
    */
-  private static MultiTenantConfig config(Path file) throws Failure {
+  private static MultiTenantConfig readConfig(Path file) throws Failure {
     try {
       return MultiTenantConfig.read(JsonnetTemplates.evaluate(file));
     } catch (SpecException e) {
@@ -147,44 +148,44 @@
           new AsyncEventLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
       EventLog log = GatewayLogging.open(format == Format.JSON, lines);
       ReloadSignal reloadSignal = ReloadSignal.install(file);
-      MultiTenantGateway hosted = new MultiTenantGateway(config(file), log);
+      MultiTenantGateway gateway = new MultiTenantGateway(readConfig(file), log);
       CountDownLatch stopped = new CountDownLatch(1);
       Runtime.getRuntime()
           .addShutdownHook(
               new Thread(
                   () -> {
-                    hosted.drain();
+                    gateway.drain();
                     try {
-                      stopped.await(STOP_SECONDS, TimeUnit.SECONDS);
-                      lines.close(2000);
+                      stopped.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                      lines.close(LOG_CLOSE_TIMEOUT_MILLIS);
                     } catch (InterruptedException e) {
                       Thread.currentThread().interrupt();
                     }
                   },
                   "stop"));
-      reloadSignal.handleWith(() -> reload(hosted, log), log);
-      if (hosted.adminAddress() != null && hosted.store().all(Kind.TOKEN).isEmpty()) {
+      reloadSignal.handleWith(() -> reload(gateway, log), log);
+      if (gateway.adminAddress() != null && gateway.store().all(Kind.TOKEN).isEmpty()) {
         log.println(
-            "first operator token, shown once: " + hosted.tokens().create(null, "first start"));
+            "first operator token, shown once: " + gateway.tokens().create(null, "first start"));
       }
       log.println(
           "listens on "
-              + hosted.address()
-              + (hosted.adminAddress() == null
+              + gateway.address()
+              + (gateway.adminAddress() == null
                   ? ""
-                  : ", administration on " + hosted.adminAddress()));
-      hosted.run();
+                  : ", administration on " + gateway.adminAddress()));
+      gateway.run();
       stopped.countDown();
       return 0;
     }
 
-    private void reload(MultiTenantGateway hosted, EventLog log) {
+    private void reload(MultiTenantGateway gateway, EventLog log) {
       try {
         log.println(
             "read "
                 + file
                 + " anew, "
-                + hosted.addMissingTenants(config(file))
+                + gateway.addMissingTenants(readConfig(file))
                 + " tenants put in");
       } catch (Failure
           | SpecException
@@ -217,14 +218,14 @@
       AsyncEventLog lines =
           new AsyncEventLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
       EventLog log = GatewayLogging.open(false, lines);
-      try (DistributorProcess role =
+      try (DistributorProcess distributor =
           DistributorProcess.fromSettings(JsonnetTemplates.evaluate(file), log)) {
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(stopped::countDown, "stop"));
-        role.start();
-        log.println("distributes on " + role.address());
+        distributor.start();
+        log.println("distributes on " + distributor.address());
         stopped.await();
-        lines.close(2000);
+        lines.close(LOG_CLOSE_TIMEOUT_MILLIS);
       } catch (SpecException e) {
         throw new Failure(file + ": " + e.pointer() + " " + e.getMessage());
       }
@@ -236,7 +237,7 @@
    * A command that takes no options, listed here only for the help. {@link shelffront.Main} starts
    * it, so this class runs only if arguments were given.
    */
-  abstract static class WithoutOptions implements Callable<Integer> {
+  abstract static class OptionlessCommand implements Callable<Integer> {
 
     @Spec private CommandSpec spec;
 
@@ -250,14 +251,14 @@
       name = "benchlink",
       description =
           "Runs the simulator adapter: the decision module on the simulator's line protocol.")
-  static final class Benchlink extends WithoutOptions {}
+  static final class Benchlink extends OptionlessCommand {}
 
   @Command(
       name = "rehearse",
       description =
           "Runs the training run, the last step of the build: sends requests through a gateway and"
               + " exits.")
-  static final class Rehearse extends WithoutOptions {}
+  static final class Rehearse extends OptionlessCommand {}
 
   /** Checks or renders a configuration file. */
   @Command(
@@ -270,7 +271,7 @@
         name = "check",
         description = "Checks a configuration file, and reports where and why it is invalid.")
     int check(@Parameters(paramLabel = "FILE") Path file) throws Failure {
-      MultiTenantConfig config = config(file);
+      MultiTenantConfig config = readConfig(file);
       System.out.println(file + ": valid, " + config.tenants().size() + " tenants");
       return 0;
     }
@@ -280,7 +281,7 @@
         description = "Evaluates a valid configuration template and prints the resulting JSON.")
     int render(@Parameters(paramLabel = "FILE") Path file)
         throws Failure, IOException, SpecException {
-      config(file);
+      readConfig(file);
       System.out.println(JsonnetTemplates.evaluate(file).toPrettyString());
       return 0;
     }
@@ -311,9 +312,9 @@
       return exchange(method, path, body, headers).body();
     }
 
-    record Answered(JsonNode body, String etag) {}
+    record Response(JsonNode body, String etag) {}
 
-    Answered exchange(String method, String path, String body, String... headers) throws Failure {
+    Response exchange(String method, String path, String body, String... headers) throws Failure {
       if (token == null || token.isEmpty()) {
         throw new Failure("no token given: use --token or set SHELFFRONT_TOKEN");
       }
@@ -327,20 +328,21 @@
         if (headers.length > 0) {
           request.headers(headers);
         }
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
             HttpClient.newHttpClient().send(request.build(), BodyHandlers.ofString());
-        JsonNode json = answer.body().isEmpty() ? JSON.nullNode() : JSON.readTree(answer.body());
-        if (answer.statusCode() >= 300) {
+        JsonNode json =
+            response.body().isEmpty() ? JSON.nullNode() : JSON.readTree(response.body());
+        if (response.statusCode() >= 300) {
           String pointer = json.path("errors").path(0).path("pointer").asText("");
           throw new Failure(
-              answer.statusCode()
+              response.statusCode()
                   + " "
                   + json.path("title").asText()
                   + ": "
                   + (pointer.isEmpty() ? "" : pointer + " ")
                   + json.path("detail").asText());
         }
-        return new Answered(json, answer.headers().firstValue("ETag").orElse(""));
+        return new Response(json, response.headers().firstValue("ETag").orElse(""));
       } catch (IOException | IllegalArgumentException e) {
         throw new Failure(
             "request to the administration API at " + admin + " failed: " + e.getMessage());
@@ -362,9 +364,11 @@
 
     @Command(name = "list", description = "Lists the tenants that the token gives access to.")
     int list() throws Failure {
-      for (JsonNode t : remote.call("GET", "/v1/tenants", null).path("tenants")) {
+      for (JsonNode tenantEntry : remote.call("GET", "/v1/tenants", null).path("tenants")) {
         System.out.println(
-            t.path("tenant").path("id").asText() + " revision " + t.path("revision").asLong());
+            tenantEntry.path("tenant").path("id").asText()
+                + " revision "
+                + tenantEntry.path("revision").asLong());
       }
       return 0;
     }
@@ -391,9 +395,9 @@
       }
       String path = "/v1/tenants/" + tenant.path("id").asText();
       String[] match = {"If-None-Match", "*"};
-      for (JsonNode t : remote.call("GET", "/v1/tenants", null).path("tenants")) {
-        if (t.path("tenant").path("id").equals(tenant.path("id"))) {
-          match = new String[] {"If-Match", "\"" + t.path("revision").asLong() + "\""};
+      for (JsonNode tenantEntry : remote.call("GET", "/v1/tenants", null).path("tenants")) {
+        if (tenantEntry.path("tenant").path("id").equals(tenant.path("id"))) {
+          match = new String[] {"If-Match", "\"" + tenantEntry.path("revision").asLong() + "\""};
         }
       }
       long revision = remote.call("PUT", path, tenant.toString(), match).path("revision").asLong();
@@ -443,16 +447,18 @@
         @Parameters(paramLabel = "TENANT") String tenant,
         @Parameters(paramLabel = "USER") String user)
         throws Failure {
-      JsonNode asked = JSON.createObjectNode().put("user", user);
-      JsonNode made = remote.call("POST", "/v1/tenants/" + tenant + "/keys", asked.toString());
-      System.out.println(made.path("id").asText() + " " + made.path("key").asText());
+      JsonNode requestBody = JSON.createObjectNode().put("user", user);
+      JsonNode created =
+          remote.call("POST", "/v1/tenants/" + tenant + "/keys", requestBody.toString());
+      System.out.println(created.path("id").asText() + " " + created.path("key").asText());
       return 0;
     }
 
     @Command(name = "list", description = "Lists the keys of a tenant with their users.")
     int list(@Parameters(paramLabel = "TENANT") String tenant) throws Failure {
-      for (JsonNode k : remote.call("GET", "/v1/tenants/" + tenant + "/keys", null).path("keys")) {
-        System.out.println(k.path("id").asText() + " " + k.path("user").asText());
+      for (JsonNode key :
+          remote.call("GET", "/v1/tenants/" + tenant + "/keys", null).path("keys")) {
+        System.out.println(key.path("id").asText() + " " + key.path("user").asText());
       }
       return 0;
     }
@@ -489,7 +495,7 @@
         name = "import",
         description =
             "Imports all documents of an export, replacing stored documents of the same name.")
-    int take(
+    int importDocuments(
         @Parameters(paramLabel = "FILE") Path file,
         @Parameters(paramLabel = "DOCUMENT") Path document)
         throws IOException, SpecException {
@@ -536,9 +542,9 @@
               new AdminTokens(s, System::currentTimeMillis).create(tenant, "command line"));
         }
       } else {
-        JsonNode asked = JSON.createObjectNode().put("tenant", tenant);
+        JsonNode requestBody = JSON.createObjectNode().put("tenant", tenant);
         System.out.println(
-            remote.call("POST", "/v1/tokens", asked.toString()).path("token").asText());
+            remote.call("POST", "/v1/tokens", requestBody.toString()).path("token").asText());
       }
       return 0;
     }
--- a/gateway/src/main/java/shelffront/cli/JsonnetTemplates.java
+++ b/gateway/src/main/java/shelffront/cli/JsonnetTemplates.java
@@ -31,15 +31,15 @@
     }
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
-    Path whole = file.toAbsolutePath();
+    Path absoluteFile = file.toAbsolutePath();
     int code =
         SjsonnetMain.main0(
-            new String[] {whole.toString()},
+            new String[] {absoluteFile.toString()},
             new DefaultParseCache(),
             new ByteArrayInputStream(new byte[0]),
             new PrintStream(out, true, UTF_8),
             new PrintStream(err, true, UTF_8),
-            new os.Path(whole.getParent()),
+            new os.Path(absoluteFile.getParent()),
             SjsonnetMain.main0$default$7(),
             SjsonnetMain.main0$default$8(),
             SjsonnetMain.main0$default$9());
