--- a/gateway/src/main/java/shelffront/cli/Cli.java
+++ b/gateway/src/main/java/shelffront/cli/Cli.java
@@ -182,17 +182,19 @@
     private void reload(MultiTenantGateway gateway, EventLog log) {
       try {
         log.println(
-            "read "
+            "configuration reloaded from "
                 + file
-                + " anew, "
+                + ", created "
                 + gateway.addMissingTenants(readConfig(file))
-                + " tenants put in");
+                + " new tenants");
       } catch (Failure
           | SpecException
           | ConflictException
           | OperatorException
           | RuntimeException e) {
-        log.println("reload failed, what was in force stays: " + e.getMessage());
+        log.println(
+            "configuration reload failed, the running configuration stays in effect: "
+                + e.getMessage());
       }
     }
   }
--- a/gateway/src/main/java/shelffront/config/EndpointList.java
+++ b/gateway/src/main/java/shelffront/config/EndpointList.java
@@ -65,16 +65,21 @@
     List<Endpoint> members = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
     if (!(object.get("members") instanceof List<?> entries)) {
-      throw new MalformedInputException("members is not an array");
+      throw new MalformedInputException("members is missing or not an array");
     }
     for (Object entry : entries) {
       if (!(entry instanceof Map<?, ?> member)) {
-        throw new MalformedInputException("a member is not an object");
+        throw new MalformedInputException("members[" + members.size() + "] is not an object");
       }
       String id = JsonReader.text(member, "id");
       Availability availability = AVAILABILITY_BY_PHASE.get(JsonReader.text(member, "phase"));
       if (availability == null) {
-        throw new MalformedInputException("phase of " + id + " is not known");
+        throw new MalformedInputException(
+            "member "
+                + id
+                + " has the unknown phase \""
+                + member.get("phase")
+                + "\", expected Ready, Terminating or Gone");
       }
       if (availability != Availability.REMOVED) {
         addresses.put(id, GatewayConfig.parseAddress(JsonReader.text(member, "host_port")));
--- a/gateway/src/main/java/shelffront/config/GatewayConfig.java
+++ b/gateway/src/main/java/shelffront/config/GatewayConfig.java
@@ -107,7 +107,8 @@
     if (!host.matches("[0-9.]+|\\[[0-9A-Fa-f:.]+]")
         || !port.matches("[0-9]{1,5}")
         || Integer.parseInt(port) > MAX_PORT) {
-      throw new MalformedInputException("not an address: " + text);
+      throw new MalformedInputException(
+          "invalid address \"" + text + "\", expected host:port with a literal IP address");
     }
     return new InetSocketAddress(host, Integer.parseInt(port));
   }
--- a/gateway/src/main/java/shelffront/config/JsonReader.java
+++ b/gateway/src/main/java/shelffront/config/JsonReader.java
@@ -39,7 +39,7 @@
     if (object.get(name) instanceof String text) {
       return text;
     }
-    throw new MalformedInputException(name + " is not a text");
+    throw new MalformedInputException(name + " is missing or not a string");
   }
 
   static double number(Map<?, ?> object, String name, double defaultValue)
@@ -68,7 +68,7 @@
     if (object.get(name) instanceof Map<?, ?> map) {
       return map;
     }
-    throw new MalformedInputException(name + " is not an object");
+    throw new MalformedInputException(name + " is missing or not an object");
   }
 
   @Override
--- a/gateway/src/main/java/shelffront/gateway/ConfigReload.java
+++ b/gateway/src/main/java/shelffront/gateway/ConfigReload.java
@@ -43,7 +43,9 @@
     try {
       gateway.reload(GatewayConfig.fromEnvironment(environment));
     } catch (IOException | MalformedInputException | RuntimeException e) {
-      network.log().println("reload failed, what was in force stays: " + e);
+      network
+          .log()
+          .println("configuration reload failed, the running configuration stays in effect: " + e);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -177,7 +177,7 @@
                 + next.discoveryAddress()
                 + (next.settings().equals(singleTenant.spec().settings())
                     ? ""
-                    : "; other settings hold from the next start"));
+                    : "; changes of other settings take effect after a restart"));
   }
 
   /**
--- a/gateway/src/main/java/shelffront/gateway/ReloadSignal.java
+++ b/gateway/src/main/java/shelffront/gateway/ReloadSignal.java
@@ -51,9 +51,10 @@
     }
     if (fileWatcher != null) {
       log.println(
-          "SIGHUP is ignored, as this process was started (nohup, trap): the signal will not reload"
-              + " the configuration. The file is looked at once a second instead; start with SIGHUP"
-              + " at its default, such as by setsid, to have the signal back");
+          "SIGHUP is ignored because the process was started that way (nohup, trap), so the signal"
+              + " does not reload the configuration. The configuration file is polled once per"
+              + " second instead. To enable the signal, start the process with the default action"
+              + " for SIGHUP, for example with setsid instead of nohup");
       fileWatcher.start(this::requestReload);
     }
   }
--- a/gateway/src/main/java/shelffront/training/TrainingRun.java
+++ b/gateway/src/main/java/shelffront/training/TrainingRun.java
@@ -67,7 +67,7 @@
             sendRequests(
                 baseConfig, new DataInputStream(client.getInputStream()), client.getOutputStream());
           } catch (IOException e) {
-            network.log().println("rehearsal: " + e);
+            network.log().println("training run: client connection failed: " + e);
           }
           network.loop().post(gateway::drain);
         });
