--- a/gateway/src/main/java/shelffront/Main.java
+++ b/gateway/src/main/java/shelffront/Main.java
@@ -25,24 +25,25 @@
 import shelffront.training.TrainingRun;
 
 /**
- * The commands: {@code serve} runs a gateway, {@code benchlink} speaks the simulator's wire, {@code
- * rehearse} is the build's last step.
+ * Entry point. Without options, {@code serve} runs a single-tenant gateway, {@code benchlink} runs
+ * the simulator adapter, and {@code rehearse} runs the training run that ends the build. All other
+ * command lines go to {@link Cli}.
  */
 public final class Main {
 
-  private static final long BUFFER_BYTES = 32L << 20;
-  private static final long STOP_SECONDS = 30;
-  private static final long LOG_MILLISECONDS = 2000;
+  private static final long MAX_BUFFER_BYTES = 32L << 20;
+  private static final long STOP_TIMEOUT_SECONDS = 30;
+  private static final long LOG_CLOSE_TIMEOUT_MILLIS = 2000;
 
   private Main() {}
 
   public static void main(String[] args) {
-    // The platform's commands load nothing of the command line's library.
+    // The commands that the platform starts are handled here, without loading picocli.
     String command = args.length == 1 ? args[0] : "";
     try {
       switch (command) {
         case "serve" -> serve();
-        case "rehearse" -> rehearse();
+        case "rehearse" -> trainingRun();
         case "benchlink" ->
             new SimulatorAdapter(
                     new FileInputStream(FileDescriptor.in),
@@ -58,41 +59,42 @@
     }
   }
 
-  private static Network network(EventLog log) throws IOException {
+  private static Network openNetwork(EventLog log) throws IOException {
     Counters counters = new Counters();
     EventLoop loop =
         new EventLoop(() -> ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now()), counters);
-    return Network.open(loop, new ResourceBudget(BUFFER_BYTES), counters, log);
+    return Network.open(loop, new ResourceBudget(MAX_BUFFER_BYTES), counters, log);
   }
 
-  private static AsyncEventLog log() {
+  private static AsyncEventLog openLog() {
     return new AsyncEventLog(new PrintStream(new FileOutputStream(FileDescriptor.out)));
   }
 
-  private static void rehearse() throws IOException, MalformedInputException, InterruptedException {
-    AsyncEventLog log = log();
-    TrainingRun.run(System.getenv(), network(log));
-    log.close(LOG_MILLISECONDS);
+  private static void trainingRun()
+      throws IOException, MalformedInputException, InterruptedException {
+    AsyncEventLog log = openLog();
+    TrainingRun.run(System.getenv(), openNetwork(log));
+    log.close(LOG_CLOSE_TIMEOUT_MILLIS);
   }
 
   private static void serve() throws IOException, MalformedInputException, InterruptedException {
     ReloadSignal reloadSignal = ReloadSignal.install(GatewayConfig.file(System.getenv()));
     GatewayConfig config = GatewayConfig.fromEnvironment(System.getenv());
-    AsyncEventLog log = log();
-    Network network = network(log);
+    AsyncEventLog log = openLog();
+    Network network = openNetwork(log);
     EventLoop loop = network.loop();
     Gateway gateway = new Gateway(network, config);
     CountDownLatch stopped = new CountDownLatch(1);
-    // The process ends when its hooks return, so the hook stays until all that was taken is
-    // answered.
+    // The process ends when its shutdown hooks return, so the hook waits until the gateway has
+    // drained and all accepted requests have a response.
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
                 () -> {
                   loop.post(gateway::drain);
                   try {
-                    stopped.await(STOP_SECONDS, TimeUnit.SECONDS);
-                    log.close(LOG_MILLISECONDS);
+                    stopped.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                    log.close(LOG_CLOSE_TIMEOUT_MILLIS);
                   } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                   }
--- a/gateway/src/main/java/shelffront/config/EndpointList.java
+++ b/gateway/src/main/java/shelffront/config/EndpointList.java
@@ -10,8 +10,12 @@
 import shelffront.routing.Endpoint;
 
 /**
- * A list of database hosts in discovery's form: the module's members, and where each is to be
- * reached.
+ * A snapshot or delta of the endpoints of a tenant in the JSON format of discovery: the endpoints
+ * as the decision module sees them, and the network address of each endpoint that is not removed.
+ *
+ * @param revision revision of the list at discovery
+ * @param complete whether this is a snapshot; a delta otherwise
+ * @param addresses network addresses by endpoint id
  */
 public record EndpointList(
     long revision,
@@ -19,7 +23,7 @@
     List<Endpoint> endpoints,
     Map<String, InetSocketAddress> addresses) {
 
-  private static final Map<String, Availability> PHASES =
+  private static final Map<String, Availability> AVAILABILITY_BY_PHASE =
       Map.of(
           "Ready",
           Availability.READY,
@@ -33,44 +37,51 @@
   }
 
   /**
-   * The list after news: those of a complete one alone, else with the changes put in and those gone
-   * left out.
+   * Returns the list after an update. A snapshot replaces the list; a delta adds or replaces the
+   * endpoints that it names and removes those whose availability is {@code REMOVED}.
    */
-  public EndpointList apply(EndpointList news) {
-    if (news.complete) {
-      return news;
+  public EndpointList apply(EndpointList update) {
+    if (update.complete) {
+      return update;
     }
-    Map<String, Endpoint> all = new LinkedHashMap<>();
-    endpoints.forEach(member -> all.put(member.id(), member));
-    news.endpoints.forEach(member -> all.put(member.id(), member));
-    all.values().removeIf(member -> member.availability() == Availability.REMOVED);
-    Map<String, InetSocketAddress> where = new HashMap<>(addresses);
-    where.putAll(news.addresses);
-    where.keySet().retainAll(all.keySet());
-    return new EndpointList(news.revision, true, List.copyOf(all.values()), Map.copyOf(where));
+    Map<String, Endpoint> endpointsById = new LinkedHashMap<>();
+    endpoints.forEach(member -> endpointsById.put(member.id(), member));
+    update.endpoints.forEach(member -> endpointsById.put(member.id(), member));
+    endpointsById.values().removeIf(member -> member.availability() == Availability.REMOVED);
+    Map<String, InetSocketAddress> updatedAddresses = new HashMap<>(addresses);
+    updatedAddresses.putAll(update.addresses);
+    updatedAddresses.keySet().retainAll(endpointsById.keySet());
+    return new EndpointList(
+        update.revision, true, List.copyOf(endpointsById.values()), Map.copyOf(updatedAddresses));
   }
 
   /**
-   * Reads a list as discovery and the configuration write it.
+   * Reads an endpoint list in the format that discovery and the configuration file share.
    *
-   * @throws MalformedInputException where an entry lacks a field or has one that does not fit
+   * @throws MalformedInputException if a required field of an entry is missing, or if a field has
+   *     the wrong type or an unknown value
    */
   public static EndpointList read(Map<?, ?> object) throws MalformedInputException {
     List<Endpoint> members = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
     if (!(object.get("members") instanceof List<?> entries)) {
-      throw new MalformedInputException("members is not an array");
+      throw new MalformedInputException("members is missing or not an array");
     }
     for (Object entry : entries) {
       if (!(entry instanceof Map<?, ?> member)) {
-        throw new MalformedInputException("a member is not an object");
+        throw new MalformedInputException("members[" + members.size() + "] is not an object");
       }
       String id = JsonReader.text(member, "id");
-      Availability phase = PHASES.get(JsonReader.text(member, "phase"));
-      if (phase == null) {
-        throw new MalformedInputException("phase of " + id + " is not known");
+      Availability availability = AVAILABILITY_BY_PHASE.get(JsonReader.text(member, "phase"));
+      if (availability == null) {
+        throw new MalformedInputException(
+            "member "
+                + id
+                + " has the unknown phase \""
+                + member.get("phase")
+                + "\", expected Ready, Terminating or Gone");
       }
-      if (phase != Availability.REMOVED) {
+      if (availability != Availability.REMOVED) {
         addresses.put(id, GatewayConfig.parseAddress(JsonReader.text(member, "host_port")));
       }
       members.add(
@@ -82,7 +93,7 @@
               JsonReader.number(member, "size", 1),
               (long) JsonReader.number(member, "up_since_ms", 0) * 1000,
               "writer".equals(member.get("access")),
-              phase));
+              availability));
     }
     return new EndpointList(
         (long) JsonReader.number(object, "revision", 0),
--- a/gateway/src/main/java/shelffront/config/GatewayConfig.java
+++ b/gateway/src/main/java/shelffront/config/GatewayConfig.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import shelffront.routing.RoutingSettings;
 
-/** What the environment and the configuration file tell a gateway at its start. */
+/** The configuration of a single-tenant gateway, from the environment and a JSON file. */
 public record GatewayConfig(
     String name,
     InetSocketAddress listenAddress,
@@ -23,69 +23,83 @@
 
   private static final int DEFAULT_MAX_SOCKETS = 1024;
   private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
-  private static final int HEXADECIMAL = 16;
+  private static final int SEED_RADIX = 16;
   private static final int MAX_PORT = 65_535;
   private static final int MAX_FILE_BYTES = 1 << 20;
 
   /**
-   * Reads the file that the environment names; its variables go before the file's values.
+   * Reads the configuration file that the environment names. Environment variables take precedence
+   * over the values of the file.
    *
-   * @throws MalformedInputException where a value is missing or does not fit
+   * @throws IOException if the file cannot be read
+   * @throws MalformedInputException if a required value is missing or a value is invalid
    */
   public static GatewayConfig fromEnvironment(Map<String, String> environment)
       throws IOException, MalformedInputException {
-    Map<?, ?> top = JsonReader.parseObject(text(file(environment)));
-    Map<?, ?> settings = JsonReader.part(top, "settings");
+    Map<?, ?> root = JsonReader.parseObject(readText(file(environment)));
+    Map<?, ?> settings = JsonReader.object(root, "settings");
     return new GatewayConfig(
-        given(environment, "BALANCER_NAME", top, "name"),
-        parseAddress(given(environment, "BALANCER_LISTEN", top, "listen")),
-        parseAddress(given(environment, "BALANCER_DISCOVERY", top, "discovery")),
-        seed(JsonReader.text(top, "seed")),
-        (int) JsonReader.number(JsonReader.part(top, "limits"), "sockets", DEFAULT_MAX_SOCKETS),
+        environmentOrFile(environment, "BALANCER_NAME", root, "name"),
+        parseAddress(environmentOrFile(environment, "BALANCER_LISTEN", root, "listen")),
+        parseAddress(environmentOrFile(environment, "BALANCER_DISCOVERY", root, "discovery")),
+        seed(JsonReader.text(root, "seed")),
+        (int) JsonReader.number(JsonReader.object(root, "limits"), "sockets", DEFAULT_MAX_SOCKETS),
         (int)
             JsonReader.number(
-                JsonReader.part(settings, "limits"), "openCap", DEFAULT_MAX_OPEN_REQUESTS),
+                JsonReader.object(settings, "limits"), "openCap", DEFAULT_MAX_OPEN_REQUESTS),
         RoutingSettingsCodec.read(settings),
-        EndpointList.read(JsonReader.part(top, "known")));
+        EndpointList.read(JsonReader.object(root, "known")));
   }
 
-  /** The configuration file that the environment names. */
+  /**
+   * Returns the path of the configuration file.
+   *
+   * @throws MalformedInputException if the environment does not name one
+   */
   public static Path file(Map<String, String> environment) throws MalformedInputException {
     String path = environment.get("BALANCER_CONFIG");
     if (path == null) {
-      throw new MalformedInputException("BALANCER_CONFIG is not set");
+      throw new MalformedInputException(
+          "environment variable BALANCER_CONFIG is not set; it must name the configuration file");
     }
     return Path.of(path);
   }
 
-  /** Guards a running gateway that reads its file anew against one too large for its memory. */
-  private static String text(Path path) throws IOException, MalformedInputException {
+  /** Limits the size, so that reloading an oversized file cannot exhaust the gateway's memory. */
+  private static String readText(Path path) throws IOException, MalformedInputException {
     try (InputStream in = Files.newInputStream(path)) {
       byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
       if (bytes.length > MAX_FILE_BYTES) {
         throw new MalformedInputException(
-            "the configuration is larger than " + MAX_FILE_BYTES + " bytes");
+            path
+                + " is larger than "
+                + MAX_FILE_BYTES
+                + " bytes, the limit for a configuration file");
       }
       return new String(bytes, UTF_8);
     }
   }
 
-  private static String given(
-      Map<String, String> environment, String variable, Map<?, ?> top, String name)
+  private static String environmentOrFile(
+      Map<String, String> environment, String variable, Map<?, ?> root, String name)
       throws MalformedInputException {
     String value = environment.get(variable);
-    return value != null ? value : JsonReader.text(top, name);
+    return value != null ? value : JsonReader.text(root, name);
   }
 
   private static long seed(String hex) throws MalformedInputException {
     try {
-      return Long.parseUnsignedLong(hex, HEXADECIMAL);
+      return Long.parseUnsignedLong(hex, SEED_RADIX);
     } catch (NumberFormatException e) {
-      throw new MalformedInputException("seed is not a hexadecimal number");
+      throw new MalformedInputException(
+          "seed is \"" + hex + "\", expected an unsigned 64-bit hexadecimal number");
     }
   }
 
-  /** An address in the form {@code host:port}, with a literal host: there is no DNS to ask. */
+  /**
+   * Parses an address of the form {@code host:port}. The host must be a literal IP address, since
+   * the gateway resolves no names through DNS.
+   */
   public static InetSocketAddress parseAddress(String text) throws MalformedInputException {
     int colon = text.lastIndexOf(':');
     String host = text.substring(0, Math.max(0, colon));
@@ -93,7 +107,8 @@
     if (!host.matches("[0-9.]+|\\[[0-9A-Fa-f:.]+]")
         || !port.matches("[0-9]{1,5}")
         || Integer.parseInt(port) > MAX_PORT) {
-      throw new MalformedInputException("not an address: " + text);
+      throw new MalformedInputException(
+          "invalid address \"" + text + "\", expected host:port with a literal IP address");
     }
     return new InetSocketAddress(host, Integer.parseInt(port));
   }
--- a/gateway/src/main/java/shelffront/config/JsonReader.java
+++ b/gateway/src/main/java/shelffront/config/JsonReader.java
@@ -8,14 +8,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON with minimal-json in one pass into maps, lists, texts, numbers and booleans. */
+/**
+ * Parses JSON with minimal-json in one pass into maps, lists, strings, doubles, booleans and null.
+ */
 public final class JsonReader extends JsonHandler<List<Object>, Map<String, Object>> {
 
   private Object value;
 
   private JsonReader() {}
 
-  /** The object that the text holds. */
+  /**
+   * Parses a JSON object.
+   *
+   * @throws MalformedInputException if the text is not JSON or its top-level value is no object
+   */
   public static Map<?, ?> parseObject(String text) throws MalformedInputException {
     JsonReader json = new JsonReader();
     try {
@@ -33,20 +39,24 @@
     if (object.get(name) instanceof String text) {
       return text;
     }
-    throw new MalformedInputException(name + " is not a text");
+    throw new MalformedInputException(name + " is missing or not a string");
   }
 
-  static double number(Map<?, ?> object, String name, double absent)
+  static double number(Map<?, ?> object, String name, double defaultValue)
       throws MalformedInputException {
-    return number("", object, name, absent);
+    return number("", object, name, defaultValue);
   }
 
-  /** The path, with its closing dot, is for the message. */
-  static double number(String path, Map<?, ?> object, String name, double absent)
+  /**
+   * Returns the value of a number field, or a default if the field is absent.
+   *
+   * @param path prefix of the field's name in the error message, ending with a dot unless empty
+   */
+  static double number(String path, Map<?, ?> object, String name, double defaultValue)
       throws MalformedInputException {
     Object found = object.get(name);
     if (found == null) {
-      return absent;
+      return defaultValue;
     }
     if (found instanceof Number number) {
       return number.doubleValue();
@@ -54,11 +64,11 @@
     throw new MalformedInputException(path + name + " is not a number");
   }
 
-  static Map<?, ?> part(Map<?, ?> object, String name) throws MalformedInputException {
+  static Map<?, ?> object(Map<?, ?> object, String name) throws MalformedInputException {
     if (object.get(name) instanceof Map<?, ?> map) {
       return map;
     }
-    throw new MalformedInputException(name + " is not an object");
+    throw new MalformedInputException(name + " is missing or not an object");
   }
 
   @Override
