--- a/gateway/src/main/java/shelffront/admin/AdminAuthenticator.java
+++ b/gateway/src/main/java/shelffront/admin/AdminAuthenticator.java
@@ -3,7 +3,7 @@
 import com.sun.net.httpserver.Headers;
 import shelffront.admin.AdminTokens.Caller;
 
-/** Finds who makes a request by its bearer token (RFC 6750). */
+/** Identifies the caller of a request by its bearer token (RFC 6750). */
 final class AdminAuthenticator {
 
   private static final String SCHEME = "Bearer ";
@@ -14,7 +14,7 @@
     this.tokens = tokens;
   }
 
-  /** Throws where the request has no valid token. */
+  /** Returns the caller; throws a problem with status 401 if the request has no valid token. */
   Caller authenticate(Headers headers) throws ProblemException {
     String authorization = headers.getFirst("Authorization");
     Caller caller =
@@ -23,7 +23,7 @@
             : tokens.authenticate(authorization.substring(SCHEME.length()));
     if (caller == null) {
       throw new ProblemException(
-          HttpStatus.UNAUTHORIZED, "Not authorized", "a valid token is needed");
+          HttpStatus.UNAUTHORIZED, "Not authorized", "the request needs a valid bearer token");
     }
     return caller;
   }
--- a/gateway/src/main/java/shelffront/admin/AdminRequest.java
+++ b/gateway/src/main/java/shelffront/admin/AdminRequest.java
@@ -10,10 +10,10 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * An authenticated request.
+ * An authenticated request to the administration API.
  *
- * @param path the segments after {@code /v1/}, the resource's name first
- * @param query the raw query; null where there is none
+ * @param path the path segments after {@code /v1/}; the first names the resource
+ * @param query the raw query string; null if the request has none
  */
 record AdminRequest(
     Caller caller, String method, List<String> path, String query, Headers headers, byte[] body) {
@@ -33,14 +33,14 @@
     }
   }
 
-  /** To a tenant's administrator, what is the operators' does not exist. */
+  /** Throws 404, not 403, so that tenant administrators do not learn of operators' resources. */
   void requireOperator() throws ProblemException {
     if (!caller.isOperator()) {
       throw ProblemException.notFound();
     }
   }
 
-  /** The first value of a header; null where there is none. */
+  /** Returns the first value of a header, or null if the request does not have it. */
   String header(String name) {
     return headers.getFirst(name);
   }
@@ -56,7 +56,8 @@
   long queryNumber(String name, long absent) throws ProblemException {
     String value = queryValues().get(name);
     if (value != null && !value.matches("[0-9]{1,18}")) {
-      throw ProblemException.badRequest(name + " is not a number");
+      throw ProblemException.badRequest(
+          "query parameter " + name + " is not a whole number of at most 18 digits");
     }
     return value == null ? absent : Long.parseLong(value);
   }
--- a/gateway/src/main/java/shelffront/admin/AdminResource.java
+++ b/gateway/src/main/java/shelffront/admin/AdminResource.java
@@ -5,19 +5,19 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * One resource of the administration API with all below its path. Called on any of the server's
- * threads, several at a time.
+ * A resource of the administration API, including everything below its path. Implementations are
+ * called concurrently from the server's threads.
  */
 interface AdminResource {
 
   /**
-   * Carries out a request.
+   * Executes a request.
    *
-   * @throws ProblemException with the answer of a request that is rejected
-   * @throws SpecException for a document that is not valid
-   * @throws ConflictException for a change of another revision than the present one
-   * @throws OperatorException where an outside system failed
-   * @throws InterruptedException where the server ends meanwhile; nothing is answered
+   * @throws ProblemException if the request is rejected; holds the response
+   * @throws SpecException if a document is not valid
+   * @throws ConflictException if a change expects a revision that is not the current one
+   * @throws OperatorException if an external system, such as the coordination store, failed
+   * @throws InterruptedException if the server is shut down; the request then gets no response
    */
   AdminResponse handle(AdminRequest request)
       throws ProblemException,
--- a/gateway/src/main/java/shelffront/admin/AdminResponse.java
+++ b/gateway/src/main/java/shelffront/admin/AdminResponse.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Map;
 
-/** What a call of the administration is answered; without a body where that is null. */
+/** A response of the administration API. If the body is null, none is sent. */
 record AdminResponse(int status, JsonNode body, Map<String, String> headers) {
 
   static AdminResponse of(int status, JsonNode body) {
--- a/gateway/src/main/java/shelffront/admin/AdminRouter.java
+++ b/gateway/src/main/java/shelffront/admin/AdminRouter.java
@@ -9,8 +9,8 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * Gives each request to the resource that its path names, and makes the problem of each failure
- * that a resource throws.
+ * Routes each request to the resource that its path names, and converts the exceptions of resources
+ * to problems (RFC 9457).
  */
 final class AdminRouter {
 
@@ -51,7 +51,8 @@
     } catch (SpecException e) {
       throw ProblemException.invalid(e);
     } catch (ConflictException e) {
-      throw ProblemException.changedMeanwhile("it is not at the revision of If-Match", e.present());
+      throw ProblemException.changedMeanwhile(
+          "the document is no longer at the revision that the request expects", e.present());
     }
   }
 
--- a/gateway/src/main/java/shelffront/admin/AdminServer.java
+++ b/gateway/src/main/java/shelffront/admin/AdminServer.java
@@ -15,9 +15,9 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * The administration API: HTTP/1.1 and JSON on a listener and threads of its own. Reads requests
- * and writes answers; {@link AdminRouter} and the resources behind it carry them out. What each
- * call does and answers is written down in {@code docs/openapi.json}.
+ * The HTTP/1.1 server of the administration API, with its own listener and threads. Reads requests
+ * and writes responses; {@link AdminRouter} and the resources behind it execute them. The API is
+ * described in {@code docs/openapi.json}.
  */
 public final class AdminServer implements AutoCloseable {
 
@@ -28,10 +28,10 @@
   private static final int STOP_THREADS_AFTER_SECONDS = 60;
   private static final String API_VERSION = "v1";
 
-  /** A request must have been sent by then, or is cut off. */
+  /** A connection is closed if its request has not arrived completely within this time. */
   private static final String MAX_REQUEST_SECONDS = "10";
 
-  /** An answer must have been taken by then, or is cut off. */
+  /** A connection is closed if its response has not been written completely within this time. */
   private static final String MAX_RESPONSE_SECONDS = "90";
 
   private final HttpServer server;
@@ -41,7 +41,7 @@
   private final IdempotencyCache idempotencyCache = new IdempotencyCache();
   private final EventLog log;
 
-  /** Opens the listener; nothing is answered before {@link #start}. */
+  /** Binds the listener; requests are not processed before {@link #start}. */
   public AdminServer(
       InetSocketAddress listen,
       DocumentStore store,
@@ -52,7 +52,7 @@
       throws IOException {
     System.setProperty("sun.net.httpserver.maxReqTime", MAX_REQUEST_SECONDS);
     System.setProperty("sun.net.httpserver.maxRspTime", MAX_RESPONSE_SECONDS);
-    // Else each answer waits 40 ms for an ACK.
+    // Without TCP_NODELAY each response waits 40 ms for a delayed ACK.
     System.setProperty("sun.net.httpserver.nodelay", "true");
     authenticator = new AdminAuthenticator(tokens);
     router = new AdminRouter(store, administration, tokens, fleet);
@@ -134,16 +134,16 @@
       throw new ProblemException(
           HttpStatus.CONTENT_TOO_LARGE,
           "Too large",
-          "a body may have " + MAX_BODY_BYTES + " bytes");
+          "the body exceeds the limit of " + MAX_BODY_BYTES + " bytes");
     }
     return body;
   }
 
-  /** The segments after the version of the API. */
+  /** Returns the path segments after the API version. */
   private static List<String> path(String rawPath) throws ProblemException {
     List<String> segments = Arrays.asList(rawPath.split("/", -1));
     for (String segment : segments.subList(1, segments.size())) {
-      // An encoded slash or dot is no name here, so that no path means anything but what it says.
+      // Rejects encoded slashes and dots, so that a path cannot be read in two ways.
       if (!segment.matches(TenantSpecCodec.NAME)) {
         throw ProblemException.notFound();
       }
@@ -165,7 +165,8 @@
   private static AdminResponse fault() {
     int status = HttpStatus.INTERNAL_SERVER_ERROR;
     return AdminResponse.of(
-        status, new ProblemException(status, "Fault", "the request has failed").body());
+        status,
+        new ProblemException(status, "Fault", "internal error; see the log of the gateway").body());
   }
 
   private static void write(HttpExchange exchange, AdminResponse answer) throws IOException {
--- a/gateway/src/main/java/shelffront/admin/AdminTokens.java
+++ b/gateway/src/main/java/shelffront/admin/AdminTokens.java
@@ -15,24 +15,25 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * Administrators' tokens: {@code name.secret}, random, shown once and kept as a hash. One that is
- * rotated has a new secret, and the old one for an overlap.
+ * Issues and checks the tokens of administrators. A token is {@code name.secret}; the secret is
+ * random, returned once and stored only as a hash. After a rotation the previous secrets stay valid
+ * for an overlap period. Any thread may call.
  */
 public final class AdminTokens {
 
-  /** Longer ones are no tokens and are not looked at. */
+  /** Longer tokens are rejected without a lookup. */
   private static final int MAX_TOKEN_LENGTH = 128;
 
   private static final byte[] HASH_OF_NO_SECRET = new byte[32];
 
-  /** Who asks: an operator, or the administrator of one tenant. */
+  /** The caller of a request: an operator (null tenant), or the administrator of one tenant. */
   public record Caller(String token, String tenant) {
 
     boolean isOperator() {
       return tenant == null;
     }
 
-    /** Whether it may know of a tenant at all. */
+    /** Whether the caller may learn that the tenant exists. */
     boolean maySee(String id) {
       return tenant == null || tenant.equals(id);
     }
@@ -41,15 +42,15 @@
   private final DocumentStore store;
   private final LongSupplier clock;
 
-  /** The clock gives Unix milliseconds. */
+  /** Creates an issuer over a store; the clock returns Unix time in milliseconds. */
   public AdminTokens(DocumentStore store, LongSupplier clock) {
     this.store = store;
     this.clock = clock;
   }
 
   /**
-   * Makes a token of an operator (no tenant) or a tenant's administrator; the answer is the only
-   * place it is in.
+   * Creates a token for an operator (null tenant) or for the administrator of a tenant. The token
+   * cannot be read again later.
    */
   public String create(String tenant, String actor) throws ConflictException {
     byte[] random = ApiKeys.hash(ApiKeys.generate());
@@ -62,8 +63,8 @@
   }
 
   /**
-   * Gives a new secret; those before it hold for the overlap, in milliseconds. Null where there is
-   * no such token.
+   * Returns the token with a new secret, or null if there is no such token. Previous secrets stay
+   * valid for the overlap, but never longer than an earlier rotation allowed.
    */
   public String rotate(String name, long overlapMillis, String actor) throws ConflictException {
     Entry entry = store.get(Kind.TOKEN, name);
@@ -87,7 +88,7 @@
     return name + "." + secret;
   }
 
-  /** Whether there was such a token; it holds no longer. */
+  /** Revokes a token with all of its secrets. Returns false if there is no such token. */
   public boolean revoke(String name, String actor) throws ConflictException {
     Entry entry = store.get(Kind.TOKEN, name);
     if (entry != null) {
@@ -100,7 +101,7 @@
     hashes.addObject().put("sha256", HexFormat.of().formatHex(ApiKeys.hash(secret)));
   }
 
-  /** Who shows a token, or null. */
+  /** Returns the caller that a token belongs to, or null if the token is not valid. */
   public Caller authenticate(String token) {
     int dot = token.length() > MAX_TOKEN_LENGTH ? -1 : token.indexOf('.');
     Entry entry = dot < 1 ? null : store.get(Kind.TOKEN, token.substring(0, dot));
@@ -110,7 +111,9 @@
             .getBytes(UTF_8);
     boolean matches = false;
     if (entry == null) {
-      ApiKeys.matches(HASH_OF_NO_SECRET, secret); // a name that nobody has takes as long
+      // Compares with a dummy hash, so that the response time does not reveal whether a token of
+      // this name exists.
+      ApiKeys.matches(HASH_OF_NO_SECRET, secret);
     } else {
       for (JsonNode hash : entry.document().path("hashes")) {
         matches |=
--- a/gateway/src/main/java/shelffront/admin/AuditResource.java
+++ b/gateway/src/main/java/shelffront/admin/AuditResource.java
@@ -8,7 +8,7 @@
 import shelffront.store.DocumentStore.Kind;
 import shelffront.tenant.TenantSpecCodec;
 
-/** {@code /v1/audit}: the changes that a caller may know of, oldest first. */
+/** {@code /v1/audit}: the audit entries that a caller may see, oldest first. */
 final class AuditResource implements AdminResource {
 
   private static final int MAX_ENTRIES = 1000;
--- a/gateway/src/main/java/shelffront/admin/ChangesResource.java
+++ b/gateway/src/main/java/shelffront/admin/ChangesResource.java
@@ -10,8 +10,9 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * {@code /v1/changes}: a long poll for tenants' changes and when they came into force. Bounds how
- * many may wait, of one token and of all: each holds one of the server's threads.
+ * {@code /v1/changes}: a long poll for changes of tenants and the times at which they came into
+ * force. Each poll holds one of the server's threads, so the number of open polls is limited for
+ * each token and in total.
  */
 final class ChangesResource implements AdminResource {
 
@@ -46,7 +47,8 @@
   private static long waitMillis(AdminRequest request) throws ProblemException {
     String wait = request.queryText("wait", "0s");
     if (!wait.matches("[0-9]{1,4}(ms|s)")) {
-      throw ProblemException.badRequest("wait is a number of s or ms");
+      throw ProblemException.badRequest(
+          "query parameter wait is not a duration of at most 4 digits in s or ms, such as 30s");
     }
     return wait.endsWith("ms")
         ? Long.parseLong(wait.substring(0, wait.length() - 2))
@@ -62,9 +64,9 @@
           "Too many polls",
           "at most "
               + MAX_POLLS_PER_TOKEN
-              + " of one token may wait at a time, and "
+              + " polls of one token and "
               + MAX_POLLS
-              + " of all");
+              + " in total may be open at a time; retry later");
     }
   }
 
--- a/gateway/src/main/java/shelffront/admin/EndpointsResource.java
+++ b/gateway/src/main/java/shelffront/admin/EndpointsResource.java
@@ -10,7 +10,7 @@
 import shelffront.tenant.TenantSpecCodec;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
-/** {@code /v1/tenants/ID/boxes}: a tenant's endpoints, which may be drained. */
+/** {@code /v1/tenants/ID/boxes}: lists the endpoints of a tenant and drains them. */
 final class EndpointsResource {
 
   private static final int LIST_PATH_LENGTH = 3;
--- a/gateway/src/main/java/shelffront/admin/FleetResource.java
+++ b/gateway/src/main/java/shelffront/admin/FleetResource.java
@@ -12,30 +12,32 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * The administration's calls about what a fleet shares: subjects that go through stages, and
- * distribution.
+ * The resources of fleet-wide state: {@code /v1/subjects} for rollouts and {@code /v1/distribution}
+ * for the distribution of tenants.
  */
 public final class FleetResource {
 
-  /** This gateway's part in distribution. */
+  /** The distribution subscriber of this gateway. */
   public interface Distribution {
 
     SubscribedRecords.Status status();
 
-    /** What the engine holds is the truth from here on. */
+    /**
+     * Begins a new incarnation, which makes the content of the coordination store authoritative.
+     */
     Version beginIncarnation() throws OperatorException;
   }
 
   private final RolloutCoordinator rollouts;
   private final Distribution distribution;
 
-  /** Each is null where the gateway has no part in it. */
+  /** Either argument is null if the gateway does not take part; its path then responds with 404. */
   public FleetResource(RolloutCoordinator rollouts, Distribution distribution) {
     this.rollouts = rollouts;
     this.distribution = distribution;
   }
 
-  /** What the fleet changes stage by stage: shown, and sent to another stage. */
+  /** Returns the state of rollout subjects, or requests another target stage for one of them. */
   AdminResponse subjects(AdminRequest request)
       throws ProblemException, SpecException, OperatorException {
     request.requireOperator();
@@ -43,11 +45,12 @@
     if (rollouts == null || path.size() > 2) {
       throw ProblemException.notFound();
     }
-    String subject = path.size() == 2 ? path.get(1) : null; // null: all
+    String subject = path.size() == 2 ? path.get(1) : null; // null selects all subjects
     if (subject != null && request.isMethod(AdminRequest.PUT)) {
       JsonNode target = request.document().path("target");
       if (!target.isTextual()) {
-        throw ProblemException.invalidField("/target", "a stage is needed");
+        throw ProblemException.invalidField(
+            "/target", "target is missing or not a string; it must name a stage");
       }
       rollouts.requestStage(subject, target.asText());
     } else {
@@ -71,7 +74,7 @@
   }
 
   /**
-   * How current this gateway's view is; and the order to take what the engine holds for the truth.
+   * Returns the version and age of this gateway's view, or begins a new incarnation of the records.
    */
   AdminResponse distribution(AdminRequest request) throws ProblemException, OperatorException {
     request.requireOperator();
--- a/gateway/src/main/java/shelffront/admin/HttpStatus.java
+++ b/gateway/src/main/java/shelffront/admin/HttpStatus.java
@@ -1,6 +1,6 @@
 package shelffront.admin;
 
-/** The status codes that the administration answers with (RFC 9110, RFC 6585). */
+/** The status codes that the administration API uses (RFC 9110, RFC 6585). */
 final class HttpStatus {
 
   static final int OK = 200;
@@ -23,7 +23,7 @@
 
   private HttpStatus() {}
 
-  /** Whether a status says that the request was not carried out. */
+  /** Whether a status is a client error (4xx) or a server error (5xx). */
   static boolean isError(int status) {
     return status >= BAD_REQUEST;
   }
--- a/gateway/src/main/java/shelffront/admin/IdempotencyCache.java
+++ b/gateway/src/main/java/shelffront/admin/IdempotencyCache.java
@@ -6,25 +6,25 @@
 import shelffront.tenant.ApiKeys;
 
 /**
- * The answers of POST requests that came with an Idempotency-Key: a repeat gets the first one's
- * answer and changes nothing. Keys are a token's own. The oldest answers go first. Any thread may
- * call.
+ * Caches the responses to POST requests that have an Idempotency-Key. A repeated request gets the
+ * cached response and is not executed again. Keys are scoped to the caller's token. When the cache
+ * is full, the oldest response is evicted. Any thread may call.
  */
 final class IdempotencyCache {
 
   private static final int MAX_ANSWERS = 1000;
 
-  /** Carries out a request that has no answer yet. */
+  /** Executes a request that has no cached response. */
   interface Call {
     AdminResponse run() throws ProblemException, InterruptedException;
   }
 
-  /** An answer, and what was asked. */
+  /** A response, with the path and body hash of its request. */
   private record CachedAnswer(String asked, AdminResponse answer) {}
 
   private final Map<String, CachedAnswer> answers = new LinkedHashMap<>();
 
-  /** Gives the answer that the key had before, or that of the call. */
+  /** Returns the cached response of the request's key; without one, runs the call. */
   AdminResponse answer(String rawPath, AdminRequest request, Call call)
       throws ProblemException, InterruptedException {
     String key = request.header("Idempotency-Key");
@@ -32,11 +32,12 @@
       return call.run();
     }
     if (!key.matches("[ -~]{1,200}")) {
-      throw ProblemException.badRequest("Idempotency-Key is 1 to 200 printable characters");
+      throw ProblemException.badRequest(
+          "Idempotency-Key must have 1 to 200 printable ASCII characters");
     }
     String asked = rawPath + " " + Arrays.toString(ApiKeys.hash(request.body()));
     String cacheKey = request.caller().token() + " " + key;
-    // One call at a time: the second of two with one key finds the first's answer.
+    // Runs one call at a time, so that a concurrent request with the same key finds the response.
     synchronized (answers) {
       CachedAnswer before = answers.get(cacheKey);
       if (before == null) {
@@ -48,7 +49,7 @@
         throw new ProblemException(
             HttpStatus.UNPROCESSABLE_CONTENT,
             "Key used before",
-            "this Idempotency-Key came with another request");
+            "this Idempotency-Key was used before with another path or body");
       }
       return before.answer();
     }
--- a/gateway/src/main/java/shelffront/admin/KeysResource.java
+++ b/gateway/src/main/java/shelffront/admin/KeysResource.java
@@ -10,8 +10,8 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * {@code /v1/tenants/ID/keys}: clients' keys, listed by their names, made here and shown once, and
- * ended.
+ * {@code /v1/tenants/ID/keys}: lists, creates and revokes the keys of a tenant's clients. A key is
+ * returned once, when it is created; lists show only its identifier and user.
  */
 final class KeysResource {
 
@@ -55,7 +55,8 @@
       throws ProblemException, SpecException, ConflictException, OperatorException {
     JsonNode user = request.document().path("user");
     if (!user.isTextual() || user.asText().isEmpty() || user.asText().length() > MAX_USER_LENGTH) {
-      throw ProblemException.invalidField("/user", "a user of 1 to 63 characters is needed");
+      throw ProblemException.invalidField(
+          "/user", "user must be a string of 1 to " + MAX_USER_LENGTH + " characters");
     }
     TenantAdministration.CreatedKey created =
         administration.createKey(tenantId, user.asText(), request.caller().token());
--- a/gateway/src/main/java/shelffront/admin/ProblemException.java
+++ b/gateway/src/main/java/shelffront/admin/ProblemException.java
@@ -6,8 +6,8 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * An answer that is an error, as RFC 9457 words it; the pointer (RFC 6901) names the field at
- * fault, if one is.
+ * An error response in the format of RFC 9457. The pointer (RFC 6901) names the invalid field; it
+ * is null if the error does not concern a field.
  */
 final class ProblemException extends Exception {
 
@@ -31,9 +31,9 @@
     this.present = present;
   }
 
-  /** The same for what does not exist and for what is another's. */
+  /** Used for missing resources and for those of other tenants, so that callers cannot tell. */
   static ProblemException notFound() {
-    return new ProblemException(HttpStatus.NOT_FOUND, "Not found", "there is nothing here");
+    return new ProblemException(HttpStatus.NOT_FOUND, "Not found", "no such resource");
   }
 
   static ProblemException badRequest(String detail) {
@@ -42,10 +42,12 @@
 
   static ProblemException methodNotAllowed() {
     return new ProblemException(
-        HttpStatus.METHOD_NOT_ALLOWED, "Method not allowed", "this path does not take this method");
+        HttpStatus.METHOD_NOT_ALLOWED,
+        "Method not allowed",
+        "the resource does not support this method");
   }
 
-  /** A change of another revision than the present one; null where there is none. */
+  /** A change that expects another revision than the current one; {@code present} may be null. */
   static ProblemException changedMeanwhile(String detail, Entry present) {
     return new ProblemException(
         HttpStatus.PRECONDITION_FAILED,
@@ -55,7 +57,7 @@
         present == null ? null : TenantJson.of(present));
   }
 
-  /** A field of a document that is JSON, but not valid. */
+  /** A field that is not valid, in a document that could be parsed. */
   static ProblemException invalidField(String pointer, String detail) {
     return new ProblemException(HttpStatus.UNPROCESSABLE_CONTENT, NOT_VALID, detail, pointer, null);
   }
--- a/gateway/src/main/java/shelffront/admin/TenantAdministration.java
+++ b/gateway/src/main/java/shelffront/admin/TenantAdministration.java
@@ -25,44 +25,54 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * Tenants as administrators change them: first in the store, then in the running gateway, in the
- * order of revisions. Remembers which changes are in force. Any thread may call.
+ * Executes administrators' changes of tenants: first in the store, then in the running gateway, in
+ * the order of revisions. Records when each change came into force. Any thread may call.
  */
 public final class TenantAdministration {
 
-  /** The running gateway; each call is carried out later, in the order of the calls. */
+  /**
+   * Applies changes to the running gateway. Calls return immediately and are executed in call
+   * order. The callbacks receive the time in Unix microseconds; they may run on any thread.
+   */
   public interface TenantControl {
 
-    void apply(TenantSpec spec, LongConsumer inForce);
+    void apply(TenantSpec spec, LongConsumer onInForce);
 
-    void remove(String id, LongConsumer gone);
+    void remove(String id, LongConsumer onRemoved);
 
-    /** Null where the gateway runs no such tenant. */
+    /** The future completes with null if the gateway does not run such a tenant. */
     CompletableFuture<Tenant.Usage> usage(String id);
   }
 
-  private static final int MAX_REMEMBERED_CHANGES = 10_000; // Changes whose time in force is known.
+  /** Changes whose time in force is kept; the oldest are evicted. */
+  private static final int MAX_REMEMBERED_CHANGES = 10_000;
 
   private final TenantDocuments documents;
   private final TenantControl control;
   private final LongSupplier clock;
   private final Map<Long, Long> inForceAtMillis = new LinkedHashMap<>();
-  private volatile long startRevision; // the revision that the gateway began with
+  private volatile long startRevision; // newest revision at the gateway's start
   private volatile long startedAtMillis;
 
-  /** The clock gives Unix milliseconds. */
+  /** Administers the tenants in a store; the clock returns Unix time in milliseconds. */
   public TenantAdministration(DocumentStore store, TenantControl control, LongSupplier clock) {
     this(TenantDocuments.in(store), control, clock);
   }
 
-  /** Of a gateway whose tenants may be those of a whole fleet. */
+  /**
+   * Administers the tenants of one gateway or of a fleet; the clock returns Unix time in
+   * milliseconds.
+   */
   public TenantAdministration(TenantDocuments records, TenantControl control, LongSupplier clock) {
     this.documents = records;
     this.control = control;
     this.clock = clock;
   }
 
-  /** Puts all tenants of the gateway's own records into it, at its start. */
+  /**
+   * Applies all stored tenants when the gateway starts. Tenants of a fleet are not applied here,
+   * because they arrive through distribution.
+   */
   public void start() throws SpecException, OperatorException {
     startRevision = documents.revision();
     startedAtMillis = clock.getAsLong();
@@ -73,7 +83,7 @@
     }
   }
 
-  /** The newest revision that this gateway knows of. */
+  /** Returns the newest revision that this gateway knows. */
   public long revision() {
     return documents.revision();
   }
@@ -86,14 +96,17 @@
     return documents.all();
   }
 
-  /** Puts a tenant in place of the one at a revision, 0 for none; gives the new revision. */
+  /**
+   * Replaces the tenant document at the expected revision, or creates the tenant if that is 0.
+   * Returns the new revision.
+   */
   public long put(String id, long expected, JsonNode document, String actor, String action)
       throws SpecException, ConflictException, OperatorException {
     TenantSpec spec = TenantSpecCodec.read(document);
     if (!spec.id().equals(id)) {
-      throw new SpecException("/id", "is not the name in the path");
+      throw new SpecException("/id", "is " + spec.id() + ", but the path names tenant " + id);
     }
-    synchronized (this) { // the gateway is told in the order of revisions
+    synchronized (this) { // applies changes in the order of revisions
       long revision = documents.put(id, expected, document, actor, action, clock.getAsLong());
       if (documents.isPutInForceByCaller()) {
         control.apply(spec, atMicros -> recordInForce(revision, atMicros));
@@ -114,8 +127,8 @@
   }
 
   /**
-   * Drains a box of a tenant or ends its drain; gives the tenant's revision, 0 where there is no
-   * such tenant.
+   * Starts or ends the drain of an endpoint of a tenant. Returns the tenant's revision, or 0 if
+   * there is no such tenant. Nothing is written if the endpoint already is in the requested state.
    */
   public long drain(String id, String endpointId, boolean drain, String actor)
       throws SpecException, ConflictException, OperatorException {
@@ -136,12 +149,12 @@
     }
   }
 
-  /** A key that has been made: the answer is the only place it is in. */
+  /** A new key with its identifier. The key itself is not stored and cannot be read again. */
   public record CreatedKey(String id, String key, long revision) {}
 
   /**
-   * Makes a key for a user of a tenant; those that the user has stay. Null where there is no such
-   * tenant.
+   * Creates a key for a user of a tenant. Existing keys of the user stay valid. Returns null if
+   * there is no such tenant.
    */
   public CreatedKey createKey(String tenant, String user, String actor)
       throws SpecException, ConflictException, OperatorException {
@@ -159,7 +172,11 @@
     }
   }
 
-  /** Ends a key; gives the tenant's revision, 0 where there is no such tenant or key. */
+  /**
+   * Revokes a key. Returns the tenant's revision, or 0 if there is no such tenant or key.
+   *
+   * @throws SpecException if it is the tenant's last key
+   */
   public long revokeKey(String tenant, String key, String actor)
       throws SpecException, ConflictException, OperatorException {
     synchronized (this) {
@@ -175,17 +192,18 @@
       if (kept.size() == credentials.size()) {
         return 0;
       }
-      // Without any credential a tenant admits everybody: the last key's end must not open it.
+      // A tenant without credentials admits every client, so the last key cannot be revoked.
       if (kept.isEmpty()) {
         throw new SpecException(
-            "/credentials", "the last key can't be ended: without one everybody is let in");
+            "/credentials",
+            "the last key cannot be revoked: a tenant without keys admits every client");
       }
       next.set("credentials", kept);
       return put(tenant, entry.revision(), next, actor, "end key " + key);
     }
   }
 
-  /** By which a key is named: the beginning of its hash, which tells nothing of the key. */
+  /** Returns the identifier of a key: a prefix of its hash, which does not reveal the key. */
   static String keyId(String sha256) {
     return sha256.substring(0, 12).toLowerCase(Locale.ROOT);
   }
@@ -194,7 +212,7 @@
     return control.usage(id);
   }
 
-  /** Every change up to a revision is in force here, where changes come back distributed. */
+  /** Records that every distributed change up to a revision is in force in this gateway. */
   public void recordInForceUpTo(long revision) {
     long atMicros = clock.getAsLong() * 1000;
     for (AuditEntry entry : documents.auditEntries(0, MAX_REMEMBERED_CHANGES)) {
@@ -215,8 +233,10 @@
   }
 
   /**
-   * Changes of tenants after a revision, oldest first, whether or not they are in force yet; waits
-   * as long as given until one of them is.
+   * Returns up to 1000 changes of tenants after a revision, oldest first, including those that are
+   * not in force yet. Waits for up to {@code waitMillis} until at least one of them is in force.
+   *
+   * @param onlyTenant restricts the result to one tenant; null for all
    */
   public List<AuditEntry> changes(long after, long waitMillis, String onlyTenant)
       throws InterruptedException {
@@ -241,8 +261,8 @@
   }
 
   /**
-   * When a change came into force, or the gateway started with it, in Unix milliseconds; 0 if it is
-   * not yet.
+   * Returns when a change came into force, in Unix milliseconds, or 0 if it is not in force yet.
+   * For a change that is older than the gateway's start, this is the time of the start.
    */
   public long inForceAtMillis(long revision) {
     synchronized (inForceAtMillis) {
--- a/gateway/src/main/java/shelffront/admin/TenantDocuments.java
+++ b/gateway/src/main/java/shelffront/admin/TenantDocuments.java
@@ -10,36 +10,36 @@
 import shelffront.store.DocumentStore.Kind;
 
 /**
- * Where the documents of tenants are kept, and changed one at a time by check-and-set. Any thread
- * may call.
+ * The stored documents of tenants, each changed by check-and-set on its revision. Any thread may
+ * call.
  */
 public interface TenantDocuments {
 
-  /** Null where there is none. */
+  /** Returns a tenant's entry, or null if there is no such tenant. */
   Entry get(String id) throws OperatorException;
 
   List<Entry> all() throws OperatorException;
 
   /**
-   * Puts a document in place of the one at a revision, 0 for none; null removes it. Gives the new
-   * revision.
+   * Replaces the document at the expected revision, which is 0 if there must not be one; a null
+   * document removes it. Returns the new revision.
    */
   long put(String id, long expected, JsonNode document, String actor, String action, long atMillis)
       throws ConflictException, OperatorException;
 
-  /** The newest revision that this gateway knows of. */
+  /** Returns the newest revision that this gateway knows. */
   long revision();
 
-  /** Changes after a revision that were made here, oldest first, at most so many. */
+  /** Returns up to {@code limit} changes that this gateway made after a revision, oldest first. */
   List<AuditEntry> auditEntries(long after, int limit);
 
   /**
-   * Whether whoever makes a change has to put it in force too; else it comes back, as from any
-   * other gateway.
+   * Whether the caller of {@link #put} must also apply the change to the running gateway. If false,
+   * the change arrives through distribution, as those of other gateways do.
    */
   boolean isPutInForceByCaller();
 
-  /** Those of this gateway alone, in its store. */
+  /** Returns the documents of a single gateway, kept in its store. */
   static TenantDocuments in(DocumentStore store) {
     return new TenantDocuments() {
       @Override
--- a/gateway/src/main/java/shelffront/admin/TenantJson.java
+++ b/gateway/src/main/java/shelffront/admin/TenantJson.java
@@ -6,7 +6,7 @@
 import shelffront.store.DocumentStore.Entry;
 import shelffront.tenant.TenantSpecCodec;
 
-/** Tenants' documents as the administration shows them. */
+/** JSON representations of tenants in the administration API. */
 final class TenantJson {
 
   private TenantJson() {}
@@ -17,7 +17,7 @@
     return json;
   }
 
-  /** The answer with a tenant and its entity tag. */
+  /** Returns a response with a tenant and its entity tag. */
   static AdminResponse response(int status, Entry entry) {
     Map<String, String> headers = Map.of("ETag", "\"" + entry.revision() + "\"");
     return new AdminResponse(status, of(entry), headers);
@@ -27,7 +27,7 @@
     return response(status, new Entry(id, revision, document));
   }
 
-  /** The answer that names what was changed and the revision of the change. */
+  /** Returns the body that names the changed item and the revision of the change. */
   static ObjectNode changed(String id, long revision) {
     return TenantSpecCodec.JSON.createObjectNode().put("id", id).put("revision", revision);
   }
--- a/gateway/src/main/java/shelffront/admin/TenantsResource.java
+++ b/gateway/src/main/java/shelffront/admin/TenantsResource.java
@@ -11,8 +11,8 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * {@code /v1/tenants}: the list, a tenant's document, and below it its endpoints, keys and usage.
- * To a tenant's administrator the other tenants do not exist.
+ * {@code /v1/tenants}: the tenants, and for each its document, endpoints, keys and usage. For a
+ * tenant's administrator, other tenants respond like missing ones.
  */
 final class TenantsResource implements AdminResource {
 
@@ -78,7 +78,7 @@
     String id = document.path("id").asText();
     if (administration.get(id) != null) {
       throw new ProblemException(
-          HttpStatus.CONFLICT, "Exists", "there is a tenant of this name", "/id", null);
+          HttpStatus.CONFLICT, "Exists", "a tenant of this name already exists", "/id", null);
     }
     long revision = administration.put(id, 0, document, request.caller().token(), "create");
     return TenantJson.response(HttpStatus.CREATED, id, revision, document);
@@ -100,7 +100,7 @@
 
   // ---- One tenant
 
-  /** The entry is null for a tenant that is to be created. */
+  /** Executes a request for a tenant document; the entry is null if the tenant does not exist. */
   private AdminResponse tenant(AdminRequest request, String id, Entry entry)
       throws ProblemException, SpecException, ConflictException, OperatorException {
     return switch (request.method()) {
@@ -131,7 +131,10 @@
     return AdminResponse.of(HttpStatus.ACCEPTED, TenantJson.changed(id, revision));
   }
 
-  /** The revision that If-Match names; 0 by "If-None-Match: *" for one that is to be new. */
+  /**
+   * Returns the revision that If-Match names, or 0 for the creation of a tenant with {@code
+   * If-None-Match: *}.
+   */
   private static long expectedRevision(AdminRequest request, Entry entry) throws ProblemException {
     String match = request.header("If-Match");
     if (match == null && entry == null && "*".equals(request.header("If-None-Match"))) {
@@ -141,15 +144,16 @@
       throw new ProblemException(
           HttpStatus.PRECONDITION_REQUIRED,
           "Precondition required",
-          "If-Match must name the revision that is to be changed");
+          "If-Match must name the revision that the request changes");
     }
     if (!match.matches("\"[0-9]{1,18}\"")) {
-      throw ProblemException.changedMeanwhile("If-Match names no revision", entry);
+      throw ProblemException.changedMeanwhile(
+          "If-Match is not the entity tag of a revision", entry);
     }
     return Long.parseLong(match.substring(1, match.length() - 1));
   }
 
-  /** What a tenant has of the gateway is the operators' to give. */
+  /** Only operators may change a tenant's share of the gateway: its weight and limits. */
   private static void requireSameOperatorsFields(JsonNode before, JsonNode after)
       throws ProblemException {
     for (String field : OPERATORS_FIELDS) {
@@ -157,7 +161,7 @@
         throw new ProblemException(
             HttpStatus.FORBIDDEN,
             "Not allowed",
-            "only an operator may change this",
+            "only an operator may change this field",
             "/" + field,
             null);
       }
--- a/gateway/src/main/java/shelffront/admin/TokensResource.java
+++ b/gateway/src/main/java/shelffront/admin/TokensResource.java
@@ -8,7 +8,7 @@
 import shelffront.tenant.TenantSpecCodec;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
-/** {@code /v1/tokens}: administrators' tokens, which only operators make, rotate and revoke. */
+/** {@code /v1/tokens}: creates, rotates and revokes administrators' tokens; for operators only. */
 final class TokensResource implements AdminResource {
 
   private static final int TOKEN_PATH_LENGTH = 2;
@@ -50,7 +50,7 @@
     JsonNode tenant = request.document().path("tenant");
     boolean operators = tenant.isMissingNode() || tenant.isNull();
     if (!operators && (!tenant.isTextual() || administration.get(tenant.asText()) == null)) {
-      throw ProblemException.invalidField("/tenant", "there is no such tenant");
+      throw ProblemException.invalidField("/tenant", "no such tenant");
     }
     String token = tokens.create(tenant.asText(null), request.caller().token());
     return AdminResponse.of(HttpStatus.CREATED, toJson(token));
--- a/gateway/src/main/java/shelffront/admin/UsageResource.java
+++ b/gateway/src/main/java/shelffront/admin/UsageResource.java
@@ -9,7 +9,7 @@
 import shelffront.tenant.Tenant;
 import shelffront.tenant.TenantSpecCodec;
 
-/** {@code /v1/tenants/ID/usage}: what a tenant uses now and has done, as its event loop says. */
+/** {@code /v1/tenants/ID/usage}: a tenant's resource usage and counters, from its event loop. */
 final class UsageResource {
 
   private static final int PATH_LENGTH = 3;
@@ -49,7 +49,9 @@
       return administration.usage(tenantId).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new ProblemException(
-          HttpStatus.SERVICE_UNAVAILABLE, "Busy", "the gateway did not say in time");
+          HttpStatus.SERVICE_UNAVAILABLE,
+          "Busy",
+          "the tenant's event loop did not report usage within " + TIMEOUT_SECONDS + " s");
     }
   }
 }
