--- a/gateway/src/main/java/shelffront/simulator/SimulatorActionWriter.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorActionWriter.java
@@ -9,7 +9,9 @@
 import java.util.Base64;
 import shelffront.routing.RouterActions;
 
-/** Encodes the instances' actions as rows of the simulator's wire, one JSON array a line. */
+/**
+ * Writes the actions of the hosted instances as rows of the line protocol: a JSON array per line.
+ */
 final class SimulatorActionWriter {
 
   private interface Fields {
@@ -23,13 +25,13 @@
     out.setPrettyPrinter(new MinimalPrettyPrinter(""));
   }
 
-  /** Ends a batch: everything that its events caused has been written. */
+  /** Ends a batch and flushes the output. All actions of the batch must have been written. */
   void endBatch() throws IOException {
     row("ok", fields -> {});
     out.flush();
   }
 
-  /** Reports that an instance threw while it handled an event. */
+  /** Reports an exception that an instance threw while it handled an event. */
   void fault(int proxy, RuntimeException fault) throws IOException {
     StackTraceElement[] trace = fault.getStackTrace();
     row(
@@ -40,7 +42,7 @@
         });
   }
 
-  /** The actions of one instance. */
+  /** Returns an action sink that writes rows for one instance. */
   RouterActions actionsOf(int proxy) {
     return new InstanceActions(proxy);
   }
--- a/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
@@ -18,8 +18,8 @@
 import shelffront.routing.RoutingSettings;
 
 /**
- * Hosts instances of the decision module on the simulator's wire: reads batches of events, hands
- * each to its instance, and writes the actions. Single-threaded.
+ * Hosts instances of the decision module on the simulator's line protocol: reads batches of events,
+ * dispatches each event to its instance, and writes the resulting actions. Single-threaded.
  */
 public final class SimulatorAdapter {
 
@@ -29,7 +29,7 @@
   private final Map<Integer, List<Endpoint>> endpointLists = new HashMap<>();
   private long nowMicros;
 
-  /** Reads and writes nothing yet. */
+  /** Creates an adapter; nothing is read or written before {@link #run}. */
   public SimulatorAdapter(InputStream input, OutputStream output) {
     try {
       JsonFactory factory = new JsonFactory();
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Runs until the input ends between two batches.
+   * Processes batches until the input ends between two batches.
    *
-   * @throws MalformedInputException for input that does not fit, with the line where it stands
+   * @throws MalformedInputException if the input violates the protocol; names the line number
    */
   public void run() throws IOException, MalformedInputException {
     try {
@@ -62,7 +62,8 @@
         nowMicros = row.fields().integer("time");
         inBatch = true;
       } else if (!inBatch) {
-        throw new MalformedInputException(row.name() + " outside a batch");
+        throw new MalformedInputException(
+            row.name() + " is outside of a batch; expected a clock row first");
       } else if (row.name().equals("eofBatch")) {
         inBatch = false;
         output.endBatch();
@@ -71,7 +72,7 @@
       }
     }
     if (inBatch) {
-      throw new MalformedInputException("input ended inside a batch");
+      throw new MalformedInputException("input ended inside a batch; expected an eofBatch row");
     }
   }
 
@@ -94,7 +95,7 @@
     long seed = row.integer("randomSeed");
     Map<?, ?> facts = row.object("facts");
     if (facts == null) {
-      throw new MalformedInputException("up: facts are missing");
+      throw new MalformedInputException("up: field facts is missing; expected an object");
     }
     RoutingSettings settings = RoutingSettingsCodec.read(facts);
     Router router = new RoutingEngine(output.actionsOf(proxy));
@@ -106,14 +107,15 @@
       throws IOException, MalformedInputException {
     SimulatorInstance instance = instances.get(proxy);
     if (instance == null) {
-      throw new MalformedInputException(name + ": proxy " + proxy + " has not been started");
+      throw new MalformedInputException(
+          name + ": proxy " + proxy + " is not running; expected an up row before");
     }
     SimulatorEvent event = SimulatorEventDecoder.event(name, row, instance, nowMicros);
     Runnable call = callOf(event, instance.router());
     runReported(proxy, call);
   }
 
-  /** The call on the decision module that an event stands for. */
+  /** Returns the call on the decision module that handles an event. */
   private Runnable callOf(SimulatorEvent event, Router router) throws MalformedInputException {
     if (event instanceof SimulatorEvent.EndpointUpdate update) {
       List<Endpoint> endpoints = endpointsOf(update);
@@ -154,12 +156,14 @@
     List<Endpoint> endpoints = endpointLists.get((int) update.listNumber());
     if (endpoints == null) {
       throw new MalformedInputException(
-          "discovery: list " + update.listNumber() + " was not given");
+          "discovery: unknown list "
+              + update.listNumber()
+              + "; expected a catalog row with this list before");
     }
     return endpoints;
   }
 
-  /** Runs one event of an instance; what the module throws is reported and never swallowed. */
+  /** Runs the handler of an event; an exception of the module is written to the output. */
   private void runReported(int proxy, Runnable call) throws IOException {
     try {
       call.run();
--- a/gateway/src/main/java/shelffront/simulator/SimulatorEvent.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorEvent.java
@@ -6,10 +6,10 @@
 import shelffront.routing.LoadReport;
 import shelffront.routing.Request;
 
-/** An event of the wire for an instance that runs, decoded; times in microseconds. */
+/** A decoded event for a running instance. Times are in microseconds. */
 sealed interface SimulatorEvent {
 
-  /** An endpoint update; its endpoints are those of a list that was given before. */
+  /** An endpoint update; its endpoints are those of an earlier catalog row with the list number. */
   record EndpointUpdate(EndpointUpdateKind kind, long version, long listNumber)
       implements SimulatorEvent {}
 
@@ -19,12 +19,12 @@
   /** An attempt has ended. */
   record AttemptEnded(AttemptOutcome outcome) implements SimulatorEvent {}
 
-  /** A health check has ended; the report is null where the endpoint gave none. */
+  /** A health check has ended; the load report is null if the endpoint sent none. */
   record HealthCheckEnded(
       String endpointId, AttemptStatus status, long elapsedMicros, LoadReport loadReport)
       implements SimulatorEvent {}
 
-  /** A timer that the instance set is due. */
+  /** A timer of the instance has expired. */
   record TimerExpired(String name) implements SimulatorEvent {}
 
   /** The client of a request has disconnected. */
--- a/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
@@ -16,8 +16,9 @@
 import shelffront.routing.Router;
 
 /**
- * Decodes the rows of the simulator's wire into typed events. The only place that knows the words
- * of its events; a row that does not fit is a {@link MalformedInputException} that names the field.
+ * Decodes rows of the line protocol into typed events. Only this class knows the names of instance
+ * events and their fields. A malformed row raises a {@link MalformedInputException} that names the
+ * field.
  */
 final class SimulatorEventDecoder {
 
@@ -46,29 +47,29 @@
           "remembered", EndpointUpdateKind.CACHED,
           "refused", EndpointUpdateKind.FAILED);
 
-  /** The bit of a query's options that marks a request the client has sent before. */
+  /** The bit of a query's options that marks a request that the client sends again. */
   private static final int REPEAT_OPTION = 2;
 
   private static final long MICROS_PER_MILLI = 1000;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A reply's stand is a position in milliseconds times this, plus a code for the role. */
+  /** A reply's stand is {@code positionMillis * STAND_ROLES + roleCode}. */
   private static final int STAND_ROLES = 4;
 
   private static final int STAND_PRIMARY = 1;
   private static final int STAND_REPLICA = 2;
 
-  /** Figures that say yes or no do so by being above or below this. */
+  /** Numeric flags are true from this value on. */
   private static final double HALF = 0.5;
 
   private SimulatorEventDecoder() {}
 
-  /** The endpoints of a list that later endpoint updates refer to. */
+  /** Decodes the endpoints of a catalog row, to which later endpoint updates refer. */
   static List<Endpoint> endpoints(List<?> entries) throws MalformedInputException {
     List<Endpoint> endpoints = new ArrayList<>();
     for (Object entry : entries) {
       if (!(entry instanceof List<?> values)) {
-        throw new MalformedInputException("catalog: an entry is not an array");
+        throw new MalformedInputException("catalog: a member is not an array");
       }
       endpoints.add(endpoint(new SimulatorMessage("catalog entry", values, 0)));
     }
@@ -97,8 +98,8 @@
   /**
    * Decodes an event for an instance.
    *
-   * @param row the event's fields, behind its name and the instance's number
-   * @param instance what the event's classes and positions refer to
+   * @param row the event's fields after its name and the number of the instance
+   * @param instance resolves the names of request classes and the origin of positions
    */
   static SimulatorEvent event(
       String name, SimulatorMessage row, SimulatorInstance instance, long nowMicros)
@@ -112,7 +113,7 @@
       case "gone" -> new SimulatorEvent.ClientDisconnected(row.text("xid"));
       case "message" -> peerMessage(row);
       case "underWay" -> new SimulatorEvent.Ignored();
-      default -> throw new MalformedInputException("no event is called " + name);
+      default -> throw new MalformedInputException("unknown event " + name);
     };
   }
 
@@ -130,7 +131,8 @@
     String className = row.text("class");
     Integer classIndex = instance.classIndexes().get(className);
     if (classIndex == null) {
-      throw new MalformedInputException("query: class " + className + " is not in the settings");
+      throw new MalformedInputException(
+          "query: unknown class " + className + "; expected one of the facts' categories");
     }
     row.optionalText("party");
     String session = row.optionalText("sess");
@@ -150,7 +152,10 @@
             repeat));
   }
 
-  /** The age is rounded down: a write taken for older than it is would ask too little. */
+  /**
+   * Returns the position that a read requires, from the age of the session's last write. The age is
+   * rounded down, because a greater age would require less than the session has written.
+   */
   private static long requiredPositionMicros(double ageMillis, long nowMicros) {
     return ageMillis > 0
         ? nowMicros - Math.max(1, (long) Math.floor(ageMillis * MICROS_PER_MILLI))
@@ -230,7 +235,7 @@
     try {
       return new SimulatorEvent.PeerMessage(fromGateway, Base64.getDecoder().decode(payload));
     } catch (IllegalArgumentException e) {
-      throw new MalformedInputException("message: payload is not base64");
+      throw new MalformedInputException("message: payload is not valid Base64");
     }
   }
 }
--- a/gateway/src/main/java/shelffront/simulator/SimulatorInput.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorInput.java
@@ -12,15 +12,15 @@
 import java.util.Map;
 import shelffront.config.MalformedInputException;
 
-/** Reads the rows of the simulator's wire: JSON arrays that begin with a name. */
+/** Reads the rows of the line protocol: JSON arrays whose first element is the row's name. */
 final class SimulatorInput {
 
   private static final int TYPICAL_FIELDS = 12;
 
-  /** One row: its name, and all of its values with the name as the first. */
+  /** A row; {@code values} includes the name as its first element. */
   record Row(String name, List<?> values) {
 
-    /** The fields behind the name. */
+    /** Returns a cursor at the first field after the name. */
     SimulatorMessage fields() {
       return new SimulatorMessage(name, values, 1);
     }
@@ -33,7 +33,7 @@
     parser = factory.createParser(input);
   }
 
-  /** The next row; null at the end of the input. */
+  /** Returns the next row, or null at the end of the input. */
   Row next() throws IOException, MalformedInputException {
     if (parser.nextToken() == null) {
       return null;
@@ -44,15 +44,15 @@
         && values.get(0) instanceof String name) {
       return new Row(name, values);
     }
-    throw new MalformedInputException("not an array that begins with a name");
+    throw new MalformedInputException("row is not a JSON array that begins with a name");
   }
 
-  /** Puts the line at which the row began before the message. */
+  /** Returns the failure with the line number of the current row before its message. */
   MalformedInputException located(MalformedInputException failure) {
     return new MalformedInputException("line " + line + ": " + failure.getMessage());
   }
 
-  /** What is wrong with the JSON, and in which line. */
+  /** Converts a JSON syntax error to a failure with its line number and a message of one line. */
   MalformedInputException located(JsonProcessingException failure) {
     int at = failure.getLocation() == null ? line : failure.getLocation().getLineNr();
     String text = failure.getOriginalMessage().lines().findFirst().orElse("");
--- a/gateway/src/main/java/shelffront/simulator/SimulatorInstance.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorInstance.java
@@ -9,10 +9,10 @@
 import shelffront.routing.RoutingSettings;
 
 /**
- * A gateway that the adapter hosts.
+ * A hosted instance of the decision module.
  *
- * @param positionZeroMicros the clock time from which the wire counts its positions
- * @param classIndexes the places of its request classes in the settings, by name
+ * @param positionZeroMicros the clock time that corresponds to position 0 of the protocol
+ * @param classIndexes the indexes of request classes in the settings, by class name
  */
 record SimulatorInstance(
     Router router, long positionZeroMicros, Map<String, Integer> classIndexes) {
--- a/gateway/src/main/java/shelffront/simulator/SimulatorMessage.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorMessage.java
@@ -2,11 +2,13 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.TreeSet;
 import shelffront.config.MalformedInputException;
 
 /**
- * A cursor over the fields of one row of the wire. A field of another type is a {@link
- * MalformedInputException} that names the row and the field.
+ * A cursor over the fields of one row. Each method reads the next field; its name is used in errors
+ * only. A field of the wrong type raises a {@link MalformedInputException} that names the row and
+ * the field. Fields after the end of the array read as null.
  */
 final class SimulatorMessage {
 
@@ -20,23 +22,24 @@
     this.next = first;
   }
 
-  /** The next value, or null when it is null or the array has ended. */
+  /** Returns the next value, or null if it is null or the array has ended. */
   private Object nextField() {
     return next < values.size() ? values.get(next++) : null;
   }
 
   private MalformedInputException malformed(String name, String expected) {
-    return new MalformedInputException(rowName + ": " + name + " is not " + expected);
+    return new MalformedInputException(rowName + ": field " + name + " is not " + expected);
   }
 
   String text(String name) throws MalformedInputException {
     String value = optionalText(name);
     if (value == null) {
-      throw malformed(name, "a text");
+      throw malformed(name, "a string");
     }
     return value;
   }
 
+  /** Returns the next field, or null if it is null, absent or a number. */
   String optionalText(String name) throws MalformedInputException {
     Object value = nextField();
     if (value == null || value instanceof String) {
@@ -45,7 +48,7 @@
     if (value instanceof Number) {
       return null;
     }
-    throw malformed(name, "a text");
+    throw malformed(name, "a string");
   }
 
   double number(String name, double absent) throws MalformedInputException {
@@ -79,7 +82,7 @@
     throw malformed(name, "true or false");
   }
 
-  /** The next value as an object; null when absent. */
+  /** Returns the next field as an object, or null if it is null or absent. */
   Map<?, ?> object(String name) throws MalformedInputException {
     Object value = nextField();
     if (value == null || value instanceof Map) {
@@ -96,11 +99,12 @@
     throw malformed(name, "an array");
   }
 
+  /** Returns the value that the next field, a string, maps to. */
   <T> T word(String name, Map<String, T> words) throws MalformedInputException {
     Object value = nextField();
     T found = value == null ? null : words.get(value);
     if (found == null) {
-      throw malformed(name, "a known word");
+      throw malformed(name, "one of " + new TreeSet<>(words.keySet()));
     }
     return found;
   }
