--- a/gateway/src/test/java/shelffront/admin/AdminTest.java
+++ b/gateway/src/test/java/shelffront/admin/AdminTest.java
@@ -46,17 +46,17 @@
 import shelffront.store.DocumentStore.Kind;
 
 /**
- * The administration of a running gateway, over HTTP; every answer is held against
+ * Tests the administration API of a running gateway over HTTP. Every response is validated against
  * docs/openapi.json.
  */
 class AdminTest {
 
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final String SECRET = "harbour-secret-weight"; // Stands in the other tenant alone.
-  private static MultiTenantGateway hosted;
-  private static Thread turns;
-  private static String operator;
-  private static String own;
+  private static final String SECRET = "harbour-secret-weight"; // Only in tenant harbour.
+  private static MultiTenantGateway gateway;
+  private static Thread gatewayThread;
+  private static String operatorToken;
+  private static String airportToken;
   private static JsonNode openapi;
   private static final HttpClient CLIENT =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -66,21 +66,21 @@
     openapi = JSON.readTree(Path.of("../docs/openapi.json").toFile());
     ObjectNode config =
         JSON.createObjectNode().put("listen", "127.0.0.1:0").put("admin", "127.0.0.1:0");
-    hosted = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
-    turns = hosted.start();
-    operator = hosted.tokens().create(null, "test");
-    assertEquals(201, call("POST", "/v1/tenants", operator, tenant("airport")).statusCode());
+    gateway = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
+    gatewayThread = gateway.start();
+    operatorToken = gateway.tokens().create(null, "test");
+    assertEquals(201, call("POST", "/v1/tenants", operatorToken, tenant("airport")).statusCode());
     ObjectNode harbour = tenant("harbour");
     ((ObjectNode) harbour.path("hosts")).put("database", SECRET);
-    assertEquals(201, call("POST", "/v1/tenants", operator, harbour).statusCode());
-    own = hosted.tokens().create("airport", "test");
+    assertEquals(201, call("POST", "/v1/tenants", operatorToken, harbour).statusCode());
+    airportToken = gateway.tokens().create("airport", "test");
   }
 
   @AfterContainer
   static void stop() throws Exception {
-    hosted.drain();
-    turns.join(30_000);
-    assertFalse(turns.isAlive());
+    gateway.drain();
+    gatewayThread.join(30_000);
+    assertFalse(gatewayThread.isAlive());
   }
 
   private static ObjectNode tenant(String id) {
@@ -106,7 +106,7 @@
       String method, String path, String token, Object body, String... headers) throws Exception {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + hosted.adminAddress().getPort() + path))
+                URI.create("http://127.0.0.1:" + gateway.adminAddress().getPort() + path))
             .method(
                 method,
                 body == null ? BodyPublishers.noBody() : BodyPublishers.ofString(body.toString()));
@@ -117,19 +117,19 @@
       request.headers(headers);
     }
     HttpResponse<String> answer = CLIENT.send(request.build(), BodyHandlers.ofString());
-    describedInOpenApi(method, path, answer);
+    assertDescribedInOpenApi(method, path, answer);
     return answer;
   }
 
   /**
-   * Every status must be listed for its path and method, and the body must be of the schema named
-   * there.
+   * Asserts that the description lists the status for the path and method, and that the body is
+   * valid under the schema given there.
    */
-  private static void describedInOpenApi(String method, String path, HttpResponse<String> answer)
-      throws Exception {
-    String bare = path.split("\\?")[0];
+  private static void assertDescribedInOpenApi(
+      String method, String path, HttpResponse<String> answer) throws Exception {
+    String pathWithoutQuery = path.split("\\?")[0];
     for (var each : openapi.path("paths").properties()) {
-      if (bare.matches(each.getKey().replaceAll("\\{[a-z]+}", "[^/]+"))
+      if (pathWithoutQuery.matches(each.getKey().replaceAll("\\{[a-z]+}", "[^/]+"))
           && each.getValue().has(method.toLowerCase(Locale.ROOT))) {
         JsonNode responses =
             each.getValue().path(method.toLowerCase(Locale.ROOT)).path("responses");
@@ -137,7 +137,12 @@
         if (response.isMissingNode()) {
           assertTrue(
               answer.statusCode() >= 400 && responses.has("default"),
-              method + " " + path + " answers " + answer.statusCode() + ", which is not described");
+              method
+                  + " "
+                  + path
+                  + " responds with "
+                  + answer.statusCode()
+                  + ", which is not described");
           response = responses.path("default");
         }
         JsonNode content = response.path("content");
@@ -157,53 +162,62 @@
     }
     assertTrue(
         answer.statusCode() >= 400,
-        method + " " + path + " is not described, yet answers " + answer.statusCode());
+        method + " " + path + " is not described, but responds with " + answer.statusCode());
   }
 
   private static JsonNode json(HttpResponse<String> answer) throws Exception {
     return JSON.readTree(answer.body());
   }
 
-  private static String tag(String id) throws Exception {
-    return call("GET", "/v1/tenants/" + id, operator, null)
+  private static String entityTag(String id) throws Exception {
+    return call("GET", "/v1/tenants/" + id, operatorToken, null)
         .headers()
         .firstValue("ETag")
         .orElseThrow();
   }
 
   @Example
-  void aChangeNeedsTheRevisionThatItIsFor() throws Exception {
-    assertEquals(201, call("POST", "/v1/tenants", operator, tenant("need")).statusCode());
-    assertEquals(428, call("PUT", "/v1/tenants/need", operator, tenant("need")).statusCode());
-    assertEquals(428, call("DELETE", "/v1/tenants/need", operator, null).statusCode());
-    String tag = tag("need");
+  void changeWithoutCurrentRevisionIsRejected() throws Exception {
+    assertEquals(201, call("POST", "/v1/tenants", operatorToken, tenant("need")).statusCode());
+    assertEquals(428, call("PUT", "/v1/tenants/need", operatorToken, tenant("need")).statusCode());
+    assertEquals(428, call("DELETE", "/v1/tenants/need", operatorToken, null).statusCode());
+    String entityTag = entityTag("need");
     assertEquals(
         200,
-        call("PUT", "/v1/tenants/need", operator, tenant("need").put("weight", 2), "If-Match", tag)
+        call(
+                "PUT",
+                "/v1/tenants/need",
+                operatorToken,
+                tenant("need").put("weight", 2),
+                "If-Match",
+                entityTag)
             .statusCode());
     HttpResponse<String> late =
-        call("PUT", "/v1/tenants/need", operator, tenant("need"), "If-Match", tag);
+        call("PUT", "/v1/tenants/need", operatorToken, tenant("need"), "If-Match", entityTag);
     assertEquals(412, late.statusCode());
     assertEquals(
         2,
         json(late).path("present").path("tenant").path("weight").asInt(),
-        "shows the present state");
+        "the response holds the current document");
     assertEquals(
         202,
-        call("DELETE", "/v1/tenants/need", operator, null, "If-Match", tag("need")).statusCode());
-    assertEquals(404, call("GET", "/v1/tenants/need", operator, null).statusCode());
+        call("DELETE", "/v1/tenants/need", operatorToken, null, "If-Match", entityTag("need"))
+            .statusCode());
+    assertEquals(404, call("GET", "/v1/tenants/need", operatorToken, null).statusCode());
   }
 
   /**
-   * Two administrators, 1,000 changes each; every change adds one to a figure, so that a lost one
-   * is missing.
+   * Two administrators make 1,000 changes each. Every change increments the same field, so a lost
+   * update makes the final value smaller than 2,000.
    */
   @Example
-  void noChangeOfTwoAdministratorsIsLost() throws Exception {
+  void concurrentChangesOfTwoAdministratorsAreNotLost() throws Exception {
     assertEquals(
-        201, call("POST", "/v1/tenants", operator, tenant("both").put("graceMs", 0)).statusCode());
-    long created = json(call("GET", "/v1/tenants/both", operator, null)).path("revision").asLong();
-    AtomicInteger lost = new AtomicInteger();
+        201,
+        call("POST", "/v1/tenants", operatorToken, tenant("both").put("graceMs", 0)).statusCode());
+    long created =
+        json(call("GET", "/v1/tenants/both", operatorToken, null)).path("revision").asLong();
+    AtomicInteger conflicts = new AtomicInteger();
     List<CompletableFuture<Void>> administrators = new ArrayList<>();
     for (int a = 0; a < 2; a++) {
       administrators.add(
@@ -211,21 +225,22 @@
               () -> {
                 try {
                   for (int done = 0; done < 1000; ) {
-                    HttpResponse<String> seen = call("GET", "/v1/tenants/both", operator, null);
+                    HttpResponse<String> seen =
+                        call("GET", "/v1/tenants/both", operatorToken, null);
                     ObjectNode next = (ObjectNode) json(seen).path("tenant");
                     next.put("graceMs", next.path("graceMs").asInt() + 1);
                     int status =
                         call(
                                 "PUT",
                                 "/v1/tenants/both",
-                                operator,
+                                operatorToken,
                                 next,
                                 "If-Match",
                                 seen.headers().firstValue("ETag").orElseThrow())
                             .statusCode();
                     assertTrue(status == 200 || status == 412, status + "");
                     done += status == 200 ? 1 : 0;
-                    lost.addAndGet(status == 412 ? 1 : 0);
+                    conflicts.addAndGet(status == 412 ? 1 : 0);
                   }
                 } catch (Exception e) {
                   throw new IllegalStateException(e);
@@ -235,40 +250,44 @@
     for (CompletableFuture<Void> each : administrators) {
       each.get(120, TimeUnit.SECONDS);
     }
-    JsonNode last = json(call("GET", "/v1/tenants/both", operator, null));
+    JsonNode last = json(call("GET", "/v1/tenants/both", operatorToken, null));
     assertEquals(2000, last.path("tenant").path("graceMs").asInt());
-    List<AuditEntry> story =
-        hosted.store().auditEntries(created, 10_000).stream()
+    List<AuditEntry> auditEntries =
+        gateway.store().auditEntries(created, 10_000).stream()
             .filter(x -> x.name().equals("both"))
             .toList();
-    assertEquals(2000, story.size());
+    assertEquals(2000, auditEntries.size());
     long before = created;
-    for (AuditEntry each : story) {
-      assertEquals(before, each.previousRevision(), "each follows the one before");
+    for (AuditEntry each : auditEntries) {
+      assertEquals(before, each.previousRevision(), "each change names the previous revision");
       before = each.revision();
     }
-    assertTrue(lost.get() > 0, "the two never met");
+    assertTrue(
+        conflicts.get() > 0,
+        "the administrators never changed the same revision, so nothing was tested");
   }
 
   @Example
-  void aChangeIsInForceWithoutARestart() throws Exception {
+  void changeComesIntoForceWithoutRestart() throws Exception {
     long revision =
-        json(call("POST", "/v1/tenants", operator, tenant("soon"))).path("revision").asLong();
+        json(call("POST", "/v1/tenants", operatorToken, tenant("soon"))).path("revision").asLong();
     JsonNode changes =
-        json(call("GET", "/v1/changes?after=" + (revision - 1) + "&wait=30s", operator, null));
+        json(call("GET", "/v1/changes?after=" + (revision - 1) + "&wait=30s", operatorToken, null));
     assertEquals(revision, changes.path("changes").path(0).path("revision").asLong());
     assertTrue(changes.path("changes").path(0).path("inForce").asLong() > 0);
-    assertEquals("Z", connect("soon"), "clients are taken in");
+    assertEquals("Z", connect("soon"), "clients of the new tenant are accepted");
     assertEquals(
         202,
-        call("DELETE", "/v1/tenants/soon", operator, null, "If-Match", tag("soon")).statusCode());
-    call("GET", "/v1/changes?after=" + revision + "&wait=30s", operator, null);
+        call("DELETE", "/v1/tenants/soon", operatorToken, null, "If-Match", entityTag("soon"))
+            .statusCode());
+    call("GET", "/v1/changes?after=" + revision + "&wait=30s", operatorToken, null);
     assertEquals("3D000", connect("soon"));
   }
 
-  /** How a startup ends: Z where it is taken in, else the code of the error. */
+  /** Returns Z if the gateway accepts a client for the database, else the SQLSTATE of the error. */
   private static String connect(String database) throws Exception {
-    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), hosted.address().getPort())) {
+    try (Socket socket =
+        new Socket(InetAddress.getLoopbackAddress(), gateway.address().getPort())) {
       socket.setSoTimeout(10_000);
       socket.getOutputStream().write(Message.startup("api", database));
       DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -288,92 +307,104 @@
   }
 
   @Example
-  void faultsAreNamedByTheirField() throws Exception {
+  void invalidDocumentIsRejectedWithPointerToField() throws Exception {
     ObjectNode bad = tenant("bad");
     ((ObjectNode) bad.path("classes").path(0)).put("giveUpMs", -5);
-    HttpResponse<String> answer = call("POST", "/v1/tenants", operator, bad);
+    HttpResponse<String> answer = call("POST", "/v1/tenants", operatorToken, bad);
     assertEquals(422, answer.statusCode());
     assertEquals(
         "/classes/0/giveUpMs", json(answer).path("errors").path(0).path("pointer").asText());
-    assertEquals(400, call("POST", "/v1/tenants", operator, "{\"id\":").statusCode());
+    assertEquals(400, call("POST", "/v1/tenants", operatorToken, "{\"id\":").statusCode());
     assertEquals(
-        400, call("POST", "/v1/tenants", operator, "{\"id\":\"a\",\"id\":\"b\"}").statusCode());
+        400,
+        call("POST", "/v1/tenants", operatorToken, "{\"id\":\"a\",\"id\":\"b\"}").statusCode());
     assertEquals(
-        413, call("POST", "/v1/tenants", operator, "x".repeat((1 << 20) + 1)).statusCode());
-    assertEquals(405, call("PATCH", "/v1/tenants/airport", operator, null).statusCode());
+        413, call("POST", "/v1/tenants", operatorToken, "x".repeat((1 << 20) + 1)).statusCode());
+    assertEquals(405, call("PATCH", "/v1/tenants/airport", operatorToken, null).statusCode());
   }
 
   @Example
-  void aPostIsDoneOnceForItsKey() throws Exception {
+  void repeatedPostWithSameIdempotencyKeyIsExecutedOnce() throws Exception {
     ObjectNode tenant = tenant("once");
     HttpResponse<String> first =
-        call("POST", "/v1/tenants", operator, tenant, "Idempotency-Key", "k1");
+        call("POST", "/v1/tenants", operatorToken, tenant, "Idempotency-Key", "k1");
     HttpResponse<String> again =
-        call("POST", "/v1/tenants", operator, tenant, "Idempotency-Key", "k1");
+        call("POST", "/v1/tenants", operatorToken, tenant, "Idempotency-Key", "k1");
     assertEquals(201, first.statusCode());
     assertEquals(first.body(), again.body());
     assertEquals(201, again.statusCode());
     assertEquals(
         422,
-        call("POST", "/v1/tenants", operator, tenant("twice"), "Idempotency-Key", "k1")
+        call("POST", "/v1/tenants", operatorToken, tenant("twice"), "Idempotency-Key", "k1")
             .statusCode());
   }
 
   @Example
-  void tokensAreRotatedWithAnOverlapAndRevoked() throws Exception {
-    JsonNode made = json(call("POST", "/v1/tokens", operator, "{\"tenant\":\"airport\"}"));
+  void rotatedTokenStaysValidForOverlapAndRevokedTokenIsRejected() throws Exception {
+    JsonNode made = json(call("POST", "/v1/tokens", operatorToken, "{\"tenant\":\"airport\"}"));
     String id = made.path("id").asText();
     String old = made.path("token").asText();
     String next =
-        json(call("POST", "/v1/tokens/" + id + "/rotate", operator, "{\"overlapSeconds\":60}"))
+        json(call("POST", "/v1/tokens/" + id + "/rotate", operatorToken, "{\"overlapSeconds\":60}"))
             .path("token")
             .asText();
     assertEquals(200, call("GET", "/v1/tenants/airport", old, null).statusCode());
     assertEquals(200, call("GET", "/v1/tenants/airport", next, null).statusCode());
     String last =
-        json(call("POST", "/v1/tokens/" + id + "/rotate", operator, "{}")).path("token").asText();
+        json(call("POST", "/v1/tokens/" + id + "/rotate", operatorToken, "{}"))
+            .path("token")
+            .asText();
     assertEquals(401, call("GET", "/v1/tenants/airport", next, null).statusCode());
-    assertEquals(204, call("DELETE", "/v1/tokens/" + id, operator, null).statusCode());
+    assertEquals(204, call("DELETE", "/v1/tokens/" + id, operatorToken, null).statusCode());
     assertEquals(401, call("GET", "/v1/tenants/airport", last, null).statusCode());
     assertFalse(
-        hosted.store().export().toString().contains(old.substring(old.indexOf('.') + 1)),
-        "only a hash");
+        gateway.store().export().toString().contains(old.substring(old.indexOf('.') + 1)),
+        "the store must hold only a hash of the secret");
   }
 
   @Example
-  void aTenantsAdministratorDrainsItsOwnBoxesAndNoOthers() throws Exception {
-    assertEquals(200, call("POST", "/v1/tenants/airport/boxes/s-1/drain", own, null).statusCode());
+  void tenantAdministratorDrainsOnlyEndpointsOfItsOwnTenant() throws Exception {
+    assertEquals(
+        200, call("POST", "/v1/tenants/airport/boxes/s-1/drain", airportToken, null).statusCode());
     assertEquals(
         "s-1",
-        json(call("GET", "/v1/tenants/airport/boxes", own, null)).path("drained").path(0).asText());
+        json(call("GET", "/v1/tenants/airport/boxes", airportToken, null))
+            .path("drained")
+            .path(0)
+            .asText());
     assertEquals(
-        200, call("DELETE", "/v1/tenants/airport/boxes/s-1/drain", own, null).statusCode());
-    HttpResponse<String> other = call("POST", "/v1/tenants/harbour/boxes/s-1/drain", own, null);
-    HttpResponse<String> none = call("POST", "/v1/tenants/nobody/boxes/s-1/drain", own, null);
+        200,
+        call("DELETE", "/v1/tenants/airport/boxes/s-1/drain", airportToken, null).statusCode());
+    HttpResponse<String> other =
+        call("POST", "/v1/tenants/harbour/boxes/s-1/drain", airportToken, null);
+    HttpResponse<String> none =
+        call("POST", "/v1/tenants/nobody/boxes/s-1/drain", airportToken, null);
     assertEquals(404, other.statusCode());
-    assertEquals(none.body(), other.body(), "no telling whether it exists");
+    assertEquals(
+        none.body(), other.body(), "the response must not reveal whether the tenant exists");
     assertEquals(
         403,
         call(
                 "PUT",
                 "/v1/tenants/airport",
-                own,
+                airportToken,
                 tenant("airport").put("weight", 900),
                 "If-Match",
-                tag("airport"))
+                entityTag("airport"))
             .statusCode());
-    assertEquals(1, json(call("GET", "/v1/tenants", own, null)).path("tenants").size());
-    assertNotNull(json(call("GET", "/v1/tenants/airport/usage", own, null)).path("counters"));
-    for (JsonNode entry : json(call("GET", "/v1/audit", own, null)).path("entries")) {
+    assertEquals(1, json(call("GET", "/v1/tenants", airportToken, null)).path("tenants").size());
+    assertNotNull(
+        json(call("GET", "/v1/tenants/airport/usage", airportToken, null)).path("counters"));
+    for (JsonNode entry : json(call("GET", "/v1/audit", airportToken, null)).path("entries")) {
       assertEquals("airport", entry.path("name").asText());
     }
   }
 
   @Example
-  void aTokenOfAMegabyteIsNoToken() throws Exception {
-    // The server may end the connection or answer; either way nobody is let in.
+  void tokenOfOneMegabyteIsRejected() throws Exception {
+    // The server may close the connection or respond with an error; both reject the caller.
     try (Socket socket =
-        new Socket(InetAddress.getLoopbackAddress(), hosted.adminAddress().getPort())) {
+        new Socket(InetAddress.getLoopbackAddress(), gateway.adminAddress().getPort())) {
       socket.setSoTimeout(10_000);
       String head =
           "GET /v1/tenants HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
@@ -384,7 +415,7 @@
         socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
         answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
       } catch (IOException e) {
-        answer = ""; // reset while it was still being sent
+        answer = ""; // The server reset the connection while the request was still being sent.
       }
       assertTrue(answer.isEmpty() || answer.startsWith("HTTP/1.1 4"), answer);
     }
@@ -427,23 +458,23 @@
         .as(
             (kind, at) ->
                 switch (kind) {
-                  case 0, 1 -> own;
-                  case 2 -> own.substring(0, Math.min(own.length() - 1, at));
-                  case 3 -> own + "x";
+                  case 0, 1 -> airportToken;
+                  case 2 -> airportToken.substring(0, Math.min(airportToken.length() - 1, at));
+                  case 3 -> airportToken + "x";
                   case 4 ->
-                      own.substring(0, own.indexOf('.') + 1)
-                          + operator.substring(operator.indexOf('.') + 1);
-                  case 5 -> "." + own;
+                      airportToken.substring(0, airportToken.indexOf('.') + 1)
+                          + operatorToken.substring(operatorToken.indexOf('.') + 1);
+                  case 5 -> "." + airportToken;
                   default -> "x".repeat(at);
                 });
   }
 
   /**
-   * Whatever a tenant's administrator or a stranger asks, nothing of the other tenant is told or
-   * changed.
+   * Guards against disclosure across tenants: no path, method or token of a tenant's administrator
+   * or of an unknown caller may reveal or change anything of the other tenant.
    */
   @Property(tries = 600, seed = "42")
-  void nothingOfAnotherTenantLeaks(
+  void otherTenantIsNeitherDisclosedNorChanged(
       @ForAll("paths") String path,
       @ForAll("tokens") String token,
       @ForAll("methods") String method)
@@ -457,23 +488,23 @@
             "If-Match",
             "\"2\"");
     assertFalse(
-        answer.body().contains(SECRET), path + " tells of another tenant: " + answer.body());
+        answer.body().contains(SECRET), path + " discloses another tenant: " + answer.body());
     assertFalse(answer.body().contains("harbour"), path + ": " + answer.body());
-    if (!token.equals(own)) {
+    if (!token.equals(airportToken)) {
       assertTrue(
           answer.statusCode() == 401 || answer.statusCode() == 400 || answer.statusCode() == 404,
-          path + " answers " + answer.statusCode());
+          path + " responds with " + answer.statusCode());
     }
     assertEquals(
         SECRET,
-        hosted
+        gateway
             .store()
             .get(Kind.TENANT, "harbour")
             .document()
             .path("hosts")
             .path("database")
             .asText());
-    assertEquals(0, hosted.store().get(Kind.TENANT, "harbour").document().path("drained").size());
+    assertEquals(0, gateway.store().get(Kind.TENANT, "harbour").document().path("drained").size());
   }
 
   @Provide
@@ -482,13 +513,13 @@
   }
 
   /**
-   * A key is made, shown once, replaced without a gap and ended; another tenant's administrator
-   * sees none of it.
+   * A key is returned once, can be replaced while the previous one stays valid, and can be revoked
+   * unless it is the last. Another tenant's administrator cannot revoke it.
    */
   @Example
-  void keysOfClientsAreMadeAndEnded() throws Exception {
-    assertEquals(201, call("POST", "/v1/tenants", operator, tenant("keyed")).statusCode());
-    String admin = hosted.tokens().create("keyed", "test");
+  void clientKeysAreCreatedReplacedAndRevoked() throws Exception {
+    assertEquals(201, call("POST", "/v1/tenants", operatorToken, tenant("keyed")).statusCode());
+    String admin = gateway.tokens().create("keyed", "test");
     assertEquals(422, call("POST", "/v1/tenants/keyed/keys", admin, "{\"user\": 7}").statusCode());
     JsonNode first = json(call("POST", "/v1/tenants/keyed/keys", admin, "{\"user\": \"api\"}"));
     JsonNode second = json(call("POST", "/v1/tenants/keyed/keys", admin, "{\"user\": \"api\"}"));
@@ -502,7 +533,7 @@
     assertEquals(2, json(list).path("keys").size());
     assertFalse(list.body().contains(first.path("key").asText()));
     String path = "/v1/tenants/keyed/keys/" + first.path("id").asText();
-    assertEquals(404, call("DELETE", path, own, null).statusCode());
+    assertEquals(404, call("DELETE", path, airportToken, null).statusCode());
     assertEquals(200, call("DELETE", path, admin, null).statusCode());
     assertEquals(404, call("DELETE", path, admin, null).statusCode());
     assertEquals(List.of(false, true), List.of(admitted(first), admitted(second)));
@@ -510,45 +541,48 @@
         422,
         call("DELETE", "/v1/tenants/keyed/keys/" + second.path("id").asText(), admin, null)
             .statusCode(),
-        "the last key's end would open the tenant to everybody");
+        "revoking the last key would admit every client");
     assertTrue(admitted(second));
     assertEquals(
-        404, call("POST", "/v1/tenants/nobody/keys", operator, "{\"user\": \"api\"}").statusCode());
+        404,
+        call("POST", "/v1/tenants/nobody/keys", operatorToken, "{\"user\": \"api\"}").statusCode());
     assertEquals(405, call("PUT", "/v1/tenants/keyed/keys", admin, "{}").statusCode());
   }
 
   private static boolean admitted(JsonNode key) throws IOException {
-    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), hosted.address().getPort())) {
+    try (Socket socket =
+        new Socket(InetAddress.getLoopbackAddress(), gateway.address().getPort())) {
       socket.setSoTimeout(20_000);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       socket.getOutputStream().write(Message.startup("api", "keyed"));
       assertEquals('R', in.readUnsignedByte());
       in.skipNBytes(in.readInt() - 4);
-      byte[] word = (key.path("key").asText() + "\0").getBytes(StandardCharsets.ISO_8859_1);
-      socket.getOutputStream().write(new Message('p', word).bytes());
+      byte[] passwordBytes =
+          (key.path("key").asText() + "\0").getBytes(StandardCharsets.ISO_8859_1);
+      socket.getOutputStream().write(new Message('p', passwordBytes).bytes());
       return in.readUnsignedByte() == 'R';
     }
   }
 
-  /** One token's polls leave places for others'. */
+  /** Guards against one token exhausting the server's threads with long polls. */
   @Example
-  void oneAdministratorsPollsLeaveRoomForOthers() throws Exception {
+  void pollsOfOneTokenLeaveThreadsForOtherTokens() throws Exception {
     List<CompletableFuture<HttpResponse<String>>> polls = new ArrayList<>();
-    String greedy = hosted.tokens().create("harbour", "test");
+    String pollingToken = gateway.tokens().create("harbour", "test");
     for (int i = 0; i < 12; i++) {
       HttpRequest request =
           HttpRequest.newBuilder(
                   URI.create(
                       "http://127.0.0.1:"
-                          + hosted.adminAddress().getPort()
+                          + gateway.adminAddress().getPort()
                           + "/v1/changes?after=999999&wait=2s"))
-              .header("Authorization", "Bearer " + greedy)
+              .header("Authorization", "Bearer " + pollingToken)
               .build();
       polls.add(CLIENT.sendAsync(request, BodyHandlers.ofString()));
     }
-    int refused = 0;
+    int rejectedPolls = 0;
     for (int i = 0; i < 8; i++) {
-      refused +=
+      rejectedPolls +=
           CompletableFuture.anyOf(polls.toArray(CompletableFuture[]::new))
                       .thenApply(a -> ((HttpResponse<?>) a).statusCode())
                       .get(20, TimeUnit.SECONDS)
@@ -560,8 +594,8 @@
         break;
       }
     }
-    assertTrue(refused > 0, "one token may take all places");
-    assertEquals(200, call("GET", "/v1/changes?after=0&wait=1s", own, null).statusCode());
+    assertTrue(rejectedPolls > 0, "no poll was rejected, so one token could occupy all threads");
+    assertEquals(200, call("GET", "/v1/changes?after=0&wait=1s", airportToken, null).statusCode());
     for (CompletableFuture<HttpResponse<String>> each : polls) {
       assertTrue(Set.of(200, 429).contains(each.get(20, TimeUnit.SECONDS).statusCode()));
     }
--- a/gateway/src/test/java/shelffront/simulator/SimulatorAdapterIT.java
+++ b/gateway/src/test/java/shelffront/simulator/SimulatorAdapterIT.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The built jar over a short exchange written by hand. */
+/** Runs the packaged jar on a short, handwritten exchange of the line protocol. */
 class SimulatorAdapterIT {
 
   private static final String FACTS =
@@ -55,7 +55,7 @@
     try (OutputStream stdin = process.getOutputStream()) {
       stdin.write(input.getBytes(StandardCharsets.UTF_8));
     } catch (IOException e) {
-      // The process ended before it read everything, as it does on wrong arguments.
+      // The process exits without reading its input if the arguments are invalid.
     }
     String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void answersEachBatchWithOneReply() throws Exception {
+  void eachBatchEndsWithOneOkRow() throws Exception {
     Result round =
         run(
             """
@@ -96,11 +96,11 @@
     assertTrue(round.out.contains("[\"soundOut\",0,\"member_a\"]"));
     assertTrue(
         round.out.contains("[\"fail\",0,\"00000000000000bb\"]"),
-        "a reset write that may not run twice");
+        "a write whose connection was reset must fail, because it must not be executed twice");
   }
 
   @Test
-  void malformedInputIsNamedByLineOnceAndEndsTheProcess() throws Exception {
+  void malformedInputIsReportedOnceWithItsLineAndExitCodeOne() throws Exception {
     for (String bad :
         List.of(
             "[\"query\",0]",
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void otherArgumentsPrintTheUsage() throws Exception {
+  void invalidArgumentsPrintUsageAndExitWithCodeTwo() throws Exception {
     Map<List<String>, String> expected =
         Map.of(
             List.of(),
--- a/gateway/src/test/java/shelffront/simulator/SimulatorExchangeTest.java
+++ b/gateway/src/test/java/shelffront/simulator/SimulatorExchangeTest.java
@@ -12,8 +12,8 @@
 import org.junit.Test;
 
 /**
- * Recorded batches of the simulator's wire: lines with {@code >} go in, those with {@code <} must
- * come out.
+ * Replays recorded batches of the line protocol. Lines marked {@code >} are the adapter's input,
+ * lines marked {@code <} its expected output.
  */
 public class SimulatorExchangeTest {
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  public void lateReportsDoNotTakeReadsFromAReplicaThatAnswersThem() throws Exception {
+  public void replicaWithLateLoadReportsKeepsServingBoundedReads() throws Exception {
     play("late-reports.wire");
   }
 }
