--- a/gateway/src/main/java/shelffront/admin/AdminServer.java
+++ b/gateway/src/main/java/shelffront/admin/AdminServer.java
@@ -96,23 +96,23 @@
 
   private void handle(HttpExchange exchange) throws IOException {
     try (exchange) {
-      AdminResponse answer;
+      AdminResponse response;
       try {
-        answer = answer(exchange);
+        response = process(exchange);
       } catch (ProblemException e) {
-        answer = new AdminResponse(e.status(), e.body(), headers(e.status()));
+        response = new AdminResponse(e.status(), e.body(), headers(e.status()));
       } catch (RuntimeException e) {
         log.println("admin fault " + e);
-        answer = fault();
+        response = internalError();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
       }
-      write(exchange, answer);
+      write(exchange, response);
     }
   }
 
-  private AdminResponse answer(HttpExchange exchange)
+  private AdminResponse process(HttpExchange exchange)
       throws ProblemException, IOException, InterruptedException {
     AdminTokens.Caller caller = authenticator.authenticate(exchange.getRequestHeaders());
     byte[] body = readBody(exchange);
@@ -125,7 +125,7 @@
             exchange.getRequestURI().getRawQuery(),
             exchange.getRequestHeaders(),
             body);
-    return idempotencyCache.answer(rawPath, request, () -> router.route(request));
+    return idempotencyCache.respond(rawPath, request, () -> router.route(request));
   }
 
   private static byte[] readBody(HttpExchange exchange) throws ProblemException, IOException {
@@ -162,23 +162,25 @@
     };
   }
 
-  private static AdminResponse fault() {
+  private static AdminResponse internalError() {
     int status = HttpStatus.INTERNAL_SERVER_ERROR;
     return AdminResponse.of(
         status,
         new ProblemException(status, "Fault", "internal error; see the log of the gateway").body());
   }
 
-  private static void write(HttpExchange exchange, AdminResponse answer) throws IOException {
-    boolean error = HttpStatus.isError(answer.status());
+  private static void write(HttpExchange exchange, AdminResponse response) throws IOException {
+    boolean error = HttpStatus.isError(response.status());
     exchange
         .getResponseHeaders()
         .set("Content-Type", error ? "application/problem+json" : "application/json");
     exchange.getResponseHeaders().set("Cache-Control", "no-store");
-    answer.headers().forEach(exchange.getResponseHeaders()::set);
+    response.headers().forEach(exchange.getResponseHeaders()::set);
     byte[] body =
-        answer.body() == null ? new byte[0] : TenantSpecCodec.JSON.writeValueAsBytes(answer.body());
-    exchange.sendResponseHeaders(answer.status(), body.length == 0 ? -1 : body.length);
+        response.body() == null
+            ? new byte[0]
+            : TenantSpecCodec.JSON.writeValueAsBytes(response.body());
+    exchange.sendResponseHeaders(response.status(), body.length == 0 ? -1 : body.length);
     exchange.getResponseBody().write(body);
   }
 }
--- a/gateway/src/main/java/shelffront/admin/IdempotencyCache.java
+++ b/gateway/src/main/java/shelffront/admin/IdempotencyCache.java
@@ -12,7 +12,7 @@
  */
 final class IdempotencyCache {
 
-  private static final int MAX_ANSWERS = 1000;
+  private static final int MAX_RESPONSES = 1000;
 
   /** Executes a request that has no cached response. */
   interface Call {
@@ -20,12 +20,12 @@
   }
 
   /** A response, with the path and body hash of its request. */
-  private record CachedAnswer(String asked, AdminResponse answer) {}
+  private record CachedResponse(String requestFingerprint, AdminResponse response) {}
 
-  private final Map<String, CachedAnswer> answers = new LinkedHashMap<>();
+  private final Map<String, CachedResponse> responses = new LinkedHashMap<>();
 
   /** Returns the cached response of the request's key; without one, runs the call. */
-  AdminResponse answer(String rawPath, AdminRequest request, Call call)
+  AdminResponse respond(String rawPath, AdminRequest request, Call call)
       throws ProblemException, InterruptedException {
     String key = request.header("Idempotency-Key");
     if (!request.isMethod(AdminRequest.POST) || key == null) {
@@ -35,30 +35,30 @@
       throw ProblemException.badRequest(
           "Idempotency-Key must have 1 to 200 printable ASCII characters");
     }
-    String asked = rawPath + " " + Arrays.toString(ApiKeys.hash(request.body()));
+    String requestFingerprint = rawPath + " " + Arrays.toString(ApiKeys.hash(request.body()));
     String cacheKey = request.caller().token() + " " + key;
     // Runs one call at a time, so that a concurrent request with the same key finds the response.
-    synchronized (answers) {
-      CachedAnswer before = answers.get(cacheKey);
-      if (before == null) {
-        AdminResponse answer = call.run();
-        put(cacheKey, new CachedAnswer(asked, answer));
-        return answer;
+    synchronized (responses) {
+      CachedResponse cached = responses.get(cacheKey);
+      if (cached == null) {
+        AdminResponse response = call.run();
+        put(cacheKey, new CachedResponse(requestFingerprint, response));
+        return response;
       }
-      if (!before.asked().equals(asked)) {
+      if (!cached.requestFingerprint().equals(requestFingerprint)) {
         throw new ProblemException(
             HttpStatus.UNPROCESSABLE_CONTENT,
             "Key used before",
             "this Idempotency-Key was used before with another path or body");
       }
-      return before.answer();
+      return cached.response();
     }
   }
 
-  private void put(String cacheKey, CachedAnswer answer) {
-    answers.put(cacheKey, answer);
-    if (answers.size() > MAX_ANSWERS) {
-      answers.remove(answers.keySet().iterator().next());
+  private void put(String cacheKey, CachedResponse response) {
+    responses.put(cacheKey, response);
+    if (responses.size() > MAX_RESPONSES) {
+      responses.remove(responses.keySet().iterator().next());
     }
   }
 }
