--- a/gateway/src/main/java/shelffront/admin/AdminRouter.java
+++ b/gateway/src/main/java/shelffront/admin/AdminRouter.java
@@ -51,7 +51,7 @@
     } catch (SpecException e) {
       throw ProblemException.invalid(e);
     } catch (ConflictException e) {
-      throw ProblemException.changedMeanwhile(
+      throw ProblemException.preconditionFailed(
           "the document is no longer at the revision that the request expects", e.present());
     }
   }
--- a/gateway/src/main/java/shelffront/admin/ProblemException.java
+++ b/gateway/src/main/java/shelffront/admin/ProblemException.java
@@ -12,23 +12,24 @@
 final class ProblemException extends Exception {
 
   private static final long serialVersionUID = 1L;
-  private static final String NOT_VALID = "Not a valid document";
+  private static final String INVALID_DOCUMENT_TITLE = "Not a valid document";
 
   private final int status;
   private final String title;
   private final String pointer;
-  private final transient ObjectNode present;
+  private final transient ObjectNode currentEntry;
 
   ProblemException(int status, String title, String detail) {
     this(status, title, detail, null, null);
   }
 
-  ProblemException(int status, String title, String detail, String pointer, ObjectNode present) {
+  ProblemException(
+      int status, String title, String detail, String pointer, ObjectNode currentEntry) {
     super(detail);
     this.status = status;
     this.title = title;
     this.pointer = pointer;
-    this.present = present;
+    this.currentEntry = currentEntry;
   }
 
   /** Used for missing resources and for those of other tenants, so that callers cannot tell. */
@@ -47,26 +48,27 @@
         "the resource does not support this method");
   }
 
-  /** A change that expects another revision than the current one; {@code present} may be null. */
-  static ProblemException changedMeanwhile(String detail, Entry present) {
+  /** A change that expects another revision than the current one; {@code current} may be null. */
+  static ProblemException preconditionFailed(String detail, Entry current) {
     return new ProblemException(
         HttpStatus.PRECONDITION_FAILED,
         "Changed meanwhile",
         detail,
         null,
-        present == null ? null : TenantJson.of(present));
+        current == null ? null : TenantJson.of(current));
   }
 
   /** A field that is not valid, in a document that could be parsed. */
   static ProblemException invalidField(String pointer, String detail) {
-    return new ProblemException(HttpStatus.UNPROCESSABLE_CONTENT, NOT_VALID, detail, pointer, null);
+    return new ProblemException(
+        HttpStatus.UNPROCESSABLE_CONTENT, INVALID_DOCUMENT_TITLE, detail, pointer, null);
   }
 
   static ProblemException invalid(SpecException failure) {
     boolean json = !failure.getMessage().startsWith("not JSON");
     return new ProblemException(
         json ? HttpStatus.UNPROCESSABLE_CONTENT : HttpStatus.BAD_REQUEST,
-        NOT_VALID,
+        INVALID_DOCUMENT_TITLE,
         failure.getMessage(),
         failure.pointer(),
         null);
@@ -87,8 +89,8 @@
     if (pointer != null) {
       body.putArray("errors").addObject().put("pointer", pointer).put("detail", getMessage());
     }
-    if (present != null) {
-      body.set("present", present);
+    if (currentEntry != null) {
+      body.set("present", currentEntry);
     }
     return body;
   }
--- a/gateway/src/main/java/shelffront/admin/TenantsResource.java
+++ b/gateway/src/main/java/shelffront/admin/TenantsResource.java
@@ -16,7 +16,7 @@
  */
 final class TenantsResource implements AdminResource {
 
-  private static final List<String> OPERATORS_FIELDS = List.of("weight", "limits");
+  private static final List<String> OPERATOR_ONLY_FIELDS = List.of("weight", "limits");
 
   private final TenantAdministration administration;
   private final EndpointsResource endpoints;
@@ -45,17 +45,17 @@
     if (!request.caller().maySee(id)) {
       throw ProblemException.notFound();
     }
-    boolean wholeTenant = path.size() == 2;
+    boolean isTenantPath = path.size() == 2;
     Entry entry = administration.get(id);
     boolean mayCreate =
-        wholeTenant && request.isMethod(AdminRequest.PUT) && request.caller().isOperator();
+        isTenantPath && request.isMethod(AdminRequest.PUT) && request.caller().isOperator();
     if (entry == null && !mayCreate) {
       throw ProblemException.notFound();
     }
-    return wholeTenant ? tenant(request, id, entry) : partOfTenant(request, entry);
+    return isTenantPath ? handleTenant(request, id, entry) : handleSubresource(request, entry);
   }
 
-  private AdminResponse partOfTenant(AdminRequest request, Entry entry)
+  private AdminResponse handleSubresource(AdminRequest request, Entry entry)
       throws ProblemException,
           SpecException,
           ConflictException,
@@ -92,16 +92,16 @@
         tenants.add(TenantJson.of(entry));
       }
     }
-    ObjectNode answer =
+    ObjectNode body =
         TenantSpecCodec.JSON.createObjectNode().put("revision", administration.revision());
-    answer.set("tenants", tenants);
-    return AdminResponse.of(HttpStatus.OK, answer);
+    body.set("tenants", tenants);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 
   // ---- One tenant
 
   /** Executes a request for a tenant document; the entry is null if the tenant does not exist. */
-  private AdminResponse tenant(AdminRequest request, String id, Entry entry)
+  private AdminResponse handleTenant(AdminRequest request, String id, Entry entry)
       throws ProblemException, SpecException, ConflictException, OperatorException {
     return switch (request.method()) {
       case AdminRequest.GET -> TenantJson.response(HttpStatus.OK, entry);
@@ -116,7 +116,7 @@
     long expected = expectedRevision(request, entry);
     JsonNode document = request.document();
     if (!request.caller().isOperator()) {
-      requireSameOperatorsFields(entry.document(), document);
+      requireOperatorFieldsUnchanged(entry.document(), document);
     }
     long revision = administration.put(id, expected, document, request.caller().token(), "change");
     int status = entry == null ? HttpStatus.CREATED : HttpStatus.OK;
@@ -147,16 +147,16 @@
           "If-Match must name the revision that the request changes");
     }
     if (!match.matches("\"[0-9]{1,18}\"")) {
-      throw ProblemException.changedMeanwhile(
+      throw ProblemException.preconditionFailed(
           "If-Match is not the entity tag of a revision", entry);
     }
     return Long.parseLong(match.substring(1, match.length() - 1));
   }
 
   /** Only operators may change a tenant's share of the gateway: its weight and limits. */
-  private static void requireSameOperatorsFields(JsonNode before, JsonNode after)
+  private static void requireOperatorFieldsUnchanged(JsonNode before, JsonNode after)
       throws ProblemException {
-    for (String field : OPERATORS_FIELDS) {
+    for (String field : OPERATOR_ONLY_FIELDS) {
       if (!before.path(field).equals(after.path(field))) {
         throw new ProblemException(
             HttpStatus.FORBIDDEN,
