--- a/gateway/src/main/java/shelffront/admin/AdminRequest.java
+++ b/gateway/src/main/java/shelffront/admin/AdminRequest.java
@@ -49,17 +49,17 @@
     return TenantSpecCodec.parse(body);
   }
 
-  String queryText(String name, String absent) {
-    return queryValues().getOrDefault(name, absent);
+  String queryText(String name, String defaultValue) {
+    return queryValues().getOrDefault(name, defaultValue);
   }
 
-  long queryNumber(String name, long absent) throws ProblemException {
+  long queryNumber(String name, long defaultValue) throws ProblemException {
     String value = queryValues().get(name);
     if (value != null && !value.matches("[0-9]{1,18}")) {
       throw ProblemException.badRequest(
           "query parameter " + name + " is not a whole number of at most 18 digits");
     }
-    return value == null ? absent : Long.parseLong(value);
+    return value == null ? defaultValue : Long.parseLong(value);
   }
 
   private Map<String, String> queryValues() {
--- a/gateway/src/main/java/shelffront/admin/AdminTokens.java
+++ b/gateway/src/main/java/shelffront/admin/AdminTokens.java
@@ -24,7 +24,7 @@
   /** Longer tokens are rejected without a lookup. */
   private static final int MAX_TOKEN_LENGTH = 128;
 
-  private static final byte[] HASH_OF_NO_SECRET = new byte[32];
+  private static final byte[] DUMMY_HASH = new byte[32];
 
   /** The caller of a request: an operator (null tenant), or the administrator of one tenant. */
   public record Caller(String token, String tenant) {
@@ -113,7 +113,7 @@
     if (entry == null) {
       // Compares with a dummy hash, so that the response time does not reveal whether a token of
       // this name exists.
-      ApiKeys.matches(HASH_OF_NO_SECRET, secret);
+      ApiKeys.matches(DUMMY_HASH, secret);
     } else {
       for (JsonNode hash : entry.document().path("hashes")) {
         matches |=
--- a/gateway/src/main/java/shelffront/admin/AuditResource.java
+++ b/gateway/src/main/java/shelffront/admin/AuditResource.java
@@ -22,14 +22,14 @@
   @Override
   public AdminResponse handle(AdminRequest request) throws ProblemException {
     request.requireMethod(AdminRequest.GET);
-    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", store.revision());
-    ArrayNode entries = answer.putArray("entries");
+    ObjectNode body = TenantSpecCodec.JSON.createObjectNode().put("revision", store.revision());
+    ArrayNode entries = body.putArray("entries");
     for (AuditEntry entry : store.auditEntries(request.queryNumber("after", 0), MAX_ENTRIES)) {
       if (maySee(request.caller(), entry)) {
         entries.add(toJson(entry));
       }
     }
-    return AdminResponse.of(HttpStatus.OK, answer);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 
   private static boolean maySee(AdminTokens.Caller caller, AuditEntry entry) {
--- a/gateway/src/main/java/shelffront/admin/ChangesResource.java
+++ b/gateway/src/main/java/shelffront/admin/ChangesResource.java
@@ -56,8 +56,9 @@
   }
 
   private void startPoll(Caller caller) throws ProblemException {
-    boolean mayWait = pollsByToken.merge(caller.token(), 1, Integer::sum) <= MAX_POLLS_PER_TOKEN;
-    if (!mayWait || !polls.tryAcquire()) {
+    boolean withinTokenLimit =
+        pollsByToken.merge(caller.token(), 1, Integer::sum) <= MAX_POLLS_PER_TOKEN;
+    if (!withinTokenLimit || !polls.tryAcquire()) {
       removePoll(caller);
       throw new ProblemException(
           HttpStatus.TOO_MANY_REQUESTS,
@@ -76,8 +77,8 @@
 
   private AdminResponse changes(Caller caller, long after, long waitMillis)
       throws InterruptedException {
-    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode();
-    ArrayNode changes = answer.putArray("changes");
+    ObjectNode body = TenantSpecCodec.JSON.createObjectNode();
+    ArrayNode changes = body.putArray("changes");
     for (AuditEntry entry : administration.changes(after, waitMillis, caller.tenant())) {
       ObjectNode change =
           changes
@@ -90,6 +91,6 @@
         change.put("inForce", inForceAtMillis);
       }
     }
-    return AdminResponse.of(HttpStatus.OK, answer);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 }
--- a/gateway/src/main/java/shelffront/admin/EndpointsResource.java
+++ b/gateway/src/main/java/shelffront/admin/EndpointsResource.java
@@ -38,21 +38,21 @@
   }
 
   private static AdminResponse list(Entry entry) {
-    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
+    ObjectNode body = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
     JsonNode endpoints = entry.document().path("boxes");
-    answer.set(
+    body.set(
         "source",
         endpoints.has("discovery")
             ? endpoints.path("discovery")
             : TenantSpecCodec.JSON.getNodeFactory().textNode("list"));
-    ArrayNode list = answer.putArray("boxes");
+    ArrayNode list = body.putArray("boxes");
     endpoints.path("list").forEach(endpoint -> list.add(endpoint.deepCopy()));
-    answer.set(
+    body.set(
         "drained",
         entry.document().has("drained")
             ? entry.document().path("drained")
             : TenantSpecCodec.JSON.createArrayNode());
-    return AdminResponse.of(HttpStatus.OK, answer);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 
   private AdminResponse drain(AdminRequest request, String tenantId, String endpointId)
--- a/gateway/src/main/java/shelffront/admin/FleetResource.java
+++ b/gateway/src/main/java/shelffront/admin/FleetResource.java
@@ -93,23 +93,23 @@
     }
     request.requireMethod(AdminRequest.GET);
     SubscribedRecords.Status status = distribution.status();
-    ObjectNode answer =
+    ObjectNode body =
         TenantSpecCodec.JSON
             .createObjectNode()
             .put("ageMillis", status.ageMillis())
             .put("following", status.followedDistributor())
             .put("names", status.subscribedNames())
             .put("inForce", status.recordsInForce());
-    put(answer.putObject("version"), status.version());
-    ObjectNode rejected = answer.putObject("rejected");
+    put(body.putObject("version"), status.version());
+    ObjectNode rejected = body.putObject("rejected");
     status.rejectionReasons().forEach(rejected::put);
     if (status.errorCode() != null) {
-      answer.put("error", status.errorCode()).put("advice", status.advice());
+      body.put("error", status.errorCode()).put("advice", status.advice());
     }
-    return AdminResponse.of(HttpStatus.OK, answer);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 
-  private static ObjectNode put(ObjectNode answer, Version version) {
-    return answer.put("incarnation", version.incarnation()).put("sequence", version.sequence());
+  private static ObjectNode put(ObjectNode body, Version version) {
+    return body.put("incarnation", version.incarnation()).put("sequence", version.sequence());
   }
 }
--- a/gateway/src/main/java/shelffront/admin/KeysResource.java
+++ b/gateway/src/main/java/shelffront/admin/KeysResource.java
@@ -15,7 +15,7 @@
  */
 final class KeysResource {
 
-  private static final int ALL_KEYS_PATH_LENGTH = 3;
+  private static final int LIST_PATH_LENGTH = 3;
   private static final int KEY_INDEX = 3;
   private static final int KEY_PATH_LENGTH = 4;
   private static final int MAX_USER_LENGTH = 63;
@@ -32,7 +32,7 @@
       request.requireMethod(AdminRequest.DELETE);
       return revoke(request, entry.name(), request.path().get(KEY_INDEX));
     }
-    if (request.path().size() != ALL_KEYS_PATH_LENGTH) {
+    if (request.path().size() != LIST_PATH_LENGTH) {
       throw ProblemException.notFound();
     }
     if (request.isMethod(AdminRequest.POST)) {
@@ -74,13 +74,13 @@
   }
 
   private static AdminResponse list(Entry entry) {
-    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
-    ArrayNode keys = answer.putArray("keys");
+    ObjectNode body = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
+    ArrayNode keys = body.putArray("keys");
     for (JsonNode credential : entry.document().path("credentials")) {
       keys.addObject()
           .put("id", TenantAdministration.keyId(credential.path("sha256").asText()))
           .put("user", credential.path("user").asText());
     }
-    return AdminResponse.of(HttpStatus.OK, answer);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 }
--- a/gateway/src/main/java/shelffront/admin/TokensResource.java
+++ b/gateway/src/main/java/shelffront/admin/TokensResource.java
@@ -48,8 +48,8 @@
   private AdminResponse create(AdminRequest request)
       throws ProblemException, SpecException, ConflictException, OperatorException {
     JsonNode tenant = request.document().path("tenant");
-    boolean operators = tenant.isMissingNode() || tenant.isNull();
-    if (!operators && (!tenant.isTextual() || administration.get(tenant.asText()) == null)) {
+    boolean forOperator = tenant.isMissingNode() || tenant.isNull();
+    if (!forOperator && (!tenant.isTextual() || administration.get(tenant.asText()) == null)) {
       throw ProblemException.invalidField("/tenant", "no such tenant");
     }
     String token = tokens.create(tenant.asText(null), request.caller().token());
--- a/gateway/src/main/java/shelffront/admin/UsageResource.java
+++ b/gateway/src/main/java/shelffront/admin/UsageResource.java
@@ -31,7 +31,7 @@
     if (usage == null) {
       throw ProblemException.notFound();
     }
-    ObjectNode answer =
+    ObjectNode body =
         TenantSpecCodec.JSON
             .createObjectNode()
             .put("id", entry.name())
@@ -39,9 +39,9 @@
             .put("openRequests", usage.openRequests())
             .put("hostConnections", usage.hostConnections())
             .put("bufferBytes", usage.bufferBytes());
-    ObjectNode counters = answer.putObject("counters");
+    ObjectNode counters = body.putObject("counters");
     usage.counters().forEach((name, value) -> counters.put(name.toLowerCase(Locale.ROOT), value));
-    return AdminResponse.of(HttpStatus.OK, answer);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 
   private Tenant.Usage usage(String tenantId) throws ProblemException, InterruptedException {
