--- a/gateway/src/main/java/shelffront/simulator/SimulatorActionWriter.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorActionWriter.java
@@ -14,7 +14,7 @@
  */
 final class SimulatorActionWriter {
 
-  private interface Fields {
+  private interface FieldWriter {
     void write(JsonGenerator out) throws IOException;
   }
 
@@ -27,14 +27,14 @@
 
   /** Ends a batch and flushes the output. All actions of the batch must have been written. */
   void endBatch() throws IOException {
-    row("ok", fields -> {});
+    writeRow("ok", fields -> {});
     out.flush();
   }
 
   /** Reports an exception that an instance threw while it handled an event. */
-  void fault(int proxy, RuntimeException fault) throws IOException {
+  void writeFault(int proxy, RuntimeException fault) throws IOException {
     StackTraceElement[] trace = fault.getStackTrace();
-    row(
+    writeRow(
         "giveIn",
         fields -> {
           fields.writeNumber(proxy);
@@ -47,7 +47,7 @@
     return new InstanceActions(proxy);
   }
 
-  private void row(String name, Fields fields) throws IOException {
+  private void writeRow(String name, FieldWriter fields) throws IOException {
     out.writeStartArray();
     out.writeString(name);
     fields.write(out);
@@ -63,9 +63,9 @@
       this.proxy = proxy;
     }
 
-    private void action(String name, Fields fields) {
+    private void writeAction(String name, FieldWriter fields) {
       try {
-        row(
+        writeRow(
             name,
             generator -> {
               generator.writeNumber(proxy);
@@ -76,13 +76,13 @@
       }
     }
 
-    private void action(String name, String text) {
-      action(name, fields -> fields.writeString(text));
+    private void writeAction(String name, String text) {
+      writeAction(name, fields -> fields.writeString(text));
     }
 
     @Override
     public void startAttempt(String requestId, String endpointId, long timeoutMicros) {
-      action(
+      writeAction(
           "place",
           fields -> {
             fields.writeString(requestId);
@@ -93,7 +93,7 @@
 
     @Override
     public void cancelAttempt(String requestId, int attempt) {
-      action(
+      writeAction(
           "abortAttempt",
           fields -> {
             fields.writeString(requestId);
@@ -103,7 +103,7 @@
 
     @Override
     public void reject(String requestId, long retryAfterMicros) {
-      action(
+      writeAction(
           "reject",
           fields -> {
             fields.writeString(requestId);
@@ -113,17 +113,17 @@
 
     @Override
     public void fail(String requestId) {
-      action("fail", requestId);
+      writeAction("fail", requestId);
     }
 
     @Override
     public void checkHealth(String endpointId) {
-      action("soundOut", endpointId);
+      writeAction("soundOut", endpointId);
     }
 
     @Override
     public void setTimer(String name, long atMicros) {
-      action(
+      writeAction(
           "wakeMe",
           fields -> {
             fields.writeString(name);
@@ -133,17 +133,17 @@
 
     @Override
     public void watchEndpoints(boolean on) {
-      action("listen", fields -> fields.writeBoolean(on));
+      writeAction("listen", fields -> fields.writeBoolean(on));
     }
 
     @Override
     public void fetchEndpoints() {
-      action("pull", fields -> {});
+      writeAction("pull", fields -> {});
     }
 
     @Override
     public void sendToPeers(int peer, byte[] payload) {
-      action(
+      writeAction(
           "publish",
           fields -> {
             if (peer < 0) {
@@ -157,12 +157,12 @@
 
     @Override
     public void closeIdleConnections(String endpointId) {
-      action("disconnect", endpointId);
+      writeAction("disconnect", endpointId);
     }
 
     @Override
     public void log(String text) {
-      action("journalLine", text);
+      writeAction("journalLine", text);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorAdapter.java
@@ -76,7 +76,7 @@
     }
   }
 
-  private void dispatch(String name, SimulatorMessage row)
+  private void dispatch(String name, SimulatorRowReader row)
       throws IOException, MalformedInputException {
     if (name.equals("catalog")) {
       int listNumber = (int) row.integer("list");
@@ -91,7 +91,8 @@
     }
   }
 
-  private void start(int proxy, SimulatorMessage row) throws IOException, MalformedInputException {
+  private void start(int proxy, SimulatorRowReader row)
+      throws IOException, MalformedInputException {
     long seed = row.integer("randomSeed");
     Map<?, ?> facts = row.object("facts");
     if (facts == null) {
@@ -100,10 +101,10 @@
     RoutingSettings settings = RoutingSettingsCodec.read(facts);
     Router router = new RoutingEngine(output.actionsOf(proxy));
     instances.put(proxy, SimulatorInstance.of(router, settings, facts));
-    runReported(proxy, () -> router.onStart(nowMicros, seed, settings));
+    runAndReport(proxy, () -> router.onStart(nowMicros, seed, settings));
   }
 
-  private void handle(int proxy, String name, SimulatorMessage row)
+  private void handle(int proxy, String name, SimulatorRowReader row)
       throws IOException, MalformedInputException {
     SimulatorInstance instance = instances.get(proxy);
     if (instance == null) {
@@ -112,7 +113,7 @@
     }
     SimulatorEvent event = SimulatorEventDecoder.event(name, row, instance, nowMicros);
     Runnable call = callOf(event, instance.router());
-    runReported(proxy, call);
+    runAndReport(proxy, call);
   }
 
   /** Returns the call on the decision module that handles an event. */
@@ -164,11 +165,11 @@
   }
 
   /** Runs the handler of an event; an exception of the module is written to the output. */
-  private void runReported(int proxy, Runnable call) throws IOException {
+  private void runAndReport(int proxy, Runnable call) throws IOException {
     try {
       call.run();
     } catch (RuntimeException e) {
-      output.fault(proxy, e);
+      output.writeFault(proxy, e);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
@@ -53,14 +53,14 @@
   private static final long MICROS_PER_MILLI = 1000;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A reply's stand is {@code positionMillis * STAND_ROLES + roleCode}. */
-  private static final int STAND_ROLES = 4;
+  /** A reply's stand is {@code positionMillis * STAND_ROLE_RADIX + roleCode}. */
+  private static final int STAND_ROLE_RADIX = 4;
 
   private static final int STAND_PRIMARY = 1;
   private static final int STAND_REPLICA = 2;
 
   /** Numeric flags are true from this value on. */
-  private static final double HALF = 0.5;
+  private static final double FLAG_THRESHOLD = 0.5;
 
   private SimulatorEventDecoder() {}
 
@@ -71,19 +71,19 @@
       if (!(entry instanceof List<?> values)) {
         throw new MalformedInputException("catalog: a member is not an array");
       }
-      endpoints.add(endpoint(new SimulatorMessage("catalog entry", values, 0)));
+      endpoints.add(endpoint(new SimulatorRowReader("catalog entry", values, 0)));
     }
     return List.copyOf(endpoints);
   }
 
-  private static Endpoint endpoint(SimulatorMessage row) throws MalformedInputException {
+  private static Endpoint endpoint(SimulatorRowReader row) throws MalformedInputException {
     String kind = row.optionalText("familyType");
     String zone = row.optionalText("dc");
     String id = row.text("member");
     double capacityHint = row.number("capacityHint", 1);
     long startedAtMicros = row.integer("launched", 0);
     int replicaSet = (int) row.integer("group", 0);
-    boolean primary = row.number("writer", 0) >= HALF;
+    boolean primary = row.number("writer", 0) >= FLAG_THRESHOLD;
     return new Endpoint(
         id,
         kind == null ? "" : kind,
@@ -92,7 +92,7 @@
         capacityHint,
         startedAtMicros,
         primary,
-        row.word("availability", AVAILABILITIES));
+        row.enumValue("availability", AVAILABILITIES));
   }
 
   /**
@@ -102,7 +102,7 @@
    * @param instance resolves the names of request classes and the origin of positions
    */
   static SimulatorEvent event(
-      String name, SimulatorMessage row, SimulatorInstance instance, long nowMicros)
+      String name, SimulatorRowReader row, SimulatorInstance instance, long nowMicros)
       throws MalformedInputException {
     return switch (name) {
       case "discovery" -> endpointUpdate(row);
@@ -117,15 +117,15 @@
     };
   }
 
-  private static SimulatorEvent endpointUpdate(SimulatorMessage row)
+  private static SimulatorEvent endpointUpdate(SimulatorRowReader row)
       throws MalformedInputException {
-    EndpointUpdateKind kind = row.word("kind", UPDATE_KINDS);
+    EndpointUpdateKind kind = row.enumValue("kind", UPDATE_KINDS);
     long version = row.integer("serial", 0);
     return new SimulatorEvent.EndpointUpdate(kind, version, row.integer("list", -1));
   }
 
   private static SimulatorEvent requestArrived(
-      SimulatorMessage row, SimulatorInstance instance, long nowMicros)
+      SimulatorRowReader row, SimulatorInstance instance, long nowMicros)
       throws MalformedInputException {
     String id = row.text("xid");
     String className = row.text("class");
@@ -162,10 +162,10 @@
         : Router.UNKNOWN;
   }
 
-  private static SimulatorEvent attemptEnded(SimulatorMessage row, long positionZeroMicros)
+  private static SimulatorEvent attemptEnded(SimulatorRowReader row, long positionZeroMicros)
       throws MalformedInputException {
     String id = row.text("xid");
-    AttemptStatus status = row.word("stateCode", STATUSES);
+    AttemptStatus status = row.enumValue("stateCode", STATUSES);
     boolean finished = row.flag("doneFlag");
     int attempt = (int) row.integer("seqNo");
     long elapsedMicros = row.integer("took", 0);
@@ -173,8 +173,8 @@
     String endpointId = row.text("member");
     LoadReport loadReport = loadReport(row.object("usage"), positionZeroMicros);
     long positionMicros =
-        stand >= STAND_ROLES
-            ? positionZeroMicros + stand / STAND_ROLES * MICROS_PER_MILLI
+        stand >= STAND_ROLE_RADIX
+            ? positionZeroMicros + stand / STAND_ROLE_RADIX * MICROS_PER_MILLI
             : Router.UNKNOWN;
     return new SimulatorEvent.AttemptEnded(
         new AttemptOutcome(
@@ -190,17 +190,17 @@
   }
 
   private static Role roleOfStand(long stand) {
-    return switch ((int) (stand % STAND_ROLES)) {
+    return switch ((int) (stand % STAND_ROLE_RADIX)) {
       case STAND_PRIMARY -> Role.PRIMARY;
       case STAND_REPLICA -> Role.REPLICA;
       default -> Role.UNKNOWN;
     };
   }
 
-  private static SimulatorEvent healthCheckEnded(SimulatorMessage row, long positionZeroMicros)
+  private static SimulatorEvent healthCheckEnded(SimulatorRowReader row, long positionZeroMicros)
       throws MalformedInputException {
     String endpointId = row.text("member");
-    AttemptStatus status = row.word("stateCode", STATUSES);
+    AttemptStatus status = row.enumValue("stateCode", STATUSES);
     long elapsedMicros = row.integer("took", 0);
     LoadReport loadReport = loadReport(row.object("usage"), positionZeroMicros);
     return new SimulatorEvent.HealthCheckEnded(endpointId, status, elapsedMicros, loadReport);
@@ -210,26 +210,27 @@
     if (usage == null || usage.isEmpty()) {
       return null;
     }
-    double positionSeconds = figure(usage, "x0");
-    double primary = figure(usage, "x1");
+    double positionSeconds = usageNumber(usage, "x0");
+    double primary = usageNumber(usage, "x1");
     long positionMicros =
         positionSeconds < 0
             ? Router.UNKNOWN
             : positionZeroMicros + (long) Math.floor(positionSeconds * MICROS_PER_SECOND);
-    Role role = primary < 0 ? Role.UNKNOWN : primary >= HALF ? Role.PRIMARY : Role.REPLICA;
+    Role role =
+        primary < 0 ? Role.UNKNOWN : primary >= FLAG_THRESHOLD ? Role.PRIMARY : Role.REPLICA;
     return new LoadReport(
         positionMicros,
         role,
-        figure(usage, "outstanding"),
-        figure(usage, "backlog"),
-        figure(usage, "utilization"));
+        usageNumber(usage, "outstanding"),
+        usageNumber(usage, "backlog"),
+        usageNumber(usage, "utilization"));
   }
 
-  private static double figure(Map<?, ?> usage, String name) {
+  private static double usageNumber(Map<?, ?> usage, String name) {
     return usage.get(name) instanceof Number number ? number.doubleValue() : -1;
   }
 
-  private static SimulatorEvent peerMessage(SimulatorMessage row) throws MalformedInputException {
+  private static SimulatorEvent peerMessage(SimulatorRowReader row) throws MalformedInputException {
     int fromGateway = (int) row.integer("neighbour");
     String payload = row.text("payload");
     try {
--- a/gateway/src/main/java/shelffront/simulator/SimulatorInput.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorInput.java
@@ -21,8 +21,8 @@
   record Row(String name, List<?> values) {
 
     /** Returns a cursor at the first field after the name. */
-    SimulatorMessage fields() {
-      return new SimulatorMessage(name, values, 1);
+    SimulatorRowReader fields() {
+      return new SimulatorRowReader(name, values, 1);
     }
   }
 
--- a/gateway/src/main/java/shelffront/simulator/SimulatorMessage.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorRowReader.java
@@ -10,13 +10,13 @@
  * only. A field of the wrong type raises a {@link MalformedInputException} that names the row and
  * the field. Fields after the end of the array read as null.
  */
-final class SimulatorMessage {
+final class SimulatorRowReader {
 
   private final String rowName;
   private final List<?> values;
   private int next;
 
-  SimulatorMessage(String rowName, List<?> values, int first) {
+  SimulatorRowReader(String rowName, List<?> values, int first) {
     this.rowName = rowName;
     this.values = values;
     this.next = first;
@@ -51,10 +51,10 @@
     throw malformed(name, "a string");
   }
 
-  double number(String name, double absent) throws MalformedInputException {
+  double number(String name, double defaultValue) throws MalformedInputException {
     Object value = nextField();
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     if (value instanceof Number number) {
       return number.doubleValue();
@@ -70,8 +70,8 @@
     throw malformed(name, "a number");
   }
 
-  long integer(String name, long absent) throws MalformedInputException {
-    return (long) number(name, absent);
+  long integer(String name, long defaultValue) throws MalformedInputException {
+    return (long) number(name, defaultValue);
   }
 
   boolean flag(String name) throws MalformedInputException {
@@ -100,11 +100,11 @@
   }
 
   /** Returns the value that the next field, a string, maps to. */
-  <T> T word(String name, Map<String, T> words) throws MalformedInputException {
+  <T> T enumValue(String name, Map<String, T> valuesByName) throws MalformedInputException {
     Object value = nextField();
-    T found = value == null ? null : words.get(value);
+    T found = value == null ? null : valuesByName.get(value);
     if (found == null) {
-      throw malformed(name, "one of " + new TreeSet<>(words.keySet()));
+      throw malformed(name, "one of " + new TreeSet<>(valuesByName.keySet()));
     }
     return found;
   }
