--- a/gateway/src/main/java/shelffront/admin/AdminServer.java
+++ b/gateway/src/main/java/shelffront/admin/AdminServer.java
@@ -102,7 +102,13 @@
       } catch (ProblemException e) {
         response = new AdminResponse(e.status(), e.body(), headers(e.status()));
       } catch (RuntimeException e) {
-        log.println("admin fault " + e);
+        log.println(
+            "admin fault: "
+                + exchange.getRequestMethod()
+                + " "
+                + exchange.getRequestURI().getRawPath()
+                + " failed, responding with status 500: "
+                + e);
         response = internalError();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
