--- a/gateway/src/main/java/shelffront/admin/AdminServer.java
+++ b/gateway/src/main/java/shelffront/admin/AdminServer.java
@@ -15,9 +15,9 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * The administration API: HTTP/1.1 and JSON on a listener and threads of its own. Reads requests
- * and writes answers; {@link AdminRouter} and the resources behind it carry them out. What each
- * call does and answers is written down in {@code docs/openapi.json}.
+ * The HTTP/1.1 server of the administration API, with its own listener and threads. Reads requests
+ * and writes responses; {@link AdminRouter} and the resources behind it execute them. The API is
+ * described in {@code docs/openapi.json}.
  */
 public final class AdminServer implements AutoCloseable {
 
@@ -28,10 +28,10 @@
   private static final int STOP_THREADS_AFTER_SECONDS = 60;
   private static final String API_VERSION = "v1";
 
-  /** A request must have been sent by then, or is cut off. */
+  /** A connection is closed if its request has not arrived completely within this time. */
   private static final String MAX_REQUEST_SECONDS = "10";
 
-  /** An answer must have been taken by then, or is cut off. */
+  /** A connection is closed if its response has not been written completely within this time. */
   private static final String MAX_RESPONSE_SECONDS = "90";
 
   private final HttpServer server;
@@ -41,7 +41,7 @@
   private final IdempotencyCache idempotencyCache = new IdempotencyCache();
   private final EventLog log;
 
-  /** Opens the listener; nothing is answered before {@link #start}. */
+  /** Binds the listener; requests are not processed before {@link #start}. */
   public AdminServer(
       InetSocketAddress listen,
       DocumentStore store,
@@ -52,7 +52,7 @@
       throws IOException {
     System.setProperty("sun.net.httpserver.maxReqTime", MAX_REQUEST_SECONDS);
     System.setProperty("sun.net.httpserver.maxRspTime", MAX_RESPONSE_SECONDS);
-    // Else each answer waits 40 ms for an ACK.
+    // Without TCP_NODELAY each response waits 40 ms for a delayed ACK.
     System.setProperty("sun.net.httpserver.nodelay", "true");
     authenticator = new AdminAuthenticator(tokens);
     router = new AdminRouter(store, administration, tokens, fleet);
@@ -96,23 +96,29 @@
 
   private void handle(HttpExchange exchange) throws IOException {
     try (exchange) {
-      AdminResponse answer;
+      AdminResponse response;
       try {
-        answer = answer(exchange);
+        response = process(exchange);
       } catch (ProblemException e) {
-        answer = new AdminResponse(e.status(), e.body(), headers(e.status()));
+        response = new AdminResponse(e.status(), e.body(), headers(e.status()));
       } catch (RuntimeException e) {
-        log.println("admin fault " + e);
-        answer = fault();
+        log.println(
+            "admin fault: "
+                + exchange.getRequestMethod()
+                + " "
+                + exchange.getRequestURI().getRawPath()
+                + " failed, responding with status 500: "
+                + e);
+        response = internalError();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
       }
-      write(exchange, answer);
+      write(exchange, response);
     }
   }
 
-  private AdminResponse answer(HttpExchange exchange)
+  private AdminResponse process(HttpExchange exchange)
       throws ProblemException, IOException, InterruptedException {
     AdminTokens.Caller caller = authenticator.authenticate(exchange.getRequestHeaders());
     byte[] body = readBody(exchange);
@@ -125,7 +131,7 @@
             exchange.getRequestURI().getRawQuery(),
             exchange.getRequestHeaders(),
             body);
-    return idempotencyCache.answer(rawPath, request, () -> router.route(request));
+    return idempotencyCache.respond(rawPath, request, () -> router.route(request));
   }
 
   private static byte[] readBody(HttpExchange exchange) throws ProblemException, IOException {
@@ -134,16 +140,16 @@
       throw new ProblemException(
           HttpStatus.CONTENT_TOO_LARGE,
           "Too large",
-          "a body may have " + MAX_BODY_BYTES + " bytes");
+          "the body exceeds the limit of " + MAX_BODY_BYTES + " bytes");
     }
     return body;
   }
 
-  /** The segments after the version of the API. */
+  /** Returns the path segments after the API version. */
   private static List<String> path(String rawPath) throws ProblemException {
     List<String> segments = Arrays.asList(rawPath.split("/", -1));
     for (String segment : segments.subList(1, segments.size())) {
-      // An encoded slash or dot is no name here, so that no path means anything but what it says.
+      // Rejects encoded slashes and dots, so that a path cannot be read in two ways.
       if (!segment.matches(TenantSpecCodec.NAME)) {
         throw ProblemException.notFound();
       }
@@ -162,22 +168,25 @@
     };
   }
 
-  private static AdminResponse fault() {
+  private static AdminResponse internalError() {
     int status = HttpStatus.INTERNAL_SERVER_ERROR;
     return AdminResponse.of(
-        status, new ProblemException(status, "Fault", "the request has failed").body());
+        status,
+        new ProblemException(status, "Fault", "internal error; see the log of the gateway").body());
   }
 
-  private static void write(HttpExchange exchange, AdminResponse answer) throws IOException {
-    boolean error = HttpStatus.isError(answer.status());
+  private static void write(HttpExchange exchange, AdminResponse response) throws IOException {
+    boolean error = HttpStatus.isError(response.status());
     exchange
         .getResponseHeaders()
         .set("Content-Type", error ? "application/problem+json" : "application/json");
     exchange.getResponseHeaders().set("Cache-Control", "no-store");
-    answer.headers().forEach(exchange.getResponseHeaders()::set);
+    response.headers().forEach(exchange.getResponseHeaders()::set);
     byte[] body =
-        answer.body() == null ? new byte[0] : TenantSpecCodec.JSON.writeValueAsBytes(answer.body());
-    exchange.sendResponseHeaders(answer.status(), body.length == 0 ? -1 : body.length);
+        response.body() == null
+            ? new byte[0]
+            : TenantSpecCodec.JSON.writeValueAsBytes(response.body());
+    exchange.sendResponseHeaders(response.status(), body.length == 0 ? -1 : body.length);
     exchange.getResponseBody().write(body);
   }
 }
--- a/gateway/src/main/java/shelffront/admin/IdempotencyCache.java
+++ b/gateway/src/main/java/shelffront/admin/IdempotencyCache.java
@@ -6,58 +6,59 @@
 import shelffront.tenant.ApiKeys;
 
 /**
- * The answers of POST requests that came with an Idempotency-Key: a repeat gets the first one's
- * answer and changes nothing. Keys are a token's own. The oldest answers go first. Any thread may
- * call.
+ * Caches the responses to POST requests that have an Idempotency-Key. A repeated request gets the
+ * cached response and is not executed again. Keys are scoped to the caller's token. When the cache
+ * is full, the oldest response is evicted. Any thread may call.
  */
 final class IdempotencyCache {
 
-  private static final int MAX_ANSWERS = 1000;
+  private static final int MAX_RESPONSES = 1000;
 
-  /** Carries out a request that has no answer yet. */
+  /** Executes a request that has no cached response. */
   interface Call {
     AdminResponse run() throws ProblemException, InterruptedException;
   }
 
-  /** An answer, and what was asked. */
-  private record CachedAnswer(String asked, AdminResponse answer) {}
+  /** A response, with the path and body hash of its request. */
+  private record CachedResponse(String requestFingerprint, AdminResponse response) {}
 
-  private final Map<String, CachedAnswer> answers = new LinkedHashMap<>();
+  private final Map<String, CachedResponse> responses = new LinkedHashMap<>();
 
-  /** Gives the answer that the key had before, or that of the call. */
-  AdminResponse answer(String rawPath, AdminRequest request, Call call)
+  /** Returns the cached response of the request's key; without one, runs the call. */
+  AdminResponse respond(String rawPath, AdminRequest request, Call call)
       throws ProblemException, InterruptedException {
     String key = request.header("Idempotency-Key");
     if (!request.isMethod(AdminRequest.POST) || key == null) {
       return call.run();
     }
     if (!key.matches("[ -~]{1,200}")) {
-      throw ProblemException.badRequest("Idempotency-Key is 1 to 200 printable characters");
+      throw ProblemException.badRequest(
+          "Idempotency-Key must have 1 to 200 printable ASCII characters");
     }
-    String asked = rawPath + " " + Arrays.toString(ApiKeys.hash(request.body()));
+    String requestFingerprint = rawPath + " " + Arrays.toString(ApiKeys.hash(request.body()));
     String cacheKey = request.caller().token() + " " + key;
-    // One call at a time: the second of two with one key finds the first's answer.
-    synchronized (answers) {
-      CachedAnswer before = answers.get(cacheKey);
-      if (before == null) {
-        AdminResponse answer = call.run();
-        put(cacheKey, new CachedAnswer(asked, answer));
-        return answer;
+    // Runs one call at a time, so that a concurrent request with the same key finds the response.
+    synchronized (responses) {
+      CachedResponse cached = responses.get(cacheKey);
+      if (cached == null) {
+        AdminResponse response = call.run();
+        put(cacheKey, new CachedResponse(requestFingerprint, response));
+        return response;
       }
-      if (!before.asked().equals(asked)) {
+      if (!cached.requestFingerprint().equals(requestFingerprint)) {
         throw new ProblemException(
             HttpStatus.UNPROCESSABLE_CONTENT,
             "Key used before",
-            "this Idempotency-Key came with another request");
+            "this Idempotency-Key was used before with another path or body");
       }
-      return before.answer();
+      return cached.response();
     }
   }
 
-  private void put(String cacheKey, CachedAnswer answer) {
-    answers.put(cacheKey, answer);
-    if (answers.size() > MAX_ANSWERS) {
-      answers.remove(answers.keySet().iterator().next());
+  private void put(String cacheKey, CachedResponse response) {
+    responses.put(cacheKey, response);
+    if (responses.size() > MAX_RESPONSES) {
+      responses.remove(responses.keySet().iterator().next());
     }
   }
 }
--- a/gateway/src/main/java/shelffront/admin/KeysResource.java
+++ b/gateway/src/main/java/shelffront/admin/KeysResource.java
@@ -10,12 +10,12 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * {@code /v1/tenants/ID/keys}: clients' keys, listed by their names, made here and shown once, and
- * ended.
+ * {@code /v1/tenants/ID/keys}: lists, creates and revokes the keys of a tenant's clients. A key is
+ * returned once, when it is created; lists show only its identifier and user.
  */
 final class KeysResource {
 
-  private static final int ALL_KEYS_PATH_LENGTH = 3;
+  private static final int LIST_PATH_LENGTH = 3;
   private static final int KEY_INDEX = 3;
   private static final int KEY_PATH_LENGTH = 4;
   private static final int MAX_USER_LENGTH = 63;
@@ -32,7 +32,7 @@
       request.requireMethod(AdminRequest.DELETE);
       return revoke(request, entry.name(), request.path().get(KEY_INDEX));
     }
-    if (request.path().size() != ALL_KEYS_PATH_LENGTH) {
+    if (request.path().size() != LIST_PATH_LENGTH) {
       throw ProblemException.notFound();
     }
     if (request.isMethod(AdminRequest.POST)) {
@@ -55,7 +55,8 @@
       throws ProblemException, SpecException, ConflictException, OperatorException {
     JsonNode user = request.document().path("user");
     if (!user.isTextual() || user.asText().isEmpty() || user.asText().length() > MAX_USER_LENGTH) {
-      throw ProblemException.invalidField("/user", "a user of 1 to 63 characters is needed");
+      throw ProblemException.invalidField(
+          "/user", "user must be a string of 1 to " + MAX_USER_LENGTH + " characters");
     }
     TenantAdministration.CreatedKey created =
         administration.createKey(tenantId, user.asText(), request.caller().token());
@@ -73,13 +74,13 @@
   }
 
   private static AdminResponse list(Entry entry) {
-    ObjectNode answer = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
-    ArrayNode keys = answer.putArray("keys");
+    ObjectNode body = TenantSpecCodec.JSON.createObjectNode().put("revision", entry.revision());
+    ArrayNode keys = body.putArray("keys");
     for (JsonNode credential : entry.document().path("credentials")) {
       keys.addObject()
           .put("id", TenantAdministration.keyId(credential.path("sha256").asText()))
           .put("user", credential.path("user").asText());
     }
-    return AdminResponse.of(HttpStatus.OK, answer);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 }
--- a/gateway/src/main/java/shelffront/admin/UsageResource.java
+++ b/gateway/src/main/java/shelffront/admin/UsageResource.java
@@ -9,7 +9,7 @@
 import shelffront.tenant.Tenant;
 import shelffront.tenant.TenantSpecCodec;
 
-/** {@code /v1/tenants/ID/usage}: what a tenant uses now and has done, as its event loop says. */
+/** {@code /v1/tenants/ID/usage}: a tenant's resource usage and counters, from its event loop. */
 final class UsageResource {
 
   private static final int PATH_LENGTH = 3;
@@ -31,7 +31,7 @@
     if (usage == null) {
       throw ProblemException.notFound();
     }
-    ObjectNode answer =
+    ObjectNode body =
         TenantSpecCodec.JSON
             .createObjectNode()
             .put("id", entry.name())
@@ -39,9 +39,9 @@
             .put("openRequests", usage.openRequests())
             .put("hostConnections", usage.hostConnections())
             .put("bufferBytes", usage.bufferBytes());
-    ObjectNode counters = answer.putObject("counters");
+    ObjectNode counters = body.putObject("counters");
     usage.counters().forEach((name, value) -> counters.put(name.toLowerCase(Locale.ROOT), value));
-    return AdminResponse.of(HttpStatus.OK, answer);
+    return AdminResponse.of(HttpStatus.OK, body);
   }
 
   private Tenant.Usage usage(String tenantId) throws ProblemException, InterruptedException {
@@ -49,7 +49,9 @@
       return administration.usage(tenantId).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new ProblemException(
-          HttpStatus.SERVICE_UNAVAILABLE, "Busy", "the gateway did not say in time");
+          HttpStatus.SERVICE_UNAVAILABLE,
+          "Busy",
+          "the tenant's event loop did not report usage within " + TIMEOUT_SECONDS + " s");
     }
   }
 }
--- a/gateway/src/main/java/shelffront/simulator/SimulatorActionWriter.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorActionWriter.java
@@ -9,10 +9,12 @@
 import java.util.Base64;
 import shelffront.routing.RouterActions;
 
-/** Encodes the instances' actions as rows of the simulator's wire, one JSON array a line. */
+/**
+ * Writes the actions of the hosted instances as rows of the line protocol: a JSON array per line.
+ */
 final class SimulatorActionWriter {
 
-  private interface Fields {
+  private interface FieldWriter {
     void write(JsonGenerator out) throws IOException;
   }
 
@@ -23,16 +25,16 @@
     out.setPrettyPrinter(new MinimalPrettyPrinter(""));
   }
 
-  /** Ends a batch: everything that its events caused has been written. */
+  /** Ends a batch and flushes the output. All actions of the batch must have been written. */
   void endBatch() throws IOException {
-    row("ok", fields -> {});
+    writeRow("ok", fields -> {});
     out.flush();
   }
 
-  /** Reports that an instance threw while it handled an event. */
-  void fault(int proxy, RuntimeException fault) throws IOException {
+  /** Reports an exception that an instance threw while it handled an event. */
+  void writeFault(int proxy, RuntimeException fault) throws IOException {
     StackTraceElement[] trace = fault.getStackTrace();
-    row(
+    writeRow(
         "giveIn",
         fields -> {
           fields.writeNumber(proxy);
@@ -40,12 +42,12 @@
         });
   }
 
-  /** The actions of one instance. */
+  /** Returns an action sink that writes rows for one instance. */
   RouterActions actionsOf(int proxy) {
     return new InstanceActions(proxy);
   }
 
-  private void row(String name, Fields fields) throws IOException {
+  private void writeRow(String name, FieldWriter fields) throws IOException {
     out.writeStartArray();
     out.writeString(name);
     fields.write(out);
@@ -61,9 +63,9 @@
       this.proxy = proxy;
     }
 
-    private void action(String name, Fields fields) {
+    private void writeAction(String name, FieldWriter fields) {
       try {
-        row(
+        writeRow(
             name,
             generator -> {
               generator.writeNumber(proxy);
@@ -74,13 +76,13 @@
       }
     }
 
-    private void action(String name, String text) {
-      action(name, fields -> fields.writeString(text));
+    private void writeAction(String name, String text) {
+      writeAction(name, fields -> fields.writeString(text));
     }
 
     @Override
     public void startAttempt(String requestId, String endpointId, long timeoutMicros) {
-      action(
+      writeAction(
           "place",
           fields -> {
             fields.writeString(requestId);
@@ -91,7 +93,7 @@
 
     @Override
     public void cancelAttempt(String requestId, int attempt) {
-      action(
+      writeAction(
           "abortAttempt",
           fields -> {
             fields.writeString(requestId);
@@ -101,7 +103,7 @@
 
     @Override
     public void reject(String requestId, long retryAfterMicros) {
-      action(
+      writeAction(
           "reject",
           fields -> {
             fields.writeString(requestId);
@@ -111,17 +113,17 @@
 
     @Override
     public void fail(String requestId) {
-      action("fail", requestId);
+      writeAction("fail", requestId);
     }
 
     @Override
     public void checkHealth(String endpointId) {
-      action("soundOut", endpointId);
+      writeAction("soundOut", endpointId);
     }
 
     @Override
     public void setTimer(String name, long atMicros) {
-      action(
+      writeAction(
           "wakeMe",
           fields -> {
             fields.writeString(name);
@@ -131,17 +133,17 @@
 
     @Override
     public void watchEndpoints(boolean on) {
-      action("listen", fields -> fields.writeBoolean(on));
+      writeAction("listen", fields -> fields.writeBoolean(on));
     }
 
     @Override
     public void fetchEndpoints() {
-      action("pull", fields -> {});
+      writeAction("pull", fields -> {});
     }
 
     @Override
     public void sendToPeers(int peer, byte[] payload) {
-      action(
+      writeAction(
           "publish",
           fields -> {
             if (peer < 0) {
@@ -155,12 +157,12 @@
 
     @Override
     public void closeIdleConnections(String endpointId) {
-      action("disconnect", endpointId);
+      writeAction("disconnect", endpointId);
     }
 
     @Override
     public void log(String text) {
-      action("journalLine", text);
+      writeAction("journalLine", text);
     }
   }
 }
--- a/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
@@ -16,8 +16,9 @@
 import shelffront.routing.Router;
 
 /**
- * Decodes the rows of the simulator's wire into typed events. The only place that knows the words
- * of its events; a row that does not fit is a {@link MalformedInputException} that names the field.
+ * Decodes rows of the line protocol into typed events. Only this class knows the names of instance
+ * events and their fields. A malformed row raises a {@link MalformedInputException} that names the
+ * field.
  */
 final class SimulatorEventDecoder {
 
@@ -46,43 +47,43 @@
           "remembered", EndpointUpdateKind.CACHED,
           "refused", EndpointUpdateKind.FAILED);
 
-  /** The bit of a query's options that marks a request the client has sent before. */
+  /** The bit of a query's options that marks a request that the client sends again. */
   private static final int REPEAT_OPTION = 2;
 
   private static final long MICROS_PER_MILLI = 1000;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A reply's stand is a position in milliseconds times this, plus a code for the role. */
-  private static final int STAND_ROLES = 4;
+  /** A reply's stand is {@code positionMillis * STAND_ROLE_RADIX + roleCode}. */
+  private static final int STAND_ROLE_RADIX = 4;
 
   private static final int STAND_PRIMARY = 1;
   private static final int STAND_REPLICA = 2;
 
-  /** Figures that say yes or no do so by being above or below this. */
-  private static final double HALF = 0.5;
+  /** Numeric flags are true from this value on. */
+  private static final double FLAG_THRESHOLD = 0.5;
 
   private SimulatorEventDecoder() {}
 
-  /** The endpoints of a list that later endpoint updates refer to. */
+  /** Decodes the endpoints of a catalog row, to which later endpoint updates refer. */
   static List<Endpoint> endpoints(List<?> entries) throws MalformedInputException {
     List<Endpoint> endpoints = new ArrayList<>();
     for (Object entry : entries) {
       if (!(entry instanceof List<?> values)) {
-        throw new MalformedInputException("catalog: an entry is not an array");
+        throw new MalformedInputException("catalog: a member is not an array");
       }
-      endpoints.add(endpoint(new SimulatorMessage("catalog entry", values, 0)));
+      endpoints.add(endpoint(new SimulatorRowReader("catalog entry", values, 0)));
     }
     return List.copyOf(endpoints);
   }
 
-  private static Endpoint endpoint(SimulatorMessage row) throws MalformedInputException {
+  private static Endpoint endpoint(SimulatorRowReader row) throws MalformedInputException {
     String kind = row.optionalText("familyType");
     String zone = row.optionalText("dc");
     String id = row.text("member");
     double capacityHint = row.number("capacityHint", 1);
     long startedAtMicros = row.integer("launched", 0);
     int replicaSet = (int) row.integer("group", 0);
-    boolean primary = row.number("writer", 0) >= HALF;
+    boolean primary = row.number("writer", 0) >= FLAG_THRESHOLD;
     return new Endpoint(
         id,
         kind == null ? "" : kind,
@@ -91,17 +92,17 @@
         capacityHint,
         startedAtMicros,
         primary,
-        row.word("availability", AVAILABILITIES));
+        row.enumValue("availability", AVAILABILITIES));
   }
 
   /**
    * Decodes an event for an instance.
    *
-   * @param row the event's fields, behind its name and the instance's number
-   * @param instance what the event's classes and positions refer to
+   * @param row the event's fields after its name and the number of the instance
+   * @param instance resolves the names of request classes and the origin of positions
    */
   static SimulatorEvent event(
-      String name, SimulatorMessage row, SimulatorInstance instance, long nowMicros)
+      String name, SimulatorRowReader row, SimulatorInstance instance, long nowMicros)
       throws MalformedInputException {
     return switch (name) {
       case "discovery" -> endpointUpdate(row);
@@ -112,25 +113,26 @@
       case "gone" -> new SimulatorEvent.ClientDisconnected(row.text("xid"));
       case "message" -> peerMessage(row);
       case "underWay" -> new SimulatorEvent.Ignored();
-      default -> throw new MalformedInputException("no event is called " + name);
+      default -> throw new MalformedInputException("unknown event " + name);
     };
   }
 
-  private static SimulatorEvent endpointUpdate(SimulatorMessage row)
+  private static SimulatorEvent endpointUpdate(SimulatorRowReader row)
       throws MalformedInputException {
-    EndpointUpdateKind kind = row.word("kind", UPDATE_KINDS);
+    EndpointUpdateKind kind = row.enumValue("kind", UPDATE_KINDS);
     long version = row.integer("serial", 0);
     return new SimulatorEvent.EndpointUpdate(kind, version, row.integer("list", -1));
   }
 
   private static SimulatorEvent requestArrived(
-      SimulatorMessage row, SimulatorInstance instance, long nowMicros)
+      SimulatorRowReader row, SimulatorInstance instance, long nowMicros)
       throws MalformedInputException {
     String id = row.text("xid");
     String className = row.text("class");
     Integer classIndex = instance.classIndexes().get(className);
     if (classIndex == null) {
-      throw new MalformedInputException("query: class " + className + " is not in the settings");
+      throw new MalformedInputException(
+          "query: unknown class " + className + "; expected one of the facts' categories");
     }
     row.optionalText("party");
     String session = row.optionalText("sess");
@@ -150,17 +152,20 @@
             repeat));
   }
 
-  /** The age is rounded down: a write taken for older than it is would ask too little. */
+  /**
+   * Returns the position that a read requires, from the age of the session's last write. The age is
+   * rounded down, because a greater age would require less than the session has written.
+   */
   private static long requiredPositionMicros(double ageMillis, long nowMicros) {
     return ageMillis > 0
         ? nowMicros - Math.max(1, (long) Math.floor(ageMillis * MICROS_PER_MILLI))
         : Router.UNKNOWN;
   }
 
-  private static SimulatorEvent attemptEnded(SimulatorMessage row, long positionZeroMicros)
+  private static SimulatorEvent attemptEnded(SimulatorRowReader row, long positionZeroMicros)
       throws MalformedInputException {
     String id = row.text("xid");
-    AttemptStatus status = row.word("stateCode", STATUSES);
+    AttemptStatus status = row.enumValue("stateCode", STATUSES);
     boolean finished = row.flag("doneFlag");
     int attempt = (int) row.integer("seqNo");
     long elapsedMicros = row.integer("took", 0);
@@ -168,8 +173,8 @@
     String endpointId = row.text("member");
     LoadReport loadReport = loadReport(row.object("usage"), positionZeroMicros);
     long positionMicros =
-        stand >= STAND_ROLES
-            ? positionZeroMicros + stand / STAND_ROLES * MICROS_PER_MILLI
+        stand >= STAND_ROLE_RADIX
+            ? positionZeroMicros + stand / STAND_ROLE_RADIX * MICROS_PER_MILLI
             : Router.UNKNOWN;
     return new SimulatorEvent.AttemptEnded(
         new AttemptOutcome(
@@ -185,17 +190,17 @@
   }
 
   private static Role roleOfStand(long stand) {
-    return switch ((int) (stand % STAND_ROLES)) {
+    return switch ((int) (stand % STAND_ROLE_RADIX)) {
       case STAND_PRIMARY -> Role.PRIMARY;
       case STAND_REPLICA -> Role.REPLICA;
       default -> Role.UNKNOWN;
     };
   }
 
-  private static SimulatorEvent healthCheckEnded(SimulatorMessage row, long positionZeroMicros)
+  private static SimulatorEvent healthCheckEnded(SimulatorRowReader row, long positionZeroMicros)
       throws MalformedInputException {
     String endpointId = row.text("member");
-    AttemptStatus status = row.word("stateCode", STATUSES);
+    AttemptStatus status = row.enumValue("stateCode", STATUSES);
     long elapsedMicros = row.integer("took", 0);
     LoadReport loadReport = loadReport(row.object("usage"), positionZeroMicros);
     return new SimulatorEvent.HealthCheckEnded(endpointId, status, elapsedMicros, loadReport);
@@ -205,32 +210,33 @@
     if (usage == null || usage.isEmpty()) {
       return null;
     }
-    double positionSeconds = figure(usage, "x0");
-    double primary = figure(usage, "x1");
+    double positionSeconds = usageNumber(usage, "x0");
+    double primary = usageNumber(usage, "x1");
     long positionMicros =
         positionSeconds < 0
             ? Router.UNKNOWN
             : positionZeroMicros + (long) Math.floor(positionSeconds * MICROS_PER_SECOND);
-    Role role = primary < 0 ? Role.UNKNOWN : primary >= HALF ? Role.PRIMARY : Role.REPLICA;
+    Role role =
+        primary < 0 ? Role.UNKNOWN : primary >= FLAG_THRESHOLD ? Role.PRIMARY : Role.REPLICA;
     return new LoadReport(
         positionMicros,
         role,
-        figure(usage, "outstanding"),
-        figure(usage, "backlog"),
-        figure(usage, "utilization"));
+        usageNumber(usage, "outstanding"),
+        usageNumber(usage, "backlog"),
+        usageNumber(usage, "utilization"));
   }
 
-  private static double figure(Map<?, ?> usage, String name) {
+  private static double usageNumber(Map<?, ?> usage, String name) {
     return usage.get(name) instanceof Number number ? number.doubleValue() : -1;
   }
 
-  private static SimulatorEvent peerMessage(SimulatorMessage row) throws MalformedInputException {
+  private static SimulatorEvent peerMessage(SimulatorRowReader row) throws MalformedInputException {
     int fromGateway = (int) row.integer("neighbour");
     String payload = row.text("payload");
     try {
       return new SimulatorEvent.PeerMessage(fromGateway, Base64.getDecoder().decode(payload));
     } catch (IllegalArgumentException e) {
-      throw new MalformedInputException("message: payload is not base64");
+      throw new MalformedInputException("message: payload is not valid Base64");
     }
   }
 }
