--- a/lab/src/main/java/shelffront/lab/model/Clock.java
+++ b/lab/src/main/java/shelffront/lab/model/Clock.java
@@ -1,16 +1,17 @@
 package shelffront.lab.model;
 
-/** The time that a model lives in, real or virtual: Unix microseconds. */
+/** The clock and scheduler of a model, in real or virtual time. Times are Unix microseconds. */
 public interface Clock {
 
   long nowMicros();
 
   /**
-   * Runs a task at a time, or as soon as it can where that has passed; in the order of times, then
-   * of calls.
+   * Runs a task at {@code time}, or as soon as possible if that time has passed. Tasks run in the
+   * order of their times; tasks with equal times run in the order of the calls.
    */
   void at(long time, Runnable task);
 
+  /** Runs a task after {@code delay} microseconds. */
   default void after(long delay, Runnable task) {
     at(nowMicros() + delay, task);
   }
--- a/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
+++ b/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
@@ -14,24 +14,31 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * A model of one replicated set: a primary, whose log ships late to replicas that apply it with one
- * thread each; boxes with cores, a waiting room, warm-up from cold; elections, hand-overs, copies
- * that come back old. It keeps the true record of every effect. No I/O: a carrier brings requests
- * and takes answers, in real or virtual time. One thread.
+ * Models one replica set: a primary whose log reaches the replicas with a delay, replicas that
+ * apply it with one thread each, hosts with cores, a bounded queue and a warm-up period, elections,
+ * hand-overs, and hosts that restart with stale data. Keeps the authoritative record of all
+ * effects. Does no I/O: the caller submits requests and receives responses, in real or virtual
+ * time. Not thread-safe; all calls come from the thread of the {@link Clock}.
  */
 public final class ReplicaSetModel {
 
-  /** How a box answers. */
+  /** The outcome of a request at a host. */
   public enum AnswerKind {
+    /** Executed. */
     OK,
+    /** Not executed: the host is not primary, or its position is too old for the read. */
     MISS,
+    /** Not executed: no capacity, draining, or past the deadline. */
     FULL,
+    /** Failed during execution. */
     ERROR
   }
 
   /**
-   * A request as a box sees it; {@code bound} is the greatest age that a read may have, 0 where its
-   * session says.
+   * A request as a host sees it.
+   *
+   * @param maxStalenessMicros maximum staleness of a read; 0 if the session position applies
+   *     instead
    */
   public record Query(
       String id,
@@ -42,29 +49,41 @@
       long maxStalenessMicros,
       long deadlineMicros) {}
 
-  /** What comes of it: the position is the commit of a write, or that of a read's copy. */
+  /**
+   * The response to a request.
+   *
+   * @param positionMicros commit position of a write; otherwise the position of the host
+   */
   public record Answer(AnswerKind kind, boolean primary, long positionMicros) {}
 
   /** A write that took effect. */
   public record Effect(String key, String requestId, long commitMicros, String host) {}
 
-  /** Told of what happens in the set, as it truly happens. */
+  /** Is notified of the actual events in the replica set. */
   public interface Observer {
 
-    /** A box has begun with a request, which from now on may have an effect. */
+    /** A host has started to execute a request, which may have an effect from now on. */
     void executionStarted(Host host, Query query);
 
+    /**
+     * A write has been executed.
+     *
+     * @param repeated whether the write was recognized as a duplicate of {@code effect}
+     */
     void applied(Host host, Effect effect, Query query, boolean repeated);
 
-    /** A read was answered from a copy at this position, which needed that one. */
+    /** A read was served by a host whose data was at {@code position}. */
     void readServed(Host host, Query query, long position);
 
-    /** A cold box got more than it can bear. */
+    /** A host that warms up received more work than its overload limit permits. */
     void overloaded(Host host);
 
     /**
-     * Who is primary and who was; null where there is none. What of the log was lost with the one
-     * before.
+     * The primary has changed.
+     *
+     * @param host the new primary, or null if there is none
+     * @param before the previous primary, or null if there was none
+     * @param lost effects whose log entries were discarded with the previous primary
      */
     void primaryChanged(Host host, Host before, List<Effect> lost);
   }
@@ -80,18 +99,18 @@
 
   private record WorkArrival(long atMicros, double workMicros) {}
 
-  /** One box of the set. */
+  /** A host of the replica set. */
   public final class Host {
 
     private final String id;
     private boolean up;
     private boolean draining;
-    private long startedAtMicros; // 0 if long ago
+    private long startedAtMicros; // 0: fully warmed up since the start of the model
     private int busyCores;
-    private int incarnation; // work of an earlier process is gone
+    private int incarnation; // incremented when the process ends; discards its pending work
     private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
-    private int nextEntry; // of the log, the entry to apply
-    private long applierFreeAtMicros; // when its thread has applied the one before
+    private int nextEntry; // index into the log of the next entry to apply
+    private long applierFreeAtMicros; // when the previous entry has been applied
     private long slowUntilMicros;
     private double slowdown = 1;
     private final ArrayDeque<WorkArrival> recentWork = new ArrayDeque<>();
@@ -118,17 +137,17 @@
       return draining;
     }
 
-    /** When its process started, or 0 if long ago. */
+    /** Start time of the process, or 0 if it was running before the model began. */
     public long startedAtMicros() {
       return startedAtMicros;
     }
 
-    /** Requests that wait. */
+    /** Returns the number of queued requests. */
     public int queued() {
       return queue.size();
     }
 
-    /** Part of its cores that it has now. */
+    /** Returns the current capacity as a fraction of the full capacity. */
     public double capacityFraction() {
       long age = clock.nowMicros() - startedAtMicros;
       return startedAtMicros == 0 || age >= parameters.coldTime()
@@ -136,7 +155,7 @@
           : parameters.coldFrom() + (1 - parameters.coldFrom()) * age / parameters.coldTime();
     }
 
-    /** The time up to which it has applied every commit. */
+    /** Returns the time up to which the host has applied all commits. */
     public long positionMicros() {
       return isPrimary() ? clock.nowMicros() : appliedPosition(clock.nowMicros());
     }
@@ -159,18 +178,23 @@
           : shipped;
     }
 
-    /** Work and the log's application take so many times as long, for a while. */
+    /**
+     * Multiplies the duration of work and of log application by {@code factor} for {@code time}.
+     */
     public void slowDown(double factor, long time) {
       slowdown = factor;
       slowUntilMicros = clock.nowMicros() + time;
     }
 
-    /** Begins with nothing for a while; what it works on goes on. */
+    /** Starts no requests for {@code time}; requests in execution continue. */
     public void pause(long time) {
       occupy(parameters.cores(), time);
     }
 
-    /** Takes a request; the answer comes later, unless the process ends first. */
+    /**
+     * Submits a request. The response is passed to {@code answer}, at once or later, unless the
+     * process is down or ends first.
+     */
     public void submit(Query query, Consumer<Answer> answer) {
       long work = drawWorkMicros(query.write());
       recordWork(work);
@@ -191,7 +215,7 @@
       }
     }
 
-    /** A connection costs a core some time. */
+    /** Charges the core time of a new connection. */
     public void handshake() {
       recordWork(parameters.handshake());
       occupy(1, parameters.handshake());
@@ -210,7 +234,9 @@
           });
     }
 
-    /** The rule on cold boxes: a budget of work over any window after the start. */
+    /**
+     * Reports an overload if a host that warms up receives too much work within {@code fallTime}.
+     */
     private void recordWork(long work) {
       long now = clock.nowMicros();
       if (startedAtMicros == 0 || now - startedAtMicros >= parameters.coldTime() || overloaded) {
@@ -258,8 +284,8 @@
     private void finish(QueuedRequest queued) {
       if (queued.query().write()) {
         if (!isPrimary()) {
-          reply(
-              queued.answer(), AnswerKind.ERROR); // it was deposed meanwhile; nothing was committed
+          // The host lost the primary role during execution; nothing was committed.
+          reply(queued.answer(), AnswerKind.ERROR);
           return;
         }
         long commit = apply(this, queued.query(), queued.arrivedAtMicros());
@@ -306,24 +332,24 @@
   private Host primary;
   private int pendingElections;
 
-  /** A set of so many boxes, the first of which is primary. */
+  /** Creates a replica set of {@code hostCount} hosts, the first of which is the primary. */
   public ReplicaSetModel(
       String name,
-      int boxCount,
+      int hostCount,
       Clock clock,
       UniformRandomProvider random,
       ReplicaSetParameters parameters,
-      Observer witness) {
+      Observer observer) {
     this.clock = clock;
     this.random = random;
     this.parameters = parameters;
-    this.observer = witness;
+    this.observer = observer;
     workSpread =
         parameters.sigma() == 0
             ? () -> 1
             : LogNormalSampler.of(
                 ZigguratSampler.NormalizedGaussian.of(random), 0, parameters.sigma());
-    for (int i = 0; i < boxCount; i++) {
+    for (int i = 0; i < hostCount; i++) {
       hosts.add(new Host(name + "-" + i));
     }
     primary = hosts.get(0);
@@ -333,12 +359,12 @@
     return hosts;
   }
 
-  /** Null while there is none. */
+  /** Returns the primary, or null if there is none. */
   public Host primary() {
     return primary;
   }
 
-  /** How often a key's write took effect, and still has it. */
+  /** Returns how many effects a key has, not counting lost ones. */
   public int effectCount(String key) {
     return effectCounts.getOrDefault(key, 0);
   }
@@ -349,8 +375,8 @@
   }
 
   /**
-   * A repeat counts by when it arrived, as the sender's window does: that it waited for a core is
-   * not its doing.
+   * Executes a write and returns its commit position. A duplicate is recognized by its arrival
+   * time, because the sender's deduplication window ignores the time spent in the host's queue.
    */
   private long apply(Host host, Query query, long arrived) {
     Effect before = lastByKey.get(query.key());
@@ -368,7 +394,7 @@
     return now;
   }
 
-  /** A new box joins as a replica, with a copy as of now, cold. */
+  /** Adds a replica that has the current data and starts to warm up. */
   public Host join(String id) {
     Host host = new Host(id);
     host.startedAtMicros = clock.nowMicros();
@@ -378,7 +404,7 @@
     return host;
   }
 
-  /** Its process ends; where it was primary, another is elected after a while. */
+  /** Ends the process of a host. If it was the primary, an election follows. */
   public void kill(Host host) {
     if (!host.up) {
       return;
@@ -396,7 +422,7 @@
     }
   }
 
-  /** Its process starts anew from the copy that it had. */
+  /** Restarts the process of a host with the data that it had when the process ended. */
   public void restart(Host host) {
     if (host.up) {
       return;
@@ -413,7 +439,7 @@
     }
   }
 
-  /** It finishes what it has and takes nothing new; a primary hands over. */
+  /** Drains a host: it completes accepted requests and rejects new ones; a primary hands over. */
   public void drain(Host host) {
     host.draining = true;
     if (primary == host) {
--- a/lab/src/main/java/shelffront/lab/model/ReplicaSetParameters.java
+++ b/lab/src/main/java/shelffront/lab/model/ReplicaSetParameters.java
@@ -1,28 +1,30 @@
 package shelffront.lab.model;
 
 /**
- * The figures of a database set. Times are microseconds.
+ * The parameters of a replica set model. Times and amounts of work are in microseconds.
  *
- * @param cores requests that a warm box works on at a time
- * @param room requests that wait for a core; beyond them it turns away
- * @param connections that a box keeps at most
- * @param readWork the median of what a read takes a core
- * @param writeWork the same of a write
- * @param sigma of the log-normal distribution of work
- * @param handshake what a new connection takes a core
- * @param shipDelay after which the log is at the replicas
- * @param applyCost what a replica's one thread takes for an entry of the log
- * @param coldFrom part of its capacity that a box has when it starts
- * @param coldTime until it has all of it
- * @param election from the death of a primary to the next one, at least; up to twice that
- * @param handOver from the drain of a primary to the next one
- * @param window in which a repeated key is dropped
- * @param check what a replica does with a read for which it is too far behind
- * @param patience how long it waits for the position before it says no
- * @param fall the multiple of its present capacity that pushes a cold box over, kept up for {@code
- *     fallTime}
- * @param fallTime the length of that window
- * @param losesTail whether a replica is promoted without the log's end that it has not got
+ * @param cores number of requests that a fully warmed-up host executes concurrently
+ * @param room queue capacity of a host; a request that finds the queue full is rejected
+ * @param maximum number of open connections of a host
+ * @param readWork median core time of a read
+ * @param writeWork median core time of a write
+ * @param sigma of the log-normal distribution of work; 0 for constant work
+ * @param handshake core time of establishing a connection
+ * @param shipDelay delay until a log entry reaches the replicas
+ * @param applyCost time that a replica's single apply thread takes for one log entry
+ * @param coldFrom capacity fraction of a host directly after its start
+ * @param coldTime time from the start of a host until it has its full capacity
+ * @param election minimum time from the failure of a primary to the election of the next one; the
+ *     maximum is twice that
+ * @param handOver time from the drain of a primary to the promotion of the next one
+ * @param deduplication window, in which a write with a known key is not executed again
+ * @param check how a replica handles a read that requires a later position than it has applied
+ * @param patience maximum time that a replica waits for the required position before it rejects a
+ *     read
+ * @param fall multiple of its current capacity at which a host that warms up is overloaded, if the
+ *     work within {@code fallTime} exceeds it
+ * @param fallTime length of the window for {@code fall}
+ * @param losesTail whether the promotion of a replica discards log entries that it has not received
  */
 public record ReplicaSetParameters(
     int cores,
@@ -45,10 +47,13 @@
     long fallTime,
     boolean losesTail) {
 
-  /** What a replica does with a read for which it is too far behind. */
+  /** How a replica handles a read that requires a later position than it has applied. */
   public enum Check {
+    /** Serves the read from its stale data. */
     SILENT,
+    /** Rejects the read. */
     REFUSE,
+    /** Waits for the position up to {@code patience}, then rejects the read. */
     WAIT
   }
 }
--- a/lab/src/main/java/shelffront/lab/model/package-info.java
+++ b/lab/src/main/java/shelffront/lab/model/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Models of what the gateway works against, without I/O: a replica set and the clock it runs on.
- */
+/** Models of the gateway's environment, without I/O: a replica set and the clock that drives it. */
 package shelffront.lab.model;
