--- a/lab/src/main/java/shelffront/lab/invariants/Attempt.java
+++ b/lab/src/main/java/shelffront/lab/invariants/Attempt.java
@@ -8,7 +8,7 @@
   final String host;
   final long sentAtMicros;
 
-  /** Since when the gateway waits for it no longer; read when it matters. */
+  /** Supplies the time since which the gateway no longer waits; evaluated at each check. */
   final LongSupplier abandonedAtMicros;
 
   long answeredAtMicros = Long.MAX_VALUE;
@@ -21,18 +21,22 @@
     this.abandonedAtMicros = abandonedAtMicros;
   }
 
-  /** The host has written its answer; one that may prove that nothing was executed. */
+  /**
+   * Records that the host has written its response.
+   *
+   * @param provesNotExecuted whether the response guarantees that nothing was executed
+   */
   public void answered(long atMicros, boolean provesNotExecuted) {
     answeredAtMicros = atMicros;
     provedNotExecuted = provesNotExecuted;
   }
 
-  /** Whether its host has begun with it and no answer proves the contrary. */
+  /** Whether the host started execution and no response has proved the contrary. */
   boolean mayHaveExecuted() {
     return started && !provedNotExecuted;
   }
 
-  /** Whether the gateway still waited for it at a time. */
+  /** Whether the gateway was still waiting for the response after {@code timeMicros}. */
   boolean isOutAfter(long timeMicros) {
     return Math.min(answeredAtMicros, abandonedAtMicros.getAsLong()) > timeMicros;
   }
--- a/lab/src/main/java/shelffront/lab/invariants/CheckedRequest.java
+++ b/lab/src/main/java/shelffront/lab/invariants/CheckedRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import shelffront.routing.RequestClass;
 
-/** A request as its client sees it, with its attempts. Times are Unix microseconds. */
+/** A request as seen by its client, with its attempts. Times are Unix microseconds. */
 public final class CheckedRequest {
 
   public final String id;
@@ -15,7 +15,7 @@
   public final long sentAtMicros;
   public final long deadlineMicros;
 
-  /** The commit that its session must see. */
+  /** The session position that a read must not fall behind. */
   public final long requiredPositionMicros;
 
   final List<Attempt> attempts = new ArrayList<>();
@@ -42,7 +42,7 @@
     this.requiredPositionMicros = requiredPositionMicros;
   }
 
-  /** Whether no host has been sent it. */
+  /** Whether no attempt has arrived at a host. */
   public boolean hasNoAttempt() {
     return attempts.isEmpty();
   }
@@ -51,7 +51,7 @@
     return answered;
   }
 
-  /** When the first attempt was sent that may have been executed; the greatest long if none. */
+  /** Send time of the first attempt that may have executed; {@link Long#MAX_VALUE} if none. */
   long firstExecutedMicros() {
     return attempts.stream()
         .filter(Attempt::mayHaveExecuted)
--- a/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
+++ b/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
@@ -15,30 +15,45 @@
 import shelffront.routing.RequestClass;
 
 /**
- * Holds a run against the rules as it goes, from what clients saw and what truly happened in the
- * sets, never from the gateway's own account. Times are Unix microseconds.
+ * Checks the invariants of a run while it proceeds, based on what clients received and what was
+ * executed in the replica sets, never on the gateway's own counters or logs. Times are Unix
+ * microseconds. Not thread-safe.
  */
 public final class InvariantChecker {
 
-  /** The rules, and what else must hold. */
+  /** The invariants. The names are printed in reports of violations. */
   public enum Rule {
+    /** Each request gets exactly one response. */
     ONE_ANSWER,
+    /** A response arrives by the deadline of its request. */
     IN_TIME,
+    /** Requests and responses arrive unaltered, at the peer they belong to. */
     RIGHT_VALUE,
+    /** Attempts of one request overlap only where hedging is permitted. */
     ONE_ATTEMPT_OUT,
+    /** A write is retried only as the idempotency of its class permits. */
     CLASS_PERMITS,
+    /** No write takes effect twice. */
     NO_DOUBLE_EFFECT,
+    /** A write reported as served has taken effect. */
     NOTHING_LOST,
+    /** A rejected request has not been executed. */
     TRUE_REFUSAL,
+    /** No request is sent to a host whose drain has been announced. */
     DRAIN,
+    /** No host is overloaded while it warms up. */
     COLD,
+    /** Strong reads come from the primary; bounded staleness holds. */
     FRESH,
+    /** A session read reflects the writes of its session. */
     OWN_WRITES,
+    /** A stopped gateway has released its channels and buffers. */
     NOTHING_LEFT,
+    /** The event loops of a gateway counted no internal fault. */
     NO_FAULT
   }
 
-  /** A broken rule. */
+  /** A violated invariant. */
   public record Violation(long atMicros, Rule rule, String description) {
 
     @Override
@@ -47,16 +62,16 @@
     }
   }
 
-  /** How far a time limit may be passed: what the network takes, and the clocks' grain. */
+  /** Tolerance for time limits: network latency and clock resolution. */
   private static final long SLACK_MICROS = 60_000;
 
-  /** After this time a gateway sends nothing more to a host whose drain it was told. */
+  /** Time that a gateway has to stop sending to a host after the announcement of its drain. */
   private static final long DRAIN_REACTION_MICROS = 2_000_000;
 
   private static final double MICROS_PER_MILLI = 1e3;
   private static final String CAPACITY_EXCEEDED = "53300";
   private static final String SHUTTING_DOWN = "57P03";
-  private static final int MAX_RECORDED_PER_RULE = 5; // of each rule, in full
+  private static final int MAX_RECORDED_PER_RULE = 5;
 
   private final Map<String, CheckedRequest> requests = new LinkedHashMap<>();
   private final Map<String, Long> lastCommits = new HashMap<>();
@@ -71,9 +86,9 @@
   private int violationCount;
 
   /**
-   * @param positionsCarried whether the position of a session's last write goes with the session;
-   *     else each gateway remembers its own
-   * @param hedgingAllowed whether a read may have two attempts out
+   * @param positionsCarried whether clients carry the session position to each gateway; otherwise
+   *     each gateway keeps session positions of its own
+   * @param hedgingAllowed whether an idempotent request may have two attempts in flight
    */
   public InvariantChecker(boolean positionsCarried, boolean hedgingAllowed) {
     this.positionsCarried = positionsCarried;
@@ -84,7 +99,7 @@
     return (positionsCarried ? "" : gateway) + "/" + session;
   }
 
-  /** Records a broken rule; of each rule the first few in full. */
+  /** Counts a violation; only the first five of each rule are kept with their description. */
   public void violated(long atMicros, Rule rule, String what) {
     violationCount++;
     if (countByRule.merge(rule, 1, Integer::sum) <= MAX_RECORDED_PER_RULE) {
@@ -100,7 +115,7 @@
     return violationCount;
   }
 
-  /** The last byte of a request has been written by its client. */
+  /** Registers a request whose last byte the client has written. */
   public CheckedRequest requestSent(
       String id,
       RequestClass type,
@@ -123,10 +138,15 @@
     return request;
   }
 
-  /** Its answer has come; a code where it is an error, the value else. */
+  /**
+   * Checks a response that the client has received.
+   *
+   * @param value the value, or null for an error
+   * @param code the SQLSTATE of an error, or null for a value
+   */
   public void answered(CheckedRequest request, long now, String value, String code) {
     if (request.answered) {
-      violated(now, Rule.ONE_ANSWER, request.id + " was answered twice");
+      violated(now, Rule.ONE_ANSWER, request.id + " received a second response");
       return;
     }
     request.answered = true;
@@ -136,7 +156,7 @@
           Rule.IN_TIME,
           String.format(
               Locale.ROOT,
-              "%s was answered %.1f ms after its time",
+              "%s received its response %.1f ms after its deadline",
               request.id,
               (now - request.deadlineMicros) / MICROS_PER_MILLI));
     }
@@ -149,13 +169,17 @@
 
   private void checkServed(CheckedRequest request, long now, String value) {
     if (!request.id.equals(value)) {
-      violated(now, Rule.RIGHT_VALUE, request.id + " was answered with " + value);
+      violated(
+          now,
+          Rule.RIGHT_VALUE,
+          request.id + " received the value " + value + ", expected its own id");
     }
     if (!request.requestClass.isWrite() || lostKeys.contains(request.key)) {
       return;
     }
     if (!request.applied) {
-      violated(now, Rule.NOTHING_LOST, request.id + " was told served and has no effect");
+      violated(
+          now, Rule.NOTHING_LOST, request.id + " was reported as served but did not take effect");
     }
     lastCommits.merge(
         sessionKey(request.gateway, request.session),
@@ -163,24 +187,27 @@
         Math::max);
   }
 
-  /** A rejection promises that nothing was executed. */
+  /** Checks that nothing was executed, which a rejection guarantees. */
   private void checkRejection(CheckedRequest request, long now) {
     for (Attempt attempt : request.attempts) {
       if (!request.requestClass.isIdempotent() && attempt.mayHaveExecuted()) {
         violated(
             now,
             Rule.TRUE_REFUSAL,
-            request.id + " was told untouched, and had begun at " + attempt.host);
+            request.id + " was rejected but may have been executed by " + attempt.host);
       }
     }
   }
 
-  /** No answer came and none is owed: its client left, or its gateway was killed. */
+  /**
+   * Exempts a request from the checks for a late or missing response, for example because its
+   * client disconnected or its gateway was killed.
+   */
   public void excuse(CheckedRequest request) {
     request.excused = true;
   }
 
-  /** The client has waited its time out, or the connection has ended, and there is no answer. */
+  /** Handles a request without response after a client timeout or the end of its connection. */
   public void unanswered(CheckedRequest request, long now, String how) {
     if (!request.excused && !request.answered) {
       request.answered = true;
@@ -192,20 +219,22 @@
               + request.requestClass.name()
               + ") "
               + how
-              + ", tries "
+              + ", attempts at "
               + request.attempts.stream().map(attempt -> attempt.host).toList());
     }
   }
 
   /**
-   * An attempt has arrived whole; the gateway wrote its last byte at a time, and its end says how
-   * long it waits.
+   * Checks an attempt that has arrived completely at a host.
+   *
+   * @param sentAtMicros when the gateway wrote the last byte
+   * @param abandonedAtMicros supplies the time at which the gateway stopped waiting
    */
   public Attempt attemptArrived(
       String id, String host, long now, long sentAtMicros, LongSupplier abandonedAtMicros) {
     CheckedRequest request = requests.get(id);
     if (request == null) {
-      violated(now, Rule.RIGHT_VALUE, host + " was sent " + id + ", which nobody asked");
+      violated(now, Rule.RIGHT_VALUE, host + " received request " + id + ", which no client sent");
       return new Attempt(host, sentAtMicros, abandonedAtMicros);
     }
     Attempt next = new Attempt(host, sentAtMicros, abandonedAtMicros);
@@ -220,7 +249,7 @@
     int permitted = hedgingAllowed && request.requestClass.isIdempotent() ? 1 : 0;
     int out = 0;
     for (Attempt attempt : request.attempts) {
-      // Of two that take different ways the later may arrive first.
+      // Attempts on different connections may arrive in another order than they were sent.
       Attempt earlier = attempt.sentAtMicros <= next.sentAtMicros ? attempt : next;
       if (earlier.isOutAfter(Math.max(attempt.sentAtMicros, next.sentAtMicros))) {
         out++;
@@ -228,7 +257,7 @@
           violated(
               now,
               Rule.ONE_ATTEMPT_OUT,
-              request.id + " was sent to " + next.host + " while out at " + attempt.host);
+              request.id + " was sent to " + next.host + " while in flight to " + attempt.host);
         }
       }
     }
@@ -244,7 +273,10 @@
           violated(
               now,
               Rule.CLASS_PERMITS,
-              request.id + " may run once and was sent again to " + next.host);
+              request.id
+                  + " is not idempotent and was sent again to "
+                  + next.host
+                  + " after an attempt that may have executed");
       case IDEMPOTENCY_KEY -> {
         long windowMicros = request.requestClass.deduplicationWindowMicros();
         if (next.sentAtMicros > firstMicros + windowMicros + SLACK_MICROS) {
@@ -253,7 +285,8 @@
               Rule.CLASS_PERMITS,
               String.format(
                   Locale.ROOT,
-                  "%s was sent to %s %.1f ms after its first try, past its window",
+                  "%s was sent to %s %.1f ms after its first attempt, past its deduplication"
+                      + " window",
                   request.id,
                   next.host,
                   (next.sentAtMicros - firstMicros) / MICROS_PER_MILLI));
@@ -272,25 +305,25 @@
           Rule.DRAIN,
           String.format(
               Locale.ROOT,
-              "%s was sent to %s %.1f ms after its drain was told",
+              "%s was sent to %s %.1f ms after the announcement of the drain",
               request.id,
               next.host,
               (next.sentAtMicros - announcedMicros) / MICROS_PER_MILLI));
     }
   }
 
-  /** A host has begun to work on it: from here on it may have run. */
+  /** Records that a host has started execution; from now on the attempt may have an effect. */
   public void executionStarted(Attempt attempt) {
     attempt.started = true;
   }
 
-  /** A write took effect, or was recognized as the repetition of one that did. */
+  /** Checks a write that took effect or was recognized as a duplicate. */
   public void effectApplied(Effect effect, String byId, boolean repeated, long now) {
     CheckedRequest request = requests.get(byId);
     if (request != null) {
       request.applied = true;
     }
-    // By the key that its client gave: what the host was told may be another.
+    // Uses the key of the client, because the key that reached the host may differ.
     String key = request == null ? effect.key() : request.key;
     commitByKey.put(key, effect.commitMicros());
     if (!repeated && effectCounts.merge(key, 1, Integer::sum) > 1) {
@@ -298,7 +331,10 @@
     }
   }
 
-  /** The set itself has lost effects: they may come again, and nobody else is to blame. */
+  /**
+   * Records effects that the replica set lost in a failover. Their writes may take effect again,
+   * and their loss is no violation by the gateway.
+   */
   public void effectsLost(List<Effect> gone) {
     for (Effect effect : gone) {
       effectCounts.merge(effect.key(), -1, Integer::sum);
@@ -308,8 +344,8 @@
   }
 
   /**
-   * A copy at a position has answered a read; what was sent before {@code known} took it for the
-   * primary it was.
+   * Checks a read that a host has served from data at {@code position}. Attempts sent before {@code
+   * known} are not checked, because the gateway could still take the host for the primary.
    */
   public void readServed(
       String id, String host, boolean primary, long position, long now, long known) {
@@ -334,7 +370,7 @@
           Rule.FRESH,
           String.format(
               Locale.ROOT,
-              "%s was read at %s from a copy %.1f ms old",
+              "%s was served by %s from data that was %.1f ms old",
               request.id,
               host,
               (sent - position) / MICROS_PER_MILLI));
@@ -344,38 +380,39 @@
           Rule.OWN_WRITES,
           String.format(
               Locale.ROOT,
-              "%s at %s misses its session's write by %.1f ms",
+              "%s was served by %s at a position %.1f ms before the last write of its session",
               request.id,
               host,
               (request.requiredPositionMicros - position) / MICROS_PER_MILLI));
     } else if (consistency == Consistency.STRONG) {
-      violated(now, Rule.FRESH, request.id + " had to be current and was read from " + host);
+      violated(
+          now, Rule.FRESH, request.id + " is a strong read and was served by the replica " + host);
     }
   }
 
-  /** A gateway has been told that a host drains or is gone. */
+  /** Records that a gateway has received the drain or removal of a host. */
   public void drainAnnounced(int gateway, String host, long now) {
     drainAnnouncedMicros.putIfAbsent(gateway + "/" + host, now);
   }
 
-  /** A gateway has been told that a host takes work again. */
+  /** Records that a gateway has received that a host accepts requests again. */
   public void drainEnded(int gateway, String host) {
     drainAnnouncedMicros.remove(gateway + "/" + host);
   }
 
-  /** A gateway began anew: what was told the one before it is not told to this one. */
+  /** Forgets the announcements and session positions of a gateway process that was replaced. */
   public void gatewayRestarted(int gateway) {
     drainAnnouncedMicros.keySet().removeIf(key -> key.startsWith(gateway + "/"));
     lastCommits.keySet().removeIf(key -> key.startsWith(gateway + "/"));
   }
 
-  /** By which gateway a request goes; -1 if nobody asked it. */
+  /** Returns the index of the gateway that received a request, or -1 if the request is unknown. */
   public int gatewayOf(String id) {
     CheckedRequest request = requests.get(id);
     return request == null ? -1 : request.gateway;
   }
 
-  /** All that were asked. */
+  /** Returns all registered requests. */
   public Iterable<CheckedRequest> requests() {
     return requests.values();
   }
--- a/lab/src/main/java/shelffront/lab/invariants/package-info.java
+++ b/lab/src/main/java/shelffront/lab/invariants/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The rules that every run has to keep, checked from what clients saw and what truly happened in
- * the replica sets, never from the gateway's own account.
+ * The invariants of a simulation run. They are checked against what clients received and what was
+ * executed in the replica sets, never against the gateway's own counters or logs.
  */
 package shelffront.lab.invariants;
