--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -13,17 +13,17 @@
 import shelffront.routing.RequestClass;
 
 /**
- * The clients of one gateway: requests that come when they are due, whatever became of those
- * before.
+ * The clients of one gateway. They generate an open-loop load: requests are sent when due, no
+ * matter how earlier ones ended.
  */
 final class ClientPopulation implements ClientConnectionHandler.Listener<CheckedRequest> {
 
   private static final int SESSIONS = 200;
-  private static final int MOST_RETRIES = 2;
+  private static final int MAX_RETRIES = 2;
   private static final String DATABASE = "ledger";
   private static final String CAPACITY_EXCEEDED = "53300";
 
-  /** Beyond the deadline a client still looks whether an answer comes late. */
+  /** Time after the deadline during which a client still accepts a late response. */
   private static final long GRACE_MICROS = 100_000;
 
   private static final long SHORTEST_RETRY_MICROS = 50_000;
@@ -35,10 +35,13 @@
   private static final double MICROS_PER_SECOND = 1e6;
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** Sessions' numbers are drawn with this exponent: some sessions are busy, most are not. */
+  /** Exponent of the draw of session numbers; makes low-numbered sessions busier than the rest. */
   private static final int SESSION_SKEW = 3;
 
-  /** Up to which draw from 0 to 1 a request is of which class; the last class has the rest. */
+  /**
+   * A part of the class mix: draws from [0, 1) below {@code upTo} select the class with index
+   * {@code requestClass}. All remaining draws select the last class.
+   */
   private record ClassPart(double upTo, int requestClass) {}
 
   private static final List<ClassPart> CLASS_MIX =
@@ -63,10 +66,11 @@
   private long sentCount;
 
   /**
-   * The clients of one gateway, which begin at once.
+   * Creates the clients of one gateway and schedules their first request.
    *
-   * @param populations those of all gateways; a session that carries its position may go on there
-   * @param untilMicros from then on nothing new is sent
+   * @param populations the clients of all gateways; a session whose clients carry its position may
+   *     continue at another gateway
+   * @param untilMicros time from which no new requests are sent
    */
   ClientPopulation(
       SimulationContext context,
@@ -89,7 +93,7 @@
     scheduleNext();
   }
 
-  /** So many times as many requests as usual. */
+  /** Multiplies the usual request rate by {@code times}. */
   void setRateFactor(double times) {
     rateFactor = times;
   }
@@ -133,7 +137,7 @@
     String database = database(session.hashCode());
     ClientConnectionHandler<CheckedRequest> connection = freeConnection(database);
     if (connection == null && !gateways.acceptsConnections(gateway)) {
-      return; // the front sends nobody there any more
+      return; // the load balancer no longer routes new connections here
     }
     if (connection == null && connections.size() >= context.scenario().means().connections()) {
       recorder.notSent(requestClass);
@@ -189,7 +193,7 @@
         this);
   }
 
-  /** A session is one tenant's, as is a connection. */
+  /** Returns the database for a number. A session or connection belongs to a single tenant. */
   private String database(int number) {
     int tenants = context.scenario().means().tenants();
     return tenants == 0 ? DATABASE : SimulatedGateway.tenantName(Math.floorMod(number, tenants));
@@ -203,7 +207,10 @@
     return request.session.substring(request.session.indexOf('/') + 1);
   }
 
-  /** Some sessions read their own write soon; a rejected request is sent again when permitted. */
+  /**
+   * After some successful writes the session reads soon afterwards; rejected requests are retried
+   * up to {@link #MAX_RETRIES} times.
+   */
   @Override
   public void answered(
       ClientConnectionHandler<CheckedRequest> connection,
@@ -235,12 +242,12 @@
         .scheduler()
         .after(
             SHORTEST_READ_BACK_MICROS + random.nextInt(READ_BACK_SPREAD_MICROS),
-            () -> reader.send(sessionRead, replicaSetOf(write), sessionOf(write), MOST_RETRIES));
+            () -> reader.send(sessionRead, replicaSetOf(write), sessionOf(write), MAX_RETRIES));
   }
 
   private void scheduleRetry(CheckedRequest rejected, long retryAfterMicros) {
     int earlierTries = recorder.earlierTries(rejected);
-    if (earlierTries >= MOST_RETRIES) {
+    if (earlierTries >= MAX_RETRIES) {
       return;
     }
     context
@@ -275,7 +282,7 @@
     context.checker().violated(context.nowMicros(), Rule.RIGHT_VALUE, why);
   }
 
-  /** A part of those who wait hang up. */
+  /** Disconnects a third of the clients that wait for a response. */
   void hangUp() {
     for (ClientConnectionHandler<CheckedRequest> connection : List.copyOf(connections)) {
       if (!connection.isFree() && random.nextInt(AFFECTED_ONE_IN) == 0) {
@@ -286,7 +293,7 @@
     }
   }
 
-  /** A part of them read nothing for a while. */
+  /** Stops a third of the clients from reading for {@code durationMicros}. */
   void stallReaders(long durationMicros) {
     for (ClientConnectionHandler<CheckedRequest> connection : List.copyOf(connections)) {
       if (random.nextInt(AFFECTED_ONE_IN) == 0) {
@@ -304,7 +311,7 @@
     }
   }
 
-  /** So many more connect at once and send nothing for a while; then all leave. */
+  /** Opens {@code count} connections that stay idle for {@code durationMicros} and then close. */
   void connectIdle(int count, long durationMicros) {
     for (int i = 0; i < count && gateways.acceptsConnections(gateway); i++) {
       ClientConnectionHandler<CheckedRequest> connection = connect(database(i));
@@ -315,14 +322,14 @@
     }
   }
 
-  /** What it waits for may be late by its own fault. */
+  /** Exempts the open request, whose response may be late because of the client. */
   private void excuse(ClientConnectionHandler<CheckedRequest> connection) {
     if (connection.currentRequest() != null) {
       context.checker().excuse(connection.currentRequest());
     }
   }
 
-  /** Ends what is open once nothing more is sent. */
+  /** Closes all connections after the end of the load. */
   void closeAll() {
     for (ClientConnectionHandler<CheckedRequest> connection : List.copyOf(connections)) {
       connection.expectNoAnswer();
--- a/lab/src/main/java/shelffront/lab/simulation/EventTrace.java
+++ b/lab/src/main/java/shelffront/lab/simulation/EventTrace.java
@@ -9,8 +9,8 @@
 import shelffront.lab.model.Clock;
 
 /**
- * The events of a run in their order, one line each, and a hash over all of them. Two runs with the
- * same hash are the same run.
+ * Records the events of a run in order, one line each, and hashes all lines. Two runs with equal
+ * hashes had identical events.
  */
 final class EventTrace {
 
@@ -26,7 +26,8 @@
     try {
       digest = MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has SHA-256", e);
+      throw new IllegalStateException(
+          "SHA-256 is not available, although every Java platform must provide it", e);
     }
   }
 
@@ -45,7 +46,9 @@
     listener.accept(line);
   }
 
-  /** The hash over all lines so far, in hexadecimal; ends the trace. */
+  /**
+   * Returns the hexadecimal hash over all lines and resets the digest; call it once, at the end.
+   */
   String hash() {
     return HexFormat.of().formatHex(digest.digest());
   }
--- a/lab/src/main/java/shelffront/lab/simulation/FaultInjector.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FaultInjector.java
@@ -22,7 +22,7 @@
   private static final long LONGEST_GATEWAY_PAUSE_MICROS = 400_000;
   private static final long CLOCK_STEP_MICROS = 20_000;
 
-  /** After this time no request from before a step of the clock is open. */
+  /** Time after which no request sent before a clock step is still open. */
   private static final long CLOCK_STEP_DISTURBANCE_MICROS = FleetSimulation.LAST_DEADLINE_MICROS;
 
   private static final double BURST_FACTOR = 6;
@@ -55,7 +55,7 @@
     misbehavingMachine = context.network().machine("rude");
   }
 
-  /** Has the scenario's faults happen, each at its time after the start of the load. */
+  /** Schedules the faults of the scenario relative to the start of the load. */
   void schedule(long loadStartMicros) {
     Scenario scenario = context.scenario();
     for (Fault fault : scenario.faults()) {
@@ -99,7 +99,8 @@
                   Math.min(LONGEST_IDLE_MICROS, durationMicros));
       case GARBAGE -> connectMisbehavingClients(fault);
       case REMOVE_TENANT, CHANGE_TENANT, DRAIN_BY_TENANT -> changeTenant(fault);
-      default -> throw new IllegalStateException(fault.kind().name());
+      default ->
+          throw new IllegalStateException("no injection for fault kind " + fault.kind().name());
     }
   }
 
@@ -195,7 +196,7 @@
     }
   }
 
-  /** What an administrator does to a tenant of a multi-tenant gateway, and later takes back. */
+  /** Applies an administrative change to a tenant and reverts it later; multi-tenant only. */
   private void changeTenant(Fault fault) {
     int target = fault.target();
     SimulatedGateway gateway = gateways.target(target);
--- a/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FleetSimulation.java
@@ -21,41 +21,42 @@
 import shelffront.net.Network;
 
 /**
- * A fleet of gateways with their replica sets, clients and discovery, in virtual time: the gateways
- * are the program's own classes on channels that exist in memory. One thread; the same scenario
- * gives the same run to the byte.
+ * Runs a fleet of gateways with replica sets, clients and discovery in virtual time. The gateways
+ * are the production classes on in-memory channels. Single-threaded; the same scenario always
+ * produces an identical run.
  */
 public final class FleetSimulation {
 
-  /** After this time every request that was sent has an answer or none comes. */
+  /** Time after which a sent request that is still open will get no response. */
   static final long LAST_DEADLINE_MICROS = 3_500_000;
 
   private static final long SETTLING_MICROS = 300_000;
   private static final long CLIENTS_END_MICROS = 200_000;
 
   /**
-   * What a class came to. The names are those of stored runs.
+   * The outcomes of a request class. Stored runs contain the component names.
    *
-   * @param asked requests that were due
-   * @param onTime answered within the class's latency objective
-   * @param late answered after it
-   * @param refused rejected unserved
+   * @param asked number of requests that were due
+   * @param onTime served within the latency objective of the class
+   * @param late served after the latency objective
+   * @param refused rejected
    * @param failed ended with another error
-   * @param unanswered without any answer, or never sent for lack of a connection
+   * @param unanswered without response, or not sent because no connection was available
    */
   public record Worth(
       long asked, long onTime, long late, long refused, long failed, long unanswered) {}
 
-  /** Windows of a run in which worth is counted, in microseconds. */
+  /** Length of the windows for which value is summed, in microseconds. */
   public static final long WINDOW_MICROS = 250_000;
 
   /**
-   * How a run ended: broken rules, what classes came to, its size, and a hash over all that
-   * happened.
+   * The result of a run: violations, outcomes by request class, size, and the hash of its event
+   * trace.
    *
-   * @param requestedValue worth asked for in each window
-   * @param servedValue of that, the worth that was answered within the classes' aims
-   * @param latencyMicros microseconds from asking to a served answer
+   * @param requestedValue sum of the priority weights of the requests sent in each window
+   * @param servedValue the part of it that was served; late responses count with the late value
+   *     fraction of their class
+   * @param latencyMicros time from sending a request to its successful response, in microseconds
    */
   public record Result(
       List<InvariantChecker.Violation> violations,
@@ -69,20 +70,22 @@
       long requests,
       String hash) {}
 
-  /** What a gateway is made of, for those who put a changed one in its place. */
+  /** The parts from which a gateway is created, possibly in a modified variant. */
   public record GatewayParts(Network network, GatewayConfig config, VirtualChannels channels) {
 
-    /** The gateway as it is. */
+    /** Creates the gateway without modification. */
     public Gateway unmodified() {
       return withConfig(config);
     }
 
-    /** The gateway with another configuration. */
+    /** Creates the gateway with another configuration. */
     public Gateway withConfig(GatewayConfig changedConfig) {
       try {
         return new Gateway(network, changedConfig);
       } catch (IOException e) {
-        throw new IllegalStateException("the virtual network takes every listener", e);
+        throw new IllegalStateException(
+            "gateway failed to listen on the virtual network at " + changedConfig.listenAddress(),
+            e);
       }
     }
   }
@@ -94,7 +97,7 @@
   private final RequestRecorder requests;
   private final List<ClientPopulation> populations = new ArrayList<>();
 
-  /** The parts draw random numbers and addresses as they are made: their order is part of a run. */
+  /** The parts draw random numbers and addresses on creation, so their order is part of a run. */
   private FleetSimulation(
       Scenario scenario, Function<GatewayParts, Gateway> variant, Consumer<String> traceListener) {
     context = SimulationContext.create(scenario, traceListener);
@@ -107,12 +110,12 @@
     gateways.schedulePauses();
   }
 
-  /** Runs a scenario on the gateway as it is. */
+  /** Runs a scenario with the unmodified gateway. */
   public static Result run(Scenario scenario) {
     return run(scenario, GatewayParts::unmodified, line -> {});
   }
 
-  /** Runs a scenario on a gateway that may be a changed one; the trace gets each event's line. */
+  /** Runs a scenario with a gateway variant; {@code trace} receives the line of each event. */
   public static Result run(
       Scenario scenario, Function<GatewayParts, Gateway> variant, Consumer<String> trace) {
     return new FleetSimulation(scenario, variant, trace).run();
@@ -155,12 +158,14 @@
   private void checkAllAnswered() {
     for (CheckedRequest request : context.checker().requests()) {
       if (!request.isAnswered()) {
-        context.checker().unanswered(request, context.nowMicros(), "was never answered");
+        context
+            .checker()
+            .unanswered(request, context.nowMicros(), "had no response by the end of the run");
       }
     }
   }
 
-  /** Lets time pass: events in their order, and turns of gateways when one has something to do. */
+  /** Advances virtual time, running events in order and the due turns of the gateways. */
   private void runUntil(long endMicros) {
     while (true) {
       if (gateways.runDueTurns() || context.scheduler().runNext()) {
@@ -175,7 +180,7 @@
     }
   }
 
-  /** Discovery has sent an update to whoever watches: what gateways now know binds them. */
+  /** Discovery has sent an update; the gateway that received it must act on it from now on. */
   private void endpointsSent(
       TransportConnection connection,
       List<DiscoveryEmulator.EndpointLine> lines,
--- a/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
+++ b/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
@@ -14,8 +14,9 @@
 import shelffront.lab.virtual.SimulatedMachine;
 
 /**
- * The gateway processes of a simulation and their lives: which runs at which address, what replaces
- * one that was killed or has stopped, and which are disturbed, so that late answers are excused.
+ * Manages the gateway processes of a simulation: their addresses, the replacement of processes that
+ * were killed or have stopped, and the gateways whose responses may be late because of an injected
+ * disturbance.
  */
 final class GatewayFleet {
 
@@ -25,7 +26,7 @@
   private static final long LONGEST_RESTART_MICROS = 1_000_000;
   private static final long SHORTEST_PAUSE_MICROS = 5_000;
   private static final long PAUSE_SPREAD_MICROS = 55_000;
-  private static final double TWICE_MEAN_MICROS = 2e6; // of an even draw from a second
+  private static final double TWICE_MEAN_MICROS = 2e6; // range of a uniform draw with a mean of 1 s
 
   private final SimulationContext context;
   private final SimulatedDiscovery discovery;
@@ -51,7 +52,7 @@
     }
   }
 
-  /** Has gateways pause at random, as for garbage collections, where the scenario says so. */
+  /** Schedules random pauses, such as garbage collections, if the scenario has them. */
   void schedulePauses() {
     if (context.scenario().means().pauses() > 0) {
       context.scheduler().after(pauseGapMicros(), this::pauseOne);
@@ -109,17 +110,17 @@
     return addresses.get(index);
   }
 
-  /** The gateway that a fault's target stands for. */
+  /** Returns the gateway selected by the target number of a fault. */
   SimulatedGateway target(int target) {
     return gateways.get(target % gateways.size());
   }
 
-  /** The index of the gateway that runs or ran on a machine; null where it is no gateway's. */
+  /** Returns the index of the gateway that runs or ran on a machine, or null if none did. */
   Integer indexOf(SimulatedMachine machine) {
     return indexes.get(machine);
   }
 
-  /** The same, and null where that process is not the one that runs now. */
+  /** Like {@link #indexOf}, but returns null for a process that has been replaced. */
   Integer currentIndexOf(SimulatedMachine machine) {
     Integer index = indexes.get(machine);
     return index != null && index < gateways.size() && gateways.get(index).runsOn(machine)
@@ -131,7 +132,7 @@
     gateways.stream().filter(gateway -> !gateway.isKilled()).forEach(action);
   }
 
-  /** Whether clients still open connections: they go on for a moment after its SIGTERM. */
+  /** Whether clients still open connections, which they do for a short time after a SIGTERM. */
   boolean acceptsConnections(int index) {
     return gateways.get(index).acceptsConnections();
   }
@@ -140,7 +141,7 @@
     return disturbed.contains(index);
   }
 
-  /** What clients have open at a gateway is late by no fault of its own, for a while. */
+  /** Exempts the requests that are open at a gateway within {@code durationMicros} from checks. */
   void disturb(int index, long durationMicros) {
     disturbed.add(index);
     excuseOpenRequests(index);
@@ -162,7 +163,7 @@
     }
   }
 
-  /** Its process ends at once; a new one starts at its address after a while. */
+  /** Kills a gateway process; a new one starts at its address after at most 1 s. */
   void kill(SimulatedGateway gateway, long downMicros) {
     if (!gateway.isRunning()) {
       return;
@@ -177,7 +178,10 @@
         .after(Math.min(downMicros, LONGEST_RESTART_MICROS), () -> replace(gateway.index()));
   }
 
-  /** SIGTERM: what it has is still owed; a new one starts at its address once it has stopped. */
+  /**
+   * Sends SIGTERM: the gateway still has to serve its open requests. A new process starts at its
+   * address as soon as it has stopped.
+   */
   void stop(SimulatedGateway gateway) {
     if (!gateway.isRunning()) {
       return;
@@ -204,7 +208,7 @@
             });
   }
 
-  /** SIGTERM to all at the end of a run; none is replaced any more. */
+  /** Sends SIGTERM to all gateways at the end of a run; none is replaced. */
   void stopAll() {
     ending = true;
     for (SimulatedGateway gateway : List.copyOf(gateways)) {
@@ -214,7 +218,7 @@
     }
   }
 
-  /** How long a gateway may take to stop. */
+  /** Returns the maximum time that a gateway may take to stop, in microseconds. */
   long drainMicros() {
     return DRAIN_MICROS;
   }
@@ -223,7 +227,7 @@
     gateways.forEach(SimulatedGateway::checkReleased);
   }
 
-  /** A turn of each gateway that has something to do now; whether there was one. */
+  /** Runs one turn of each gateway that is due; returns whether any was due. */
   boolean runDueTurns() {
     boolean ran = false;
     for (SimulatedGateway gateway : gateways) {
@@ -235,7 +239,7 @@
     return ran;
   }
 
-  /** When the first of them has something to do. */
+  /** Returns the time of the earliest due turn of all gateways. */
   long nextTurnMicros() {
     long nextMicros = Long.MAX_VALUE;
     for (SimulatedGateway gateway : gateways) {
--- a/lab/src/main/java/shelffront/lab/simulation/HostFleet.java
+++ b/lab/src/main/java/shelffront/lab/simulation/HostFleet.java
@@ -15,8 +15,8 @@
 import shelffront.lab.virtual.SimulatedMachine;
 
 /**
- * The database hosts of a simulation: their replica sets, machines and addresses, how they end, are
- * replaced and start again, and what discovery is told of that.
+ * Manages the database hosts of a simulation: their replica sets, machines and addresses, their
+ * termination, replacement and restart, and the endpoint updates published to discovery.
  */
 final class HostFleet {
 
@@ -26,7 +26,7 @@
   private static final long SHORTEST_DRAIN_MICROS = 3_000_000;
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** A host, where it runs, and the number of its replica set, from 1. */
+  /** A host with its machine, its address and the number of its replica set, counted from 1. */
   private record Placement(
       Host host, SimulatedMachine machine, InetSocketAddress address, int replicaSet) {}
 
@@ -37,7 +37,7 @@
   private final List<ReplicaSetModel> replicaSets = new ArrayList<>();
   private final Map<String, Host> hosts = new TreeMap<>();
 
-  /** Of the hosts that there are and of those that were removed. */
+  /** Placements by host id, including those of removed hosts. */
   private final Map<String, Placement> placements = new HashMap<>();
 
   private final Set<String> firstPrimaries = new HashSet<>();
@@ -77,13 +77,13 @@
     return environment;
   }
 
-  /** The host that a fault's target stands for. */
+  /** Returns the host selected by the target number of a fault. */
   Host target(int target) {
     List<Host> all = List.copyOf(hosts.values());
     return all.get(target % all.size());
   }
 
-  /** The primary of the replica set that a fault's target stands for; null while it has none. */
+  /** Returns the primary of the replica set selected by a fault, or null if there is none. */
   Host targetPrimary(int target) {
     return replicaSets.get(target % replicaSets.size()).primary();
   }
@@ -132,7 +132,7 @@
         });
   }
 
-  /** Publishes all hosts of a replica set anew, after its primary changed. */
+  /** Publishes all hosts of a replica set again after a change of its primary. */
   void publishRoles(Host newPrimary) {
     if (!hosts.containsKey(newPrimary.id())) {
       return;
@@ -146,8 +146,9 @@
   }
 
   /**
-   * Publishes that a host takes no new work. Where the list is pushed, all gateways count as told
-   * after a while, whether they watch or not.
+   * Publishes that a host accepts no new requests. If the endpoint list is pushed, all gateways
+   * count as informed after {@link SimulatedDiscovery#PUSH_DELAY_MICROS}, whether they watch or
+   * not.
    */
   private void publishUnavailable(Host host, String phase, long delayMicros) {
     discovery.publish(line(host, phase), delayMicros);
@@ -161,7 +162,7 @@
   }
 
   private void markDrainAnnounced(Host host) {
-    boolean availableAgain = host.isUp() && !host.isDraining(); // the list may say so already
+    boolean availableAgain = host.isUp() && !host.isDraining(); // may be published already
     if (!availableAgain && !discovery.mayBeDelayed() && hosts.get(host.id()) == host) {
       gateways.forEachAlive(
           gateway ->
@@ -169,7 +170,9 @@
     }
   }
 
-  /** Its process ends, and starts again after a while unless the host was replaced. */
+  /**
+   * Ends the process of a host, and restarts it after {@code downMicros} unless it was replaced.
+   */
   void kill(Host host, long downMicros) {
     if (!host.isUp()) {
       return;
@@ -194,7 +197,7 @@
     publishUnavailable(host, REMOVED, context.scenario().listDelay());
   }
 
-  /** A planned replacement: it drains, ends, and a new host with another id takes its place. */
+  /** Replaces a host as planned: drains it, ends it, and adds a new host with another id. */
   void drain(Host host, long extraMicros) {
     if (!host.isUp() || host.isDraining()) {
       return;
--- a/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
+++ b/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
@@ -10,8 +10,8 @@
 import shelffront.pg.Message;
 
 /**
- * A client that does not keep to the protocol: anything at any place, cut anywhere; it may also
- * just stay.
+ * A client that violates the protocol. Depending on a random draw it sends random bytes, truncated
+ * or corrupted messages, or nothing, and disconnects within 1.5 s.
  */
 final class MisbehavingClientHandler extends ConnectionHandler {
 
@@ -34,13 +34,13 @@
         send(startup);
         send(cut(query, random));
       }
-      case 4 -> { // a length that does not fit
+      case 4 -> { // a flipped bit in the message length
         send(startup);
         byte[] wrong = query.clone();
         wrong[1 + random.nextInt(4)] ^= (byte) (1 << random.nextInt(8));
         send(wrong);
       }
-      case 5 -> { // a byte somewhere
+      case 5 -> { // one corrupted byte at a random position
         send(startup);
         byte[] wrong = query.clone();
         wrong[random.nextInt(wrong.length)] ^= (byte) (1 + random.nextInt(255));
--- a/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -19,19 +19,21 @@
 import shelffront.routing.SafetyRules;
 
 /**
- * What the protocol leaves to a deployment: how positions and roles are told, how the list comes,
- * what is permitted. What gateways are told at their start, and what boxes, clients and the list
- * then do, follow from the same value.
+ * The properties that the protocol leaves to a deployment: how positions and roles are reported,
+ * how the endpoint list is distributed, and what is permitted. The settings of the gateways and the
+ * behaviour of hosts, clients and discovery derive from the same value.
  *
- * @param onceWrites whether there is a class of writes that must never run twice
- * @param carried whether clients carry the position of their session's last write, and roam with it
- * @param pushed whether the list is pushed: what its agent holds counts as told
- * @param reports where boxes report on themselves
- * @param stamped whether every answer tells the position
- * @param listRole what the list says of roles
- * @param copies whether a read may have two attempts out
- * @param retryAfter whether clients may be told when to come back
- * @param probePrice what a probe for each request costs
+ * @param onceWrites whether there is a class of non-idempotent writes
+ * @param carried whether clients carry the session position, and may move to another gateway with
+ *     it
+ * @param pushed whether the endpoint list is pushed to an agent; an update that the agent holds
+ *     counts as received by the gateway
+ * @param reports how hosts send load reports
+ * @param stamped whether each response carries the position of the host
+ * @param listRole which roles the endpoint list contains
+ * @param copies whether a read may be hedged with a second attempt
+ * @param retryAfter whether rejections may carry Retry-After
+ * @param probePrice cost of one health check per request
  */
 public record RandomDeployment(
     boolean onceWrites,
@@ -47,8 +49,8 @@
   private static final long MICROS_PER_MILLI = 1000;
 
   /**
-   * Marks remembered by the gateway, a list that is asked for and names roles late, reports in
-   * probes alone.
+   * A deployment whose gateways remember session positions and poll an endpoint list with delayed
+   * roles, and whose hosts send load reports in health checks only.
    */
   public static RandomDeployment plain(boolean onceWrites) {
     return new RandomDeployment(
@@ -64,8 +66,8 @@
   }
 
   /**
-   * Marks carried, a pushed list with the first roles, reports in every answer, copies, no word
-   * when to come back.
+   * A deployment whose clients carry session positions, with a pushed endpoint list that contains
+   * the initial roles, load reports in each response, hedged requests, and no Retry-After.
    */
   public static RandomDeployment carrying(boolean onceWrites) {
     return new RandomDeployment(
@@ -80,7 +82,7 @@
         0.07);
   }
 
-  /** Any that the protocol permits, each setting by itself. */
+  /** Draws each property independently from the combinations that the protocol permits. */
   static RandomDeployment draw(UniformRandomProvider random, boolean onceWrites) {
     boolean stamped = random.nextBoolean();
     LoadReportSource reports =
@@ -167,7 +169,7 @@
         bound);
   }
 
-  /** What one of so many modules is told. */
+  /** Returns the settings of the decision module with index {@code self} of {@code modules}. */
   RoutingSettings settings(int self, int modules, ReplicaSetParameters parameters) {
     LagCheck check =
         switch (parameters.check()) {
--- a/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
@@ -8,7 +8,7 @@
 import shelffront.lab.model.ReplicaSetModel.Host;
 import shelffront.lab.model.ReplicaSetModel.Query;
 
-/** Tells the checker, the trace and discovery what truly happened in the replica sets. */
+/** Reports the events of the replica sets to the checker, the trace and discovery. */
 final class ReplicaSetObserver implements ReplicaSetModel.Observer {
 
   private final SimulationContext context;
@@ -59,7 +59,10 @@
   public void overloaded(Host host) {
     context
         .checker()
-        .violated(context.nowMicros(), Rule.COLD, host.id() + " got more than a cold box can bear");
+        .violated(
+            context.nowMicros(),
+            Rule.COLD,
+            host.id() + " received more work than its limit permits during warm-up");
   }
 
   @Override
--- a/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
@@ -8,8 +8,8 @@
 import shelffront.routing.RequestClass;
 
 /**
- * Records what became of the clients' requests, by class and by window of the run, and passes it on
- * to the checker and the trace.
+ * Records the outcomes of the clients' requests by request class and by time window, and reports
+ * them to the checker and the trace.
  */
 final class RequestRecorder {
 
@@ -18,7 +18,7 @@
   private static final String CAPACITY_EXCEEDED = "53300";
   private static final String SHUTTING_DOWN = "57P03";
 
-  /** How a request ended. */
+  /** The outcome of a request with a response. */
   private enum Ending {
     ON_TIME,
     LATE,
@@ -26,7 +26,7 @@
     FAILED
   }
 
-  /** Counts of one class. */
+  /** The outcomes of one request class. */
   private static final class ClassCounts {
 
     private long asked;
@@ -66,7 +66,7 @@
     servedValue = new double[requestedValue.length];
   }
 
-  /** Load begins now; windows count from here. */
+  /** Marks the start of the load, from which the windows are counted. */
   void start() {
     startedAtMicros = context.nowMicros();
   }
@@ -75,7 +75,7 @@
     return counts.computeIfAbsent(requestClass.name(), name -> new ClassCounts());
   }
 
-  /** A client has sent a request, after so many earlier tries of its own. */
+  /** Records a sent request; {@code earlierTries} counts towards the retry limit of the client. */
   void sent(CheckedRequest request, int earlierTries) {
     requests++;
     requestedValue[window(request)] += request.requestClass.priorityWeight();
@@ -89,18 +89,18 @@
     context.trace().record("ask", request.id, request.requestClass.name());
   }
 
-  /** A request was due and its client had no connection: it counts as sent and unanswered. */
+  /** Records a due request that had no available connection; it counts as unanswered. */
   void notSent(RequestClass requestClass) {
     countsOf(requestClass).asked++;
     countsOf(requestClass).unanswered++;
   }
 
-  /** How often a client had tried before it sent this request. */
+  /** Returns the earlier tries that count towards the retry limit of a request. */
   int earlierTries(CheckedRequest request) {
     return retries.getOrDefault(request.id, 0);
   }
 
-  /** An answer has come: a value, or the code of an error. */
+  /** Records a response: either a value or the SQLSTATE of an error; the other one is null. */
   void answered(CheckedRequest request, String value, String code) {
     long now = context.nowMicros();
     context.trace().record("answered", request.id, String.valueOf(value), String.valueOf(code));
@@ -130,26 +130,28 @@
     return (int) Math.min(servedValue.length - 1, elapsedMicros / FleetSimulation.WINDOW_MICROS);
   }
 
-  /** The client has waited its time out. */
+  /** Records that a client timed out without a response. */
   void unanswered(CheckedRequest request, String how) {
     context.trace().record("unanswered", request.id, how);
     countsOf(request.requestClass).unanswered++;
     context.checker().unanswered(request, context.nowMicros(), how);
   }
 
-  /** A connection has ended with a request open. */
+  /** Records that a connection ended while a request was open. */
   void connectionLost(CheckedRequest request, boolean reset) {
     context.trace().record("lost", request.id, String.valueOf(reset));
     countsOf(request.requestClass).unanswered++;
     if (gateways.get(request.gateway).isKilled() || request.hasNoAttempt()) {
-      // A connection that the gateway ended between requests may cross the next one, which then
-      // was sent nowhere.
+      // The gateway may close an idle connection while the next request is on its way to it; such
+      // a request is sent to no host.
       context.checker().excuse(request);
     }
-    context.checker().unanswered(request, context.nowMicros(), "lost its connection");
+    context
+        .checker()
+        .unanswered(request, context.nowMicros(), "had no response when its connection ended");
   }
 
-  /** What the run came to, as of now. */
+  /** Returns the result of the run up to now. */
   FleetSimulation.Result result() {
     Map<String, FleetSimulation.Worth> byClass = new TreeMap<>();
     double served = 0;
--- a/lab/src/main/java/shelffront/lab/simulation/Scenario.java
+++ b/lab/src/main/java/shelffront/lab/simulation/Scenario.java
@@ -9,8 +9,18 @@
 import shelffront.lab.virtual.VirtualNetwork.Weather;
 
 /**
- * A run of the virtual fleet: everything in it follows from this. Drawn from a seed, and cut down
- * to find the least of it that still fails. Times are microseconds from the start.
+ * The complete description of a simulation run, which is fully determined by it. Scenarios are
+ * drawn from a seed, and {@link ScenarioShrinker} reduces those that fail. Times are microseconds
+ * from the start of the load.
+ *
+ * @param seed seed of all random numbers of the run
+ * @param sets number of replica sets
+ * @param boxes number of hosts of each replica set
+ * @param perSecond request rate of all gateways together
+ * @param length duration of the load
+ * @param figures parameters of the replica sets
+ * @param weather latency, jitter and fragmentation of the network
+ * @param listDelay delay of endpoint list updates
  */
 public record Scenario(
     long seed,
@@ -26,7 +36,7 @@
     Means means,
     List<Fault> faults) {
 
-  /** What goes wrong. */
+  /** The kinds of injected faults. The names are part of the event trace. */
   public enum FaultKind {
     KILL_BOX,
     KILL_PRIMARY,
@@ -55,7 +65,13 @@
     DRAIN_BY_TENANT
   }
 
-  /** One fault: when, what, which one of those there are, and for how long. */
+  /**
+   * One fault.
+   *
+   * @param at time of the fault after the start of the load, in microseconds
+   * @param target number that selects the affected host, gateway or client population
+   * @param time duration of the fault, in microseconds
+   */
   public record Fault(long at, FaultKind kind, int target, long time) {
 
     @Override
@@ -66,15 +82,16 @@
   }
 
   /**
-   * What a gateway's process has and costs.
+   * The resources and costs of a gateway process.
    *
-   * @param sockets descriptors
-   * @param work microseconds of its one core for each request, attempt, probe, connection and list
-   * @param pauses a second, of 5 to 60 ms each, as of a collector
-   * @param tenants of a hosted gateway; 0 for the single one of a platform's file
-   * @param loops event loops of a hosted gateway
-   * @param connections that its clients open at most to ask what is due; without one a request is
-   *     not asked
+   * @param sockets maximum number of open sockets
+   * @param work core time of each request, attempt, health check, connection and endpoint update,
+   *     in microseconds
+   * @param pauses pauses per second, of 5 to 60 ms each, such as garbage collections
+   * @param tenants number of tenants of a multi-tenant gateway; 0 for a single-tenant gateway
+   * @param loops event loops of a multi-tenant gateway
+   * @param connections maximum number of connections of its clients for due requests; a request for
+   *     which no connection is available is not sent
    */
   public record Means(
       int sockets, long work, double pauses, int tenants, int loops, int connections) {
@@ -83,7 +100,7 @@
 
     public static final Means PLAIN = new Means(1024, 0, 0, 0, 1, CONNECTIONS);
 
-    /** A hosted gateway. */
+    /** Returns the resources of a multi-tenant gateway. */
     public static Means hosted(int tenants, int loops) {
       return new Means(2048, 0, 0, tenants, loops, CONNECTIONS);
     }
@@ -91,7 +108,7 @@
 
   private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** By a seed alone; the rate is that of all gateways together. */
+  /** Draws a scenario that depends only on {@code seed}. */
   public static Scenario draw(long seed) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     int gateways = 1 + random.nextInt(4);
@@ -128,8 +145,8 @@
             100 + random.nextInt(900),
             random.nextInt(2_000),
             random.nextInt(3) == 0 ? 0 : random.nextDouble() / 2);
-    // Half the boxes' capacity at the most on most days: a replica serves reads, the primary writes
-    // too.
+    // In most scenarios the load is at most half the capacity of the hosts, because replicas serve
+    // only reads and the primary serves all writes.
     double perSecond = load * sets * boxes * cores * 1e6 / (work * 1.4);
     List<Fault> faults = new ArrayList<>();
     int count = random.nextInt(9);
@@ -183,14 +200,14 @@
         List.copyOf(next));
   }
 
-  /** The same day on another deployment. */
+  /** Returns the same scenario with another deployment. */
   public Scenario withDeployment(RandomDeployment other) {
     return new Scenario(
         seed, gateways, sets, boxes, perSecond, length, figures, weather, listDelay, other, means,
         faults);
   }
 
-  /** The same day by another seed. */
+  /** Returns the same scenario with another seed. */
   public Scenario withSeed(long other) {
     return new Scenario(
         other,
--- a/lab/src/main/java/shelffront/lab/simulation/ScenarioShrinker.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ScenarioShrinker.java
@@ -6,13 +6,19 @@
 import java.util.function.Predicate;
 import shelffront.lab.simulation.Scenario.Fault;
 
-/** Finds the least of a scenario that still fails: fewer faults, a shorter run, fewer requests. */
+/** Reduces a failing scenario: fewer faults, a shorter run, a lower request rate. */
 public final class ScenarioShrinker {
 
-  /** What of a seed's scenario is played; all of it at first. */
+  /**
+   * A reduction of the scenario of a seed.
+   *
+   * @param faults indexes of the kept faults
+   * @param rate factor for the request rate
+   * @param length maximum length of the run, in microseconds
+   */
   public record Cut(List<Integer> faults, double rate, long length) {
 
-    /** The scenario of a seed, cut down. */
+    /** Returns the reduced scenario of a seed. */
     public Scenario of(long seed) {
       Scenario whole = Scenario.draw(seed);
       List<Fault> kept = new ArrayList<>();
@@ -20,7 +26,7 @@
       return whole.withFaults(kept).shortened(rate, length);
     }
 
-    /** The command that plays it. */
+    /** Returns the command line that runs the reduced scenario. */
     public String command(long seed) {
       return String.format(
           Locale.ROOT,
@@ -39,7 +45,7 @@
 
   private ScenarioShrinker() {}
 
-  /** All of a seed's scenario. */
+  /** Returns the reduction that keeps the complete scenario of a seed. */
   public static Cut whole(long seed) {
     Scenario whole = Scenario.draw(seed);
     List<Integer> all = new ArrayList<>();
@@ -49,7 +55,10 @@
     return new Cut(List.copyOf(all), 1, whole.length());
   }
 
-  /** Cuts as long as it goes on failing, within so many plays; what it is given must fail. */
+  /**
+   * Reduces a failing scenario while it still fails, with a bounded number of runs. The complete
+   * scenario must fail.
+   */
   public static Cut shrink(long seed, Predicate<Scenario> fails) {
     Cut best = whole(seed);
     int plays = 0;
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedDiscovery.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedDiscovery.java
@@ -7,7 +7,7 @@
 import shelffront.config.MalformedInputException;
 import shelffront.lab.emulator.DiscoveryEmulator;
 
-/** The fleet's endpoint list at its two addresses, and how long updates may be delayed. */
+/** The discovery service of a simulation, at two addresses, with the delay of pushed updates. */
 final class SimulatedDiscovery {
 
   /** After this time a pushed update has reached the agents of all gateways. */
@@ -18,7 +18,7 @@
   private final InetSocketAddress secondAddress;
   private long delayedUntilMicros;
 
-  /** Listens at two new addresses; each update sent to a gateway is told to the listener. */
+  /** Listens at two new addresses; {@code listener} is notified of each update that is sent. */
   SimulatedDiscovery(SimulationContext context, DiscoveryEmulator.UpdateListener listener) {
     this.context = context;
     InetSocketAddress firstAddress = context.network().newAddress();
@@ -31,7 +31,12 @@
               listener);
       emulator.listen(secondAddress);
     } catch (IOException e) {
-      throw new IllegalStateException("the virtual network takes every listener", e);
+      throw new IllegalStateException(
+          "discovery failed to listen on the virtual network at "
+              + firstAddress
+              + " or "
+              + secondAddress,
+          e);
     }
   }
 
@@ -39,7 +44,7 @@
     return emulator.address();
   }
 
-  /** The one of the two addresses that this is not. */
+  /** Returns the other one of the two addresses. */
   InetSocketAddress alternative(InetSocketAddress current) {
     return current.equals(emulator.address()) ? secondAddress : emulator.address();
   }
@@ -52,7 +57,7 @@
     emulator.breakWatches();
   }
 
-  /** Discovery is away for a while; the agents that hold a pushed list may lack its updates. */
+  /** Takes discovery down for {@code durationMicros}; agents may miss pushed updates meanwhile. */
   void takeDown(long durationMicros) {
     emulator.setDown(true);
     delayedUntilMicros =
@@ -60,17 +65,17 @@
     context.scheduler().after(durationMicros, () -> emulator.setDown(false));
   }
 
-  /** Whether pushed updates may be missing at the agents because discovery was away. */
+  /** Whether agents may lack pushed updates because discovery was down. */
   boolean mayBeDelayed() {
     return context.nowMicros() <= delayedUntilMicros;
   }
 
-  /** The whole list as of now: what an administrator copies from it when setting a tenant. */
+  /** Returns the complete current endpoint list, as an administrator copies it into a tenant. */
   EndpointList currentList() {
     try {
       return EndpointList.read(JsonReader.parseObject(emulator.currentList().toString()));
     } catch (MalformedInputException e) {
-      throw new IllegalStateException("discovery gives what the gateway can't read", e);
+      throw new IllegalStateException("the gateway cannot parse the endpoint list of discovery", e);
     }
   }
 }
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
@@ -26,9 +26,9 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * One gateway process: the program's own classes on channels in memory, with one core, a clock that
- * may be off, and pauses. A process that was killed or has stopped is never started again; {@link
- * GatewayFleet} puts another in its place.
+ * One gateway process: the production classes on in-memory channels, with one core, a clock that
+ * may be skewed, and pauses. A process that was killed or has stopped never restarts; {@link
+ * GatewayFleet} replaces it with a new one.
  */
 final class SimulatedGateway {
 
@@ -39,7 +39,7 @@
   private static final int TENANT_CONNECTIONS = 1_000;
   private static final long TENANT_GRACE_MICROS = 1_000_000;
 
-  /** What costs a gateway CPU time, the same amount each. */
+  /** Events that each cost a gateway the same amount of CPU time. */
   private static final Set<Counters.Name> COSTLY_EVENTS =
       EnumSet.of(
           Counters.Name.REQUESTS_TAKEN,
@@ -55,8 +55,8 @@
   private final SimulatedMachine machine;
   private final VirtualChannels channels;
   private final List<Network> networks;
-  private final Gateway gateway; // null where it is multi-tenant
-  private final MultiTenantGateway multiTenantGateway; // or null
+  private final Gateway gateway; // null if the gateway is multi-tenant
+  private final MultiTenantGateway multiTenantGateway; // null if the gateway is single-tenant
   private GatewayConfig config;
   private long chargedEvents;
   private long clockSkewMicros;
@@ -97,7 +97,8 @@
         loop.post(gateway::start);
       }
     } catch (IOException | SpecException e) {
-      throw new IllegalStateException("the virtual network takes every listener", e);
+      throw new IllegalStateException(
+          "gateway " + index + " failed to start on the virtual network at " + listenAddress, e);
     }
   }
 
@@ -177,7 +178,7 @@
     return killed;
   }
 
-  /** Whether it was neither killed nor told to stop. */
+  /** Whether the process was neither killed nor sent a SIGTERM. */
   boolean isRunning() {
     return !killed && !stopping;
   }
@@ -190,12 +191,12 @@
     return networks.stream().allMatch(network -> network.loop().isStopped());
   }
 
-  /** Whether clients still open connections to it. */
+  /** Whether clients still open connections to this gateway. */
   boolean acceptsConnections() {
     return !stopping || context.nowMicros() < acceptsUntilMicros;
   }
 
-  /** Its process ends at once; its connections are reset. */
+  /** Ends the process at once. The caller resets its connections. */
   void kill() {
     killed = true;
   }
@@ -204,7 +205,7 @@
     machine.resetAll();
   }
 
-  /** SIGTERM; clients go on opening connections until a time. */
+  /** Sends SIGTERM; clients keep opening connections until {@code clientsConnectUntilMicros}. */
   void stop(long clientsConnectUntilMicros) {
     stopping = true;
     acceptsUntilMicros = clientsConnectUntilMicros;
@@ -215,12 +216,12 @@
     }
   }
 
-  /** Does nothing for so long from now on, whatever pause it was in. */
+  /** Pauses the process for {@code durationMicros} from now, replacing any current pause. */
   void pauseFor(long durationMicros) {
     pausedUntilMicros = context.nowMicros() + durationMicros;
   }
 
-  /** Does nothing for so much longer; returns how long it is paused from now on. */
+  /** Extends the current pause by {@code durationMicros}; returns its remaining duration. */
   long extendPause(long durationMicros) {
     pausedUntilMicros = Math.max(pausedUntilMicros, context.nowMicros()) + durationMicros;
     return pausedUntilMicros - context.nowMicros();
@@ -230,7 +231,7 @@
     clockSkewMicros += stepMicros;
   }
 
-  /** SIGHUP with a file that names discovery's other address; only for a single tenant. */
+  /** Sends SIGHUP with the alternative discovery address configured; single-tenant only. */
   void reload() {
     config =
         new GatewayConfig(
@@ -253,7 +254,7 @@
     multiTenantGateway.remove(tenantName(tenant), removedAt -> onRemoved.run());
   }
 
-  /** When it has something to do next, in virtual time. */
+  /** Returns the virtual time of the next due turn; {@link Long#MAX_VALUE} if there is none. */
   long nextTurnMicros() {
     if (killed) {
       return Long.MAX_VALUE;
@@ -276,7 +277,7 @@
     return deadline == Long.MAX_VALUE ? deadline : deadline - clockSkewMicros;
   }
 
-  /** A turn of each loop that has something to do, and the time that it takes the one core. */
+  /** Runs one turn of each due event loop and charges its CPU time to the single core. */
   void runTurn() {
     for (Network network : networks) {
       if (dueMicros(network.loop()) <= context.nowMicros()) {
@@ -296,10 +297,10 @@
     return networks.stream().mapToLong(network -> network.counters().get(name)).sum();
   }
 
-  /** Checks that it had no fault and, unless it was killed, has stopped and released everything. */
+  /** Checks that no fault was counted and, unless killed, that all resources were released. */
   void checkReleased() {
     if (count(Counters.Name.FAULTS) > 0) {
-      violated(Rule.NO_FAULT, "gateway " + index + " had a fault");
+      violated(Rule.NO_FAULT, "gateway " + index + " counted a fault in an event loop");
     }
     if (killed) {
       return;
@@ -311,7 +312,7 @@
           Rule.NOTHING_LEFT,
           String.format(
               Locale.ROOT,
-              "gateway %d%s: %d channels, %d bytes held",
+              "gateway %d%s: %d channels open, %d buffer bytes held, expected none",
               index,
               stopped,
               channels.openCount(),
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
@@ -20,8 +20,8 @@
 import shelffront.routing.RequestClass;
 
 /**
- * What emulated hosts find in a simulation: the classes of requests, the faults of their answers,
- * and the checker, which is told of each attempt.
+ * The environment of emulated hosts in a simulation: provides request classes and response faults,
+ * and reports each attempt to the invariant checker.
  */
 final class SimulatedHostEnvironment implements HostEnvironment {
 
@@ -42,17 +42,17 @@
     this.announcements = announcements;
   }
 
-  /** From now on some answers of a host are malformed, for a while. */
+  /** Makes one in four responses of a host malformed for {@code durationMicros}. */
   void corruptAnswers(Host host, long durationMicros) {
     corruptUntilMicros.put(host.id(), context.nowMicros() + durationMicros);
   }
 
-  /** From now on requests may come of clients that the checker does not know. */
+  /** From now on, requests of clients unknown to the checker are no violation. */
   void expectUnknownClients() {
     unknownClients = true;
   }
 
-  /** The attempt of a request that arrived last; null where none is known. */
+  /** Returns the attempt of a request that arrived last, or null if there is none. */
   Attempt lastAttempt(String requestId) {
     return lastAttempts.get(requestId);
   }
@@ -83,7 +83,7 @@
   @Override
   public Consumer<Answer> attemptArrived(Host host, TransportConnection from, Query query) {
     if (unknownClients && context.checker().gatewayOf(query.id()) < 0) {
-      return answer -> {}; // of a client that does not keep to the protocol
+      return answer -> {}; // sent by a misbehaving client
     }
     SimulatedSocket gateway = ((SimulatedSocket) from).peer();
     Attempt attempt =
@@ -139,7 +139,9 @@
     context
         .checker()
         .violated(
-            context.nowMicros(), Rule.RIGHT_VALUE, "to " + host.id() + ": " + why.getMessage());
+            context.nowMicros(),
+            Rule.RIGHT_VALUE,
+            "malformed request to " + host.id() + ": " + why.getMessage());
   }
 
   @Override
--- a/lab/src/main/java/shelffront/lab/simulation/SimulationContext.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulationContext.java
@@ -10,9 +10,9 @@
 import shelffront.routing.RequestClass;
 
 /**
- * What all parts of one simulation share: its scenario, its source of random numbers, virtual time
- * and network, the checker and the trace. One thread. The order in which the parts draw random
- * numbers is part of the run: a draw that moves changes every draw after it.
+ * The state shared by all parts of one simulation: scenario, random source, virtual time and
+ * network, checker and trace. Single-threaded. The order in which the parts draw random numbers is
+ * part of the run: moving a draw changes all draws after it.
  */
 record SimulationContext(
     Scenario scenario,
@@ -23,7 +23,7 @@
     InvariantChecker checker,
     EventTrace trace) {
 
-  /** Unix microseconds at the start: any time, but the same in each run. */
+  /** Start time in Unix microseconds; arbitrary, but the same in each run. */
   static final long START_MICROS = 1_800_000_000_000_000L;
 
   private static final int SEED_FACTOR = 31;
@@ -44,7 +44,7 @@
         new EventTrace(scheduler, START_MICROS, traceListener));
   }
 
-  /** A source of its own for one part, so that its draws do not change those of others. */
+  /** Creates an independent random source, whose draws do not affect those of other parts. */
   UniformRandomProvider fork() {
     return fork(random);
   }
