--- a/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSimulationTest.java
@@ -18,14 +18,14 @@
 import shelffront.lab.virtual.VirtualNetwork.Weather;
 
 /**
- * The virtual fleet: the same run each time, every rule kept on a fixed set of seeds, failures cut
- * down.
+ * Tests that simulation runs are reproducible, that the gateway keeps all invariants on a fixed set
+ * of seeds and in selected scenarios, and that failing scenarios are reduced.
  */
 class FleetSimulationTest {
 
   private static final long SECOND = 1_000_000;
 
-  /** Hashes of everything that happened, of a few seeds: printed by {@link #main}, and compared. */
+  /** Returns the event trace hashes of a few seeds; {@link #main} prints them for comparison. */
   private static List<String> hashes() {
     return LongStream.of(3, 11, 25, 66)
         .mapToObj(
@@ -40,7 +40,7 @@
   @Test
   void repeatsRunOfSeedInAnotherProcess() throws Exception {
     List<String> here = hashes();
-    assertEquals(here, hashes(), "in one process");
+    assertEquals(here, hashes(), "second run in the same process");
     Process child =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -51,12 +51,12 @@
             .start();
     String printed = new String(child.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(child.waitFor(60, TimeUnit.SECONDS));
-    assertEquals(String.join("\n", here), printed.strip(), "in another process");
+    assertEquals(String.join("\n", here), printed.strip(), "run in another process");
     assertNotEquals(
         here.get(0), FleetSimulation.run(Scenario.draw(3).shortened(0.5, 3 * SECOND)).hash());
   }
 
-  /** Among them each that has shown a fault of the gateway or of the lab, and what it was. */
+  /** The seeds include all that have revealed a defect of the gateway or of the lab. */
   @Test
   void keepsEveryRuleOnFixedSeeds() {
     LongStream.rangeClosed(1, 60)
@@ -70,7 +70,8 @@
   }
 
   /**
-   * A fault that one of five faults of the day brings out is cut down to that one and a short run.
+   * If only one of at least five faults causes a failure, the scenario is reduced to this fault and
+   * a short run.
    */
   @Test
   void shrinksFailingSeed() {
@@ -97,7 +98,7 @@
     assertTrue(cut.command(seed).contains("replay " + seed + " --faults " + cut.faults().get(0)));
   }
 
-  private static Scenario day(
+  private static Scenario scenario(
       int gateways,
       double perSecond,
       ReplicaSetParameters.Check check,
@@ -139,25 +140,27 @@
         List.of(faults));
   }
 
-  /** Three gateways, eight boxes and 1,500 requests a second, many at once when a crowd comes. */
+  /** Three gateways, eight hosts and 1,500 requests per second, without faults. */
   @Test
-  void servesEverythingOnQuietDay() {
+  void servesNearlyAllValueWithoutFaults() {
     FleetSimulation.Result result =
-        FleetSimulation.run(day(3, 1500, ReplicaSetParameters.Check.WAIT, false));
+        FleetSimulation.run(scenario(3, 1500, ReplicaSetParameters.Check.WAIT, false));
     assertEquals(List.of(), result.violations());
     assertTrue(result.requests() > 10_000, "requests " + result.requests());
-    assertTrue(result.servedValueFraction() > 0.99, "worth kept " + result.servedValueFraction());
+    assertTrue(
+        result.servedValueFraction() > 0.99,
+        "served value fraction " + result.servedValueFraction());
   }
 
   /**
-   * A replica is promoted without the end of the log; what was lost is the set's loss, and told as
-   * no one's.
+   * The promotion of a replica discards log entries that it has not received. The lost writes are
+   * attributed to the replica set and are no violation by the gateway.
    */
   @Test
   void keepsRulesWhenPrimaryLosesItsLogTail() {
     FleetSimulation.Result result =
         FleetSimulation.run(
-            day(
+            scenario(
                 2,
                 800,
                 ReplicaSetParameters.Check.SILENT,
@@ -167,12 +170,12 @@
     assertEquals(List.of(), result.violations());
   }
 
-  /** A clock that steps 20 ms either way under load, twice. */
+  /** The clocks of the gateways step by 20 ms under load: twice back and once forward. */
   @Test
   void keepsRulesWhenClocksStep() {
     FleetSimulation.Result result =
         FleetSimulation.run(
-            day(
+            scenario(
                 2,
                 800,
                 ReplicaSetParameters.Check.WAIT,
@@ -181,12 +184,14 @@
                 new Fault(3 * SECOND, FaultKind.STEP_CLOCK, 1, SECOND),
                 new Fault(4 * SECOND, FaultKind.STEP_CLOCK, 2, SECOND)));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.servedValueFraction() > 0.9, "worth kept " + result.servedValueFraction());
+    assertTrue(
+        result.servedValueFraction() > 0.9,
+        "served value fraction " + result.servedValueFraction());
   }
 
   /**
-   * Four gateways, each by itself, before a box that starts cold: together they do not push it
-   * over.
+   * Four gateways without coordination send requests to a host that warms up. Together they must
+   * not overload it.
    */
   @Test
   void doesNotOverloadWarmingHostFromIndependentGateways() {
@@ -211,7 +216,7 @@
             1.5,
             2 * SECOND,
             false);
-    Scenario day =
+    Scenario scenario =
         new Scenario(
             8,
             4,
@@ -227,14 +232,16 @@
             List.of(
                 new Fault(2 * SECOND, FaultKind.KILL_BOX, 1, SECOND / 4),
                 new Fault(6 * SECOND, FaultKind.KILL_BOX, 2, SECOND / 4)));
-    FleetSimulation.Result result = FleetSimulation.run(day);
+    FleetSimulation.Result result = FleetSimulation.run(scenario);
     assertEquals(List.of(), result.violations());
-    assertTrue(result.servedValueFraction() > 0.8, "worth kept " + result.servedValueFraction());
+    assertTrue(
+        result.servedValueFraction() > 0.8,
+        "served value fraction " + result.servedValueFraction());
   }
 
   /**
-   * Eight crowds come at once, each with more than its gateway has connections open: over a
-   * thousand together.
+   * Bursts hit eight gateways at the same time, each with up to 150 client connections: over a
+   * thousand connections in total.
    */
   @Test
   void keepsRulesWithThousandConnectionsAtOnce() {
@@ -243,14 +250,14 @@
       bursts[i] = new Fault(2 * SECOND, FaultKind.BURST, i, SECOND);
     }
     FleetSimulation.Result result =
-        FleetSimulation.run(day(8, 2500, ReplicaSetParameters.Check.REFUSE, false, bursts));
+        FleetSimulation.run(scenario(8, 2500, ReplicaSetParameters.Check.REFUSE, false, bursts));
     assertEquals(List.of(), result.violations());
     assertTrue(result.requests() > 20_000, "requests " + result.requests());
   }
 
   /**
-   * The answer to a write is lost after it took effect: told failed or served by a repeat, never
-   * twice done.
+   * Responses to writes are lost after the writes took effect. Such a write either fails or is
+   * served by a retry within its deduplication window, but never takes effect twice.
    */
   @Test
   void doesNotRepeatWriteWhoseAnswerIsLost() {
@@ -264,30 +271,32 @@
               SECOND / 2);
     }
     FleetSimulation.Result result =
-        FleetSimulation.run(day(2, 1000, ReplicaSetParameters.Check.WAIT, false, resets));
+        FleetSimulation.run(scenario(2, 1000, ReplicaSetParameters.Check.WAIT, false, resets));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.byClass().get("once-write").failed() > 0, "no write's answer was lost");
+    assertTrue(
+        result.byClass().get("once-write").failed() > 0,
+        "no response to a non-idempotent write was lost");
   }
 
   /**
-   * A connection that ended while it was accepted stayed in the books for ever, and the gateway
-   * never stopped.
+   * Guards against connections that end while they are accepted and stay registered: the gateway
+   * then never stops.
    */
   @Test
   void releasesEverythingOfMisbehavingClients() {
-    Fault[] rude = new Fault[40];
-    for (int i = 0; i < rude.length; i++) {
-      rude[i] = new Fault(SECOND + i * SECOND / 8, FaultKind.GARBAGE, i, SECOND);
+    Fault[] misbehaving = new Fault[40];
+    for (int i = 0; i < misbehaving.length; i++) {
+      misbehaving[i] = new Fault(SECOND + i * SECOND / 8, FaultKind.GARBAGE, i, SECOND);
     }
     assertEquals(
         List.of(),
-        FleetSimulation.run(day(2, 400, ReplicaSetParameters.Check.WAIT, false, rude))
+        FleetSimulation.run(scenario(2, 400, ReplicaSetParameters.Check.WAIT, false, misbehaving))
             .violations());
   }
 
   /**
-   * Five thousand that connect and say nothing, on gateways that take a fraction: the others are
-   * still served.
+   * About five thousand clients connect and stay idle, on gateways that accept only part of them.
+   * The other clients are still served.
    */
   @Test
   void keepsRulesWithFiveThousandIdleConnections() {
@@ -296,12 +305,14 @@
       crowds[i] = new Fault(2 * SECOND, FaultKind.IDLE_CROWD, i, SECOND);
     }
     FleetSimulation.Result result =
-        FleetSimulation.run(day(5, 1000, ReplicaSetParameters.Check.REFUSE, false, crowds));
+        FleetSimulation.run(scenario(5, 1000, ReplicaSetParameters.Check.REFUSE, false, crowds));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.servedValueFraction() > 0.9, "worth kept " + result.servedValueFraction());
+    assertTrue(
+        result.servedValueFraction() > 0.9,
+        "served value fraction " + result.servedValueFraction());
   }
 
-  /** SIGHUP with another address of discovery, again and again, under load and broken watches. */
+  /** Repeated SIGHUPs change the discovery address under load, with broken watches in between. */
   @Test
   void keepsRulesWhenReloadedUnderLoad() {
     Fault[] reloads = new Fault[30];
@@ -314,13 +325,15 @@
               SECOND);
     }
     FleetSimulation.Result result =
-        FleetSimulation.run(day(2, 600, ReplicaSetParameters.Check.WAIT, false, reloads));
+        FleetSimulation.run(scenario(2, 600, ReplicaSetParameters.Check.WAIT, false, reloads));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.servedValueFraction() > 0.95, "worth kept " + result.servedValueFraction());
+    assertTrue(
+        result.servedValueFraction() > 0.95,
+        "served value fraction " + result.servedValueFraction());
   }
 
-  private static Scenario hosted(int loops, Fault... faults) {
-    Scenario scenario = day(2, 400, ReplicaSetParameters.Check.WAIT, false, faults);
+  private static Scenario multiTenant(int loops, Fault... faults) {
+    Scenario scenario = scenario(2, 400, ReplicaSetParameters.Check.WAIT, false, faults);
     return new Scenario(
         scenario.seed(),
         scenario.gateways(),
@@ -337,24 +350,26 @@
   }
 
   /**
-   * Idle clients on other loops kept a gateway from stopping: they were told to go only once they
-   * had gone.
+   * Guards against a drain that asks idle clients on other event loops to disconnect only after
+   * they have disconnected: the gateway then never stops.
    */
   @Test
   void stopsMultiTenantGatewayWithIdleClientsOnEveryLoop() {
     FleetSimulation.Result result =
         FleetSimulation.run(
-            hosted(
+            multiTenant(
                 3,
                 new Fault(2 * SECOND, FaultKind.STOP_GATEWAY, 0, SECOND),
                 new Fault(5 * SECOND, FaultKind.STOP_GATEWAY, 1, SECOND)));
     assertEquals(List.of(), result.violations());
-    assertTrue(result.servedValueFraction() > 0.95, "worth kept " + result.servedValueFraction());
+    assertTrue(
+        result.servedValueFraction() > 0.95,
+        "served value fraction " + result.servedValueFraction());
   }
 
   /**
-   * Tenants removed and made anew, their weight and boxes changed, under load, kills and bad
-   * clients.
+   * Tenants are removed and created again, and their weights and drained hosts change, under load,
+   * with killed hosts and misbehaving clients.
    */
   @Test
   void keepsRulesWhenAdministeredUnderLoad() {
@@ -371,7 +386,9 @@
     }
     for (int loops = 1; loops <= 3; loops++) {
       assertEquals(
-          List.of(), FleetSimulation.run(hosted(loops, faults)).violations(), loops + " loops");
+          List.of(),
+          FleetSimulation.run(multiTenant(loops, faults)).violations(),
+          loops + " loops");
     }
   }
 }
--- a/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/FleetSizeSimulationTest.java
@@ -21,24 +21,24 @@
 import shelffront.routing.GatewayIdentity;
 import shelffront.routing.RoutingSettings;
 
-/** A hundred gateways of little traffic in virtual time: what they cost their hosts together. */
+/** Tests the load that a hundred gateways with little traffic cause on their hosts. */
 class FleetSizeSimulationTest {
 
   private static final long SECOND = 1_000_000;
   private static final int GATEWAYS = 100;
 
-  /** What all gateways of a run sent and opened. */
+  /** The result of a run, with the health checks and host connections of all gateways. */
   private record Cost(FleetSimulation.Result result, long probes, long connections) {}
 
   private static Cost cost(
-      Scenario scenario, Function<FleetSimulation.GatewayParts, Gateway> made) {
+      Scenario scenario, Function<FleetSimulation.GatewayParts, Gateway> factory) {
     List<Network> networks = new ArrayList<>();
     FleetSimulation.Result result =
         FleetSimulation.run(
             scenario,
-            start -> {
-              networks.add(start.network());
-              return made.apply(start);
+            parts -> {
+              networks.add(parts.network());
+              return factory.apply(parts);
             },
             line -> {});
     return new Cost(
@@ -52,12 +52,13 @@
   }
 
   /**
-   * A gateway that takes itself for the only one, which switches off what it leaves to the others.
+   * Creates a gateway that is configured as the only one and therefore does not share health checks
+   * and connections with others.
    */
-  private static Gateway alone(FleetSimulation.GatewayParts start) {
-    GatewayConfig config = start.config();
+  private static Gateway independent(FleetSimulation.GatewayParts parts) {
+    GatewayConfig config = parts.config();
     RoutingSettings settings = config.settings();
-    return start.withConfig(
+    return parts.withConfig(
         new GatewayConfig(
             config.name(),
             config.listenAddress(),
@@ -84,8 +85,8 @@
             config.knownEndpoints()));
   }
 
-  /** Two sets of six hosts, ten requests a second at each gateway. */
-  private static Scenario day(Fault... faults) {
+  /** Two replica sets of six hosts, and ten requests per second at each gateway. */
+  private static Scenario scenario(Fault... faults) {
     ReplicaSetParameters parameters =
         new ReplicaSetParameters(
             8,
@@ -124,27 +125,28 @@
 
   @Test
   void halvesCostForHostsWhenGatewaysKnowTheirNumber() {
-    Cost together = cost(day(), FleetSimulation.GatewayParts::unmodified);
-    Cost alone = cost(day(), FleetSizeSimulationTest::alone);
-    assertEquals(List.of(), together.result().violations());
+    Cost coordinated = cost(scenario(), FleetSimulation.GatewayParts::unmodified);
+    Cost independent = cost(scenario(), FleetSizeSimulationTest::independent);
+    assertEquals(List.of(), coordinated.result().violations());
     assertTrue(
-        together.result().servedValueFraction() > alone.result().servedValueFraction() - 0.01,
-        together.result().servedValueFraction()
-            + " kept, alone "
-            + alone.result().servedValueFraction());
-    String figures =
-        together.probes()
-            + " probes, "
-            + together.connections()
-            + " connections; alone "
-            + alone.probes()
+        coordinated.result().servedValueFraction()
+            > independent.result().servedValueFraction() - 0.01,
+        coordinated.result().servedValueFraction()
+            + " of the value served; with independent gateways "
+            + independent.result().servedValueFraction());
+    String message =
+        coordinated.probes()
+            + " health checks, "
+            + coordinated.connections()
+            + " connections; with independent gateways "
+            + independent.probes()
             + " and "
-            + alone.connections();
-    assertTrue(together.probes() * 2 < alone.probes(), figures);
-    assertTrue(together.connections() * 1.4 < alone.connections(), figures);
+            + independent.connections();
+    assertTrue(coordinated.probes() * 2 < independent.probes(), message);
+    assertTrue(coordinated.connections() * 1.4 < independent.connections(), message);
   }
 
-  /** Hosts that restart cold, one of them a primary, while a fifth of the gateways are killed. */
+  /** Hosts restart and warm up, one of them a primary, while a fifth of the gateways are killed. */
   @Test
   void keepsRulesWhenHostsAndGatewaysRestart() {
     Fault[] faults = new Fault[23];
@@ -154,10 +156,10 @@
     faults[20] = new Fault(2 * SECOND, FaultKind.KILL_BOX, 1, SECOND / 4);
     faults[21] = new Fault(3 * SECOND, FaultKind.KILL_BOX, 8, SECOND / 4);
     faults[22] = new Fault(4 * SECOND, FaultKind.KILL_PRIMARY, 0, SECOND / 4);
-    Cost cost = cost(day(faults), FleetSimulation.GatewayParts::unmodified);
+    Cost cost = cost(scenario(faults), FleetSimulation.GatewayParts::unmodified);
     assertEquals(List.of(), cost.result().violations());
     assertTrue(
         cost.result().servedValueFraction() > 0.85,
-        "worth kept " + cost.result().servedValueFraction());
+        "served value fraction " + cost.result().servedValueFraction());
   }
 }
--- a/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
+++ b/lab/src/test/java/shelffront/lab/simulation/InjectedFaultsTest.java
@@ -31,8 +31,8 @@
 import shelffront.routing.SafetyRules;
 
 /**
- * Broken gateways: each must be caught by the check made for it, and the whole one by none on the
- * same days.
+ * Tests that the invariant checker detects defects. Each defective gateway must violate the rule
+ * that covers its defect, and the unmodified gateway must violate none in the same scenario.
  */
 class InjectedFaultsTest {
 
@@ -95,23 +95,25 @@
   }
 
   /**
-   * Plays a day on the whole gateway and on a broken one: only the broken one is caught, by this
-   * rule.
+   * Runs a scenario with the unmodified gateway, which must cause no violation, and with a
+   * defective one, which must violate {@code rule}.
    */
   private static void assertDetected(
-      Rule rule, Scenario scenario, Function<FleetSimulation.GatewayParts, Gateway> broken) {
+      Rule rule, Scenario scenario, Function<FleetSimulation.GatewayParts, Gateway> defective) {
     assertEquals(
-        List.of(), FleetSimulation.run(scenario).violations(), "the whole gateway on the same day");
-    List<Violation> found = FleetSimulation.run(scenario, broken, line -> {}).violations();
+        List.of(),
+        FleetSimulation.run(scenario).violations(),
+        "unmodified gateway in the same scenario");
+    List<Violation> found = FleetSimulation.run(scenario, defective, line -> {}).violations();
     assertTrue(
         found.stream().anyMatch(violation -> violation.rule() == rule),
-        rule + " was not caught: " + found);
+        "no violation of " + rule + " was detected, only: " + found);
   }
 
   private static Gateway withSettings(
-      FleetSimulation.GatewayParts start, UnaryOperator<RoutingSettings> change) {
-    GatewayConfig config = start.config();
-    return start.withConfig(
+      FleetSimulation.GatewayParts parts, UnaryOperator<RoutingSettings> change) {
+    GatewayConfig config = parts.config();
+    return parts.withConfig(
         new GatewayConfig(
             config.name(),
             config.listenAddress(),
@@ -150,7 +152,7 @@
         settings.healthCheckCost());
   }
 
-  private static RoutingSettings types(
+  private static RoutingSettings withRequestClasses(
       RoutingSettings settings, UnaryOperator<RequestClass> change) {
     List<RequestClass> classes = new ArrayList<>();
     settings.requestClasses().forEach(requestClass -> classes.add(change.apply(requestClass)));
@@ -162,7 +164,7 @@
         settings.limits());
   }
 
-  private static RequestClass as(
+  private static RequestClass withContract(
       RequestClass requestClass, Idempotency effect, long window, Consistency read, long bound) {
     return new RequestClass(
         requestClass.name(),
@@ -178,22 +180,25 @@
   }
 
   /**
-   * Alters what the gateway writes, or what it reads, wherever a text stands in it; lengths stay.
+   * Creates a gateway and replaces a text in all bytes that it writes or reads. The replacement
+   * must have the same length.
    */
   private static Gateway tampered(
-      FleetSimulation.GatewayParts start, String out, String outAs, String received, String inAs) {
-    start.channels().tamper(replacing(out, outAs), replacing(received, inAs));
-    return start.unmodified();
+      FleetSimulation.GatewayParts parts, String out, String outAs, String received, String inAs) {
+    parts.channels().tamper(replacing(out, outAs), replacing(received, inAs));
+    return parts.unmodified();
   }
 
-  private static UnaryOperator<byte[]> replacing(String what, String by) {
+  private static UnaryOperator<byte[]> replacing(String target, String replacement) {
     return bytes ->
-        what == null ? bytes : new String(bytes, ISO_8859_1).replace(what, by).getBytes(ISO_8859_1);
+        target == null
+            ? bytes
+            : new String(bytes, ISO_8859_1).replace(target, replacement).getBytes(ISO_8859_1);
   }
 
   @Test
   void detectsReadsFromStaleReplicas() {
-    // Writes come faster than a replica can apply them.
+    // Writes arrive faster than a replica can apply them.
     assertDetected(
         Rule.FRESH,
         scenario(ReplicaSetParameters.Check.SILENT, 4, 12_000, 500),
@@ -201,11 +206,11 @@
             withSettings(
                 parts,
                 settings ->
-                    types(
+                    withRequestClasses(
                         settings,
                         requestClass ->
                             requestClass.consistency() == Consistency.BOUNDED_STALENESS
-                                ? as(
+                                ? withContract(
                                     requestClass,
                                     requestClass.idempotency(),
                                     0,
@@ -223,11 +228,11 @@
             withSettings(
                 parts,
                 settings ->
-                    types(
+                    withRequestClasses(
                         settings,
                         requestClass ->
                             requestClass.consistency() == Consistency.STRONG
-                                ? as(
+                                ? withContract(
                                     requestClass,
                                     requestClass.idempotency(),
                                     0,
@@ -245,11 +250,11 @@
             withSettings(
                 parts,
                 settings ->
-                    types(
+                    withRequestClasses(
                         settings,
                         requestClass ->
                             requestClass.consistency() == Consistency.SESSION
-                                ? as(
+                                ? withContract(
                                     requestClass,
                                     requestClass.idempotency(),
                                     0,
@@ -258,7 +263,7 @@
                                 : requestClass)));
   }
 
-  private static Scenario carrying(
+  private static Scenario withCarriedPositions(
       ReplicaSetParameters.Check check, double perSecond, Fault... faults) {
     return scenario(check, perSecond, faults).withDeployment(RandomDeployment.carrying(true));
   }
@@ -267,7 +272,7 @@
   void detectsIgnoredCarriedPositions() {
     assertDetected(
         Rule.OWN_WRITES,
-        carrying(ReplicaSetParameters.Check.SILENT, 300),
+        withCarriedPositions(ReplicaSetParameters.Check.SILENT, 300),
         parts -> tampered(parts, null, null, ",after=", ",aftex="));
   }
 
@@ -275,7 +280,8 @@
   void detectsUnwatchedPushedLists() {
     assertDetected(
         Rule.DRAIN,
-        carrying(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
+        withCarriedPositions(
+            ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
         parts -> {
           GatewayConfig config = parts.config();
           return parts.withConfig(
@@ -297,7 +303,7 @@
         Rule.DRAIN,
         scenario(ReplicaSetParameters.Check.WAIT, 200, fault(2, FaultKind.DRAIN_BOX, 1, 4)),
         parts -> {
-          // It does not read that the box drains.
+          // The gateway receives the draining phase as ready.
           parts.channels().tamper(bytes -> bytes, replacing("Terminating", "Ready      "));
           return parts.unmodified();
         });
@@ -343,17 +349,18 @@
             withSettings(
                 parts,
                 settings ->
-                    types(
+                    withRequestClasses(
                         settings,
                         requestClass ->
                             requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
-                                ? as(requestClass, Idempotency.IDEMPOTENT, 0, Consistency.WRITE, 0)
+                                ? withContract(
+                                    requestClass, Idempotency.IDEMPOTENT, 0, Consistency.WRITE, 0)
                                 : requestClass)));
     assertDetected(
         Rule.NO_DOUBLE_EFFECT,
         scenario(ReplicaSetParameters.Check.WAIT, 500, faults),
         parts -> {
-          // A key that is another each time it is sent.
+          // Each attempt carries another idempotency key.
           int[] sent = {0};
           parts
               .channels()
@@ -372,22 +379,21 @@
 
   @Test
   void detectsKeyedWritesPastTheirWindow() {
-    // The primary dies with writes in it. The next one must be there after their window and before
-    // their clients
-    // give up, which not every seed gives.
+    // The primary is killed while it executes writes. The defect shows only if the next primary is
+    // elected after their deduplication window and before their deadline, as with some seeds.
     Fault[] faults = {
       fault(2, FaultKind.SLOW_BOX, 18, 1), fault(2.2, FaultKind.KILL_PRIMARY, 0, 1)
     };
-    Function<FleetSimulation.GatewayParts, Gateway> broken =
+    Function<FleetSimulation.GatewayParts, Gateway> defective =
         parts ->
             withSettings(
                 parts,
                 settings ->
-                    types(
+                    withRequestClasses(
                         settings,
                         requestClass ->
                             requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                                ? as(
+                                ? withContract(
                                     requestClass,
                                     Idempotency.IDEMPOTENCY_KEY,
                                     10 * SECOND,
@@ -396,22 +402,23 @@
                                 : requestClass));
     int found = 0;
     for (int seed = 1; seed <= 12; seed++) {
-      Scenario day = scenario(ReplicaSetParameters.Check.WAIT, 300, faults).withSeed(seed);
+      Scenario scenario = scenario(ReplicaSetParameters.Check.WAIT, 300, faults).withSeed(seed);
       assertEquals(
-          List.of(), FleetSimulation.run(day).violations(), "the whole gateway on seed " + seed);
+          List.of(),
+          FleetSimulation.run(scenario).violations(),
+          "unmodified gateway with seed " + seed);
       found +=
           (int)
-              FleetSimulation.run(day, broken, line -> {}).violations().stream()
+              FleetSimulation.run(scenario, defective, line -> {}).violations().stream()
                   .filter(violation -> violation.rule() == Rule.CLASS_PERMITS)
                   .count();
     }
-    assertTrue(found > 0, "caught on none of the seeds");
+    assertTrue(found > 0, "no violation of CLASS_PERMITS was detected with any seed");
   }
 
   @Test
   void detectsTwoAttemptsOut() {
-    // The gateway closes nothing that it gives up: here, what it writes at the end of a connection
-    // is kept back.
+    // Hosts do not see that the gateway closes the connections of abandoned attempts.
     assertDetected(
         Rule.ONE_ATTEMPT_OUT,
         scenario(ReplicaSetParameters.Check.WAIT, 500, fault(2, FaultKind.SLOW_BOX, 16, 4)),
@@ -484,7 +491,7 @@
 
   @Test
   void detectsAnswersAfterDeadline() {
-    // It takes its clients for more patient than they are.
+    // The gateway assumes a longer deadline than its clients have.
     assertDetected(
         Rule.IN_TIME,
         scenario(ReplicaSetParameters.Check.WAIT, 300, fault(2, FaultKind.VANISH_BOX, 0, 9)),
