--- a/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
+++ b/lab/src/main/java/shelffront/lab/model/ReplicaSetModel.java
@@ -109,7 +109,7 @@
     private int busyCores;
     private int incarnation; // incremented when the process ends; discards its pending work
     private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
-    private int nextEntry; // index into the log of the next entry to apply
+    private int nextEntryIndex; // index into the log of the next entry to apply
     private long applierFreeAtMicros; // when the previous entry has been applied
     private long slowUntilMicros;
     private double slowdown = 1;
@@ -161,8 +161,8 @@
     }
 
     private long appliedPosition(long now) {
-      while (nextEntry < log.size()) {
-        long arrived = log.get(nextEntry).commitMicros() + parameters.shipDelay();
+      while (nextEntryIndex < log.size()) {
+        long arrived = log.get(nextEntryIndex).commitMicros() + parameters.shipDelay();
         long done =
             Math.max(arrived, applierFreeAtMicros)
                 + (long) (parameters.applyCost() * (now < slowUntilMicros ? slowdown : 1));
@@ -170,11 +170,11 @@
           break;
         }
         applierFreeAtMicros = done;
-        nextEntry++;
+        nextEntryIndex++;
       }
       long shipped = now - parameters.shipDelay();
-      return nextEntry < log.size()
-          ? Math.min(shipped, log.get(nextEntry).commitMicros() - 1)
+      return nextEntryIndex < log.size()
+          ? Math.min(shipped, log.get(nextEntryIndex).commitMicros() - 1)
           : shipped;
     }
 
@@ -223,11 +223,11 @@
 
     private void occupy(int cores, long time) {
       busyCores += cores;
-      int mine = incarnation;
+      int startIncarnation = incarnation;
       clock.after(
           time,
           () -> {
-            if (mine == incarnation) {
+            if (startIncarnation == incarnation) {
               busyCores -= cores;
               startQueued();
             }
@@ -247,9 +247,9 @@
         recentWork.poll();
       }
       double sum = recentWork.stream().mapToDouble(WorkArrival::workMicros).sum();
-      double bearable =
+      double limitMicros =
           parameters.fall() * capacityFraction() * parameters.cores() * parameters.fallTime();
-      if (sum > bearable) {
+      if (sum > limitMicros) {
         overloaded = true;
         observer.overloaded(this);
       }
@@ -301,13 +301,13 @@
       }
       Query query = queued.query();
       long now = clock.nowMicros();
-      long need =
+      long requiredPosition =
           query.strong()
               ? now
               : query.maxStalenessMicros() > 0
                   ? now - query.maxStalenessMicros()
                   : lastCommitBySession.getOrDefault(query.session(), 0L);
-      boolean covered = isPrimary() || !query.strong() && positionMicros() >= need;
+      boolean covered = isPrimary() || !query.strong() && positionMicros() >= requiredPosition;
       if (covered || parameters.check() == ReplicaSetParameters.Check.SILENT) {
         observer.readServed(this, query, positionMicros());
         queued.answer().accept(new Answer(AnswerKind.OK, isPrimary(), positionMicros()));
@@ -326,9 +326,9 @@
   private final List<Host> hosts = new ArrayList<>();
   private final List<LogEntry> log = new ArrayList<>();
   private final Map<String, Long> lastCommitBySession = new LinkedHashMap<>();
-  private final Map<String, Effect> lastByKey = new LinkedHashMap<>();
+  private final Map<String, Effect> lastEffectByKey = new LinkedHashMap<>();
   private final Map<String, Integer> effectCounts = new LinkedHashMap<>();
-  private final ContinuousSampler workSpread;
+  private final ContinuousSampler workFactors;
   private Host primary;
   private int pendingElections;
 
@@ -344,7 +344,7 @@
     this.random = random;
     this.parameters = parameters;
     this.observer = observer;
-    workSpread =
+    workFactors =
         parameters.sigma() == 0
             ? () -> 1
             : LogNormalSampler.of(
@@ -371,7 +371,8 @@
 
   private long drawWorkMicros(boolean write) {
     return Math.max(
-        1, (long) ((write ? parameters.writeWork() : parameters.readWork()) * workSpread.sample()));
+        1,
+        (long) ((write ? parameters.writeWork() : parameters.readWork()) * workFactors.sample()));
   }
 
   /**
@@ -379,14 +380,14 @@
    * time, because the sender's deduplication window ignores the time spent in the host's queue.
    */
   private long apply(Host host, Query query, long arrived) {
-    Effect before = lastByKey.get(query.key());
+    Effect before = lastEffectByKey.get(query.key());
     long now = clock.nowMicros();
     if (before != null && arrived - before.commitMicros() < parameters.window()) {
       observer.applied(host, before, query, true);
       return before.commitMicros();
     }
     Effect effect = new Effect(query.key(), query.id(), now, host.id());
-    lastByKey.put(query.key(), effect);
+    lastEffectByKey.put(query.key(), effect);
     effectCounts.merge(query.key(), 1, Integer::sum);
     log.add(new LogEntry(now, query.session(), effect));
     lastCommitBySession.put(query.session(), now);
@@ -398,7 +399,7 @@
   public Host join(String id) {
     Host host = new Host(id);
     host.startedAtMicros = clock.nowMicros();
-    host.nextEntry = log.size();
+    host.nextEntryIndex = log.size();
     host.applierFreeAtMicros = clock.nowMicros();
     hosts.add(host);
     return host;
@@ -414,7 +415,7 @@
     host.busyCores = 0;
     host.queue.clear();
     if (primary == host) {
-      host.nextEntry = log.size();
+      host.nextEntryIndex = log.size();
       host.applierFreeAtMicros = clock.nowMicros();
       primary = null;
       observer.primaryChanged(null, host, List.of());
@@ -432,7 +433,7 @@
     host.overloaded = false;
     host.recentWork.clear();
     host.startedAtMicros = clock.nowMicros();
-    host.nextEntry = Math.min(host.nextEntry, log.size());
+    host.nextEntryIndex = Math.min(host.nextEntryIndex, log.size());
     host.applierFreeAtMicros = clock.nowMicros();
     if (primary == null && pendingElections == 0) {
       elect(null, parameters.election());
@@ -457,11 +458,11 @@
             return;
           }
           Host best = null;
-          Set<Host> able = new LinkedHashSet<>(hosts);
-          able.removeIf(host -> !host.up || host.draining);
-          for (Host host : able) {
+          Set<Host> candidates = new LinkedHashSet<>(hosts);
+          candidates.removeIf(host -> !host.up || host.draining);
+          for (Host host : candidates) {
             host.appliedPosition(clock.nowMicros());
-            best = best == null || host.nextEntry > best.nextEntry ? host : best;
+            best = best == null || host.nextEntryIndex > best.nextEntryIndex ? host : best;
           }
           if (best == null) {
             if (primary == null) {
@@ -476,21 +477,21 @@
   private void promote(Host best) {
     List<Effect> lost = new ArrayList<>();
     if (parameters.losesTail() && (primary == null || !primary.up)) {
-      while (log.size() > best.nextEntry) {
-        Effect gone = log.remove(log.size() - 1).effect();
-        lost.add(gone);
-        effectCounts.merge(gone.key(), -1, Integer::sum);
-        lastByKey.remove(gone.key());
+      while (log.size() > best.nextEntryIndex) {
+        Effect removed = log.remove(log.size() - 1).effect();
+        lost.add(removed);
+        effectCounts.merge(removed.key(), -1, Integer::sum);
+        lastEffectByKey.remove(removed.key());
       }
       for (Host host : hosts) {
-        host.nextEntry = Math.min(host.nextEntry, log.size());
+        host.nextEntryIndex = Math.min(host.nextEntryIndex, log.size());
       }
     }
     if (primary != null) {
-      primary.nextEntry = log.size();
+      primary.nextEntryIndex = log.size();
       primary.applierFreeAtMicros = clock.nowMicros();
     }
-    best.nextEntry = log.size();
+    best.nextEntryIndex = log.size();
     Host before = primary;
     primary = best;
     observer.primaryChanged(best, before, lost);
