--- a/lab/src/main/java/shelffront/lab/invariants/Attempt.java
+++ b/lab/src/main/java/shelffront/lab/invariants/Attempt.java
@@ -37,7 +37,7 @@
   }
 
   /** Whether the gateway was still waiting for the response after {@code timeMicros}. */
-  boolean isOutAfter(long timeMicros) {
+  boolean isInFlightAfter(long timeMicros) {
     return Math.min(answeredAtMicros, abandonedAtMicros.getAsLong()) > timeMicros;
   }
 }
--- a/lab/src/main/java/shelffront/lab/invariants/CheckedRequest.java
+++ b/lab/src/main/java/shelffront/lab/invariants/CheckedRequest.java
@@ -20,7 +20,7 @@
 
   final List<Attempt> attempts = new ArrayList<>();
   boolean answered;
-  boolean excused;
+  boolean exempt;
   boolean applied;
 
   CheckedRequest(
--- a/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
+++ b/lab/src/main/java/shelffront/lab/invariants/InvariantChecker.java
@@ -100,10 +100,10 @@
   }
 
   /** Counts a violation; only the first five of each rule are kept with their description. */
-  public void violated(long atMicros, Rule rule, String what) {
+  public void recordViolation(long atMicros, Rule rule, String description) {
     violationCount++;
     if (countByRule.merge(rule, 1, Integer::sum) <= MAX_RECORDED_PER_RULE) {
-      violations.add(new Violation(atMicros, rule, what));
+      violations.add(new Violation(atMicros, rule, description));
     }
   }
 
@@ -118,7 +118,7 @@
   /** Registers a request whose last byte the client has written. */
   public CheckedRequest requestSent(
       String id,
-      RequestClass type,
+      RequestClass requestClass,
       String key,
       String session,
       int gateway,
@@ -127,7 +127,7 @@
     CheckedRequest request =
         new CheckedRequest(
             id,
-            type,
+            requestClass,
             key,
             session,
             gateway,
@@ -146,12 +146,12 @@
    */
   public void answered(CheckedRequest request, long now, String value, String code) {
     if (request.answered) {
-      violated(now, Rule.ONE_ANSWER, request.id + " received a second response");
+      recordViolation(now, Rule.ONE_ANSWER, request.id + " received a second response");
       return;
     }
     request.answered = true;
-    if (now > request.deadlineMicros + SLACK_MICROS && !request.excused) {
-      violated(
+    if (now > request.deadlineMicros + SLACK_MICROS && !request.exempt) {
+      recordViolation(
           now,
           Rule.IN_TIME,
           String.format(
@@ -161,15 +161,15 @@
               (now - request.deadlineMicros) / MICROS_PER_MILLI));
     }
     if (code == null) {
-      checkServed(request, now, value);
+      checkServedResponse(request, now, value);
     } else if (code.equals(CAPACITY_EXCEEDED) || code.equals(SHUTTING_DOWN)) {
       checkRejection(request, now);
     }
   }
 
-  private void checkServed(CheckedRequest request, long now, String value) {
+  private void checkServedResponse(CheckedRequest request, long now, String value) {
     if (!request.id.equals(value)) {
-      violated(
+      recordViolation(
           now,
           Rule.RIGHT_VALUE,
           request.id + " received the value " + value + ", expected its own id");
@@ -178,7 +178,7 @@
       return;
     }
     if (!request.applied) {
-      violated(
+      recordViolation(
           now, Rule.NOTHING_LOST, request.id + " was reported as served but did not take effect");
     }
     lastCommits.merge(
@@ -191,7 +191,7 @@
   private void checkRejection(CheckedRequest request, long now) {
     for (Attempt attempt : request.attempts) {
       if (!request.requestClass.isIdempotent() && attempt.mayHaveExecuted()) {
-        violated(
+        recordViolation(
             now,
             Rule.TRUE_REFUSAL,
             request.id + " was rejected but may have been executed by " + attempt.host);
@@ -203,15 +203,15 @@
    * Exempts a request from the checks for a late or missing response, for example because its
    * client disconnected or its gateway was killed.
    */
-  public void excuse(CheckedRequest request) {
-    request.excused = true;
+  public void exempt(CheckedRequest request) {
+    request.exempt = true;
   }
 
   /** Handles a request without response after a client timeout or the end of its connection. */
   public void unanswered(CheckedRequest request, long now, String how) {
-    if (!request.excused && !request.answered) {
+    if (!request.exempt && !request.answered) {
       request.answered = true;
-      violated(
+      recordViolation(
           now,
           Rule.ONE_ANSWER,
           request.id
@@ -234,27 +234,28 @@
       String id, String host, long now, long sentAtMicros, LongSupplier abandonedAtMicros) {
     CheckedRequest request = requests.get(id);
     if (request == null) {
-      violated(now, Rule.RIGHT_VALUE, host + " received request " + id + ", which no client sent");
+      recordViolation(
+          now, Rule.RIGHT_VALUE, host + " received request " + id + ", which no client sent");
       return new Attempt(host, sentAtMicros, abandonedAtMicros);
     }
     Attempt next = new Attempt(host, sentAtMicros, abandonedAtMicros);
-    checkAttemptsOut(request, next, now);
-    checkRepetition(request, next, now);
+    checkAttemptsInFlight(request, next, now);
+    checkRetry(request, next, now);
     checkDrain(request, next, now);
     request.attempts.add(next);
     return next;
   }
 
-  private void checkAttemptsOut(CheckedRequest request, Attempt next, long now) {
+  private void checkAttemptsInFlight(CheckedRequest request, Attempt next, long now) {
     int permitted = hedgingAllowed && request.requestClass.isIdempotent() ? 1 : 0;
-    int out = 0;
+    int inFlight = 0;
     for (Attempt attempt : request.attempts) {
       // Attempts on different connections may arrive in another order than they were sent.
       Attempt earlier = attempt.sentAtMicros <= next.sentAtMicros ? attempt : next;
-      if (earlier.isOutAfter(Math.max(attempt.sentAtMicros, next.sentAtMicros))) {
-        out++;
-        if (out > permitted) {
-          violated(
+      if (earlier.isInFlightAfter(Math.max(attempt.sentAtMicros, next.sentAtMicros))) {
+        inFlight++;
+        if (inFlight > permitted) {
+          recordViolation(
               now,
               Rule.ONE_ATTEMPT_OUT,
               request.id + " was sent to " + next.host + " while in flight to " + attempt.host);
@@ -263,14 +264,14 @@
     }
   }
 
-  private void checkRepetition(CheckedRequest request, Attempt next, long now) {
+  private void checkRetry(CheckedRequest request, Attempt next, long now) {
     long firstMicros = request.firstExecutedMicros();
     if (firstMicros == Long.MAX_VALUE) {
       return;
     }
     switch (request.requestClass.idempotency()) {
       case NON_IDEMPOTENT ->
-          violated(
+          recordViolation(
               now,
               Rule.CLASS_PERMITS,
               request.id
@@ -280,7 +281,7 @@
       case IDEMPOTENCY_KEY -> {
         long windowMicros = request.requestClass.deduplicationWindowMicros();
         if (next.sentAtMicros > firstMicros + windowMicros + SLACK_MICROS) {
-          violated(
+          recordViolation(
               now,
               Rule.CLASS_PERMITS,
               String.format(
@@ -300,7 +301,7 @@
     Long announcedMicros = drainAnnouncedMicros.get(request.gateway + "/" + next.host);
     if (announcedMicros != null
         && next.sentAtMicros > announcedMicros + DRAIN_REACTION_MICROS + SLACK_MICROS) {
-      violated(
+      recordViolation(
           now,
           Rule.DRAIN,
           String.format(
@@ -318,8 +319,8 @@
   }
 
   /** Checks a write that took effect or was recognized as a duplicate. */
-  public void effectApplied(Effect effect, String byId, boolean repeated, long now) {
-    CheckedRequest request = requests.get(byId);
+  public void effectApplied(Effect effect, String requestId, boolean repeated, long now) {
+    CheckedRequest request = requests.get(requestId);
     if (request != null) {
       request.applied = true;
     }
@@ -327,7 +328,7 @@
     String key = request == null ? effect.key() : request.key;
     commitByKey.put(key, effect.commitMicros());
     if (!repeated && effectCounts.merge(key, 1, Integer::sum) > 1) {
-      violated(now, Rule.NO_DOUBLE_EFFECT, "the write of key " + key + " took effect twice");
+      recordViolation(now, Rule.NO_DOUBLE_EFFECT, "the write of key " + key + " took effect twice");
     }
   }
 
@@ -335,26 +336,28 @@
    * Records effects that the replica set lost in a failover. Their writes may take effect again,
    * and their loss is no violation by the gateway.
    */
-  public void effectsLost(List<Effect> gone) {
-    for (Effect effect : gone) {
+  public void effectsLost(List<Effect> lost) {
+    for (Effect effect : lost) {
       effectCounts.merge(effect.key(), -1, Integer::sum);
       lostKeys.add(effect.key());
-      lastCommits.replaceAll((session, mark) -> mark == effect.commitMicros() ? 0 : mark);
+      lastCommits.replaceAll(
+          (session, position) -> position == effect.commitMicros() ? 0 : position);
     }
   }
 
   /**
    * Checks a read that a host has served from data at {@code position}. Attempts sent before {@code
-   * known} are not checked, because the gateway could still take the host for the primary.
+   * roleKnownMicros} are not checked, because the gateway could still take the host for the
+   * primary.
    */
   public void readServed(
-      String id, String host, boolean primary, long position, long now, long known) {
+      String id, String host, boolean primary, long position, long now, long roleKnownMicros) {
     CheckedRequest request = requests.get(id);
     if (request == null || request.attempts.isEmpty() || primary) {
       return;
     }
     long sent = request.attempts.get(request.attempts.size() - 1).sentAtMicros;
-    if (sent < known) {
+    if (sent < roleKnownMicros) {
       return;
     }
     checkPosition(request, host, position, sent, now);
@@ -365,7 +368,7 @@
     Consistency consistency = request.requestClass.consistency();
     if (consistency == Consistency.BOUNDED_STALENESS
         && position < sent - request.requestClass.maxStalenessMicros() - SLACK_MICROS) {
-      violated(
+      recordViolation(
           now,
           Rule.FRESH,
           String.format(
@@ -375,7 +378,7 @@
               host,
               (sent - position) / MICROS_PER_MILLI));
     } else if (consistency == Consistency.SESSION && position < request.requiredPositionMicros) {
-      violated(
+      recordViolation(
           now,
           Rule.OWN_WRITES,
           String.format(
@@ -385,7 +388,7 @@
               host,
               (request.requiredPositionMicros - position) / MICROS_PER_MILLI));
     } else if (consistency == Consistency.STRONG) {
-      violated(
+      recordViolation(
           now, Rule.FRESH, request.id + " is a strong read and was served by the replica " + host);
     }
   }
--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -24,14 +24,14 @@
   private static final String CAPACITY_EXCEEDED = "53300";
 
   /** Time after the deadline during which a client still accepts a late response. */
-  private static final long GRACE_MICROS = 100_000;
+  private static final long LATE_RESPONSE_GRACE_MICROS = 100_000;
 
-  private static final long SHORTEST_RETRY_MICROS = 50_000;
+  private static final long MIN_RETRY_DELAY_MICROS = 50_000;
   private static final double READ_BACK_PROBABILITY = 0.6;
-  private static final long SHORTEST_READ_BACK_MICROS = 5_000;
-  private static final int READ_BACK_SPREAD_MICROS = 100_000;
-  private static final int IDLE_SPREAD_MICROS = 10_000;
-  private static final int AFFECTED_ONE_IN = 3;
+  private static final long MIN_READ_BACK_DELAY_MICROS = 5_000;
+  private static final int READ_BACK_DELAY_SPREAD_MICROS = 100_000;
+  private static final int IDLE_CLOSE_SPREAD_MICROS = 10_000;
+  private static final int ONE_IN_AFFECTED = 3;
   private static final double MICROS_PER_SECOND = 1e6;
   private static final long MICROS_PER_MILLI = 1_000;
 
@@ -39,17 +39,17 @@
   private static final int SESSION_SKEW = 3;
 
   /**
-   * A part of the class mix: draws from [0, 1) below {@code upTo} select the class with index
+   * A share of the class mix: draws from [0, 1) below {@code upTo} select the class with index
    * {@code requestClass}. All remaining draws select the last class.
    */
-  private record ClassPart(double upTo, int requestClass) {}
+  private record ClassShare(double upTo, int requestClass) {}
 
-  private static final List<ClassPart> CLASS_MIX =
+  private static final List<ClassShare> CLASS_MIX =
       List.of(
-          new ClassPart(0.25, 3),
-          new ClassPart(0.55, 0),
-          new ClassPart(0.8, 1),
-          new ClassPart(0.95, 2));
+          new ClassShare(0.25, 3),
+          new ClassShare(0.55, 0),
+          new ClassShare(0.8, 1),
+          new ClassShare(0.95, 2));
 
   private final SimulationContext context;
   private final GatewayFleet gateways;
@@ -93,9 +93,9 @@
     scheduleNext();
   }
 
-  /** Multiplies the usual request rate by {@code times}. */
-  void setRateFactor(double times) {
-    rateFactor = times;
+  /** Multiplies the usual request rate by {@code factor}. */
+  void setRateFactor(double factor) {
+    rateFactor = factor;
   }
 
   private void scheduleNext() {
@@ -106,13 +106,13 @@
             Math.max(1, (long) gapMicros),
             () -> {
               if (context.nowMicros() < untilMicros) {
-                sendDrawn();
+                sendRandomRequest();
                 scheduleNext();
               }
             });
   }
 
-  private void sendDrawn() {
+  private void sendRandomRequest() {
     RequestClass requestClass = drawClass();
     int session = (int) (SESSIONS * Math.pow(random.nextDouble(), SESSION_SKEW));
     int replicaSet = 1 + random.nextInt(context.scenario().sets());
@@ -123,9 +123,9 @@
     List<RequestClass> classes = context.requestClasses();
     double draw = random.nextDouble();
     return CLASS_MIX.stream()
-        .filter(part -> draw < part.upTo())
+        .filter(share -> draw < share.upTo())
         .findFirst()
-        .map(part -> classes.get(part.requestClass()))
+        .map(share -> classes.get(share.requestClass()))
         .orElse(classes.get(classes.size() - 1));
   }
 
@@ -166,7 +166,7 @@
             qualifiedSession,
             requestClass.isWrite(),
             carriedPosition(request));
-    connection.send(request, statement, deadlineMicros + GRACE_MICROS);
+    connection.send(request, statement, deadlineMicros + LATE_RESPONSE_GRACE_MICROS);
   }
 
   private ClientConnectionHandler<CheckedRequest> freeConnection(String database) {
@@ -241,7 +241,7 @@
     context
         .scheduler()
         .after(
-            SHORTEST_READ_BACK_MICROS + random.nextInt(READ_BACK_SPREAD_MICROS),
+            MIN_READ_BACK_DELAY_MICROS + random.nextInt(READ_BACK_DELAY_SPREAD_MICROS),
             () -> reader.send(sessionRead, replicaSetOf(write), sessionOf(write), MAX_RETRIES));
   }
 
@@ -253,7 +253,7 @@
     context
         .scheduler()
         .after(
-            Math.max(SHORTEST_RETRY_MICROS, retryAfterMicros),
+            Math.max(MIN_RETRY_DELAY_MICROS, retryAfterMicros),
             () ->
                 send(
                     rejected.requestClass,
@@ -279,14 +279,14 @@
 
   @Override
   public void malformedResponse(String why) {
-    context.checker().violated(context.nowMicros(), Rule.RIGHT_VALUE, why);
+    context.checker().recordViolation(context.nowMicros(), Rule.RIGHT_VALUE, why);
   }
 
   /** Disconnects a third of the clients that wait for a response. */
   void hangUp() {
     for (ClientConnectionHandler<CheckedRequest> connection : List.copyOf(connections)) {
-      if (!connection.isFree() && random.nextInt(AFFECTED_ONE_IN) == 0) {
-        excuse(connection);
+      if (!connection.isFree() && random.nextInt(ONE_IN_AFFECTED) == 0) {
+        exempt(connection);
         connection.hangUp();
         connections.remove(connection);
       }
@@ -296,15 +296,15 @@
   /** Stops a third of the clients from reading for {@code durationMicros}. */
   void stallReaders(long durationMicros) {
     for (ClientConnectionHandler<CheckedRequest> connection : List.copyOf(connections)) {
-      if (random.nextInt(AFFECTED_ONE_IN) == 0) {
+      if (random.nextInt(ONE_IN_AFFECTED) == 0) {
         connection.setStalled(true);
-        excuse(connection);
+        exempt(connection);
         context
             .scheduler()
             .after(
                 durationMicros,
                 () -> {
-                  excuse(connection);
+                  exempt(connection);
                   connection.setStalled(false);
                 });
       }
@@ -318,14 +318,14 @@
       connection.expectNoAnswer();
       context
           .scheduler()
-          .after(durationMicros + random.nextInt(IDLE_SPREAD_MICROS), connection::close);
+          .after(durationMicros + random.nextInt(IDLE_CLOSE_SPREAD_MICROS), connection::close);
     }
   }
 
   /** Exempts the open request, whose response may be late because of the client. */
-  private void excuse(ClientConnectionHandler<CheckedRequest> connection) {
+  private void exempt(ClientConnectionHandler<CheckedRequest> connection) {
     if (connection.currentRequest() != null) {
-      context.checker().excuse(connection.currentRequest());
+      context.checker().exempt(connection.currentRequest());
     }
   }
 
--- a/lab/src/main/java/shelffront/lab/simulation/FaultInjector.java
+++ b/lab/src/main/java/shelffront/lab/simulation/FaultInjector.java
@@ -12,26 +12,26 @@
 final class FaultInjector {
 
   private static final int MISBEHAVING_CLIENTS = 40;
-  private static final int HICCUPS = 20;
-  private static final long HICCUP_MICROS = 25_000;
-  private static final int SHORTEST_SLOWDOWN = 2;
-  private static final int SLOWDOWN_SPREAD = 20;
-  private static final int BAD_LATENCY_FACTOR = 3;
-  private static final long BAD_JITTER_MICROS = 10_000;
-  private static final double BAD_CHOP = 0.9;
-  private static final long LONGEST_GATEWAY_PAUSE_MICROS = 400_000;
+  private static final int HOST_PAUSE_COUNT = 20;
+  private static final long MAX_HOST_PAUSE_MICROS = 25_000;
+  private static final int MIN_SLOWDOWN_FACTOR = 2;
+  private static final int SLOWDOWN_FACTOR_SPREAD = 20;
+  private static final int DEGRADED_LATENCY_FACTOR = 3;
+  private static final long DEGRADED_JITTER_MICROS = 10_000;
+  private static final double DEGRADED_CHOP_PROBABILITY = 0.9;
+  private static final long MAX_GATEWAY_PAUSE_MICROS = 400_000;
   private static final long CLOCK_STEP_MICROS = 20_000;
 
   /** Time after which no request sent before a clock step is still open. */
   private static final long CLOCK_STEP_DISTURBANCE_MICROS = FleetSimulation.LAST_DEADLINE_MICROS;
 
   private static final double BURST_FACTOR = 6;
-  private static final long LONGEST_BURST_MICROS = 1_000_000;
-  private static final long LONGEST_STALL_MICROS = 2_000_000;
-  private static final long LONGEST_IDLE_MICROS = 3_000_000;
-  private static final long LONGEST_TENANT_CHANGE_MICROS = 1_500_000;
+  private static final long MAX_BURST_MICROS = 1_000_000;
+  private static final long MAX_STALL_MICROS = 2_000_000;
+  private static final long MAX_IDLE_MICROS = 3_000_000;
+  private static final long MAX_TENANT_CHANGE_MICROS = 1_500_000;
   private static final int TARGETS_PER_TENANT = 7;
-  private static final double LEAST_TENANT_WEIGHT = 0.1;
+  private static final double MIN_TENANT_WEIGHT = 0.1;
   private static final int TENANT_WEIGHT_SPREAD = 9;
 
   private final SimulationContext context;
@@ -72,14 +72,14 @@
     switch (fault.kind()) {
       case KILL_BOX, KILL_PRIMARY -> killHost(fault);
       case DRAIN_BOX, DRAIN_PRIMARY -> drainHost(fault);
-      case VANISH_BOX -> vanish(hosts.target(target), durationMicros);
+      case VANISH_BOX -> isolate(hosts.target(target), durationMicros);
       case SLOW_BOX ->
           hosts
               .target(target)
-              .slowDown(SHORTEST_SLOWDOWN + target % SLOWDOWN_SPREAD, durationMicros);
+              .slowDown(MIN_SLOWDOWN_FACTOR + target % SLOWDOWN_FACTOR_SPREAD, durationMicros);
       case SPOIL_BOX -> hosts.environment().corruptAnswers(hosts.target(target), durationMicros);
       case RESET_BOX -> hosts.machine(hosts.target(target)).resetAll();
-      case HICCUP_BOX -> hiccup(hosts.target(target), durationMicros);
+      case HICCUP_BOX -> pauseRepeatedly(hosts.target(target), durationMicros);
       case BAD_NETWORK -> degradeNetwork(durationMicros);
       case BREAK_WATCHES -> discovery.breakWatches();
       case DISCOVERY_DOWN -> discovery.takeDown(durationMicros);
@@ -91,12 +91,11 @@
       case BURST -> burst(population(target), durationMicros);
       case HANG_UPS -> population(target).hangUp();
       case STALL_READERS ->
-          population(target).stallReaders(Math.min(LONGEST_STALL_MICROS, durationMicros));
+          population(target).stallReaders(Math.min(MAX_STALL_MICROS, durationMicros));
       case IDLE_CROWD ->
           population(target)
               .connectIdle(
-                  context.scenario().means().sockets(),
-                  Math.min(LONGEST_IDLE_MICROS, durationMicros));
+                  context.scenario().means().sockets(), Math.min(MAX_IDLE_MICROS, durationMicros));
       case GARBAGE -> connectMisbehavingClients(fault);
       case REMOVE_TENANT, CHANGE_TENANT, DRAIN_BY_TENANT -> changeTenant(fault);
       default ->
@@ -128,19 +127,19 @@
     }
   }
 
-  private void vanish(Host host, long durationMicros) {
+  private void isolate(Host host, long durationMicros) {
     SimulatedMachine machine = hosts.machine(host);
     machine.isolate();
     context.scheduler().after(durationMicros, machine::rejoin);
   }
 
-  private void hiccup(Host host, long durationMicros) {
-    for (int i = 0; i < HICCUPS; i++) {
+  private void pauseRepeatedly(Host host, long durationMicros) {
+    for (int i = 0; i < HOST_PAUSE_COUNT; i++) {
       context
           .scheduler()
           .after(
               context.random().nextLong(durationMicros + 1),
-              () -> host.pause(context.random().nextLong(HICCUP_MICROS)));
+              () -> host.pause(context.random().nextLong(MAX_HOST_PAUSE_MICROS)));
     }
   }
 
@@ -150,14 +149,14 @@
         .network()
         .weather(
             new Weather(
-                usual.latency() * BAD_LATENCY_FACTOR,
-                usual.jitter() + BAD_JITTER_MICROS,
-                BAD_CHOP));
+                usual.latency() * DEGRADED_LATENCY_FACTOR,
+                usual.jitter() + DEGRADED_JITTER_MICROS,
+                DEGRADED_CHOP_PROBABILITY));
     context.scheduler().after(durationMicros, () -> context.network().weather(usual));
   }
 
   private void pause(SimulatedGateway gateway, long durationMicros) {
-    long pauseMicros = Math.min(LONGEST_GATEWAY_PAUSE_MICROS, durationMicros);
+    long pauseMicros = Math.min(MAX_GATEWAY_PAUSE_MICROS, durationMicros);
     gateway.pauseFor(pauseMicros);
     gateways.disturb(gateway.index(), pauseMicros);
   }
@@ -178,7 +177,7 @@
     population.setRateFactor(BURST_FACTOR);
     context
         .scheduler()
-        .after(Math.min(LONGEST_BURST_MICROS, durationMicros), () -> population.setRateFactor(1));
+        .after(Math.min(MAX_BURST_MICROS, durationMicros), () -> population.setRateFactor(1));
   }
 
   private void connectMisbehavingClients(Fault fault) {
@@ -208,14 +207,13 @@
       case REMOVE_TENANT ->
           gateway.removeTenant(tenant, () -> context.trace().record("gone", gateway.name()));
       case CHANGE_TENANT ->
-          gateway.applyTenant(
-              tenant, LEAST_TENANT_WEIGHT + target % TENANT_WEIGHT_SPREAD, Set.of());
+          gateway.applyTenant(tenant, MIN_TENANT_WEIGHT + target % TENANT_WEIGHT_SPREAD, Set.of());
       default -> gateway.applyTenant(tenant, 1, Set.of(hosts.target(target).id()));
     }
     context
         .scheduler()
         .after(
-            Math.min(LONGEST_TENANT_CHANGE_MICROS, fault.time()),
+            Math.min(MAX_TENANT_CHANGE_MICROS, fault.time()),
             () -> {
               if (gateway.isRunning()) {
                 gateway.applyTenant(tenant, 1, Set.of());
--- a/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
+++ b/lab/src/main/java/shelffront/lab/simulation/GatewayFleet.java
@@ -22,11 +22,13 @@
 
   private static final long CLIENTS_CONNECT_AFTER_STOP_MICROS = 400_000;
   private static final long DRAIN_MICROS = 8_000_000;
-  private static final long STOP_POLL_MICROS = 10_000;
-  private static final long LONGEST_RESTART_MICROS = 1_000_000;
-  private static final long SHORTEST_PAUSE_MICROS = 5_000;
+  private static final long STOP_POLL_INTERVAL_MICROS = 10_000;
+  private static final long MAX_RESTART_DELAY_MICROS = 1_000_000;
+  private static final long MIN_PAUSE_MICROS = 5_000;
   private static final long PAUSE_SPREAD_MICROS = 55_000;
-  private static final double TWICE_MEAN_MICROS = 2e6; // range of a uniform draw with a mean of 1 s
+
+  /** Range of a uniform draw with a mean of 1 s. */
+  private static final double PAUSE_GAP_RANGE_MICROS = 2e6;
 
   private final SimulationContext context;
   private final SimulatedDiscovery discovery;
@@ -55,7 +57,7 @@
   /** Schedules random pauses, such as garbage collections, if the scenario has them. */
   void schedulePauses() {
     if (context.scenario().means().pauses() > 0) {
-      context.scheduler().after(pauseGapMicros(), this::pauseOne);
+      context.scheduler().after(pauseGapMicros(), this::pauseRandomGateway);
     }
   }
 
@@ -63,19 +65,19 @@
     Scenario scenario = context.scenario();
     return 1
         + (long)
-            (TWICE_MEAN_MICROS
+            (PAUSE_GAP_RANGE_MICROS
                 * context.random().nextDouble()
                 / scenario.means().pauses()
                 / scenario.gateways());
   }
 
-  private void pauseOne() {
+  private void pauseRandomGateway() {
     if (!gateways.isEmpty() && !ending) {
       SimulatedGateway gateway = gateways.get(context.random().nextInt(gateways.size()));
-      long durationMicros = SHORTEST_PAUSE_MICROS + context.random().nextLong(PAUSE_SPREAD_MICROS);
+      long durationMicros = MIN_PAUSE_MICROS + context.random().nextLong(PAUSE_SPREAD_MICROS);
       disturb(gateway.index(), gateway.extendPause(durationMicros));
     }
-    context.scheduler().after(pauseGapMicros(), this::pauseOne);
+    context.scheduler().after(pauseGapMicros(), this::pauseRandomGateway);
   }
 
   void startAll() {
@@ -144,21 +146,21 @@
   /** Exempts the requests that are open at a gateway within {@code durationMicros} from checks. */
   void disturb(int index, long durationMicros) {
     disturbed.add(index);
-    excuseOpenRequests(index);
+    exemptOpenRequests(index);
     context
         .scheduler()
         .after(
             durationMicros,
             () -> {
-              excuseOpenRequests(index);
+              exemptOpenRequests(index);
               disturbed.remove(index);
             });
   }
 
-  private void excuseOpenRequests(int index) {
+  private void exemptOpenRequests(int index) {
     for (CheckedRequest request : context.checker().requests()) {
       if (request.gateway == index && !request.isAnswered()) {
-        context.checker().excuse(request);
+        context.checker().exempt(request);
       }
     }
   }
@@ -170,12 +172,12 @@
     }
     context.trace().record("kill", gateway.name());
     gateway.kill();
-    excuseOpenRequests(gateway.index());
+    exemptOpenRequests(gateway.index());
     context.network().unlisten(addresses.get(gateway.index()));
     gateway.resetConnections();
     context
         .scheduler()
-        .after(Math.min(downMicros, LONGEST_RESTART_MICROS), () -> replace(gateway.index()));
+        .after(Math.min(downMicros, MAX_RESTART_DELAY_MICROS), () -> replace(gateway.index()));
   }
 
   /**
@@ -195,7 +197,7 @@
     context
         .scheduler()
         .after(
-            STOP_POLL_MICROS,
+            STOP_POLL_INTERVAL_MICROS,
             () -> {
               if (gateway.isStopped()) {
                 gateway.checkReleased();
--- a/lab/src/main/java/shelffront/lab/simulation/HostFleet.java
+++ b/lab/src/main/java/shelffront/lab/simulation/HostFleet.java
@@ -23,7 +23,7 @@
   static final String READY = "Ready";
   private static final String DRAINING = "Terminating";
   private static final String REMOVED = "Gone";
-  private static final long SHORTEST_DRAIN_MICROS = 3_000_000;
+  private static final long MIN_DRAIN_MICROS = 3_000_000;
   private static final long MICROS_PER_MILLI = 1_000;
 
   /** A host with its machine, its address and the number of its replica set, counted from 1. */
@@ -212,7 +212,7 @@
     context
         .scheduler()
         .after(
-            SHORTEST_DRAIN_MICROS + extraMicros,
+            MIN_DRAIN_MICROS + extraMicros,
             () -> {
               if (host.isUp()) {
                 end(host);
--- a/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
+++ b/lab/src/main/java/shelffront/lab/simulation/MisbehavingClientHandler.java
@@ -15,7 +15,7 @@
  */
 final class MisbehavingClientHandler extends ConnectionHandler {
 
-  private static final long LONGEST_STAY_MICROS = 1_500_000;
+  private static final long MAX_CONNECTION_MICROS = 1_500_000;
 
   MisbehavingClientHandler(
       Transport transport, InetSocketAddress gateway, UniformRandomProvider random) {
@@ -24,44 +24,44 @@
     byte[] query =
         Message.query("/* id=rude,c=map-read,d=1000,cluster=1 */ SELECT 1".getBytes(ISO_8859_1));
     switch (random.nextInt(7)) {
-      case 0 -> send(noise(random, 1 + random.nextInt(300)));
-      case 1 -> send(cut(startup, random));
+      case 0 -> send(randomBytes(random, 1 + random.nextInt(300)));
+      case 1 -> send(truncated(startup, random));
       case 2 -> {
         send(startup);
-        send(noise(random, 1 + random.nextInt(2000)));
+        send(randomBytes(random, 1 + random.nextInt(2000)));
       }
       case 3 -> {
         send(startup);
-        send(cut(query, random));
+        send(truncated(query, random));
       }
       case 4 -> { // a flipped bit in the message length
         send(startup);
-        byte[] wrong = query.clone();
-        wrong[1 + random.nextInt(4)] ^= (byte) (1 << random.nextInt(8));
-        send(wrong);
+        byte[] corrupted = query.clone();
+        corrupted[1 + random.nextInt(4)] ^= (byte) (1 << random.nextInt(8));
+        send(corrupted);
       }
       case 5 -> { // one corrupted byte at a random position
         send(startup);
-        byte[] wrong = query.clone();
-        wrong[random.nextInt(wrong.length)] ^= (byte) (1 + random.nextInt(255));
-        send(wrong);
+        byte[] corrupted = query.clone();
+        corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 + random.nextInt(255));
+        send(corrupted);
       }
       default -> send(new byte[0]);
     }
-    long stays = random.nextLong(LONGEST_STAY_MICROS);
-    transport.clock().after(stays, random.nextBoolean() ? this::reset : this::close);
+    long connectedMicros = random.nextLong(MAX_CONNECTION_MICROS);
+    transport.clock().after(connectedMicros, random.nextBoolean() ? this::reset : this::close);
   }
 
-  private static byte[] noise(UniformRandomProvider random, int count) {
+  private static byte[] randomBytes(UniformRandomProvider random, int count) {
     byte[] bytes = new byte[count];
     random.nextBytes(bytes);
     return bytes;
   }
 
-  private static byte[] cut(byte[] whole, UniformRandomProvider random) {
-    byte[] some = new byte[random.nextInt(whole.length)];
-    System.arraycopy(whole, 0, some, 0, some.length);
-    return some;
+  private static byte[] truncated(byte[] message, UniformRandomProvider random) {
+    byte[] prefix = new byte[random.nextInt(message.length)];
+    System.arraycopy(message, 0, prefix, 0, prefix.length);
+    return prefix;
   }
 
   @Override
--- a/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -102,24 +102,24 @@
   }
 
   List<RequestClass> requestClasses() {
-    List<RequestClass> types =
+    List<RequestClass> classes =
         new ArrayList<>(
             List.of(
-                type(
+                idempotentReadClass(
                     "map-read",
                     500 * MICROS_PER_MILLI,
                     1200 * MICROS_PER_MILLI,
                     2,
                     Consistency.BOUNDED_STALENESS,
                     500 * MICROS_PER_MILLI),
-                type(
+                idempotentReadClass(
                     "own-edit-read",
                     700 * MICROS_PER_MILLI,
                     2000 * MICROS_PER_MILLI,
                     3,
                     Consistency.SESSION,
                     0),
-                type(
+                idempotentReadClass(
                     "live-read",
                     500 * MICROS_PER_MILLI,
                     1500 * MICROS_PER_MILLI,
@@ -138,7 +138,7 @@
                     Consistency.WRITE,
                     0)));
     if (onceWrites) {
-      types.add(
+      classes.add(
           new RequestClass(
               "once-write",
               1200 * MICROS_PER_MILLI,
@@ -151,26 +151,31 @@
               Consistency.WRITE,
               0));
     }
-    return types;
+    return classes;
   }
 
-  private static RequestClass type(
-      String name, long aim, long giveUp, double worth, Consistency read, long bound) {
+  private static RequestClass idempotentReadClass(
+      String name,
+      long latencyObjectiveMicros,
+      long deadlineMicros,
+      double priorityWeight,
+      Consistency consistency,
+      long maxStalenessMicros) {
     return new RequestClass(
         name,
-        aim,
-        giveUp,
-        worth,
+        latencyObjectiveMicros,
+        deadlineMicros,
+        priorityWeight,
         0,
         Idempotency.IDEMPOTENT,
         DeduplicationScope.REPLICA_SET,
         0,
-        read,
-        bound);
+        consistency,
+        maxStalenessMicros);
   }
 
-  /** Returns the settings of the decision module with index {@code self} of {@code modules}. */
-  RoutingSettings settings(int self, int modules, ReplicaSetParameters parameters) {
+  /** Returns the settings of the decision module with index {@code moduleIndex}. */
+  RoutingSettings settings(int moduleIndex, int moduleCount, ReplicaSetParameters parameters) {
     LagCheck check =
         switch (parameters.check()) {
           case SILENT -> LagCheck.NONE;
@@ -178,7 +183,7 @@
           case WAIT -> LagCheck.WAIT;
         };
     return new RoutingSettings(
-        new GatewayIdentity(self, modules, "a"),
+        new GatewayIdentity(moduleIndex, moduleCount, "a"),
         1000,
         requestClasses(),
         new ConsistencySettings(check, parameters.patience(), stamped, carried),
--- a/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
@@ -59,7 +59,7 @@
   public void overloaded(Host host) {
     context
         .checker()
-        .violated(
+        .recordViolation(
             context.nowMicros(),
             Rule.COLD,
             host.id() + " received more work than its limit permits during warm-up");
--- a/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
@@ -13,13 +13,13 @@
  */
 final class RequestRecorder {
 
-  private static final long LONGEST_LATENCY_MICROS = 60_000_000;
-  private static final int LATENCY_DIGITS = 3;
+  private static final long MAX_LATENCY_MICROS = 60_000_000;
+  private static final int LATENCY_SIGNIFICANT_DIGITS = 3;
   private static final String CAPACITY_EXCEEDED = "53300";
   private static final String SHUTTING_DOWN = "57P03";
 
   /** The outcome of a request with a response. */
-  private enum Ending {
+  private enum Outcome {
     ON_TIME,
     LATE,
     REJECTED,
@@ -29,21 +29,21 @@
   /** The outcomes of one request class. */
   private static final class ClassCounts {
 
-    private long asked;
+    private long requested;
     private long unanswered;
-    private final long[] byEnding = new long[Ending.values().length];
+    private final long[] byOutcome = new long[Outcome.values().length];
 
-    private long get(Ending ending) {
-      return byEnding[ending.ordinal()];
+    private long get(Outcome outcome) {
+      return byOutcome[outcome.ordinal()];
     }
 
     private FleetSimulation.Worth toWorth() {
       return new FleetSimulation.Worth(
-          asked,
-          get(Ending.ON_TIME),
-          get(Ending.LATE),
-          get(Ending.REJECTED),
-          get(Ending.FAILED),
+          requested,
+          get(Outcome.ON_TIME),
+          get(Outcome.LATE),
+          get(Outcome.REJECTED),
+          get(Outcome.FAILED),
           unanswered);
     }
   }
@@ -54,7 +54,8 @@
   private final Map<String, ClassCounts> counts = new TreeMap<>();
   private final double[] requestedValue;
   private final double[] servedValue;
-  private final Histogram latencyMicros = new Histogram(LONGEST_LATENCY_MICROS, LATENCY_DIGITS);
+  private final Histogram latencyMicros =
+      new Histogram(MAX_LATENCY_MICROS, LATENCY_SIGNIFICANT_DIGITS);
   private long startedAtMicros;
   private long requests;
 
@@ -79,19 +80,19 @@
   void sent(CheckedRequest request, int earlierTries) {
     requests++;
     requestedValue[window(request)] += request.requestClass.priorityWeight();
-    countsOf(request.requestClass).asked++;
+    countsOf(request.requestClass).requested++;
     if (earlierTries > 0) {
       retries.put(request.id, earlierTries);
     }
     if (gateways.isDisturbed(request.gateway)) {
-      context.checker().excuse(request);
+      context.checker().exempt(request);
     }
     context.trace().record("ask", request.id, request.requestClass.name());
   }
 
   /** Records a due request that had no available connection; it counts as unanswered. */
   void notSent(RequestClass requestClass) {
-    countsOf(requestClass).asked++;
+    countsOf(requestClass).requested++;
     countsOf(requestClass).unanswered++;
   }
 
@@ -105,24 +106,24 @@
     long now = context.nowMicros();
     context.trace().record("answered", request.id, String.valueOf(value), String.valueOf(code));
     context.checker().answered(request, now, value, code);
-    Ending ending = endingOf(request, code);
-    countsOf(request.requestClass).byEnding[ending.ordinal()]++;
+    Outcome outcome = outcomeOf(request, code);
+    countsOf(request.requestClass).byOutcome[outcome.ordinal()]++;
     if (code == null) {
       latencyMicros.recordValue(Math.max(0, now - request.sentAtMicros));
       double valueFraction =
-          ending == Ending.ON_TIME ? 1 : request.requestClass.lateValueFraction();
+          outcome == Outcome.ON_TIME ? 1 : request.requestClass.lateValueFraction();
       servedValue[window(request)] += request.requestClass.priorityWeight() * valueFraction;
     }
   }
 
-  private Ending endingOf(CheckedRequest request, String code) {
+  private Outcome outcomeOf(CheckedRequest request, String code) {
     if (code == null) {
       long objectiveMicros = request.sentAtMicros + request.requestClass.latencyObjectiveMicros();
-      return context.nowMicros() <= objectiveMicros ? Ending.ON_TIME : Ending.LATE;
+      return context.nowMicros() <= objectiveMicros ? Outcome.ON_TIME : Outcome.LATE;
     }
     return code.equals(CAPACITY_EXCEEDED) || code.equals(SHUTTING_DOWN)
-        ? Ending.REJECTED
-        : Ending.FAILED;
+        ? Outcome.REJECTED
+        : Outcome.FAILED;
   }
 
   private int window(CheckedRequest request) {
@@ -144,7 +145,7 @@
     if (gateways.get(request.gateway).isKilled() || request.hasNoAttempt()) {
       // The gateway may close an idle connection while the next request is on its way to it; such
       // a request is sent to no host.
-      context.checker().excuse(request);
+      context.checker().exempt(request);
     }
     context
         .checker()
--- a/lab/src/main/java/shelffront/lab/simulation/Scenario.java
+++ b/lab/src/main/java/shelffront/lab/simulation/Scenario.java
@@ -184,7 +184,7 @@
         List.copyOf(faults));
   }
 
-  Scenario withFaults(List<Fault> next) {
+  Scenario withFaults(List<Fault> newFaults) {
     return new Scenario(
         seed,
         gateways,
@@ -197,7 +197,7 @@
         listDelay,
         deployment,
         means,
-        List.copyOf(next));
+        List.copyOf(newFaults));
   }
 
   /** Returns the same scenario with another deployment. */
@@ -224,14 +224,14 @@
         faults);
   }
 
-  Scenario shortened(double rate, long shorter) {
+  Scenario shortened(double rate, long maxLength) {
     return new Scenario(
         seed,
         gateways,
         sets,
         boxes,
         perSecond * rate,
-        Math.min(length, shorter),
+        Math.min(length, maxLength),
         figures,
         weather,
         listDelay,
--- a/lab/src/main/java/shelffront/lab/simulation/ScenarioShrinker.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ScenarioShrinker.java
@@ -41,7 +41,7 @@
     }
   }
 
-  private static final int MOST_PLAYS = 60;
+  private static final int MAX_RUNS = 60;
 
   private ScenarioShrinker() {}
 
@@ -61,17 +61,17 @@
    */
   public static Cut shrink(long seed, Predicate<Scenario> fails) {
     Cut best = whole(seed);
-    int plays = 0;
-    boolean cut = true;
-    while (cut && plays < MOST_PLAYS) {
-      cut = false;
-      for (Cut next : smaller(best)) {
-        if (plays++ >= MOST_PLAYS) {
+    int runs = 0;
+    boolean reduced = true;
+    while (reduced && runs < MAX_RUNS) {
+      reduced = false;
+      for (Cut next : smallerCuts(best)) {
+        if (runs++ >= MAX_RUNS) {
           break;
         }
         if (fails.test(next.of(seed))) {
           best = next;
-          cut = true;
+          reduced = true;
           break;
         }
       }
@@ -79,7 +79,7 @@
     return best;
   }
 
-  private static List<Cut> smaller(Cut from) {
+  private static List<Cut> smallerCuts(Cut from) {
     List<Cut> all = new ArrayList<>();
     if (from.length() > 1_000_000) {
       all.add(new Cut(from.faults(), from.rate(), from.length() / 2));
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
@@ -40,7 +40,7 @@
   private static final long TENANT_GRACE_MICROS = 1_000_000;
 
   /** Events that each cost a gateway the same amount of CPU time. */
-  private static final Set<Counters.Name> COSTLY_EVENTS =
+  private static final Set<Counters.Name> CHARGED_EVENTS =
       EnumSet.of(
           Counters.Name.REQUESTS_TAKEN,
           Counters.Name.ATTEMPTS_SENT,
@@ -286,7 +286,7 @@
     }
     long costMicros = context.scenario().means().work();
     if (costMicros > 0) {
-      long events = COSTLY_EVENTS.stream().mapToLong(this::count).sum();
+      long events = CHARGED_EVENTS.stream().mapToLong(this::count).sum();
       pausedUntilMicros =
           Math.max(pausedUntilMicros, context.nowMicros() + (events - chargedEvents) * costMicros);
       chargedEvents = events;
@@ -300,7 +300,7 @@
   /** Checks that no fault was counted and, unless killed, that all resources were released. */
   void checkReleased() {
     if (count(Counters.Name.FAULTS) > 0) {
-      violated(Rule.NO_FAULT, "gateway " + index + " counted a fault in an event loop");
+      recordViolation(Rule.NO_FAULT, "gateway " + index + " counted a fault in an event loop");
     }
     if (killed) {
       return;
@@ -308,7 +308,7 @@
     long heldBytes = networks.get(0).budget().held();
     if (!isStopped() || channels.openCount() > 0 || heldBytes != 0) {
       String stopped = isStopped() ? "" : " did not stop";
-      violated(
+      recordViolation(
           Rule.NOTHING_LEFT,
           String.format(
               Locale.ROOT,
@@ -320,7 +320,7 @@
     }
   }
 
-  private void violated(Rule rule, String description) {
-    context.checker().violated(context.nowMicros(), rule, description);
+  private void recordViolation(Rule rule, String description) {
+    context.checker().recordViolation(context.nowMicros(), rule, description);
   }
 }
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
@@ -138,7 +138,7 @@
   public void malformedRequest(Host host, ProtocolException why) {
     context
         .checker()
-        .violated(
+        .recordViolation(
             context.nowMicros(),
             Rule.RIGHT_VALUE,
             "malformed request to " + host.id() + ": " + why.getMessage());
