--- a/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RandomDeployment.java
@@ -19,19 +19,21 @@
 import shelffront.routing.SafetyRules;
 
 /**
- * What the protocol leaves to a deployment: how positions and roles are told, how the list comes,
- * what is permitted. What gateways are told at their start, and what boxes, clients and the list
- * then do, follow from the same value.
+ * The properties that the protocol leaves to a deployment: how positions and roles are reported,
+ * how the endpoint list is distributed, and what is permitted. The settings of the gateways and the
+ * behaviour of hosts, clients and discovery derive from the same value.
  *
- * @param onceWrites whether there is a class of writes that must never run twice
- * @param carried whether clients carry the position of their session's last write, and roam with it
- * @param pushed whether the list is pushed: what its agent holds counts as told
- * @param reports where boxes report on themselves
- * @param stamped whether every answer tells the position
- * @param listRole what the list says of roles
- * @param copies whether a read may have two attempts out
- * @param retryAfter whether clients may be told when to come back
- * @param probePrice what a probe for each request costs
+ * @param onceWrites whether there is a class of non-idempotent writes
+ * @param carried whether clients carry the session position, and may move to another gateway with
+ *     it
+ * @param pushed whether the endpoint list is pushed to an agent; an update that the agent holds
+ *     counts as received by the gateway
+ * @param reports how hosts send load reports
+ * @param stamped whether each response carries the position of the host
+ * @param listRole which roles the endpoint list contains
+ * @param copies whether a read may be hedged with a second attempt
+ * @param retryAfter whether rejections may carry Retry-After
+ * @param probePrice cost of one health check per request
  */
 public record RandomDeployment(
     boolean onceWrites,
@@ -47,8 +49,8 @@
   private static final long MICROS_PER_MILLI = 1000;
 
   /**
-   * Marks remembered by the gateway, a list that is asked for and names roles late, reports in
-   * probes alone.
+   * A deployment whose gateways remember session positions and poll an endpoint list with delayed
+   * roles, and whose hosts send load reports in health checks only.
    */
   public static RandomDeployment plain(boolean onceWrites) {
     return new RandomDeployment(
@@ -64,8 +66,8 @@
   }
 
   /**
-   * Marks carried, a pushed list with the first roles, reports in every answer, copies, no word
-   * when to come back.
+   * A deployment whose clients carry session positions, with a pushed endpoint list that contains
+   * the initial roles, load reports in each response, hedged requests, and no Retry-After.
    */
   public static RandomDeployment carrying(boolean onceWrites) {
     return new RandomDeployment(
@@ -80,7 +82,7 @@
         0.07);
   }
 
-  /** Any that the protocol permits, each setting by itself. */
+  /** Draws each property independently from the combinations that the protocol permits. */
   static RandomDeployment draw(UniformRandomProvider random, boolean onceWrites) {
     boolean stamped = random.nextBoolean();
     LoadReportSource reports =
@@ -100,24 +102,24 @@
   }
 
   List<RequestClass> requestClasses() {
-    List<RequestClass> types =
+    List<RequestClass> classes =
         new ArrayList<>(
             List.of(
-                type(
+                idempotentReadClass(
                     "map-read",
                     500 * MICROS_PER_MILLI,
                     1200 * MICROS_PER_MILLI,
                     2,
                     Consistency.BOUNDED_STALENESS,
                     500 * MICROS_PER_MILLI),
-                type(
+                idempotentReadClass(
                     "own-edit-read",
                     700 * MICROS_PER_MILLI,
                     2000 * MICROS_PER_MILLI,
                     3,
                     Consistency.SESSION,
                     0),
-                type(
+                idempotentReadClass(
                     "live-read",
                     500 * MICROS_PER_MILLI,
                     1500 * MICROS_PER_MILLI,
@@ -136,7 +138,7 @@
                     Consistency.WRITE,
                     0)));
     if (onceWrites) {
-      types.add(
+      classes.add(
           new RequestClass(
               "once-write",
               1200 * MICROS_PER_MILLI,
@@ -149,26 +151,31 @@
               Consistency.WRITE,
               0));
     }
-    return types;
+    return classes;
   }
 
-  private static RequestClass type(
-      String name, long aim, long giveUp, double worth, Consistency read, long bound) {
+  private static RequestClass idempotentReadClass(
+      String name,
+      long latencyObjectiveMicros,
+      long deadlineMicros,
+      double priorityWeight,
+      Consistency consistency,
+      long maxStalenessMicros) {
     return new RequestClass(
         name,
-        aim,
-        giveUp,
-        worth,
+        latencyObjectiveMicros,
+        deadlineMicros,
+        priorityWeight,
         0,
         Idempotency.IDEMPOTENT,
         DeduplicationScope.REPLICA_SET,
         0,
-        read,
-        bound);
+        consistency,
+        maxStalenessMicros);
   }
 
-  /** What one of so many modules is told. */
-  RoutingSettings settings(int self, int modules, ReplicaSetParameters parameters) {
+  /** Returns the settings of the decision module with index {@code moduleIndex}. */
+  RoutingSettings settings(int moduleIndex, int moduleCount, ReplicaSetParameters parameters) {
     LagCheck check =
         switch (parameters.check()) {
           case SILENT -> LagCheck.NONE;
@@ -176,7 +183,7 @@
           case WAIT -> LagCheck.WAIT;
         };
     return new RoutingSettings(
-        new GatewayIdentity(self, modules, "a"),
+        new GatewayIdentity(moduleIndex, moduleCount, "a"),
         1000,
         requestClasses(),
         new ConsistencySettings(check, parameters.patience(), stamped, carried),
--- a/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
+++ b/lab/src/main/java/shelffront/lab/simulation/RequestRecorder.java
@@ -8,42 +8,42 @@
 import shelffront.routing.RequestClass;
 
 /**
- * Records what became of the clients' requests, by class and by window of the run, and passes it on
- * to the checker and the trace.
+ * Records the outcomes of the clients' requests by request class and by time window, and reports
+ * them to the checker and the trace.
  */
 final class RequestRecorder {
 
-  private static final long LONGEST_LATENCY_MICROS = 60_000_000;
-  private static final int LATENCY_DIGITS = 3;
+  private static final long MAX_LATENCY_MICROS = 60_000_000;
+  private static final int LATENCY_SIGNIFICANT_DIGITS = 3;
   private static final String CAPACITY_EXCEEDED = "53300";
   private static final String SHUTTING_DOWN = "57P03";
 
-  /** How a request ended. */
-  private enum Ending {
+  /** The outcome of a request with a response. */
+  private enum Outcome {
     ON_TIME,
     LATE,
     REJECTED,
     FAILED
   }
 
-  /** Counts of one class. */
+  /** The outcomes of one request class. */
   private static final class ClassCounts {
 
-    private long asked;
+    private long requested;
     private long unanswered;
-    private final long[] byEnding = new long[Ending.values().length];
+    private final long[] byOutcome = new long[Outcome.values().length];
 
-    private long get(Ending ending) {
-      return byEnding[ending.ordinal()];
+    private long get(Outcome outcome) {
+      return byOutcome[outcome.ordinal()];
     }
 
     private FleetSimulation.Worth toWorth() {
       return new FleetSimulation.Worth(
-          asked,
-          get(Ending.ON_TIME),
-          get(Ending.LATE),
-          get(Ending.REJECTED),
-          get(Ending.FAILED),
+          requested,
+          get(Outcome.ON_TIME),
+          get(Outcome.LATE),
+          get(Outcome.REJECTED),
+          get(Outcome.FAILED),
           unanswered);
     }
   }
@@ -54,7 +54,8 @@
   private final Map<String, ClassCounts> counts = new TreeMap<>();
   private final double[] requestedValue;
   private final double[] servedValue;
-  private final Histogram latencyMicros = new Histogram(LONGEST_LATENCY_MICROS, LATENCY_DIGITS);
+  private final Histogram latencyMicros =
+      new Histogram(MAX_LATENCY_MICROS, LATENCY_SIGNIFICANT_DIGITS);
   private long startedAtMicros;
   private long requests;
 
@@ -66,7 +67,7 @@
     servedValue = new double[requestedValue.length];
   }
 
-  /** Load begins now; windows count from here. */
+  /** Marks the start of the load, from which the windows are counted. */
   void start() {
     startedAtMicros = context.nowMicros();
   }
@@ -75,54 +76,54 @@
     return counts.computeIfAbsent(requestClass.name(), name -> new ClassCounts());
   }
 
-  /** A client has sent a request, after so many earlier tries of its own. */
+  /** Records a sent request; {@code earlierTries} counts towards the retry limit of the client. */
   void sent(CheckedRequest request, int earlierTries) {
     requests++;
     requestedValue[window(request)] += request.requestClass.priorityWeight();
-    countsOf(request.requestClass).asked++;
+    countsOf(request.requestClass).requested++;
     if (earlierTries > 0) {
       retries.put(request.id, earlierTries);
     }
     if (gateways.isDisturbed(request.gateway)) {
-      context.checker().excuse(request);
+      context.checker().exempt(request);
     }
     context.trace().record("ask", request.id, request.requestClass.name());
   }
 
-  /** A request was due and its client had no connection: it counts as sent and unanswered. */
+  /** Records a due request that had no available connection; it counts as unanswered. */
   void notSent(RequestClass requestClass) {
-    countsOf(requestClass).asked++;
+    countsOf(requestClass).requested++;
     countsOf(requestClass).unanswered++;
   }
 
-  /** How often a client had tried before it sent this request. */
+  /** Returns the earlier tries that count towards the retry limit of a request. */
   int earlierTries(CheckedRequest request) {
     return retries.getOrDefault(request.id, 0);
   }
 
-  /** An answer has come: a value, or the code of an error. */
+  /** Records a response: either a value or the SQLSTATE of an error; the other one is null. */
   void answered(CheckedRequest request, String value, String code) {
     long now = context.nowMicros();
     context.trace().record("answered", request.id, String.valueOf(value), String.valueOf(code));
     context.checker().answered(request, now, value, code);
-    Ending ending = endingOf(request, code);
-    countsOf(request.requestClass).byEnding[ending.ordinal()]++;
+    Outcome outcome = outcomeOf(request, code);
+    countsOf(request.requestClass).byOutcome[outcome.ordinal()]++;
     if (code == null) {
       latencyMicros.recordValue(Math.max(0, now - request.sentAtMicros));
       double valueFraction =
-          ending == Ending.ON_TIME ? 1 : request.requestClass.lateValueFraction();
+          outcome == Outcome.ON_TIME ? 1 : request.requestClass.lateValueFraction();
       servedValue[window(request)] += request.requestClass.priorityWeight() * valueFraction;
     }
   }
 
-  private Ending endingOf(CheckedRequest request, String code) {
+  private Outcome outcomeOf(CheckedRequest request, String code) {
     if (code == null) {
       long objectiveMicros = request.sentAtMicros + request.requestClass.latencyObjectiveMicros();
-      return context.nowMicros() <= objectiveMicros ? Ending.ON_TIME : Ending.LATE;
+      return context.nowMicros() <= objectiveMicros ? Outcome.ON_TIME : Outcome.LATE;
     }
     return code.equals(CAPACITY_EXCEEDED) || code.equals(SHUTTING_DOWN)
-        ? Ending.REJECTED
-        : Ending.FAILED;
+        ? Outcome.REJECTED
+        : Outcome.FAILED;
   }
 
   private int window(CheckedRequest request) {
@@ -130,26 +131,28 @@
     return (int) Math.min(servedValue.length - 1, elapsedMicros / FleetSimulation.WINDOW_MICROS);
   }
 
-  /** The client has waited its time out. */
+  /** Records that a client timed out without a response. */
   void unanswered(CheckedRequest request, String how) {
     context.trace().record("unanswered", request.id, how);
     countsOf(request.requestClass).unanswered++;
     context.checker().unanswered(request, context.nowMicros(), how);
   }
 
-  /** A connection has ended with a request open. */
+  /** Records that a connection ended while a request was open. */
   void connectionLost(CheckedRequest request, boolean reset) {
     context.trace().record("lost", request.id, String.valueOf(reset));
     countsOf(request.requestClass).unanswered++;
     if (gateways.get(request.gateway).isKilled() || request.hasNoAttempt()) {
-      // A connection that the gateway ended between requests may cross the next one, which then
-      // was sent nowhere.
-      context.checker().excuse(request);
+      // The gateway may close an idle connection while the next request is on its way to it; such
+      // a request is sent to no host.
+      context.checker().exempt(request);
     }
-    context.checker().unanswered(request, context.nowMicros(), "lost its connection");
+    context
+        .checker()
+        .unanswered(request, context.nowMicros(), "had no response when its connection ended");
   }
 
-  /** What the run came to, as of now. */
+  /** Returns the result of the run up to now. */
   FleetSimulation.Result result() {
     Map<String, FleetSimulation.Worth> byClass = new TreeMap<>();
     double served = 0;
