--- a/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
+++ b/lab/src/main/java/shelffront/lab/emulator/DiscoveryEmulator.java
@@ -18,14 +18,16 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * The list of boxes, late, over HTTP with watches: discovery as the platform's gateways know it.
+ * Emulates the platform's discovery service: serves the endpoint list over HTTP, once or as a
+ * watch, and announces changes with a configurable delay. Its state is confined to the transport's
+ * thread.
  */
 public final class DiscoveryEmulator {
 
   private static final String FROM_PARAMETER = "from=";
   private static final long PING_MICROS = 2_000_000;
 
-  /** A line of the list as it is told. */
+  /** An entry of the endpoint list as it is sent to gateways. */
   public record EndpointLine(
       String id,
       String address,
@@ -34,10 +36,11 @@
       long startedAtMillis,
       boolean primary) {}
 
-  /** Told of what the list says to whom, as it is written. */
+  /** Observes the endpoint updates that are sent. */
   public interface UpdateListener {
 
-    void updateSent(TransportConnection connection, List<EndpointLine> some, boolean complete);
+    /** Called after an update was handed to an open connection; complete for a snapshot. */
+    void updateSent(TransportConnection connection, List<EndpointLine> endpoints, boolean complete);
   }
 
   private final Transport transport;
@@ -49,17 +52,25 @@
   private long revision = 1;
   private boolean down;
 
-  /** Where it listens; throws where that address can't be had. */
-  public DiscoveryEmulator(Transport transport, InetSocketAddress address, UpdateListener told)
+  /**
+   * Starts to listen.
+   *
+   * @throws IOException if the address cannot be bound
+   */
+  public DiscoveryEmulator(Transport transport, InetSocketAddress address, UpdateListener listener)
       throws IOException {
     this.transport = transport;
     this.address = address;
-    this.listener = told;
+    this.listener = listener;
     listen(address);
     transport.clock().after(PING_MICROS, this::ping);
   }
 
-  /** Listens at another address too; throws where that can't be had. */
+  /**
+   * Listens on an additional address.
+   *
+   * @throws IOException if the address cannot be bound
+   */
   public void listen(InetSocketAddress listenAddress) throws IOException {
     transport.listen(listenAddress, connection -> down ? null : new WatchConnection(connection));
   }
@@ -68,7 +79,10 @@
     return address;
   }
 
-  /** A line as it is from now on; told after the list's delay. */
+  /**
+   * Adds, replaces or (phase Gone) removes an entry, and sends it to all watches, after a delay in
+   * microseconds.
+   */
   public void publish(EndpointLine line, long delay) {
     transport
         .clock()
@@ -88,13 +102,13 @@
             });
   }
 
-  /** All watches break at once. */
+  /** Resets the connections of all watches. */
   public void breakWatches() {
     List.copyOf(watches).forEach(ConnectionHandler::reset);
     watches.clear();
   }
 
-  /** Refuses connections, and breaks those that are open, until it is up again. */
+  /** While down, new connections are refused; the watches that are open are reset at the start. */
   public void setDown(boolean enabled) {
     down = enabled;
     if (enabled) {
@@ -107,11 +121,11 @@
     transport.clock().after(PING_MICROS, this::ping);
   }
 
-  ObjectNode json(List<EndpointLine> some, boolean complete) {
+  ObjectNode json(List<EndpointLine> endpoints, boolean complete) {
     ObjectNode list =
         TenantSpecCodec.JSON.createObjectNode().put("revision", revision).put("complete", complete);
     ArrayNode members = list.putArray("members");
-    for (EndpointLine line : some) {
+    for (EndpointLine line : endpoints) {
       members
           .addObject()
           .put("id", line.id())
@@ -127,6 +141,7 @@
     return list;
   }
 
+  /** Returns the current list as a complete update. */
   public ObjectNode currentList() {
     return json(List.copyOf(lines.values()), true);
   }
@@ -166,14 +181,14 @@
       }
     }
 
-    void sendUpdate(List<EndpointLine> some, boolean complete) {
-      sendChunk(json(some, complete) + "\n");
-      notifyListener(some, complete);
+    void sendUpdate(List<EndpointLine> endpoints, boolean complete) {
+      sendChunk(json(endpoints, complete) + "\n");
+      notifyListener(endpoints, complete);
     }
 
-    private void notifyListener(List<EndpointLine> some, boolean complete) {
+    private void notifyListener(List<EndpointLine> endpoints, boolean complete) {
       if (!isClosed()) {
-        listener.updateSent(connection, some, complete);
+        listener.updateSent(connection, endpoints, complete);
       }
     }
 
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
@@ -15,22 +15,22 @@
 import shelffront.pg.ProtocolException;
 import shelffront.pg.Statement;
 
-/** A box's side of a connection, on PostgreSQL's wire as far as the gateway speaks it. */
+/** The host side of a connection: the part of the PostgreSQL protocol that the gateway uses. */
 public final class EmulatedHostConnection extends ConnectionHandler {
 
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** A row whose length does not fit what follows. */
+  /** A DataRow message whose length field does not match its contents. */
   private static final byte[] MALFORMED_ROW = {'D', 0x7f, 1, 2, 3, 4, 5, 6};
 
-  /** One column named v; nothing else of it is looked at. */
+  /** Describes one column named v; the gateway ignores the remaining fields, which are zero. */
   private static final byte[] ROW_DESCRIPTION = ("\0\1v\0" + "\0".repeat(18)).getBytes(ISO_8859_1);
 
   private final HostEnvironment environment;
   private final ReplicaSetModel.Host host;
   private boolean started;
 
-  /** Serves a connection that was accepted for a host. */
+  /** Serves an accepted connection on behalf of a host. */
   public EmulatedHostConnection(
       HostEnvironment environment, ReplicaSetModel.Host host, TransportConnection accepted) {
     this.environment = environment;
@@ -117,14 +117,14 @@
       send(Message.readyForQuery());
       return;
     }
-    // A commit is told rounded up, a copy's position rounded down: neither may look better than it
-    // is.
-    long told =
+    // Commit positions are rounded up and read positions down to whole milliseconds, so that a
+    // replica never appears to have applied a commit that it has not.
+    long positionMillis =
         query.write()
             ? (answer.positionMicros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI
             : answer.positionMicros() / MICROS_PER_MILLI;
     if (query.write() || environment.sendsPositions()) {
-      send(Message.parameterStatus("commit_clock", Long.toString(told)));
+      send(Message.parameterStatus("commit_clock", Long.toString(positionMillis)));
     }
     if (environment.sendsLoadReports()) {
       send(Message.parameterStatus("usage", loadReport()));
@@ -133,7 +133,7 @@
     sendRow(query.id(), query.write() ? "INSERT 0 1" : "SELECT 1");
   }
 
-  /** What it says of its role counts once it is written. */
+  /** Notifies the environment when the host is about to send that it is a replica. */
   private void reportRole(boolean primary) {
     if (!primary && !isClosed()) {
       environment.replicaRoleSent(host, connection);
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedReplicaSet.java
@@ -25,9 +25,10 @@
 import shelffront.pg.Statement;
 
 /**
- * The model of a set on loopback sockets, in real time. Every write that took effect is counted by
- * its key, and what a client was served can be held against it. Its methods may be called by any
- * thread; the model is its carrier's.
+ * Runs the model of a replica set on loopback sockets in real time. Counts the writes that took
+ * effect by key, so that a test can compare them with the responses to clients. Methods may be
+ * called from any thread unless they say otherwise; the model is confined to the transport's
+ * thread.
  */
 public final class EmulatedReplicaSet implements AutoCloseable {
 
@@ -37,7 +38,7 @@
   private static final int DEFAULT_WAIT_MILLIS = 60_000;
   private static final int UNBOUNDED = 1 << 20;
 
-  /** One box. */
+  /** One host of the replica set. */
   public final class Host {
 
     private final ReplicaSetModel.Host model;
@@ -60,9 +61,9 @@
       if (!model.isUp() || connections.size() >= parameters.connections()) {
         return null;
       }
-      EmulatedHostConnection talker = new EmulatedHostConnection(environment, model, connection);
-      connections.add(talker);
-      return talker;
+      EmulatedHostConnection handler = new EmulatedHostConnection(environment, model, connection);
+      connections.add(handler);
+      return handler;
     }
 
     public String id() {
@@ -77,29 +78,33 @@
       return primary;
     }
 
-    /** How the list names its state: Ready, Terminating or Gone. On the carrier's thread. */
+    /**
+     * The phase in the endpoint list: Ready, Terminating or Gone. Must be called on the transport's
+     * thread.
+     */
     public String phase() {
       return !model.isUp() ? "Gone" : model.isDraining() ? "Terminating" : "Ready";
     }
 
     /**
-     * When its process started, in Unix microseconds, or 0 if long ago. On the carrier's thread.
+     * The start time of the process in Unix microseconds, 0 for a host that was warm from the
+     * beginning. Must be called on the transport's thread.
      */
     public long startedAtMicros() {
       return model.startedAtMicros();
     }
 
-    /** Takes connections and says nothing more, to queries and probes alike. */
+    /** While silent, connections are accepted but queries and health checks get no response. */
     public void setSilent(boolean enabled) {
       silent = enabled;
     }
 
-    /** Answers with garbage. */
+    /** While enabled, every response except to health checks is malformed. */
     public void setCorruptsAnswers(boolean enabled) {
       corruptsAnswers = enabled;
     }
 
-    /** Its process ends; where it was primary, another is elected. */
+    /** Terminates the process; if it was primary, another host is elected. */
     public void kill() {
       runOnTransport(
           () -> {
@@ -109,27 +114,27 @@
           });
     }
 
-    /** Its process starts anew, cold, from the copy that it had. */
+    /** Starts the process again with the data that it had and cold caches. */
     public void restart() {
       runOnTransport(() -> EmulatedReplicaSet.this.model.restart(model));
     }
 
-    /** It finishes what it has and takes nothing new; a primary hands over. */
+    /** Finishes admitted queries and accepts no new ones; a primary hands over its role. */
     public void drain() {
       runOnTransport(() -> EmulatedReplicaSet.this.model.drain(model));
     }
 
-    /** Takes so many times as long for everything, for a while. */
+    /** Multiplies all service times by a factor for a number of seconds. */
     public void slowDown(double factor, double seconds) {
       runOnTransport(() -> model.slowDown(factor, (long) (seconds * 1e6)));
     }
 
-    /** Queries that it has begun to work on. */
+    /** Returns the number of queries whose execution has started. */
     public long startedCount() {
       return startedCount.get();
     }
 
-    /** When it last began one, by {@link System#nanoTime}. */
+    /** Returns when the execution of a query last started, as {@link System#nanoTime}. */
     public long lastStartNanos() {
       return lastStartNanos;
     }
@@ -145,8 +150,8 @@
   private final Consumer<EmulatedReplicaSet> primaryListener;
 
   /**
-   * A primary and so many replicas, each with so many cores, which take {@code workMs} for a
-   * request; all warm.
+   * Starts a primary and replicas on a transport of their own. All hosts are warm and take {@code
+   * workMs} for a request; replicas lag by {@code lagMs}.
    */
   public EmulatedReplicaSet(String name, int replicas, int cores, double workMs, long lagMs)
       throws IOException {
@@ -160,24 +165,25 @@
   }
 
   /**
-   * Boxes by their figures on a carrier that others may use too; told on its thread when there is a
-   * new primary.
+   * Starts hosts on a transport that may be shared; {@link #close} leaves it open.
+   *
+   * @param elected called on the transport's thread when the primary changes
    */
   public EmulatedReplicaSet(
       SocketTransport transport,
       String name,
-      int boxCount,
+      int hostCount,
       ReplicaSetParameters parameters,
       Consumer<EmulatedReplicaSet> elected)
       throws IOException {
-    this(transport, false, name, boxCount, parameters, elected);
+    this(transport, false, name, hostCount, parameters, elected);
   }
 
   private EmulatedReplicaSet(
       SocketTransport transport,
       boolean own,
       String name,
-      int boxCount,
+      int hostCount,
       ReplicaSetParameters parameters,
       Consumer<EmulatedReplicaSet> elected)
       throws IOException {
@@ -188,7 +194,7 @@
     model =
         new ReplicaSetModel(
             name,
-            boxCount,
+            hostCount,
             transport,
             RandomSource.XO_RO_SHI_RO_128_PP.create(name.hashCode()),
             parameters,
@@ -198,7 +204,10 @@
     }
   }
 
-  /** Boxes that take the same time for everything, check nothing and bear whatever comes. */
+  /**
+   * Parameters of hosts with a constant service time, without position checks and with practically
+   * unlimited queues and connections.
+   */
   public static ReplicaSetParameters uniformParameters(int cores, double workMs, long lagMs) {
     long work = (long) (workMs * 1000);
     return new ReplicaSetParameters(
@@ -227,12 +236,12 @@
     return List.copyOf(hosts.values());
   }
 
-  /** How often each key's write took effect. */
+  /** Returns how many times the write with each key took effect. */
   public Map<String, AtomicLong> effects() {
     return effects;
   }
 
-  /** Connections that are open to it. */
+  /** Returns the number of connections that are open to all hosts. */
   public int connectionCount() {
     AtomicInteger sum = new AtomicInteger();
     runOnTransport(
@@ -247,7 +256,7 @@
     return sum.get();
   }
 
-  /** How late its work was done because this machine was slow, in microseconds, 99 of 100 times. */
+  /** Returns the 99th percentile of the delay of tasks past their due time, in microseconds. */
   public long latenessMicros() {
     return transport.latenessMicros().getValueAtPercentile(LATENESS_PERCENTILE);
   }
--- a/lab/src/main/java/shelffront/lab/emulator/HostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/emulator/HostEnvironment.java
@@ -10,46 +10,47 @@
 import shelffront.pg.Statement;
 
 /**
- * Where boxes stand: what they know beside the model, what goes wrong with them, and who watches.
+ * The surroundings of emulated hosts: the settings that the model does not hold, injected faults,
+ * and observers of the connections.
  */
 public interface HostEnvironment {
 
   Clock clock();
 
-  /** What a connection costs, in microseconds. */
+  /** Time from a startup message to its response, in microseconds. */
   long handshakeMicros();
 
-  /** What a statement asks. */
+  /** Converts a statement to a query of the model. */
   Query parse(Statement statement, String text) throws ProtocolException;
 
   /**
-   * A request has come over a connection; the answer is told to what is returned, before it is
-   * sent.
+   * Reports an attempt that has arrived on a connection. The returned consumer receives the
+   * response before it is sent.
    */
   Consumer<Answer> attemptArrived(Host host, TransportConnection from, Query query);
 
-  /** A box is about to say over a connection that it is a replica. */
+  /** Reports that a host is about to send its role as a replica on a connection. */
   void replicaRoleSent(Host host, TransportConnection connection);
 
-  /** Whether every answer tells the position; that of a write always does. */
+  /** Whether responses to reads include the position; responses to writes always do. */
   default boolean sendsPositions() {
     return true;
   }
 
-  /** Whether answers bring a report. */
+  /** Whether successful responses include a load report. */
   default boolean sendsLoadReports() {
     return false;
   }
 
-  /** Whether it answers with garbage now. */
+  /** Whether responses of the host are currently malformed. */
   boolean corruptsAnswer(Host host);
 
-  /** Whether it takes what comes and says nothing. */
+  /** Whether the host currently reads queries without responding. */
   boolean isSilent(Host host);
 
-  /** It was sent what no gateway may send. */
+  /** Reports a message to a host that violates the protocol. */
   void malformedRequest(Host host, ProtocolException why);
 
-  /** The other side has ended a connection. */
+  /** Reports that the peer closed or reset a connection. */
   void connectionEnded(Host host);
 }
