--- a/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/transport/ConnectionHandler.java
@@ -3,8 +3,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * One of the lab's own parties on a connection: takes what comes, at once, and writes as the window
- * lets it.
+ * Base class of the lab's clients and servers on one connection: reads received bytes at once and
+ * buffers writes until the window of the connection admits them. Confined to the transport's
+ * thread.
  */
 public abstract class ConnectionHandler implements TransportConnection.Listener {
 
@@ -17,19 +18,25 @@
   private boolean closed;
   private boolean stalled;
 
-  /** Of a connection that was accepted. */
+  /** Attaches an accepted connection. */
   protected final ConnectionHandler accept(TransportConnection accepted) {
     connection = accepted;
     return this;
   }
 
-  /** All bytes that have come and were not consumed. */
+  /**
+   * Handles received bytes. Bytes left in the buffer are passed again, before those that follow,
+   * when more have been received.
+   */
   protected abstract void received(ByteBuffer bytes);
 
-  /** The other side has ended, or nobody was there; called once. */
+  /**
+   * Called once when the peer has closed the connection or, with {@code reset}, has reset or
+   * refused it; not called once this side has reset it or finished closing it.
+   */
   protected abstract void ended(boolean reset);
 
-  /** Reads nothing more for now, or again. */
+  /** Suspends reading while enabled; resumes it otherwise. */
   public final void setStalled(boolean enabled) {
     stalled = enabled;
     if (!enabled) {
@@ -45,6 +52,7 @@
     return closed;
   }
 
+  /** Queues bytes and writes as many as the window admits; no effect once closing. */
   protected final void send(byte[] bytes) {
     if (closed || closing) {
       return;
@@ -56,13 +64,13 @@
     writable();
   }
 
-  /** Closes once all is written. */
+  /** Closes the connection once all queued bytes are written. */
   public final void close() {
     closing = true;
     writable();
   }
 
-  /** Ends it at once, with a reset for the peer. */
+  /** Resets the connection at once and discards queued bytes. */
   public final void reset() {
     if (!closed) {
       closed = true;
--- a/lab/src/main/java/shelffront/lab/transport/ReadyHandler.java
+++ b/lab/src/main/java/shelffront/lab/transport/ReadyHandler.java
@@ -2,7 +2,7 @@
 
 import java.nio.channels.SelectionKey;
 
-/** What is registered with the selector: it is told when its channel is ready. */
+/** Attachment of a selection key, called when the channel is ready. */
 interface ReadyHandler {
 
   void ready(SelectionKey key);
--- a/lab/src/main/java/shelffront/lab/transport/SocketConnection.java
+++ b/lab/src/main/java/shelffront/lab/transport/SocketConnection.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A non-blocking socket as a connection of the lab. All calls are its transport's thread's. */
+/** A connection on a non-blocking socket. Confined to the thread of its transport. */
 final class SocketConnection implements TransportConnection, ReadyHandler {
 
   SocketChannel channel;
@@ -21,7 +21,7 @@
   private final List<byte[]> received = new ArrayList<>();
   private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
   private int receivedBytes;
-  private int firstPieceOffset; // of the first piece, what has been read
+  private int firstPieceOffset; // bytes of the first piece that have been read
   private int unsentBytes;
   private boolean connected;
   private boolean ended;
@@ -30,8 +30,8 @@
   private boolean closed;
 
   /**
-   * @param readBuffer shared by all connections of a thread; empty between calls
-   * @param taskQueue takes tasks that the thread runs after the call that is under way
+   * @param readBuffer shared by all connections of the thread; holds no data between calls
+   * @param taskQueue takes tasks that the thread runs after the current call
    */
   SocketConnection(Listener listener, ByteBuffer readBuffer, Consumer<Runnable> taskQueue) {
     this.listener = listener;
@@ -104,7 +104,7 @@
     }
     updateInterest();
     if (closing) {
-      received.clear(); // nobody reads any more
+      received.clear(); // input is discarded while output is flushed
       receivedBytes = 0;
       if (broken) {
         closeChannel();
@@ -169,12 +169,12 @@
   }
 
   @Override
-  public int read(ByteBuffer target, int most) {
+  public int read(ByteBuffer target, int maxBytes) {
     int count = 0;
-    while (!received.isEmpty() && target.hasRemaining() && count < most) {
+    while (!received.isEmpty() && target.hasRemaining() && count < maxBytes) {
       byte[] first = received.get(0);
       int take =
-          Math.min(Math.min(first.length - firstPieceOffset, target.remaining()), most - count);
+          Math.min(Math.min(first.length - firstPieceOffset, target.remaining()), maxBytes - count);
       target.put(first, firstPieceOffset, take);
       count += take;
       firstPieceOffset += take;
@@ -212,7 +212,7 @@
       try {
         channel.setOption(StandardSocketOptions.SO_LINGER, 0);
       } catch (IOException e) {
-        // It is closed already.
+        // The socket is closed already.
       }
     }
     closeChannel();
--- a/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
+++ b/lab/src/main/java/shelffront/lab/transport/SocketTransport.java
@@ -21,10 +21,11 @@
 import shelffront.lab.model.Clock;
 
 /**
- * Loopback sockets in real time. One thread waits for channels and for what is due, runs every task
- * and owns all state of the parties: a message costs one wake-up, where completions that post cost
- * two. Within a millisecond of what is due it does not sleep. It notes how late its tasks run: a
- * party that was slow because the machine is says so.
+ * Loopback sockets in real time. One thread selects on all channels, runs all tasks and owns the
+ * state of all handlers, so a message costs one wake-up; completion handlers that post to a thread
+ * would cost two. The thread polls instead of sleeping when a task is due within about a
+ * millisecond. The delay of tasks past their due time is recorded, so that results show when the
+ * machine was too slow.
  */
 public final class SocketTransport implements Transport, Clock, AutoCloseable {
 
@@ -35,7 +36,7 @@
   private static final int READ_BUFFER_BYTES = 16 * 1024;
   private static final long FAILURE_CHECK_MILLIS = 100;
 
-  /** Closer than this a wait could only end too late: a selector waits whole milliseconds. */
+  /** Below this the thread polls: a selector waits whole milliseconds and would wake up late. */
   private static final long SHORTEST_WAIT_MICROS = 1_200;
 
   private final TaskScheduler tasks = new TaskScheduler();
@@ -48,7 +49,7 @@
   private volatile boolean closed;
   private volatile RuntimeException failure;
 
-  /** Its thread is a daemon, which ends with {@link #close}. */
+  /** Starts the thread, a daemon that runs until {@link #close}. */
   public SocketTransport(String name) throws IOException {
     selector = Selector.open();
     thread = new Thread(null, this::run, name, STACK_BYTES);
@@ -64,7 +65,9 @@
     } catch (RuntimeException e) {
       failure = e;
     } catch (IOException e) {
-      failure = new IllegalStateException("a selector that can't select", e);
+      failure =
+          new IllegalStateException(
+              "selector of transport thread " + thread.getName() + " failed", e);
     } finally {
       selector.keys().forEach(key -> closeQuietly((AutoCloseable) key.channel()));
       closeQuietly(selector);
@@ -97,20 +100,23 @@
     }
   }
 
-  /** Runs a task on its thread, soon. Any thread may call. */
+  /** Runs a task on the transport's thread as soon as possible. May be called from any thread. */
   public void post(Runnable task) {
     posted.add(task);
     selector.wakeup();
   }
 
   /**
-   * Waits for what its tasks count down; throws where one of them has failed instead. Any other
-   * thread may call.
+   * Waits until tasks have counted the latch down, or until the transport is closed. May be called
+   * from any thread but the transport's.
+   *
+   * @throws IllegalStateException if a task has failed
    */
-  public void await(CountDownLatch over) throws InterruptedException {
-    while (!over.await(FAILURE_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
+  public void await(CountDownLatch latch) throws InterruptedException {
+    while (!latch.await(FAILURE_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
       if (failure != null) {
-        throw new IllegalStateException("a task on " + thread.getName() + " has failed", failure);
+        throw new IllegalStateException(
+            "a task on transport thread " + thread.getName() + " failed", failure);
       }
       if (closed) {
         return;
@@ -133,7 +139,7 @@
     tasks.add(time, task);
   }
 
-  /** Microseconds from when tasks were due until they ran. */
+  /** Returns the delay of tasks past their due time, in microseconds. */
   public Histogram latenessMicros() {
     return latenessMicros;
   }
@@ -161,7 +167,11 @@
     open(address, accept);
   }
 
-  /** Listens on a port that nobody else has; where. Any thread may call. */
+  /**
+   * Listens on an unused loopback port and returns its address. May be called from any thread.
+   *
+   * @throws IOException if no port can be bound
+   */
   public InetSocketAddress listen(
       Function<TransportConnection, TransportConnection.Listener> accept) throws IOException {
     return open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), accept);
@@ -205,8 +215,9 @@
         }
       }
     } catch (IOException e) {
-      // Out of descriptors, or the client has gone: the selector tells again of those that still
-      // wait.
+      // The process is out of file descriptors, or the client has disconnected. The selector
+      // reports
+      // the channel again while connections are waiting.
     }
   }
 
@@ -227,7 +238,7 @@
     try {
       channel.close();
     } catch (Exception e) {
-      // It is closed or breaks either way.
+      // The channel is discarded in any case.
     }
   }
 }
--- a/lab/src/main/java/shelffront/lab/transport/TaskScheduler.java
+++ b/lab/src/main/java/shelffront/lab/transport/TaskScheduler.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * What is due when: by its time and, at the same time, in the order in which it was set. One
- * thread.
+ * A queue of tasks ordered by due time; tasks due at the same time keep the order in which they
+ * were added. Not thread-safe.
  */
 public final class TaskScheduler {
 
@@ -25,17 +25,21 @@
     events.add(new Event(atMicros, order++, task));
   }
 
-  /** When the next event is due; {@link Long#MAX_VALUE} if there is none. */
+  /** Returns when the next task is due, or {@link Long#MAX_VALUE} if there is none. */
   public long nextMicros() {
     return events.isEmpty() ? Long.MAX_VALUE : events.peek().atMicros;
   }
 
-  /** Takes out the next event's task; there must be one. */
+  /**
+   * Removes and returns the next task.
+   *
+   * @throws java.util.NoSuchElementException if there is none
+   */
   public Runnable poll() {
     return events.remove().task;
   }
 
-  /** Events that have been set so far. */
+  /** Returns the number of tasks added so far. */
   public long scheduledCount() {
     return order;
   }
--- a/lab/src/main/java/shelffront/lab/transport/Transport.java
+++ b/lab/src/main/java/shelffront/lab/transport/Transport.java
@@ -6,21 +6,21 @@
 import shelffront.lab.model.Clock;
 
 /**
- * What the lab's parties live on: a clock and connections, real or virtual. All calls and tasks are
- * one thread's.
+ * A clock and connections, in real or virtual time, for the lab's clients and servers. All calls
+ * and tasks run on one thread.
  */
 public interface Transport {
 
   Clock clock();
 
-  /** Sets up a connection; the owner is told how it went. */
+  /** Starts to connect; the listener is notified of the outcome. */
   TransportConnection connect(InetSocketAddress address, TransportConnection.Listener listener);
 
   /**
-   * Takes connections at an address; each is given the owner that the function returns, null
-   * refuses it.
+   * Accepts connections on an address. The function returns the listener of a new connection, or
+   * null to refuse it.
    *
-   * @throws IOException where the address can't be had
+   * @throws IOException if the address cannot be bound
    */
   void listen(
       InetSocketAddress address, Function<TransportConnection, TransportConnection.Listener> accept)
--- a/lab/src/main/java/shelffront/lab/transport/TransportConnection.java
+++ b/lab/src/main/java/shelffront/lab/transport/TransportConnection.java
@@ -3,51 +3,54 @@
 import java.nio.ByteBuffer;
 
 /**
- * One party's end of a connection, on sockets or on the virtual network: a stream of bytes each
- * way, bounded.
+ * One end of a connection, on sockets or on the virtual network: a byte stream in each direction,
+ * with bounded buffers. Confined to the transport's thread.
  */
 public interface TransportConnection {
 
-  /** What its owner is told; each call only says that there is something to look at. */
+  /** Notified of changes; each call is only a hint to inspect the connection. */
   interface Listener {
 
     void connected();
 
-    /** It could not be set up. */
+    /** The connection could not be established. */
     void refused();
 
-    /** Bytes, the other's end or a reset are there. */
+    /** Bytes, the end of input or a reset have been received. */
     void readable();
 
-    /** There is room for bytes again. */
+    /** Bytes may be written again. */
     void writable();
   }
 
-  /** Bytes under way or not yet read, one way. */
+  /** Upper bound of the bytes in flight or unread in one direction. */
   int WINDOW = 64 * 1024;
 
   boolean isConnected();
 
-  /** How many bytes may be written now. */
+  /** Returns how many bytes may be written now; 0 unless connected. */
   int writableBytes();
 
-  /** Sends bytes, for which there must be room. */
+  /** Sends bytes, at most {@link #writableBytes}; ignored once closed. */
   void write(byte[] bytes);
 
   int readableBytes();
 
-  /** Takes as many bytes as fit and are there; how many. */
-  int read(ByteBuffer into, int most);
+  /**
+   * Moves received bytes into a buffer, at most {@code maxBytes} and as many as fit, and returns
+   * their number.
+   */
+  int read(ByteBuffer target, int maxBytes);
 
-  /** All bytes were read and no more will come. */
+  /** Whether the peer has ended its output and all bytes have been read. */
   boolean atEnd();
 
-  /** The other process has ended, or has answered bytes it did not want by a reset. */
+  /** Whether the peer's process has ended or the peer has reset the connection. */
   boolean isReset();
 
-  /** Closes once what was written is sent. */
+  /** Closes the connection after the bytes that were written are sent. */
   void close();
 
-  /** Ends it at once. */
+  /** Resets the connection at once. */
   void reset();
 }
--- a/lab/src/main/java/shelffront/lab/transport/package-info.java
+++ b/lab/src/main/java/shelffront/lab/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections and time for the parties of the lab, behind one interface for real sockets and for
- * the virtual network.
+ * Connections and time for the lab's clients and servers, behind one interface for real sockets and
+ * for the virtual network.
  */
 package shelffront.lab.transport;
