--- a/lab/src/main/java/shelffront/lab/virtual/SimulatedMachine.java
+++ b/lab/src/main/java/shelffront/lab/virtual/SimulatedMachine.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A machine on the virtual network, with the ends of its connections. */
+/** A machine on the virtual network and its sockets. */
 public final class SimulatedMachine {
 
   final String name;
@@ -16,12 +16,15 @@
     this.name = name;
   }
 
-  /** Cut off: nothing reaches it or leaves it, and nothing says so. */
+  /** Isolates the machine: all traffic to and from it is dropped silently. */
   public void isolate() {
     isolated = true;
   }
 
-  /** Back again: what was open before is reset when anything comes on it. */
+  /**
+   * Ends the isolation. Connections that were open are forgotten: data that arrives on them is
+   * answered with a reset.
+   */
   public void rejoin() {
     isolated = false;
     sockets.forEach(SimulatedSocket::forget);
@@ -31,13 +34,13 @@
     return isolated;
   }
 
-  /** Its process ends: all its connections are reset. */
+  /** Resets all connections, as the end of the machine's process does. */
   public void resetAll() {
     List<SimulatedSocket> all = new ArrayList<>(sockets);
     all.forEach(SimulatedSocket::reset);
   }
 
-  /** Connections that are open on it. */
+  /** Returns the number of sockets that are not closed, including those still connecting. */
   public int connectionCount() {
     return sockets.size();
   }
--- a/lab/src/main/java/shelffront/lab/virtual/SimulatedSocket.java
+++ b/lab/src/main/java/shelffront/lab/virtual/SimulatedSocket.java
@@ -5,9 +5,8 @@
 import shelffront.lab.transport.TransportConnection;
 
 /**
- * One end of a connection on the virtual network: a stream of bytes each way, which arrives in
- * order, in pieces, late, and within a window. Whoever has it is told when there is something to
- * look at.
+ * One end of a connection on the virtual network. Bytes arrive in order, delayed, possibly in
+ * pieces, and flow control limits them to a window. The listener is notified of changes.
  */
 public final class SimulatedSocket implements TransportConnection {
 
@@ -15,7 +14,7 @@
   final SimulatedMachine machine;
   Listener listener;
   SimulatedSocket peer;
-  long lastArrivalMicros; // of what is under way to this end: pieces never overtake each other
+  long lastArrivalMicros; // latest scheduled arrival at this end; keeps pieces in order
   private final ArrayDeque<byte[]> received = new ArrayDeque<>();
   private int receivedBytes;
   private int inFlightBytes;
@@ -42,13 +41,11 @@
     return peer != null;
   }
 
-  /** The other process has ended, or has answered bytes it did not want by a reset. */
   @Override
   public boolean isReset() {
     return resetReceived;
   }
 
-  /** All bytes were read and no more will come. */
   @Override
   public boolean atEnd() {
     return endReceived && receivedBytes == 0;
@@ -59,14 +56,13 @@
     return receivedBytes;
   }
 
-  /** Takes as many bytes as fit and are there. */
   @Override
-  public int read(ByteBuffer into, int most) {
+  public int read(ByteBuffer target, int maxBytes) {
     int count = 0;
-    while (!received.isEmpty() && into.hasRemaining() && count < most) {
+    while (!received.isEmpty() && target.hasRemaining() && count < maxBytes) {
       byte[] first = received.poll();
-      int take = Math.min(Math.min(first.length, into.remaining()), most - count);
-      into.put(first, 0, take);
+      int take = Math.min(Math.min(first.length, target.remaining()), maxBytes - count);
+      target.put(first, 0, take);
       count += take;
       if (take < first.length) {
         byte[] rest = new byte[first.length - take];
@@ -89,13 +85,11 @@
     return count;
   }
 
-  /** How many bytes may be written now. */
   @Override
   public int writableBytes() {
     return peer == null ? 0 : Math.max(0, WINDOW - peer.receivedBytes - peer.inFlightBytes);
   }
 
-  /** Sends bytes, for which there must be room. */
   @Override
   public void write(byte[] bytes) {
     if (closed || endSent || resetReceived || peer == null) {
@@ -138,7 +132,7 @@
     listener.readable();
   }
 
-  /** No more bytes from here; those that were written still arrive. */
+  /** Ends the output of this side; bytes that were written still arrive. */
   public void shutdownOutput() {
     if (closed || endSent || peer == null) {
       return;
@@ -157,7 +151,7 @@
         });
   }
 
-  /** Closes as a socket is closed: with input unread the other end is reset. */
+  /** Closes like a TCP socket: if received bytes are unread, the peer is reset. */
   @Override
   public void close() {
     if (closed) {
@@ -173,7 +167,9 @@
     machine.sockets.remove(this);
   }
 
-  /** Ends it at once; the other end is told, unless one of them is cut off. */
+  /**
+   * Resets the connection at once; the peer learns of it unless one of the machines is isolated.
+   */
   @Override
   public void reset() {
     if (closed) {
@@ -187,38 +183,40 @@
     }
   }
 
-  /** The other end was given up before the connection stood. */
+  /**
+   * Called when the connecting side had closed its socket before the connection was established.
+   */
   void peerAbandoned() {
     endReceived = true;
     listener.readable();
   }
 
-  /** Its machine has been away and knows nothing of it any more. */
+  /** Marks the socket as unknown to its machine, which answers further data with a reset. */
   void forget() {
     forgotten = true;
   }
 
-  /** Since when it has been closed here or reset; {@link Long#MAX_VALUE} while it is open. */
+  /** Returns when it was closed or reset, or {@link Long#MAX_VALUE} while it is open. */
   public long closedAtMicros() {
     return closedAtMicros;
   }
 
-  /** When its owner last wrote. */
+  /** Returns when bytes were last written here, 0 if never. */
   public long lastWriteMicros() {
     return lastWriteMicros;
   }
 
-  /** The other end; null until it is connected. */
+  /** Returns the other end, or null until the connection is established. */
   public SimulatedSocket peer() {
     return peer;
   }
 
-  /** Whose machine it is on. */
+  /** Returns the machine of this end. */
   public SimulatedMachine machine() {
     return machine;
   }
 
-  /** Whether it was closed here, or its other end's reset has come. */
+  /** Whether it was closed here or a reset from the peer has arrived. */
   public boolean isClosed() {
     return closed || resetReceived;
   }
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualChannels.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualChannels.java
@@ -22,9 +22,9 @@
 import shelffront.net.Channels;
 
 /**
- * A program's channels on the virtual network: NIO.2's classes with nothing behind them but {@link
- * SimulatedSocket}s. Completion handlers run as events of their own, never from within the call
- * that began the operation. What the program under test does not use is not there.
+ * NIO.2 channels of one simulated process, implemented on {@link SimulatedSocket}s. Completion
+ * handlers run as separate events, never within the call that started the operation. Operations
+ * that the program under test does not use throw {@link UnsupportedOperationException}.
  */
 public final class VirtualChannels implements Channels {
 
@@ -36,30 +36,28 @@
   private boolean keepsPeersOpen;
   private int openCount;
 
-  /** Of a process on a machine that may have so many descriptors. */
-  public VirtualChannels(VirtualNetwork network, SimulatedMachine machine, int mostOpen) {
+  /** Creates the channels of a process that may have {@code maxOpen} channels open at a time. */
+  public VirtualChannels(VirtualNetwork network, SimulatedMachine machine, int maxOpen) {
     this.network = network;
     this.machine = machine;
-    this.maxOpen = mostOpen;
+    this.maxOpen = maxOpen;
   }
 
-  /**
-   * Has the program write, and read, something else than it does: what a broken one would. Tests
-   * use it.
-   */
+  /** Alters the bytes that the program writes and reads, to inject faults in tests. */
   public void tamper(UnaryOperator<byte[]> written, UnaryOperator<byte[]> read) {
     writeTransform = written;
     readTransform = read;
   }
 
   /**
-   * Has the program's connections stay open to the others though it has closed them. Tests use it.
+   * Leaves the sockets open when the program closes its channels, so that its peers do not notice.
+   * Only for tests.
    */
   public void keepPeersOpen() {
     keepsPeersOpen = true;
   }
 
-  /** Channels that are open now. */
+  /** Returns the number of open channels. */
   public int openCount() {
     return openCount;
   }
@@ -81,7 +79,8 @@
   public void shutdown() {}
 
   private static UnsupportedOperationException unsupported() {
-    return new UnsupportedOperationException("not part of the virtual network");
+    return new UnsupportedOperationException(
+        "operation not supported by the channels of the virtual network");
   }
 
   private final class ClientChannel extends AsynchronousSocketChannel
@@ -92,7 +91,7 @@
     private InetSocketAddress remote;
     private Runnable connectDone;
     private Runnable connectFailed;
-    private Runnable pendingRead; // looks whether the read that is out can end
+    private Runnable pendingRead; // completes the pending read if it can
     private Runnable pendingWrite;
 
     ClientChannel() {
@@ -159,21 +158,23 @@
     }
 
     /**
-     * Ends a read or a write if it can: by a failure, by moving bytes where some can be moved, or
-     * at the end.
+     * Completes a read or a write if it can: with a failure, after transferring bytes, or with -1
+     * at the end of input.
+     *
+     * @return whether the operation has been completed
      */
-    private <A> boolean tryEnd(
+    private <A> boolean tryComplete(
         CompletionHandler<Integer, ? super A> handler,
         A attachment,
-        boolean movable,
+        boolean transferable,
         boolean atEnd,
-        IntSupplier move) {
+        IntSupplier transfer) {
       if (closed) {
         fail(handler, new AsynchronousCloseException(), attachment);
       } else if (socket.isReset()) {
         fail(handler, new SocketException("Connection reset"), attachment);
-      } else if (movable) {
-        complete(handler, move.getAsInt(), attachment);
+      } else if (transferable) {
+        complete(handler, transfer.getAsInt(), attachment);
       } else if (atEnd) {
         complete(handler, -1, attachment);
       } else {
@@ -190,11 +191,11 @@
         A attachment,
         CompletionHandler<Integer, ? super A> handler) {
       if (pendingRead != null) {
-        throw new IllegalStateException("a read is out");
+        throw new IllegalStateException("another read is pending on the channel");
       }
       pendingRead =
           () -> {
-            if (tryEnd(
+            if (tryComplete(
                 handler,
                 attachment,
                 socket.readableBytes() > 0,
@@ -221,11 +222,11 @@
         A attachment,
         CompletionHandler<Integer, ? super A> handler) {
       if (pendingWrite != null) {
-        throw new IllegalStateException("a write is out");
+        throw new IllegalStateException("another write is pending on the channel");
       }
       pendingWrite =
           () -> {
-            if (tryEnd(
+            if (tryComplete(
                 handler,
                 attachment,
                 socket.writableBytes() > 0,
@@ -369,7 +370,7 @@
     private Runnable pendingAccept;
     private boolean closed;
 
-    ServerChannel(InetSocketAddress address, int most) {
+    ServerChannel(InetSocketAddress address, int maxBacklog) {
       super(null);
       this.address = address;
       openCount++;
@@ -377,11 +378,11 @@
           machine,
           address,
           peer -> {
-            if (closed || backlog.size() >= most) {
+            if (closed || backlog.size() >= maxBacklog) {
               return null;
             }
-            // The connection stands before the program has accepted it; it takes a descriptor only
-            // then.
+            // The connection is established before the program accepts it, but counts as an open
+            // channel only from then on.
             ClientChannel channel = new ClientChannel();
             openCount--;
             channel.socket = peer;
@@ -431,10 +432,10 @@
       closed = true;
       openCount--;
       network.unlisten(address);
-      for (ClientChannel waiting : backlog) {
-        openCount++; // as if accepted: its close gives back what it did not take
-        waiting.socket.reset();
-        waiting.close();
+      for (ClientChannel channel : backlog) {
+        openCount++; // compensates for the decrement in close()
+        channel.socket.reset();
+        channel.close();
       }
       backlog.clear();
       tryAccept();
@@ -451,7 +452,7 @@
     }
 
     @Override
-    public AsynchronousServerSocketChannel bind(SocketAddress local, int most) {
+    public AsynchronousServerSocketChannel bind(SocketAddress local, int maxBacklog) {
       throw unsupported();
     }
 
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualNetwork.java
@@ -12,17 +12,18 @@
 import shelffront.lab.transport.TransportConnection;
 
 /**
- * A network in memory, in virtual time: who listens where, and how long what is sent takes. All by
- * one seed.
+ * A network in memory and in virtual time: holds the listeners by address and delays deliveries.
+ * All random choices come from one seeded generator, so a run is reproducible. Not thread-safe.
  */
 public final class VirtualNetwork {
 
   /**
-   * How it behaves. Times are microseconds.
+   * Conditions of the network.
    *
-   * @param latency one way, at least
-   * @param jitter the most that is added, drawn evenly
-   * @param chop the part of writes that arrive in several pieces, each later than the one before
+   * @param latency minimum one-way delay in microseconds
+   * @param jitter upper bound of the uniformly distributed additional delay in microseconds
+   * @param chop probability that a write arrives in several pieces, each with a delay of its own
+   *     but in order, and that a read or write transfers only some of the available bytes
    */
   public record Weather(long latency, long jitter, double chop) {}
 
@@ -35,7 +36,7 @@
   private record Binding(
       SimulatedMachine machine, Function<SimulatedSocket, TransportConnection.Listener> accept) {}
 
-  /** A network without machines; its delays and cuts are drawn from the random numbers. */
+  /** Creates a network that draws delays and fragmentation from {@code random}. */
   public VirtualNetwork(Clock clock, UniformRandomProvider random, Weather weather) {
     this.clock = clock;
     this.random = random;
@@ -54,12 +55,15 @@
     return new SimulatedMachine(name);
   }
 
-  /** An address that nobody else has. */
+  /** Returns an unused address. */
   public InetSocketAddress newAddress() {
     return new InetSocketAddress("127.0.0.1", nextPort++);
   }
 
-  /** Takes connections; each new end is given the owner that the function returns, null refuses. */
+  /**
+   * Accepts connections on an address. The function returns the listener of a new connection, or
+   * null to refuse it.
+   */
   public void listen(
       SimulatedMachine machine,
       InetSocketAddress address,
@@ -71,7 +75,7 @@
     listeners.remove(address);
   }
 
-  /** What a party on a machine lives on. */
+  /** Returns the transport of clients and servers on a machine. */
   public Transport transportOn(SimulatedMachine machine) {
     return new Transport() {
       @Override
@@ -94,16 +98,19 @@
     };
   }
 
-  /** Sets up a connection; the listener is told how it went, or nothing if a machine is away. */
+  /**
+   * Starts to connect. The listener is notified of the outcome, but never if one of the machines is
+   * isolated.
+   */
   public SimulatedSocket connect(
       SimulatedMachine from, InetSocketAddress address, TransportConnection.Listener listener) {
     SimulatedSocket socket = new SimulatedSocket(this, from, listener);
     from.sockets.add(socket);
-    clock.after(drawDelayMicros(), () -> requestArrives(socket, address));
+    clock.after(drawDelayMicros(), () -> connectionRequestArrives(socket, address));
     return socket;
   }
 
-  private void requestArrives(SimulatedSocket socket, InetSocketAddress address) {
+  private void connectionRequestArrives(SimulatedSocket socket, InetSocketAddress address) {
     Binding binding = listeners.get(address);
     if (socket.machine.isIsolated() || binding != null && binding.machine().isIsolated()) {
       return;
@@ -132,7 +139,7 @@
     if (socket.machine.isIsolated()) {
       return;
     }
-    if (socket.isClosed()) { // given up meanwhile
+    if (socket.isClosed()) { // closed while connecting
       peer.peerAbandoned();
       return;
     }
@@ -145,8 +152,8 @@
   }
 
   /**
-   * Has something arrive at an end, in order behind what was sent to it before, unless a machine is
-   * away.
+   * Schedules an arrival at a socket, not before arrivals scheduled earlier. It is dropped if one
+   * of the machines is isolated when it is due.
    */
   void deliver(SimulatedSocket from, SimulatedSocket receiver, Runnable arrival) {
     receiver.lastArrivalMicros =
@@ -160,7 +167,7 @@
         });
   }
 
-  /** Bytes as they arrive: in one piece, or cut anywhere. */
+  /** Splits a write into the pieces in which it arrives: one, or several of random lengths. */
   List<byte[]> pieces(byte[] bytes) {
     if (bytes.length < 2 || weather.chop() == 0 || random.nextDouble() >= weather.chop()) {
       return List.of(bytes);
@@ -177,13 +184,10 @@
     return pieces;
   }
 
-  /**
-   * How much of what is there a read or a write takes at a time: all of it, or some where things
-   * are cut.
-   */
-  int transferSize(int all) {
-    return all < 2 || weather.chop() == 0 || random.nextDouble() >= weather.chop()
-        ? all
-        : 1 + random.nextInt(all);
+  /** Returns how many of the available bytes one read or write transfers: all, or a random part. */
+  int transferSize(int available) {
+    return available < 2 || weather.chop() == 0 || random.nextDouble() >= weather.chop()
+        ? available
+        : 1 + random.nextInt(available);
   }
 }
--- a/lab/src/main/java/shelffront/lab/virtual/VirtualTimeScheduler.java
+++ b/lab/src/main/java/shelffront/lab/virtual/VirtualTimeScheduler.java
@@ -4,8 +4,8 @@
 import shelffront.lab.transport.TaskScheduler;
 
 /**
- * Virtual time: events by their times and, at the same time, in the order in which they were set.
- * One thread.
+ * Clock in virtual time. Tasks run in the order of their due times and, if these are equal, in the
+ * order in which they were added. Not thread-safe.
  */
 public final class VirtualTimeScheduler implements Clock {
 
@@ -26,17 +26,17 @@
     tasks.add(Math.max(nowMicros, time), task);
   }
 
-  /** When the next event is due; {@link Long#MAX_VALUE} if there is none. */
+  /** Returns when the next task is due, or {@link Long#MAX_VALUE} if there is none. */
   public long nextMicros() {
     return tasks.nextMicros();
   }
 
-  /** Lets time pass; never back, and not past an event. */
+  /** Advances the time, but never backwards and never past the next due task. */
   public void advanceTo(long timeMicros) {
     nowMicros = Math.max(nowMicros, Math.min(timeMicros, nextMicros()));
   }
 
-  /** Runs the next event if it is due. */
+  /** Runs the next task if it is due and returns whether it was. */
   public boolean runNext() {
     if (nextMicros() > nowMicros) {
       return false;
@@ -45,7 +45,7 @@
     return true;
   }
 
-  /** Events that have been set so far: a measure of a run's size. */
+  /** Returns the number of tasks added so far, a measure of the size of a run. */
   public long scheduledCount() {
     return tasks.scheduledCount();
   }
--- a/lab/src/main/java/shelffront/lab/virtual/package-info.java
+++ b/lab/src/main/java/shelffront/lab/virtual/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Time, machines and connections that exist in memory only: everything happens in one thread, in an
- * order that follows from the seed.
+ * Virtual time, machines and connections in memory. Everything runs on one thread in an order that
+ * is determined by the seed.
  */
 package shelffront.lab.virtual;
