--- a/lab/src/test/java/shelffront/lab/ArchitectureTest.java
+++ b/lab/src/test/java/shelffront/lab/ArchitectureTest.java
@@ -6,12 +6,12 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The lab stands on the gateway, and nothing stands on the lab. */
+/** Guards the dependencies between the lab and the gateway. */
 @AnalyzeClasses(packages = "shelffront")
 class ArchitectureTest {
 
   @ArchTest
-  static final ArchRule NOTHING_STANDS_ON_THE_LAB =
+  static final ArchRule NOTHING_OUTSIDE_DEPENDS_ON_THE_LAB =
       noClasses()
           .that()
           .resideOutsideOfPackage("shelffront.lab..")
@@ -19,9 +19,9 @@
           .dependOnClassesThat()
           .resideInAPackage("shelffront.lab..");
 
-  /** The load sees what a client sees: it must not look into the gateway. */
+  /** The load generator may use only what a client of the gateway sees. */
   @ArchTest
-  static final ArchRule LOAD_SEES_THE_WIRE_ONLY =
+  static final ArchRule LOAD_DOES_NOT_DEPEND_ON_GATEWAY_INTERNALS =
       noClasses()
           .that()
           .resideInAPackage("shelffront.lab.load..")
--- a/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedLoopsTest.java
@@ -21,8 +21,8 @@
 import shelffront.tenant.ApiKeys;
 
 /**
- * All that holds of one event loop, on three; and what only several have: connections handed over,
- * tenants that move.
+ * Repeats the tests of one event loop on three loops, and covers what needs several: connections
+ * that are handed over between loops and tenants that move.
  */
 class HostedLoopsTest extends HostedTenantsTest {
 
@@ -32,10 +32,10 @@
   }
 
   private int loopOf(String id) throws Exception {
-    return hosted.loopOf(id).get(MISSING_MS, TimeUnit.MILLISECONDS);
+    return gateway.loopOf(id).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  private ObjectNode[] three(EmulatedReplicaSet replicaSet) {
+  private ObjectNode[] threeTenants(EmulatedReplicaSet replicaSet) {
     return new ObjectNode[] {
       tenant("a", replicaSet), tenant("b", replicaSet), tenant("c", replicaSet)
     };
@@ -43,8 +43,8 @@
 
   @Test
   void servesTenantsOnDifferentLoops() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
-    start(three(replicaSet));
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
+    start(threeTenants(replicaSet));
     List<Integer> loops = new ArrayList<>();
     for (String id : List.of("a", "b", "c")) {
       loops.add(loopOf(id));
@@ -56,14 +56,11 @@
     assertEquals(List.of(0, 1, 2), loops.stream().sorted().toList());
   }
 
-  /**
-   * Everything a client has to say in one packet: what follows the startup goes with it to the
-   * other loop.
-   */
+  /** Requests sent in one packet with the startup must be handed over to the other loop with it. */
   @Test
   void keepsRequestSentWithStartupInHandOver() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
-    start(three(replicaSet));
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
+    start(threeTenants(replicaSet));
     for (int i = 0; i < 150; i++) {
       String id = List.of("a", "b", "c").get(i % 3);
       ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -79,21 +76,22 @@
     assertEquals(150, replicaSet.effects().size());
     assertTrue(
         replicaSet.effects().values().stream().allMatch(count -> count.get() == 1),
-        "a write was doubled");
+        "a write took effect more than once");
   }
 
   /**
-   * A startup cut at every byte, after a request for encryption whose refusal is still on its way.
+   * The startup is split at every byte; its first part arrives with an encryption request, before
+   * the refusal has been sent.
    */
   @Test
   void handsOverStartupInPieces() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
-    start(three(replicaSet));
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
+    start(threeTenants(replicaSet));
     byte[] startup = Message.startup("api", "c");
     for (int cut = 1; cut < startup.length; cut++) {
       try (Socket socket =
-          new Socket(InetAddress.getLoopbackAddress(), hosted.address().getPort())) {
-        socket.setSoTimeout(MISSING_MS);
+          new Socket(InetAddress.getLoopbackAddress(), gateway.address().getPort())) {
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         byte[] first = new byte[8 + cut];
         System.arraycopy(HexFormat.of().parseHex("0000000804d2162f"), 0, first, 0, 8);
@@ -108,9 +106,9 @@
 
   @Test
   void checksKeyOnLoopOfTenant() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
     String key = ApiKeys.generate();
-    ObjectNode[] tenants = three(replicaSet);
+    ObjectNode[] tenants = threeTenants(replicaSet);
     tenants[2]
         .putArray("credentials")
         .addObject()
@@ -126,16 +124,16 @@
   }
 
   /**
-   * Clients that vanish at any moment of the hand-over leave no place taken: the same number fits
-   * in again.
+   * Clients that disconnect or reset at any moment of the hand-over must release their connection
+   * slots; a leak would exhaust the listener's limit.
    */
   @Test
   void freesPlacesOfConnectionsThatEndedOnAnotherLoop() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
-    start(three(replicaSet));
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
+    start(threeTenants(replicaSet));
     byte[] startup = Message.startup("api", "c");
-    for (int i = 0; i < 1200; i++) { // more than the listener has places for at a time
-      Socket socket = new Socket(InetAddress.getLoopbackAddress(), hosted.address().getPort());
+    for (int i = 0; i < 1200; i++) { // more than the listener's connection limit
+      Socket socket = new Socket(InetAddress.getLoopbackAddress(), gateway.address().getPort());
       socket.getOutputStream().write(startup);
       if (i % 3 == 0) {
         socket.setSoLinger(true, 0);
@@ -149,44 +147,43 @@
   }
 
   /**
-   * A tenant whose loop another keeps busy wakes on an idle one, and its sessions still read what
-   * they wrote.
+   * A suspended tenant on a loop that another tenant keeps busy must become active on an idle loop,
+   * and its session must still read its own writes there.
    */
   @Test
   void movesWakingTenantOffBusyLoop() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
     ObjectNode[] tenants = new ObjectNode[6];
     for (int i = 0; i < 6; i++) {
       tenants[i] = tenant("t" + i, replicaSet);
     }
     start(tenants);
-    String quiet = loopOf("t1") == loopOf("t4") ? "t4" : "none";
-    assertEquals("t4", quiet, "with equal weights t1 and t4 live together");
+    String sameLoop = loopOf("t1") == loopOf("t4") ? "t4" : "none";
+    assertEquals("t4", sameLoop, "with equal weights, t1 and t4 share a loop");
     Client before = new Client("t4", null);
     assertEquals(List.of(), before.answers());
     before.send("w1", "write");
     assertEquals(List.of("w1"), before.answers());
     before.close();
-    int first = loopOf("t4");
-    // The other's loop is busy with clients that ask without a pause, until the sleeper is seen to
-    // have moved.
+    int sharedLoop = loopOf("t4");
+    // Clients of t1 send without a pause and keep the shared loop busy until t4 has moved.
     List<Client> busy = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       Client client = new Client("t1", null);
       busy.add(client);
       assertEquals(List.of(), client.answers());
     }
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
     int round = 0;
-    while (loopOf("t4") == first) {
-      assertTrue(System.nanoTime() < end, "it did not move");
+    while (loopOf("t4") == sharedLoop) {
+      assertTrue(System.nanoTime() < end, "tenant t4 did not move to another loop");
       for (int i = 0; i < 12; i++) {
-        byte[] bad = Message.query("/* no request */ SELECT".getBytes(ISO_8859_1));
-        ByteArrayOutputStream many = new ByteArrayOutputStream();
+        byte[] invalid = Message.query("/* no request */ SELECT".getBytes(ISO_8859_1));
+        ByteArrayOutputStream batch = new ByteArrayOutputStream();
         for (int k = 0; k < 200; k++) {
-          many.writeBytes(bad);
+          batch.writeBytes(invalid);
         }
-        busy.get(i).socket.getOutputStream().write(many.toByteArray());
+        busy.get(i).socket.getOutputStream().write(batch.toByteArray());
       }
       for (int i = 0; i < 12; i++) {
         for (int k = 0; k < 200; k++) {
@@ -194,9 +191,9 @@
         }
       }
       if (++round % 5 == 0) {
-        Client wakes = new Client("t4", null);
-        assertEquals(List.of(), wakes.answers());
-        wakes.close();
+        Client activating = new Client("t4", null);
+        assertEquals(List.of(), activating.answers());
+        activating.close();
       }
     }
     Client after = new Client("t4", null);
@@ -206,13 +203,13 @@
   }
 
   /**
-   * Stopped under load on all loops: everything taken is answered, and all threads end (see
-   * stop()).
+   * A drain under load on all loops must complete all admitted requests; stop() checks that all
+   * threads end.
    */
   @Test
   void drainAwaitsRequestsOfAllLoops() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 100);
-    start(three(replicaSet));
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 100);
+    start(threeTenants(replicaSet));
     List<Client> clients = new ArrayList<>();
     for (String id : List.of("a", "b", "c", "a", "b", "c")) {
       Client client = new Client(id, null);
@@ -220,8 +217,8 @@
       client.send("w" + clients.size(), "write");
       clients.add(client);
     }
-    untilTaken(6);
-    hosted.drain();
+    awaitAdmitted(6);
+    gateway.drain();
     for (int i = 0; i < 6; i++) {
       assertEquals(List.of("w" + i), clients.get(i).answers());
       assertEquals("", clients.get(i).next());
@@ -230,26 +227,26 @@
   }
 
   /**
-   * Removed while clients of it are on their way between loops: each is served or told, and none
-   * stays. Who comes later is asked for a password, as whoever names what nobody has, and its query
-   * is none.
+   * A tenant is removed while its clients are handed over between loops: each is served or receives
+   * an error, and no request stays open. Later clients are asked for a password, as for any unknown
+   * tenant, so their query is a protocol error (08P01).
    */
   @Test
   void removesTenantDuringHandOvers() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
-    start(three(replicaSet));
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
+    start(threeTenants(replicaSet));
     CompletableFuture<Long> gone = new CompletableFuture<>();
     List<Client> clients = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       if (i == 30) {
-        hosted.remove("c", gone::complete);
+        gateway.remove("c", gone::complete);
       }
       ByteArrayOutputStream all = new ByteArrayOutputStream();
       all.writeBytes(Message.startup("api", "c"));
       all.writeBytes(query("q" + i, "read"));
       clients.add(new Client(all.toByteArray()));
     }
-    gone.get(MISSING_MS, TimeUnit.MILLISECONDS);
+    gone.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     for (int i = 0; i < 60; i++) {
       List<String> answers = new ArrayList<>(clients.get(i).answers());
       answers.addAll(clients.get(i).answers());
@@ -262,7 +259,7 @@
       clients.get(i).close();
     }
     MultiTenantGateway.HeldResources held =
-        hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
+        gateway.heldResources().get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     assertEquals(
         held.counters().get(Counters.Name.REQUESTS_TAKEN),
         held.counters().get(Counters.Name.ANSWERS_SERVED)
--- a/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
+++ b/lab/src/test/java/shelffront/lab/HostedTenantsTest.java
@@ -31,18 +31,18 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * A hosted gateway with stand-in boxes, where tenants come, change, stall and go while requests are
- * in it.
+ * A multi-tenant gateway in front of emulated hosts: tenants are added, changed and removed, or
+ * their hosts stall, while requests are open.
  */
 class HostedTenantsTest {
 
-  static final int MISSING_MS = 20_000;
+  static final int TIMEOUT_MS = 20_000;
 
   private final List<AutoCloseable> open = new ArrayList<>();
-  MultiTenantGateway hosted;
-  private Thread turns;
+  MultiTenantGateway gateway;
+  private Thread gatewayThread;
 
-  /** Event loops of the gateway. */
+  /** Returns the number of event loops of the gateway. */
   int cores() {
     return 1;
   }
@@ -55,21 +55,21 @@
     for (ObjectNode tenant : tenants) {
       list.add(tenant);
     }
-    hosted = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
-    turns = hosted.start();
+    gateway = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
+    gatewayThread = gateway.start();
   }
 
   @AfterEach
   void stop() throws Exception {
-    hosted.drain();
+    gateway.drain();
     for (AutoCloseable each : open) {
       each.close();
     }
-    turns.join(MISSING_MS);
-    assertTrue(!turns.isAlive(), "the gateway did not stop");
+    gatewayThread.join(TIMEOUT_MS);
+    assertTrue(!gatewayThread.isAlive(), "the gateway did not stop");
   }
 
-  EmulatedReplicaSet boxes(String name, int replicas, double workMs) throws IOException {
+  EmulatedReplicaSet startReplicaSet(String name, int replicas, double workMs) throws IOException {
     EmulatedReplicaSet replicaSet = new EmulatedReplicaSet(name, replicas, 4, workMs, 5);
     open.add(replicaSet);
     return replicaSet;
@@ -99,16 +99,16 @@
     return tenant;
   }
 
-  /** A client; every message that comes is read whole. */
+  /** A blocking client that reads whole messages. */
   final class Client implements AutoCloseable {
 
     final Socket socket;
     private final DataInputStream in;
 
     Client(String database, String password) throws IOException {
-      socket = new Socket(InetAddress.getLoopbackAddress(), hosted.address().getPort());
+      socket = new Socket(InetAddress.getLoopbackAddress(), gateway.address().getPort());
       open.add(this);
-      socket.setSoTimeout(MISSING_MS);
+      socket.setSoTimeout(TIMEOUT_MS);
       in = new DataInputStream(socket.getInputStream());
       socket.getOutputStream().write(Message.startup("api", database));
       if (password != null) {
@@ -119,16 +119,16 @@
       }
     }
 
-    /** One that says all of this at once. */
+    /** Connects and sends all bytes in one write. */
     Client(byte[] all) throws IOException {
-      socket = new Socket(InetAddress.getLoopbackAddress(), hosted.address().getPort());
+      socket = new Socket(InetAddress.getLoopbackAddress(), gateway.address().getPort());
       open.add(this);
-      socket.setSoTimeout(MISSING_MS);
+      socket.setSoTimeout(TIMEOUT_MS);
       in = new DataInputStream(socket.getInputStream());
       socket.getOutputStream().write(all);
     }
 
-    /** The next message's type and text; empty where the connection has ended. */
+    /** Returns the type and contents of the next message, or "" at the end of the connection. */
     String next() throws IOException {
       try {
         int type = in.readUnsignedByte();
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Reads to ReadyForQuery or the end; the answers on the way, each as "value" or an error's
-     * code.
+     * Reads up to ReadyForQuery or the end of the connection, and returns the responses: the value
+     * of a row or the SQLSTATE of an error.
      */
     List<String> answers() throws IOException {
       List<String> answers = new ArrayList<>();
@@ -172,42 +172,41 @@
             .getBytes(ISO_8859_1));
   }
 
-  long counted(Counters.Name name) throws Exception {
-    return hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).counters().get(name);
+  long counter(Counters.Name name) throws Exception {
+    return gateway.heldResources().get(TIMEOUT_MS, TimeUnit.MILLISECONDS).counters().get(name);
   }
 
-  /**
-   * Waits, looking at counts of the program itself and not at a clock, until it has taken so many
-   * requests.
-   */
-  void untilTaken(long requests) throws Exception {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
-    while (counted(Counters.Name.REQUESTS_TAKEN) < requests) {
-      assertTrue(System.nanoTime() < end, "the requests were not taken");
+  /** Polls the counters of the gateway until it has admitted this many requests. */
+  void awaitAdmitted(long requests) throws Exception {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+    while (counter(Counters.Name.REQUESTS_TAKEN) < requests) {
+      assertTrue(
+          System.nanoTime() < end, "the gateway did not admit " + requests + " requests in time");
     }
   }
 
-  void removed(String id) throws Exception {
+  void removeTenant(String id) throws Exception {
     CompletableFuture<Long> gone = new CompletableFuture<>();
-    hosted.remove(id, gone::complete);
-    gone.get(MISSING_MS, TimeUnit.MILLISECONDS);
+    gateway.remove(id, gone::complete);
+    gone.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * In flight at a box, held for want of a primary, and half received: one final answer each, and
-   * nothing stays.
+   * Requests of a removed tenant that are in flight at a silent host, wait behind another request
+   * of their connection or are half received get one final response each, and no resources stay
+   * held.
    */
   @Test
   void answersEachRequestOfRemovedTenantOnce() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
     replicaSet.hosts().forEach(host -> host.setSilent(true));
     start(tenant("airport", replicaSet));
-    int idle = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS).deadlines();
+    int idle = gateway.heldResources().get(TIMEOUT_MS, TimeUnit.MILLISECONDS).deadlines();
     Client read = new Client("airport", null);
     Client write = new Client("airport", null);
     Client half = new Client("airport", null);
-    Client calm = new Client("airport", null);
-    for (Client client : List.of(read, write, half, calm)) {
+    Client idleClient = new Client("airport", null);
+    for (Client client : List.of(read, write, half, idleClient)) {
       assertEquals(List.of(), client.answers());
     }
     read.send("r1", "read");
@@ -215,44 +214,47 @@
     write.send("w2", "write");
     byte[] bytes = query("h1", "read");
     half.socket.getOutputStream().write(bytes, 0, bytes.length / 2);
-    untilTaken(2);
-    removed("airport");
+    awaitAdmitted(2);
+    removeTenant("airport");
     assertEquals(1, read.answers().size());
     List<String> firstWrite = write.answers();
     assertEquals(1, firstWrite.size());
     assertTrue(List.of("40003", "57P03").contains(firstWrite.get(0)), firstWrite.toString());
     assertEquals(
-        List.of("57P03"), write.answers(), "the one that waited behind it was never sent on");
+        List.of("57P03"),
+        write.answers(),
+        "the request behind the first write was never forwarded");
     assertEquals(List.of("57P03"), half.answers());
-    assertEquals(List.of("57P03"), calm.answers());
-    for (Client client : List.of(read, write, half, calm)) {
+    assertEquals(List.of("57P03"), idleClient.answers());
+    for (Client client : List.of(read, write, half, idleClient)) {
       while (!client.next().isEmpty()) {
-        continue; // to the end of the connection
+        continue; // read to the end of the connection
       }
     }
-    assertNull(hosted.usage("airport").get(MISSING_MS, TimeUnit.MILLISECONDS));
-    for (Client client : List.of(read, write, half, calm)) {
-      client.close(); // the gateway lingers until its clients have closed too
+    assertNull(gateway.usage("airport").get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    for (Client client : List.of(read, write, half, idleClient)) {
+      client.close(); // the gateway's lingering close waits for its clients
     }
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MISSING_MS);
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
     MultiTenantGateway.HeldResources held =
-        hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
+        gateway.heldResources().get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     while (replicaSet.connectionCount() > 0 || held.deadlines() > idle || held.bufferBytes() > 0) {
       assertTrue(
           System.nanoTime() < end,
-          replicaSet.connectionCount() + " connections to boxes and " + held + " stay");
-      held = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
+          replicaSet.connectionCount() + " host connections and " + held + " are still held");
+      held = gateway.heldResources().get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
     Client late = new Client("airport", "x");
     assertEquals(List.of("3D000"), late.answers());
   }
 
   /**
-   * No box is known for its group, so the module holds it; the removal answers it, and only once.
+   * A request for a replica set without known hosts is queued; removing the tenant rejects it
+   * exactly once.
    */
   @Test
   void rejectsQueuedRequestAtRemoval() throws Exception {
-    start(tenant("airport", boxes("s", 1, 1)));
+    start(tenant("airport", startReplicaSet("s", 1, 1)));
     Client client = new Client("airport", null);
     assertEquals(List.of(), client.answers());
     client
@@ -262,42 +264,41 @@
             Message.query(
                 "/* id=w1,c=write,d=15000,k=w1,cluster=9 */ INSERT INTO rows VALUES ('h', 'x')"
                     .getBytes(ISO_8859_1)));
-    untilTaken(1);
-    removed("airport");
+    awaitAdmitted(1);
+    removeTenant("airport");
     assertEquals(List.of("57P03"), client.answers());
     assertEquals(
-        List.of("57P03"), client.answers(), "then the connection is ended with the reason");
+        List.of("57P03"), client.answers(), "the connection is terminated with the reason");
     assertEquals("", client.next());
   }
 
-  /** What a tenant has taken may end within the grace, and is served as if nothing were. */
+  /** Requests admitted before the removal of the tenant are served within the grace period. */
   @Test
   void servesAdmittedRequestsWithinGracePeriod() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 200);
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 200);
     start(tenant("airport", replicaSet).put("graceMs", 15_000));
     Client client = new Client("airport", null);
     assertEquals(List.of(), client.answers());
     client.send("w1", "write");
-    untilTaken(1);
+    awaitAdmitted(1);
     CompletableFuture<Long> gone = new CompletableFuture<>();
-    hosted.remove("airport", gone::complete);
+    gateway.remove("airport", gone::complete);
     assertEquals(List.of("w1"), client.answers());
     client.send("w2", "write");
     List<String> next = client.answers();
     assertTrue(next.equals(List.of("57P03")) || next.isEmpty(), next.toString());
-    gone.get(MISSING_MS, TimeUnit.MILLISECONDS);
+    gone.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     assertEquals(1, replicaSet.effects().size());
   }
 
   /**
-   * All boxes of one tenant are silent, and its clients fill its bounds; the other is served as
-   * ever.
+   * The hosts of one tenant are silent and its clients use up its limits; another is still served.
    */
   @Test
   void isolatesTenantsFromSilentHostsOfAnother() throws Exception {
-    EmulatedReplicaSet silent = boxes("s", 1, 1);
+    EmulatedReplicaSet silent = startReplicaSet("s", 1, 1);
     silent.hosts().forEach(host -> host.setSilent(true));
-    EmulatedReplicaSet well = boxes("w", 1, 1);
+    EmulatedReplicaSet healthy = startReplicaSet("w", 1, 1);
     ObjectNode stuck = tenant("stuck", silent);
     stuck
         .putObject("limits")
@@ -305,56 +306,57 @@
         .put("clientConnections", 150)
         .put("hostConnections", 20)
         .put("bufferBytes", 262_144);
-    start(stuck, tenant("well", well));
+    start(stuck, tenant("well", healthy));
     for (int i = 0; i < 120; i++) {
       Client client = new Client("stuck", null);
       assertEquals(List.of(), client.answers());
       client.send("s" + i, "read");
     }
-    untilTaken(120);
+    awaitAdmitted(120);
     Client client = new Client("well", null);
     assertEquals(List.of(), client.answers());
     for (int i = 0; i < 200; i++) {
       client.send("a" + i, i % 2 == 0 ? "read" : "write");
       assertEquals(List.of("a" + i), client.answers());
     }
-    assertTrue(counted(Counters.Name.REFUSED_BY_SHARE) > 0, "the flood was not at its bound");
+    assertTrue(
+        counter(Counters.Name.REFUSED_BY_SHARE) > 0, "the stuck tenant did not reach its limit");
   }
 
-  /** Requests that meet a change which only a new module can take up are each answered once. */
+  /** Requests open during a change that requires a new decision module get one response each. */
   @Test
   void losesNothingWhenClassesChangeUnderLoad() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 2);
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 2);
     start(tenant("airport", replicaSet).put("graceMs", 10_000));
     for (int round = 0; round < 20; round++) {
       Client client = new Client("airport", null);
       assertEquals(List.of(), client.answers());
       client.send("w" + round, "write");
-      untilTaken(round + 1);
+      awaitAdmitted(round + 1);
       ObjectNode next = tenant("airport", replicaSet).put("graceMs", 10_000);
       ((ObjectNode) next.path("classes").path(0)).put("giveUpMs", 10_000 + round);
       CompletableFuture<Long> inForce = new CompletableFuture<>();
-      hosted.apply(TenantSpecCodec.read(next), inForce::complete);
+      gateway.apply(TenantSpecCodec.read(next), inForce::complete);
       assertEquals(List.of("w" + round), client.answers());
-      inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
+      inForce.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
     assertEquals(20, replicaSet.effects().size());
     assertTrue(
         replicaSet.effects().values().stream().allMatch(count -> count.get() == 1),
-        "a write was doubled");
+        "a write took effect more than once");
   }
 
   @Test
   void sendsNothingToHostAfterAdministratorDrainsIt() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 2, 1);
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 2, 1);
     start(tenant("airport", replicaSet));
     Client client = new Client("airport", null);
     assertEquals(List.of(), client.answers());
     ObjectNode next = tenant("airport", replicaSet);
     next.putArray("drained").add("s-1");
     CompletableFuture<Long> inForce = new CompletableFuture<>();
-    hosted.apply(TenantSpecCodec.read(next), inForce::complete);
-    inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
+    gateway.apply(TenantSpecCodec.read(next), inForce::complete);
+    inForce.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     long before = replicaSet.hosts().get(1).startedCount();
     for (int i = 0; i < 50; i++) {
       client.send("r" + i, "read");
@@ -363,8 +365,8 @@
     assertEquals(before, replicaSet.hosts().get(1).startedCount());
   }
 
-  /** The same classes in the opposite order, on boxes of the same names, which are others. */
-  private static ObjectNode mirrored(String id, EmulatedReplicaSet replicaSet) {
+  /** Returns a tenant with the classes in reverse order and other hosts of the same names. */
+  private static ObjectNode withReversedClasses(String id, EmulatedReplicaSet replicaSet) {
     ObjectNode tenant = tenant(id, replicaSet).put("graceMs", 10_000);
     ArrayNode classes = (ArrayNode) tenant.path("classes");
     classes.add(classes.remove(0));
@@ -378,15 +380,14 @@
   }
 
   /**
-   * Where settings and connections are kept and taken up again: a client's connection for its life,
-   * connections to boxes between requests, classes by their number. Nothing of one tenant is met by
-   * another's requests.
+   * Reused state must not cross tenants: settings cached for the life of a client connection,
+   * pooled host connections, and request classes held by number.
    */
   @Test
   void sharesNothingBetweenTenants() throws Exception {
-    EmulatedReplicaSet ours = boxes("s", 1, 1);
-    EmulatedReplicaSet theirs = boxes("s", 1, 1);
-    start(tenant("one", ours), mirrored("other", theirs));
+    EmulatedReplicaSet ours = startReplicaSet("s", 1, 1);
+    EmulatedReplicaSet theirs = startReplicaSet("s", 1, 1);
+    start(tenant("one", ours), withReversedClasses("other", theirs));
     Client first = new Client("one", null);
     Client second = new Client("other", null);
     assertEquals(List.of(), first.answers());
@@ -405,49 +406,48 @@
   }
 
   /**
-   * Removed with a request in work and made anew at once, with other boxes and classes, under the
-   * same name.
+   * A tenant is removed with a request in progress and created again at once under the same name
+   * with other hosts and classes. Its former clients must not reach the new hosts.
    */
   @Test
   void servesNoClientOfRemovedTenantAfterRecreation() throws Exception {
-    EmulatedReplicaSet before = boxes("s", 1, 20);
-    EmulatedReplicaSet after = boxes("s", 1, 1);
+    EmulatedReplicaSet before = startReplicaSet("s", 1, 20);
+    EmulatedReplicaSet after = startReplicaSet("s", 1, 1);
     start(tenant("one", before).put("graceMs", 10_000));
     Client old = new Client("one", null);
     assertEquals(List.of(), old.answers());
     old.send("o1", "write");
     assertEquals(List.of("o1"), old.answers());
     old.send("o2", "write");
-    untilTaken(2);
+    awaitAdmitted(2);
     CompletableFuture<Long> gone = new CompletableFuture<>();
-    hosted.remove("one", gone::complete);
+    gateway.remove("one", gone::complete);
     CompletableFuture<Long> inForce = new CompletableFuture<>();
-    hosted.apply(TenantSpecCodec.read(mirrored("one", after)), inForce::complete);
-    inForce.get(MISSING_MS, TimeUnit.MILLISECONDS);
+    gateway.apply(TenantSpecCodec.read(withReversedClasses("one", after)), inForce::complete);
+    inForce.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     Client next = new Client("one", null);
     assertEquals(List.of(), next.answers());
     next.send("n1", "write");
     assertEquals(List.of("n1"), next.answers());
     assertEquals(List.of("o2"), old.answers());
-    // What the old connection still asks is refused, or met by its end: never served by the new
-    // boxes.
+    // A further request on the old connection is rejected or finds it closed.
     try {
       old.send("o3", "write");
       assertTrue(List.of(List.of(), List.of("57P03")).contains(old.answers()));
     } catch (SocketException e) {
-      // its end was there first
+      // The connection has been closed already.
     }
-    gone.get(MISSING_MS, TimeUnit.MILLISECONDS);
+    gone.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     next.send("n2", "write");
     assertEquals(List.of("n2"), next.answers());
     assertEquals(Set.of("o"), firstLetters(before));
     assertEquals(Set.of("n"), firstLetters(after));
   }
 
-  /** A wrong key, another tenant's key and a name that nobody has are told the same. */
+  /** A wrong key, a key of another tenant and an unknown tenant must get identical responses. */
   @Test
   void acceptsKeysOfOneTenantOnly() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 0, 1);
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 0, 1);
     String ours = ApiKeys.generate();
     String theirs = ApiKeys.generate();
     ObjectNode one = tenant("one", replicaSet);
@@ -483,17 +483,17 @@
     assertTrue(refusal.contains("3D000"), refusal);
   }
 
-  /** 2,000 tenants at rest hold no timer and no connection. */
+  /** 2,000 suspended tenants must hold no timers and no connections. */
   @Test
   void keepsNoTimerOrConnectionForSuspendedTenants() throws Exception {
-    EmulatedReplicaSet replicaSet = boxes("s", 1, 1);
+    EmulatedReplicaSet replicaSet = startReplicaSet("s", 1, 1);
     ObjectNode[] tenants = new ObjectNode[2000];
     for (int i = 0; i < tenants.length; i++) {
       tenants[i] = tenant("t" + i, replicaSet);
     }
     start(tenants);
     MultiTenantGateway.HeldResources held =
-        hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
+        gateway.heldResources().get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     assertEquals(0, held.deadlines());
     assertEquals(0, replicaSet.connectionCount());
     for (int i = 0; i < 20; i++) {
@@ -502,7 +502,8 @@
       client.send("r" + i, "read");
       assertEquals(List.of("r" + i), client.answers());
     }
-    held = hosted.heldResources().get(MISSING_MS, TimeUnit.MILLISECONDS);
-    assertTrue(held.deadlines() < 400, "only the busy ones' timers: " + held.deadlines());
+    held = gateway.heldResources().get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    assertTrue(
+        held.deadlines() < 400, "only active tenants may hold timers, found " + held.deadlines());
   }
 }
