--- a/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
@@ -28,17 +28,18 @@
 import picocli.CommandLine.Option;
 
 /**
- * Stands in for a Consul agent: the part of its published HTTP API that gateways use, {@code
- * /v1/kv} with check-and-set and blocking queries, {@code /v1/txn}. What was answered is in its
- * file and there again after a restart. It can be told, by a PUT to {@code /fault}, to have no
- * leader, to answer late, to garble its answers, to forget all it has, or to keep what it has and
- * be restored from that later.
+ * Emulates a Consul agent: the part of its published HTTP API that gateways use, which is {@code
+ * /v1/kv} with check-and-set and blocking queries, and {@code /v1/txn}. Every acknowledged write is
+ * in the state file and survives a restart. A PUT to {@code /fault} makes the emulator report a
+ * missing leader, delay its responses, corrupt them, discard all entries, or save a snapshot of the
+ * state file and restore it later.
  */
 @Command(
     name = "consul-stand-in",
     mixinStandardHelpOptions = true,
     description =
-        "Serves a stand-in for a Consul agent's key-value store on loopback until it is ended.")
+        "Emulates the key-value store of a Consul agent on loopback until the process is"
+            + " terminated.")
 public final class ConsulEmulator implements Callable<Integer> {
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -46,14 +47,17 @@
 
   private record Entry(byte[] value, long created, long modified) {}
 
-  @Option(names = "--port", defaultValue = "0", description = "0 for any (${DEFAULT-VALUE})")
+  @Option(
+      names = "--port",
+      defaultValue = "0",
+      description = "0 selects a free port (${DEFAULT-VALUE})")
   private int port;
 
-  @Option(names = "--file", required = true, description = "keeps what was written")
+  @Option(names = "--file", required = true, description = "state file, which holds all writes")
   private Path file;
 
   private final TreeMap<String, Entry> entries = new TreeMap<>();
-  private final Map<String, Long> removed = new HashMap<>(); // by key, the index of its removal
+  private final Map<String, Long> removed = new HashMap<>(); // key to index of its removal
   private long index = 1;
   private Writer out;
   private boolean leaderless;
@@ -69,7 +73,7 @@
     }
     out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     System.setProperty(
-        "sun.net.httpserver.nodelay", "true"); // else each answer waits 40 ms for an ACK
+        "sun.net.httpserver.nodelay", "true"); // without it, each response waits 40 ms for an ACK
     HttpServer server =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 256);
     server.setExecutor(Executors.newCachedThreadPool());
@@ -98,7 +102,7 @@
     return file.resolveSibling(file.getFileName() + ".kept");
   }
 
-  /** Calls answered so far, and bytes of their bodies, both ways. */
+  /** Reports the calls received so far and the body bytes of requests and responses. */
   private void calls(HttpExchange exchange) throws IOException {
     String text =
         JSON.createObjectNode()
@@ -198,7 +202,7 @@
     return cas == null || Long.parseLong(cas) == (now == null ? 0 : now.modified());
   }
 
-  /** Under the index as it stands: all writes of a transaction have one. */
+  /** Writes under the current index, because all writes of a transaction share one index. */
   private void put(String key, byte[] value) throws IOException {
     ObjectNode line = JSON.createObjectNode().put("index", index).put("key", key);
     if (value != null) {
@@ -208,7 +212,7 @@
     apply(key, value, index);
   }
 
-  /** All operations or none, as the published API has it; of its verbs those that gateways use. */
+  /** Applies all operations or none, as the API specifies. Supports the verbs that gateways use. */
   private void transaction(HttpExchange exchange) throws IOException {
     byte[] body = exchange.getRequestBody().readAllBytes();
     count(body.length);
@@ -247,7 +251,7 @@
     answer(exchange, errors.isEmpty() ? 200 : 409, answer.toString(), 0);
   }
 
-  /** Names are taken in any case, as the published implementation's JSON reader does. */
+  /** Accepts "KV" and "kv", because the JSON reader of Consul ignores the case of names. */
   private static JsonNode operation(JsonNode operation) {
     return operation.has("KV") ? operation.path("KV") : operation.path("kv");
   }
@@ -263,7 +267,9 @@
       case "get" -> results.addObject().set("KV", toJson(key, entries.get(key)));
       case "set", "cas" -> put(key, Base64.getDecoder().decode(operation.path("Value").asText()));
       case "delete", "delete-cas" -> put(key, null);
-      default -> throw new IllegalArgumentException("no such verb here: " + operation);
+      default ->
+          throw new IllegalArgumentException(
+              "transaction verb not supported by the Consul emulator: " + operation);
     }
   }
 
@@ -330,7 +336,8 @@
   }
 
   /**
-   * The wait of a blocking query, in the forms 10s, 500ms and 5m; five minutes where none is given.
+   * Parses the wait of a blocking query, such as 10s, 500ms or 5m, into milliseconds; the default
+   * is five minutes.
    */
   private static long wait(String text) {
     if (text == null) {
--- a/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
@@ -24,9 +24,10 @@
 import shelffront.lab.LabMain;
 
 /**
- * Gateways, and the stand-in engine between them, each a process of its own, with a relay on every
- * gateway's way to the engine. All on loopback, on ports of the system's choice; signals go to its
- * own children only. Waits are for conditions, never for a time.
+ * Runs gateways and the emulated coordination store as separate processes, with a fault proxy
+ * between each gateway and the store. All processes listen on loopback, on ports that the system
+ * assigns. The harness signals only its own child processes, and waits for conditions instead of
+ * fixed times.
  */
 public final class FaultInjectionHarness implements AutoCloseable {
 
@@ -37,7 +38,7 @@
   private static final Pattern ADMIN = Pattern.compile("administration on /([0-9.]+:[0-9]+)");
   private static final Pattern TOKEN = Pattern.compile("shown once: (\\S+)");
 
-  /** One gateway's process, which may be ended and started again under the same name. */
+  /** A gateway process, which can be terminated and restarted under the same name. */
   public final class GatewayProcess {
 
     private final int number;
@@ -94,15 +95,25 @@
       process.signal(name);
     }
 
-    /** Ends it at once, stopped or not. */
+    /** Kills the process, even if it is suspended, and waits for its exit. */
     public void kill() throws InterruptedException {
       process.kill();
     }
 
-    /** Asks it to end, and waits until it has. */
+    /**
+     * Requests termination and waits for the exit.
+     *
+     * @throws IllegalStateException if the process does not exit within the timeout
+     */
     public void terminate() throws InterruptedException {
       if (!process.terminate(TIMEOUT.toSeconds())) {
-        throw new IllegalStateException("g" + number + " does not end; see " + directory);
+        throw new IllegalStateException(
+            "gateway g"
+                + number
+                + " did not exit within "
+                + TIMEOUT.toSeconds()
+                + " s of SIGTERM; log files are in "
+                + directory);
       }
     }
 
@@ -114,12 +125,12 @@
       return found(ADMIN) != null;
     }
 
-    /** Whether its log says this. */
+    /** Whether the log contains the text. */
     public boolean hasLogged(String text) {
       return process.printed().contains(text);
     }
 
-    /** The status and body of a call of its administration; null where none came. */
+    /** Calls the administration API; returns null if there was no response. */
     private HttpResponse<String> call(String method, String path, String body) {
       try {
         return http.send(
@@ -138,7 +149,7 @@
       }
     }
 
-    /** What it says of the subject; null where it does not answer. */
+    /** Returns the status of the subject as this gateway reports it, or null without a response. */
     public JsonNode subjectStatus() {
       HttpResponse<String> answer =
           isUp() && isReady() ? call("GET", "/v1/subjects/" + SUBJECT, null) : null;
@@ -151,7 +162,7 @@
       }
     }
 
-    /** Asks for a stage; gives the status. */
+    /** Requests a target stage; returns the HTTP status, or 0 without a response. */
     public int requestStage(String stage) {
       HttpResponse<String> answer =
           call(
@@ -168,7 +179,11 @@
   private JavaProcess agent;
   private InetSocketAddress storeAddress;
 
-  /** Starts the engine; gateways come with {@link #add}. Files go to the directory. */
+  /**
+   * Starts the coordination store. {@link #add} starts gateways.
+   *
+   * @param directory receives configuration, log and history files
+   */
   public FaultInjectionHarness(Path directory) throws IOException {
     this.directory = directory;
     Files.createDirectories(directory);
@@ -188,11 +203,11 @@
             "--file",
             directory.resolve("engine.state").toString());
     Pattern listens = Pattern.compile("listens on 127.0.0.1:([0-9]+)");
-    await("the engine is up", () -> agent.found(listens) != null);
+    await("the coordination store is up", () -> agent.found(listens) != null);
     storeAddress = new InetSocketAddress("127.0.0.1", Integer.parseInt(agent.found(listens)));
   }
 
-  /** A gateway with this lease; started at once. */
+  /** Adds a gateway with this lease duration and starts it. */
   public GatewayProcess add(long leaseMs) throws IOException {
     GatewayProcess node = new GatewayProcess(gateways.size(), leaseMs);
     gateways.add(node);
@@ -204,13 +219,13 @@
     return gateways;
   }
 
-  /** Kills the engine's agent and starts it again at the same address, with what it had written. */
+  /** Kills the store process and restarts it at the same address with its stored entries. */
   public void restartStore() throws IOException, InterruptedException {
     agent.kill();
     startStore(storeAddress.getPort());
   }
 
-  /** Tells the engine to fail, as its stand-in's page says; an empty text ends all faults. */
+  /** Sets the faults of the emulated store (see {@link ConsulEmulator}); empty clears them. */
   public void injectStoreFault(String query) throws IOException, InterruptedException {
     http.send(
         HttpRequest.newBuilder(
@@ -220,18 +235,18 @@
         BodyHandlers.ofString());
   }
 
-  /** Waits for a condition, up to a minute. */
+  /** Waits up to one minute for a condition. */
   public void await(String what, BooleanSupplier condition) {
-    Awaitility.await(what + ", files in " + directory)
+    Awaitility.await(what + "; log files are in " + directory)
         .atMost(TIMEOUT)
         .pollInterval(Duration.ofMillis(50))
         .until(condition::getAsBoolean);
   }
 
-  /** Waits until every gateway that is up has this stage in force. */
+  /** Waits until the stage is in force at every running gateway. */
   public void awaitStage(String stage) {
     await(
-        "all have stage " + stage + " in force",
+        "stage " + stage + " is in force at all running gateways",
         () ->
             gateways.stream()
                 .filter(GatewayProcess::isUp)
@@ -242,7 +257,7 @@
                     }));
   }
 
-  /** The gateway that is owner, as the first that says so; null where none does. */
+  /** Returns the first gateway that reports being rollout leader, or null if none does. */
   public GatewayProcess leader() {
     for (GatewayProcess gateway : gateways) {
       JsonNode shown = gateway.subjectStatus();
@@ -253,7 +268,7 @@
     return null;
   }
 
-  /** Moves that owners have noted so far. */
+  /** Number of stage changes that rollout leaders have recorded so far. */
   public int moves() {
     try {
       return histories().moves();
@@ -262,7 +277,7 @@
     }
   }
 
-  /** All that was in force so far, held against each other. */
+  /** Reads and checks the histories of all gateways up to now. */
   public RolloutHistoryChecker histories() throws IOException {
     return RolloutHistoryChecker.read(gateways.stream().map(GatewayProcess::history).toList());
   }
--- a/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A way between two processes that can be broken. Cut, in one direction or both, it carries nothing
- * and says nothing: connections stay open and silent, and what was written comes once it is whole
- * again, as on a network that lost a link.
+ * TCP proxy that injects network faults between two processes. A cut in one or both directions
+ * stops forwarding without closing connections; data written meanwhile arrives after the cut ends,
+ * as on a network that lost a link.
  */
 public final class FaultProxy implements AutoCloseable {
 
@@ -23,7 +23,7 @@
   private boolean cutForward;
   private boolean cutBack;
   private long delayMs;
-  private int pieceBytes; // bytes at a time; 0: all there are
+  private int pieceBytes; // 0: no limit
 
   public FaultProxy(InetSocketAddress address) throws IOException {
     this.target = address;
@@ -35,27 +35,27 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Carries nothing there, or back, or either. */
+  /** Stops forwarding from client to target, from target to client, or in both directions. */
   public synchronized void cut(boolean there, boolean back) {
     cutForward = there;
     cutBack = back;
     notifyAll();
   }
 
-  /** Each piece comes so much later, in pieces of so many bytes; 0 for at once and for whole. */
+  /** Splits data into pieces of this size and delays each; 0 means no delay or no splitting. */
   public synchronized void slow(long millis, int bytes) {
     delayMs = millis;
     pieceBytes = bytes;
     notifyAll();
   }
 
-  /** Carries everything at once. */
+  /** Ends cuts, delays and splitting. */
   public synchronized void heal() {
     cut(false, false);
     slow(0, 0);
   }
 
-  /** Ends every connection with a reset. */
+  /** Closes every connection with a TCP reset. */
   public void reset() {
     for (Socket socket : open) {
       end(socket, true);
@@ -75,7 +75,7 @@
         open.add(here);
         thread(() -> connect(here));
       } catch (IOException e) {
-        return; // it was closed
+        return; // the listener was closed
       }
     }
   }
@@ -124,7 +124,7 @@
     end(into, true);
   }
 
-  /** Waits until something may pass; gives how many bytes at a time. */
+  /** Waits until the direction is not cut and the delay has passed; returns the piece size. */
   private synchronized int pass(boolean there) throws InterruptedException {
     while (there ? cutForward : cutBack) {
       wait();
@@ -144,7 +144,7 @@
       }
       socket.close();
     } catch (IOException e) {
-      // It is closed, or was.
+      // The socket was already closed.
       return;
     }
   }
--- a/lab/src/main/java/shelffront/lab/faultinjection/JavaProcess.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/JavaProcess.java
@@ -13,13 +13,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A program of this build as a process of its own: signals go to it alone, and what it uses is read
- * from the system.
+ * Runs a main class of this build as a child process. Signals go to this process only; its resource
+ * usage is read from {@code /proc}.
  */
 public final class JavaProcess {
 
-  private static final int TICKS_PER_SECOND =
-      100; // Linux's USER_HZ, in which /proc tells processor time
+  private static final int TICKS_PER_SECOND = 100; // Linux USER_HZ, the unit of CPU time in /proc
   private static final long KB = 1024;
 
   private final Process process;
@@ -30,7 +29,7 @@
     this.log = log;
   }
 
-  /** Starts a class's main with so much heap; what it prints goes to the log. */
+  /** Starts a main class with this heap limit; standard output and error go to the log file. */
   public static JavaProcess start(Class<?> main, int heapMb, Path log, String... arguments)
       throws IOException {
     List<String> command =
@@ -53,7 +52,7 @@
     return process.isAlive();
   }
 
-  /** What it has printed. */
+  /** Returns the output so far; empty if there is no log file. */
   public String printed() {
     try {
       return Files.exists(log) ? Files.readString(log, UTF_8) : "";
@@ -62,7 +61,7 @@
     }
   }
 
-  /** The first group of a pattern in what it has printed; null where it has not printed that. */
+  /** Returns the first group of the first match in the output, or null without a match. */
   public String found(Pattern pattern) {
     Matcher matcher = pattern.matcher(printed());
     return matcher.find() ? matcher.group(1) : null;
@@ -78,23 +77,23 @@
     }
   }
 
-  /** Ends it at once, stopped or not. */
+  /** Kills the process, even if it is suspended, and waits for its exit. */
   public void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  /** Ends it at once, without waiting for that. */
+  /** Kills the process without waiting for its exit. */
   public void abandon() {
     process.destroyForcibly();
   }
 
-  /** Asks it to end, and waits until it has; false where it does not within the seconds. */
+  /** Requests termination; returns false if the process does not exit within the timeout. */
   public boolean terminate(long seconds) throws InterruptedException {
     process.destroy();
     return process.waitFor(seconds, TimeUnit.SECONDS);
   }
 
-  /** Processor seconds that it has used. */
+  /** CPU time used, in seconds; 0 after the exit of the process. */
   public double cpuSeconds() {
     String[] fields = proc("stat").replaceAll("^.*\\) ", "").split(" ");
     return fields.length < 13
@@ -102,12 +101,12 @@
         : (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / (double) TICKS_PER_SECOND;
   }
 
-  /** Bytes of memory that it has resident. */
+  /** Resident memory in bytes; 0 after the exit of the process. */
   public long residentBytes() {
     return number("status", "VmRSS:\\s+([0-9]+)") * KB;
   }
 
-  /** Bytes that it has read and written, from and to sockets and files. */
+  /** Bytes read from and written to sockets and files; 0 after the exit of the process. */
   public long ioBytes() {
     return number("io", "rchar: ([0-9]+)") + number("io", "wchar: ([0-9]+)");
   }
@@ -117,7 +116,7 @@
     return matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
   }
 
-  /** Empty where it has ended. */
+  /** Returns the content of the file, or an empty text after the exit of the process. */
   private String proc(String file) {
     try {
       return Files.readString(Path.of("/proc", Long.toString(process.pid()), file));
--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
@@ -14,45 +14,51 @@
 import picocli.CommandLine.Option;
 
 /**
- * Plays drawn schedules of faults on processes, one for each seed, and holds their histories
- * against each other.
+ * Runs one randomized fault schedule per seed on gateway processes and checks their rollout
+ * histories for violations.
  */
 @Command(
     name = "stage-explore",
     mixinStandardHelpOptions = true,
     description = {
-      "Starts gateways and an engine as processes, moves a subject to and fro, and breaks what a"
-          + " seed draws: links",
-      "cut one way or both, slowed or reset, gateways stopped, killed, ended and started again, an"
-          + " engine that",
-      "restarts, loses its leader or garbles. Then all is made whole, and every gateway has to"
-          + " arrive.",
-      "Exit codes: 0 all held, 1 a seed is named that broke something, with the command that plays"
-          + " it again."
+      "Runs gateways and a coordination store as processes, requests stage changes of a subject,"
+          + " and injects",
+      "faults drawn from a seed: connections cut in one or both directions, slowed or reset;"
+          + " gateways suspended,",
+      "killed, terminated and restarted; a store that restarts, loses its leader or corrupts its"
+          + " responses.",
+      "Afterwards all faults are cleared, and every gateway must reach the target stage.",
+      "Exit codes: 0 no violation, 1 a seed failed; the output has the command that reproduces it."
     })
 public final class RolloutExplore implements Callable<Integer> {
 
   private static final List<String> STAGES = List.of("one", "two", "three", "four");
   private static final int STEPS = 12;
 
-  @Option(names = "--seeds", defaultValue = "5", description = "how many (${DEFAULT-VALUE})")
+  @Option(names = "--seeds", defaultValue = "5", description = "number of seeds (${DEFAULT-VALUE})")
   private int seeds;
 
   @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
   private long firstSeed;
 
-  @Option(names = "--gateways", defaultValue = "4", description = "processes (${DEFAULT-VALUE})")
+  @Option(
+      names = "--gateways",
+      defaultValue = "4",
+      description = "gateway processes (${DEFAULT-VALUE})")
   private int gateways;
 
-  @Option(names = "--lease-ms", defaultValue = "1200", description = "(${DEFAULT-VALUE})")
+  @Option(
+      names = "--lease-ms",
+      defaultValue = "1200",
+      description = "lease duration (${DEFAULT-VALUE})")
   private long leaseMs;
 
   @Option(
       names = "--odd-lease-ms",
       defaultValue = "0",
       description =
-          "the lease of the first gateway, wrong on purpose: the checker has to catch it (0:"
-              + " right)")
+          "a wrong lease duration for the first gateway, which the checker must detect (0: same"
+              + " as --lease-ms)")
   private long oddLeaseMs;
 
   @Override
@@ -68,21 +74,21 @@
         try {
           play(harness, seed, steps);
         } catch (ConditionTimeoutException e) {
-          steps.add("never arrived: " + e.getMessage());
+          steps.add("did not converge: " + e.getMessage());
         }
         RolloutHistoryChecker all = harness.histories();
         broken = new ArrayList<>(all.violations());
         count = all.moves();
       }
-      steps.stream().filter(step -> step.startsWith("never")).forEach(broken::add);
+      steps.stream().filter(step -> step.startsWith("did not converge")).forEach(broken::add);
       moves += count;
       System.out.printf(
-          Locale.ROOT, "seed %d: %d moves, %s%n", seed, count, String.join(", ", steps));
+          Locale.ROOT, "seed %d: %d stage changes, %s%n", seed, count, String.join(", ", steps));
       if (!broken.isEmpty()) {
         failed++;
         broken.stream().limit(5).forEach(violation -> System.out.println("  " + violation));
         System.out.println(
-            "  again: java -jar lab/target/shelffront-lab.jar stage-explore --from "
+            "  reproduce with: java -jar lab/target/shelffront-lab.jar stage-explore --from "
                 + seed
                 + " --seeds 1 --gateways "
                 + gateways
@@ -92,7 +98,7 @@
                 + oddLeaseMs);
       }
     }
-    System.out.printf("%d seeds, %d moves, %d broken%n", seeds, moves, failed);
+    System.out.printf("%d seeds, %d stage changes, %d failed%n", seeds, moves, failed);
     return failed == 0 ? 0 : 1;
   }
 
@@ -108,7 +114,7 @@
       int number = random.nextInt(gateways);
       FaultInjectionHarness.GatewayProcess node = harness.gateways().get(number);
       int what = random.nextInt(11);
-      // The draws of a step are made whatever becomes of it: the same seed gives the same schedule.
+      // Draws every value of the step even if it is unused, so that a seed gives the same schedule.
       boolean there = random.nextBoolean();
       String stage = STAGES.get(random.nextInt(STAGES.size()));
       int asked = random.nextInt(gateways);
@@ -119,7 +125,7 @@
             "g" + asked + " " + harness.gateways().get(asked).requestStage(stage) + " " + stage);
       }
       long until = System.nanoTime() + hold * 1_000_000;
-      harness.await("the schedule's next step is due", () -> System.nanoTime() >= until);
+      harness.await("the next step of the schedule is due", () -> System.nanoTime() >= until);
     }
     harness.injectStoreFault("");
     for (int i = 0; i < gateways; i++) {
@@ -133,7 +139,8 @@
       }
     }
     FaultInjectionHarness.GatewayProcess any = harness.gateways().get(0);
-    harness.await("the target is taken", () -> any.isReady() && any.requestStage("three") == 200);
+    harness.await(
+        "the target stage is accepted", () -> any.isReady() && any.requestStage("three") == 200);
     harness.awaitStage("three");
   }
 
--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
@@ -13,15 +13,16 @@
 import java.util.TreeMap;
 
 /**
- * Holds the histories of all processes against each other. They share a machine, so their monotonic
- * clocks are one. What came into force counts until the next line of its process, or the end of its
- * lease if that is sooner: a process that was killed or stopped could have acted until then.
+ * Checks the rollout histories of all gateway processes against each other. The processes run on
+ * one machine and therefore share a monotonic clock. A stage counts as in force until the next line
+ * of the same process and subject or until the lease expires, whichever is sooner, because a
+ * process that was killed or suspended could have acted until then.
  */
 public final class RolloutHistoryChecker {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** A stage in force at one gateway, from and until by the monotonic clock in microseconds. */
+  /** A stage in force at one gateway; times are monotonic, in microseconds. */
   record Span(String who, String subject, long epoch, int stage, long from, long until) {}
 
   private record Edge(long at, boolean begins, Span span) {}
@@ -58,7 +59,7 @@
       try {
         o = JSON.readTree(line);
       } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-        continue; // a process was killed in the middle of its last line
+        continue; // the process was killed while it wrote its last line
       }
       String subject = o.path("subject").asText();
       if (o.path("what").asText().equals("move")) {
@@ -71,11 +72,11 @@
             .put(o.path("epoch").asLong(), o.path("stage").asInt());
         if (before != null) {
           violations.add(
-              "one owner: epoch "
+              "more than one leader: epoch "
                   + o.path("epoch")
-                  + " of "
+                  + " of subject "
                   + subject
-                  + " was begun by "
+                  + " was started by "
                   + before
                   + " and "
                   + o.path("who").asText());
@@ -112,7 +113,7 @@
               edges.add(new Edge(span.until(), false, span));
             }
           }
-          // What ends at a moment ends before what begins there.
+          // At equal times, a span that ends is removed before one that begins.
           edges.sort(Comparator.comparingLong(Edge::at).thenComparing(Edge::begins));
           List<Span> now = new ArrayList<>();
           for (Edge edge : edges) {
@@ -122,10 +123,11 @@
             }
             for (Span other : now) {
               if (Math.abs(other.stage() - edge.span().stage()) > 1) {
-                violations.add("adjacent: " + edge.span() + " beside " + other);
+                violations.add("stages not adjacent: " + edge.span() + " overlaps " + other);
               }
               if (other.epoch() == edge.span().epoch() && other.stage() != edge.span().stage()) {
-                violations.add("one stage an epoch: " + edge.span() + " beside " + other);
+                violations.add(
+                    "more than one stage in an epoch: " + edge.span() + " overlaps " + other);
               }
             }
             now.add(edge.span());
@@ -139,7 +141,14 @@
             boolean next = each.getKey() == epoch + 1;
             if (before != null && next && Math.abs(each.getValue() - before) != 1) {
               violations.add(
-                  "one step: " + subject + " from stage " + before + " to " + each.getValue());
+                  "more than one step: "
+                      + subject
+                      + " from stage "
+                      + before
+                      + " to "
+                      + each.getValue()
+                      + " in epoch "
+                      + each.getKey());
             }
             before = each.getValue();
             epoch = each.getKey();
@@ -147,22 +156,22 @@
         });
   }
 
-  /** What does not hold, in words; empty where all does. */
+  /** Descriptions of all violations; empty if there are none. */
   public List<String> violations() {
     return violations;
   }
 
-  /** How many moves owners noted. */
+  /** Number of stage changes that rollout leaders recorded. */
   public int moves() {
     return leaderByEpoch.values().stream().mapToInt(Map::size).sum();
   }
 
-  /** How many processes had something in force. */
+  /** Number of gateway processes at which a stage was in force. */
   public long gatewayCount() {
     return spans.values().stream().flatMap(List::stream).map(Span::who).distinct().count();
   }
 
-  /** How many different owners moved a subject on. */
+  /** Number of different rollout leaders that changed the stage of a subject. */
   public long leaderCount() {
     return leaderByEpoch.values().stream()
         .flatMap(leaders -> leaders.values().stream())
--- a/lab/src/main/java/shelffront/lab/faultinjection/package-info.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Gateways and a coordination store as processes, with faults between them, and the check of their
- * rollout histories.
+ * Runs gateways and a coordination store as processes, injects faults between them, and checks
+ * their rollout histories.
  */
 package shelffront.lab.faultinjection;
