--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several gateways as processes, with faults between them, moving one subject; their histories are
- * held together.
+ * Runs several gateway processes with faults between them while the stage of a subject changes, and
+ * checks their histories.
  */
 class RolloutFaultInjectionTest {
 
@@ -26,20 +26,20 @@
         harness.add(LEASE_MS);
       }
       harness.awaitStage("one");
-      harness.await("there is an owner", () -> harness.leader() != null);
+      harness.await("there is a rollout leader", () -> harness.leader() != null);
       FaultInjectionHarness.GatewayProcess owner = harness.leader();
       List<FaultInjectionHarness.GatewayProcess> others =
           harness.gateways().stream().filter(gateway -> gateway != owner).toList();
 
-      // One is cut off, one is stopped, and the owner dies while the subject is on its way.
+      // One gateway is cut off, one is suspended, and the leader is killed during the stage change.
       others.get(0).proxy().cut(true, true);
       others.get(1).signal("STOP");
       assertEquals(200, others.get(2).requestStage("four"));
-      harness.await("the owner has begun", () -> harness.moves() > 0);
+      harness.await("the leader has started the stage change", () -> harness.moves() > 0);
       owner.kill();
       FaultInjectionHarness.GatewayProcess seeing = others.get(2);
       harness.await(
-          "the rest go on without them",
+          "the remaining gateways reach the target stage",
           () ->
               seeing.subjectStatus() != null
                   && seeing.subjectStatus().path("inForceHere").asText().equals("four"));
@@ -49,7 +49,7 @@
       owner.start();
       harness.awaitStage("four");
 
-      // Back, with the engine gone for a while and a gateway that restarts on the way.
+      // The stage returns to the first while the store and one gateway restart.
       assertEquals(200, seeing.requestStage("one"));
       harness.restartStore();
       others.get(3).terminate();
@@ -59,9 +59,9 @@
 
       RolloutHistoryChecker all = harness.histories();
       assertTrue(all.violations().isEmpty(), () -> String.join("\n", all.violations()));
-      assertTrue(all.moves() >= 6, "noted moves " + all.moves());
-      assertEquals(7, all.gatewayCount(), "five processes, and two that started again");
-      assertTrue(all.leaderCount() >= 2, "the first owner died on the way");
+      assertTrue(all.moves() >= 6, "recorded stage changes: " + all.moves());
+      assertEquals(7, all.gatewayCount(), "five processes and two restarted ones");
+      assertTrue(all.leaderCount() >= 2, "the first leader was killed during the stage change");
     }
   }
 
@@ -75,11 +75,12 @@
       harness.awaitStage("two");
       harness.injectStoreFault("leader=no");
       harness.await(
-          "both fall back",
+          "both gateways fall back to the safe stage",
           () -> one.hasLogged("is the safe one") && two.hasLogged("is the safe one"));
-      assertEquals(503, one.requestStage("three"), "the operator is told");
+      assertEquals(
+          503, one.requestStage("three"), "the request is rejected while the store has no leader");
       harness.injectStoreFault("garble");
-      harness.await("it is said what is wrong", () -> one.hasLogged("engine-garbled"));
+      harness.await("the corrupted response is logged", () -> one.hasLogged("engine-garbled"));
       harness.injectStoreFault("");
       harness.awaitStage("two");
       assertEquals(422, one.requestStage("nine"));
@@ -90,8 +91,8 @@
   }
 
   /**
-   * What the checker is worth: a gateway that counts on a lease ten times that of the others is
-   * caught.
+   * Shows that the checker detects a violation: a gateway that is cut off keeps the first stage in
+   * force for 100 times the lease of the others.
    */
   @Test
   void detectsGatewayThatTrustsItsLeaseTooLong() throws Exception {
@@ -99,17 +100,17 @@
       FaultInjectionHarness.GatewayProcess first = harness.add(LEASE_MS);
       harness.add(LEASE_MS);
       harness.awaitStage("one");
-      harness.await("there is an owner", () -> harness.leader() != null);
+      harness.await("there is a rollout leader", () -> harness.leader() != null);
       FaultInjectionHarness.GatewayProcess late = harness.add(LEASE_MS * 100);
       harness.awaitStage("one");
       late.proxy().cut(true, true);
       assertEquals(200, first.requestStage("four"));
       harness.await(
-          "the rest do not wait for it",
+          "the other gateways do not wait for the one that is cut off",
           () -> first.subjectStatus().path("inForceHere").asText().equals("four"));
       assertFalse(
           harness.histories().violations().isEmpty(),
-          "it may act in stage one, and the others do in four");
+          "one gateway may act in stage one while the other acts in stage four");
     }
   }
 }
--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** That the checker of histories says no. */
+/** Verifies that the history checker detects each kind of violation. */
 class RolloutHistoryCheckerTest {
 
   private static String force(String who, long atMicros, long epoch, int stage, long until) {
