--- a/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
+++ b/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients of a real gateway: again and again one connects to a tenant that the gateway serves, and
- * has to be served; and one to a name that nobody has, and has to be refused.
+ * Connects to a real gateway in a loop, on a thread of its own. A connection to an existing tenant
+ * must be accepted, and one to an unknown tenant must be rejected.
  */
 final class ClientProbe {
 
@@ -20,8 +20,7 @@
   private static final byte[] EMPTY_QUERY = {'Q', 0, 0, 0, 6, ';', 0};
   private static final int TIMEOUT_MILLIS = 5_000;
   private static final long PAUSE_MILLIS = 200;
-  private static final long FIRST_MILLIS =
-      20_000; // within which the tenant has to be found at first
+  private static final long FIRST_MILLIS = 20_000; // startup time until the tenant is served
 
   private final String address;
   private final String tenant;
@@ -42,7 +41,7 @@
     return served;
   }
 
-  /** Ends it; gives what broke. */
+  /** Stops the loop and returns the failures. */
   List<String> stop() {
     stopped = true;
     try {
@@ -61,10 +60,10 @@
       }
       while (!stopped && failures.isEmpty()) {
         if (!isServed(address, tenant)) {
-          failures.add("a client of " + tenant + " was not served by " + address);
+          failures.add("a client of tenant " + tenant + " was not served by gateway " + address);
         }
         if (isServed(address, "nobody")) {
-          failures.add("a client of nobody was served by " + address);
+          failures.add("a client of the unknown tenant nobody was served by gateway " + address);
         }
         served++;
         TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
@@ -74,9 +73,7 @@
     }
   }
 
-  /**
-   * Connects, names a database and asks nothing, as clients do first; the answers are to be read.
-   */
+  /** Connects to the database and sends an empty query; the caller reads the responses. */
   static Socket open(String address, String database) throws IOException {
     String[] hostAndPort = address.split(":");
     Socket socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
@@ -94,13 +91,13 @@
     return socket;
   }
 
-  /** Whether the gateway lets a client of this tenant in. */
+  /** Whether the gateway accepts a client of this tenant; false if the connection fails. */
   static boolean isServed(String address, String database) {
     try (Socket socket = open(address, database)) {
       DataInputStream input = new DataInputStream(socket.getInputStream());
       int type = input.readUnsignedByte();
       input.readInt();
-      return type == 'R' && input.readInt() == 0; // AuthenticationOk: nobody has a password here
+      return type == 'R' && input.readInt() == 0; // AuthenticationOk: the tenants have no passwords
     } catch (IOException e) {
       return false;
     }
--- a/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
@@ -25,20 +25,20 @@
 import shelffront.lab.scale.DistributionHistoryChecker.Cut;
 
 /**
- * Plays drawn schedules of faults on a fleet of processes while tenants are made, changed and
- * removed.
+ * Runs one randomized fault schedule per seed on a fleet of processes while tenants are created,
+ * changed and removed, and checks the histories of the gateways.
  */
 @Command(
     name = "distribution-explore",
     mixinStandardHelpOptions = true,
     description = {
-      "Two regions of two zones, an engine, six distributors, hollow gateways and real ones with"
-          + " clients, each on",
-      "relays that can be cut. A seed draws what breaks while changes are made; then all is made"
-          + " whole, and the",
-      "histories of all gateways are held against what the engine acknowledged.",
-      "Exit codes: 0 all held, 1 a seed is named that broke something, with the command that plays"
-          + " it again."
+      "Runs two regions of two zones: a coordination store, six distributors, hollow gateways and"
+          + " real gateways",
+      "with clients, connected through fault proxies. Injects faults drawn from a seed while"
+          + " tenants change, and",
+      "checks the histories of the hollow gateways against the changes that the store"
+          + " acknowledged.",
+      "Exit codes: 0 no violation, 1 a seed failed; the output has the command that reproduces it."
     })
 public final class DistributionExplore implements Callable<Integer> {
 
@@ -47,7 +47,7 @@
   private static final long LONGEST_HOLD_MILLIS = 5_000;
   private static final int STEPS = 8;
 
-  /** What a step of the schedule does. */
+  /** A fault, or a burst of changes, in the schedule. */
   enum Step {
     KILL_ZONE_DISTRIBUTOR,
     STOP_ZONE_DISTRIBUTOR,
@@ -63,7 +63,7 @@
     BURST
   }
 
-  @Option(names = "--seeds", defaultValue = "3", description = "how many (${DEFAULT-VALUE})")
+  @Option(names = "--seeds", defaultValue = "3", description = "number of seeds (${DEFAULT-VALUE})")
   private int seeds;
 
   @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
@@ -72,15 +72,15 @@
   @Option(
       names = "--steps",
       defaultValue = "" + STEPS,
-      description = "faults for each seed (${DEFAULT-VALUE})")
+      description = "faults per seed (${DEFAULT-VALUE})")
   private int steps;
 
   @Option(
       names = "--bound-ms",
       defaultValue = "14000",
       description =
-          "within which a change has to be in force (${DEFAULT-VALUE}); a lesser one has to be"
-              + " caught")
+          "time until a change must be in force (${DEFAULT-VALUE}); if the value is too low, the"
+              + " check must fail")
   private long boundMs;
 
   @Override
@@ -95,24 +95,25 @@
           failed++;
           broken.stream().limit(5).forEach(failure -> System.out.println("  " + failure));
           System.out.println(
-              "  again: java -jar lab/target/shelffront-lab.jar distribution-explore --from "
+              "  reproduce with: java -jar lab/target/shelffront-lab.jar distribution-explore"
+                  + " --from "
                   + seed
-                  + " --seeds 1; files in "
+                  + " --seeds 1; log files are in "
                   + directory);
         }
       }
     }
-    System.out.printf("%d seeds, %d broken%n", seeds, failed);
+    System.out.printf("%d seeds, %d failed%n", seeds, failed);
     return failed == 0 ? 0 : 1;
   }
 
-  /** One seed's fleet, schedule and judgement. */
+  /** The fleet, the fault schedule and the check of one seed. */
   private static final class SeedRun implements AutoCloseable {
 
     private final UniformRandomProvider
-        random; // of the schedule: the same for a seed, whatever else takes long
+        random; // for the schedule only, so that it depends on the seed alone
     private final UniformRandomProvider changeRandom;
-    private final Map<String, FaultProxy> proxies = new TreeMap<>(); // "from to"
+    private final Map<String, FaultProxy> proxies = new TreeMap<>(); // by "SOURCE TARGET"
     private final ScaledFleet fleet;
     private final List<ClientProbe> clients = new ArrayList<>();
     private final Map<String, List<Acknowledged>> acknowledged = new HashMap<>();
@@ -211,7 +212,8 @@
     }
 
     /**
-     * What was acknowledged after the engine's copy was kept is void: the engine does not have it.
+     * Starts a new incarnation after the store was restored from its snapshot. Changes acknowledged
+     * after the snapshot are no longer expected, because the restored store does not have them.
      */
     private void beginIncarnation() throws OperatorException {
       Version kept = fleet.store().head().version();
@@ -221,7 +223,7 @@
       newest = fleet.store().beginIncarnation();
     }
 
-    /** All ways out of a part of the fleet. */
+    /** All proxies on connections that this part of the fleet opens. */
     private List<FaultProxy> proxiesOutOf(String from) {
       return proxies.entrySet().stream()
           .filter(entry -> entry.getKey().startsWith(from + " "))
@@ -229,7 +231,7 @@
           .toList();
     }
 
-    /** Zones 0 and 1 are of the first region; the engine stands in the first. */
+    /** Zones 0 and 1 and the coordination store are in the first region. */
     private List<FaultProxy> proxiesBetweenRegions() {
       List<FaultProxy> between = new ArrayList<>();
       proxies.forEach(
@@ -282,11 +284,11 @@
       }
     }
 
-    // ---- Judgement
+    // ---- Check of the histories
     // --------------------------------------------------------------------------------
 
     private void checkHistories(long bound) throws Exception {
-      Thread.sleep(BOUND / 1000 + 1000); // what is not in force then is late
+      Thread.sleep(BOUND / 1000 + 1000); // any change not in force by then is late
       clients.forEach(client -> failures.addAll(client.stop()));
       fleet.endHollow();
       for (int zone = 0; zone < SIZE.zones(); zone++) {
@@ -307,8 +309,8 @@
     }
 
     /**
-     * A gateway follows a name no longer once it was removed, until a client asks for it again:
-     * nobody does here.
+     * Whether no change before the last is a removal. A gateway unsubscribes from a removed record
+     * until a client requests the tenant again, which no client does here.
      */
     private static boolean neverRemoved(List<Acknowledged> changes) {
       for (int i = 0; i < changes.size() - 1; i++) {
@@ -325,7 +327,7 @@
       long served = clients.stream().mapToLong(ClientProbe::served).sum();
       return String.format(
           Locale.ROOT,
-          "%d changes, %d refused, %d in force, median %.2f s, slowest %.2f s, "
+          "%d changes, %d rejected, %d in force, median %.2f s, slowest %.2f s, "
               + "%d clients served, %s",
           acknowledged.values().stream().mapToInt(List::size).sum(),
           refused,
--- a/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
@@ -8,21 +8,22 @@
 import shelffront.distribution.Version;
 
 /**
- * Holds what was in force at each gateway against the changes that the engine acknowledged. All
- * processes share a machine, so their monotonic clocks are one. Times are microseconds.
+ * Checks what was in force at each gateway against the changes that the coordination store
+ * acknowledged. The processes run on one machine and therefore share a monotonic clock. Times are
+ * in microseconds.
  */
 final class DistributionHistoryChecker {
 
-  /** A change that was acknowledged; its version is that of a removal where it removes. */
+  /** An acknowledged change or removal, and the version that it created. */
   record Acknowledged(String name, Version version, boolean removal, long at) {}
 
   /**
-   * A time in which some gateways could not be reached, so that changes count for them from its
-   * end.
+   * A period in which the gateways of a zone were unreachable. The time limit for a change starts
+   * for them at the end of the period.
    */
   record Cut(String zone, long from, long until) {
 
-    /** Of every zone. */
+    /** Affects every zone. */
     static final String ALL = "";
 
     boolean concerns(String gatewayZone) {
@@ -30,22 +31,22 @@
     }
   }
 
-  /** What was in force from a time on; null: no record. */
+  /** The version in force from a time on; null after a removal. */
   private record State(long at, Version version) {}
 
   private final Map<String, TreeMap<Long, List<State>>> statesByIncarnation =
-      new HashMap<>(); // by gateway and name, by life
+      new HashMap<>(); // by "GATEWAY NAME", then by process incarnation
   private final Map<String, String> zones = new HashMap<>();
   private final List<String> broken = new ArrayList<>();
   private final List<Long> delaysMicros = new ArrayList<>();
   private long incarnation;
 
-  /** Reads the history of the hollow gateways of a zone. */
+  /** Adds the history of the hollow gateways of a zone. */
   void add(String zone, List<String> lines) {
     for (String line : lines) {
       String[] parts = line.split(" ");
       if (parts.length < 3) {
-        continue; // a process was killed in the middle of its last line
+        continue; // the process was killed while it wrote its last line
       }
       if (parts[1].equals("life")) {
         incarnation = Long.parseLong(parts[0]);
@@ -64,13 +65,13 @@
           && version != null
           && version.isBefore(last.version())) {
         broken.add(
-            "step back: "
+            "version regression: gateway "
                 + parts[1]
-                + " "
-                + parts[2]
-                + " from "
+                + " replaced "
                 + last.version()
-                + " to "
+                + " of record "
+                + parts[2]
+                + " by "
                 + version);
       }
       states.add(new State(Long.parseLong(parts[0]), version));
@@ -78,8 +79,8 @@
   }
 
   /**
-   * Every change has to be in force, or one after it, within the bound from its acknowledgement, or
-   * from the end of the last cut that touches that time.
+   * Checks that each change, or a later one, is in force at every gateway within the bound. The
+   * bound starts at the acknowledgement, or at the end of the last cut that overlaps this period.
    */
   void check(
       String name, List<String> gateways, List<Acknowledged> changes, List<Cut> cuts, long bound) {
@@ -90,10 +91,15 @@
         Long inForceAt =
             inForceAt(gateway + " " + name, changes.subList(i, changes.size()), change);
         if (inForceAt == null) {
-          broken.add("never in force: " + change + " at " + gateway);
+          broken.add("never in force: " + change + " at gateway " + gateway);
         } else if (inForceAt > from + bound) {
           broken.add(
-              "late by " + (inForceAt - from - bound) / 1000 + " ms: " + change + " at " + gateway);
+              "late by "
+                  + (inForceAt - from - bound) / 1000
+                  + " ms: "
+                  + change
+                  + " at gateway "
+                  + gateway);
         } else {
           delaysMicros.add(Math.max(0, inForceAt - from));
         }
@@ -103,7 +109,7 @@
 
   private static long reachableFrom(String zone, long atMicros, List<Cut> cuts, long bound) {
     long from = atMicros;
-    for (Cut cut : cuts) { // in their order
+    for (Cut cut : cuts) { // in order of time
       if (cut.concerns(zone) && cut.from() < from + bound && cut.until() > from) {
         from = cut.until();
       }
@@ -111,7 +117,7 @@
     return from;
   }
 
-  /** When this change, or one that replaced it, came into force. */
+  /** The time at which this change or a later one came into force, or null if it never did. */
   private Long inForceAt(String key, List<Acknowledged> thisAndLater, Acknowledged change) {
     Long first = null;
     for (List<State> states : statesByIncarnation.getOrDefault(key, new TreeMap<>()).values()) {
@@ -133,7 +139,7 @@
     return broken;
   }
 
-  /** Microseconds from when each change could reach a gateway until it was in force there. */
+  /** Time from when each change could reach a gateway until it was in force there, in us. */
   List<Long> delaysMicros() {
     return delaysMicros;
   }
--- a/lab/src/main/java/shelffront/lab/scale/FleetScale.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScale.java
@@ -23,21 +23,23 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * Distribution of configuration at a fleet's size: what each role costs, and how long a change
- * takes everywhere.
+ * Measures the distribution of configuration in a large fleet: resource usage per role, and the
+ * time until a change is in force at every gateway.
  */
 @Command(
     name = "fleet-scale",
     mixinStandardHelpOptions = true,
     description = {
-      "Starts a stand-in engine, distributors for regions and zones, hollow gateways (the control"
-          + " side alone, many",
-      "in a process) and a few real ones, makes changes, and measures each role by its processes.",
-      "Exit codes: 0 every claim was kept, 1 one was not, 2 the machine was too slow to tell."
+      "Starts an emulated coordination store, distributors for regions and zones, hollow gateways"
+          + " (the control",
+      "plane only, many in a process) and a few real gateways, writes changes, and measures the"
+          + " processes of each role.",
+      "Exit codes: 0 every requirement is met, 1 a requirement is not met, 2 the machine was too"
+          + " slow to measure."
     })
 public final class FleetScale implements Callable<Integer> {
 
-  /** What goes wrong in the middle of the changes. */
+  /** The fault injected after half of the changes. */
   enum Fault {
     NONE,
     ZONE_RESTART,
@@ -49,56 +51,59 @@
   private static final double BOUND_SECONDS = 14;
   private static final double MOST_CPU = 0.013;
   private static final double MOST_KB_PER_SECOND = 18;
-  private static final int COMMON_EVERY =
-      10; // of the changes, one in so many concerns every gateway
-  private static final double TOO_SLOW = 3; // times as long as the changes should have taken
+  private static final int COMMON_EVERY = 10; // one change in this many affects every gateway
+  private static final double TOO_SLOW = 3; // multiple of the planned duration
 
   @Option(
       names = "--gateways",
       defaultValue = "100",
-      description = "hollow ones (${DEFAULT-VALUE})")
+      description = "hollow gateways (${DEFAULT-VALUE})")
   private int gateways;
 
   @Option(
       names = "--hosts",
       defaultValue = "1000",
-      description = "in tenants of five (${DEFAULT-VALUE})")
+      description = "hosts, five per tenant (${DEFAULT-VALUE})")
   private int hosts;
 
   @Option(names = "--changes-per-hour", defaultValue = "7200", description = "(${DEFAULT-VALUE})")
   private int changesPerHour;
 
-  @Option(names = "--seconds", defaultValue = "30", description = "of changes (${DEFAULT-VALUE})")
+  @Option(
+      names = "--seconds",
+      defaultValue = "30",
+      description = "duration of the changes (${DEFAULT-VALUE})")
   private int seconds;
 
   @Option(
       names = "--idle-seconds",
       defaultValue = "10",
-      description = "without changes, before them (${DEFAULT-VALUE})")
+      description = "duration of the idle phase before the changes (${DEFAULT-VALUE})")
   private int idleSeconds;
 
   @Option(
       names = "--names",
       defaultValue = "60",
-      description = "tenants that a gateway serves (${DEFAULT-VALUE})")
+      description = "tenants that each gateway serves (${DEFAULT-VALUE})")
   private int names;
 
   @Option(names = "--regions", defaultValue = "4", description = "(${DEFAULT-VALUE})")
   private int regions;
 
-  @Option(names = "--zones", defaultValue = "4", description = "of each region (${DEFAULT-VALUE})")
+  @Option(names = "--zones", defaultValue = "4", description = "per region (${DEFAULT-VALUE})")
   private int zones;
 
   @Option(
       names = "--real",
       defaultValue = "2",
-      description = "real gateways beside (${DEFAULT-VALUE})")
+      description = "additional real gateways (${DEFAULT-VALUE})")
   private int real;
 
   @Option(
       names = "--direct",
       defaultValue = "0",
-      description = "gateways beside that watch the engine themselves (${DEFAULT-VALUE})")
+      description =
+          "additional gateways that watch the coordination store directly (${DEFAULT-VALUE})")
   private int direct;
 
   @Option(names = "--faults", defaultValue = "NONE", description = "${COMPLETION-CANDIDATES}")
@@ -107,14 +112,14 @@
   @Option(names = "--seed", defaultValue = "1", description = "(${DEFAULT-VALUE})")
   private long seed;
 
-  @Option(names = "--out", description = "a directory for the report")
+  @Option(names = "--out", description = "directory for the report")
   private Path out;
 
   private final List<String> lines = new ArrayList<>();
   private final List<String> brokenClaims = new ArrayList<>();
   private final ObjectNode figures = TenantSpecCodec.JSON.createObjectNode();
 
-  /** What a group of processes has used until a moment. */
+  /** The cumulative resource usage of a group of processes at a point in time. */
   private record ResourceUsage(double cpu, long io, long resident, long at, boolean intact) {
 
     static ResourceUsage of(List<ScaledFleet.FleetProcess> parts) {
@@ -193,7 +198,7 @@
     return use;
   }
 
-  /** What each role used in a span, for one distributor, one gateway. */
+  /** Records the usage of each role in a phase, per distributor or gateway. */
   private void report(
       String span, Map<String, ResourceUsage> before, Map<String, ResourceUsage> after) {
     Map<String, Integer> divisors =
@@ -211,7 +216,7 @@
     after.forEach(
         (role, use) -> {
           if (!use.intact()) {
-            return; // what a process that was killed had used is gone with it
+            return; // the usage of a killed process is lost
           }
           int divisor = divisors.get(role);
           recordFigure(span + "_" + role + "_cpu_cores", use.cpuSince(before.get(role)) / divisor);
@@ -221,7 +226,8 @@
   }
 
   /**
-   * Makes changes at their rate, with the fault in the middle; gives the last version of each name.
+   * Writes changes at the configured rate and injects the fault after half of them; returns the
+   * last version of each record.
    */
   private Map<String, Version> change(ScaledFleet fleet, int tenants) throws Exception {
     SplittableRandom random = new SplittableRandom(seed);
@@ -276,11 +282,11 @@
     }
   }
 
-  /** Every gateway has to have what was written last, within the bound; then all delays count. */
+  /** Records how many gateways lack a last written version after the bound, and all delays. */
   private void recordDelays(ScaledFleet fleet, Map<String, Version> written)
       throws IOException, InterruptedException {
     fleet.awaitCurrent();
-    TimeUnit.SECONDS.sleep((long) BOUND_SECONDS); // what is not in force then is late
+    TimeUnit.SECONDS.sleep((long) BOUND_SECONDS); // any change not in force by then is late
     Histogram delays = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
     long missing = 0;
     long steppedBack = 0;
@@ -315,15 +321,17 @@
     claim(
         "every change is in force on every gateway that serves it",
         figures.path("not_in_force").asLong() == 0);
-    claim("nothing steps back", figures.path("stepped_back").asLong() == 0);
     claim(
-        "in force within " + BOUND_SECONDS + " s",
+        "no gateway replaces a record by an older version",
+        figures.path("stepped_back").asLong() == 0);
+    claim(
+        "every change is in force within " + BOUND_SECONDS + " s",
         figures.path("in_force_slowest_s").asDouble() <= BOUND_SECONDS);
     claim(
-        "a gateway's control takes at most 1.3 % of a core",
+        "the control plane of a gateway uses at most 1.3 % of a core",
         figures.path("changing_hollow_cpu_cores").asDouble() <= MOST_CPU);
     claim(
-        "and 18 KB a second",
+        "the control plane of a gateway transfers at most 18 KB/s",
         figures.path("changing_hollow_kb_per_s").asDouble() <= MOST_KB_PER_SECOND);
   }
 
--- a/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
@@ -18,19 +18,18 @@
 import picocli.CommandLine.Parameters;
 import shelffront.tenant.TenantSpecCodec;
 
-/** Tables and charts over several kept runs of {@link FleetScale}. */
+/** Writes tables and charts from the saved results of several {@link FleetScale} runs. */
 @Command(
     name = "fleet-scale-report",
     mixinStandardHelpOptions = true,
     description =
-        "Writes summary.md and charts from the result.json of each run in a directory's"
-            + " directories.")
+        "Writes summary.md and charts from the result.json in each subdirectory of a directory.")
 public final class FleetScaleReport implements Callable<Integer> {
 
   private static final int WIDTH = 800;
   private static final int HEIGHT = 400;
 
-  /** What the summary's table shows: a heading, the figure's name, and what it is multiplied by. */
+  /** A column of the summary: its heading, the figure that it shows, and a multiplier. */
   private record Column(String heading, String figure, double factor) {}
 
   private static final List<Column> COLUMNS =
@@ -59,9 +58,10 @@
             List.of(
                 "# fleet-scale",
                 "",
-                "Each line is a run; `result.json` beside it has every figure. A gateway's figures"
-                    + " are those of hollow",
-                "ones; of a role whose process was killed in the run they say nothing.",
+                "Each line is a run; the `result.json` of the run has every figure. Figures of a"
+                    + " gateway are those of",
+                "hollow gateways. A role without usage figures had a process killed during the"
+                    + " run.",
                 ""));
     StringBuilder heading = new StringBuilder("| gateways | watching themselves | fault |");
     COLUMNS.forEach(column -> heading.append(' ').append(column.heading()).append(" |"));
@@ -74,13 +74,13 @@
                 run -> run.path("fault").asText().equals("none") && run.path("direct").asInt() == 0)
             .toList();
     chart(
-        "Engine calls for a change",
+        "Engine calls per change",
         "calls",
         calm,
         List.of("engine_calls_per_change"),
         "engine-calls");
     chart(
-        "From the write to in force",
+        "Time from write to in force",
         "seconds",
         calm,
         List.of("in_force_median_s", "in_force_p99_s", "in_force_slowest_s"),
--- a/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
@@ -21,23 +21,23 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * What a gateway costs at rest, as a process: by hosts, by tenants at rest, by tenants awake, by
- * idle connections.
+ * Measures the resource usage of an idle gateway process by number of hosts, dormant tenants,
+ * active tenants and idle connections.
  */
 @Command(
     name = "gateway-cost",
     mixinStandardHelpOptions = true,
     description = {
-      "Starts gateways as processes and reads from the system what each uses: resident memory,"
-          + " processor time of its",
-      "start, and processor time at rest."
+      "Starts gateways as processes and measures the resident memory, the CPU time until ready and"
+          + " the CPU time at",
+      "rest of each."
     })
 public final class GatewayCost implements Callable<Integer> {
 
   private static final int HEAP_MB = 256;
   private static final Pattern LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
   private static final long MISSING_MILLIS = 60_000;
-  private static final int MOST_HOSTS = 1000; // of a tenant, by its schema
+  private static final int MOST_HOSTS = 1000; // limit of the tenant schema
   private static final int HOSTS_OF_TENANT = TrialTenants.HOSTS_OF_TENANT;
 
   @Option(
@@ -68,7 +68,10 @@
       description = "(${DEFAULT-VALUE})")
   private List<Integer> connections;
 
-  @Option(names = "--seconds", defaultValue = "5", description = "at rest (${DEFAULT-VALUE})")
+  @Option(
+      names = "--seconds",
+      defaultValue = "5",
+      description = "duration of the measurement at rest (${DEFAULT-VALUE})")
   private int seconds;
 
   @Override
@@ -88,7 +91,9 @@
     for (int count : resting) {
       measure("tenants of five hosts, at rest", count, config(count, HOSTS_OF_TENANT), 0, 0);
     }
-    // Hosts that answer, the same five for all: a gateway asks those again and again that do not.
+    // All tenants share five responsive hosts: a gateway keeps retrying unresponsive hosts, which
+    // would
+    // distort the idle figures.
     EmulatedReplicaSet replicaSet = new EmulatedReplicaSet("cost", HOSTS_OF_TENANT - 1, 8, 1, 5);
     try {
       for (int count : awake) {
@@ -157,7 +162,15 @@
     try {
       while (process.found(LISTENS) == null) {
         if (System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(MISSING_MILLIS)) {
-          throw new IOException("no gateway with " + count + " " + what + "; see " + directory);
+          throw new IOException(
+              "gateway did not listen within "
+                  + MISSING_MILLIS
+                  + " ms; case: "
+                  + what
+                  + ", count "
+                  + count
+                  + "; log file is in "
+                  + directory);
         }
         TimeUnit.MILLISECONDS.sleep(5);
       }
@@ -168,7 +181,7 @@
           clients.add(ClientProbe.open(process.found(LISTENS), TrialTenants.tenantId(tenant)));
         }
       }
-      TimeUnit.SECONDS.sleep(2); // connections and probes of the first moment
+      TimeUnit.SECONDS.sleep(2); // skips initial connections and health checks
       double before = process.cpuSeconds();
       TimeUnit.SECONDS.sleep(seconds);
       double rest = (process.cpuSeconds() - before) / seconds;
--- a/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
@@ -37,15 +37,17 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * Many gateways of a fleet in one process, without clients and hosts: the real gateway's code for
- * all that is control. Each follows what its file says and validates what comes. Says when all are
- * current, and reports at its end when what came into force.
+ * Runs the control plane of many gateways in one process, without clients and hosts. Each gateway
+ * uses the production code to subscribe to its configured records and to validate updates. The
+ * process prints a line when all gateways are current, and writes the delays and the versions in
+ * force to the report file at exit.
  */
 @Command(
     name = "hollow-gateways",
     hidden = true,
     mixinStandardHelpOptions = true,
-    description = "The control side of many gateways in one process; fleet-scale starts it.")
+    description =
+        "Runs the control plane of many gateways in one process; fleet-scale starts this command.")
 public final class HollowGateways implements Callable<Integer> {
 
   private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(10);
@@ -60,28 +62,28 @@
   @Option(names = "--history")
   private Path historyFile;
 
-  private Writer history; // null where none is kept
+  private Writer history; // null if not configured
   private final Histogram delays = new Histogram(LONGEST_MICROS, 3);
   private long steppedBack;
   private final long startedAt = TrialTenants.nowMicros();
 
-  /** A name that a gateway asks for. */
+  /** A record name that a gateway subscribes to. */
   private record Lookup(SubscribedRecords records, String name) {
 
-    /** Whether or not there is such a record. */
+    /** Waits for a response, even if there is no such record; retries failed lookups. */
     void awaitAnswer() throws InterruptedException {
       while (true) {
         try {
           records.lookUp(name).get();
           return;
         } catch (ExecutionException e) {
-          TimeUnit.MILLISECONDS.sleep(20); // nobody could tell in time
+          TimeUnit.MILLISECONDS.sleep(20); // no distributor responded in time
         }
       }
     }
   }
 
-  /** One gateway's table: what is in force, each by its sequence. */
+  /** The records in force at one gateway, with the sequence number of each. */
   private final class Table implements SubscribedRecords.RecordApplier {
 
     private final String gateway;
@@ -118,7 +120,7 @@
     }
   }
 
-  /** A line of the history; without a version where the record is in force no longer. */
+  /** Appends a line to the history; a null version means that the record was removed. */
   private synchronized void appendHistory(String gateway, String name, Version version) {
     if (history == null) {
       return;
@@ -140,7 +142,7 @@
 
   private synchronized void recordDelay(RecordChange record, Long before) {
     if (before == null) {
-      return; // it comes as the gateway starts, not as a change
+      return; // initial state at startup, not a change
     }
     steppedBack += before > record.version().sequence() ? 1 : 0;
     long took = TrialTenants.nowMicros() - TrialTenants.writtenAtMicros(record.document());
@@ -189,7 +191,7 @@
     return 0;
   }
 
-  /** Gateways that watch the engine themselves, to hold the others against. */
+  /** Starts gateways that watch the coordination store directly, for comparison. */
   private void watchDirectly(JsonNode direct) {
     if (direct.isMissingNode()) {
       return;
@@ -218,7 +220,7 @@
         }
       }
     } catch (OperatorException e) {
-      System.out.println("direct watch has ended: " + e.getMessage());
+      System.out.println("direct watch of the coordination store stopped: " + e.getMessage());
     }
   }
 
@@ -245,7 +247,7 @@
     try {
       Files.writeString(reportFile, report.toString());
     } catch (IOException e) {
-      System.out.println("no report: " + e);
+      System.out.println("cannot write the report to " + reportFile + ": " + e);
     }
   }
 }
--- a/lab/src/main/java/shelffront/lab/scale/RolloutCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/RolloutCost.java
@@ -23,14 +23,15 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * What leases on stages ask of the engine while nothing moves: calls and bytes by gateways and by
- * subjects.
+ * Measures the load of rollout leases on the coordination store while no stage changes: calls and
+ * bytes by number of gateways and subjects.
  */
 @Command(
     name = "stage-cost",
     mixinStandardHelpOptions = true,
     description =
-        "Starts gateways that keep leases on subjects, and counts the engine's calls meanwhile.")
+        "Starts gateways that hold leases on subjects, and counts the calls to the coordination"
+            + " store.")
 public final class RolloutCost implements Callable<Integer> {
 
   private static final int HEAP_MB = 96;
@@ -51,7 +52,10 @@
       description = "(${DEFAULT-VALUE})")
   private List<Integer> subjects;
 
-  @Option(names = "--seconds", defaultValue = "12", description = "counted (${DEFAULT-VALUE})")
+  @Option(
+      names = "--seconds",
+      defaultValue = "12",
+      description = "duration of the count (${DEFAULT-VALUE})")
   private int seconds;
 
   private final HttpClient http = HttpClient.newHttpClient();
@@ -84,7 +88,7 @@
               "--file",
               directory.resolve("engine.state").toString());
       all.add(engine);
-      ScaledFleet.await("the engine is up", () -> engine.found(LISTENS) != null);
+      ScaledFleet.await("the coordination store is up", () -> engine.found(LISTENS) != null);
       for (int g = 0; g < gatewayCount; g++) {
         Path file = directory.resolve("g" + g + ".json");
         Files.writeString(file, config(engine.found(LISTENS), "g" + g, subjectCount).toString());
@@ -99,7 +103,7 @@
         all.add(gateway);
         ScaledFleet.await("a gateway listens", () -> gateway.found(GATEWAY_LISTENS) != null);
       }
-      TimeUnit.SECONDS.sleep(3); // until all have joined
+      TimeUnit.SECONDS.sleep(3); // until all gateways have joined
       JsonNode before = calls(engine);
       TimeUnit.SECONDS.sleep(seconds);
       JsonNode after = calls(engine);
--- a/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
+++ b/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
@@ -29,15 +29,14 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * A fleet in processes: the stand-in engine, a distributor for each region and each zone, the
- * gateways of each zone as hollow ones in a process of their own, and a few real ones. All on
- * loopback.
+ * Runs a fleet as processes on loopback: the emulated coordination store, a distributor for each
+ * region and zone, one process with the hollow gateways of each zone, and a few real gateways.
  */
 final class ScaledFleet implements AutoCloseable {
 
   static final String FLEET = "scale";
   private static final int HEAP_MB = 256;
-  private static final int REAL_HEAP_MB = 72; // as the platform's line has it
+  private static final int REAL_HEAP_MB = 72; // same as in the start command of the platform
   private static final Duration TIMEOUT = Duration.ofSeconds(120);
   private static final Duration ENGINE_CALL = Duration.ofMillis(1500);
   private static final Pattern CURRENT = Pattern.compile("all current after ([0-9]+) ms");
@@ -48,7 +47,7 @@
   private static final Pattern ADMIN = Pattern.compile("administration on /([0-9.]+:[0-9]+)");
   private static final Pattern TOKEN = Pattern.compile("shown once: (\\S+)");
 
-  /** How large it is, and how it is divided. */
+  /** Number of gateways, tenants, regions and zones of the fleet. */
   record Size(
       int gateways,
       int tenants,
@@ -64,13 +63,13 @@
     }
   }
 
-  /** The way from one part of the fleet to another: the address that it is given. */
+  /** Maps the address of a target to the address at which a part of the fleet reaches it. */
   interface AddressTranslator {
 
     String translate(String from, String target, String address) throws IOException;
   }
 
-  /** A process with its part in the fleet. */
+  /** A named process of the fleet, which can be restarted. */
   final class FleetProcess {
 
     final String name;
@@ -100,7 +99,7 @@
       return process;
     }
 
-    /** Whether the process that was started first still runs. */
+    /** Whether the process is running and was never restarted. */
     boolean isFirstAndUp() {
       return starts == 1 && process.isUp();
     }
@@ -126,7 +125,7 @@
   }
 
   /**
-   * @param keeps whether gateways keep their last known good, and hollow ones a history
+   * @param keeps whether gateways save their last known good state, and hollow gateways a history
    */
   ScaledFleet(Path directory, Size size, AddressTranslator ways, boolean keeps) throws Exception {
     this.directory = directory;
@@ -146,7 +145,7 @@
             Integer.toString(freePort()),
             "--file",
             state.toString());
-    await("the engine is up", () -> engine.process().found(LISTENS) != null);
+    await("the coordination store is up", () -> engine.process().found(LISTENS) != null);
     engineAddress = "127.0.0.1:" + engine.process().found(LISTENS);
     store =
         new ChangeStore(
@@ -155,7 +154,7 @@
             FLEET);
   }
 
-  /** The engine has to come back at its address when it is started again. */
+  /** Returns a free port, so that the coordination store restarts at the same address. */
   private static int freePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
@@ -178,8 +177,8 @@
   }
 
   /**
-   * Starts everything, the engine's followers first, and waits until every hollow gateway has all
-   * that it follows.
+   * Starts the region distributors, the zone distributors and then the gateways, and waits until
+   * every hollow gateway is current.
    */
   void start() throws IOException {
     for (int region = 0; region < size.regions(); region++) {
@@ -233,8 +232,8 @@
   }
 
   /**
-   * Addresses are given by the system, and kept: a distributor that starts again listens where it
-   * did.
+   * Adds the system-assigned addresses of the distributors to the endpoint list, and writes them to
+   * their configuration so that a restarted distributor listens at the same address.
    */
   private void endpoints(List<FleetProcess> distributors, ArrayNode into, boolean zonal)
       throws IOException {
@@ -253,7 +252,7 @@
     }
   }
 
-  /** Distributors with the addresses by which a zone reaches them. */
+  /** Returns the endpoints with the addresses at which a zone reaches them. */
   private ArrayNode seenFrom(String zone, ArrayNode endpoints) throws IOException {
     ArrayNode seen = endpoints.deepCopy();
     for (JsonNode endpoint : seen) {
@@ -314,17 +313,17 @@
     return new FleetProcess(name, HEAP_MB, LabMain.class, arguments.toArray(String[]::new));
   }
 
-  /** What came into force at the hollow gateways of a zone, in its order; kept over restarts. */
+  /** History of the hollow gateways of a zone in order of time; survives restarts. */
   Path history(int zone) {
     return directory.resolve("hollow-" + zone(zone) + ".history");
   }
 
-  /** Where clients of a real gateway connect. */
+  /** Address at which a real gateway accepts clients. */
   String clientAddress(int number) {
     return real.get(number).process().found(REAL_LISTENS);
   }
 
-  /** A call of a real gateway's administration, as its first operator. */
+  /** Calls the administration API of a real gateway with its initial operator token. */
   HttpResponse<String> administer(
       int number, String method, String path, long revision, String body)
       throws IOException, InterruptedException {
@@ -339,7 +338,7 @@
     return http.send(request.build(), BodyHandlers.ofString());
   }
 
-  /** Tells the engine to fail, as its stand-in's page says; an empty text ends all faults. */
+  /** Sets the faults of the emulated coordination store; an empty text clears them. */
   void engineFault(String query) throws IOException, InterruptedException {
     http.send(
         HttpRequest.newBuilder(URI.create("http://" + engineAddress + "/fault?" + query))
@@ -367,7 +366,7 @@
         "real" + number, REAL_HEAP_MB, Main.class, "serve", "--config", file.toString());
   }
 
-  /** Waits until every hollow gateway has all that it follows. */
+  /** Waits until every hollow gateway has all records to which it subscribes. */
   void awaitCurrent() {
     hollow.forEach(
         process ->
@@ -375,8 +374,8 @@
   }
 
   /**
-   * How long the slowest zone's gateways took from their process's start until all of them were
-   * current.
+   * The longest time that the gateways of a zone took from process start until all were current; 0
+   * without zones.
    */
   long slowestStartMillis() {
     return hollow.stream()
@@ -394,7 +393,7 @@
         .until(condition::getAsBoolean);
   }
 
-  /** Where changes are made. */
+  /** The store to which changes are written. */
   ChangeStore store() {
     return store;
   }
@@ -419,7 +418,7 @@
     return real;
   }
 
-  /** Calls that the engine has answered, and bytes of their bodies. */
+  /** Number of calls to the coordination store, and the bytes of their bodies. */
   long[] engineCalls() throws IOException, InterruptedException {
     JsonNode counts =
         TenantSpecCodec.JSON.readTree(
@@ -431,12 +430,17 @@
     return new long[] {counts.path("calls").asLong(), counts.path("bytes").asLong()};
   }
 
-  /** Ends the hollow gateways and gives their reports, by zone. */
+  /** Terminates the hollow gateways and returns their reports by zone. */
   TreeMap<Integer, JsonNode> endHollow() throws IOException, InterruptedException {
     TreeMap<Integer, JsonNode> reports = new TreeMap<>();
     for (int zone = 0; zone < hollow.size(); zone++) {
       if (!hollow.get(zone).process().terminate(TIMEOUT.toSeconds())) {
-        throw new IllegalStateException(hollow.get(zone).name + " does not end");
+        throw new IllegalStateException(
+            hollow.get(zone).name
+                + " did not exit within "
+                + TIMEOUT.toSeconds()
+                + " s of SIGTERM; log files are in "
+                + directory);
       }
       reports.put(zone, TenantSpecCodec.JSON.readTree(report(zone).toFile()));
     }
--- a/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
+++ b/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
@@ -13,15 +13,15 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * Fills the stand-in engine's file before that is started, by the same writes that would go to it
- * over HTTP.
+ * In-memory coordination store that creates the state file of the Consul emulator before the
+ * emulator starts, from the same writes that it would receive over HTTP.
  */
 final class StateFileCoordinationStore implements CoordinationStore {
 
   private final TreeMap<String, Value> values = new TreeMap<>();
   private long index = 1;
 
-  /** Writes all that it holds as the stand-in engine keeps it. */
+  /** Writes all entries in the format of the emulator's state file. */
   void save(Path file) throws IOException {
     List<String> lines = new ArrayList<>();
     values.values().stream()
--- a/lab/src/main/java/shelffront/lab/scale/TrialTenants.java
+++ b/lab/src/main/java/shelffront/lab/scale/TrialTenants.java
@@ -10,15 +10,15 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * The tenants of a fleet on trial: which there are, who serves which, and documents that tell when
- * they were written.
+ * Generates the tenants of a scaled fleet: their names, the gateways that serve them, and documents
+ * that contain the time at which they were written.
  */
 final class TrialTenants {
 
   /** Hosts of each tenant: a primary and its replicas. */
   static final int HOSTS_OF_TENANT = 5;
 
-  /** A tenant that every gateway serves, so that some changes reach all. */
+  /** A tenant that every gateway serves, so that some changes affect the whole fleet. */
   static final String COMMON = "common";
 
   private static final Pattern WRITTEN_AT = Pattern.compile("\"w([0-9]+)\"");
@@ -29,7 +29,7 @@
     return "t" + number;
   }
 
-  /** What a gateway serves: the common one, and so many of the others, drawn by its number. */
+  /** Record names that a gateway serves: the common tenant and others drawn by its number. */
   static List<String> servedNames(int gateway, int tenants, int count, long seed) {
     SplittableRandom random = new SplittableRandom(seed * 1_000_003 + gateway);
     List<String> names = new ArrayList<>(List.of("tenant/" + COMMON));
@@ -42,7 +42,7 @@
     return names;
   }
 
-  /** A tenant with its hosts; one host's name tells when it was written, in microseconds. */
+  /** A tenant document whose primary has an ID that contains the write time in microseconds. */
   static ObjectNode document(String id, long writtenAt) {
     ObjectNode tenant = TenantSpecCodec.JSON.createObjectNode().put("id", id);
     ArrayNode classes = tenant.putArray("classes");
@@ -70,13 +70,13 @@
     return tenant;
   }
 
-  /** When a document was written. */
+  /** The write time in a document, in microseconds; 0 if it has none. */
   static long writtenAtMicros(String document) {
     Matcher matcher = WRITTEN_AT.matcher(document);
     return matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
   }
 
-  /** Microseconds on the clock that all processes of a machine share. */
+  /** Time in microseconds on the monotonic clock that all processes of a machine share. */
   static long nowMicros() {
     return System.nanoTime() / 1000;
   }
--- a/lab/src/main/java/shelffront/lab/scale/package-info.java
+++ b/lab/src/main/java/shelffront/lab/scale/package-info.java
@@ -1,2 +1,2 @@
-/** Fleets of many processes: distribution of configuration at size, its costs, and faults in it. */
+/** Tests and measures the distribution of configuration in fleets of many processes. */
 package shelffront.lab.scale;
--- a/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
+++ b/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
@@ -19,7 +19,7 @@
 import shelffront.lab.scale.DistributionHistoryChecker.Cut;
 import shelffront.tenant.TenantSpecCodec;
 
-/** A fleet of processes, small; and that what judges one can say no. */
+/** Runs a small fleet of processes, and verifies that the history checker detects violations. */
 class ScaledFleetTest {
 
   private static final long SECOND = 1_000_000;
@@ -57,7 +57,7 @@
             .execute("--seeds", "1", "--from", "1", "--steps", "2"));
   }
 
-  /** The administration of one gateway, the clients of another. */
+  /** Administers a tenant at one gateway while clients connect to another. */
   @Test
   void servesTenantThatAnotherGatewayAdministers(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 5, 3, 1, 1, 2, 0, 1);
@@ -66,12 +66,13 @@
       String other = fleet.clientAddress(1);
       assertFalse(ClientProbe.isServed(other, "new"));
       ScaledFleet.await(
-          "both administrations have reached the engine",
+          "the administration APIs of both gateways have reached the coordination store",
           () -> reachesEngine(fleet, 0) && reachesEngine(fleet, 1));
       String document = TrialTenants.document("new", 1).toString();
       HttpResponse<String> made = fleet.administer(0, "POST", "/v1/tenants", 0, document);
       assertEquals(201, made.statusCode(), made.body());
-      ScaledFleet.await("its clients are served", () -> ClientProbe.isServed(other, "new"));
+      ScaledFleet.await(
+          "clients of the new tenant are served", () -> ClientProbe.isServed(other, "new"));
       long revision = TenantSpecCodec.JSON.readTree(made.body()).path("revision").asLong();
       assertEquals(
           412, fleet.administer(1, "PUT", "/v1/tenants/new", revision - 1, document).statusCode());
@@ -79,10 +80,12 @@
           fleet.administer(1, "PUT", "/v1/tenants/new", revision, document);
       assertEquals(200, changed.statusCode(), changed.body());
       ScaledFleet.await(
-          "the change is in force where it was made", () -> inForce(fleet, revision + 1));
+          "the change is in force at the gateway that accepted it",
+          () -> inForce(fleet, revision + 1));
       assertEquals(
           202, fleet.administer(0, "DELETE", "/v1/tenants/new", revision + 1, "").statusCode());
-      ScaledFleet.await("its clients are refused", () -> !ClientProbe.isServed(other, "new"));
+      ScaledFleet.await(
+          "clients of the deleted tenant are rejected", () -> !ClientProbe.isServed(other, "new"));
     }
   }
 
@@ -105,7 +108,10 @@
     }
   }
 
-  /** It was given up as silent after 2.1 s, and begun anew, for ever. */
+  /**
+   * Guards against a snapshot that never completes: a transfer longer than the silence timeout of
+   * 2.1 s was aborted and restarted each time.
+   */
   @Test
   void deliversSnapshotSlowerThanSilenceTimeout(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 2500, 3, 1, 1, 0, 0, 1);
@@ -119,7 +125,7 @@
           FaultProxy proxy =
               new FaultProxy(
                   new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
-          proxy.slow(20, 16 << 10); // 0.8 MB a second, for 2.4 MB
+          proxy.slow(20, 16 << 10); // 0.8 MB/s for a snapshot of 2.4 MB
           relays.add(proxy);
           return proxy.address();
         };
@@ -149,11 +155,16 @@
     List<Acknowledged> changes = List.of(change(1, SECOND), change(2, 2 * SECOND));
     assertEquals(List.of(), judged(List.of(), changes, "1100000 g n 1 1", "2100000 g n 1 2"));
     assertEquals(
-        List.of(), judged(List.of(), changes, "2100000 g n 1 2"), "the later one stands for both");
-    assertFalse(judged(List.of(), changes, "1100000 g n 1 1").isEmpty(), "the second was lost");
+        List.of(), judged(List.of(), changes, "2100000 g n 1 2"), "the later change covers both");
+    assertFalse(
+        judged(List.of(), changes, "1100000 g n 1 1").isEmpty(), "the second change was lost");
     assertFalse(
-        judged(List.of(), changes, "1100000 g n 1 1", "17000000 g n 1 2").isEmpty(), "it was late");
-    assertTrue(judged(List.of(), changes, "1 g n 1 2", "2 g n 1 1").get(0).startsWith("step back"));
+        judged(List.of(), changes, "1100000 g n 1 1", "17000000 g n 1 2").isEmpty(),
+        "the second change was late");
+    assertTrue(
+        judged(List.of(), changes, "1 g n 1 2", "2 g n 1 1")
+            .get(0)
+            .startsWith("version regression"));
     assertEquals(
         List.of(),
         judged(
@@ -164,7 +175,7 @@
             "6 life begins",
             "7 g n 1 1",
             "8 g n 1 2"),
-        "another life begins with what was kept");
+        "a restarted process begins with its saved state");
   }
 
   @Test
