--- a/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/ConsulEmulator.java
@@ -43,7 +43,7 @@
 public final class ConsulEmulator implements Callable<Integer> {
 
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final long LONGEST_WAIT_MS = 600_000;
+  private static final long MAX_WAIT_MS = 600_000;
 
   private record Entry(byte[] value, long created, long modified) {}
 
@@ -62,7 +62,7 @@
   private Writer out;
   private boolean leaderless;
   private long delayMillis;
-  private boolean corruptsAnswers;
+  private boolean corruptsResponses;
   private final AtomicLong callCount = new AtomicLong();
   private final AtomicLong byteCount = new AtomicLong();
 
@@ -77,10 +77,10 @@
     HttpServer server =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 256);
     server.setExecutor(Executors.newCachedThreadPool());
-    server.createContext("/v1/kv/", this::kv);
-    server.createContext("/v1/txn", this::transaction);
-    server.createContext("/fault", this::fault);
-    server.createContext("/calls", this::calls);
+    server.createContext("/v1/kv/", this::handleKv);
+    server.createContext("/v1/txn", this::handleTransaction);
+    server.createContext("/fault", this::handleFault);
+    server.createContext("/calls", this::handleCalls);
     server.start();
     System.out.println("listens on 127.0.0.1:" + server.getAddress().getPort());
     Thread.currentThread().join();
@@ -89,11 +89,11 @@
 
   private void load() throws IOException {
     for (String line : Files.readAllLines(file)) {
-      JsonNode o = JSON.readTree(line);
-      index = o.path("index").asLong();
+      JsonNode entry = JSON.readTree(line);
+      index = entry.path("index").asLong();
       apply(
-          o.path("key").asText(),
-          o.has("value") ? Base64.getDecoder().decode(o.path("value").asText()) : null,
+          entry.path("key").asText(),
+          entry.has("value") ? Base64.getDecoder().decode(entry.path("value").asText()) : null,
           index);
     }
   }
@@ -103,13 +103,13 @@
   }
 
   /** Reports the calls received so far and the body bytes of requests and responses. */
-  private void calls(HttpExchange exchange) throws IOException {
+  private void handleCalls(HttpExchange exchange) throws IOException {
     String text =
         JSON.createObjectNode()
             .put("calls", callCount.get())
             .put("bytes", byteCount.get())
             .toString();
-    answer(exchange, 200, text, 0);
+    respond(exchange, 200, text, 0);
   }
 
   private static Map<String, String> query(HttpExchange exchange) {
@@ -124,12 +124,12 @@
     return query;
   }
 
-  private void fault(HttpExchange exchange) throws IOException {
+  private void handleFault(HttpExchange exchange) throws IOException {
     Map<String, String> query = query(exchange);
     synchronized (this) {
       leaderless = query.getOrDefault("leader", "yes").equals("no");
       delayMillis = Long.parseLong(query.getOrDefault("late", "0"));
-      corruptsAnswers = query.containsKey("garble");
+      corruptsResponses = query.containsKey("garble");
       if (query.containsKey("keep")) {
         Files.copy(file, snapshotFile(), StandardCopyOption.REPLACE_EXISTING);
       }
@@ -147,32 +147,32 @@
       }
       notifyAll();
     }
-    answer(exchange, 200, "true", 0);
+    respond(exchange, 200, "true", 0);
   }
 
-  private void kv(HttpExchange exchange) throws IOException {
+  private void handleKv(HttpExchange exchange) throws IOException {
     try {
       byte[] body = exchange.getRequestBody().readAllBytes();
       count(body.length);
-      long late;
+      long delay;
       synchronized (this) {
-        late = delayMillis;
+        delay = delayMillis;
         if (leaderless) {
-          answer(exchange, 500, "No cluster leader", 0);
+          respond(exchange, 500, "No cluster leader", 0);
           return;
         }
       }
-      if (late > 0) {
-        Thread.sleep(late);
+      if (delay > 0) {
+        Thread.sleep(delay);
       }
       String key = exchange.getRequestURI().getPath().substring("/v1/kv/".length());
       Map<String, String> query = query(exchange);
       switch (exchange.getRequestMethod()) {
         case "GET" -> get(exchange, key, query);
-        case "PUT" -> answer(exchange, 200, String.valueOf(write(key, query.get("cas"), body)), 0);
+        case "PUT" -> respond(exchange, 200, String.valueOf(write(key, query.get("cas"), body)), 0);
         case "DELETE" ->
-            answer(exchange, 200, String.valueOf(write(key, query.get("cas"), null)), 0);
-        default -> answer(exchange, 405, "", 0);
+            respond(exchange, 200, String.valueOf(write(key, query.get("cas"), null)), 0);
+        default -> respond(exchange, 405, "", 0);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -198,8 +198,8 @@
   }
 
   private boolean mayWrite(String key, String cas) {
-    Entry now = entries.get(key);
-    return cas == null || Long.parseLong(cas) == (now == null ? 0 : now.modified());
+    Entry current = entries.get(key);
+    return cas == null || Long.parseLong(cas) == (current == null ? 0 : current.modified());
   }
 
   /** Writes under the current index, because all writes of a transaction share one index. */
@@ -213,26 +213,26 @@
   }
 
   /** Applies all operations or none, as the API specifies. Supports the verbs that gateways use. */
-  private void transaction(HttpExchange exchange) throws IOException {
+  private void handleTransaction(HttpExchange exchange) throws IOException {
     byte[] body = exchange.getRequestBody().readAllBytes();
     count(body.length);
-    ObjectNode answer = JSON.createObjectNode();
-    ArrayNode results = answer.putArray("Results");
-    ArrayNode errors = answer.putArray("Errors");
+    ObjectNode response = JSON.createObjectNode();
+    ArrayNode results = response.putArray("Results");
+    ArrayNode errors = response.putArray("Errors");
     synchronized (this) {
       if (leaderless) {
-        answer(exchange, 500, "No cluster leader", 0);
+        respond(exchange, 500, "No cluster leader", 0);
         return;
       }
       JsonNode operations = JSON.readTree(body);
       for (int i = 0; i < operations.size(); i++) {
         JsonNode operation = operation(operations.path(i));
         boolean reads = operation.path("Verb").asText().equals("get");
-        boolean may =
+        boolean allowed =
             reads
                 ? entries.containsKey(operation.path("Key").asText())
                 : mayWrite(operation.path("Key").asText(), cas(operation));
-        if (!may) {
+        if (!allowed) {
           errors
               .addObject()
               .put("OpIndex", i)
@@ -248,7 +248,7 @@
         notifyAll();
       }
     }
-    answer(exchange, errors.isEmpty() ? 200 : 409, answer.toString(), 0);
+    respond(exchange, errors.isEmpty() ? 200 : 409, response.toString(), 0);
   }
 
   /** Accepts "KV" and "kv", because the JSON reader of Consul ignores the case of names. */
@@ -283,13 +283,13 @@
         .put("ModifyIndex", entry.modified());
   }
 
-  private void apply(String key, byte[] value, long atMicros) {
+  private void apply(String key, byte[] value, long atIndex) {
     if (value == null) {
       entries.remove(key);
-      removed.put(key, atMicros);
+      removed.put(key, atIndex);
     } else {
-      Entry before = entries.get(key);
-      entries.put(key, new Entry(value, before == null ? atMicros : before.created(), atMicros));
+      Entry previous = entries.get(key);
+      entries.put(key, new Entry(value, previous == null ? atIndex : previous.created(), atIndex));
     }
   }
 
@@ -316,13 +316,14 @@
     ArrayNode list = JSON.createArrayNode();
     long last;
     synchronized (this) {
-      long until = System.nanoTime() + 1_000_000 * (after == 0 ? 0 : wait(query.get("wait")));
+      long deadlineNanos =
+          System.nanoTime() + 1_000_000 * (after == 0 ? 0 : parseWaitMillis(query.get("wait")));
       while (lastIndex(key, recurse) == after && !leaderless) {
-        long left = (until - System.nanoTime()) / 1_000_000;
-        if (left <= 0) {
+        long leftMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
+        if (leftMillis <= 0) {
           break;
         }
-        wait(left);
+        wait(leftMillis);
       }
       last = lastIndex(key, recurse);
       for (Map.Entry<String, Entry> each : entries.tailMap(key).entrySet()) {
@@ -332,29 +333,29 @@
         list.add(toJson(each.getKey(), each.getValue()));
       }
     }
-    answer(exchange, list.isEmpty() ? 404 : 200, list.isEmpty() ? "" : list.toString(), last);
+    respond(exchange, list.isEmpty() ? 404 : 200, list.isEmpty() ? "" : list.toString(), last);
   }
 
   /**
    * Parses the wait of a blocking query, such as 10s, 500ms or 5m, into milliseconds; the default
    * is five minutes.
    */
-  private static long wait(String text) {
+  private static long parseWaitMillis(String text) {
     if (text == null) {
       return 300_000;
     }
     long number = Long.parseLong(text.replaceAll("[^0-9]", ""));
     return Math.min(
-        LONGEST_WAIT_MS, number * (text.endsWith("ms") ? 1 : text.endsWith("m") ? 60_000 : 1_000));
+        MAX_WAIT_MS, number * (text.endsWith("ms") ? 1 : text.endsWith("m") ? 60_000 : 1_000));
   }
 
-  private void answer(HttpExchange exchange, int status, String text, long atMicros)
+  private void respond(HttpExchange exchange, int status, String text, long atIndex)
       throws IOException {
     byte[] body =
-        (corruptsAnswers && status == 200 ? text.substring(0, text.length() / 2) + "\0{" : text)
+        (corruptsResponses && status == 200 ? text.substring(0, text.length() / 2) + "\0{" : text)
             .getBytes(UTF_8);
     exchange.getResponseHeaders().set("Content-Type", "application/json");
-    exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(atMicros));
+    exchange.getResponseHeaders().set("X-Consul-Index", Long.toString(atIndex));
     exchange.getResponseHeaders().set("X-Consul-KnownLeader", "true");
     exchange.getResponseHeaders().set("X-Consul-LastContact", "0");
     byteCount.addAndGet(body.length);
