--- a/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultInjectionHarness.java
@@ -35,8 +35,9 @@
   private static final Duration TIMEOUT = Duration.ofSeconds(60);
   private static final int HEAP_MB = 96;
   static final String SUBJECT = "drill";
-  private static final Pattern ADMIN = Pattern.compile("administration on /([0-9.]+:[0-9]+)");
-  private static final Pattern TOKEN = Pattern.compile("shown once: (\\S+)");
+  private static final Pattern ADMIN_ADDRESS =
+      Pattern.compile("administration on /([0-9.]+:[0-9]+)");
+  private static final Pattern OPERATOR_TOKEN = Pattern.compile("shown once: (\\S+)");
 
   /** A gateway process, which can be terminated and restarted under the same name. */
   public final class GatewayProcess {
@@ -117,12 +118,12 @@
       }
     }
 
-    private String found(Pattern pattern) {
+    private String findInOutput(Pattern pattern) {
       return process.found(pattern);
     }
 
     public boolean isReady() {
-      return found(ADMIN) != null;
+      return findInOutput(ADMIN_ADDRESS) != null;
     }
 
     /** Whether the log contains the text. */
@@ -134,9 +135,9 @@
     private HttpResponse<String> call(String method, String path, String body) {
       try {
         return http.send(
-            HttpRequest.newBuilder(URI.create("http://" + found(ADMIN) + path))
+            HttpRequest.newBuilder(URI.create("http://" + findInOutput(ADMIN_ADDRESS) + path))
                 .timeout(Duration.ofSeconds(5))
-                .header("Authorization", "Bearer " + found(TOKEN))
+                .header("Authorization", "Bearer " + findInOutput(OPERATOR_TOKEN))
                 .method(
                     method, body == null ? BodyPublishers.noBody() : BodyPublishers.ofString(body))
                 .build(),
@@ -151,12 +152,12 @@
 
     /** Returns the status of the subject as this gateway reports it, or null without a response. */
     public JsonNode subjectStatus() {
-      HttpResponse<String> answer =
+      HttpResponse<String> response =
           isUp() && isReady() ? call("GET", "/v1/subjects/" + SUBJECT, null) : null;
       try {
-        return answer == null || answer.statusCode() != 200
+        return response == null || response.statusCode() != 200
             ? null
-            : JSON.readTree(answer.body()).path("subjects").path(0);
+            : JSON.readTree(response.body()).path("subjects").path(0);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -164,19 +165,19 @@
 
     /** Requests a target stage; returns the HTTP status, or 0 without a response. */
     public int requestStage(String stage) {
-      HttpResponse<String> answer =
+      HttpResponse<String> response =
           call(
               "PUT",
               "/v1/subjects/" + SUBJECT,
               JSON.createObjectNode().put("target", stage).toString());
-      return answer == null ? 0 : answer.statusCode();
+      return response == null ? 0 : response.statusCode();
     }
   }
 
   private final Path directory;
   private final HttpClient http = HttpClient.newHttpClient();
   private final List<GatewayProcess> gateways = new ArrayList<>();
-  private JavaProcess agent;
+  private JavaProcess storeProcess;
   private InetSocketAddress storeAddress;
 
   /**
@@ -192,7 +193,7 @@
 
   private void startStore(int port) throws IOException {
     Path log = directory.resolve("engine.log");
-    agent =
+    storeProcess =
         JavaProcess.start(
             LabMain.class,
             HEAP_MB,
@@ -203,16 +204,17 @@
             "--file",
             directory.resolve("engine.state").toString());
     Pattern listens = Pattern.compile("listens on 127.0.0.1:([0-9]+)");
-    await("the coordination store is up", () -> agent.found(listens) != null);
-    storeAddress = new InetSocketAddress("127.0.0.1", Integer.parseInt(agent.found(listens)));
+    await("the coordination store is up", () -> storeProcess.found(listens) != null);
+    storeAddress =
+        new InetSocketAddress("127.0.0.1", Integer.parseInt(storeProcess.found(listens)));
   }
 
   /** Adds a gateway with this lease duration and starts it. */
   public GatewayProcess add(long leaseMs) throws IOException {
-    GatewayProcess node = new GatewayProcess(gateways.size(), leaseMs);
-    gateways.add(node);
-    node.start();
-    return node;
+    GatewayProcess gateway = new GatewayProcess(gateways.size(), leaseMs);
+    gateways.add(gateway);
+    gateway.start();
+    return gateway;
   }
 
   public List<GatewayProcess> gateways() {
@@ -221,7 +223,7 @@
 
   /** Kills the store process and restarts it at the same address with its stored entries. */
   public void restartStore() throws IOException, InterruptedException {
-    agent.kill();
+    storeProcess.kill();
     startStore(storeAddress.getPort());
   }
 
@@ -252,16 +254,16 @@
                 .filter(GatewayProcess::isUp)
                 .allMatch(
                     gateway -> {
-                      JsonNode shown = gateway.subjectStatus();
-                      return shown != null && shown.path("inForceHere").asText().equals(stage);
+                      JsonNode status = gateway.subjectStatus();
+                      return status != null && status.path("inForceHere").asText().equals(stage);
                     }));
   }
 
   /** Returns the first gateway that reports being rollout leader, or null if none does. */
   public GatewayProcess leader() {
     for (GatewayProcess gateway : gateways) {
-      JsonNode shown = gateway.subjectStatus();
-      if (shown != null && shown.path("owner").asBoolean()) {
+      JsonNode status = gateway.subjectStatus();
+      if (status != null && status.path("owner").asBoolean()) {
         return gateway;
       }
     }
@@ -290,6 +292,6 @@
       }
       gateway.proxy.close();
     }
-    agent.abandon();
+    storeProcess.abandon();
   }
 }
