--- a/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/FaultProxy.java
@@ -15,20 +15,20 @@
  */
 public final class FaultProxy implements AutoCloseable {
 
-  private static final int BUFFER = 16 * 1024;
+  private static final int BUFFER_BYTES = 16 * 1024;
 
   private final ServerSocket listener;
   private final InetSocketAddress target;
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private boolean cutForward;
-  private boolean cutBack;
+  private boolean cutBackward;
   private long delayMs;
   private int pieceBytes; // 0: no limit
 
   public FaultProxy(InetSocketAddress address) throws IOException {
     this.target = address;
     listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
-    thread(this::accept);
+    startThread(this::accept);
   }
 
   public String address() {
@@ -36,9 +36,9 @@
   }
 
   /** Stops forwarding from client to target, from target to client, or in both directions. */
-  public synchronized void cut(boolean there, boolean back) {
-    cutForward = there;
-    cutBack = back;
+  public synchronized void cut(boolean forward, boolean backward) {
+    cutForward = forward;
+    cutBackward = backward;
     notifyAll();
   }
 
@@ -58,11 +58,11 @@
   /** Closes every connection with a TCP reset. */
   public void reset() {
     for (Socket socket : open) {
-      end(socket, true);
+      closeSocket(socket, true);
     }
   }
 
-  private static void thread(Runnable task) {
+  private static void startThread(Runnable task) {
     Thread thread = new Thread(task, "relay");
     thread.setDaemon(true);
     thread.start();
@@ -71,75 +71,77 @@
   private void accept() {
     while (!listener.isClosed()) {
       try {
-        Socket here = listener.accept();
-        open.add(here);
-        thread(() -> connect(here));
+        Socket client = listener.accept();
+        open.add(client);
+        startThread(() -> connect(client));
       } catch (IOException e) {
         return; // the listener was closed
       }
     }
   }
 
-  private void connect(Socket here) {
-    Socket there = new Socket();
-    open.add(there);
+  private void connect(Socket client) {
+    Socket server = new Socket();
+    open.add(server);
     try {
-      there.connect(target);
-      here.setTcpNoDelay(true);
-      there.setTcpNoDelay(true);
-      thread(() -> carry(here, there, true));
-      carry(there, here, false);
+      server.connect(target);
+      client.setTcpNoDelay(true);
+      server.setTcpNoDelay(true);
+      startThread(() -> forwardData(client, server, true));
+      forwardData(server, client, false);
     } catch (IOException e) {
-      end(here, true);
-      end(there, true);
+      closeSocket(client, true);
+      closeSocket(server, true);
     }
   }
 
-  private void carry(Socket from, Socket into, boolean there) {
-    byte[] buffer = new byte[BUFFER];
+  private void forwardData(Socket from, Socket into, boolean forward) {
+    byte[] buffer = new byte[BUFFER_BYTES];
     try {
       int count = from.getInputStream().read(buffer);
       while (count >= 0) {
         for (int offset = 0; offset < count; ) {
-          int piece = pass(there);
-          int length = Math.min(piece, count - offset);
+          int pieceSize = awaitPieceSize(forward);
+          int length = Math.min(pieceSize, count - offset);
           into.getOutputStream().write(buffer, offset, length);
           offset += length;
         }
         count = from.getInputStream().read(buffer);
       }
-      pass(there);
+      awaitPieceSize(forward);
     } catch (IOException e) {
       reset(from, into);
       return;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    end(into, false);
-    end(from, false);
+    closeSocket(into, false);
+    closeSocket(from, false);
   }
 
   private void reset(Socket from, Socket into) {
-    end(from, true);
-    end(into, true);
+    closeSocket(from, true);
+    closeSocket(into, true);
   }
 
   /** Waits until the direction is not cut and the delay has passed; returns the piece size. */
-  private synchronized int pass(boolean there) throws InterruptedException {
-    while (there ? cutForward : cutBack) {
+  private synchronized int awaitPieceSize(boolean forward) throws InterruptedException {
+    while (forward ? cutForward : cutBackward) {
       wait();
     }
-    long until = System.nanoTime() + delayMs * 1_000_000;
-    for (long left = delayMs; left > 0; left = (until - System.nanoTime()) / 1_000_000) {
-      wait(left);
+    long deadlineNanos = System.nanoTime() + delayMs * 1_000_000;
+    for (long leftMillis = delayMs;
+        leftMillis > 0;
+        leftMillis = (deadlineNanos - System.nanoTime()) / 1_000_000) {
+      wait(leftMillis);
     }
-    return pieceBytes > 0 ? pieceBytes : BUFFER;
+    return pieceBytes > 0 ? pieceBytes : BUFFER_BYTES;
   }
 
-  private void end(Socket socket, boolean abruptly) {
+  private void closeSocket(Socket socket, boolean withReset) {
     open.remove(socket);
     try {
-      if (abruptly) {
+      if (withReset) {
         socket.setSoLinger(true, 0);
       }
       socket.close();
