--- a/lab/src/main/java/shelffront/lab/faultinjection/JavaProcess.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/JavaProcess.java
@@ -19,7 +19,7 @@
 public final class JavaProcess {
 
   private static final int TICKS_PER_SECOND = 100; // Linux USER_HZ, the unit of CPU time in /proc
-  private static final long KB = 1024;
+  private static final long BYTES_PER_KB = 1024;
 
   private final Process process;
   private final Path log;
@@ -88,14 +88,14 @@
   }
 
   /** Requests termination; returns false if the process does not exit within the timeout. */
-  public boolean terminate(long seconds) throws InterruptedException {
+  public boolean terminate(long timeoutSeconds) throws InterruptedException {
     process.destroy();
-    return process.waitFor(seconds, TimeUnit.SECONDS);
+    return process.waitFor(timeoutSeconds, TimeUnit.SECONDS);
   }
 
   /** CPU time used, in seconds; 0 after the exit of the process. */
   public double cpuSeconds() {
-    String[] fields = proc("stat").replaceAll("^.*\\) ", "").split(" ");
+    String[] fields = readProc("stat").replaceAll("^.*\\) ", "").split(" ");
     return fields.length < 13
         ? 0
         : (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / (double) TICKS_PER_SECOND;
@@ -103,21 +103,21 @@
 
   /** Resident memory in bytes; 0 after the exit of the process. */
   public long residentBytes() {
-    return number("status", "VmRSS:\\s+([0-9]+)") * KB;
+    return readNumber("status", "VmRSS:\\s+([0-9]+)") * BYTES_PER_KB;
   }
 
   /** Bytes read from and written to sockets and files; 0 after the exit of the process. */
   public long ioBytes() {
-    return number("io", "rchar: ([0-9]+)") + number("io", "wchar: ([0-9]+)");
+    return readNumber("io", "rchar: ([0-9]+)") + readNumber("io", "wchar: ([0-9]+)");
   }
 
-  private long number(String file, String pattern) {
-    Matcher matcher = Pattern.compile(pattern).matcher(proc(file));
+  private long readNumber(String file, String pattern) {
+    Matcher matcher = Pattern.compile(pattern).matcher(readProc(file));
     return matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
   }
 
   /** Returns the content of the file, or an empty text after the exit of the process. */
-  private String proc(String file) {
+  private String readProc(String file) {
     try {
       return Files.readString(Path.of("/proc", Long.toString(process.pid()), file));
     } catch (IOException e) {
