--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
@@ -33,7 +33,7 @@
 public final class RolloutExplore implements Callable<Integer> {
 
   private static final List<String> STAGES = List.of("one", "two", "three", "four");
-  private static final int STEPS = 12;
+  private static final int STEPS_PER_SEED = 12;
 
   @Option(names = "--seeds", defaultValue = "5", description = "number of seeds (${DEFAULT-VALUE})")
   private int seeds;
@@ -64,29 +64,29 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     int failed = 0;
-    int moves = 0;
+    int stageChanges = 0;
     for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
       Path directory = Files.createTempDirectory("stages-" + seed + "-");
       List<String> steps = new ArrayList<>();
-      List<String> broken;
+      List<String> violations;
       int count = 0;
       try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
         try {
-          play(harness, seed, steps);
+          runSchedule(harness, seed, steps);
         } catch (ConditionTimeoutException e) {
           steps.add("did not converge: " + e.getMessage());
         }
-        RolloutHistoryChecker all = harness.histories();
-        broken = new ArrayList<>(all.violations());
-        count = all.moves();
+        RolloutHistoryChecker histories = harness.histories();
+        violations = new ArrayList<>(histories.violations());
+        count = histories.moves();
       }
-      steps.stream().filter(step -> step.startsWith("did not converge")).forEach(broken::add);
-      moves += count;
+      steps.stream().filter(step -> step.startsWith("did not converge")).forEach(violations::add);
+      stageChanges += count;
       System.out.printf(
           Locale.ROOT, "seed %d: %d stage changes, %s%n", seed, count, String.join(", ", steps));
-      if (!broken.isEmpty()) {
+      if (!violations.isEmpty()) {
         failed++;
-        broken.stream().limit(5).forEach(violation -> System.out.println("  " + violation));
+        violations.stream().limit(5).forEach(violation -> System.out.println("  " + violation));
         System.out.println(
             "  reproduce with: java -jar lab/target/shelffront-lab.jar stage-explore --from "
                 + seed
@@ -98,44 +98,50 @@
                 + oddLeaseMs);
       }
     }
-    System.out.printf("%d seeds, %d stage changes, %d failed%n", seeds, moves, failed);
+    System.out.printf("%d seeds, %d stage changes, %d failed%n", seeds, stageChanges, failed);
     return failed == 0 ? 0 : 1;
   }
 
-  private void play(FaultInjectionHarness harness, long seed, List<String> steps)
+  private void runSchedule(FaultInjectionHarness harness, long seed, List<String> steps)
       throws IOException, InterruptedException {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     for (int i = 0; i < gateways; i++) {
       harness.add(i == 0 && oddLeaseMs > 0 ? oddLeaseMs : leaseMs);
     }
     harness.awaitStage("one");
-    boolean[] stopped = new boolean[gateways];
-    for (int step = 0; step < STEPS; step++) {
+    boolean[] suspended = new boolean[gateways];
+    for (int step = 0; step < STEPS_PER_SEED; step++) {
       int number = random.nextInt(gateways);
-      FaultInjectionHarness.GatewayProcess node = harness.gateways().get(number);
-      int what = random.nextInt(11);
+      FaultInjectionHarness.GatewayProcess gateway = harness.gateways().get(number);
+      int kind = random.nextInt(11);
       // Draws every value of the step even if it is unused, so that a seed gives the same schedule.
-      boolean there = random.nextBoolean();
+      boolean forward = random.nextBoolean();
       String stage = STAGES.get(random.nextInt(STAGES.size()));
-      int asked = random.nextInt(gateways);
-      long hold = random.nextLong(leaseMs);
-      steps.add(step(harness, node, number, what, there, stopped));
-      if (!stopped[asked] && harness.gateways().get(asked).isReady()) {
+      int requested = random.nextInt(gateways);
+      long holdMillis = random.nextLong(leaseMs);
+      steps.add(performStep(harness, gateway, number, kind, forward, suspended));
+      if (!suspended[requested] && harness.gateways().get(requested).isReady()) {
         steps.add(
-            "g" + asked + " " + harness.gateways().get(asked).requestStage(stage) + " " + stage);
+            "g"
+                + requested
+                + " "
+                + harness.gateways().get(requested).requestStage(stage)
+                + " "
+                + stage);
       }
-      long until = System.nanoTime() + hold * 1_000_000;
-      harness.await("the next step of the schedule is due", () -> System.nanoTime() >= until);
+      long deadlineNanos = System.nanoTime() + holdMillis * 1_000_000;
+      harness.await(
+          "the next step of the schedule is due", () -> System.nanoTime() >= deadlineNanos);
     }
     harness.injectStoreFault("");
     for (int i = 0; i < gateways; i++) {
-      FaultInjectionHarness.GatewayProcess node = harness.gateways().get(i);
-      node.proxy().heal();
-      if (stopped[i]) {
-        node.signal("CONT");
+      FaultInjectionHarness.GatewayProcess gateway = harness.gateways().get(i);
+      gateway.proxy().heal();
+      if (suspended[i]) {
+        gateway.signal("CONT");
       }
-      if (!node.isUp()) {
-        node.start();
+      if (!gateway.isUp()) {
+        gateway.start();
       }
     }
     FaultInjectionHarness.GatewayProcess any = harness.gateways().get(0);
@@ -144,39 +150,39 @@
     harness.awaitStage("three");
   }
 
-  private static String step(
+  private static String performStep(
       FaultInjectionHarness harness,
-      FaultInjectionHarness.GatewayProcess node,
+      FaultInjectionHarness.GatewayProcess gateway,
       int number,
-      int what,
-      boolean there,
-      boolean[] stopped)
+      int kind,
+      boolean forward,
+      boolean[] suspended)
       throws IOException, InterruptedException {
     String name = " g" + number;
-    switch (what) {
-      case 0 -> node.proxy().cut(true, true);
-      case 1 -> node.proxy().cut(there, !there);
-      case 2 -> node.proxy().heal();
-      case 3 -> node.proxy().slow(20, 100);
-      case 4 -> node.proxy().reset();
+    switch (kind) {
+      case 0 -> gateway.proxy().cut(true, true);
+      case 1 -> gateway.proxy().cut(forward, !forward);
+      case 2 -> gateway.proxy().heal();
+      case 3 -> gateway.proxy().slow(20, 100);
+      case 4 -> gateway.proxy().reset();
       case 5 -> {
-        node.signal(stopped[number] ? "CONT" : "STOP");
-        stopped[number] = !stopped[number];
+        gateway.signal(suspended[number] ? "CONT" : "STOP");
+        suspended[number] = !suspended[number];
       }
       case 6 -> {
-        node.kill();
-        stopped[number] = false;
-        node.start();
+        gateway.kill();
+        suspended[number] = false;
+        gateway.start();
       }
       case 7 -> {
-        if (!stopped[number] && node.isUp()) {
-          node.terminate();
-          node.start();
+        if (!suspended[number] && gateway.isUp()) {
+          gateway.terminate();
+          gateway.start();
         }
       }
       case 8 -> harness.restartStore();
-      case 9 -> harness.injectStoreFault(there ? "leader=no" : "garble");
-      default -> harness.injectStoreFault(there ? "late=100" : "");
+      case 9 -> harness.injectStoreFault(forward ? "leader=no" : "garble");
+      default -> harness.injectStoreFault(forward ? "late=100" : "");
     }
     return List.of(
                 "cut",
@@ -190,7 +196,7 @@
                 "engine restarts",
                 "engine fails",
                 "engine late or well")
-            .get(what)
+            .get(kind)
         + name;
   }
 }
