--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
@@ -33,63 +33,63 @@
   private final List<String> violations = new ArrayList<>();
 
   public static RolloutHistoryChecker read(List<Path> files) throws IOException {
-    RolloutHistoryChecker all = new RolloutHistoryChecker();
+    RolloutHistoryChecker checker = new RolloutHistoryChecker();
     for (Path file : files) {
       if (Files.exists(file)) {
-        all.add(Files.readAllLines(file));
+        checker.add(Files.readAllLines(file));
       }
     }
-    all.check();
-    return all;
+    checker.check();
+    return checker;
   }
 
   static RolloutHistoryChecker of(List<List<String>> files) throws IOException {
-    RolloutHistoryChecker all = new RolloutHistoryChecker();
+    RolloutHistoryChecker checker = new RolloutHistoryChecker();
     for (List<String> lines : files) {
-      all.add(lines);
+      checker.add(lines);
     }
-    all.check();
-    return all;
+    checker.check();
+    return checker;
   }
 
   private void add(List<String> lines) throws IOException {
     Map<String, JsonNode> last = new HashMap<>();
     for (String line : lines) {
-      JsonNode o;
+      JsonNode entry;
       try {
-        o = JSON.readTree(line);
+        entry = JSON.readTree(line);
       } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
         continue; // the process was killed while it wrote its last line
       }
-      String subject = o.path("subject").asText();
-      if (o.path("what").asText().equals("move")) {
-        String before =
+      String subject = entry.path("subject").asText();
+      if (entry.path("what").asText().equals("move")) {
+        String previousLeader =
             leaderByEpoch
-                .computeIfAbsent(subject, step -> new TreeMap<>())
-                .putIfAbsent(o.path("epoch").asLong(), o.path("who").asText());
+                .computeIfAbsent(subject, key -> new TreeMap<>())
+                .putIfAbsent(entry.path("epoch").asLong(), entry.path("who").asText());
         stageByEpoch
-            .computeIfAbsent(subject, step -> new TreeMap<>())
-            .put(o.path("epoch").asLong(), o.path("stage").asInt());
-        if (before != null) {
+            .computeIfAbsent(subject, key -> new TreeMap<>())
+            .put(entry.path("epoch").asLong(), entry.path("stage").asInt());
+        if (previousLeader != null) {
           violations.add(
               "more than one leader: epoch "
-                  + o.path("epoch")
+                  + entry.path("epoch")
                   + " of subject "
                   + subject
                   + " was started by "
-                  + before
+                  + previousLeader
                   + " and "
-                  + o.path("who").asText());
+                  + entry.path("who").asText());
         }
         continue;
       }
-      String key = o.path("who").asText() + " " + subject;
-      end(last.put(key, o), o.path("at").asLong());
+      String key = entry.path("who").asText() + " " + subject;
+      endSpan(last.put(key, entry), entry.path("at").asLong());
     }
-    last.values().forEach(o -> end(o, Long.MAX_VALUE));
+    last.values().forEach(entry -> endSpan(entry, Long.MAX_VALUE));
   }
 
-  private void end(JsonNode line, long next) {
+  private void endSpan(JsonNode line, long next) {
     if (line != null && line.path("what").asText().equals("force")) {
       Span span =
           new Span(
@@ -99,7 +99,7 @@
               line.path("stage").asInt(),
               line.path("at").asLong(),
               Math.min(next, line.path("until").asLong()));
-      spans.computeIfAbsent(span.subject(), step -> new ArrayList<>()).add(span);
+      spans.computeIfAbsent(span.subject(), key -> new ArrayList<>()).add(span);
     }
   }
 
@@ -115,13 +115,13 @@
           }
           // At equal times, a span that ends is removed before one that begins.
           edges.sort(Comparator.comparingLong(Edge::at).thenComparing(Edge::begins));
-          List<Span> now = new ArrayList<>();
+          List<Span> inForce = new ArrayList<>();
           for (Edge edge : edges) {
             if (!edge.begins()) {
-              now.remove(edge.span());
+              inForce.remove(edge.span());
               continue;
             }
-            for (Span other : now) {
+            for (Span other : inForce) {
               if (Math.abs(other.stage() - edge.span().stage()) > 1) {
                 violations.add("stages not adjacent: " + edge.span() + " overlaps " + other);
               }
@@ -130,28 +130,28 @@
                     "more than one stage in an epoch: " + edge.span() + " overlaps " + other);
               }
             }
-            now.add(edge.span());
+            inForce.add(edge.span());
           }
         });
     stageByEpoch.forEach(
         (subject, byEpoch) -> {
-          Integer before = null;
-          long epoch = 0;
+          Integer previousStage = null;
+          long previousEpoch = 0;
           for (Map.Entry<Long, Integer> each : byEpoch.entrySet()) {
-            boolean next = each.getKey() == epoch + 1;
-            if (before != null && next && Math.abs(each.getValue() - before) != 1) {
+            boolean next = each.getKey() == previousEpoch + 1;
+            if (previousStage != null && next && Math.abs(each.getValue() - previousStage) != 1) {
               violations.add(
                   "more than one step: "
                       + subject
                       + " from stage "
-                      + before
+                      + previousStage
                       + " to "
                       + each.getValue()
                       + " in epoch "
                       + each.getKey());
             }
-            before = each.getValue();
-            epoch = each.getKey();
+            previousStage = each.getValue();
+            previousEpoch = each.getKey();
           }
         });
   }
--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
@@ -27,41 +27,42 @@
       }
       harness.awaitStage("one");
       harness.await("there is a rollout leader", () -> harness.leader() != null);
-      FaultInjectionHarness.GatewayProcess owner = harness.leader();
+      FaultInjectionHarness.GatewayProcess leader = harness.leader();
       List<FaultInjectionHarness.GatewayProcess> others =
-          harness.gateways().stream().filter(gateway -> gateway != owner).toList();
+          harness.gateways().stream().filter(gateway -> gateway != leader).toList();
 
       // One gateway is cut off, one is suspended, and the leader is killed during the stage change.
       others.get(0).proxy().cut(true, true);
       others.get(1).signal("STOP");
       assertEquals(200, others.get(2).requestStage("four"));
       harness.await("the leader has started the stage change", () -> harness.moves() > 0);
-      owner.kill();
-      FaultInjectionHarness.GatewayProcess seeing = others.get(2);
+      leader.kill();
+      FaultInjectionHarness.GatewayProcess connected = others.get(2);
       harness.await(
           "the remaining gateways reach the target stage",
           () ->
-              seeing.subjectStatus() != null
-                  && seeing.subjectStatus().path("inForceHere").asText().equals("four"));
+              connected.subjectStatus() != null
+                  && connected.subjectStatus().path("inForceHere").asText().equals("four"));
       assertEquals("four", others.get(3).subjectStatus().path("target").asText());
       others.get(1).signal("CONT");
       others.get(0).proxy().heal();
-      owner.start();
+      leader.start();
       harness.awaitStage("four");
 
       // The stage returns to the first while the store and one gateway restart.
-      assertEquals(200, seeing.requestStage("one"));
+      assertEquals(200, connected.requestStage("one"));
       harness.restartStore();
       others.get(3).terminate();
       others.get(3).start();
       others.get(0).proxy().slow(40, 200);
       harness.awaitStage("one");
 
-      RolloutHistoryChecker all = harness.histories();
-      assertTrue(all.violations().isEmpty(), () -> String.join("\n", all.violations()));
-      assertTrue(all.moves() >= 6, "recorded stage changes: " + all.moves());
-      assertEquals(7, all.gatewayCount(), "five processes and two restarted ones");
-      assertTrue(all.leaderCount() >= 2, "the first leader was killed during the stage change");
+      RolloutHistoryChecker histories = harness.histories();
+      assertTrue(histories.violations().isEmpty(), () -> String.join("\n", histories.violations()));
+      assertTrue(histories.moves() >= 6, "recorded stage changes: " + histories.moves());
+      assertEquals(7, histories.gatewayCount(), "five processes and two restarted ones");
+      assertTrue(
+          histories.leaderCount() >= 2, "the first leader was killed during the stage change");
     }
   }
 
@@ -101,9 +102,9 @@
       harness.add(LEASE_MS);
       harness.awaitStage("one");
       harness.await("there is a rollout leader", () -> harness.leader() != null);
-      FaultInjectionHarness.GatewayProcess late = harness.add(LEASE_MS * 100);
+      FaultInjectionHarness.GatewayProcess longLease = harness.add(LEASE_MS * 100);
       harness.awaitStage("one");
-      late.proxy().cut(true, true);
+      longLease.proxy().cut(true, true);
       assertEquals(200, first.requestStage("four"));
       harness.await(
           "the other gateways do not wait for the one that is cut off",
--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
@@ -10,27 +10,27 @@
 /** Verifies that the history checker detects each kind of violation. */
 class RolloutHistoryCheckerTest {
 
-  private static String force(String who, long atMicros, long epoch, int stage, long until) {
+  private static String force(String who, long at, long epoch, int stage, long until) {
     return String.format(
         "{\"at\":%d,\"who\":\"%s\",\"what\":\"force\",\"subject\":\"s\",\"epoch\":%d,\"stage\":%d,"
             + "\"until\":%d}",
-        atMicros, who, epoch, stage, until);
+        at, who, epoch, stage, until);
   }
 
-  private static String move(String who, long atMicros, long epoch, int stage) {
+  private static String move(String who, long at, long epoch, int stage) {
     return String.format(
         "{\"at\":%d,\"who\":\"%s\",\"what\":\"move\",\"subject\":\"s\",\"epoch\":%d,\"stage\":%d}",
-        atMicros, who, epoch, stage);
+        at, who, epoch, stage);
   }
 
-  private static List<String> broken(List<String> one, List<String> other) throws IOException {
+  private static List<String> violations(List<String> one, List<String> other) throws IOException {
     return RolloutHistoryChecker.of(List.of(one, other)).violations();
   }
 
   @Test
   void acceptsAdjacentStagesAndLapsedLeases() throws IOException {
     assertTrue(
-        broken(
+        violations(
                 List.of(force("a", 0, 1, 0, 100)),
                 List.of(force("b", 50, 2, 1, 150), force("b", 100, 3, 2, 200)))
             .isEmpty());
@@ -40,7 +40,7 @@
   void rejectsStagesTwoApart() throws IOException {
     assertEquals(
         1,
-        broken(
+        violations(
                 List.of(force("a", 0, 1, 0, 101)),
                 List.of(force("b", 50, 2, 1, 150), force("b", 100, 3, 2, 200)))
             .size());
@@ -50,7 +50,7 @@
   void countsSilentProcessToTheEndOfItsLease() throws IOException {
     assertEquals(
         1,
-        broken(
+        violations(
                 List.of(force("a", 0, 1, 0, 500), "{\"at\":40,\"wh"),
                 List.of(force("b", 400, 3, 2, 600)))
             .size());
@@ -58,13 +58,13 @@
 
   @Test
   void rejectsTwoLeadersOfEpochAndTwoStepsAtOnce() throws IOException {
-    assertEquals(1, broken(List.of(move("a", 0, 2, 1)), List.of(move("b", 0, 2, 1))).size());
-    assertEquals(1, broken(List.of(move("a", 0, 2, 1)), List.of(move("b", 0, 3, 3))).size());
+    assertEquals(1, violations(List.of(move("a", 0, 2, 1)), List.of(move("b", 0, 2, 1))).size());
+    assertEquals(1, violations(List.of(move("a", 0, 2, 1)), List.of(move("b", 0, 3, 3))).size());
   }
 
   @Test
   void rejectsTwoStagesInOneEpoch() throws IOException {
     assertEquals(
-        1, broken(List.of(force("a", 0, 2, 1, 100)), List.of(force("b", 0, 2, 0, 100))).size());
+        1, violations(List.of(force("a", 0, 2, 1, 100)), List.of(force("b", 0, 2, 0, 100))).size());
   }
 }
