--- a/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
+++ b/lab/src/main/java/shelffront/lab/scale/ClientProbe.java
@@ -16,11 +16,12 @@
  */
 final class ClientProbe {
 
-  private static final int PROTOCOL_3 = 196_608;
+  private static final int PROTOCOL_VERSION_3 = 196_608;
   private static final byte[] EMPTY_QUERY = {'Q', 0, 0, 0, 6, ';', 0};
-  private static final int TIMEOUT_MILLIS = 5_000;
+  private static final int SOCKET_TIMEOUT_MILLIS = 5_000;
   private static final long PAUSE_MILLIS = 200;
-  private static final long FIRST_MILLIS = 20_000; // startup time until the tenant is served
+  private static final long STARTUP_TIMEOUT_MILLIS =
+      20_000; // startup time until the tenant is served
 
   private final String address;
   private final String tenant;
@@ -45,7 +46,7 @@
   List<String> stop() {
     stopped = true;
     try {
-      thread.join(2 * TIMEOUT_MILLIS);
+      thread.join(2 * SOCKET_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -54,8 +55,9 @@
 
   private void run() {
     try {
-      long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FIRST_MILLIS);
-      while (!isServed(address, tenant) && System.nanoTime() < until) {
+      long deadlineNanos =
+          System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STARTUP_TIMEOUT_MILLIS);
+      while (!isServed(address, tenant) && System.nanoTime() < deadlineNanos) {
         TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
       }
       while (!stopped && failures.isEmpty()) {
@@ -77,14 +79,14 @@
   static Socket open(String address, String database) throws IOException {
     String[] hostAndPort = address.split(":");
     Socket socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
-    socket.setSoTimeout(TIMEOUT_MILLIS);
+    socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
     byte[] parameters = ("user\0api\0database\0" + database + "\0\0").getBytes(UTF_8);
     socket
         .getOutputStream()
         .write(
             ByteBuffer.allocate(8 + parameters.length + EMPTY_QUERY.length)
                 .putInt(8 + parameters.length)
-                .putInt(PROTOCOL_3)
+                .putInt(PROTOCOL_VERSION_3)
                 .put(parameters)
                 .put(EMPTY_QUERY)
                 .array());
