--- a/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
@@ -26,8 +26,8 @@
         "Writes summary.md and charts from the result.json in each subdirectory of a directory.")
 public final class FleetScaleReport implements Callable<Integer> {
 
-  private static final int WIDTH = 800;
-  private static final int HEIGHT = 400;
+  private static final int WIDTH_PIXELS = 800;
+  private static final int HEIGHT_PIXELS = 400;
 
   /** A column of the summary: its heading, the figure that it shows, and a multiplier. */
   private record Column(String heading, String figure, double factor) {}
@@ -52,7 +52,7 @@
 
   @Override
   public Integer call() throws IOException {
-    List<JsonNode> runs = read();
+    List<JsonNode> runs = readResults();
     List<String> lines =
         new ArrayList<>(
             List.of(
@@ -67,22 +67,22 @@
     COLUMNS.forEach(column -> heading.append(' ').append(column.heading()).append(" |"));
     lines.add(heading.toString());
     lines.add("|" + " --- |".repeat(3 + COLUMNS.size()));
-    runs.forEach(run -> lines.add(line(run)));
-    List<JsonNode> calm =
+    runs.forEach(run -> lines.add(formatRow(run)));
+    List<JsonNode> withoutFault =
         runs.stream()
             .filter(
                 run -> run.path("fault").asText().equals("none") && run.path("direct").asInt() == 0)
             .toList();
-    chart(
+    writeChart(
         "Engine calls per change",
         "calls",
-        calm,
+        withoutFault,
         List.of("engine_calls_per_change"),
         "engine-calls");
-    chart(
+    writeChart(
         "Time from write to in force",
         "seconds",
-        calm,
+        withoutFault,
         List.of("in_force_median_s", "in_force_p99_s", "in_force_slowest_s"),
         "in-force");
     lines.addAll(List.of("", "![engine calls](engine-calls.svg)", "", "![in force](in-force.svg)"));
@@ -91,7 +91,7 @@
     return 0;
   }
 
-  private List<JsonNode> read() throws IOException {
+  private List<JsonNode> readResults() throws IOException {
     List<JsonNode> runs = new ArrayList<>();
     try (Stream<Path> directories = Files.list(directory)) {
       for (Path each : directories.sorted().toList()) {
@@ -107,7 +107,7 @@
     return runs;
   }
 
-  private static String line(JsonNode run) {
+  private static String formatRow(JsonNode run) {
     StringBuilder line =
         new StringBuilder(
             String.format(
@@ -126,7 +126,7 @@
     return line.toString();
   }
 
-  private void chart(
+  private void writeChart(
       String title, String unit, List<JsonNode> runs, List<String> figures, String name)
       throws IOException {
     if (runs.isEmpty()) {
@@ -134,8 +134,8 @@
     }
     XYChart chart =
         new XYChartBuilder()
-            .width(WIDTH)
-            .height(HEIGHT)
+            .width(WIDTH_PIXELS)
+            .height(HEIGHT_PIXELS)
             .title(title)
             .xAxisTitle("gateways")
             .yAxisTitle(unit)
