--- a/lab/src/main/java/shelffront/lab/scale/RolloutCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/RolloutCost.java
@@ -35,8 +35,8 @@
 public final class RolloutCost implements Callable<Integer> {
 
   private static final int HEAP_MB = 96;
-  private static final Pattern LISTENS = Pattern.compile("listens on (127.0.0.1:[0-9]+)");
-  private static final Pattern GATEWAY_LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
+  private static final Pattern STORE_ADDRESS = Pattern.compile("listens on (127.0.0.1:[0-9]+)");
+  private static final Pattern GATEWAY_ADDRESS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
 
   @Option(
       names = "--gateways",
@@ -64,12 +64,12 @@
   public Integer call() throws Exception {
     System.out.println("| gateways | subjects | engine calls/s | engine KB/s |");
     System.out.println("| --- | --- | --- | --- |");
-    for (int gateway : gateways) {
-      measure(gateway, 1);
+    for (int count : gateways) {
+      measure(count, 1);
     }
-    for (int subject : subjects) {
-      if (subject > 1) {
-        measure(3, subject);
+    for (int count : subjects) {
+      if (count > 1) {
+        measure(3, count);
       }
     }
     return 0;
@@ -77,9 +77,9 @@
 
   private void measure(int gatewayCount, int subjectCount) throws Exception {
     Path directory = Files.createTempDirectory("stage-cost-");
-    List<JavaProcess> all = new ArrayList<>();
+    List<JavaProcess> processes = new ArrayList<>();
     try {
-      JavaProcess engine =
+      JavaProcess store =
           JavaProcess.start(
               LabMain.class,
               HEAP_MB,
@@ -87,11 +87,12 @@
               "consul-stand-in",
               "--file",
               directory.resolve("engine.state").toString());
-      all.add(engine);
-      ScaledFleet.await("the coordination store is up", () -> engine.found(LISTENS) != null);
+      processes.add(store);
+      ScaledFleet.await("the coordination store is up", () -> store.found(STORE_ADDRESS) != null);
       for (int g = 0; g < gatewayCount; g++) {
         Path file = directory.resolve("g" + g + ".json");
-        Files.writeString(file, config(engine.found(LISTENS), "g" + g, subjectCount).toString());
+        Files.writeString(
+            file, config(store.found(STORE_ADDRESS), "g" + g, subjectCount).toString());
         JavaProcess gateway =
             JavaProcess.start(
                 Main.class,
@@ -100,13 +101,13 @@
                 "serve",
                 "--config",
                 file.toString());
-        all.add(gateway);
-        ScaledFleet.await("a gateway listens", () -> gateway.found(GATEWAY_LISTENS) != null);
+        processes.add(gateway);
+        ScaledFleet.await("a gateway listens", () -> gateway.found(GATEWAY_ADDRESS) != null);
       }
       TimeUnit.SECONDS.sleep(3); // until all gateways have joined
-      JsonNode before = calls(engine);
+      JsonNode before = storeCalls(store);
       TimeUnit.SECONDS.sleep(seconds);
-      JsonNode after = calls(engine);
+      JsonNode after = storeCalls(store);
       System.out.printf(
           Locale.ROOT,
           "| %d | %d | %.2f | %.2f |%n",
@@ -115,14 +116,14 @@
           (after.path("calls").asLong() - before.path("calls").asLong()) / (double) seconds,
           (after.path("bytes").asLong() - before.path("bytes").asLong()) / 1e3 / seconds);
     } finally {
-      all.forEach(JavaProcess::abandon);
+      processes.forEach(JavaProcess::abandon);
     }
   }
 
-  private static ObjectNode config(String engine, String name, int subjectCount) {
+  private static ObjectNode config(String store, String name, int subjectCount) {
     ObjectNode config = TenantSpecCodec.JSON.createObjectNode().put("listen", "127.0.0.1:0");
     ObjectNode fleet =
-        config.putObject("fleet").put("engine", engine).put("fleet", "cost").put("name", name);
+        config.putObject("fleet").put("engine", store).put("fleet", "cost").put("name", name);
     ObjectNode subjects = fleet.putObject("subjects");
     for (int subject = 0; subject < subjectCount; subject++) {
       subjects.putArray("s" + subject).add("one").add("two");
@@ -130,10 +131,11 @@
     return config;
   }
 
-  private JsonNode calls(JavaProcess engine) throws IOException, InterruptedException {
+  private JsonNode storeCalls(JavaProcess store) throws IOException, InterruptedException {
     return TenantSpecCodec.JSON.readTree(
         http.send(
-                HttpRequest.newBuilder(URI.create("http://" + engine.found(LISTENS) + "/calls"))
+                HttpRequest.newBuilder(
+                        URI.create("http://" + store.found(STORE_ADDRESS) + "/calls"))
                     .build(),
                 BodyHandlers.ofString())
             .body());
