--- a/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
+++ b/lab/src/main/java/shelffront/lab/scale/StateFileCoordinationStore.java
@@ -60,13 +60,13 @@
   }
 
   @Override
-  public boolean checkAndSet(String key, long atMicros, String text) {
-    return transact(List.of(new Write(key, atMicros, text)));
+  public boolean checkAndSet(String key, long expectedIndex, String text) {
+    return transact(List.of(new Write(key, expectedIndex, text)));
   }
 
   @Override
-  public void checkAndDelete(String key, long atMicros) {
-    transact(List.of(new Write(key, atMicros, null)));
+  public void checkAndDelete(String key, long expectedIndex) {
+    transact(List.of(new Write(key, expectedIndex, null)));
   }
 
   @Override
