--- a/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionExplore.java
@@ -43,8 +43,8 @@
 public final class DistributionExplore implements Callable<Integer> {
 
   private static final ScaledFleet.Size SIZE = new ScaledFleet.Size(24, 20, 8, 2, 2, 4, 0, 7);
-  private static final long BOUND = 14_000_000;
-  private static final long LONGEST_HOLD_MILLIS = 5_000;
+  private static final long BOUND_MICROS = 14_000_000;
+  private static final long MAX_HOLD_MILLIS = 5_000;
   private static final int STEPS = 8;
 
   /** A fault, or a burst of changes, in the schedule. */
@@ -88,12 +88,12 @@
     int failed = 0;
     for (long seed = from; seed < from + seeds; seed++) {
       Path directory = Files.createTempDirectory("distribution-" + seed + "-");
-      try (SeedRun play = new SeedRun(directory, seed)) {
-        List<String> broken = play.run(steps, boundMs * 1000);
-        System.out.println("seed " + seed + ": " + play.summary());
-        if (!broken.isEmpty()) {
+      try (SeedRun seedRun = new SeedRun(directory, seed)) {
+        List<String> violations = seedRun.run(steps, boundMs * 1000);
+        System.out.println("seed " + seed + ": " + seedRun.summary());
+        if (!violations.isEmpty()) {
           failed++;
-          broken.stream().limit(5).forEach(failure -> System.out.println("  " + failure));
+          violations.stream().limit(5).forEach(failure -> System.out.println("  " + failure));
           System.out.println(
               "  reproduce with: java -jar lab/target/shelffront-lab.jar distribution-explore"
                   + " --from "
@@ -121,7 +121,7 @@
     private final List<String> performedSteps = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
     private Version newest = Version.NONE;
-    private int refused;
+    private int rejected;
     private DistributionHistoryChecker histories = new DistributionHistoryChecker();
 
     SeedRun(Path directory, long seed) throws Exception {
@@ -130,7 +130,7 @@
       fleet = new ScaledFleet(directory, SIZE, this::proxyAddress, true);
       fleet.start();
       for (int i = 0; i < SIZE.real(); i++) {
-        clients.add(new ClientProbe(fleet.clientAddress(i), TrialTenants.COMMON));
+        clients.add(new ClientProbe(fleet.clientAddress(i), SyntheticTenants.COMMON));
       }
     }
 
@@ -145,66 +145,66 @@
       return proxy.address();
     }
 
-    List<String> run(int count, long bound) throws Exception {
+    List<String> run(int count, long boundMicros) throws Exception {
       for (int i = 0; i < count; i++) {
         Step step = Step.values()[random.nextInt(Step.values().length)];
-        int which = random.nextInt(4);
-        performedSteps.add(step + " " + which);
-        long began = TrialTenants.nowMicros();
-        begin(step, which);
-        changeFor(1000 + random.nextLong(LONGEST_HOLD_MILLIS), step == Step.BURST ? 20 : 300);
-        end(step, which);
-        String concerned =
+        int index = random.nextInt(4);
+        performedSteps.add(step + " " + index);
+        long beganMicros = SyntheticTenants.nowMicros();
+        startFault(step, index);
+        writeChangesFor(1000 + random.nextLong(MAX_HOLD_MILLIS), step == Step.BURST ? 20 : 300);
+        endFault(step, index);
+        String affectedZone =
             switch (step) {
-              case CUT_ZONE -> "z" + which;
+              case CUT_ZONE -> "z" + index;
               case CUT_REGIONS, ENGINE_LEADERLESS, ENGINE_RESTARTS, ENGINE_RESTORED -> Cut.ALL;
-              case RESTART_ZONE -> "z" + which;
+              case RESTART_ZONE -> "z" + index;
               default -> null;
             };
-        if (concerned != null) {
-          cuts.add(new Cut(concerned, began, TrialTenants.nowMicros()));
+        if (affectedZone != null) {
+          cuts.add(new Cut(affectedZone, beganMicros, SyntheticTenants.nowMicros()));
         }
-        changeFor(1500, 300);
+        writeChangesFor(1500, 300);
       }
-      checkHistories(bound);
+      checkHistories(boundMicros);
       return failures;
     }
 
-    private void begin(Step step, int which) throws Exception {
+    private void startFault(Step step, int index) throws Exception {
       switch (step) {
-        case KILL_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().kill();
-        case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("STOP");
-        case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().kill();
-        case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("STOP");
-        case SLOW_ZONE -> proxiesOutOf("z" + which).forEach(proxy -> proxy.slow(20, 4096));
-        case CUT_ZONE -> proxiesOutOf("z" + which).forEach(proxy -> proxy.cut(true, true));
+        case KILL_ZONE_DISTRIBUTOR -> fleet.zones().get(index).process().kill();
+        case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(index).process().signal("STOP");
+        case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(index % 2).process().kill();
+        case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(index % 2).process().signal("STOP");
+        case SLOW_ZONE -> proxiesOutOf("z" + index).forEach(proxy -> proxy.slow(20, 4096));
+        case CUT_ZONE -> proxiesOutOf("z" + index).forEach(proxy -> proxy.cut(true, true));
         case CUT_REGIONS -> proxiesBetweenRegions().forEach(proxy -> proxy.cut(true, true));
-        case ENGINE_LEADERLESS -> fleet.engineFault("leader=no");
+        case ENGINE_LEADERLESS -> fleet.injectStoreFault("leader=no");
         case ENGINE_RESTARTS -> {
-          fleet.engine().process().kill();
-          fleet.engine().start();
+          fleet.storeProcess().process().kill();
+          fleet.storeProcess().start();
         }
         case ENGINE_RESTORED -> {
-          fleet.engineFault("keep");
-          changeFor(1000, 200);
-          fleet.engineFault("restore");
+          fleet.injectStoreFault("keep");
+          writeChangesFor(1000, 200);
+          fleet.injectStoreFault("restore");
         }
         case RESTART_ZONE -> {
-          fleet.hollow().get(which).process().kill();
-          fleet.hollow().get(which).start();
+          fleet.hollow().get(index).process().kill();
+          fleet.hollow().get(index).start();
         }
         default -> {}
       }
     }
 
-    private void end(Step step, int which) throws Exception {
+    private void endFault(Step step, int index) throws Exception {
       switch (step) {
-        case KILL_ZONE_DISTRIBUTOR -> fleet.zones().get(which).start();
-        case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(which).process().signal("CONT");
-        case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).start();
-        case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(which % 2).process().signal("CONT");
+        case KILL_ZONE_DISTRIBUTOR -> fleet.zones().get(index).start();
+        case STOP_ZONE_DISTRIBUTOR -> fleet.zones().get(index).process().signal("CONT");
+        case KILL_REGION_DISTRIBUTOR -> fleet.regions().get(index % 2).start();
+        case STOP_REGION_DISTRIBUTOR -> fleet.regions().get(index % 2).process().signal("CONT");
         case SLOW_ZONE, CUT_ZONE, CUT_REGIONS -> proxies.values().forEach(FaultProxy::heal);
-        case ENGINE_LEADERLESS -> fleet.engineFault("");
+        case ENGINE_LEADERLESS -> fleet.injectStoreFault("");
         case ENGINE_RESTORED -> beginIncarnation();
         case RESTART_ZONE -> fleet.awaitCurrent();
         default -> {}
@@ -216,10 +216,10 @@
      * after the snapshot are no longer expected, because the restored store does not have them.
      */
     private void beginIncarnation() throws OperatorException {
-      Version kept = fleet.store().head().version();
+      Version restored = fleet.store().head().version();
       acknowledged
           .values()
-          .forEach(list -> list.removeIf(change -> kept.isBefore(change.version())));
+          .forEach(list -> list.removeIf(change -> restored.isBefore(change.version())));
       newest = fleet.store().beginIncarnation();
     }
 
@@ -237,14 +237,14 @@
       proxies.forEach(
           (way, proxy) -> {
             String[] ends = way.split(" ");
-            if (region(ends[0]) != region(ends[1])) {
+            if (regionOf(ends[0]) != regionOf(ends[1])) {
               between.add(proxy);
             }
           });
       return between;
     }
 
-    private static int region(String part) {
+    private static int regionOf(String part) {
       return switch (part) {
         case "r1", "z2", "z3" -> 1;
         default -> 0;
@@ -254,58 +254,59 @@
     // ---- Changes
     // --------------------------------------------------------------------------------
 
-    private void changeFor(long millis, long pauseMillis) throws InterruptedException {
-      long until = TrialTenants.nowMicros() + millis * 1000;
-      while (TrialTenants.nowMicros() < until) {
-        changeOne();
+    private void writeChangesFor(long millis, long pauseMillis) throws InterruptedException {
+      long untilMicros = SyntheticTenants.nowMicros() + millis * 1000;
+      while (SyntheticTenants.nowMicros() < untilMicros) {
+        writeRandomChange();
         Thread.sleep(pauseMillis);
       }
     }
 
-    private void changeOne() {
+    private void writeRandomChange() {
       int draw = changeRandom.nextInt(SIZE.tenants() + 1);
       boolean remove = changeRandom.nextInt(6) == 0 && draw > 0;
-      String id = draw == 0 ? TrialTenants.COMMON : TrialTenants.tenantId(draw - 1);
+      String id = draw == 0 ? SyntheticTenants.COMMON : SyntheticTenants.tenantId(draw - 1);
       String name = "tenant/" + id;
       try {
-        RecordChange present = fleet.store().record(name);
-        remove &= present != null;
+        RecordChange current = fleet.store().record(name);
+        remove &= current != null;
         String document =
-            remove ? null : TrialTenants.document(id, TrialTenants.nowMicros()).toString();
+            remove ? null : SyntheticTenants.document(id, SyntheticTenants.nowMicros()).toString();
         newest =
             fleet
                 .store()
-                .write(name, present == null ? 0 : present.version().sequence(), document, newest);
+                .write(name, current == null ? 0 : current.version().sequence(), document, newest);
         acknowledged
             .computeIfAbsent(name, key -> new ArrayList<>())
-            .add(new Acknowledged(name, newest, remove, TrialTenants.nowMicros()));
+            .add(new Acknowledged(name, newest, remove, SyntheticTenants.nowMicros()));
       } catch (OperatorException | RecordChanged e) {
-        refused++;
+        rejected++;
       }
     }
 
     // ---- Check of the histories
     // --------------------------------------------------------------------------------
 
-    private void checkHistories(long bound) throws Exception {
-      Thread.sleep(BOUND / 1000 + 1000); // any change not in force by then is late
+    private void checkHistories(long boundMicros) throws Exception {
+      Thread.sleep(BOUND_MICROS / 1000 + 1000); // any change not in force by then is late
       clients.forEach(client -> failures.addAll(client.stop()));
-      fleet.endHollow();
+      fleet.terminateHollowGateways();
       for (int zone = 0; zone < SIZE.zones(); zone++) {
-        histories.add("z" + zone, Files.readAllLines(fleet.history(zone)));
+        histories.add("z" + zone, Files.readAllLines(fleet.historyFile(zone)));
       }
       for (Map.Entry<String, List<Acknowledged>> each : acknowledged.entrySet()) {
         List<String> serving = new ArrayList<>();
         for (int gateway = 0; gateway < SIZE.gateways(); gateway++) {
-          if (TrialTenants.servedNames(gateway, SIZE.tenants(), SIZE.namesOfGateway(), SIZE.seed())
+          if (SyntheticTenants.servedNames(
+                      gateway, SIZE.tenants(), SIZE.namesPerGateway(), SIZE.seed())
                   .contains(each.getKey())
               && neverRemoved(each.getValue())) {
             serving.add("g" + gateway);
           }
         }
-        histories.check(each.getKey(), serving, each.getValue(), cuts, bound);
+        histories.check(each.getKey(), serving, each.getValue(), cuts, boundMicros);
       }
-      failures.addAll(histories.broken());
+      failures.addAll(histories.violations());
     }
 
     /**
@@ -330,7 +331,7 @@
           "%d changes, %d rejected, %d in force, median %.2f s, slowest %.2f s, "
               + "%d clients served, %s",
           acknowledged.values().stream().mapToInt(List::size).sum(),
-          refused,
+          rejected,
           delays.size(),
           delays.isEmpty() ? 0 : delays.get(delays.size() / 2) / 1e6,
           delays.isEmpty() ? 0 : delays.get(delays.size() - 1) / 1e6,
--- a/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/scale/DistributionHistoryChecker.java
@@ -26,7 +26,7 @@
     /** Affects every zone. */
     static final String ALL = "";
 
-    boolean concerns(String gatewayZone) {
+    boolean affects(String gatewayZone) {
       return zone.equals(ALL) || zone.equals(gatewayZone);
     }
   }
@@ -37,7 +37,7 @@
   private final Map<String, TreeMap<Long, List<State>>> statesByIncarnation =
       new HashMap<>(); // by "GATEWAY NAME", then by process incarnation
   private final Map<String, String> zones = new HashMap<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private final List<Long> delaysMicros = new ArrayList<>();
   private long incarnation;
 
@@ -64,7 +64,7 @@
           && last.version() != null
           && version != null
           && version.isBefore(last.version())) {
-        broken.add(
+        violations.add(
             "version regression: gateway "
                 + parts[1]
                 + " replaced "
@@ -83,19 +83,23 @@
    * bound starts at the acknowledgement, or at the end of the last cut that overlaps this period.
    */
   void check(
-      String name, List<String> gateways, List<Acknowledged> changes, List<Cut> cuts, long bound) {
+      String name,
+      List<String> gateways,
+      List<Acknowledged> changes,
+      List<Cut> cuts,
+      long boundMicros) {
     for (int i = 0; i < changes.size(); i++) {
       Acknowledged change = changes.get(i);
       for (String gateway : gateways) {
-        long from = reachableFrom(zones.getOrDefault(gateway, ""), change.at(), cuts, bound);
+        long from = reachableFrom(zones.getOrDefault(gateway, ""), change.at(), cuts, boundMicros);
         Long inForceAt =
             inForceAt(gateway + " " + name, changes.subList(i, changes.size()), change);
         if (inForceAt == null) {
-          broken.add("never in force: " + change + " at gateway " + gateway);
-        } else if (inForceAt > from + bound) {
-          broken.add(
+          violations.add("never in force: " + change + " at gateway " + gateway);
+        } else if (inForceAt > from + boundMicros) {
+          violations.add(
               "late by "
-                  + (inForceAt - from - bound) / 1000
+                  + (inForceAt - from - boundMicros) / 1000
                   + " ms: "
                   + change
                   + " at gateway "
@@ -107,10 +111,11 @@
     }
   }
 
-  private static long reachableFrom(String zone, long atMicros, List<Cut> cuts, long bound) {
-    long from = atMicros;
+  private static long reachableFrom(
+      String zone, long acknowledgedAt, List<Cut> cuts, long boundMicros) {
+    long from = acknowledgedAt;
     for (Cut cut : cuts) { // in order of time
-      if (cut.concerns(zone) && cut.from() < from + bound && cut.until() > from) {
+      if (cut.affects(zone) && cut.from() < from + boundMicros && cut.until() > from) {
         from = cut.until();
       }
     }
@@ -135,8 +140,8 @@
     return first;
   }
 
-  List<String> broken() {
-    return broken;
+  List<String> violations() {
+    return violations;
   }
 
   /** Time from when each change could reach a gateway until it was in force there, in us. */
--- a/lab/src/main/java/shelffront/lab/scale/FleetScale.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScale.java
@@ -49,10 +49,11 @@
   }
 
   private static final double BOUND_SECONDS = 14;
-  private static final double MOST_CPU = 0.013;
-  private static final double MOST_KB_PER_SECOND = 18;
-  private static final int COMMON_EVERY = 10; // one change in this many affects every gateway
-  private static final double TOO_SLOW = 3; // multiple of the planned duration
+  private static final double MAX_GATEWAY_CPU_CORES = 0.013;
+  private static final double MAX_GATEWAY_KB_PER_SECOND = 18;
+  private static final int CHANGES_PER_COMMON_CHANGE =
+      10; // one change in this many affects every gateway
+  private static final double TOO_SLOW_FACTOR = 3; // multiple of the planned duration
 
   @Option(
       names = "--gateways",
@@ -116,38 +117,40 @@
   private Path out;
 
   private final List<String> lines = new ArrayList<>();
-  private final List<String> brokenClaims = new ArrayList<>();
+  private final List<String> unmetRequirements = new ArrayList<>();
   private final ObjectNode figures = TenantSpecCodec.JSON.createObjectNode();
 
   /** The cumulative resource usage of a group of processes at a point in time. */
-  private record ResourceUsage(double cpu, long io, long resident, long at, boolean intact) {
+  private record ResourceUsage(
+      double cpuSeconds, long ioBytes, long residentBytes, long atMicros, boolean intact) {
 
     static ResourceUsage of(List<ScaledFleet.FleetProcess> parts) {
-      double cpu = 0;
+      double cpuSeconds = 0;
       long ioBytes = 0;
-      long resident = 0;
+      long residentBytes = 0;
       for (ScaledFleet.FleetProcess part : parts) {
         JavaProcess process = part.process();
-        cpu += process.cpuSeconds();
+        cpuSeconds += process.cpuSeconds();
         ioBytes += process.ioBytes();
-        resident += process.residentBytes();
+        residentBytes += process.residentBytes();
       }
       boolean intact = parts.stream().allMatch(ScaledFleet.FleetProcess::isFirstAndUp);
-      return new ResourceUsage(cpu, ioBytes, resident, TrialTenants.nowMicros(), intact);
+      return new ResourceUsage(
+          cpuSeconds, ioBytes, residentBytes, SyntheticTenants.nowMicros(), intact);
     }
 
-    double cpuSince(ResourceUsage before) {
-      return (cpu - before.cpu) / ((at - before.at) / 1e6);
+    double cpuCoresSince(ResourceUsage before) {
+      return (cpuSeconds - before.cpuSeconds) / ((atMicros - before.atMicros) / 1e6);
     }
 
-    double kbSince(ResourceUsage before) {
-      return (io - before.io) / 1e3 / ((at - before.at) / 1e6);
+    double kbPerSecondSince(ResourceUsage before) {
+      return (ioBytes - before.ioBytes) / 1e3 / ((atMicros - before.atMicros) / 1e6);
     }
   }
 
   @Override
   public Integer call() throws Exception {
-    int tenants = hosts / TrialTenants.HOSTS_OF_TENANT;
+    int tenants = hosts / SyntheticTenants.HOSTS_PER_TENANT;
     ScaledFleet.Size size =
         new ScaledFleet.Size(gateways, tenants, names, regions, zones, real, direct, seed);
     Path directory =
@@ -155,25 +158,25 @@
     Path work = Files.createTempDirectory("fleet-scale-work-");
     boolean tooSlow;
     try (ScaledFleet fleet = new ScaledFleet(work, size)) {
-      long from = TrialTenants.nowMicros();
+      long from = SyntheticTenants.nowMicros();
       fleet.start();
-      recordFigure("start_s", (TrialTenants.nowMicros() - from) / 1e6);
+      recordFigure("start_s", (SyntheticTenants.nowMicros() - from) / 1e6);
       recordFigure("slowest_zone_current_s", fleet.slowestStartMillis() / 1e3);
       Map<String, ResourceUsage> before = usageByRole(fleet);
-      long[] calls = fleet.engineCalls();
+      long[] calls = fleet.storeCalls();
       TimeUnit.SECONDS.sleep(idleSeconds);
       Map<String, ResourceUsage> idle = usageByRole(fleet);
-      long[] idleCalls = fleet.engineCalls();
+      long[] idleCalls = fleet.storeCalls();
       double idlePerSecond = (idleCalls[0] - calls[0]) / (double) idleSeconds;
       report("idle", before, idle);
       recordFigure("idle_engine_calls_per_s", idlePerSecond);
       recordFigure("idle_engine_kb_per_s", (idleCalls[1] - calls[1]) / 1e3 / idleSeconds);
-      long began = TrialTenants.nowMicros();
-      Map<String, Version> written = change(fleet, tenants);
-      double tookSeconds = (TrialTenants.nowMicros() - began) / 1e6;
-      tooSlow = tookSeconds > TOO_SLOW * seconds;
+      long began = SyntheticTenants.nowMicros();
+      Map<String, Version> written = writeChanges(fleet, tenants);
+      double tookSeconds = (SyntheticTenants.nowMicros() - began) / 1e6;
+      tooSlow = tookSeconds > TOO_SLOW_FACTOR * seconds;
       Map<String, ResourceUsage> after = usageByRole(fleet);
-      long[] afterCalls = fleet.engineCalls();
+      long[] afterCalls = fleet.storeCalls();
       report("changing", idle, after);
       int count = figures.path("changes").asInt();
       recordFigure(
@@ -182,15 +185,15 @@
       recordFigure("engine_kb_per_change", (afterCalls[1] - idleCalls[1]) / 1e3 / count);
       recordDelays(fleet, written);
     }
-    claims();
-    save(directory);
+    checkRequirements();
+    saveResult(directory);
     lines.forEach(System.out::println);
-    return !brokenClaims.isEmpty() ? 1 : tooSlow ? 2 : 0;
+    return !unmetRequirements.isEmpty() ? 1 : tooSlow ? 2 : 0;
   }
 
   private static Map<String, ResourceUsage> usageByRole(ScaledFleet fleet) {
     Map<String, ResourceUsage> use = new TreeMap<>();
-    use.put("engine", ResourceUsage.of(List.of(fleet.engine())));
+    use.put("engine", ResourceUsage.of(List.of(fleet.storeProcess())));
     use.put("region", ResourceUsage.of(fleet.regions()));
     use.put("zone", ResourceUsage.of(fleet.zones()));
     use.put("hollow", ResourceUsage.of(fleet.hollow()));
@@ -200,7 +203,7 @@
 
   /** Records the usage of each role in a phase, per distributor or gateway. */
   private void report(
-      String span, Map<String, ResourceUsage> before, Map<String, ResourceUsage> after) {
+      String phase, Map<String, ResourceUsage> before, Map<String, ResourceUsage> after) {
     Map<String, Integer> divisors =
         Map.of(
             "engine",
@@ -219,9 +222,11 @@
             return; // the usage of a killed process is lost
           }
           int divisor = divisors.get(role);
-          recordFigure(span + "_" + role + "_cpu_cores", use.cpuSince(before.get(role)) / divisor);
-          recordFigure(span + "_" + role + "_kb_per_s", use.kbSince(before.get(role)) / divisor);
-          recordFigure(span + "_" + role + "_resident_mb", use.resident() / 1e6 / divisor);
+          recordFigure(
+              phase + "_" + role + "_cpu_cores", use.cpuCoresSince(before.get(role)) / divisor);
+          recordFigure(
+              phase + "_" + role + "_kb_per_s", use.kbPerSecondSince(before.get(role)) / divisor);
+          recordFigure(phase + "_" + role + "_resident_mb", use.residentBytes() / 1e6 / divisor);
         });
   }
 
@@ -229,46 +234,46 @@
    * Writes changes at the configured rate and injects the fault after half of them; returns the
    * last version of each record.
    */
-  private Map<String, Version> change(ScaledFleet fleet, int tenants) throws Exception {
+  private Map<String, Version> writeChanges(ScaledFleet fleet, int tenants) throws Exception {
     SplittableRandom random = new SplittableRandom(seed);
     Map<String, Version> written = new HashMap<>();
-    long pause = TimeUnit.HOURS.toMicros(1) / changesPerHour;
-    int count = (int) (TimeUnit.SECONDS.toMicros(seconds) / pause);
-    long next = TrialTenants.nowMicros();
-    long slowest = 0;
+    long pauseMicros = TimeUnit.HOURS.toMicros(1) / changesPerHour;
+    int count = (int) (TimeUnit.SECONDS.toMicros(seconds) / pauseMicros);
+    long nextMicros = SyntheticTenants.nowMicros();
+    long slowestMicros = 0;
     for (int i = 0; i < count; i++) {
       if (i == count / 2) {
-        breakSomething(fleet);
+        injectFault(fleet);
       }
       String id =
-          i % COMMON_EVERY == 0
-              ? TrialTenants.COMMON
-              : TrialTenants.tenantId(random.nextInt(tenants));
+          i % CHANGES_PER_COMMON_CHANGE == 0
+              ? SyntheticTenants.COMMON
+              : SyntheticTenants.tenantId(random.nextInt(tenants));
       String name = "tenant/" + id;
-      RecordChange present = fleet.store().record(name);
-      long atMicros = TrialTenants.nowMicros();
+      RecordChange current = fleet.store().record(name);
+      long atMicros = SyntheticTenants.nowMicros();
       written.put(
           name,
           fleet
               .store()
               .write(
                   name,
-                  present.version().sequence(),
-                  TrialTenants.document(id, atMicros).toString(),
+                  current.version().sequence(),
+                  SyntheticTenants.document(id, atMicros).toString(),
                   Version.NONE));
-      slowest = Math.max(slowest, TrialTenants.nowMicros() - atMicros);
-      next += pause;
-      long left = next - TrialTenants.nowMicros();
-      if (left > 0) {
-        TimeUnit.MICROSECONDS.sleep(left);
+      slowestMicros = Math.max(slowestMicros, SyntheticTenants.nowMicros() - atMicros);
+      nextMicros += pauseMicros;
+      long leftMicros = nextMicros - SyntheticTenants.nowMicros();
+      if (leftMicros > 0) {
+        TimeUnit.MICROSECONDS.sleep(leftMicros);
       }
     }
     recordFigure("changes", count);
-    recordFigure("slowest_write_ms", slowest / 1e3);
+    recordFigure("slowest_write_ms", slowestMicros / 1e3);
     return written;
   }
 
-  private void breakSomething(ScaledFleet fleet) throws Exception {
+  private void injectFault(ScaledFleet fleet) throws Exception {
     switch (fault) {
       case ZONE_RESTART -> {
         ScaledFleet.FleetProcess zone = fleet.hollow().get(0);
@@ -290,7 +295,7 @@
     Histogram delays = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
     long missing = 0;
     long steppedBack = 0;
-    for (JsonNode report : fleet.endHollow().values()) {
+    for (JsonNode report : fleet.terminateHollowGateways().values()) {
       steppedBack += report.path("steppedBack").asLong();
       report
           .path("delays")
@@ -302,10 +307,13 @@
       for (var each : report.path("inForce").properties()) {
         int number = Integer.parseInt(each.getKey().substring(1));
         for (String name :
-            TrialTenants.servedNames(number, hosts / TrialTenants.HOSTS_OF_TENANT, names, seed)) {
-          Version wanted = written.get(name);
+            SyntheticTenants.servedNames(
+                number, hosts / SyntheticTenants.HOSTS_PER_TENANT, names, seed)) {
+          Version expected = written.get(name);
           missing +=
-              wanted != null && each.getValue().path(name).asLong() != wanted.sequence() ? 1 : 0;
+              expected != null && each.getValue().path(name).asLong() != expected.sequence()
+                  ? 1
+                  : 0;
         }
       }
     }
@@ -317,28 +325,28 @@
     recordFigure("stepped_back", steppedBack);
   }
 
-  private void claims() {
-    claim(
+  private void checkRequirements() {
+    checkRequirement(
         "every change is in force on every gateway that serves it",
         figures.path("not_in_force").asLong() == 0);
-    claim(
+    checkRequirement(
         "no gateway replaces a record by an older version",
         figures.path("stepped_back").asLong() == 0);
-    claim(
+    checkRequirement(
         "every change is in force within " + BOUND_SECONDS + " s",
         figures.path("in_force_slowest_s").asDouble() <= BOUND_SECONDS);
-    claim(
+    checkRequirement(
         "the control plane of a gateway uses at most 1.3 % of a core",
-        figures.path("changing_hollow_cpu_cores").asDouble() <= MOST_CPU);
-    claim(
+        figures.path("changing_hollow_cpu_cores").asDouble() <= MAX_GATEWAY_CPU_CORES);
+    checkRequirement(
         "the control plane of a gateway transfers at most 18 KB/s",
-        figures.path("changing_hollow_kb_per_s").asDouble() <= MOST_KB_PER_SECOND);
+        figures.path("changing_hollow_kb_per_s").asDouble() <= MAX_GATEWAY_KB_PER_SECOND);
   }
 
-  private void claim(String what, boolean kept) {
-    lines.add((kept ? "kept: " : "BROKEN: ") + what);
-    if (!kept) {
-      brokenClaims.add(what);
+  private void checkRequirement(String what, boolean met) {
+    lines.add((met ? "kept: " : "BROKEN: ") + what);
+    if (!met) {
+      unmetRequirements.add(what);
     }
   }
 
@@ -347,7 +355,7 @@
     lines.add(String.format(Locale.ROOT, "%-34s %.4f", name, value));
   }
 
-  private void save(Path directory) throws IOException {
+  private void saveResult(Path directory) throws IOException {
     ObjectNode result =
         TenantSpecCodec.JSON
             .createObjectNode()
@@ -362,7 +370,7 @@
             .put("fault", fault.name().toLowerCase(Locale.ROOT))
             .put("seed", seed);
     result.set("figures", figures);
-    result.putPOJO("broken", brokenClaims);
+    result.putPOJO("broken", unmetRequirements);
     Files.writeString(
         directory.resolve("result.json"),
         TenantSpecCodec.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(result) + "\n");
--- a/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
@@ -35,10 +35,10 @@
 public final class GatewayCost implements Callable<Integer> {
 
   private static final int HEAP_MB = 256;
-  private static final Pattern LISTENS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
-  private static final long MISSING_MILLIS = 60_000;
-  private static final int MOST_HOSTS = 1000; // limit of the tenant schema
-  private static final int HOSTS_OF_TENANT = TrialTenants.HOSTS_OF_TENANT;
+  private static final Pattern CLIENT_ADDRESS = Pattern.compile("listens on /([0-9.]+:[0-9]+)");
+  private static final long START_TIMEOUT_MILLIS = 60_000;
+  private static final int MAX_HOSTS_PER_TENANT = 1000; // limit of the tenant schema
+  private static final int HOSTS_PER_TENANT = SyntheticTenants.HOSTS_PER_TENANT;
 
   @Option(
       names = "--hosts",
@@ -80,27 +80,27 @@
         "| what | count | ready s | resident MB | CPU s to ready | CPU at rest, % of a core |");
     System.out.println("| --- | --- | --- | --- | --- | --- |");
     for (int count : hosts) {
-      int tenants = (count + MOST_HOSTS - 1) / MOST_HOSTS;
+      int tenants = (count + MAX_HOSTS_PER_TENANT - 1) / MAX_HOSTS_PER_TENANT;
       measure(
           "hosts, in tenants of 1,000 at rest",
           count,
-          config(tenants, Math.min(count, MOST_HOSTS)),
+          config(tenants, Math.min(count, MAX_HOSTS_PER_TENANT)),
           0,
           0);
     }
     for (int count : resting) {
-      measure("tenants of five hosts, at rest", count, config(count, HOSTS_OF_TENANT), 0, 0);
+      measure("tenants of five hosts, at rest", count, config(count, HOSTS_PER_TENANT), 0, 0);
     }
     // All tenants share five responsive hosts: a gateway keeps retrying unresponsive hosts, which
     // would
     // distort the idle figures.
-    EmulatedReplicaSet replicaSet = new EmulatedReplicaSet("cost", HOSTS_OF_TENANT - 1, 8, 1, 5);
+    EmulatedReplicaSet replicaSet = new EmulatedReplicaSet("cost", HOSTS_PER_TENANT - 1, 8, 1, 5);
     try {
       for (int count : awake) {
         measure(
             "tenants of five hosts, awake",
             count,
-            served(config(count, HOSTS_OF_TENANT), replicaSet),
+            withAddresses(config(count, HOSTS_PER_TENANT), replicaSet),
             count,
             1);
       }
@@ -108,7 +108,7 @@
         measure(
             "idle connections, one tenant",
             count,
-            served(config(1, HOSTS_OF_TENANT), replicaSet),
+            withAddresses(config(1, HOSTS_PER_TENANT), replicaSet),
             1,
             count);
       }
@@ -118,7 +118,7 @@
     return 0;
   }
 
-  private static ObjectNode served(ObjectNode config, EmulatedReplicaSet replicaSet) {
+  private static ObjectNode withAddresses(ObjectNode config, EmulatedReplicaSet replicaSet) {
     for (JsonNode tenant : config.path("tenants")) {
       int host = 0;
       for (JsonNode box : tenant.path("boxes").path("list")) {
@@ -128,43 +128,44 @@
     return config;
   }
 
-  private static ObjectNode config(int tenants, int hostsOfEach) {
+  private static ObjectNode config(int tenants, int hostsPerTenant) {
     ObjectNode config =
         TenantSpecCodec.JSON.createObjectNode().put("listen", "127.0.0.1:0").put("sockets", 40_000);
     ArrayNode list = config.putArray("tenants");
     for (int t = 0; t < tenants; t++) {
-      ObjectNode tenant = TrialTenants.document(TrialTenants.tenantId(t), 0);
+      ObjectNode tenant = SyntheticTenants.document(SyntheticTenants.tenantId(t), 0);
       ((ObjectNode) tenant.withObject("/limits")).put("clientConnections", 40_000);
       ArrayNode boxes = (ArrayNode) tenant.path("boxes").path("list");
-      for (int host = boxes.size(); host < hostsOfEach; host++) {
+      for (int host = boxes.size(); host < hostsPerTenant; host++) {
         boxes
             .addObject()
             .put("id", "h" + host)
             .put("address", "127.0.0.1:9")
-            .put("group", host / HOSTS_OF_TENANT)
-            .put("role", host % HOSTS_OF_TENANT == 0 ? "primary" : "replica");
+            .put("group", host / HOSTS_PER_TENANT)
+            .put("role", host % HOSTS_PER_TENANT == 0 ? "primary" : "replica");
       }
       list.add(tenant);
     }
     return config;
   }
 
-  private void measure(String what, int count, ObjectNode config, int tenants, int clientsOfEach)
+  private void measure(String what, int count, ObjectNode config, int tenants, int clientsPerTenant)
       throws Exception {
     Path directory = Files.createTempDirectory("gateway-cost-");
     Path file = directory.resolve("gateway.json");
     Files.writeString(file, config.toString());
-    long from = System.nanoTime();
+    long startedNanos = System.nanoTime();
     JavaProcess process =
         JavaProcess.start(
             Main.class, HEAP_MB, directory.resolve("log"), "serve", "--config", file.toString());
     List<Socket> clients = new ArrayList<>();
     try {
-      while (process.found(LISTENS) == null) {
-        if (System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(MISSING_MILLIS)) {
+      while (process.found(CLIENT_ADDRESS) == null) {
+        if (System.nanoTime() - startedNanos
+            > TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MILLIS)) {
           throw new IOException(
               "gateway did not listen within "
-                  + MISSING_MILLIS
+                  + START_TIMEOUT_MILLIS
                   + " ms; case: "
                   + what
                   + ", count "
@@ -174,26 +175,27 @@
         }
         TimeUnit.MILLISECONDS.sleep(5);
       }
-      double ready = (System.nanoTime() - from) / 1e9;
-      double start = process.cpuSeconds();
+      double readySeconds = (System.nanoTime() - startedNanos) / 1e9;
+      double startCpuSeconds = process.cpuSeconds();
       for (int tenant = 0; tenant < tenants; tenant++) {
-        for (int c = 0; c < clientsOfEach; c++) {
-          clients.add(ClientProbe.open(process.found(LISTENS), TrialTenants.tenantId(tenant)));
+        for (int c = 0; c < clientsPerTenant; c++) {
+          clients.add(
+              ClientProbe.open(process.found(CLIENT_ADDRESS), SyntheticTenants.tenantId(tenant)));
         }
       }
       TimeUnit.SECONDS.sleep(2); // skips initial connections and health checks
       double before = process.cpuSeconds();
       TimeUnit.SECONDS.sleep(seconds);
-      double rest = (process.cpuSeconds() - before) / seconds;
+      double coresAtRest = (process.cpuSeconds() - before) / seconds;
       System.out.printf(
           Locale.ROOT,
           "| %s | %d | %.2f | %.1f | %.2f | %.2f |%n",
           what,
           count,
-          ready,
+          readySeconds,
           process.residentBytes() / 1e6,
-          start,
-          100 * rest);
+          startCpuSeconds,
+          100 * coresAtRest);
     } finally {
       for (Socket client : clients) {
         client.close();
--- a/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
@@ -50,7 +50,7 @@
         "Runs the control plane of many gateways in one process; fleet-scale starts this command.")
 public final class HollowGateways implements Callable<Integer> {
 
-  private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(10);
+  private static final long MAX_DELAY_MICROS = TimeUnit.MINUTES.toMicros(10);
   private static final int TIMER_THREADS = 4;
 
   @Option(names = "--config", required = true)
@@ -63,15 +63,15 @@
   private Path historyFile;
 
   private Writer history; // null if not configured
-  private final Histogram delays = new Histogram(LONGEST_MICROS, 3);
+  private final Histogram delays = new Histogram(MAX_DELAY_MICROS, 3);
   private long steppedBack;
-  private final long startedAt = TrialTenants.nowMicros();
+  private final long startedAtMicros = SyntheticTenants.nowMicros();
 
   /** A record name that a gateway subscribes to. */
   private record Lookup(SubscribedRecords records, String name) {
 
     /** Waits for a response, even if there is no such record; retries failed lookups. */
-    void awaitAnswer() throws InterruptedException {
+    void awaitResponse() throws InterruptedException {
       while (true) {
         try {
           records.lookUp(name).get();
@@ -84,12 +84,12 @@
   }
 
   /** The records in force at one gateway, with the sequence number of each. */
-  private final class Table implements SubscribedRecords.RecordApplier {
+  private final class RecordTable implements SubscribedRecords.RecordApplier {
 
     private final String gateway;
     private final Map<String, Long> inForce = new HashMap<>();
 
-    private Table(String gateway) {
+    private RecordTable(String gateway) {
       this.gateway = gateway;
     }
 
@@ -100,8 +100,8 @@
       } catch (SpecException e) {
         return e.pointer() + " " + e.getMessage();
       }
-      Long before = inForce.put(record.name(), record.version().sequence());
-      recordDelay(record, before);
+      Long previous = inForce.put(record.name(), record.version().sequence());
+      recordDelay(record, previous);
       appendHistory(gateway, record.name(), record.version());
       return null;
     }
@@ -127,7 +127,7 @@
     }
     try {
       history.write(
-          TrialTenants.nowMicros()
+          SyntheticTenants.nowMicros()
               + " "
               + gateway
               + " "
@@ -140,13 +140,14 @@
     }
   }
 
-  private synchronized void recordDelay(RecordChange record, Long before) {
-    if (before == null) {
+  private synchronized void recordDelay(RecordChange record, Long previous) {
+    if (previous == null) {
       return; // initial state at startup, not a change
     }
-    steppedBack += before > record.version().sequence() ? 1 : 0;
-    long took = TrialTenants.nowMicros() - TrialTenants.writtenAtMicros(record.document());
-    delays.recordValue(Math.max(0, Math.min(LONGEST_MICROS, took)));
+    steppedBack += previous > record.version().sequence() ? 1 : 0;
+    long delayMicros =
+        SyntheticTenants.nowMicros() - SyntheticTenants.writtenAtMicros(record.document());
+    delays.recordValue(Math.max(0, Math.min(MAX_DELAY_MICROS, delayMicros)));
   }
 
   @Override
@@ -158,21 +159,21 @@
             : Files.newBufferedWriter(
                 historyFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     appendHistory("life", "begins", null);
-    Map<String, Table> tables = new HashMap<>();
+    Map<String, RecordTable> tables = new HashMap<>();
     ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(TIMER_THREADS, "hollow-timer");
     HttpClient http = SubscribedRecords.httpClient(DistributionTimings.STANDARD);
     List<Lookup> lookups = new ArrayList<>();
     for (JsonNode each : config.path("gateways")) {
       SubscribedRecordsConfig settings =
           SubscribedRecordsConfig.read(each.path("distribution"), "/distribution");
-      Table table = new Table(settings.name());
+      RecordTable table = new RecordTable(settings.name());
       SubscribedRecords records =
           new SubscribedRecords(
               settings,
               table,
               http,
               timer,
-              TrialTenants::nowMicros,
+              SyntheticTenants::nowMicros,
               new Random(settings.name().hashCode()),
               System.out::println);
       tables.put(settings.name(), table);
@@ -181,12 +182,12 @@
       each.path("names").forEach(name -> records.lookUp(name.asText()));
     }
     watchDirectly(config.path("direct"));
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> report(tables)));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> writeReport(tables)));
     for (Lookup lookup : lookups) {
-      lookup.awaitAnswer();
+      lookup.awaitResponse();
     }
     System.out.println(
-        "all current after " + (TrialTenants.nowMicros() - startedAt) / 1000 + " ms");
+        "all current after " + (SyntheticTenants.nowMicros() - startedAtMicros) / 1000 + " ms");
     Thread.currentThread().join();
     return 0;
   }
@@ -197,11 +198,11 @@
       return;
     }
     String[] hostAndPort = direct.path("engine").asText().split(":");
-    ConsulCoordinationStore engine =
+    ConsulCoordinationStore coordinationStore =
         new ConsulCoordinationStore(
             hostAndPort[0], Integer.parseInt(hostAndPort[1]), Duration.ofMillis(1500));
     for (int i = 0; i < direct.path("count").asInt(); i++) {
-      ChangeStore store = new ChangeStore(engine, direct.path("fleet").asText());
+      ChangeStore store = new ChangeStore(coordinationStore, direct.path("fleet").asText());
       Thread thread = new Thread(null, () -> watch(store), "direct-" + i, 256 << 10);
       thread.setDaemon(true);
       thread.start();
@@ -224,7 +225,7 @@
     }
   }
 
-  private synchronized void report(Map<String, Table> tables) {
+  private synchronized void writeReport(Map<String, RecordTable> tables) {
     ObjectNode report =
         TenantSpecCodec.JSON
             .createObjectNode()
--- a/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
+++ b/lab/src/main/java/shelffront/lab/scale/ScaledFleet.java
@@ -38,28 +38,30 @@
   private static final int HEAP_MB = 256;
   private static final int REAL_HEAP_MB = 72; // same as in the start command of the platform
   private static final Duration TIMEOUT = Duration.ofSeconds(120);
-  private static final Duration ENGINE_CALL = Duration.ofMillis(1500);
-  private static final Pattern CURRENT = Pattern.compile("all current after ([0-9]+) ms");
-  private static final Pattern LISTENS = Pattern.compile("listens on 127.0.0.1:([0-9]+)");
-  private static final Pattern DISTRIBUTES = Pattern.compile("distributes on /(127.0.0.1:[0-9]+)");
-  private static final Pattern REAL_LISTENS = Pattern.compile("listens on /(127.0.0.1:[0-9]+)");
+  private static final Duration STORE_CALL_TIMEOUT = Duration.ofMillis(1500);
+  private static final Pattern CURRENT_AFTER = Pattern.compile("all current after ([0-9]+) ms");
+  private static final Pattern STORE_PORT = Pattern.compile("listens on 127.0.0.1:([0-9]+)");
+  private static final Pattern DISTRIBUTOR_ADDRESS =
+      Pattern.compile("distributes on /(127.0.0.1:[0-9]+)");
+  private static final Pattern CLIENT_ADDRESS = Pattern.compile("listens on /(127.0.0.1:[0-9]+)");
 
-  private static final Pattern ADMIN = Pattern.compile("administration on /([0-9.]+:[0-9]+)");
-  private static final Pattern TOKEN = Pattern.compile("shown once: (\\S+)");
+  private static final Pattern ADMIN_ADDRESS =
+      Pattern.compile("administration on /([0-9.]+:[0-9]+)");
+  private static final Pattern OPERATOR_TOKEN = Pattern.compile("shown once: (\\S+)");
 
   /** Number of gateways, tenants, regions and zones of the fleet. */
   record Size(
       int gateways,
       int tenants,
-      int namesOfGateway,
+      int namesPerGateway,
       int regions,
-      int zonesOfRegion,
+      int zonesPerRegion,
       int real,
       int direct,
       long seed) {
 
     int zones() {
-      return regions * zonesOfRegion;
+      return regions * zonesPerRegion;
     }
   }
 
@@ -111,8 +113,8 @@
   private final boolean persistent;
   private final HttpClient http = HttpClient.newHttpClient();
   private final ChangeStore store;
-  private final String engineAddress;
-  private final FleetProcess engine;
+  private final String storeAddress;
+  private final FleetProcess storeProcess;
   private final List<FleetProcess> regions = new ArrayList<>();
   private final List<FleetProcess> zones = new ArrayList<>();
   private final List<FleetProcess> hollow = new ArrayList<>(); // by zone
@@ -125,17 +127,19 @@
   }
 
   /**
-   * @param keeps whether gateways save their last known good state, and hollow gateways a history
+   * @param persistent whether gateways save their last known good state, and hollow gateways a
+   *     history
    */
-  ScaledFleet(Path directory, Size size, AddressTranslator ways, boolean keeps) throws Exception {
+  ScaledFleet(Path directory, Size size, AddressTranslator addressTranslator, boolean persistent)
+      throws Exception {
     this.directory = directory;
     this.size = size;
-    this.addressTranslator = ways;
-    this.persistent = keeps;
+    this.addressTranslator = addressTranslator;
+    this.persistent = persistent;
     Files.createDirectories(directory);
     Path state = directory.resolve("engine.state");
-    fill(state);
-    engine =
+    writeInitialState(state);
+    storeProcess =
         new FleetProcess(
             "engine",
             HEAP_MB,
@@ -145,12 +149,14 @@
             Integer.toString(freePort()),
             "--file",
             state.toString());
-    await("the coordination store is up", () -> engine.process().found(LISTENS) != null);
-    engineAddress = "127.0.0.1:" + engine.process().found(LISTENS);
+    await("the coordination store is up", () -> storeProcess.process().found(STORE_PORT) != null);
+    storeAddress = "127.0.0.1:" + storeProcess.process().found(STORE_PORT);
     store =
         new ChangeStore(
             new ConsulCoordinationStore(
-                "127.0.0.1", Integer.parseInt(engine.process().found(LISTENS)), ENGINE_CALL),
+                "127.0.0.1",
+                Integer.parseInt(storeProcess.process().found(STORE_PORT)),
+                STORE_CALL_TIMEOUT),
             FLEET);
   }
 
@@ -161,19 +167,19 @@
     }
   }
 
-  private void fill(Path state) throws Exception {
-    StateFileCoordinationStore filled = new StateFileCoordinationStore();
-    ChangeStore writer = new ChangeStore(filled, FLEET);
+  private void writeInitialState(Path state) throws Exception {
+    StateFileCoordinationStore initialState = new StateFileCoordinationStore();
+    ChangeStore writer = new ChangeStore(initialState, FLEET);
     writer.write(
-        "tenant/" + TrialTenants.COMMON,
+        "tenant/" + SyntheticTenants.COMMON,
         0,
-        TrialTenants.document(TrialTenants.COMMON, 0).toString(),
+        SyntheticTenants.document(SyntheticTenants.COMMON, 0).toString(),
         Version.NONE);
     for (int i = 0; i < size.tenants(); i++) {
-      String id = TrialTenants.tenantId(i);
-      writer.write("tenant/" + id, 0, TrialTenants.document(id, 0).toString(), Version.NONE);
+      String id = SyntheticTenants.tenantId(i);
+      writer.write("tenant/" + id, 0, SyntheticTenants.document(id, 0).toString(), Version.NONE);
     }
-    filled.save(state);
+    initialState.save(state);
   }
 
   /**
@@ -183,38 +189,38 @@
   void start() throws IOException {
     for (int region = 0; region < size.regions(); region++) {
       ObjectNode config =
-          distributor("r" + region, "r" + region, "")
-              .put("engine", addressTranslator.translate("r" + region, "engine", engineAddress));
-      regions.add(distribute("region-r" + region, config));
+          distributorConfig("r" + region, "r" + region, "")
+              .put("engine", addressTranslator.translate("r" + region, "engine", storeAddress));
+      regions.add(startDistributor("region-r" + region, config));
     }
-    endpoints(regions, regionEndpoints, false);
+    addEndpoints(regions, regionEndpoints, false);
     for (int zone = 0; zone < size.zones(); zone++) {
-      ObjectNode config = distributor(zone(zone), region(zone), zone(zone));
-      config.set("distributors", seenFrom(zone(zone), regionEndpoints));
-      zones.add(distribute("zone-" + zone(zone), config));
+      ObjectNode config = distributorConfig(zoneName(zone), regionName(zone), zoneName(zone));
+      config.set("distributors", endpointsSeenFrom(zoneName(zone), regionEndpoints));
+      zones.add(startDistributor("zone-" + zoneName(zone), config));
     }
-    endpoints(zones, zoneEndpoints, true);
+    addEndpoints(zones, zoneEndpoints, true);
     for (int zone = 0; zone < size.zones(); zone++) {
-      hollow.add(hollow(zone));
+      hollow.add(startHollowGateways(zone));
     }
     for (int i = 0; i < size.real(); i++) {
-      real.add(real(i));
+      real.add(startRealGateway(i));
     }
     awaitCurrent();
     real.forEach(
         process ->
-            await("a real gateway listens", () -> process.process().found(REAL_LISTENS) != null));
+            await("a real gateway listens", () -> process.process().found(CLIENT_ADDRESS) != null));
   }
 
-  private String region(int zone) {
-    return "r" + zone / size.zonesOfRegion();
+  private String regionName(int zone) {
+    return "r" + zone / size.zonesPerRegion();
   }
 
-  private static String zone(int zone) {
+  private static String zoneName(int zone) {
     return "z" + zone;
   }
 
-  private static ObjectNode distributor(String name, String region, String zone) {
+  private static ObjectNode distributorConfig(String name, String region, String zone) {
     ObjectNode config =
         TenantSpecCodec.JSON
             .createObjectNode()
@@ -225,7 +231,7 @@
     return zone.isEmpty() ? config : config.put("zone", zone);
   }
 
-  private FleetProcess distribute(String name, ObjectNode config) throws IOException {
+  private FleetProcess startDistributor(String name, ObjectNode config) throws IOException {
     Path file = directory.resolve(name + ".json");
     Files.writeString(file, config.toString());
     return new FleetProcess(name, HEAP_MB, Main.class, "distribute", "--config", file.toString());
@@ -235,16 +241,16 @@
    * Adds the system-assigned addresses of the distributors to the endpoint list, and writes them to
    * their configuration so that a restarted distributor listens at the same address.
    */
-  private void endpoints(List<FleetProcess> distributors, ArrayNode into, boolean zonal)
+  private void addEndpoints(List<FleetProcess> distributors, ArrayNode into, boolean zonal)
       throws IOException {
     for (int i = 0; i < distributors.size(); i++) {
       FleetProcess part = distributors.get(i);
-      await(part.name + " is up", () -> part.process().found(DISTRIBUTES) != null);
-      String address = part.process().found(DISTRIBUTES);
+      await(part.name + " is up", () -> part.process().found(DISTRIBUTOR_ADDRESS) != null);
+      String address = part.process().found(DISTRIBUTOR_ADDRESS);
       ObjectNode endpoint =
-          into.addObject().put("address", address).put("region", zonal ? region(i) : "r" + i);
+          into.addObject().put("address", address).put("region", zonal ? regionName(i) : "r" + i);
       if (zonal) {
-        endpoint.put("zone", zone(i));
+        endpoint.put("zone", zoneName(i));
       }
       Path file = directory.resolve(part.name + ".json");
       ObjectNode config = (ObjectNode) TenantSpecCodec.JSON.readTree(file.toFile());
@@ -253,7 +259,7 @@
   }
 
   /** Returns the endpoints with the addresses at which a zone reaches them. */
-  private ArrayNode seenFrom(String zone, ArrayNode endpoints) throws IOException {
+  private ArrayNode endpointsSeenFrom(String zone, ArrayNode endpoints) throws IOException {
     ArrayNode seen = endpoints.deepCopy();
     for (JsonNode endpoint : seen) {
       String target = endpoint.path("zone").asText(endpoint.path("region").asText());
@@ -265,38 +271,38 @@
     return seen;
   }
 
-  private ObjectNode gateway(String name, int zone) throws IOException {
+  private ObjectNode gatewayConfig(String name, int zone) throws IOException {
     ObjectNode config =
         TenantSpecCodec.JSON
             .createObjectNode()
             .put("name", name)
             .put("fleet", FLEET)
-            .put("region", region(zone))
-            .put("zone", zone(zone));
-    config.set("distributors", seenFrom(zone(zone), zoneEndpoints));
+            .put("region", regionName(zone))
+            .put("zone", zoneName(zone));
+    config.set("distributors", endpointsSeenFrom(zoneName(zone), zoneEndpoints));
     return persistent
         ? config.put("lastKnownGood", directory.resolve(name + ".kept").toString())
         : config;
   }
 
-  private FleetProcess hollow(int zone) throws IOException {
+  private FleetProcess startHollowGateways(int zone) throws IOException {
     ObjectNode config = TenantSpecCodec.JSON.createObjectNode();
     ArrayNode gateways = config.putArray("gateways");
     for (int gateway = zone; gateway < size.gateways(); gateway += size.zones()) {
       ObjectNode each = gateways.addObject();
-      each.set("distribution", gateway("g" + gateway, zone));
+      each.set("distribution", gatewayConfig("g" + gateway, zone));
       ArrayNode names = each.putArray("names");
-      TrialTenants.servedNames(gateway, size.tenants(), size.namesOfGateway(), size.seed())
+      SyntheticTenants.servedNames(gateway, size.tenants(), size.namesPerGateway(), size.seed())
           .forEach(names::add);
     }
     if (size.direct() > 0) {
       config
           .putObject("direct")
-          .put("engine", engineAddress)
+          .put("engine", storeAddress)
           .put("fleet", FLEET)
           .put("count", size.direct() / size.zones());
     }
-    String name = "hollow-" + zone(zone);
+    String name = "hollow-" + zoneName(zone);
     Path file = directory.resolve(name + ".json");
     Files.writeString(file, config.toString());
     List<String> arguments =
@@ -306,21 +312,21 @@
                 "--config",
                 file.toString(),
                 "--report",
-                report(zone).toString()));
+                reportFile(zone).toString()));
     if (persistent) {
-      arguments.addAll(List.of("--history", history(zone).toString()));
+      arguments.addAll(List.of("--history", historyFile(zone).toString()));
     }
     return new FleetProcess(name, HEAP_MB, LabMain.class, arguments.toArray(String[]::new));
   }
 
   /** History of the hollow gateways of a zone in order of time; survives restarts. */
-  Path history(int zone) {
-    return directory.resolve("hollow-" + zone(zone) + ".history");
+  Path historyFile(int zone) {
+    return directory.resolve("hollow-" + zoneName(zone) + ".history");
   }
 
   /** Address at which a real gateway accepts clients. */
   String clientAddress(int number) {
-    return real.get(number).process().found(REAL_LISTENS);
+    return real.get(number).process().found(CLIENT_ADDRESS);
   }
 
   /** Calls the administration API of a real gateway with its initial operator token. */
@@ -329,8 +335,8 @@
       throws IOException, InterruptedException {
     JavaProcess gateway = real.get(number).process();
     HttpRequest.Builder request =
-        HttpRequest.newBuilder(URI.create("http://" + gateway.found(ADMIN) + path))
-            .header("Authorization", "Bearer " + gateway.found(TOKEN))
+        HttpRequest.newBuilder(URI.create("http://" + gateway.found(ADMIN_ADDRESS) + path))
+            .header("Authorization", "Bearer " + gateway.found(OPERATOR_TOKEN))
             .method(method, HttpRequest.BodyPublishers.ofString(body));
     if (revision > 0) {
       request.header("If-Match", "\"" + revision + "\"");
@@ -339,19 +345,19 @@
   }
 
   /** Sets the faults of the emulated coordination store; an empty text clears them. */
-  void engineFault(String query) throws IOException, InterruptedException {
+  void injectStoreFault(String query) throws IOException, InterruptedException {
     http.send(
-        HttpRequest.newBuilder(URI.create("http://" + engineAddress + "/fault?" + query))
+        HttpRequest.newBuilder(URI.create("http://" + storeAddress + "/fault?" + query))
             .PUT(HttpRequest.BodyPublishers.noBody())
             .build(),
         BodyHandlers.ofString());
   }
 
-  private Path report(int zone) {
-    return directory.resolve("hollow-" + zone(zone) + ".report");
+  private Path reportFile(int zone) {
+    return directory.resolve("hollow-" + zoneName(zone) + ".report");
   }
 
-  private FleetProcess real(int number) throws IOException {
+  private FleetProcess startRealGateway(int number) throws IOException {
     ObjectNode config =
         TenantSpecCodec.JSON
             .createObjectNode()
@@ -359,7 +365,7 @@
             .put("admin", "127.0.0.1:0");
     config.set(
         "distribution",
-        gateway("real" + number, number % size.zones()).put("engine", engineAddress));
+        gatewayConfig("real" + number, number % size.zones()).put("engine", storeAddress));
     Path file = directory.resolve("real" + number + ".json");
     Files.writeString(file, config.toString());
     return new FleetProcess(
@@ -370,7 +376,9 @@
   void awaitCurrent() {
     hollow.forEach(
         process ->
-            await(process.name + " is current", () -> process.process().found(CURRENT) != null));
+            await(
+                process.name + " is current",
+                () -> process.process().found(CURRENT_AFTER) != null));
   }
 
   /**
@@ -379,7 +387,7 @@
    */
   long slowestStartMillis() {
     return hollow.stream()
-        .map(process -> process.process().found(CURRENT))
+        .map(process -> process.process().found(CURRENT_AFTER))
         .filter(text -> text != null)
         .mapToLong(Long::parseLong)
         .max()
@@ -398,8 +406,8 @@
     return store;
   }
 
-  FleetProcess engine() {
-    return engine;
+  FleetProcess storeProcess() {
+    return storeProcess;
   }
 
   List<FleetProcess> regions() {
@@ -419,19 +427,18 @@
   }
 
   /** Number of calls to the coordination store, and the bytes of their bodies. */
-  long[] engineCalls() throws IOException, InterruptedException {
+  long[] storeCalls() throws IOException, InterruptedException {
     JsonNode counts =
         TenantSpecCodec.JSON.readTree(
             http.send(
-                    HttpRequest.newBuilder(URI.create("http://" + engineAddress + "/calls"))
-                        .build(),
+                    HttpRequest.newBuilder(URI.create("http://" + storeAddress + "/calls")).build(),
                     BodyHandlers.ofString())
                 .body());
     return new long[] {counts.path("calls").asLong(), counts.path("bytes").asLong()};
   }
 
   /** Terminates the hollow gateways and returns their reports by zone. */
-  TreeMap<Integer, JsonNode> endHollow() throws IOException, InterruptedException {
+  TreeMap<Integer, JsonNode> terminateHollowGateways() throws IOException, InterruptedException {
     TreeMap<Integer, JsonNode> reports = new TreeMap<>();
     for (int zone = 0; zone < hollow.size(); zone++) {
       if (!hollow.get(zone).process().terminate(TIMEOUT.toSeconds())) {
@@ -442,7 +449,7 @@
                 + " s of SIGTERM; log files are in "
                 + directory);
       }
-      reports.put(zone, TenantSpecCodec.JSON.readTree(report(zone).toFile()));
+      reports.put(zone, TenantSpecCodec.JSON.readTree(reportFile(zone).toFile()));
     }
     return reports;
   }
@@ -453,7 +460,7 @@
     all.addAll(hollow);
     all.addAll(zones);
     all.addAll(regions);
-    all.add(engine);
+    all.add(storeProcess);
     all.forEach(process -> process.process().abandon());
     store.close();
   }
--- a/lab/src/main/java/shelffront/lab/scale/TrialTenants.java
+++ b/lab/src/main/java/shelffront/lab/scale/SyntheticTenants.java
@@ -13,17 +13,17 @@
  * Generates the tenants of a scaled fleet: their names, the gateways that serve them, and documents
  * that contain the time at which they were written.
  */
-final class TrialTenants {
+final class SyntheticTenants {
 
   /** Hosts of each tenant: a primary and its replicas. */
-  static final int HOSTS_OF_TENANT = 5;
+  static final int HOSTS_PER_TENANT = 5;
 
   /** A tenant that every gateway serves, so that some changes affect the whole fleet. */
   static final String COMMON = "common";
 
   private static final Pattern WRITTEN_AT = Pattern.compile("\"w([0-9]+)\"");
 
-  private TrialTenants() {}
+  private SyntheticTenants() {}
 
   static String tenantId(int number) {
     return "t" + number;
@@ -60,7 +60,7 @@
         .put("address", "127.0.0.1:9")
         .put("group", 1)
         .put("role", "primary");
-    for (int i = 1; i < HOSTS_OF_TENANT; i++) {
+    for (int i = 1; i < HOSTS_PER_TENANT; i++) {
       list.addObject()
           .put("id", id + "-" + i)
           .put("address", "127.0.0.1:9")
--- a/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
+++ b/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
@@ -22,8 +22,8 @@
 /** Runs a small fleet of processes, and verifies that the history checker detects violations. */
 class ScaledFleetTest {
 
-  private static final long SECOND = 1_000_000;
-  private static final long BOUND = 14 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long BOUND_MICROS = 14 * SECOND_MICROS;
 
   @Test
   void keepsEveryClaimWithHundredGateways() {
@@ -67,13 +67,13 @@
       assertFalse(ClientProbe.isServed(other, "new"));
       ScaledFleet.await(
           "the administration APIs of both gateways have reached the coordination store",
-          () -> reachesEngine(fleet, 0) && reachesEngine(fleet, 1));
-      String document = TrialTenants.document("new", 1).toString();
-      HttpResponse<String> made = fleet.administer(0, "POST", "/v1/tenants", 0, document);
-      assertEquals(201, made.statusCode(), made.body());
+          () -> reachesStore(fleet, 0) && reachesStore(fleet, 1));
+      String document = SyntheticTenants.document("new", 1).toString();
+      HttpResponse<String> created = fleet.administer(0, "POST", "/v1/tenants", 0, document);
+      assertEquals(201, created.statusCode(), created.body());
       ScaledFleet.await(
           "clients of the new tenant are served", () -> ClientProbe.isServed(other, "new"));
-      long revision = TenantSpecCodec.JSON.readTree(made.body()).path("revision").asLong();
+      long revision = TenantSpecCodec.JSON.readTree(created.body()).path("revision").asLong();
       assertEquals(
           412, fleet.administer(1, "PUT", "/v1/tenants/new", revision - 1, document).statusCode());
       HttpResponse<String> changed =
@@ -89,7 +89,7 @@
     }
   }
 
-  private static boolean reachesEngine(ScaledFleet fleet, int gateway) {
+  private static boolean reachesStore(ScaledFleet fleet, int gateway) {
     try {
       return fleet.administer(gateway, "GET", "/v1/tenants/common", 0, "").statusCode() == 200;
     } catch (IOException | InterruptedException e) {
@@ -115,7 +115,7 @@
   @Test
   void deliversSnapshotSlowerThanSilenceTimeout(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 2500, 3, 1, 1, 0, 0, 1);
-    List<FaultProxy> relays = new ArrayList<>();
+    List<FaultProxy> proxies = new ArrayList<>();
     ScaledFleet.AddressTranslator slow =
         (from, target, address) -> {
           if (!target.startsWith("r")) {
@@ -126,48 +126,51 @@
               new FaultProxy(
                   new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
           proxy.slow(20, 16 << 10); // 0.8 MB/s for a snapshot of 2.4 MB
-          relays.add(proxy);
+          proxies.add(proxy);
           return proxy.address();
         };
     try (ScaledFleet fleet = new ScaledFleet(directory, size, slow, false)) {
       fleet.start();
-      assertEquals(1, fleet.endHollow().size());
+      assertEquals(1, fleet.terminateHollowGateways().size());
     } finally {
-      for (FaultProxy proxy : relays) {
+      for (FaultProxy proxy : proxies) {
         proxy.close();
       }
     }
   }
 
-  private static List<String> judged(List<Cut> cuts, List<Acknowledged> changes, String... lines) {
+  private static List<String> violations(
+      List<Cut> cuts, List<Acknowledged> changes, String... lines) {
     DistributionHistoryChecker histories = new DistributionHistoryChecker();
     histories.add("z0", List.of(lines));
-    histories.check("n", List.of("g"), changes, cuts, BOUND);
-    return histories.broken();
+    histories.check("n", List.of("g"), changes, cuts, BOUND_MICROS);
+    return histories.violations();
   }
 
-  private static Acknowledged change(long sequence, long atMicros) {
-    return new Acknowledged("n", new Version(1, sequence), false, atMicros);
+  private static Acknowledged change(long sequence, long acknowledgedAt) {
+    return new Acknowledged("n", new Version(1, sequence), false, acknowledgedAt);
   }
 
   @Test
   void detectsLateLostAndSteppedBackChanges() {
-    List<Acknowledged> changes = List.of(change(1, SECOND), change(2, 2 * SECOND));
-    assertEquals(List.of(), judged(List.of(), changes, "1100000 g n 1 1", "2100000 g n 1 2"));
+    List<Acknowledged> changes = List.of(change(1, SECOND_MICROS), change(2, 2 * SECOND_MICROS));
+    assertEquals(List.of(), violations(List.of(), changes, "1100000 g n 1 1", "2100000 g n 1 2"));
     assertEquals(
-        List.of(), judged(List.of(), changes, "2100000 g n 1 2"), "the later change covers both");
+        List.of(),
+        violations(List.of(), changes, "2100000 g n 1 2"),
+        "the later change covers both");
     assertFalse(
-        judged(List.of(), changes, "1100000 g n 1 1").isEmpty(), "the second change was lost");
+        violations(List.of(), changes, "1100000 g n 1 1").isEmpty(), "the second change was lost");
     assertFalse(
-        judged(List.of(), changes, "1100000 g n 1 1", "17000000 g n 1 2").isEmpty(),
+        violations(List.of(), changes, "1100000 g n 1 1", "17000000 g n 1 2").isEmpty(),
         "the second change was late");
     assertTrue(
-        judged(List.of(), changes, "1 g n 1 2", "2 g n 1 1")
+        violations(List.of(), changes, "1 g n 1 2", "2 g n 1 1")
             .get(0)
             .startsWith("version regression"));
     assertEquals(
         List.of(),
-        judged(
+        violations(
             List.of(),
             changes,
             "1 life begins",
@@ -180,21 +183,26 @@
 
   @Test
   void extendsBoundByCutForItsZoneAlone() {
-    List<Acknowledged> changes = List.of(change(1, SECOND));
-    Cut own = new Cut("z0", SECOND / 2, 20 * SECOND);
-    Cut other = new Cut("z1", SECOND / 2, 20 * SECOND);
-    assertEquals(List.of(), judged(List.of(own), changes, "33000000 g n 1 1"));
-    assertFalse(judged(List.of(own), changes, "35000000 g n 1 1").isEmpty());
-    assertFalse(judged(List.of(other), changes, "33000000 g n 1 1").isEmpty());
+    List<Acknowledged> changes = List.of(change(1, SECOND_MICROS));
+    Cut own = new Cut("z0", SECOND_MICROS / 2, 20 * SECOND_MICROS);
+    Cut other = new Cut("z1", SECOND_MICROS / 2, 20 * SECOND_MICROS);
+    assertEquals(List.of(), violations(List.of(own), changes, "33000000 g n 1 1"));
+    assertFalse(violations(List.of(own), changes, "35000000 g n 1 1").isEmpty());
+    assertFalse(violations(List.of(other), changes, "33000000 g n 1 1").isEmpty());
   }
 
   @Test
   void requiresRemovedRecordsToGo() {
-    Acknowledged removal = new Acknowledged("n", new Version(1, 2), true, 2 * SECOND);
+    Acknowledged removal = new Acknowledged("n", new Version(1, 2), true, 2 * SECOND_MICROS);
     assertEquals(
         List.of(),
-        judged(List.of(), List.of(change(1, SECOND), removal), "1100000 g n 1 1", "2100000 g n"));
+        violations(
+            List.of(),
+            List.of(change(1, SECOND_MICROS), removal),
+            "1100000 g n 1 1",
+            "2100000 g n"));
     assertFalse(
-        judged(List.of(), List.of(change(1, SECOND), removal), "1100000 g n 1 1").isEmpty());
+        violations(List.of(), List.of(change(1, SECOND_MICROS), removal), "1100000 g n 1 1")
+            .isEmpty());
   }
 }
