--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutHistoryCheckerTest.java
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void countsSilentProcessToTheEndOfItsLease() throws IOException {
+  void countsStageOfKilledProcessUntilItsLeaseExpires() throws IOException {
     assertEquals(
         1,
         violations(
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void rejectsTwoLeadersOfEpochAndTwoStepsAtOnce() throws IOException {
+  void rejectsTwoLeadersInOneEpochAndTwoStepsAtOnce() throws IOException {
     assertEquals(1, violations(List.of(move("a", 0, 2, 1)), List.of(move("b", 0, 2, 1))).size());
     assertEquals(1, violations(List.of(move("a", 0, 2, 1)), List.of(move("b", 0, 3, 3))).size());
   }
--- a/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
+++ b/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
@@ -26,7 +26,7 @@
   private static final long BOUND_MICROS = 14 * SECOND_MICROS;
 
   @Test
-  void keepsEveryClaimWithHundredGateways() {
+  void meetsEveryRequirementWithHundredGateways() {
     assertEquals(
         0,
         new CommandLine(new FleetScale())
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void keepsHistoriesConsistentUnderDrawnFaults() {
+  void keepsHistoriesConsistentUnderRandomFaults() {
     assertEquals(
         0,
         new CommandLine(new DistributionExplore())
@@ -192,7 +192,7 @@
   }
 
   @Test
-  void requiresRemovedRecordsToGo() {
+  void detectsRemovedRecordThatStaysInForce() {
     Acknowledged removal = new Acknowledged("n", new Version(1, 2), true, 2 * SECOND_MICROS);
     assertEquals(
         List.of(),
