--- a/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
@@ -60,8 +60,8 @@
                 "",
                 "Each line is a run; the `result.json` of the run has every figure. Figures of a"
                     + " gateway are those of",
-                "hollow gateways. A role without usage figures had a process killed during the"
-                    + " run.",
+                "hollow gateways. Usage figures of a role are 0 if one of its processes was killed"
+                    + " during the run.",
                 ""));
     StringBuilder heading = new StringBuilder("| gateways | watching themselves | fault |");
     COLUMNS.forEach(column -> heading.append(' ').append(column.heading()).append(" |"));
--- a/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
+++ b/lab/src/main/java/shelffront/lab/scale/GatewayCost.java
@@ -92,8 +92,7 @@
       measure("tenants of five hosts, at rest", count, config(count, HOSTS_PER_TENANT), 0, 0);
     }
     // All tenants share five responsive hosts: a gateway keeps retrying unresponsive hosts, which
-    // would
-    // distort the idle figures.
+    // would distort the idle figures.
     EmulatedReplicaSet replicaSet = new EmulatedReplicaSet("cost", HOSTS_PER_TENANT - 1, 8, 1, 5);
     try {
       for (int count : awake) {
