--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutExplore.java
@@ -14,75 +14,81 @@
 import picocli.CommandLine.Option;
 
 /**
- * Plays drawn schedules of faults on processes, one for each seed, and holds their histories
- * against each other.
+ * Runs one randomized fault schedule per seed on gateway processes and checks their rollout
+ * histories for violations.
  */
 @Command(
     name = "stage-explore",
     mixinStandardHelpOptions = true,
     description = {
-      "Starts gateways and an engine as processes, moves a subject to and fro, and breaks what a"
-          + " seed draws: links",
-      "cut one way or both, slowed or reset, gateways stopped, killed, ended and started again, an"
-          + " engine that",
-      "restarts, loses its leader or garbles. Then all is made whole, and every gateway has to"
-          + " arrive.",
-      "Exit codes: 0 all held, 1 a seed is named that broke something, with the command that plays"
-          + " it again."
+      "Runs gateways and a coordination store as processes, requests stage changes of a subject,"
+          + " and injects",
+      "faults drawn from a seed: connections cut in one or both directions, slowed or reset;"
+          + " gateways suspended,",
+      "killed, terminated and restarted; a store that restarts, loses its leader or corrupts its"
+          + " responses.",
+      "Afterwards all faults are cleared, and every gateway must reach the target stage.",
+      "Exit codes: 0 no violation, 1 a seed failed; the output has the command that reproduces it."
     })
 public final class RolloutExplore implements Callable<Integer> {
 
   private static final List<String> STAGES = List.of("one", "two", "three", "four");
-  private static final int STEPS = 12;
+  private static final int STEPS_PER_SEED = 12;
 
-  @Option(names = "--seeds", defaultValue = "5", description = "how many (${DEFAULT-VALUE})")
+  @Option(names = "--seeds", defaultValue = "5", description = "number of seeds (${DEFAULT-VALUE})")
   private int seeds;
 
   @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
   private long firstSeed;
 
-  @Option(names = "--gateways", defaultValue = "4", description = "processes (${DEFAULT-VALUE})")
+  @Option(
+      names = "--gateways",
+      defaultValue = "4",
+      description = "gateway processes (${DEFAULT-VALUE})")
   private int gateways;
 
-  @Option(names = "--lease-ms", defaultValue = "1200", description = "(${DEFAULT-VALUE})")
+  @Option(
+      names = "--lease-ms",
+      defaultValue = "1200",
+      description = "lease duration (${DEFAULT-VALUE})")
   private long leaseMs;
 
   @Option(
       names = "--odd-lease-ms",
       defaultValue = "0",
       description =
-          "the lease of the first gateway, wrong on purpose: the checker has to catch it (0:"
-              + " right)")
+          "a wrong lease duration for the first gateway, which the checker must detect (0: same"
+              + " as --lease-ms)")
   private long oddLeaseMs;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     int failed = 0;
-    int moves = 0;
+    int stageChanges = 0;
     for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
       Path directory = Files.createTempDirectory("stages-" + seed + "-");
       List<String> steps = new ArrayList<>();
-      List<String> broken;
+      List<String> violations;
       int count = 0;
       try (FaultInjectionHarness harness = new FaultInjectionHarness(directory)) {
         try {
-          play(harness, seed, steps);
+          runSchedule(harness, seed, steps);
         } catch (ConditionTimeoutException e) {
-          steps.add("never arrived: " + e.getMessage());
+          steps.add("did not converge: " + e.getMessage());
         }
-        RolloutHistoryChecker all = harness.histories();
-        broken = new ArrayList<>(all.violations());
-        count = all.moves();
+        RolloutHistoryChecker histories = harness.histories();
+        violations = new ArrayList<>(histories.violations());
+        count = histories.moves();
       }
-      steps.stream().filter(step -> step.startsWith("never")).forEach(broken::add);
-      moves += count;
+      steps.stream().filter(step -> step.startsWith("did not converge")).forEach(violations::add);
+      stageChanges += count;
       System.out.printf(
-          Locale.ROOT, "seed %d: %d moves, %s%n", seed, count, String.join(", ", steps));
-      if (!broken.isEmpty()) {
+          Locale.ROOT, "seed %d: %d stage changes, %s%n", seed, count, String.join(", ", steps));
+      if (!violations.isEmpty()) {
         failed++;
-        broken.stream().limit(5).forEach(violation -> System.out.println("  " + violation));
+        violations.stream().limit(5).forEach(violation -> System.out.println("  " + violation));
         System.out.println(
-            "  again: java -jar lab/target/shelffront-lab.jar stage-explore --from "
+            "  reproduce with: java -jar lab/target/shelffront-lab.jar stage-explore --from "
                 + seed
                 + " --seeds 1 --gateways "
                 + gateways
@@ -92,84 +98,91 @@
                 + oddLeaseMs);
       }
     }
-    System.out.printf("%d seeds, %d moves, %d broken%n", seeds, moves, failed);
+    System.out.printf("%d seeds, %d stage changes, %d failed%n", seeds, stageChanges, failed);
     return failed == 0 ? 0 : 1;
   }
 
-  private void play(FaultInjectionHarness harness, long seed, List<String> steps)
+  private void runSchedule(FaultInjectionHarness harness, long seed, List<String> steps)
       throws IOException, InterruptedException {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     for (int i = 0; i < gateways; i++) {
       harness.add(i == 0 && oddLeaseMs > 0 ? oddLeaseMs : leaseMs);
     }
     harness.awaitStage("one");
-    boolean[] stopped = new boolean[gateways];
-    for (int step = 0; step < STEPS; step++) {
+    boolean[] suspended = new boolean[gateways];
+    for (int step = 0; step < STEPS_PER_SEED; step++) {
       int number = random.nextInt(gateways);
-      FaultInjectionHarness.GatewayProcess node = harness.gateways().get(number);
-      int what = random.nextInt(11);
-      // The draws of a step are made whatever becomes of it: the same seed gives the same schedule.
-      boolean there = random.nextBoolean();
+      FaultInjectionHarness.GatewayProcess gateway = harness.gateways().get(number);
+      int kind = random.nextInt(11);
+      // Draws every value of the step even if it is unused, so that a seed gives the same schedule.
+      boolean forward = random.nextBoolean();
       String stage = STAGES.get(random.nextInt(STAGES.size()));
-      int asked = random.nextInt(gateways);
-      long hold = random.nextLong(leaseMs);
-      steps.add(step(harness, node, number, what, there, stopped));
-      if (!stopped[asked] && harness.gateways().get(asked).isReady()) {
+      int requested = random.nextInt(gateways);
+      long holdMillis = random.nextLong(leaseMs);
+      steps.add(performStep(harness, gateway, number, kind, forward, suspended));
+      if (!suspended[requested] && harness.gateways().get(requested).isReady()) {
         steps.add(
-            "g" + asked + " " + harness.gateways().get(asked).requestStage(stage) + " " + stage);
+            "g"
+                + requested
+                + " "
+                + harness.gateways().get(requested).requestStage(stage)
+                + " "
+                + stage);
       }
-      long until = System.nanoTime() + hold * 1_000_000;
-      harness.await("the schedule's next step is due", () -> System.nanoTime() >= until);
+      long deadlineNanos = System.nanoTime() + holdMillis * 1_000_000;
+      harness.await(
+          "the next step of the schedule is due", () -> System.nanoTime() >= deadlineNanos);
     }
     harness.injectStoreFault("");
     for (int i = 0; i < gateways; i++) {
-      FaultInjectionHarness.GatewayProcess node = harness.gateways().get(i);
-      node.proxy().heal();
-      if (stopped[i]) {
-        node.signal("CONT");
+      FaultInjectionHarness.GatewayProcess gateway = harness.gateways().get(i);
+      gateway.proxy().heal();
+      if (suspended[i]) {
+        gateway.signal("CONT");
       }
-      if (!node.isUp()) {
-        node.start();
+      if (!gateway.isUp()) {
+        gateway.start();
       }
     }
     FaultInjectionHarness.GatewayProcess any = harness.gateways().get(0);
-    harness.await("the target is taken", () -> any.isReady() && any.requestStage("three") == 200);
+    harness.await(
+        "the target stage is accepted", () -> any.isReady() && any.requestStage("three") == 200);
     harness.awaitStage("three");
   }
 
-  private static String step(
+  private static String performStep(
       FaultInjectionHarness harness,
-      FaultInjectionHarness.GatewayProcess node,
+      FaultInjectionHarness.GatewayProcess gateway,
       int number,
-      int what,
-      boolean there,
-      boolean[] stopped)
+      int kind,
+      boolean forward,
+      boolean[] suspended)
       throws IOException, InterruptedException {
     String name = " g" + number;
-    switch (what) {
-      case 0 -> node.proxy().cut(true, true);
-      case 1 -> node.proxy().cut(there, !there);
-      case 2 -> node.proxy().heal();
-      case 3 -> node.proxy().slow(20, 100);
-      case 4 -> node.proxy().reset();
+    switch (kind) {
+      case 0 -> gateway.proxy().cut(true, true);
+      case 1 -> gateway.proxy().cut(forward, !forward);
+      case 2 -> gateway.proxy().heal();
+      case 3 -> gateway.proxy().slow(20, 100);
+      case 4 -> gateway.proxy().reset();
       case 5 -> {
-        node.signal(stopped[number] ? "CONT" : "STOP");
-        stopped[number] = !stopped[number];
+        gateway.signal(suspended[number] ? "CONT" : "STOP");
+        suspended[number] = !suspended[number];
       }
       case 6 -> {
-        node.kill();
-        stopped[number] = false;
-        node.start();
+        gateway.kill();
+        suspended[number] = false;
+        gateway.start();
       }
       case 7 -> {
-        if (!stopped[number] && node.isUp()) {
-          node.terminate();
-          node.start();
+        if (!suspended[number] && gateway.isUp()) {
+          gateway.terminate();
+          gateway.start();
         }
       }
       case 8 -> harness.restartStore();
-      case 9 -> harness.injectStoreFault(there ? "leader=no" : "garble");
-      default -> harness.injectStoreFault(there ? "late=100" : "");
+      case 9 -> harness.injectStoreFault(forward ? "leader=no" : "garble");
+      default -> harness.injectStoreFault(forward ? "late=100" : "");
     }
     return List.of(
                 "cut",
@@ -183,7 +196,7 @@
                 "engine restarts",
                 "engine fails",
                 "engine late or well")
-            .get(what)
+            .get(kind)
         + name;
   }
 }
--- a/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
+++ b/lab/src/main/java/shelffront/lab/faultinjection/RolloutHistoryChecker.java
@@ -13,15 +13,16 @@
 import java.util.TreeMap;
 
 /**
- * Holds the histories of all processes against each other. They share a machine, so their monotonic
- * clocks are one. What came into force counts until the next line of its process, or the end of its
- * lease if that is sooner: a process that was killed or stopped could have acted until then.
+ * Checks the rollout histories of all gateway processes against each other. The processes run on
+ * one machine and therefore share a monotonic clock. A stage counts as in force until the next line
+ * of the same process and subject or until the lease expires, whichever is sooner, because a
+ * process that was killed or suspended could have acted until then.
  */
 public final class RolloutHistoryChecker {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** A stage in force at one gateway, from and until by the monotonic clock in microseconds. */
+  /** A stage in force at one gateway; times are monotonic, in microseconds. */
   record Span(String who, String subject, long epoch, int stage, long from, long until) {}
 
   private record Edge(long at, boolean begins, Span span) {}
@@ -32,63 +33,63 @@
   private final List<String> violations = new ArrayList<>();
 
   public static RolloutHistoryChecker read(List<Path> files) throws IOException {
-    RolloutHistoryChecker all = new RolloutHistoryChecker();
+    RolloutHistoryChecker checker = new RolloutHistoryChecker();
     for (Path file : files) {
       if (Files.exists(file)) {
-        all.add(Files.readAllLines(file));
+        checker.add(Files.readAllLines(file));
       }
     }
-    all.check();
-    return all;
+    checker.check();
+    return checker;
   }
 
   static RolloutHistoryChecker of(List<List<String>> files) throws IOException {
-    RolloutHistoryChecker all = new RolloutHistoryChecker();
+    RolloutHistoryChecker checker = new RolloutHistoryChecker();
     for (List<String> lines : files) {
-      all.add(lines);
+      checker.add(lines);
     }
-    all.check();
-    return all;
+    checker.check();
+    return checker;
   }
 
   private void add(List<String> lines) throws IOException {
     Map<String, JsonNode> last = new HashMap<>();
     for (String line : lines) {
-      JsonNode o;
+      JsonNode entry;
       try {
-        o = JSON.readTree(line);
+        entry = JSON.readTree(line);
       } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-        continue; // a process was killed in the middle of its last line
+        continue; // the process was killed while it wrote its last line
       }
-      String subject = o.path("subject").asText();
-      if (o.path("what").asText().equals("move")) {
-        String before =
+      String subject = entry.path("subject").asText();
+      if (entry.path("what").asText().equals("move")) {
+        String previousLeader =
             leaderByEpoch
-                .computeIfAbsent(subject, step -> new TreeMap<>())
-                .putIfAbsent(o.path("epoch").asLong(), o.path("who").asText());
+                .computeIfAbsent(subject, key -> new TreeMap<>())
+                .putIfAbsent(entry.path("epoch").asLong(), entry.path("who").asText());
         stageByEpoch
-            .computeIfAbsent(subject, step -> new TreeMap<>())
-            .put(o.path("epoch").asLong(), o.path("stage").asInt());
-        if (before != null) {
+            .computeIfAbsent(subject, key -> new TreeMap<>())
+            .put(entry.path("epoch").asLong(), entry.path("stage").asInt());
+        if (previousLeader != null) {
           violations.add(
-              "one owner: epoch "
-                  + o.path("epoch")
-                  + " of "
+              "more than one leader: epoch "
+                  + entry.path("epoch")
+                  + " of subject "
                   + subject
-                  + " was begun by "
-                  + before
+                  + " was started by "
+                  + previousLeader
                   + " and "
-                  + o.path("who").asText());
+                  + entry.path("who").asText());
         }
         continue;
       }
-      String key = o.path("who").asText() + " " + subject;
-      end(last.put(key, o), o.path("at").asLong());
+      String key = entry.path("who").asText() + " " + subject;
+      endSpan(last.put(key, entry), entry.path("at").asLong());
     }
-    last.values().forEach(o -> end(o, Long.MAX_VALUE));
+    last.values().forEach(entry -> endSpan(entry, Long.MAX_VALUE));
   }
 
-  private void end(JsonNode line, long next) {
+  private void endSpan(JsonNode line, long next) {
     if (line != null && line.path("what").asText().equals("force")) {
       Span span =
           new Span(
@@ -98,7 +99,7 @@
               line.path("stage").asInt(),
               line.path("at").asLong(),
               Math.min(next, line.path("until").asLong()));
-      spans.computeIfAbsent(span.subject(), step -> new ArrayList<>()).add(span);
+      spans.computeIfAbsent(span.subject(), key -> new ArrayList<>()).add(span);
     }
   }
 
@@ -112,57 +113,65 @@
               edges.add(new Edge(span.until(), false, span));
             }
           }
-          // What ends at a moment ends before what begins there.
+          // At equal times, a span that ends is removed before one that begins.
           edges.sort(Comparator.comparingLong(Edge::at).thenComparing(Edge::begins));
-          List<Span> now = new ArrayList<>();
+          List<Span> inForce = new ArrayList<>();
           for (Edge edge : edges) {
             if (!edge.begins()) {
-              now.remove(edge.span());
+              inForce.remove(edge.span());
               continue;
             }
-            for (Span other : now) {
+            for (Span other : inForce) {
               if (Math.abs(other.stage() - edge.span().stage()) > 1) {
-                violations.add("adjacent: " + edge.span() + " beside " + other);
+                violations.add("stages not adjacent: " + edge.span() + " overlaps " + other);
               }
               if (other.epoch() == edge.span().epoch() && other.stage() != edge.span().stage()) {
-                violations.add("one stage an epoch: " + edge.span() + " beside " + other);
+                violations.add(
+                    "more than one stage in an epoch: " + edge.span() + " overlaps " + other);
               }
             }
-            now.add(edge.span());
+            inForce.add(edge.span());
           }
         });
     stageByEpoch.forEach(
         (subject, byEpoch) -> {
-          Integer before = null;
-          long epoch = 0;
+          Integer previousStage = null;
+          long previousEpoch = 0;
           for (Map.Entry<Long, Integer> each : byEpoch.entrySet()) {
-            boolean next = each.getKey() == epoch + 1;
-            if (before != null && next && Math.abs(each.getValue() - before) != 1) {
+            boolean next = each.getKey() == previousEpoch + 1;
+            if (previousStage != null && next && Math.abs(each.getValue() - previousStage) != 1) {
               violations.add(
-                  "one step: " + subject + " from stage " + before + " to " + each.getValue());
+                  "more than one step: "
+                      + subject
+                      + " from stage "
+                      + previousStage
+                      + " to "
+                      + each.getValue()
+                      + " in epoch "
+                      + each.getKey());
             }
-            before = each.getValue();
-            epoch = each.getKey();
+            previousStage = each.getValue();
+            previousEpoch = each.getKey();
           }
         });
   }
 
-  /** What does not hold, in words; empty where all does. */
+  /** Descriptions of all violations; empty if there are none. */
   public List<String> violations() {
     return violations;
   }
 
-  /** How many moves owners noted. */
+  /** Number of stage changes that rollout leaders recorded. */
   public int moves() {
     return leaderByEpoch.values().stream().mapToInt(Map::size).sum();
   }
 
-  /** How many processes had something in force. */
+  /** Number of gateway processes at which a stage was in force. */
   public long gatewayCount() {
     return spans.values().stream().flatMap(List::stream).map(Span::who).distinct().count();
   }
 
-  /** How many different owners moved a subject on. */
+  /** Number of different rollout leaders that changed the stage of a subject. */
   public long leaderCount() {
     return leaderByEpoch.values().stream()
         .flatMap(leaders -> leaders.values().stream())
--- a/lab/src/main/java/shelffront/lab/scale/FleetScale.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScale.java
@@ -23,21 +23,23 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * Distribution of configuration at a fleet's size: what each role costs, and how long a change
- * takes everywhere.
+ * Measures the distribution of configuration in a large fleet: resource usage per role, and the
+ * time until a change is in force at every gateway.
  */
 @Command(
     name = "fleet-scale",
     mixinStandardHelpOptions = true,
     description = {
-      "Starts a stand-in engine, distributors for regions and zones, hollow gateways (the control"
-          + " side alone, many",
-      "in a process) and a few real ones, makes changes, and measures each role by its processes.",
-      "Exit codes: 0 every claim was kept, 1 one was not, 2 the machine was too slow to tell."
+      "Starts an emulated coordination store, distributors for regions and zones, hollow gateways"
+          + " (the control",
+      "plane only, many in a process) and a few real gateways, writes changes, and measures the"
+          + " processes of each role.",
+      "Exit codes: 0 every requirement is met, 1 a requirement is not met, 2 the machine was too"
+          + " slow to measure."
     })
 public final class FleetScale implements Callable<Integer> {
 
-  /** What goes wrong in the middle of the changes. */
+  /** The fault injected after half of the changes. */
   enum Fault {
     NONE,
     ZONE_RESTART,
@@ -47,58 +49,62 @@
   }
 
   private static final double BOUND_SECONDS = 14;
-  private static final double MOST_CPU = 0.013;
-  private static final double MOST_KB_PER_SECOND = 18;
-  private static final int COMMON_EVERY =
-      10; // of the changes, one in so many concerns every gateway
-  private static final double TOO_SLOW = 3; // times as long as the changes should have taken
+  private static final double MAX_GATEWAY_CPU_CORES = 0.013;
+  private static final double MAX_GATEWAY_KB_PER_SECOND = 18;
+  private static final int CHANGES_PER_COMMON_CHANGE =
+      10; // one change in this many affects every gateway
+  private static final double TOO_SLOW_FACTOR = 3; // multiple of the planned duration
 
   @Option(
       names = "--gateways",
       defaultValue = "100",
-      description = "hollow ones (${DEFAULT-VALUE})")
+      description = "hollow gateways (${DEFAULT-VALUE})")
   private int gateways;
 
   @Option(
       names = "--hosts",
       defaultValue = "1000",
-      description = "in tenants of five (${DEFAULT-VALUE})")
+      description = "hosts, five per tenant (${DEFAULT-VALUE})")
   private int hosts;
 
   @Option(names = "--changes-per-hour", defaultValue = "7200", description = "(${DEFAULT-VALUE})")
   private int changesPerHour;
 
-  @Option(names = "--seconds", defaultValue = "30", description = "of changes (${DEFAULT-VALUE})")
+  @Option(
+      names = "--seconds",
+      defaultValue = "30",
+      description = "duration of the changes (${DEFAULT-VALUE})")
   private int seconds;
 
   @Option(
       names = "--idle-seconds",
       defaultValue = "10",
-      description = "without changes, before them (${DEFAULT-VALUE})")
+      description = "duration of the idle phase before the changes (${DEFAULT-VALUE})")
   private int idleSeconds;
 
   @Option(
       names = "--names",
       defaultValue = "60",
-      description = "tenants that a gateway serves (${DEFAULT-VALUE})")
+      description = "tenants that each gateway serves (${DEFAULT-VALUE})")
   private int names;
 
   @Option(names = "--regions", defaultValue = "4", description = "(${DEFAULT-VALUE})")
   private int regions;
 
-  @Option(names = "--zones", defaultValue = "4", description = "of each region (${DEFAULT-VALUE})")
+  @Option(names = "--zones", defaultValue = "4", description = "per region (${DEFAULT-VALUE})")
   private int zones;
 
   @Option(
       names = "--real",
       defaultValue = "2",
-      description = "real gateways beside (${DEFAULT-VALUE})")
+      description = "additional real gateways (${DEFAULT-VALUE})")
   private int real;
 
   @Option(
       names = "--direct",
       defaultValue = "0",
-      description = "gateways beside that watch the engine themselves (${DEFAULT-VALUE})")
+      description =
+          "additional gateways that watch the coordination store directly (${DEFAULT-VALUE})")
   private int direct;
 
   @Option(names = "--faults", defaultValue = "NONE", description = "${COMPLETION-CANDIDATES}")
@@ -107,42 +113,44 @@
   @Option(names = "--seed", defaultValue = "1", description = "(${DEFAULT-VALUE})")
   private long seed;
 
-  @Option(names = "--out", description = "a directory for the report")
+  @Option(names = "--out", description = "directory for the report")
   private Path out;
 
   private final List<String> lines = new ArrayList<>();
-  private final List<String> brokenClaims = new ArrayList<>();
+  private final List<String> unmetRequirements = new ArrayList<>();
   private final ObjectNode figures = TenantSpecCodec.JSON.createObjectNode();
 
-  /** What a group of processes has used until a moment. */
-  private record ResourceUsage(double cpu, long io, long resident, long at, boolean intact) {
+  /** The cumulative resource usage of a group of processes at a point in time. */
+  private record ResourceUsage(
+      double cpuSeconds, long ioBytes, long residentBytes, long atMicros, boolean intact) {
 
     static ResourceUsage of(List<ScaledFleet.FleetProcess> parts) {
-      double cpu = 0;
+      double cpuSeconds = 0;
       long ioBytes = 0;
-      long resident = 0;
+      long residentBytes = 0;
       for (ScaledFleet.FleetProcess part : parts) {
         JavaProcess process = part.process();
-        cpu += process.cpuSeconds();
+        cpuSeconds += process.cpuSeconds();
         ioBytes += process.ioBytes();
-        resident += process.residentBytes();
+        residentBytes += process.residentBytes();
       }
       boolean intact = parts.stream().allMatch(ScaledFleet.FleetProcess::isFirstAndUp);
-      return new ResourceUsage(cpu, ioBytes, resident, TrialTenants.nowMicros(), intact);
+      return new ResourceUsage(
+          cpuSeconds, ioBytes, residentBytes, SyntheticTenants.nowMicros(), intact);
     }
 
-    double cpuSince(ResourceUsage before) {
-      return (cpu - before.cpu) / ((at - before.at) / 1e6);
+    double cpuCoresSince(ResourceUsage before) {
+      return (cpuSeconds - before.cpuSeconds) / ((atMicros - before.atMicros) / 1e6);
     }
 
-    double kbSince(ResourceUsage before) {
-      return (io - before.io) / 1e3 / ((at - before.at) / 1e6);
+    double kbPerSecondSince(ResourceUsage before) {
+      return (ioBytes - before.ioBytes) / 1e3 / ((atMicros - before.atMicros) / 1e6);
     }
   }
 
   @Override
   public Integer call() throws Exception {
-    int tenants = hosts / TrialTenants.HOSTS_OF_TENANT;
+    int tenants = hosts / SyntheticTenants.HOSTS_PER_TENANT;
     ScaledFleet.Size size =
         new ScaledFleet.Size(gateways, tenants, names, regions, zones, real, direct, seed);
     Path directory =
@@ -150,25 +158,25 @@
     Path work = Files.createTempDirectory("fleet-scale-work-");
     boolean tooSlow;
     try (ScaledFleet fleet = new ScaledFleet(work, size)) {
-      long from = TrialTenants.nowMicros();
+      long from = SyntheticTenants.nowMicros();
       fleet.start();
-      recordFigure("start_s", (TrialTenants.nowMicros() - from) / 1e6);
+      recordFigure("start_s", (SyntheticTenants.nowMicros() - from) / 1e6);
       recordFigure("slowest_zone_current_s", fleet.slowestStartMillis() / 1e3);
       Map<String, ResourceUsage> before = usageByRole(fleet);
-      long[] calls = fleet.engineCalls();
+      long[] calls = fleet.storeCalls();
       TimeUnit.SECONDS.sleep(idleSeconds);
       Map<String, ResourceUsage> idle = usageByRole(fleet);
-      long[] idleCalls = fleet.engineCalls();
+      long[] idleCalls = fleet.storeCalls();
       double idlePerSecond = (idleCalls[0] - calls[0]) / (double) idleSeconds;
       report("idle", before, idle);
       recordFigure("idle_engine_calls_per_s", idlePerSecond);
       recordFigure("idle_engine_kb_per_s", (idleCalls[1] - calls[1]) / 1e3 / idleSeconds);
-      long began = TrialTenants.nowMicros();
-      Map<String, Version> written = change(fleet, tenants);
-      double tookSeconds = (TrialTenants.nowMicros() - began) / 1e6;
-      tooSlow = tookSeconds > TOO_SLOW * seconds;
+      long began = SyntheticTenants.nowMicros();
+      Map<String, Version> written = writeChanges(fleet, tenants);
+      double tookSeconds = (SyntheticTenants.nowMicros() - began) / 1e6;
+      tooSlow = tookSeconds > TOO_SLOW_FACTOR * seconds;
       Map<String, ResourceUsage> after = usageByRole(fleet);
-      long[] afterCalls = fleet.engineCalls();
+      long[] afterCalls = fleet.storeCalls();
       report("changing", idle, after);
       int count = figures.path("changes").asInt();
       recordFigure(
@@ -177,15 +185,15 @@
       recordFigure("engine_kb_per_change", (afterCalls[1] - idleCalls[1]) / 1e3 / count);
       recordDelays(fleet, written);
     }
-    claims();
-    save(directory);
+    checkRequirements();
+    saveResult(directory);
     lines.forEach(System.out::println);
-    return !brokenClaims.isEmpty() ? 1 : tooSlow ? 2 : 0;
+    return !unmetRequirements.isEmpty() ? 1 : tooSlow ? 2 : 0;
   }
 
   private static Map<String, ResourceUsage> usageByRole(ScaledFleet fleet) {
     Map<String, ResourceUsage> use = new TreeMap<>();
-    use.put("engine", ResourceUsage.of(List.of(fleet.engine())));
+    use.put("engine", ResourceUsage.of(List.of(fleet.storeProcess())));
     use.put("region", ResourceUsage.of(fleet.regions()));
     use.put("zone", ResourceUsage.of(fleet.zones()));
     use.put("hollow", ResourceUsage.of(fleet.hollow()));
@@ -193,9 +201,9 @@
     return use;
   }
 
-  /** What each role used in a span, for one distributor, one gateway. */
+  /** Records the usage of each role in a phase, per distributor or gateway. */
   private void report(
-      String span, Map<String, ResourceUsage> before, Map<String, ResourceUsage> after) {
+      String phase, Map<String, ResourceUsage> before, Map<String, ResourceUsage> after) {
     Map<String, Integer> divisors =
         Map.of(
             "engine",
@@ -211,58 +219,61 @@
     after.forEach(
         (role, use) -> {
           if (!use.intact()) {
-            return; // what a process that was killed had used is gone with it
+            return; // the usage of a killed process is lost
           }
           int divisor = divisors.get(role);
-          recordFigure(span + "_" + role + "_cpu_cores", use.cpuSince(before.get(role)) / divisor);
-          recordFigure(span + "_" + role + "_kb_per_s", use.kbSince(before.get(role)) / divisor);
-          recordFigure(span + "_" + role + "_resident_mb", use.resident() / 1e6 / divisor);
+          recordFigure(
+              phase + "_" + role + "_cpu_cores", use.cpuCoresSince(before.get(role)) / divisor);
+          recordFigure(
+              phase + "_" + role + "_kb_per_s", use.kbPerSecondSince(before.get(role)) / divisor);
+          recordFigure(phase + "_" + role + "_resident_mb", use.residentBytes() / 1e6 / divisor);
         });
   }
 
   /**
-   * Makes changes at their rate, with the fault in the middle; gives the last version of each name.
+   * Writes changes at the configured rate and injects the fault after half of them; returns the
+   * last version of each record.
    */
-  private Map<String, Version> change(ScaledFleet fleet, int tenants) throws Exception {
+  private Map<String, Version> writeChanges(ScaledFleet fleet, int tenants) throws Exception {
     SplittableRandom random = new SplittableRandom(seed);
     Map<String, Version> written = new HashMap<>();
-    long pause = TimeUnit.HOURS.toMicros(1) / changesPerHour;
-    int count = (int) (TimeUnit.SECONDS.toMicros(seconds) / pause);
-    long next = TrialTenants.nowMicros();
-    long slowest = 0;
+    long pauseMicros = TimeUnit.HOURS.toMicros(1) / changesPerHour;
+    int count = (int) (TimeUnit.SECONDS.toMicros(seconds) / pauseMicros);
+    long nextMicros = SyntheticTenants.nowMicros();
+    long slowestMicros = 0;
     for (int i = 0; i < count; i++) {
       if (i == count / 2) {
-        breakSomething(fleet);
+        injectFault(fleet);
       }
       String id =
-          i % COMMON_EVERY == 0
-              ? TrialTenants.COMMON
-              : TrialTenants.tenantId(random.nextInt(tenants));
+          i % CHANGES_PER_COMMON_CHANGE == 0
+              ? SyntheticTenants.COMMON
+              : SyntheticTenants.tenantId(random.nextInt(tenants));
       String name = "tenant/" + id;
-      RecordChange present = fleet.store().record(name);
-      long atMicros = TrialTenants.nowMicros();
+      RecordChange current = fleet.store().record(name);
+      long atMicros = SyntheticTenants.nowMicros();
       written.put(
           name,
           fleet
               .store()
               .write(
                   name,
-                  present.version().sequence(),
-                  TrialTenants.document(id, atMicros).toString(),
+                  current.version().sequence(),
+                  SyntheticTenants.document(id, atMicros).toString(),
                   Version.NONE));
-      slowest = Math.max(slowest, TrialTenants.nowMicros() - atMicros);
-      next += pause;
-      long left = next - TrialTenants.nowMicros();
-      if (left > 0) {
-        TimeUnit.MICROSECONDS.sleep(left);
+      slowestMicros = Math.max(slowestMicros, SyntheticTenants.nowMicros() - atMicros);
+      nextMicros += pauseMicros;
+      long leftMicros = nextMicros - SyntheticTenants.nowMicros();
+      if (leftMicros > 0) {
+        TimeUnit.MICROSECONDS.sleep(leftMicros);
       }
     }
     recordFigure("changes", count);
-    recordFigure("slowest_write_ms", slowest / 1e3);
+    recordFigure("slowest_write_ms", slowestMicros / 1e3);
     return written;
   }
 
-  private void breakSomething(ScaledFleet fleet) throws Exception {
+  private void injectFault(ScaledFleet fleet) throws Exception {
     switch (fault) {
       case ZONE_RESTART -> {
         ScaledFleet.FleetProcess zone = fleet.hollow().get(0);
@@ -276,15 +287,15 @@
     }
   }
 
-  /** Every gateway has to have what was written last, within the bound; then all delays count. */
+  /** Records how many gateways lack a last written version after the bound, and all delays. */
   private void recordDelays(ScaledFleet fleet, Map<String, Version> written)
       throws IOException, InterruptedException {
     fleet.awaitCurrent();
-    TimeUnit.SECONDS.sleep((long) BOUND_SECONDS); // what is not in force then is late
+    TimeUnit.SECONDS.sleep((long) BOUND_SECONDS); // any change not in force by then is late
     Histogram delays = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
     long missing = 0;
     long steppedBack = 0;
-    for (JsonNode report : fleet.endHollow().values()) {
+    for (JsonNode report : fleet.terminateHollowGateways().values()) {
       steppedBack += report.path("steppedBack").asLong();
       report
           .path("delays")
@@ -296,10 +307,13 @@
       for (var each : report.path("inForce").properties()) {
         int number = Integer.parseInt(each.getKey().substring(1));
         for (String name :
-            TrialTenants.servedNames(number, hosts / TrialTenants.HOSTS_OF_TENANT, names, seed)) {
-          Version wanted = written.get(name);
+            SyntheticTenants.servedNames(
+                number, hosts / SyntheticTenants.HOSTS_PER_TENANT, names, seed)) {
+          Version expected = written.get(name);
           missing +=
-              wanted != null && each.getValue().path(name).asLong() != wanted.sequence() ? 1 : 0;
+              expected != null && each.getValue().path(name).asLong() != expected.sequence()
+                  ? 1
+                  : 0;
         }
       }
     }
@@ -311,26 +325,28 @@
     recordFigure("stepped_back", steppedBack);
   }
 
-  private void claims() {
-    claim(
+  private void checkRequirements() {
+    checkRequirement(
         "every change is in force on every gateway that serves it",
         figures.path("not_in_force").asLong() == 0);
-    claim("nothing steps back", figures.path("stepped_back").asLong() == 0);
-    claim(
-        "in force within " + BOUND_SECONDS + " s",
+    checkRequirement(
+        "no gateway replaces a record by an older version",
+        figures.path("stepped_back").asLong() == 0);
+    checkRequirement(
+        "every change is in force within " + BOUND_SECONDS + " s",
         figures.path("in_force_slowest_s").asDouble() <= BOUND_SECONDS);
-    claim(
-        "a gateway's control takes at most 1.3 % of a core",
-        figures.path("changing_hollow_cpu_cores").asDouble() <= MOST_CPU);
-    claim(
-        "and 18 KB a second",
-        figures.path("changing_hollow_kb_per_s").asDouble() <= MOST_KB_PER_SECOND);
+    checkRequirement(
+        "the control plane of a gateway uses at most 1.3 % of a core",
+        figures.path("changing_hollow_cpu_cores").asDouble() <= MAX_GATEWAY_CPU_CORES);
+    checkRequirement(
+        "the control plane of a gateway transfers at most 18 KB/s",
+        figures.path("changing_hollow_kb_per_s").asDouble() <= MAX_GATEWAY_KB_PER_SECOND);
   }
 
-  private void claim(String what, boolean kept) {
-    lines.add((kept ? "kept: " : "BROKEN: ") + what);
-    if (!kept) {
-      brokenClaims.add(what);
+  private void checkRequirement(String what, boolean met) {
+    lines.add((met ? "kept: " : "BROKEN: ") + what);
+    if (!met) {
+      unmetRequirements.add(what);
     }
   }
 
@@ -339,7 +355,7 @@
     lines.add(String.format(Locale.ROOT, "%-34s %.4f", name, value));
   }
 
-  private void save(Path directory) throws IOException {
+  private void saveResult(Path directory) throws IOException {
     ObjectNode result =
         TenantSpecCodec.JSON
             .createObjectNode()
@@ -354,7 +370,7 @@
             .put("fault", fault.name().toLowerCase(Locale.ROOT))
             .put("seed", seed);
     result.set("figures", figures);
-    result.putPOJO("broken", brokenClaims);
+    result.putPOJO("broken", unmetRequirements);
     Files.writeString(
         directory.resolve("result.json"),
         TenantSpecCodec.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(result) + "\n");
--- a/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
+++ b/lab/src/main/java/shelffront/lab/scale/FleetScaleReport.java
@@ -18,19 +18,18 @@
 import picocli.CommandLine.Parameters;
 import shelffront.tenant.TenantSpecCodec;
 
-/** Tables and charts over several kept runs of {@link FleetScale}. */
+/** Writes tables and charts from the saved results of several {@link FleetScale} runs. */
 @Command(
     name = "fleet-scale-report",
     mixinStandardHelpOptions = true,
     description =
-        "Writes summary.md and charts from the result.json of each run in a directory's"
-            + " directories.")
+        "Writes summary.md and charts from the result.json in each subdirectory of a directory.")
 public final class FleetScaleReport implements Callable<Integer> {
 
-  private static final int WIDTH = 800;
-  private static final int HEIGHT = 400;
+  private static final int WIDTH_PIXELS = 800;
+  private static final int HEIGHT_PIXELS = 400;
 
-  /** What the summary's table shows: a heading, the figure's name, and what it is multiplied by. */
+  /** A column of the summary: its heading, the figure that it shows, and a multiplier. */
   private record Column(String heading, String figure, double factor) {}
 
   private static final List<Column> COLUMNS =
@@ -53,36 +52,37 @@
 
   @Override
   public Integer call() throws IOException {
-    List<JsonNode> runs = read();
+    List<JsonNode> runs = readResults();
     List<String> lines =
         new ArrayList<>(
             List.of(
                 "# fleet-scale",
                 "",
-                "Each line is a run; `result.json` beside it has every figure. A gateway's figures"
-                    + " are those of hollow",
-                "ones; of a role whose process was killed in the run they say nothing.",
+                "Each line is a run; the `result.json` of the run has every figure. Figures of a"
+                    + " gateway are those of",
+                "hollow gateways. Usage figures of a role are 0 if one of its processes was killed"
+                    + " during the run.",
                 ""));
     StringBuilder heading = new StringBuilder("| gateways | watching themselves | fault |");
     COLUMNS.forEach(column -> heading.append(' ').append(column.heading()).append(" |"));
     lines.add(heading.toString());
     lines.add("|" + " --- |".repeat(3 + COLUMNS.size()));
-    runs.forEach(run -> lines.add(line(run)));
-    List<JsonNode> calm =
+    runs.forEach(run -> lines.add(formatRow(run)));
+    List<JsonNode> withoutFault =
         runs.stream()
             .filter(
                 run -> run.path("fault").asText().equals("none") && run.path("direct").asInt() == 0)
             .toList();
-    chart(
-        "Engine calls for a change",
+    writeChart(
+        "Engine calls per change",
         "calls",
-        calm,
+        withoutFault,
         List.of("engine_calls_per_change"),
         "engine-calls");
-    chart(
-        "From the write to in force",
+    writeChart(
+        "Time from write to in force",
         "seconds",
-        calm,
+        withoutFault,
         List.of("in_force_median_s", "in_force_p99_s", "in_force_slowest_s"),
         "in-force");
     lines.addAll(List.of("", "![engine calls](engine-calls.svg)", "", "![in force](in-force.svg)"));
@@ -91,7 +91,7 @@
     return 0;
   }
 
-  private List<JsonNode> read() throws IOException {
+  private List<JsonNode> readResults() throws IOException {
     List<JsonNode> runs = new ArrayList<>();
     try (Stream<Path> directories = Files.list(directory)) {
       for (Path each : directories.sorted().toList()) {
@@ -107,7 +107,7 @@
     return runs;
   }
 
-  private static String line(JsonNode run) {
+  private static String formatRow(JsonNode run) {
     StringBuilder line =
         new StringBuilder(
             String.format(
@@ -126,7 +126,7 @@
     return line.toString();
   }
 
-  private void chart(
+  private void writeChart(
       String title, String unit, List<JsonNode> runs, List<String> figures, String name)
       throws IOException {
     if (runs.isEmpty()) {
@@ -134,8 +134,8 @@
     }
     XYChart chart =
         new XYChartBuilder()
-            .width(WIDTH)
-            .height(HEIGHT)
+            .width(WIDTH_PIXELS)
+            .height(HEIGHT_PIXELS)
             .title(title)
             .xAxisTitle("gateways")
             .yAxisTitle(unit)
--- a/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
@@ -37,18 +37,20 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * Many gateways of a fleet in one process, without clients and hosts: the real gateway's code for
- * all that is control. Each follows what its file says and validates what comes. Says when all are
- * current, and reports at its end when what came into force.
+ * Runs the control plane of many gateways in one process, without clients and hosts. Each gateway
+ * uses the production code to subscribe to its configured records and to validate updates. The
+ * process prints a line when all gateways are current, and writes the delays and the versions in
+ * force to the report file at exit.
  */
 @Command(
     name = "hollow-gateways",
     hidden = true,
     mixinStandardHelpOptions = true,
-    description = "The control side of many gateways in one process; fleet-scale starts it.")
+    description =
+        "Runs the control plane of many gateways in one process; fleet-scale starts this command.")
 public final class HollowGateways implements Callable<Integer> {
 
-  private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(10);
+  private static final long MAX_DELAY_MICROS = TimeUnit.MINUTES.toMicros(10);
   private static final int TIMER_THREADS = 4;
 
   @Option(names = "--config", required = true)
@@ -60,34 +62,34 @@
   @Option(names = "--history")
   private Path historyFile;
 
-  private Writer history; // null where none is kept
-  private final Histogram delays = new Histogram(LONGEST_MICROS, 3);
+  private Writer history; // null if not configured
+  private final Histogram delays = new Histogram(MAX_DELAY_MICROS, 3);
   private long steppedBack;
-  private final long startedAt = TrialTenants.nowMicros();
+  private final long startedAtMicros = SyntheticTenants.nowMicros();
 
-  /** A name that a gateway asks for. */
+  /** A record name that a gateway subscribes to. */
   private record Lookup(SubscribedRecords records, String name) {
 
-    /** Whether or not there is such a record. */
-    void awaitAnswer() throws InterruptedException {
+    /** Waits for a response, even if there is no such record; retries failed lookups. */
+    void awaitResponse() throws InterruptedException {
       while (true) {
         try {
           records.lookUp(name).get();
           return;
         } catch (ExecutionException e) {
-          TimeUnit.MILLISECONDS.sleep(20); // nobody could tell in time
+          TimeUnit.MILLISECONDS.sleep(20); // no distributor responded in time
         }
       }
     }
   }
 
-  /** One gateway's table: what is in force, each by its sequence. */
-  private final class Table implements SubscribedRecords.RecordApplier {
+  /** The records in force at one gateway, with the sequence number of each. */
+  private final class RecordTable implements SubscribedRecords.RecordApplier {
 
     private final String gateway;
     private final Map<String, Long> inForce = new HashMap<>();
 
-    private Table(String gateway) {
+    private RecordTable(String gateway) {
       this.gateway = gateway;
     }
 
@@ -98,8 +100,8 @@
       } catch (SpecException e) {
         return e.pointer() + " " + e.getMessage();
       }
-      Long before = inForce.put(record.name(), record.version().sequence());
-      recordDelay(record, before);
+      Long previous = inForce.put(record.name(), record.version().sequence());
+      recordDelay(record, previous);
       appendHistory(gateway, record.name(), record.version());
       return null;
     }
@@ -118,14 +120,14 @@
     }
   }
 
-  /** A line of the history; without a version where the record is in force no longer. */
+  /** Appends a line to the history; a null version means that the record was removed. */
   private synchronized void appendHistory(String gateway, String name, Version version) {
     if (history == null) {
       return;
     }
     try {
       history.write(
-          TrialTenants.nowMicros()
+          SyntheticTenants.nowMicros()
               + " "
               + gateway
               + " "
@@ -138,13 +140,14 @@
     }
   }
 
-  private synchronized void recordDelay(RecordChange record, Long before) {
-    if (before == null) {
-      return; // it comes as the gateway starts, not as a change
+  private synchronized void recordDelay(RecordChange record, Long previous) {
+    if (previous == null) {
+      return; // initial state at startup, not a change
     }
-    steppedBack += before > record.version().sequence() ? 1 : 0;
-    long took = TrialTenants.nowMicros() - TrialTenants.writtenAtMicros(record.document());
-    delays.recordValue(Math.max(0, Math.min(LONGEST_MICROS, took)));
+    steppedBack += previous > record.version().sequence() ? 1 : 0;
+    long delayMicros =
+        SyntheticTenants.nowMicros() - SyntheticTenants.writtenAtMicros(record.document());
+    delays.recordValue(Math.max(0, Math.min(MAX_DELAY_MICROS, delayMicros)));
   }
 
   @Override
@@ -156,21 +159,21 @@
             : Files.newBufferedWriter(
                 historyFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     appendHistory("life", "begins", null);
-    Map<String, Table> tables = new HashMap<>();
+    Map<String, RecordTable> tables = new HashMap<>();
     ScheduledThreadPoolExecutor timer = DistributorProcess.newTimer(TIMER_THREADS, "hollow-timer");
     HttpClient http = SubscribedRecords.httpClient(DistributionTimings.STANDARD);
     List<Lookup> lookups = new ArrayList<>();
     for (JsonNode each : config.path("gateways")) {
       SubscribedRecordsConfig settings =
           SubscribedRecordsConfig.read(each.path("distribution"), "/distribution");
-      Table table = new Table(settings.name());
+      RecordTable table = new RecordTable(settings.name());
       SubscribedRecords records =
           new SubscribedRecords(
               settings,
               table,
               http,
               timer,
-              TrialTenants::nowMicros,
+              SyntheticTenants::nowMicros,
               new Random(settings.name().hashCode()),
               System.out::println);
       tables.put(settings.name(), table);
@@ -179,27 +182,27 @@
       each.path("names").forEach(name -> records.lookUp(name.asText()));
     }
     watchDirectly(config.path("direct"));
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> report(tables)));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> writeReport(tables)));
     for (Lookup lookup : lookups) {
-      lookup.awaitAnswer();
+      lookup.awaitResponse();
     }
     System.out.println(
-        "all current after " + (TrialTenants.nowMicros() - startedAt) / 1000 + " ms");
+        "all current after " + (SyntheticTenants.nowMicros() - startedAtMicros) / 1000 + " ms");
     Thread.currentThread().join();
     return 0;
   }
 
-  /** Gateways that watch the engine themselves, to hold the others against. */
+  /** Starts gateways that watch the coordination store directly, for comparison. */
   private void watchDirectly(JsonNode direct) {
     if (direct.isMissingNode()) {
       return;
     }
     String[] hostAndPort = direct.path("engine").asText().split(":");
-    ConsulCoordinationStore engine =
+    ConsulCoordinationStore coordinationStore =
         new ConsulCoordinationStore(
             hostAndPort[0], Integer.parseInt(hostAndPort[1]), Duration.ofMillis(1500));
     for (int i = 0; i < direct.path("count").asInt(); i++) {
-      ChangeStore store = new ChangeStore(engine, direct.path("fleet").asText());
+      ChangeStore store = new ChangeStore(coordinationStore, direct.path("fleet").asText());
       Thread thread = new Thread(null, () -> watch(store), "direct-" + i, 256 << 10);
       thread.setDaemon(true);
       thread.start();
@@ -218,11 +221,11 @@
         }
       }
     } catch (OperatorException e) {
-      System.out.println("direct watch has ended: " + e.getMessage());
+      System.out.println("direct watch of the coordination store stopped: " + e.getMessage());
     }
   }
 
-  private synchronized void report(Map<String, Table> tables) {
+  private synchronized void writeReport(Map<String, RecordTable> tables) {
     ObjectNode report =
         TenantSpecCodec.JSON
             .createObjectNode()
@@ -245,7 +248,7 @@
     try {
       Files.writeString(reportFile, report.toString());
     } catch (IOException e) {
-      System.out.println("no report: " + e);
+      System.out.println("cannot write the report to " + reportFile + ": " + e);
     }
   }
 }
--- a/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
+++ b/lab/src/test/java/shelffront/lab/scale/ScaledFleetTest.java
@@ -19,14 +19,14 @@
 import shelffront.lab.scale.DistributionHistoryChecker.Cut;
 import shelffront.tenant.TenantSpecCodec;
 
-/** A fleet of processes, small; and that what judges one can say no. */
+/** Runs a small fleet of processes, and verifies that the history checker detects violations. */
 class ScaledFleetTest {
 
-  private static final long SECOND = 1_000_000;
-  private static final long BOUND = 14 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long BOUND_MICROS = 14 * SECOND_MICROS;
 
   @Test
-  void keepsEveryClaimWithHundredGateways() {
+  void meetsEveryRequirementWithHundredGateways() {
     assertEquals(
         0,
         new CommandLine(new FleetScale())
@@ -50,14 +50,14 @@
   }
 
   @Test
-  void keepsHistoriesConsistentUnderDrawnFaults() {
+  void keepsHistoriesConsistentUnderRandomFaults() {
     assertEquals(
         0,
         new CommandLine(new DistributionExplore())
             .execute("--seeds", "1", "--from", "1", "--steps", "2"));
   }
 
-  /** The administration of one gateway, the clients of another. */
+  /** Administers a tenant at one gateway while clients connect to another. */
   @Test
   void servesTenantThatAnotherGatewayAdministers(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 5, 3, 1, 1, 2, 0, 1);
@@ -66,27 +66,30 @@
       String other = fleet.clientAddress(1);
       assertFalse(ClientProbe.isServed(other, "new"));
       ScaledFleet.await(
-          "both administrations have reached the engine",
-          () -> reachesEngine(fleet, 0) && reachesEngine(fleet, 1));
-      String document = TrialTenants.document("new", 1).toString();
-      HttpResponse<String> made = fleet.administer(0, "POST", "/v1/tenants", 0, document);
-      assertEquals(201, made.statusCode(), made.body());
-      ScaledFleet.await("its clients are served", () -> ClientProbe.isServed(other, "new"));
-      long revision = TenantSpecCodec.JSON.readTree(made.body()).path("revision").asLong();
+          "the administration APIs of both gateways have reached the coordination store",
+          () -> reachesStore(fleet, 0) && reachesStore(fleet, 1));
+      String document = SyntheticTenants.document("new", 1).toString();
+      HttpResponse<String> created = fleet.administer(0, "POST", "/v1/tenants", 0, document);
+      assertEquals(201, created.statusCode(), created.body());
+      ScaledFleet.await(
+          "clients of the new tenant are served", () -> ClientProbe.isServed(other, "new"));
+      long revision = TenantSpecCodec.JSON.readTree(created.body()).path("revision").asLong();
       assertEquals(
           412, fleet.administer(1, "PUT", "/v1/tenants/new", revision - 1, document).statusCode());
       HttpResponse<String> changed =
           fleet.administer(1, "PUT", "/v1/tenants/new", revision, document);
       assertEquals(200, changed.statusCode(), changed.body());
       ScaledFleet.await(
-          "the change is in force where it was made", () -> inForce(fleet, revision + 1));
+          "the change is in force at the gateway that accepted it",
+          () -> inForce(fleet, revision + 1));
       assertEquals(
           202, fleet.administer(0, "DELETE", "/v1/tenants/new", revision + 1, "").statusCode());
-      ScaledFleet.await("its clients are refused", () -> !ClientProbe.isServed(other, "new"));
+      ScaledFleet.await(
+          "clients of the deleted tenant are rejected", () -> !ClientProbe.isServed(other, "new"));
     }
   }
 
-  private static boolean reachesEngine(ScaledFleet fleet, int gateway) {
+  private static boolean reachesStore(ScaledFleet fleet, int gateway) {
     try {
       return fleet.administer(gateway, "GET", "/v1/tenants/common", 0, "").statusCode() == 200;
     } catch (IOException | InterruptedException e) {
@@ -105,11 +108,14 @@
     }
   }
 
-  /** It was given up as silent after 2.1 s, and begun anew, for ever. */
+  /**
+   * Guards against a snapshot that never completes: a transfer longer than the silence timeout of
+   * 2.1 s was aborted and restarted each time.
+   */
   @Test
   void deliversSnapshotSlowerThanSilenceTimeout(@TempDir Path directory) throws Exception {
     ScaledFleet.Size size = new ScaledFleet.Size(1, 2500, 3, 1, 1, 0, 0, 1);
-    List<FaultProxy> relays = new ArrayList<>();
+    List<FaultProxy> proxies = new ArrayList<>();
     ScaledFleet.AddressTranslator slow =
         (from, target, address) -> {
           if (!target.startsWith("r")) {
@@ -119,44 +125,52 @@
           FaultProxy proxy =
               new FaultProxy(
                   new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
-          proxy.slow(20, 16 << 10); // 0.8 MB a second, for 2.4 MB
-          relays.add(proxy);
+          proxy.slow(20, 16 << 10); // 0.8 MB/s for a snapshot of 2.4 MB
+          proxies.add(proxy);
           return proxy.address();
         };
     try (ScaledFleet fleet = new ScaledFleet(directory, size, slow, false)) {
       fleet.start();
-      assertEquals(1, fleet.endHollow().size());
+      assertEquals(1, fleet.terminateHollowGateways().size());
     } finally {
-      for (FaultProxy proxy : relays) {
+      for (FaultProxy proxy : proxies) {
         proxy.close();
       }
     }
   }
 
-  private static List<String> judged(List<Cut> cuts, List<Acknowledged> changes, String... lines) {
+  private static List<String> violations(
+      List<Cut> cuts, List<Acknowledged> changes, String... lines) {
     DistributionHistoryChecker histories = new DistributionHistoryChecker();
     histories.add("z0", List.of(lines));
-    histories.check("n", List.of("g"), changes, cuts, BOUND);
-    return histories.broken();
+    histories.check("n", List.of("g"), changes, cuts, BOUND_MICROS);
+    return histories.violations();
   }
 
-  private static Acknowledged change(long sequence, long atMicros) {
-    return new Acknowledged("n", new Version(1, sequence), false, atMicros);
+  private static Acknowledged change(long sequence, long acknowledgedAt) {
+    return new Acknowledged("n", new Version(1, sequence), false, acknowledgedAt);
   }
 
   @Test
   void detectsLateLostAndSteppedBackChanges() {
-    List<Acknowledged> changes = List.of(change(1, SECOND), change(2, 2 * SECOND));
-    assertEquals(List.of(), judged(List.of(), changes, "1100000 g n 1 1", "2100000 g n 1 2"));
+    List<Acknowledged> changes = List.of(change(1, SECOND_MICROS), change(2, 2 * SECOND_MICROS));
+    assertEquals(List.of(), violations(List.of(), changes, "1100000 g n 1 1", "2100000 g n 1 2"));
     assertEquals(
-        List.of(), judged(List.of(), changes, "2100000 g n 1 2"), "the later one stands for both");
-    assertFalse(judged(List.of(), changes, "1100000 g n 1 1").isEmpty(), "the second was lost");
+        List.of(),
+        violations(List.of(), changes, "2100000 g n 1 2"),
+        "the later change covers both");
     assertFalse(
-        judged(List.of(), changes, "1100000 g n 1 1", "17000000 g n 1 2").isEmpty(), "it was late");
-    assertTrue(judged(List.of(), changes, "1 g n 1 2", "2 g n 1 1").get(0).startsWith("step back"));
+        violations(List.of(), changes, "1100000 g n 1 1").isEmpty(), "the second change was lost");
+    assertFalse(
+        violations(List.of(), changes, "1100000 g n 1 1", "17000000 g n 1 2").isEmpty(),
+        "the second change was late");
+    assertTrue(
+        violations(List.of(), changes, "1 g n 1 2", "2 g n 1 1")
+            .get(0)
+            .startsWith("version regression"));
     assertEquals(
         List.of(),
-        judged(
+        violations(
             List.of(),
             changes,
             "1 life begins",
@@ -164,26 +178,31 @@
             "6 life begins",
             "7 g n 1 1",
             "8 g n 1 2"),
-        "another life begins with what was kept");
+        "a restarted process begins with its saved state");
   }
 
   @Test
   void extendsBoundByCutForItsZoneAlone() {
-    List<Acknowledged> changes = List.of(change(1, SECOND));
-    Cut own = new Cut("z0", SECOND / 2, 20 * SECOND);
-    Cut other = new Cut("z1", SECOND / 2, 20 * SECOND);
-    assertEquals(List.of(), judged(List.of(own), changes, "33000000 g n 1 1"));
-    assertFalse(judged(List.of(own), changes, "35000000 g n 1 1").isEmpty());
-    assertFalse(judged(List.of(other), changes, "33000000 g n 1 1").isEmpty());
+    List<Acknowledged> changes = List.of(change(1, SECOND_MICROS));
+    Cut own = new Cut("z0", SECOND_MICROS / 2, 20 * SECOND_MICROS);
+    Cut other = new Cut("z1", SECOND_MICROS / 2, 20 * SECOND_MICROS);
+    assertEquals(List.of(), violations(List.of(own), changes, "33000000 g n 1 1"));
+    assertFalse(violations(List.of(own), changes, "35000000 g n 1 1").isEmpty());
+    assertFalse(violations(List.of(other), changes, "33000000 g n 1 1").isEmpty());
   }
 
   @Test
-  void requiresRemovedRecordsToGo() {
-    Acknowledged removal = new Acknowledged("n", new Version(1, 2), true, 2 * SECOND);
+  void detectsRemovedRecordThatStaysInForce() {
+    Acknowledged removal = new Acknowledged("n", new Version(1, 2), true, 2 * SECOND_MICROS);
     assertEquals(
         List.of(),
-        judged(List.of(), List.of(change(1, SECOND), removal), "1100000 g n 1 1", "2100000 g n"));
+        violations(
+            List.of(),
+            List.of(change(1, SECOND_MICROS), removal),
+            "1100000 g n 1 1",
+            "2100000 g n"));
     assertFalse(
-        judged(List.of(), List.of(change(1, SECOND), removal), "1100000 g n 1 1").isEmpty());
+        violations(List.of(), List.of(change(1, SECOND_MICROS), removal), "1100000 g n 1 1")
+            .isEmpty());
   }
 }
