--- a/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
+++ b/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
@@ -5,15 +5,16 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * When requests are due, set beforehand whatever becomes of them: evenly, by chance (Poisson), in
- * waves, or in bursts, as when a gate changes and a terminal wakes at once. Times are microseconds
- * from the start; no clock.
+ * Due times of open-loop requests, which do not depend on how earlier requests end. The arrival
+ * process is uniform, Poisson, Poisson with a sinusoidal rate, or Poisson with bursts, as when a
+ * gate change makes many clients send requests at once. Times are microseconds from the start; the
+ * schedule reads no clock. Not thread-safe.
  */
 public final class ArrivalSchedule {
 
   /**
-   * How they come. Waves swing by eight tenths over ten seconds; a burst is a tenth of a second
-   * each two.
+   * The arrival process. The rate of {@code WAVES} varies by ±80 % of the mean with a period of 10
+   * s; {@code BURSTS} has a burst of 100 ms every 2 s.
    */
   public enum Pattern {
     EVEN,
@@ -21,7 +22,11 @@
     WAVES,
     BURSTS;
 
-    /** By its name in small letters. */
+    /**
+     * Returns the pattern of this name, ignoring case.
+     *
+     * @throws IllegalArgumentException if no pattern has this name
+     */
     public static Pattern of(String name) {
       return valueOf(name.toUpperCase(Locale.ROOT));
     }
@@ -31,7 +36,7 @@
   private static final double SWING = 0.8;
   private static final double BURST_PERIOD_MICROS = 2e6;
   private static final double BURST_MICROS = 0.1e6;
-  private static final double BURST_FRACTION = 0.5; // of all requests come in bursts
+  private static final double BURST_FRACTION = 0.5; // of all requests are due in bursts
 
   private final Pattern pattern;
   private final double perSecond;
@@ -44,15 +49,15 @@
     gaps = ZigguratSampler.Exponential.of(random);
   }
 
-  /** When the next one is due; never before the one before it. */
+  /** Returns the due time of the next request; due times never decrease. */
   public long nextMicros() {
     double rate = perSecond / 1e6;
     switch (pattern) {
       case EVEN -> atMicros += 1 / rate;
       case POISSON -> atMicros += gaps.sample() / rate;
       default -> {
-        // A Poisson process whose rate changes: one draw of unit mean, used up as the rate's
-        // integral grows.
+        // Inhomogeneous Poisson process: the next arrival is where the integral of the rate since
+        // the previous one reaches an exponential sample of mean 1.
         double left = gaps.sample();
         while (left > 0) {
           double now = rateFactor(atMicros) * rate;
@@ -70,7 +75,7 @@
     return (long) atMicros;
   }
 
-  /** How many times the mean rate it is at a time. */
+  /** Returns the rate at a time as a multiple of the mean rate. */
   double rateFactor(double time) {
     if (pattern == Pattern.WAVES) {
       return 1 + SWING * Math.sin(2 * Math.PI * time / WAVE_MICROS);
@@ -81,7 +86,7 @@
         : (1 - BURST_FRACTION) * BURST_PERIOD_MICROS / (BURST_PERIOD_MICROS - BURST_MICROS);
   }
 
-  /** The end of the stretch of time, from one on, in which the rate is taken as the same. */
+  /** Returns the end of the interval around a time in which the rate is treated as constant. */
   private double stretchEndMicros(double time) {
     if (pattern == Pattern.WAVES) {
       return (Math.floor(time / 1e4) + 1) * 1e4;
--- a/lab/src/main/java/shelffront/lab/load/ClientBehavior.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientBehavior.java
@@ -1,16 +1,19 @@
 package shelffront.lab.load;
 
 /**
- * What clients are like beside what they ask.
+ * How the clients of a load behave, apart from the kinds of requests that they send.
  *
- * @param arrivals how requests come
- * @param sessions among which requests are spread
- * @param sessionSkew 1 for evenly, more for some that are much busier than others
- * @param readBackFraction part of the served writes that are read soon after, by the first kind
- *     that reads
- * @param retries how often one that was refused comes back, when it was told to
- * @param reconnectFraction part of the answers after which a client leaves and connects anew
- * @param hangUpFraction part of the requests whose client leaves before the answer
+ * @param arrivals arrival process of the requests
+ * @param sessions number of sessions that the requests are distributed over
+ * @param sessionSkew exponent of the distribution over sessions: 1 is uniform, larger values
+ *     concentrate the requests on fewer sessions
+ * @param readBackFraction fraction of the served writes whose session is read shortly afterwards,
+ *     with the first read-only kind
+ * @param retries maximum number of retries of a rejected request, each after its Retry-After and at
+ *     least 50 ms
+ * @param reconnectFraction fraction of the responses after which the client closes its connection
+ *     and opens a new one
+ * @param hangUpFraction fraction of the requests whose client may disconnect before the response
  */
 public record ClientBehavior(
     ArrivalSchedule.Pattern arrivals,
@@ -23,7 +26,7 @@
 
   private static final int PLAIN_SESSIONS = 997;
 
-  /** Even arrivals of clients that ask once and wait. */
+  /** Uniform arrivals; clients never retry, reconnect or disconnect early. */
   public static final ClientBehavior PLAIN =
       new ClientBehavior(ArrivalSchedule.Pattern.EVEN, PLAIN_SESSIONS, 1, 0, 0, 0, 0);
 }
--- a/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
@@ -10,21 +10,26 @@
 import shelffront.pg.ProtocolException;
 
 /**
- * A client's connection: one request at a time, whose answer it waits for until its time is up.
+ * A client connection to a gateway. It has at most one request in flight, and resets the connection
+ * if the response does not arrive by the time the caller gives. Used on the transport's thread
+ * only.
  *
- * @param <R> what stands for a request with those whose connection it is
+ * @param <R> the listener's representation of a request
  */
 public final class ClientConnectionHandler<R> extends ConnectionHandler {
 
-  /** Whose connection it is. */
+  /** Receives the events of a connection, on the transport's thread. */
   public interface Listener<R> {
 
-    /** It has been let in. */
+    /** The gateway has accepted the startup; the connection is ready for queries. */
     default void ready(ClientConnectionHandler<R> connection) {}
 
     /**
-     * An answer: a code where it is an error, the value else; when it was told to come back, in
-     * microseconds.
+     * A response has arrived.
+     *
+     * @param value the returned value; may be null if the response is an error
+     * @param code the SQLSTATE of an error response, else null
+     * @param retryAfter Retry-After of an error response in microseconds, or 0
      */
     void answered(
         ClientConnectionHandler<R> connection,
@@ -33,13 +38,18 @@
         String code,
         long retryAfter);
 
-    /** Its time is up and nothing has come; the connection was given up. */
+    /** No response arrived in time; the connection has been reset. */
     void timedOut(ClientConnectionHandler<R> connection, R request);
 
-    /** The connection has ended, with a request open or null. */
+    /**
+     * The connection has ended.
+     *
+     * @param request the request in flight, or null
+     * @param reset whether the connection was reset rather than closed
+     */
     void disconnected(ClientConnectionHandler<R> connection, R request, boolean reset);
 
-    /** What no gateway may send. */
+    /** The gateway sent something that violates the protocol. */
     void malformedResponse(String why);
   }
 
@@ -56,7 +66,7 @@
   private boolean ready;
   private boolean expectsNoAnswer;
 
-  /** Connects as a user to a database; the password is null where none is to be asked for. */
+  /** Connects as a user to a database; the password is null if the gateway requests none. */
   public ClientConnectionHandler(
       Transport transport,
       InetSocketAddress gateway,
@@ -80,17 +90,22 @@
     return database;
   }
 
-  /** Whether it has been let in. */
+  /** Returns whether the gateway has accepted the startup. */
   public boolean isReady() {
     return ready;
   }
 
-  /** What it waits for, or null. */
+  /** Returns the request in flight, or null. */
   public R currentRequest() {
     return currentRequest;
   }
 
-  /** Sends a request; it may go right behind the startup. */
+  /**
+   * Sends a request, which may directly follow the startup message.
+   *
+   * @param giveUpAt time on the transport's clock at which the connection is reset if there is no
+   *     response, in microseconds
+   */
   public void send(R request, byte[] statement, long giveUpAt) {
     currentRequest = request;
     value = null;
@@ -110,7 +125,7 @@
             });
   }
 
-  /** Hangs up, whatever it waits for: nobody waits for that any more. */
+  /** Closes the connection and abandons the request in flight, if any, without an event for it. */
   public void hangUp() {
     currentRequest = null;
     close();
@@ -123,7 +138,8 @@
         handle(message);
       }
     } catch (ProtocolException e) {
-      listener.malformedResponse("a client was sent what it can't read: " + e.getMessage());
+      listener.malformedResponse(
+          "a client cannot parse a message of the gateway: " + e.getMessage());
       reset();
       ended(true);
     }
@@ -147,7 +163,7 @@
         retryAfterMicros = fields.containsKey('D') ? Long.parseLong(fields.get('D')) * 1000 : 0;
         if ("FATAL".equals(fields.get('S'))) {
           if (currentRequest == null) {
-            code = null; // a word before the end, to nobody's question
+            code = null; // announces the end of the connection; there is no request to fail
           }
           finishAnswer();
         }
@@ -172,7 +188,7 @@
     currentRequest = null;
     if (done == null) {
       if (!expectsNoAnswer) {
-        listener.malformedResponse("an answer to nothing: " + value + code);
+        listener.malformedResponse("response without a request: value " + value + ", code " + code);
       }
       return;
     }
@@ -183,7 +199,7 @@
     listener.answered(this, done, got, error, retryAfterMicros);
   }
 
-  /** What it is told from now on is no answer to anything. */
+  /** Ignores responses without a request from now on instead of reporting them as malformed. */
   public void expectNoAnswer() {
     expectsNoAnswer = true;
   }
@@ -195,15 +211,17 @@
     listener.disconnected(this, lost, reset);
   }
 
-  /** The statement of a request, as clients write it. */
+  /** Returns the statement of a request, without a required position. */
   public static byte[] statement(
       String id, String type, long waitMs, String key, int set, String session, boolean write) {
     return statement(id, type, waitMs, key, set, session, write, 0);
   }
 
   /**
-   * The same with the position of the session's last write, in microseconds, rounded up; 0 where
-   * none is carried.
+   * Returns the statement of a request.
+   *
+   * @param after position of the session's last write in microseconds, which the statement carries
+   *     rounded up to milliseconds; 0 for a statement without a required position
    */
   public static byte[] statement(
       String id,
--- a/lab/src/main/java/shelffront/lab/load/LoadResult.java
+++ b/lab/src/main/java/shelffront/lab/load/LoadResult.java
@@ -6,14 +6,15 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What became of a load. */
+/** Outcomes and latencies of a load. Written on the transport's thread while the load runs. */
 public final class LoadResult {
 
   private static final long LONGEST_LATENCY_MICROS = 60_000_000;
   private static final int LATENCY_DIGITS = 3;
 
   /**
-   * Value that was due, and served on time, in one window of {@link OpenLoopLoad#WINDOW_MICROS}.
+   * Priority weight of the requests due, and of those served on time, in one window of {@link
+   * OpenLoopLoad#WINDOW_MICROS}. A request counts in the window of its due time.
    */
   public static final class Window {
 
@@ -33,23 +34,26 @@
   public final Map<String, RequestOutcomes> byKind = new LinkedHashMap<>();
   public final List<Window> windows = new ArrayList<>();
 
-  /** From when a request was due to the end of an answer that served. */
+  /** Time from when a request was due to the end of its successful response. */
   public final Histogram latencyMicros = new Histogram(LONGEST_LATENCY_MICROS, LATENCY_DIGITS);
 
-  /** From when a request was due until the load came to it: how far the tool lagged behind. */
+  /** Time from when a request was due until the load generator handled it: the generator's lag. */
   public final Histogram lagMicros = new Histogram(LONGEST_LATENCY_MICROS, LATENCY_DIGITS);
 
-  /** Requests that waited because every connection was busy. */
+  /** Number of requests that waited because every connection was busy. */
   public long waitedCount;
 
-  /** Responses with another's value, to nothing, or unreadable. */
+  /**
+   * Descriptions of responses that carry the value of another request, belong to no request or
+   * cannot be parsed.
+   */
   public final List<String> malformedResponses = new ArrayList<>();
 
   public double servedValueFraction() {
     return total.servedValueFraction();
   }
 
-  /** The least part of the value due that was served in a window. */
+  /** Returns the smallest fraction of the due value that was served on time in any window. */
   public double worstWindow() {
     return windows.stream()
         .filter(window -> window.due > 0)
@@ -58,7 +62,7 @@
         .orElse(1);
   }
 
-  /** The least part of the value due that was served of a kind. */
+  /** Returns the smallest fraction of the due value that was served on time of any kind. */
   public double worstKind() {
     return byKind.values().stream()
         .mapToDouble(RequestOutcomes::servedValueFraction)
--- a/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
+++ b/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
@@ -14,14 +14,15 @@
 import shelffront.lab.transport.Transport;
 
 /**
- * Open-loop load on a gateway, on sockets or on the virtual network: requests are due at times set
- * beforehand, whatever became of those before, and a request's time counts from when it was due
- * (Tene, "How not to measure latency"). So many connections carry it; where all are busy a request
- * waits, and that counts too.
+ * Open-loop load on a gateway, over sockets or the virtual network. Due times are fixed in advance
+ * and do not depend on the outcome of earlier requests; latency counts from the due time, so that a
+ * stalled gateway is not measured less often (Tene, "How not to measure latency"). The number of
+ * connections is fixed; a request that finds all of them busy waits, and its wait counts as
+ * latency. Runs on the transport's thread.
  */
 public final class OpenLoopLoad implements ClientConnectionHandler.Listener<OpenLoopLoad.Request> {
 
-  /** One request under way. */
+  /** A request of the load, with the number of times it was sent. */
   public static final class Request {
 
     private final RequestKind kind;
@@ -38,7 +39,7 @@
     }
   }
 
-  /** Microseconds of a window in which worth is counted. */
+  /** Length of a window in which due and served value are counted, in microseconds. */
   public static final long WINDOW_MICROS = 250_000;
 
   private static final long MICROS_PER_MILLI = 1_000;
@@ -74,8 +75,11 @@
   private long openRequests;
 
   /**
-   * Kinds at least one; the password is null where none is asked for. Everything drawn follows from
-   * the seed.
+   * Creates a load that {@link #start} starts.
+   *
+   * @param password null if the gateway requests none
+   * @param kinds at least one
+   * @param seed determines all random choices
    */
   public OpenLoopLoad(
       Transport transport,
@@ -100,8 +104,10 @@
   }
 
   /**
-   * Runs on sockets for so long and ends by itself; what is due then has had its answer or its
-   * time.
+   * Runs a load over sockets and waits until each request that was due has ended, with a response
+   * or with its deadline.
+   *
+   * @param seconds time in which requests become due
    */
   public static LoadResult run(
       InetSocketAddress gateway,
@@ -133,7 +139,10 @@
   }
 
   /**
-   * Connects, then plays for so many microseconds; told once every request that was due has ended.
+   * Connects, then runs the load.
+   *
+   * @param length time in which requests become due, in microseconds
+   * @param whenOver runs once when every request that was due has ended
    */
   public void start(long length, Runnable whenOver) {
     this.onEnd = whenOver;
@@ -141,7 +150,8 @@
     for (int i = 0; i < maxConnections; i++) {
       connect();
     }
-    // What connecting costs is not what is measured here: the clock starts once all had their try.
+    // Connection setup is not measured: the load starts once all connections are ready, at the
+    // latest after CONNECT_MICROS.
     long latest = transport.clock().nowMicros() + CONNECT_MICROS;
     transport.clock().at(latest, () -> begin(length));
     awaitConnections(length);
@@ -215,7 +225,7 @@
     send(request);
   }
 
-  /** Counts a request as due, or, with -1, as not due after all. */
+  /** Counts a request as due, or with sign -1 reverts that count. */
   private void countDue(Request request, int sign) {
     for (RequestOutcomes outcomes : outcomesOf(request)) {
       outcomes.due += sign;
@@ -271,7 +281,7 @@
     }
   }
 
-  /** Every connection is busy: the request waits for one. */
+  /** Queues a request until a connection is free; a request that finds the queue full ends. */
   private void await(Request request) {
     result.waitedCount++;
     if (waitingRequests.size() >= MAX_WAITING) {
@@ -336,7 +346,7 @@
     if (code != null) {
       failed(request, code, retryAfter);
     } else if (value == null || !value.startsWith(request.id)) {
-      malformedResponse(request.id + " was answered with " + value);
+      malformedResponse(request.id + " got the value " + value + ", expected one of its own");
       finish(request, outcomes -> outcomes.failed++);
     } else {
       served(request);
@@ -439,7 +449,7 @@
       return;
     }
     ended = true;
-    // What no connection came to in its time has had no answer.
+    // Requests that never got a connection end without a response.
     for (Request request = waitingRequests.poll();
         request != null;
         request = waitingRequests.poll()) {
--- a/lab/src/main/java/shelffront/lab/load/RequestKind.java
+++ b/lab/src/main/java/shelffront/lab/load/RequestKind.java
@@ -1,12 +1,12 @@
 package shelffront.lab.load;
 
 /**
- * A class of requests.
+ * A request class as the load generator sends it.
  *
- * @param latencyObjectiveMillis after which an answer is late
- * @param deadlineMillis after which it is worth nothing and its client has gone
- * @param share of the requests, beside the other kinds' shares
- * @param priorityWeight of an answer on time
+ * @param latencyObjectiveMillis time after which a response is late
+ * @param deadlineMillis time after which the client no longer waits for the response
+ * @param share share of the requests, relative to the shares of the other kinds
+ * @param priorityWeight value of a timely response
  */
 public record RequestKind(
     String name,
@@ -16,7 +16,7 @@
     double share,
     double priorityWeight) {
 
-  /** One whose answers all have the same value. */
+  /** Creates a kind with share 1 and priority weight 1. */
   public RequestKind(String name, boolean write, int latencyObjectiveMillis, int deadlineMillis) {
     this(name, write, latencyObjectiveMillis, deadlineMillis, 1, 1);
   }
--- a/lab/src/main/java/shelffront/lab/load/RequestOutcomes.java
+++ b/lab/src/main/java/shelffront/lab/load/RequestOutcomes.java
@@ -1,8 +1,8 @@
 package shelffront.lab.load;
 
 /**
- * What became of the requests of a kind, or of all. Each that was due ends as exactly one of the
- * others.
+ * Counts of the outcomes of the requests of one kind, or of all kinds. Each request counted in
+ * {@code due} ends as exactly one of on time, late, rejected, failed and unanswered.
  */
 public final class RequestOutcomes {
 
@@ -12,16 +12,16 @@
   public long rejected;
   public long failed;
 
-  /** No answer, or a connection that ended without one. */
+  /** Requests without a response: deadline passed, connection ended, or request queue full. */
   public long unanswered;
 
-  /** Its client left by itself; not part of what was due. */
+  /** Requests whose client disconnected on its own; these are not counted in {@code due}. */
   public long hungUp;
 
   double valueDue;
   double valueServed;
 
-  /** Value of what was answered on time over value of what was due. */
+  /** Returns the value of the timely responses divided by the value due; 1 if none was due. */
   public double servedValueFraction() {
     return valueDue == 0 ? 1 : valueServed / valueDue;
   }
--- a/lab/src/main/java/shelffront/lab/load/TransparentProxy.java
+++ b/lab/src/main/java/shelffront/lab/load/TransparentProxy.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A relay that does nothing: each connection is copied to one host and back, on the same NIO.2
- * channels and with as many threads as the gateway's completions have. What the gateway costs is
- * told as a ratio to it.
+ * A proxy that copies bytes between each client connection and one host, without parsing them. It
+ * uses the same NIO.2 channels, and as many threads, as the completion group of the gateway, and
+ * serves as the baseline that the gateway's cost is compared with.
  */
 public final class TransparentProxy implements AutoCloseable {
 
@@ -26,7 +26,7 @@
   private final InetSocketAddress to;
   private final Set<AsynchronousSocketChannel> open = ConcurrentHashMap.newKeySet();
 
-  /** Listens on loopback, on any port. */
+  /** Listens on a free loopback port and forwards to an address. */
   public TransparentProxy(InetSocketAddress address) throws IOException {
     this.to = address;
     group =
@@ -47,7 +47,7 @@
     return (InetSocketAddress) listener.getLocalAddress();
   }
 
-  /** What a handler does with a result, which is null where the operation failed. */
+  /** Handles the result of an operation, which is null if the operation failed. */
   private interface Then<T> {
 
     void take(T result, boolean failed) throws IOException;
