--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -17,7 +17,7 @@
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
 
-/** The load by itself, on the virtual network, before a server that does as it is told. */
+/** Tests the load generator on the virtual network against a scripted server. */
 class OpenLoopLoadTest {
 
   private static final long SECOND = 1_000_000;
@@ -32,7 +32,7 @@
   private long serverTakes = 2_000;
   private String code;
 
-  /** Takes each query for a while, then answers with its id, or the error that is set. */
+  /** Responds to each query after a delay with the id of the request, or with the error set. */
   private final class Server extends ConnectionHandler {
 
     private boolean started;
@@ -102,12 +102,12 @@
       clock.advanceTo(clock.nextMicros());
       clock.runNext();
     }
-    assertTrue(over[0], "it never ended");
+    assertTrue(over[0], "the load did not end");
     RequestOutcomes all = load.result().total;
     assertEquals(
         all.due,
         all.onTime + all.late + all.rejected + all.failed + all.unanswered,
-        "each has one end");
+        "each due request has exactly one outcome");
     assertEquals(List.of(), load.result().malformedResponses);
     return load.result();
   }
@@ -119,13 +119,13 @@
 
   @ParameterizedTest
   @EnumSource(ArrivalSchedule.Pattern.class)
-  void keepsMeanRateAndOrderOfEveryPattern(ArrivalSchedule.Pattern pattern) {
+  void everyPatternHasMeanRateAndAscendingTimes(ArrivalSchedule.Pattern pattern) {
     ArrivalSchedule arrivals =
         new ArrivalSchedule(pattern, 500, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
     long last = 0;
     int count = 0;
     for (long at = arrivals.nextMicros(); at < 40 * SECOND; at = arrivals.nextMicros()) {
-      assertTrue(at >= last);
+      assertTrue(at >= last, at + " us is due after " + last + " us");
       last = at;
       count++;
     }
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void bringsHalfOfRequestsInBursts() {
+  void halfOfRequestsAreDueInBursts() {
     ArrivalSchedule arrivals =
         new ArrivalSchedule(
             ArrivalSchedule.Pattern.BURSTS, 1000, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
@@ -147,26 +147,31 @@
   }
 
   @Test
-  void servesAllWithinCapacityWhateverClientsDo() {
+  void servesLoadWithinCapacityWhenClientsReconnectAndDisconnect() {
     LoadResult result = play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
     assertTrue(
         result.total.due > 1_000 && result.total.hungUp > 10,
-        result.total.due + " due, " + result.total.hungUp + " hung up");
-    assertTrue(result.servedValueFraction() > 0.98, "worth kept " + result.servedValueFraction());
-    assertEquals(0, result.lagMicros.getMaxValue(), "virtual time is never late");
+        result.total.due + " due, " + result.total.hungUp + " disconnected by their clients");
+    assertTrue(
+        result.servedValueFraction() > 0.98,
+        "served value fraction " + result.servedValueFraction());
+    assertEquals(
+        0, result.lagMicros.getMaxValue(), "the load generator has no lag in virtual time");
   }
 
   /**
-   * Twice what the connections can carry: time counts from when a request was due, so most are late
-   * or lost.
+   * The load is twice the capacity of the connections. Latency counts from the due time, so most
+   * requests are late or unanswered.
    */
   @Test
   void countsWaitForConnectionAsLatency() {
     serverTakes = 20_000;
     LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
-    assertTrue(result.waitedCount > 500, "waited " + result.waitedCount);
-    assertTrue(result.servedValueFraction() < 0.5, "worth kept " + result.servedValueFraction());
-    assertTrue(result.total.unanswered > 100, "unanswered " + result.total.unanswered);
+    assertTrue(result.waitedCount > 500, "requests that waited: " + result.waitedCount);
+    assertTrue(
+        result.servedValueFraction() < 0.5,
+        "served value fraction " + result.servedValueFraction());
+    assertTrue(result.total.unanswered > 100, "unanswered requests: " + result.total.unanswered);
     assertTrue(result.worstWindow() == 0 && result.worstKind() <= result.servedValueFraction());
   }
 
