--- a/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
+++ b/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
@@ -5,24 +5,24 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Intervals by resampling (Efron, 1979): 95 % of the means of samples drawn with replacement. The
- * seed is fixed.
+ * Bootstrap confidence intervals (Efron, 1979): the interval covers 95 % of the means of samples
+ * drawn with replacement. The seed is fixed, so the same figures give the same interval.
  */
 final class BootstrapInterval {
 
   private static final int SAMPLES = 2_000;
 
-  /** A mean and where it lies. */
+  /** A mean, or a difference of means, with the bounds of its 95 % interval. */
   record Interval(double low, double mean, double high) {}
 
   private BootstrapInterval() {}
 
-  /** Of the mean of some figures, at least one. */
+  /** Returns the interval of the mean of at least one figure. */
   static Interval mean(double[] figures) {
     return interval(figures, new double[] {0});
   }
 
-  /** Of the difference of two means. */
+  /** Returns the interval of the mean of the first figures minus the mean of the second. */
   static Interval difference(double[] first, double[] second) {
     return interval(first, second);
   }
--- a/lab/src/main/java/shelffront/lab/experiment/Charts.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Charts.java
@@ -12,13 +12,13 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * The charts of an experiment, whatever carried it: worth over time with the faults marked, latency
- * by percentile.
+ * The charts of an experiment, on sockets or in virtual time: served value over time with the
+ * faults marked, and latency by percentile.
  */
 final class Charts {
 
   private final XYChart worth =
-      chart("Worth answered within its aim, over time", "second", "part of what was asked");
+      chart("Value served within the latency objective", "second", "fraction of the value due");
   private final XYChart latency =
       chart("Latency of served requests", "percentile (number of nines)", "ms");
 
@@ -37,8 +37,12 @@
   }
 
   /**
-   * A line of each chart: worth wanted and kept in windows of so many microseconds, and the served
-   * ones' latency.
+   * Adds a line to each chart.
+   *
+   * @param window length of a window in microseconds
+   * @param wanted value of the requests due in each window
+   * @param kept value served on time in each window
+   * @param served latencies of the served requests in microseconds
    */
   void add(String name, long window, double[] wanted, double[] kept, Histogram served) {
     double[] seconds = new double[wanted.length];
@@ -60,14 +64,14 @@
     latency.addSeries(name, nines, millis).setMarker(SeriesMarkers.NONE);
   }
 
-  /** A moment, as a line from bottom to top. */
+  /** Marks a time with a vertical line. */
   void mark(String name, double second) {
     worth
         .addSeries(name, new double[] {second, second}, new double[] {0, 1})
         .setMarker(SeriesMarkers.NONE);
   }
 
-  /** Writes the charts, and the summary that shows them. */
+  /** Writes the charts, and the summary that embeds them. */
   void save(Path directory, Experiment.Report report) throws IOException {
     List<String> lines = report.lines();
     lines.addAll(List.of("", "![worth over time](worth.svg)", "", "![latency](latency.svg)"));
@@ -76,7 +80,7 @@
     save(latency, directory.resolve("latency"));
   }
 
-  /** The encoder adds the file's ending. */
+  /** Writes a chart to a path without its extension, which the encoder adds. */
   private static void save(XYChart chart, Path file) throws IOException {
     VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(), VectorGraphicsFormat.SVG);
   }
--- a/lab/src/main/java/shelffront/lab/experiment/Experiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Experiment.java
@@ -30,31 +30,39 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * Phases of open-loop load on a hosted gateway in this process, each tenant with stand-in boxes of
- * its own on loopback, and claims about what they show. The file says all of it; see {@code
- * lab/experiments}.
+ * Runs phases of open-loop load on a multi-tenant gateway in this process, with emulated replica
+ * sets on loopback, and checks claims about the results. The experiment file defines phases,
+ * tenants and claims; see {@code lab/experiments}.
  */
 public final class Experiment {
 
-  /** How an experiment ended: its table, and whether each claim was kept. */
+  /**
+   * The result of an experiment.
+   *
+   * @param table lines of a Markdown table
+   * @param claims each claim with its verdict
+   * @param claimsHold whether all claims hold
+   * @param isVoid whether the load generator or an emulated replica set lagged too far behind for a
+   *     valid result
+   */
   public record Report(
       List<String> table, List<String> claims, boolean claimsHold, boolean isVoid) {
 
-    /** Table and claims, as Markdown. */
+    /** Returns table and claims as Markdown. */
     public List<String> lines() {
       List<String> lines = new ArrayList<>(table);
       lines.add("");
       claims.forEach(claim -> lines.add("- " + claim));
       if (isVoid) {
-        lines.add("- void: the load itself was late, so the machine was too slow to tell");
+        lines.add("- void: load generator or emulated hosts lagged too far behind on this machine");
       }
       return lines;
     }
   }
 
   /**
-   * Where even one request in a hundred was sent this late, the machine was too slow to tell
-   * anything.
+   * Largest 99th percentile of the load generator's lag, and largest lateness of an emulated
+   * replica set, in a valid result. Beyond this the figures describe the machine.
    */
   private static final long MAX_LAG_MICROS = 50_000;
 
@@ -72,8 +80,9 @@
   }
 
   /**
-   * Plays it; the directory keeps the experiment, its runs, table and charts, and is null for
-   * nothing kept.
+   * Runs an experiment.
+   *
+   * @param directory receives the experiment, its runs, table and charts; null to write nothing
    */
   public static Report run(JsonNode file, Path directory)
       throws IOException, SpecException, InterruptedException {
@@ -104,7 +113,7 @@
       check(claim);
     }
     if (!malformedResponses.isEmpty()) {
-      recordClaim(false, "wrong answers, the first of them: " + malformedResponses.get(0));
+      recordClaim(false, "malformed responses, first one: " + malformedResponses.get(0));
     }
   }
 
@@ -210,7 +219,7 @@
     }
   }
 
-  /** To the first replica of the first set, or its primary where it has no replica. */
+  /** Returns a proxy to the first replica of the first set, or to its primary if it has none. */
   private static TransparentProxy relay(Map<String, EmulatedReplicaSet> sets) throws IOException {
     List<EmulatedReplicaSet.Host> boxes = sets.values().iterator().next().hosts();
     String[] hostAndPort = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
@@ -233,8 +242,8 @@
   }
 
   /**
-   * Nanoseconds of CPU that the gateway's own threads have used: the loop thread and the
-   * completions'.
+   * Returns the CPU time in nanoseconds of the gateway's threads: event loops and the threads that
+   * complete socket operations. The threads are recognized by their names.
    */
   private static long cpuNanos(Thread eventLoopThread) {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
@@ -261,9 +270,10 @@
             : new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort());
     double warm = file.path("warmSeconds").asDouble(2);
     double seconds = file.path("seconds").asDouble(5);
-    run(phase, gateway, warm); // compiled code and known boxes before anything counts
-    // A change in the midst of the same load: what was before it is over, and what is measured
-    // comes after.
+    run(
+        phase, gateway,
+        warm); // compiles the code and lets the gateway learn about its endpoints before measuring
+    // The change applies between two runs of the same load, so that only its effect is measured.
     for (Iterator<String> each = phase.path("change").fieldNames(); each.hasNext(); ) {
       String id = each.next();
       for (JsonNode tenant : tenants) {
@@ -365,7 +375,7 @@
           now - bare <= claim.path("micros").asDouble(),
           String.format(
               Locale.ROOT,
-              "phase %s adds %.0f us to the median of phase %s, %.0f us: at most %.0f",
+              "phase %s adds %.0f us to the median of phase %s, %.0f us: at most %.0f us allowed",
               claim.path("phase").asText(),
               now - bare,
               claim.path("medianAgainst").asText(),
@@ -380,8 +390,8 @@
           now <= alone * (1 + within),
           String.format(
               Locale.ROOT,
-              "a request costs the gateway %.1f us of CPU in phase %s, in phase %s %.1f: at most"
-                  + " %.0f %% more",
+              "a request costs the gateway %.1f us of CPU in phase %s, in phase %s %.1f us: at most"
+                  + " %.0f %% more allowed",
               now,
               claim.path("phase").asText(),
               claim.path("costAgainst").asText(),
@@ -397,7 +407,8 @@
           now >= alone * (1 - within),
           String.format(
               Locale.ROOT,
-              "%s keeps %.3f of its worth in phase %s, alone %.3f: within %.0f %%",
+              "%s has %.3f of its value served in phase %s, in the reference phase %.3f: at most"
+                  + " %.0f %% less allowed",
               tenant,
               now,
               claim.path("phase").asText(),
@@ -418,7 +429,7 @@
           Math.abs(share - due) <= within * due,
           String.format(
               Locale.ROOT,
-              "%s is served %.3f of all in phase %s, by weight %.3f: within %.0f %%",
+              "%s gets a share of %.3f in phase %s, by weight %.3f: at most %.0f %% off allowed",
               each.getKey(),
               share,
               claim.path("phase").asText(),
--- a/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
+++ b/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
@@ -8,14 +8,14 @@
 import shelffront.lab.load.RequestKind;
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
-/** Loads as experiment files say them. */
+/** Reads the settings of a load from an experiment file. */
 final class LoadCodec {
 
   private LoadCodec() {}
 
   /**
-   * One class by its number ({@code class}), or all by their parts ({@code mix}, in the order of
-   * the tenant's classes).
+   * Returns the kinds of requests of a load: one of the tenant's classes by its index ({@code
+   * class}), or all classes with their shares in the tenant's order ({@code mix}).
    */
   static List<RequestKind> kinds(JsonNode load, JsonNode classes) {
     List<RequestKind> kinds = new ArrayList<>();
@@ -45,7 +45,9 @@
     try {
       pattern = ArrivalSchedule.Pattern.of(load.path("arrivals").asText(plain.arrivals().name()));
     } catch (IllegalArgumentException e) {
-      throw new SpecException(pointer + "/arrivals", "is none of even, poisson, waves, bursts");
+      throw new SpecException(
+          pointer + "/arrivals",
+          "is " + load.path("arrivals") + ", expected one of even, poisson, waves, bursts");
     }
     return new ClientBehavior(
         pattern,
--- a/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
+++ b/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
@@ -4,7 +4,8 @@
 import java.util.Locale;
 
 /**
- * A bar on standard error that grows with each run, where that is a terminal; nothing elsewhere.
+ * Shows the progress of an experiment's runs on standard error, if the process has a terminal.
+ * Thread-safe.
  */
 final class ProgressBar {
 
@@ -19,7 +20,7 @@
     this.all = all;
   }
 
-  /** One more has ended. Any thread may call. */
+  /** Counts a finished run and redraws the bar. */
   synchronized void one() {
     done++;
     if (out != null) {
--- a/lab/src/main/java/shelffront/lab/experiment/RecordedRun.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RecordedRun.java
@@ -10,7 +10,7 @@
 import shelffront.lab.simulation.FleetSimulation;
 import shelffront.tenant.TenantSpecCodec;
 
-/** What is kept of a run: a line of JSON with all that tables and charts are made of. */
+/** The stored result of a run: one line of JSON with all data of the tables and charts. */
 record RecordedRun(
     String level,
     int seed,
@@ -58,7 +58,8 @@
   }
 
   /**
-   * Reads a line; null where it is cut or none, as the last one of a run that was stopped may be.
+   * Parses a line. Returns null if it is truncated or malformed, as the last line of an interrupted
+   * experiment may be.
    */
   static RecordedRun read(String line) {
     try {
--- a/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
@@ -16,9 +16,9 @@
 import shelffront.routing.Router;
 
 /**
- * The runs of an experiment as they end, a line each, so that one that was stopped goes on where it
- * was. What another experiment left in the directory counts for nothing. May be used by several
- * threads.
+ * Journal of the finished runs of an experiment, one line per run, from which an interrupted
+ * experiment resumes. Runs that another experiment or another program wrote to the directory are
+ * ignored. Thread-safe.
  */
 final class RunJournal {
 
@@ -26,19 +26,23 @@
   private static final String PROGRAM = "program.crc";
   static final String RUNS = "runs.jsonl";
 
-  private final Path runs; // null where nothing is kept
+  private final Path runs; // null if nothing is stored
   private final Map<String, RecordedRun> known = new HashMap<>();
 
   private RunJournal(Path runs) {
     this.runs = runs;
   }
 
-  /** To go on in a directory, which is made where there is none; null for none. */
+  /**
+   * Opens the journal of a directory to resume the experiment, and creates the directory if needed.
+   *
+   * @param directory null for a journal in memory only
+   */
   static RunJournal open(Path directory, JsonNode experiment) throws IOException {
     return open(directory, experiment, false);
   }
 
-  /** To look at what a directory has, by whatever program it was played. */
+  /** Opens the journal of a directory for reading, whichever program wrote its runs. */
   static RunJournal read(Path directory, JsonNode experiment) throws IOException {
     return open(directory, experiment, true);
   }
@@ -47,7 +51,10 @@
     return Files.exists(file) && Files.readString(file).equals(text);
   }
 
-  /** A digest of the jars that a run is played by: a changed gateway's runs are others. */
+  /**
+   * Returns a checksum of the jars that a run depends on. Runs of a changed gateway are not
+   * comparable, so they are not resumed.
+   */
   private static String program() throws IOException {
     CRC32 sum = new CRC32();
     for (Class<?> each : List.of(FleetSimulation.class, Gateway.class, Router.class)) {
@@ -88,7 +95,7 @@
     return log;
   }
 
-  /** Writes all runs anew in this order, whichever ended first. */
+  /** Rewrites the file with all runs in this order instead of the order in which they ended. */
   synchronized void rewrite(Collection<RecordedRun> all) throws IOException {
     if (runs != null) {
       StringBuilder whole = new StringBuilder();
--- a/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
@@ -29,15 +29,15 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * An experiment on the virtual fleet: a base scenario, levels that change it, seeds, claims. Each
- * level is played with each seed, spread over the cores; the result is a directory with everything
- * in it.
+ * An experiment in simulation: a base scenario, levels that override parts of it, a number of
+ * seeds, and claims about the results. Each level runs with each seed; the runs are distributed
+ * over the cores. The directory of the experiment holds its runs, table and charts.
  */
 public final class VirtualExperiment {
 
   private static final long SECOND = 1_000_000;
 
-  /** A level's runs, in the order of the seeds. */
+  /** A level of the experiment with its runs in the order of their seeds. */
   private record Level(String name, Scenario scenario, List<RecordedRun> runs) {
 
     double[] servedValueFractions() {
@@ -66,8 +66,10 @@
   }
 
   /**
-   * Plays it; the directory is null where nothing is to be kept. Runs that a directory has of the
-   * very same experiment are taken from there: whoever stopped it goes on where it was.
+   * Runs an experiment. Runs that the directory already holds of the same experiment and program
+   * are reused, so an interrupted experiment resumes.
+   *
+   * @param directory null to store nothing
    */
   public static Experiment.Report run(JsonNode file, Path directory)
       throws IOException, SpecException, InterruptedException {
@@ -78,7 +80,7 @@
     return experiment.finish(directory);
   }
 
-  /** What a directory's runs come to, with the summary and the charts made anew. */
+  /** Reports on the runs of a directory, and rewrites its summary and charts. */
   public static Experiment.Report report(Path directory) throws IOException, SpecException {
     JsonNode file =
         TenantSpecCodec.JSON.readTree(directory.resolve(RunJournal.EXPERIMENT).toFile());
@@ -158,13 +160,13 @@
         levels.add(each.getKey());
       }
     } catch (ExecutionException e) {
-      throw new IllegalStateException("a run has failed", e.getCause());
+      throw new IllegalStateException("a run of the experiment failed", e.getCause());
     } finally {
       pool.shutdownNow();
     }
   }
 
-  /** Figures that a file leaves out are those of a calm fleet of small boxes. */
+  /** Reads a scenario. The defaults describe a small fleet without faults. */
   static Scenario scenario(JsonNode scenarioNode, String pointer) throws SpecException {
     List<Fault> faults = new ArrayList<>();
     for (JsonNode faultNode : scenarioNode.path("faults")) {
@@ -178,7 +180,7 @@
       } catch (IllegalArgumentException e) {
         throw new SpecException(
             pointer + "/faults/" + faults.size() + "/kind",
-            "is none of " + List.of(FaultKind.values()));
+            "is " + faultNode.path("kind") + ", expected one of " + List.of(FaultKind.values()));
       }
     }
     ReplicaSetParameters.Check check;
@@ -187,7 +189,9 @@
           ReplicaSetParameters.Check.valueOf(
               scenarioNode.path("check").asText("wait").toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
-      throw new SpecException(pointer + "/check", "is none of silent, refuse, wait");
+      throw new SpecException(
+          pointer + "/check",
+          "is " + scenarioNode.path("check") + ", expected one of silent, refuse, wait");
     }
     long work = scenarioNode.path("workUs").asLong(6_000);
     ReplicaSetParameters parameters =
@@ -253,7 +257,9 @@
         .orElseThrow(
             () ->
                 new IllegalArgumentException(
-                    "a claim names the level " + name + ", which is none"));
+                    "a claim names the level \""
+                        + name
+                        + "\", which is not in the file or has no runs"));
   }
 
   private void summarize() {
@@ -324,9 +330,6 @@
     claims.add((isKept ? "kept: " : "NOT kept: ") + text);
   }
 
-  // ---- What is kept
-  // --------------------------------------------------------------------------------
-
   private void save(Path directory, Experiment.Report report) throws IOException {
     StringBuilder csv =
         new StringBuilder("level,seed,requests,worth_kept,p50_ms,p99_ms,broken,hash\n");
@@ -372,7 +375,7 @@
     charts.save(directory, report);
   }
 
-  /** Which levels of two kept experiments differ beyond chance; a line each. */
+  /** Compares the common levels of two stored experiments; returns one line per level. */
   public static List<String> compare(Path a, Path b) throws IOException {
     Map<String, List<Double>> first = worth(a);
     Map<String, List<Double>> second = worth(b);
