--- a/lab/src/main/java/shelffront/lab/Demo.java
+++ b/lab/src/main/java/shelffront/lab/Demo.java
@@ -18,30 +18,30 @@
 import shelffront.multitenant.MultiTenantGateway;
 import shelffront.tenant.TenantSpecCodec;
 
-/** A gateway on loopback with a set of stand-in boxes and a sample tenant, to look at. */
+/** Runs a gateway on loopback with an emulated replica set and a sample tenant to try it out. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
     description =
-        "Starts a gateway with stand-in boxes and a sample tenant, and plays a little load on it.")
+        "Starts a gateway with emulated hosts and a sample tenant, and runs a short load on it.")
 final class Demo implements Callable<Integer> {
 
   @Option(
       names = "--seconds",
       defaultValue = "600",
-      description = "how long it runs (${DEFAULT-VALUE})")
+      description = "time until it stops (${DEFAULT-VALUE})")
   private double seconds;
 
   @Option(
       names = "--port",
       defaultValue = "5433",
-      description = "for clients, 0 for any (${DEFAULT-VALUE})")
+      description = "port for clients, 0 for any free port (${DEFAULT-VALUE})")
   private int port;
 
   @Option(
       names = "--admin-port",
       defaultValue = "8600",
-      description = "for administrators (${DEFAULT-VALUE})")
+      description = "port of the administration API (${DEFAULT-VALUE})")
   private int adminPort;
 
   @Override
@@ -82,7 +82,7 @@
               4,
               Math.min(5, seconds));
       System.out.printf(
-          "a load of 20 reads a second: %d served on time of %d, median %.1f ms%n",
+          "load of 20 reads/s: %d of %d served on time, median latency %.1f ms%n",
           result.total.onTime,
           result.total.due,
           result.latencyMicros.getValueAtPercentile(50) / 1e3);
--- a/lab/src/main/java/shelffront/lab/Explore.java
+++ b/lab/src/main/java/shelffront/lab/Explore.java
@@ -18,36 +18,39 @@
 import shelffront.lab.simulation.ScenarioShrinker;
 import shelffront.lab.simulation.ScenarioShrinker.Cut;
 
-/** Plays scenarios drawn from seeds in virtual time, until a rule breaks or all are played. */
+/** Simulates random scenarios, one per seed, and checks the invariants in each. */
 @Command(
     name = "explore",
     mixinStandardHelpOptions = true,
     description = {
-      "Plays random scenarios of a virtual fleet and holds each against the rules.",
-      "Exit codes: 0 none broke a rule, 1 one did; each is printed as one command that plays the"
-          + " least of it."
+      "Simulates a fleet in random scenarios and checks the invariants in each.",
+      "Exit codes: 0 no violation, 1 violations; each failing seed is printed with a command that"
+          + " replays it, reduced as far as it still fails."
     })
 final class Explore implements Callable<Integer> {
 
-  @Option(names = "--from", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
+  @Option(names = "--from", defaultValue = "1", description = "first seed (${DEFAULT-VALUE})")
   private long from;
 
-  @Option(names = "--seeds", defaultValue = "100", description = "how many (${DEFAULT-VALUE})")
+  @Option(
+      names = "--seeds",
+      defaultValue = "100",
+      description = "number of seeds (${DEFAULT-VALUE})")
   private int seeds;
 
   @Option(
       names = "--minutes",
       defaultValue = "10",
-      description = "begin none after so long (${DEFAULT-VALUE})")
+      description = "start no further simulation after this time (${DEFAULT-VALUE})")
   private double minutes;
 
   @Option(
       names = "--threads",
       defaultValue = "0",
-      description = "0 for one each core (${DEFAULT-VALUE})")
+      description = "worker threads, 0 for one per core (${DEFAULT-VALUE})")
   private int threads;
 
-  @Option(names = "--no-shrink", description = "print failing seeds as they are")
+  @Option(names = "--no-shrink", description = "print failing seeds without reducing them")
   private boolean noShrink;
 
   private record Failed(long seed, FleetSimulation.Result result) {}
@@ -97,7 +100,7 @@
     System.out.printf(
         Locale.ROOT,
         "%d seeds, %d requests, %.0f simulated seconds in %.1f s on %d threads: %.1f"
-            + " simulated seconds and %.0f requests a second of one core%n",
+            + " simulated seconds and %.0f requests per second and core%n",
         played.get(),
         requests.get(),
         simulated.get() / 1e6,
@@ -105,7 +108,7 @@
         workers,
         simulated.get() / 1e6 / tookSeconds / workers,
         requests.get() / tookSeconds / workers);
-    System.out.println(failures.size() + " seeds broke a rule: " + rules);
+    System.out.println(failures.size() + " seeds violated an invariant: " + rules);
     for (Failed failure : failures.subList(0, Math.min(10, failures.size()))) {
       Cut cut =
           noShrink
@@ -120,13 +123,13 @@
     return failures.isEmpty() ? 0 : 1;
   }
 
-  /** Plays one seed, whole or cut down. */
+  /** Simulates the scenario of one seed, complete or reduced. */
   @Command(
       name = "replay",
       mixinStandardHelpOptions = true,
       description = {
-        "Plays one seed of the virtual fleet.",
-        "Exit codes: 0 every rule kept, 1 one was not."
+        "Simulates the scenario of one seed.",
+        "Exit codes: 0 no violation, 1 violations."
       })
   static final class Replay implements Callable<Integer> {
 
@@ -135,19 +138,19 @@
 
     @Option(
         names = "--faults",
-        description = "numbers of the faults to play, or none; all by default")
+        description = "comma-separated indexes of the faults to inject, or none; all by default")
     private String faults;
 
     @Option(
         names = "--rate",
         defaultValue = "1",
-        description = "part of the requests (${DEFAULT-VALUE})")
+        description = "fraction of the requests (${DEFAULT-VALUE})")
     private double rate;
 
-    @Option(names = "--seconds", defaultValue = "1000", description = "at most so long")
+    @Option(names = "--seconds", defaultValue = "1000", description = "maximum simulated time")
     private double seconds;
 
-    @Option(names = "--trace", description = "print what happens, line by line")
+    @Option(names = "--trace", description = "print the event trace")
     private boolean trace;
 
     @Override
@@ -174,7 +177,7 @@
       result.byClass().forEach((name, worth) -> System.out.println(name + " " + worth));
       System.out.printf(
           Locale.ROOT,
-          "worth kept %.3f, %d requests, %d events, hash %s%n",
+          "served value %.3f, %d requests, %d events, hash %s%n",
           result.servedValueFraction(),
           result.requests(),
           result.events(),
@@ -182,8 +185,9 @@
       result
           .violations()
           .forEach(
-              violation -> System.out.println("BROKEN " + violation.atMicros() + " " + violation));
-      System.out.println(result.violationCount() + " broken rules");
+              violation ->
+                  System.out.println("VIOLATION " + violation.atMicros() + " " + violation));
+      System.out.println(result.violationCount() + " violations");
       return result.violationCount() == 0 ? 0 : 1;
     }
   }
--- a/lab/src/main/java/shelffront/lab/Idle.java
+++ b/lab/src/main/java/shelffront/lab/Idle.java
@@ -26,14 +26,13 @@
 import shelffront.tenant.TenantSpecCodec;
 
 /**
- * What a connection that asks nothing costs the heap: at the gateway, and at a relay that does
- * nothing.
+ * Measures the heap that an idle client connection takes at the gateway and at a transparent proxy.
  */
 @Command(
     name = "idle",
     mixinStandardHelpOptions = true,
     description =
-        "Measures the heap of an idle client connection at the gateway and at a bare relay.")
+        "Measures the heap of an idle client connection at the gateway and at a transparent proxy.")
 final class Idle implements Callable<Integer> {
 
   private static final int MISSING_S = 30;
@@ -41,12 +40,12 @@
   @Option(
       names = "--connections",
       defaultValue = "2000",
-      description = "how many (${DEFAULT-VALUE})")
+      description = "number of connections (${DEFAULT-VALUE})")
   private int count;
 
   /**
-   * A listener that only accepts: what its connections and their clients cost is taken off the
-   * others.
+   * A server that only accepts connections. The heap of its connections and their clients is the
+   * baseline that is subtracted from the other measurements.
    */
   private static final class Sink implements AutoCloseable {
 
@@ -69,7 +68,7 @@
           arrived.release();
         }
       } catch (ClosedChannelException e) {
-        return; // it is over
+        return; // closed by close()
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
@@ -81,7 +80,14 @@
 
     private void await(int connections) throws InterruptedException {
       if (!arrived.tryAcquire(connections, MISSING_S, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("the connections did not arrive");
+        throw new IllegalStateException(
+            "the server accepted "
+                + taken.size()
+                + " of "
+                + connections
+                + " connections within "
+                + MISSING_S
+                + " s");
       }
     }
 
@@ -96,7 +102,7 @@
 
   @Override
   public Integer call() throws Exception {
-    measure(50); // code and pools are there before anything counts
+    measure(50); // compiles the code and fills the pools before measuring
     System.out.println(
         "| idle connections | heap each at the relay, two sockets | at the gateway, one socket |");
     System.out.println("|---|---|---|");
@@ -144,16 +150,18 @@
   }
 
   /**
-   * Bytes of heap for each of so many connections, both ends; those that are welcomed have had an
-   * empty query.
+   * Returns the heap in bytes per connection, counting both ends.
+   *
+   * @param welcomed whether each client starts a session and sends an empty query
+   * @param arrival waits until the other end has accepted all connections
    */
   private static double each(
       InetSocketAddress address, int connections, boolean welcomed, Arrival arrival)
       throws Exception {
     List<SocketChannel> clients = new ArrayList<>(connections);
     byte[] startup = Message.startup("api", "t0");
-    byte[] empty =
-        Message.query(";".getBytes(US_ASCII)); // one that never asks is closed before long
+    // The gateway closes a connection whose first query does not arrive within its timeout.
+    byte[] empty = Message.query(";".getBytes(US_ASCII));
     ByteBuffer buffer = ByteBuffer.allocateDirect(1024);
     long before = Scale.heap();
     try {
@@ -165,7 +173,8 @@
           buffer.clear();
           while (!ready(buffer)) {
             if (client.read(buffer) < 0) {
-              throw new IllegalStateException("connection " + i + " was not welcomed");
+              throw new IllegalStateException(
+                  "the gateway closed connection " + i + " before it was ready for queries");
             }
           }
         }
--- a/lab/src/main/java/shelffront/lab/LabMain.java
+++ b/lab/src/main/java/shelffront/lab/LabMain.java
@@ -28,7 +28,7 @@
 @Command(
     name = "shelffront-lab",
     mixinStandardHelpOptions = true,
-    description = "Plays load and faults against shelffront on stand-in boxes of its own.",
+    description = "Runs load and faults against shelffront with emulated database hosts.",
     subcommands = {
       LabMain.Run.class,
       LabMain.Compare.class,
@@ -66,12 +66,13 @@
     System.exit(line.execute(arguments));
   }
 
-  /** Holds two kept experiments against each other. */
+  /** Compares two stored experiments. */
   @Command(
       name = "compare",
       mixinStandardHelpOptions = true,
       description =
-          "Says of each level of two kept experiments whether its worth differs beyond chance.")
+          "Prints for each level of two stored experiments whether its served value differs beyond"
+              + " chance.")
   static final class Compare implements Callable<Integer> {
 
     @Parameters(paramLabel = "A")
@@ -87,14 +88,14 @@
     }
   }
 
-  /** Makes the summary and the charts of a kept experiment anew. */
+  /** Regenerates the summary and the charts of a stored experiment. */
   @Command(
       name = "report",
       mixinStandardHelpOptions = true,
       description = {
-        "Makes the summary and the charts of a kept virtual experiment anew from its runs, and"
-            + " prints the summary.",
-        "Exit codes: 0 every claim kept, 1 one was not."
+        "Regenerates the summary and the charts of a stored simulation experiment from its runs,"
+            + " and prints the summary.",
+        "Exit codes: 0 all claims hold, 1 a claim does not hold."
       })
   static final class Report implements Callable<Integer> {
 
@@ -110,32 +111,35 @@
     }
   }
 
-  /** Plays one experiment. */
+  /** Runs one experiment. */
   @Command(
       name = "run",
       mixinStandardHelpOptions = true,
       description = {
-        "Plays an experiment and prints its table.",
-        "Exit codes: 0 every claim kept, 1 one was not, 2 the machine was too slow to tell."
+        "Runs an experiment and prints its table.",
+        "Exit codes: 0 all claims hold, 1 a claim does not hold, 2 the machine was too slow for a"
+            + " valid result."
       })
   static final class Run implements Callable<Integer> {
 
-    @Parameters(paramLabel = "FILE", description = "Jsonnet or JSON, see lab/experiments")
+    @Parameters(
+        paramLabel = "FILE",
+        description = "experiment in Jsonnet or JSON, see lab/experiments")
     private Path file;
 
     @Option(
         names = "--keep",
         paramLabel = "FILE",
-        description = "write the table here too, as Markdown")
+        description = "also write the table to this file, as Markdown")
     private Path keep;
 
     @Option(
         names = "--out",
         paramLabel = "DIRECTORY",
-        description = "keep runs, tables and charts here")
+        description = "store runs, tables and charts in this directory")
     private Path out;
 
-    @Option(names = "--short", description = "the file's short form")
+    @Option(names = "--short", description = "run the short form that the file defines")
     private boolean isShort;
 
     @Override
--- a/lab/src/main/java/shelffront/lab/Scale.java
+++ b/lab/src/main/java/shelffront/lab/Scale.java
@@ -20,22 +20,25 @@
 import shelffront.tenant.TenantSpec;
 import shelffront.tenant.TenantSpecCodec;
 
-/** What tenants that rest cost: the start, the memory of each, and a change among them. */
+/** Measures what idle tenants cost: start time, memory per tenant, and the time of a change. */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
     description =
-        "Measures start time, memory for each and the cost of a change with many tenants at rest.")
+        "Measures start time, memory per tenant and the time of a change with many idle tenants.")
 final class Scale implements Callable<Integer> {
 
   private static final int CHANGES = 200;
 
-  @Option(names = "--tenants", defaultValue = "2000", description = "how many (${DEFAULT-VALUE})")
+  @Option(
+      names = "--tenants",
+      defaultValue = "2000",
+      description = "number of tenants (${DEFAULT-VALUE})")
   private int count;
 
   @Override
   public Integer call() throws Exception {
-    one(20); // code is compiled before anything counts
+    one(20); // compiles the code before measuring
     System.out.println(
         "| tenants | start from the store s | heap for each KB | change in force, median ms "
             + "| p99 ms |");
@@ -85,7 +88,10 @@
     }
   }
 
-  /** Milliseconds from the call to the change being on disk and in force, in order. */
+  /**
+   * Returns the times from the call until the change is on disk and in force, in milliseconds and
+   * ascending order.
+   */
   private static double[] changes(MultiTenantGateway gateway, int tenants) throws Exception {
     double[] took = new double[CHANGES];
     for (int i = 0; i < CHANGES; i++) {
--- a/lab/src/main/java/shelffront/lab/ServeFleet.java
+++ b/lab/src/main/java/shelffront/lab/ServeFleet.java
@@ -15,14 +15,14 @@
 import shelffront.lab.model.ReplicaSetParameters;
 import shelffront.lab.transport.SocketTransport;
 
-/** Stand-in sets with their list of boxes on loopback, to point a gateway at and break by hand. */
+/** Serves emulated replica sets and discovery on loopback, with faults injected by commands. */
 @Command(
     name = "serve-fleet",
     mixinStandardHelpOptions = true,
     description = {
-      "Serves stand-in boxes and their list (discovery) on loopback until the time is over or its"
-          + " input ends.",
-      "Commands on its input, a line each:",
+      "Serves emulated hosts and their endpoint list (discovery) on loopback until the time is over"
+          + " or its input ends.",
+      "Commands on its input, one per line:",
       "  list | kill BOX | restart BOX | drain BOX | slow BOX TIMES SECONDS | silence BOX | spoil"
           + " BOX | well BOX",
       "  break-watches | discovery down | discovery up | stop"
@@ -31,37 +31,40 @@
 
   private static final long SECOND = 1_000_000;
 
-  @Option(names = "--sets", defaultValue = "1", description = "(${DEFAULT-VALUE})")
+  @Option(names = "--sets", defaultValue = "1", description = "replica sets (${DEFAULT-VALUE})")
   private int setCount;
 
   @Option(
       names = "--boxes",
       defaultValue = "3",
-      description = "of each set, the first is primary (${DEFAULT-VALUE})")
+      description = "hosts per replica set, the first is the primary (${DEFAULT-VALUE})")
   private int boxCount;
 
-  @Option(names = "--cores", defaultValue = "8", description = "of each box (${DEFAULT-VALUE})")
+  @Option(names = "--cores", defaultValue = "8", description = "cores per host (${DEFAULT-VALUE})")
   private int cores;
 
   @Option(
       names = "--work-ms",
       defaultValue = "5",
-      description = "median work of a read (${DEFAULT-VALUE})")
+      description = "median processing time of a read (${DEFAULT-VALUE})")
   private double workMs;
 
-  @Option(names = "--list-delay-ms", defaultValue = "1000", description = "(${DEFAULT-VALUE})")
+  @Option(
+      names = "--list-delay-ms",
+      defaultValue = "1000",
+      description = "delay of endpoint updates (${DEFAULT-VALUE})")
   private long listDelayMs;
 
   @Option(
       names = "--port",
       defaultValue = "8700",
-      description = "of the list, 0 for any (${DEFAULT-VALUE})")
+      description = "port of discovery, 0 for any free port (${DEFAULT-VALUE})")
   private int port;
 
   @Option(
       names = "--seconds",
       defaultValue = "3600",
-      description = "how long it runs (${DEFAULT-VALUE})")
+      description = "time until it stops (${DEFAULT-VALUE})")
   private double seconds;
 
   private final List<EmulatedReplicaSet> sets = new ArrayList<>();
@@ -110,7 +113,7 @@
           line != null && !line.equals("stop");
           line = input.readLine()) {
         if (!line.isBlank() && !command(line.trim().split(" +"))) {
-          System.out.println("not understood: " + line + " (see --help)");
+          System.out.println("unknown or invalid command: " + line + " (see --help)");
         }
       }
       return 0;
@@ -132,7 +135,7 @@
         host.id(), host.address(), host.isPrimary() ? "primary" : "replica", host.startedCount());
   }
 
-  /** What the list says of a set, after its delay. */
+  /** Publishes the endpoints of a replica set to discovery, which lists them after its delay. */
   private void tell(EmulatedReplicaSet replicaSet) {
     int group = sets.indexOf(replicaSet) + 1;
     long delay = listDelayMs * 1000;
@@ -151,7 +154,7 @@
                     delay));
   }
 
-  /** Takes a command; false where it is none. */
+  /** Executes a command; returns false if it is unknown or invalid. */
   boolean command(String[] words) {
     switch (words[0]) {
       case "list" -> sets.forEach(replicaSet -> replicaSet.hosts().forEach(this::print));
--- a/lab/src/main/java/shelffront/lab/package-info.java
+++ b/lab/src/main/java/shelffront/lab/package-info.java
@@ -1,2 +1,2 @@
-/** The commands of the lab; {@link shelffront.lab.LabMain} is their entry. */
+/** The commands of the lab; {@link shelffront.lab.LabMain} is the entry point. */
 package shelffront.lab;
