--- a/lab/experiments/collapse.jsonnet
+++ b/lab/experiments/collapse.jsonnet
@@ -1,5 +1,5 @@
-// 4,000 requests a second on two boxes with room to spare. A gateway that takes a hiccup of a quick host for silence
-// leaves both alone in turn and refuses nearly all; the relay takes the same load to one of them.
+// 4,000 requests/s on two hosts with spare capacity. A gateway that treats a short pause of a fast host as an outage
+// ejects both hosts in turn and rejects nearly all requests. The relay sends the same load to one of the hosts.
 local load = { one: { perSecond: 4000, connections: 32 } };
 (import 'relay-baseline.jsonnet') + {
   phases: [
--- a/lab/experiments/deployments.jsonnet
+++ b/lab/experiments/deployments.jsonnet
@@ -1,5 +1,6 @@
-// One program on two kinds of deployment: marks remembered and a list that is asked for, or marks carried, a pushed list
-// with the first roles, copies of reads, and replicas that answer from what they have. The same load and troubles.
+// Two kinds of deployment under the same load and faults. In the first, the gateway stores session positions and polls
+// discovery. In the second, requests carry their positions, discovery pushes endpoint updates with the initial roles,
+// reads are hedged, and replicas respond with the data they have applied.
 local calm = { name: 'remembered, calm', check: 'wait' };
 local carried = { carried: true, check: 'silent' };
 local troubles = { faults: [
--- a/lab/experiments/fleet-size.jsonnet
+++ b/lab/experiments/fleet-size.jsonnet
@@ -1,5 +1,5 @@
-// The same load on the same boxes by 5, 25 and 100 gateways that know of each other only their number: calm, and with
-// boxes that restart cold (one of them a primary) while a fifth of the gateways are killed.
+// The same load on the same hosts through 5, 25 and 100 gateways, which know only the size of their fleet: without
+// faults, and with hosts that restart with cold caches (one of them a primary) while a fifth of the gateways is killed.
 local troubles(gateways) = { faults: [
   { at: 2, kind: 'KILL_BOX', target: 1, seconds: 0.25 },
   { at: 3, kind: 'KILL_BOX', target: 8, seconds: 0.25 },
--- a/lab/experiments/gateway-overload.jsonnet
+++ b/lab/experiments/gateway-overload.jsonnet
@@ -1,5 +1,5 @@
-// The gateway itself is what is short: its one core takes 200 us for each request, attempt, probe and connection, so
-// it carries some 2,400 requests a second; the boxes have room for many more.
+// The gateway is the bottleneck: its one core takes 200 us for each request, attempt, health check and connection, so
+// its capacity is about 2,400 requests/s. The hosts have capacity for many more.
 {
   virtual: true,
   seeds: 8,
--- a/lab/experiments/relay-baseline.jsonnet
+++ b/lab/experiments/relay-baseline.jsonnet
@@ -1,4 +1,5 @@
-// What the gateway costs beside a relay that copies bytes to one host: the same load on both, unloaded and at work.
+// Cost of the gateway compared with a relay that copies bytes to one host: the same load on both, at a low and at a
+// moderate rate.
 local load(perSecond, connections) = { one: { perSecond: perSecond, connections: connections, calm: true } };
 {
   capacity: { requestsPerSecond: 0, openRequests: 2000 },
@@ -19,7 +20,8 @@
     { name: 'relay, 1000/s', relay: true, load: load(1000, 32) },
     { name: 'gateway, 1000/s', load: load(1000, 32) },
   ],
-  // The aims of "tens of thousands of connections" are 60 us and 1.43 times the CPU; these are what holds now.
+  // The goals for tens of thousands of connections are 60 us and 1.43 times the CPU; the claims check
+  // what the gateway meets today.
   claims: [
     { phase: 'gateway, 200/s', medianAgainst: 'relay, 200/s', tenant: 'one', micros: 1000 },
     { phase: 'gateway, 1000/s', costAgainst: 'relay, 1000/s', within: 4 },
--- a/lab/experiments/tenant-count.jsonnet
+++ b/lab/experiments/tenant-count.jsonnet
@@ -1,4 +1,4 @@
-// What a request costs with 1, 20 and 2,000 tenants, of which 20 at most are busy. One set of boxes serves all.
+// CPU cost of a request with 1, 20 and 2,000 tenants, of which at most 20 are active. One replica set serves all.
 local count = 2000;
 local busy = 20;
 local rate = 1000;
--- a/lab/experiments/tenant-flood.jsonnet
+++ b/lab/experiments/tenant-flood.jsonnet
@@ -1,4 +1,4 @@
-// One of two tenants floods at ten times its share; then three tenants of weights 1:2:4 all flood.
+// One of two tenants sends ten times its share; then three tenants of weights 1:2:4 all exceed their shares.
 local read = { name: 'read', aimMs: 300, giveUpMs: 1000, read: 'any' };
 local tenant(weight) = {
   weight: weight,
--- a/lab/experiments/tenant-loops.jsonnet
+++ b/lab/experiments/tenant-loops.jsonnet
@@ -1,4 +1,4 @@
-// What several event loops bring: four tenants together ask for more than one loop can serve, then of two and of four.
+// Scaling over event loops: four tenants together send more than one loop can serve, to 1, 2 and 4 loops.
 local tenant = {
   classes: [{ name: 'read', aimMs: 300, giveUpMs: 1000, read: 'any' }],
   limits: { openRequests: 1000, clientConnections: 400, hostConnections: 100 },
--- a/lab/experiments/throughput.jsonnet
+++ b/lab/experiments/throughput.jsonnet
@@ -1,4 +1,4 @@
-// The most that one event loop carries, beside a relay that copies bytes: the same load on both, higher each time.
+// Throughput of one event loop compared with a relay that copies bytes: the same load on both, at increasing rates.
 local load(perSecond) = { one: { perSecond: perSecond, connections: 64, arrivals: 'poisson' } };
 local rates = [4000, 8000, 12000, 16000];
 (import 'relay-baseline.jsonnet') + {
--- a/lab/experiments/virtual-smoke.jsonnet
+++ b/lab/experiments/virtual-smoke.jsonnet
@@ -1,4 +1,5 @@
-// Three virtual gateways before a set of four boxes: calm, a primary that dies, one that is drained, a crowd.
+// Three simulated gateways and a replica set of four hosts: no fault, a killed or drained primary, a replica that
+// vanishes, a burst of load, and two gateways that restart.
 local fault(kind, at, target=0, seconds=2) = { kind: kind, at: at, target: target, seconds: seconds };
 {
   virtual: true,
