--- a/lab/src/test/java/shelffront/lab/compatibility/EngineFileCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/compatibility/EngineFileCompatibilityTest.java
@@ -20,7 +20,7 @@
 import shelffront.lab.LabMain;
 import shelffront.lab.faultinjection.JavaProcess;
 
-/** Files of the stand-in engine, as version 0.2.0 wrote them, served by the stand-in engine. */
+/** Guards the file format of the coordination store emulator: it serves files of version 0.2.0. */
 class EngineFileCompatibilityTest {
 
   private static final int HEAP_MEGABYTES = 64;
@@ -56,7 +56,7 @@
     return new RecordChange(new Version(incarnation, sequence), name, document);
   }
 
-  /** Serves a file by a process of its own, which is ended afterwards. */
+  /** Runs a check against a process that serves a file, and ends the process afterwards. */
   private void served(Path file, Check check) throws Exception {
     JavaProcess engine =
         JavaProcess.start(
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void continuesFileOfStandInEngine() throws Exception {
+  void appendsToFileOfEmulator() throws Exception {
     Path file = StoredResource.copy("fleet-records.jsonl", directory);
     served(
         file,
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void servesFileFilledBeforeTheStart() throws Exception {
+  void servesFilePopulatedBeforeStart() throws Exception {
     Path file = StoredResource.copy("state-file-engine.jsonl", directory);
     served(
         file,
--- a/lab/src/test/java/shelffront/lab/compatibility/StoredResource.java
+++ b/lab/src/test/java/shelffront/lab/compatibility/StoredResource.java
@@ -5,13 +5,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Copies the data of version 0.2.0, so that no test can change what is committed. */
+/** Copies the data of version 0.2.0, so that no test modifies the committed files. */
 public final class StoredResource {
 
   private StoredResource() {}
 
   /**
-   * Copies a file below the resources' directory "compatibility" into a directory; gives the copy.
+   * Copies a file of the resource directory "compatibility" into a directory and returns the copy.
    */
   public static Path copy(String name, Path directory) throws IOException {
     Path target = directory.resolve(name);
--- a/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
@@ -24,12 +24,12 @@
 import shelffront.lab.simulation.Scenario.Means;
 import shelffront.lab.virtual.VirtualNetwork.Weather;
 
-/** Files of experiments, as version 0.2.0 reads them. */
+/** Guards the settings of experiment files, which must read as in version 0.2.0. */
 class ExperimentSettingsCompatibilityTest {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** In the order of the file. */
+  /** Kinds of the faults in the order of the file. */
   private static final List<FaultKind> KINDS =
       List.of(
           FaultKind.KILL_BOX,
@@ -150,7 +150,7 @@
   }
 
   @Test
-  void readsEveryWordOfChecks() throws Exception {
+  void readsEveryCheckValue() throws Exception {
     for (Map.Entry<String, ReplicaSetParameters.Check> word :
         Map.of(
                 "silent",
@@ -190,7 +190,7 @@
   }
 
   @Test
-  void readsEveryWordOfArrivals() throws Exception {
+  void readsEveryArrivalsValue() throws Exception {
     for (Map.Entry<String, ArrivalSchedule.Pattern> word :
         Map.of(
                 "even",
--- a/lab/src/test/java/shelffront/lab/experiment/KeptRunCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/KeptRunCompatibilityTest.java
@@ -22,7 +22,7 @@
 import shelffront.lab.compatibility.StoredResource;
 import shelffront.tenant.TenantSpecCodec;
 
-/** A virtual experiment's directory, as version 0.2.0 kept it: two levels, two seeds each. */
+/** Reads and resumes an experiment that version 0.2.0 stored: two levels with two seeds each. */
 class KeptRunCompatibilityTest {
 
   private static final String PROGRAM = "program.crc";
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Runs are taken up by the program that played them alone, and every build is another one. Says
-   * that this one played them; all else in the directory stays as version 0.2.0 wrote it.
+   * Replaces the stored checksum by that of this build, because a journal is resumed only by the
+   * program that wrote it. All other files stay as version 0.2.0 wrote them.
    */
   private void claimByThisProgram() throws Exception {
     Path other = directory.resolve("other");
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void readsKeptRuns() throws Exception {
+  void readsStoredRuns() throws Exception {
     assertAllRuns(RunJournal.read(kept, experiment));
   }
 
@@ -132,26 +132,27 @@
           0
         },
         run.servedValue());
-    assertEquals(168, run.latencyMicros().getTotalCount(), "57 + 57 + 32 + 11 + 11 were served");
+    assertEquals(
+        168, run.latencyMicros().getTotalCount(), "57 + 57 + 32 + 11 + 11 requests were served");
     assertEquals(10_823, run.latencyMicros().getValueAtPercentile(50));
     assertEquals(2_043_903, run.latencyMicros().getValueAtPercentile(99));
   }
 
   @Test
-  void writesTheSameLines() {
+  void writesUnchangedLines() {
     for (String line : lines) {
       assertEquals(line, RecordedRun.read(line).line());
     }
   }
 
   @Test
-  void skipsLineThatWasCut() {
+  void readsTruncatedLineAsNull() {
     assertNull(RecordedRun.read(lines.get(3).substring(0, lines.get(3).length() - 20)));
   }
 
-  /** A run that was played again would have its true number of requests and not the marked one. */
+  /** A stored run that ran again would have its real number of requests, not the marked number. */
   @Test
-  void resumesWhereItWasStopped() throws Exception {
+  void resumesInterruptedExperiment() throws Exception {
     claimByThisProgram();
     String marked = lines.get(0).replaceFirst("\"requests\":251,", "\"requests\":777777,");
     Files.writeString(
@@ -168,14 +169,14 @@
   }
 
   @Test
-  void takesUpAllRunsOfTheSameExperiment() throws Exception {
+  void reusesAllRunsOfSameExperiment() throws Exception {
     claimByThisProgram();
     assertAllRuns(RunJournal.open(kept, experiment));
     assertEquals(lines.size(), Files.readAllLines(kept.resolve(RunJournal.RUNS)).size());
   }
 
   @Test
-  void takesUpNoRunsOfAnotherProgram() throws Exception {
+  void ignoresRunsOfAnotherProgram() throws Exception {
     Files.writeString(kept.resolve(PROGRAM), "14835f98 of another\n");
     RunJournal log = RunJournal.open(kept, experiment);
     assertNull(log.get("calm", 1));
@@ -183,7 +184,7 @@
   }
 
   @Test
-  void reportsOnKeptRuns() throws Exception {
+  void reportsOnStoredRuns() throws Exception {
     Experiment.Report report = VirtualExperiment.report(kept);
     assertTrue(report.claimsHold());
     assertFalse(report.isVoid());
@@ -199,7 +200,7 @@
         report.claims());
   }
 
-  /** Every field's path, and what stands there in place of a value: its kind. */
+  /** Collects the path of every field with the JSON types of its values. */
   private static void collectFields(
       String path, JsonNode node, Map<String, TreeSet<String>> found) {
     if (node.isObject()) {
@@ -219,9 +220,9 @@
     return found;
   }
 
-  /** What a new version keeps has the fields that an old one reads, and experiments compare. */
+  /** Newly stored runs have the same fields as old ones, and both can be compared. */
   @Test
-  void keepsRunsWithTheSameFields() throws Exception {
+  void storesRunsWithSameFields() throws Exception {
     Path again = directory.resolve("again");
     VirtualExperiment.run(experiment, again);
     List<String> written = Files.readAllLines(again.resolve(RunJournal.RUNS));
--- a/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/VirtualExperimentTest.java
@@ -28,8 +28,8 @@
   }
 
   /**
-   * The kept experiment in its short form: its claims hold, and two runs of it are the same and so
-   * compare.
+   * Runs the short form of the smoke experiment twice: its claims hold, and both runs give the same
+   * results.
    */
   @Test
   void repeatsSmokeExperimentWithTheSameResult() throws Exception {
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Stopped in the midst of a line it goes on: what was whole is taken as it is, the rest is
-   * played.
+   * An experiment interrupted while it wrote a line resumes: it reuses the complete runs and
+   * repeats the rest.
    */
   @Test
   void resumesStoppedExperiment() throws Exception {
@@ -65,13 +65,14 @@
     Files.writeString(runs, marked + "\n" + lines.get(1) + "\n" + lines.get(2).substring(0, 200));
     VirtualExperiment.run(file, directory);
     List<String> again = Files.readAllLines(runs);
-    assertTrue(again.get(0).contains("777777"), "a kept run was played again");
+    assertTrue(again.get(0).contains("777777"), "a stored run was repeated");
     assertEquals(lines.subList(1, lines.size()), again.subList(1, again.size()));
     List<String> table = VirtualExperiment.report(directory).table();
     assertTrue(table.get(2).contains(" 777") || table.get(2).contains(" 778"), table.toString());
     ((ObjectNode) file.path("base")).put("perSecond", 101);
     VirtualExperiment.run(file, directory);
-    assertTrue(!Files.readString(runs).contains("777777"), "another experiment's run was taken");
+    assertTrue(
+        !Files.readString(runs).contains("777777"), "a run of a different experiment was reused");
   }
 
   @Test
@@ -94,9 +95,9 @@
     assertEquals("/levels/0/faults/0/kind", failure.pointer());
   }
 
-  /** Figures far apart differ beyond chance, and the interval of a mean lies around it. */
+  /** The interval of a mean contains it, and the interval of a large difference excludes zero. */
   @Test
-  void tellsDifferenceFromChance() {
+  void intervalOfDifferenceExcludesZeroOnlyForDistinctMeans() {
     double[] low = {0.50, 0.52, 0.48, 0.51, 0.49};
     double[] high = {0.90, 0.91, 0.89, 0.92, 0.88};
     BootstrapInterval.Interval mean = BootstrapInterval.mean(low);
