--- a/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
+++ b/lab/src/main/java/shelffront/lab/load/ArrivalSchedule.java
@@ -32,21 +32,21 @@
     }
   }
 
-  private static final double WAVE_MICROS = 10e6;
-  private static final double SWING = 0.8;
+  private static final double WAVE_PERIOD_MICROS = 10e6;
+  private static final double WAVE_AMPLITUDE = 0.8;
   private static final double BURST_PERIOD_MICROS = 2e6;
   private static final double BURST_MICROS = 0.1e6;
   private static final double BURST_FRACTION = 0.5; // of all requests are due in bursts
 
   private final Pattern pattern;
   private final double perSecond;
-  private final ZigguratSampler.Exponential gaps;
+  private final ZigguratSampler.Exponential unitExponential;
   private double atMicros;
 
   public ArrivalSchedule(Pattern pattern, double perSecond, UniformRandomProvider random) {
     this.pattern = pattern;
     this.perSecond = perSecond;
-    gaps = ZigguratSampler.Exponential.of(random);
+    unitExponential = ZigguratSampler.Exponential.of(random);
   }
 
   /** Returns the due time of the next request; due times never decrease. */
@@ -54,20 +54,20 @@
     double rate = perSecond / 1e6;
     switch (pattern) {
       case EVEN -> atMicros += 1 / rate;
-      case POISSON -> atMicros += gaps.sample() / rate;
+      case POISSON -> atMicros += unitExponential.sample() / rate;
       default -> {
         // Inhomogeneous Poisson process: the next arrival is where the integral of the rate since
         // the previous one reaches an exponential sample of mean 1.
-        double left = gaps.sample();
-        while (left > 0) {
+        double remaining = unitExponential.sample();
+        while (remaining > 0) {
           double now = rateFactor(atMicros) * rate;
-          double until = stretchEndMicros(atMicros);
-          if (now * (until - atMicros) >= left) {
-            atMicros += left / now;
-            left = 0;
+          double intervalEnd = constantRateEndMicros(atMicros);
+          if (now * (intervalEnd - atMicros) >= remaining) {
+            atMicros += remaining / now;
+            remaining = 0;
           } else {
-            left -= now * (until - atMicros);
-            atMicros = until;
+            remaining -= now * (intervalEnd - atMicros);
+            atMicros = intervalEnd;
           }
         }
       }
@@ -78,7 +78,7 @@
   /** Returns the rate at a time as a multiple of the mean rate. */
   double rateFactor(double time) {
     if (pattern == Pattern.WAVES) {
-      return 1 + SWING * Math.sin(2 * Math.PI * time / WAVE_MICROS);
+      return 1 + WAVE_AMPLITUDE * Math.sin(2 * Math.PI * time / WAVE_PERIOD_MICROS);
     }
     boolean bursting = time % BURST_PERIOD_MICROS < BURST_MICROS;
     return bursting
@@ -87,7 +87,7 @@
   }
 
   /** Returns the end of the interval around a time in which the rate is treated as constant. */
-  private double stretchEndMicros(double time) {
+  private double constantRateEndMicros(double time) {
     if (pattern == Pattern.WAVES) {
       return (Math.floor(time / 1e4) + 1) * 1e4;
     }
--- a/lab/src/main/java/shelffront/lab/load/ClientBehavior.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientBehavior.java
@@ -24,9 +24,9 @@
     double reconnectFraction,
     double hangUpFraction) {
 
-  private static final int PLAIN_SESSIONS = 997;
+  private static final int DEFAULT_SESSION_COUNT = 997;
 
   /** Uniform arrivals; clients never retry, reconnect or disconnect early. */
   public static final ClientBehavior PLAIN =
-      new ClientBehavior(ArrivalSchedule.Pattern.EVEN, PLAIN_SESSIONS, 1, 0, 0, 0, 0);
+      new ClientBehavior(ArrivalSchedule.Pattern.EVEN, DEFAULT_SESSION_COUNT, 1, 0, 0, 0, 0);
 }
--- a/lab/src/main/java/shelffront/lab/load/LoadResult.java
+++ b/lab/src/main/java/shelffront/lab/load/LoadResult.java
@@ -9,8 +9,8 @@
 /** Outcomes and latencies of a load. Written on the transport's thread while the load runs. */
 public final class LoadResult {
 
-  private static final long LONGEST_LATENCY_MICROS = 60_000_000;
-  private static final int LATENCY_DIGITS = 3;
+  private static final long MAX_LATENCY_MICROS = 60_000_000;
+  private static final int LATENCY_SIGNIFICANT_DIGITS = 3;
 
   /**
    * Priority weight of the requests due, and of those served on time, in one window of {@link
@@ -35,10 +35,11 @@
   public final List<Window> windows = new ArrayList<>();
 
   /** Time from when a request was due to the end of its successful response. */
-  public final Histogram latencyMicros = new Histogram(LONGEST_LATENCY_MICROS, LATENCY_DIGITS);
+  public final Histogram latencyMicros =
+      new Histogram(MAX_LATENCY_MICROS, LATENCY_SIGNIFICANT_DIGITS);
 
   /** Time from when a request was due until the load generator handled it: the generator's lag. */
-  public final Histogram lagMicros = new Histogram(LONGEST_LATENCY_MICROS, LATENCY_DIGITS);
+  public final Histogram lagMicros = new Histogram(MAX_LATENCY_MICROS, LATENCY_SIGNIFICANT_DIGITS);
 
   /** Number of requests that waited because every connection was busy. */
   public long waitedCount;
