--- a/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
@@ -53,7 +53,7 @@
     void malformedResponse(String why);
   }
 
-  private static final int CLEARTEXT_PASSWORD = 3;
+  private static final int CLEARTEXT_PASSWORD_CODE = 3;
 
   private final Transport transport;
   private final Listener<R> listener;
@@ -64,7 +64,7 @@
   private String code;
   private long retryAfterMicros;
   private boolean ready;
-  private boolean expectsNoAnswer;
+  private boolean ignoresUnmatchedResponses;
 
   /** Connects as a user to a database; the password is null if the gateway requests none. */
   public ClientConnectionHandler(
@@ -152,7 +152,7 @@
   private void handle(Message message) throws ProtocolException {
     switch (message.type()) {
       case 'R' -> {
-        if (message.code() == CLEARTEXT_PASSWORD && password != null) {
+        if (message.code() == CLEARTEXT_PASSWORD_CODE && password != null) {
           send(new Message('p', (password + "\0").getBytes(ISO_8859_1)).bytes());
         }
       }
@@ -165,12 +165,12 @@
           if (currentRequest == null) {
             code = null; // announces the end of the connection; there is no request to fail
           }
-          finishAnswer();
+          finishResponse();
         }
       }
       case 'Z' -> {
         if (ready) {
-          finishAnswer();
+          finishResponse();
         } else {
           ready = true;
           listener.ready(this);
@@ -180,14 +180,14 @@
     }
   }
 
-  private void finishAnswer() {
+  private void finishResponse() {
     if (value == null && code == null) {
       return;
     }
     R done = currentRequest;
     currentRequest = null;
     if (done == null) {
-      if (!expectsNoAnswer) {
+      if (!ignoresUnmatchedResponses) {
         listener.malformedResponse("response without a request: value " + value + ", code " + code);
       }
       return;
@@ -201,7 +201,7 @@
 
   /** Ignores responses without a request from now on instead of reporting them as malformed. */
   public void expectNoAnswer() {
-    expectsNoAnswer = true;
+    ignoresUnmatchedResponses = true;
   }
 
   @Override
