--- a/lab/src/main/java/shelffront/lab/load/TransparentProxy.java
+++ b/lab/src/main/java/shelffront/lab/load/TransparentProxy.java
@@ -19,16 +19,16 @@
  */
 public final class TransparentProxy implements AutoCloseable {
 
-  private static final int BUFFER = 4096;
+  private static final int BUFFER_BYTES = 4096;
 
   private final AsynchronousChannelGroup group;
   private final AsynchronousServerSocketChannel listener;
-  private final InetSocketAddress to;
-  private final Set<AsynchronousSocketChannel> open = ConcurrentHashMap.newKeySet();
+  private final InetSocketAddress hostAddress;
+  private final Set<AsynchronousSocketChannel> openChannels = ConcurrentHashMap.newKeySet();
 
   /** Listens on a free loopback port and forwards to an address. */
   public TransparentProxy(InetSocketAddress address) throws IOException {
-    this.to = address;
+    hostAddress = address;
     group =
         AsynchronousChannelGroup.withFixedThreadPool(
             1,
@@ -48,12 +48,12 @@
   }
 
   /** Handles the result of an operation, which is null if the operation failed. */
-  private interface Then<T> {
+  private interface ResultHandler<T> {
 
     void take(T result, boolean failed) throws IOException;
   }
 
-  private static <T> CompletionHandler<T, Void> then(Then<T> then) {
+  private static <T> CompletionHandler<T, Void> handler(ResultHandler<T> handler) {
     return new CompletionHandler<>() {
       @Override
       public void completed(T result, Void none) {
@@ -67,7 +67,7 @@
 
       private void take(T result, boolean failed) {
         try {
-          then.take(result, failed);
+          handler.take(result, failed);
         } catch (IOException e) {
           throw new IllegalStateException(e);
         }
@@ -78,7 +78,7 @@
   private void accept() {
     listener.accept(
         null,
-        then(
+        handler(
             (AsynchronousSocketChannel client, boolean over) -> {
               if (over) {
                 return;
@@ -86,20 +86,20 @@
               accept();
               AsynchronousSocketChannel host = AsynchronousSocketChannel.open(group);
               client.setOption(StandardSocketOptions.TCP_NODELAY, true);
-              open.add(client);
-              open.add(host);
+              openChannels.add(client);
+              openChannels.add(host);
               host.connect(
-                  to,
+                  hostAddress,
                   null,
-                  then(
+                  handler(
                       (Void none, boolean failed) -> {
                         if (failed) {
                           end(client, host);
                           return;
                         }
                         host.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                        copy(client, host, ByteBuffer.allocate(BUFFER));
-                        copy(host, client, ByteBuffer.allocate(BUFFER));
+                        copy(client, host, ByteBuffer.allocate(BUFFER_BYTES));
+                        copy(host, client, ByteBuffer.allocate(BUFFER_BYTES));
                       }));
             }));
   }
@@ -110,7 +110,7 @@
     from.read(
         buffer,
         null,
-        then(
+        handler(
             (Integer count, boolean failed) -> {
               if (failed || count < 0) {
                 end(from, into);
@@ -126,7 +126,7 @@
     into.write(
         buffer,
         null,
-        then(
+        handler(
             (Integer count, boolean failed) -> {
               if (failed) {
                 end(from, into);
@@ -140,8 +140,8 @@
 
   private void end(AsynchronousSocketChannel one, AsynchronousSocketChannel other)
       throws IOException {
-    open.remove(one);
-    open.remove(other);
+    openChannels.remove(one);
+    openChannels.remove(other);
     one.close();
     other.close();
   }
@@ -149,7 +149,7 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    for (AsynchronousSocketChannel each : open) {
+    for (AsynchronousSocketChannel each : openChannels) {
       each.close();
     }
     group.shutdown();
