--- a/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
+++ b/lab/src/main/java/shelffront/lab/load/OpenLoopLoad.java
@@ -45,12 +45,12 @@
   private static final long MICROS_PER_MILLI = 1_000;
   private static final String CAPACITY_EXCEEDED = "53300";
   private static final String SHUTTING_DOWN = "57P03";
-  private static final int MAX_WAITING = 100_000;
-  private static final int MAX_RECORDED_MALFORMED = 20;
-  private static final long CONNECT_MICROS = 5_000_000;
-  private static final long RECONNECT_MICROS = 50_000;
-  private static final long HEAD_START_MICROS = 50_000;
-  private static final long READ_BACK_MICROS = 20_000;
+  private static final int MAX_WAITING_REQUESTS = 100_000;
+  private static final int MAX_RECORDED_MALFORMED_RESPONSES = 20;
+  private static final long CONNECT_TIMEOUT_MICROS = 5_000_000;
+  private static final long RECONNECT_DELAY_MICROS = 50_000;
+  private static final long START_DELAY_MICROS = 50_000;
+  private static final long MAX_READ_BACK_DELAY_MICROS = 20_000;
 
   private final Transport transport;
   private final InetSocketAddress gateway;
@@ -151,8 +151,8 @@
       connect();
     }
     // Connection setup is not measured: the load starts once all connections are ready, at the
-    // latest after CONNECT_MICROS.
-    long latest = transport.clock().nowMicros() + CONNECT_MICROS;
+    // latest after CONNECT_TIMEOUT_MICROS.
+    long latest = transport.clock().nowMicros() + CONNECT_TIMEOUT_MICROS;
     transport.clock().at(latest, () -> begin(length));
     awaitConnections(length);
   }
@@ -174,11 +174,11 @@
       return;
     }
     started = true;
-    startMicros = transport.clock().nowMicros() + HEAD_START_MICROS;
+    startMicros = transport.clock().nowMicros() + START_DELAY_MICROS;
     endMicros = startMicros + length;
     scheduleNext();
     long last = kinds.stream().mapToLong(RequestKind::deadlineMillis).max().orElse(0) * 1000;
-    transport.clock().at(endMicros + last + CONNECT_MICROS, this::end);
+    transport.clock().at(endMicros + last + CONNECT_TIMEOUT_MICROS, this::end);
   }
 
   private void scheduleNext() {
@@ -202,10 +202,10 @@
   }
 
   private RequestKind drawKind() {
-    double lot = random.nextDouble() * kinds.stream().mapToDouble(RequestKind::share).sum();
+    double point = random.nextDouble() * kinds.stream().mapToDouble(RequestKind::share).sum();
     for (RequestKind kind : kinds) {
-      lot -= kind.share();
-      if (lot < 0) {
+      point -= kind.share();
+      if (point < 0) {
         return kind;
       }
     }
@@ -256,7 +256,7 @@
       connection = freeConnections.poll();
     }
     if (connection == null) {
-      await(request);
+      enqueue(request);
       return;
     }
     long leftMillis = (deadlineMicros(request) - transport.clock().nowMicros()) / MICROS_PER_MILLI;
@@ -282,9 +282,9 @@
   }
 
   /** Queues a request until a connection is free; a request that finds the queue full ends. */
-  private void await(Request request) {
+  private void enqueue(Request request) {
     result.waitedCount++;
-    if (waitingRequests.size() >= MAX_WAITING) {
+    if (waitingRequests.size() >= MAX_WAITING_REQUESTS) {
       finish(request, outcomes -> outcomes.unanswered++);
     } else {
       waitingRequests.add(request);
@@ -301,7 +301,7 @@
               if (connection.currentRequest() == request) {
                 connection.hangUp();
                 countDue(request, -1);
-                finish(request, outcomes -> outcomes.hungUp++);
+                finish(request, outcomes -> outcomes.disconnectedByClient++);
                 replaceConnection(connection);
               }
             });
@@ -328,7 +328,7 @@
   private void replaceConnection(ClientConnectionHandler<Request> connection) {
     connections.remove(connection);
     freeConnections.remove(connection);
-    transport.clock().after(RECONNECT_MICROS, this::connect);
+    transport.clock().after(RECONNECT_DELAY_MICROS, this::connect);
   }
 
   @Override
@@ -363,7 +363,7 @@
   private void failed(Request request, String code, long retryAfterMicros) {
     boolean rejected = code.equals(CAPACITY_EXCEEDED) || code.equals(SHUTTING_DOWN);
     long retryAtMicros =
-        transport.clock().nowMicros() + Math.max(RECONNECT_MICROS, retryAfterMicros);
+        transport.clock().nowMicros() + Math.max(RECONNECT_DELAY_MICROS, retryAfterMicros);
     if (rejected
         && request.attempts <= behavior.retries()
         && retryAtMicros < deadlineMicros(request)) {
@@ -397,7 +397,7 @@
   }
 
   private void readBack(Request write) {
-    long due = transport.clock().nowMicros() + random.nextLong(READ_BACK_MICROS);
+    long due = transport.clock().nowMicros() + random.nextLong(MAX_READ_BACK_DELAY_MICROS);
     kinds.stream()
         .filter(k -> !k.write())
         .findFirst()
@@ -433,7 +433,7 @@
 
   @Override
   public void malformedResponse(String why) {
-    if (result.malformedResponses.size() < MAX_RECORDED_MALFORMED) {
+    if (result.malformedResponses.size() < MAX_RECORDED_MALFORMED_RESPONSES) {
       result.malformedResponses.add(why);
     }
   }
--- a/lab/src/main/java/shelffront/lab/load/RequestOutcomes.java
+++ b/lab/src/main/java/shelffront/lab/load/RequestOutcomes.java
@@ -16,7 +16,7 @@
   public long unanswered;
 
   /** Requests whose client disconnected on its own; these are not counted in {@code due}. */
-  public long hungUp;
+  public long disconnectedByClient;
 
   double valueDue;
   double valueServed;
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -29,7 +29,7 @@
           RandomSource.XO_RO_SHI_RO_128_PP.create(3),
           new VirtualNetwork.Weather(200, 300, 0.3));
   private final InetSocketAddress address = net.newAddress();
-  private long serverTakes = 2_000;
+  private long responseDelayMicros = 2_000;
   private String code;
 
   /** Responds to each query after a delay with the id of the request, or with the error set. */
@@ -47,7 +47,7 @@
         for (Message message = next(bytes); message != null; message = next(bytes)) {
           if (message.type() == 'Q') {
             String id = message.text(0).replaceAll(".*id=([^,]+),.*", "$1");
-            clock.after(serverTakes, () -> answer(id));
+            clock.after(responseDelayMicros, () -> answer(id));
           }
         }
       } catch (ProtocolException e) {
@@ -81,7 +81,7 @@
     protected void ended(boolean reset) {}
   }
 
-  private LoadResult play(ClientBehavior behavior, double perSecond, int connections) {
+  private LoadResult run(ClientBehavior behavior, double perSecond, int connections) {
     net.listen(net.machine("server"), address, Server::new);
     boolean[] over = new boolean[1];
     OpenLoopLoad load =
@@ -112,9 +112,12 @@
     return load.result();
   }
 
-  private static ClientBehavior habits(
-      ArrivalSchedule.Pattern pattern, int retries, double roam, double hangUp) {
-    return new ClientBehavior(pattern, 100, 2, 0.5, retries, roam, hangUp);
+  private static ClientBehavior behavior(
+      ArrivalSchedule.Pattern pattern,
+      int retries,
+      double reconnectFraction,
+      double hangUpFraction) {
+    return new ClientBehavior(pattern, 100, 2, 0.5, retries, reconnectFraction, hangUpFraction);
   }
 
   @ParameterizedTest
@@ -148,10 +151,13 @@
 
   @Test
   void servesLoadWithinCapacityWhenClientsReconnectAndDisconnect() {
-    LoadResult result = play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
+    LoadResult result = run(behavior(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
     assertTrue(
-        result.total.due > 1_000 && result.total.hungUp > 10,
-        result.total.due + " due, " + result.total.hungUp + " disconnected by their clients");
+        result.total.due > 1_000 && result.total.disconnectedByClient > 10,
+        result.total.due
+            + " due, "
+            + result.total.disconnectedByClient
+            + " disconnected by their clients");
     assertTrue(
         result.servedValueFraction() > 0.98,
         "served value fraction " + result.servedValueFraction());
@@ -165,8 +171,8 @@
    */
   @Test
   void countsWaitForConnectionAsLatency() {
-    serverTakes = 20_000;
-    LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
+    responseDelayMicros = 20_000;
+    LoadResult result = run(behavior(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
     assertTrue(result.waitedCount > 500, "requests that waited: " + result.waitedCount);
     assertTrue(
         result.servedValueFraction() < 0.5,
@@ -178,7 +184,7 @@
   @Test
   void retriesRejectedRequestsAfterRetryAfter() {
     code = "53300";
-    LoadResult never = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
+    LoadResult never = run(behavior(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(never.total.due, never.total.rejected);
     assertEquals(0, never.latencyMicros.getTotalCount());
   }
@@ -186,7 +192,7 @@
   @Test
   void countsOtherErrorsAsFailures() {
     code = "40003";
-    LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
+    LoadResult result = run(behavior(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(result.total.due, result.total.failed);
   }
 }
