--- a/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
+++ b/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
@@ -10,7 +10,7 @@
  */
 final class BootstrapInterval {
 
-  private static final int SAMPLES = 2_000;
+  private static final int RESAMPLE_COUNT = 2_000;
 
   /** A mean, or a difference of means, with the bounds of its 95 % interval. */
   record Interval(double low, double mean, double high) {}
@@ -29,16 +29,18 @@
 
   private static Interval interval(double[] first, double[] second) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(20L);
-    double[] means = new double[SAMPLES];
-    for (int i = 0; i < SAMPLES; i++) {
-      means[i] = resampled(first, random) - resampled(second, random);
+    double[] means = new double[RESAMPLE_COUNT];
+    for (int i = 0; i < RESAMPLE_COUNT; i++) {
+      means[i] = resampledMean(first, random) - resampledMean(second, random);
     }
     Arrays.sort(means);
     return new Interval(
-        means[SAMPLES / 40], average(first) - average(second), means[SAMPLES - 1 - SAMPLES / 40]);
+        means[RESAMPLE_COUNT / 40],
+        average(first) - average(second),
+        means[RESAMPLE_COUNT - 1 - RESAMPLE_COUNT / 40]);
   }
 
-  private static double resampled(double[] figures, UniformRandomProvider random) {
+  private static double resampledMean(double[] figures, UniformRandomProvider random) {
     double sum = 0;
     for (int i = 0; i < figures.length; i++) {
       sum += figures[random.nextInt(figures.length)];
--- a/lab/src/main/java/shelffront/lab/experiment/Charts.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Charts.java
@@ -17,7 +17,7 @@
  */
 final class Charts {
 
-  private final XYChart worth =
+  private final XYChart servedValue =
       chart("Value served within the latency objective", "second", "fraction of the value due");
   private final XYChart latency =
       chart("Latency of served requests", "percentile (number of nines)", "ms");
@@ -52,7 +52,7 @@
       part[w] = wanted[w] == 0 ? 1 : kept[w] / wanted[w];
     }
     if (wanted.length > 0) {
-      worth.addSeries(name, seconds, part).setMarker(SeriesMarkers.NONE);
+      servedValue.addSeries(name, seconds, part).setMarker(SeriesMarkers.NONE);
     }
     double[] nines = new double[31];
     double[] millis = new double[31];
@@ -66,7 +66,7 @@
 
   /** Marks a time with a vertical line. */
   void mark(String name, double second) {
-    worth
+    servedValue
         .addSeries(name, new double[] {second, second}, new double[] {0, 1})
         .setMarker(SeriesMarkers.NONE);
   }
@@ -76,7 +76,7 @@
     List<String> lines = report.lines();
     lines.addAll(List.of("", "![worth over time](worth.svg)", "", "![latency](latency.svg)"));
     Files.write(directory.resolve("summary.md"), lines);
-    save(worth, directory.resolve("worth"));
+    save(servedValue, directory.resolve("worth"));
     save(latency, directory.resolve("latency"));
   }
 
--- a/lab/src/main/java/shelffront/lab/experiment/Experiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Experiment.java
@@ -87,7 +87,7 @@
   public static Report run(JsonNode file, Path directory)
       throws IOException, SpecException, InterruptedException {
     Experiment experiment = new Experiment(file);
-    experiment.play();
+    experiment.runPhases();
     Report report =
         new Report(
             List.copyOf(experiment.table),
@@ -100,7 +100,7 @@
     return report;
   }
 
-  private void play() throws IOException, SpecException, InterruptedException {
+  private void runPhases() throws IOException, SpecException, InterruptedException {
     table.add(
         "| phase | tenant | weight | due/s | on time/s | worth kept | worst window | refused | late"
             + " | failed | unanswered | p50 ms | p99 ms | p99.9 ms | load lag p99 ms | gateway CPU"
@@ -119,7 +119,7 @@
 
   private void save(Path directory, Report report) throws IOException {
     Files.createDirectories(directory);
-    Files.writeString(directory.resolve(RunJournal.EXPERIMENT), file.toPrettyString() + "\n");
+    Files.writeString(directory.resolve(RunJournal.EXPERIMENT_FILE), file.toPrettyString() + "\n");
     Charts charts = new Charts();
     StringBuilder runs = new StringBuilder();
     StringBuilder csv =
@@ -171,7 +171,7 @@
                   line.set("kept", TenantSpecCodec.JSON.valueToTree(served));
                   runs.append(line).append('\n');
                 }));
-    Files.writeString(directory.resolve(RunJournal.RUNS), runs);
+    Files.writeString(directory.resolve(RunJournal.RUNS_FILE), runs);
     Files.writeString(directory.resolve("runs.csv"), csv);
     charts.save(directory, report);
   }
@@ -209,7 +209,8 @@
       MultiTenantGateway gateway =
           new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
       Thread eventLoopThread = gateway.start();
-      try (TransparentProxy proxy = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
+      try (TransparentProxy proxy =
+          phase.path("relay").asBoolean(false) ? proxyToFirstReplica(sets) : null) {
         measure(phase, gateway, eventLoopThread, tenants, proxy, sets.values());
       }
       gateway.drain();
@@ -220,9 +221,10 @@
   }
 
   /** Returns a proxy to the first replica of the first set, or to its primary if it has none. */
-  private static TransparentProxy relay(Map<String, EmulatedReplicaSet> sets) throws IOException {
-    List<EmulatedReplicaSet.Host> boxes = sets.values().iterator().next().hosts();
-    String[] hostAndPort = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
+  private static TransparentProxy proxyToFirstReplica(Map<String, EmulatedReplicaSet> sets)
+      throws IOException {
+    List<EmulatedReplicaSet.Host> hosts = sets.values().iterator().next().hosts();
+    String[] hostAndPort = hosts.get(Math.min(1, hosts.size() - 1)).address().split(":");
     return new TransparentProxy(
         new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
   }
@@ -328,14 +330,14 @@
   private Map<String, LoadResult> run(JsonNode phase, InetSocketAddress gateway, double seconds)
       throws InterruptedException, IOException, SpecException {
     Map<String, LoadResult> all = new LinkedHashMap<>();
-    List<SocketTransport> carriers = new ArrayList<>();
+    List<SocketTransport> transports = new ArrayList<>();
     CountDownLatch over = new CountDownLatch(phase.path("load").size());
     try {
       for (Iterator<String> each = phase.path("load").fieldNames(); each.hasNext(); ) {
         String tenant = each.next();
         JsonNode loadNode = phase.path("load").path(tenant);
         SocketTransport transport = new SocketTransport("load " + tenant);
-        carriers.add(transport);
+        transports.add(transport);
         OpenLoopLoad load =
             new OpenLoopLoad(
                 transport,
@@ -343,18 +345,18 @@
                 tenant,
                 null,
                 LoadCodec.kinds(loadNode, file.path("tenants").path(tenant).path("classes")),
-                LoadCodec.habits(loadNode, "/phases/load/" + tenant),
+                LoadCodec.behavior(loadNode, "/phases/load/" + tenant),
                 loadNode.path("perSecond").asDouble(),
                 loadNode.path("connections").asInt(64),
                 tenant.hashCode());
         all.put(tenant, load.result());
         transport.post(() -> load.start((long) (seconds * 1e6), over::countDown));
       }
-      for (SocketTransport transport : carriers) {
+      for (SocketTransport transport : transports) {
         transport.await(over);
       }
     } finally {
-      carriers.forEach(SocketTransport::close);
+      transports.forEach(SocketTransport::close);
     }
     return all;
   }
@@ -364,7 +366,7 @@
     Map<String, LoadResult> phase = results.get(claim.path("phase").asText());
     if (claim.has("medianAgainst")) {
       String tenant = claim.path("tenant").asText();
-      double bare =
+      double reference =
           results
               .get(claim.path("medianAgainst").asText())
               .get(tenant)
@@ -372,14 +374,14 @@
               .getValueAtPercentile(50);
       double now = phase.get(tenant).latencyMicros.getValueAtPercentile(50);
       recordClaim(
-          now - bare <= claim.path("micros").asDouble(),
+          now - reference <= claim.path("micros").asDouble(),
           String.format(
               Locale.ROOT,
               "phase %s adds %.0f us to the median of phase %s, %.0f us: at most %.0f us allowed",
               claim.path("phase").asText(),
-              now - bare,
+              now - reference,
               claim.path("medianAgainst").asText(),
-              bare,
+              reference,
               claim.path("micros").asDouble()));
       return;
     }
@@ -448,8 +450,8 @@
     return file.path("tenants").path(tenant).path("weight").asDouble(1);
   }
 
-  private void recordClaim(boolean isKept, String text) {
-    claimsHold &= isKept;
-    claims.add((isKept ? "kept: " : "NOT kept: ") + text);
+  private void recordClaim(boolean holds, String text) {
+    claimsHold &= holds;
+    claims.add((holds ? "kept: " : "NOT kept: ") + text);
   }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
+++ b/lab/src/main/java/shelffront/lab/experiment/LoadCodec.java
@@ -39,7 +39,7 @@
     return kinds;
   }
 
-  static ClientBehavior habits(JsonNode load, String pointer) throws SpecException {
+  static ClientBehavior behavior(JsonNode load, String pointer) throws SpecException {
     ClientBehavior plain = ClientBehavior.PLAIN;
     ArrivalSchedule.Pattern pattern;
     try {
--- a/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
+++ b/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
@@ -9,32 +9,32 @@
  */
 final class ProgressBar {
 
-  private static final int WIDTH = 40;
+  private static final int WIDTH_CHARACTERS = 40;
 
   private final PrintStream out = System.console() == null ? null : System.err;
-  private final int all;
-  private final long begun = System.nanoTime();
+  private final int total;
+  private final long startNanos = System.nanoTime();
   private int done;
 
-  ProgressBar(int all) {
-    this.all = all;
+  ProgressBar(int total) {
+    this.total = total;
   }
 
   /** Counts a finished run and redraws the bar. */
-  synchronized void one() {
+  synchronized void runFinished() {
     done++;
     if (out != null) {
-      double tookSeconds = (System.nanoTime() - begun) / 1e9;
-      int filled = WIDTH * done / all;
+      double tookSeconds = (System.nanoTime() - startNanos) / 1e9;
+      int filled = WIDTH_CHARACTERS * done / total;
       out.printf(
           Locale.ROOT,
           "\r[%s%s] %d of %d runs, %.0f s left %s",
           "#".repeat(filled),
-          ".".repeat(WIDTH - filled),
+          ".".repeat(WIDTH_CHARACTERS - filled),
           done,
-          all,
-          tookSeconds / done * (all - done),
-          done == all ? "\n" : "");
+          total,
+          tookSeconds / done * (total - done),
+          done == total ? "\n" : "");
       out.flush();
     }
   }
--- a/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
@@ -22,12 +22,12 @@
  */
 final class RunJournal {
 
-  static final String EXPERIMENT = "experiment.json";
-  private static final String PROGRAM = "program.crc";
-  static final String RUNS = "runs.jsonl";
+  static final String EXPERIMENT_FILE = "experiment.json";
+  private static final String PROGRAM_CHECKSUM_FILE = "program.crc";
+  static final String RUNS_FILE = "runs.jsonl";
 
   private final Path runs; // null if nothing is stored
-  private final Map<String, RecordedRun> known = new HashMap<>();
+  private final Map<String, RecordedRun> runsByLevelAndSeed = new HashMap<>();
 
   private RunJournal(Path runs) {
     this.runs = runs;
@@ -47,7 +47,7 @@
     return open(directory, experiment, true);
   }
 
-  private static boolean has(Path file, String text) throws IOException {
+  private static boolean hasContent(Path file, String text) throws IOException {
     return Files.exists(file) && Files.readString(file).equals(text);
   }
 
@@ -55,7 +55,7 @@
    * Returns a checksum of the jars that a run depends on. Runs of a changed gateway are not
    * comparable, so they are not resumed.
    */
-  private static String program() throws IOException {
+  private static String programChecksum() throws IOException {
     CRC32 sum = new CRC32();
     for (Class<?> each : List.of(FleetSimulation.class, Gateway.class, Router.class)) {
       URL location = each.getProtectionDomain().getCodeSource().getLocation();
@@ -67,32 +67,32 @@
     return Long.toHexString(sum.getValue()) + "\n";
   }
 
-  private static RunJournal open(Path directory, JsonNode experiment, boolean reading)
+  private static RunJournal open(Path directory, JsonNode experiment, boolean readOnly)
       throws IOException {
     if (directory == null) {
       return new RunJournal(null);
     }
     Files.createDirectories(directory);
-    RunJournal log = new RunJournal(directory.resolve(RUNS));
-    Path file = directory.resolve(EXPERIMENT);
+    RunJournal journal = new RunJournal(directory.resolve(RUNS_FILE));
+    Path file = directory.resolve(EXPERIMENT_FILE);
     String text = experiment.toPrettyString() + "\n";
-    if (Files.exists(log.runs)
-        && has(file, text)
-        && (reading || has(directory.resolve(PROGRAM), program()))) {
-      for (String line : Files.readAllLines(log.runs)) {
+    if (Files.exists(journal.runs)
+        && hasContent(file, text)
+        && (readOnly || hasContent(directory.resolve(PROGRAM_CHECKSUM_FILE), programChecksum()))) {
+      for (String line : Files.readAllLines(journal.runs)) {
         RecordedRun run = RecordedRun.read(line);
         if (run != null) {
-          log.known.put(run.level() + "/" + run.seed(), run);
+          journal.runsByLevelAndSeed.put(run.level() + "/" + run.seed(), run);
         }
       }
     }
-    if (reading) {
-      return log;
+    if (readOnly) {
+      return journal;
     }
     Files.writeString(file, text);
-    Files.writeString(directory.resolve(PROGRAM), program());
-    log.rewrite(log.known.values());
-    return log;
+    Files.writeString(directory.resolve(PROGRAM_CHECKSUM_FILE), programChecksum());
+    journal.rewrite(journal.runsByLevelAndSeed.values());
+    return journal;
   }
 
   /** Rewrites the file with all runs in this order instead of the order in which they ended. */
@@ -105,11 +105,11 @@
   }
 
   synchronized RecordedRun get(String level, int seed) {
-    return known.get(level + "/" + seed);
+    return runsByLevelAndSeed.get(level + "/" + seed);
   }
 
   synchronized void add(RecordedRun run) throws IOException {
-    known.put(run.level() + "/" + run.seed(), run);
+    runsByLevelAndSeed.put(run.level() + "/" + run.seed(), run);
     if (runs != null) {
       Files.writeString(runs, run.line() + "\n", StandardOpenOption.APPEND);
     }
--- a/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
@@ -35,7 +35,7 @@
  */
 public final class VirtualExperiment {
 
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   /** A level of the experiment with its runs in the order of their seeds. */
   private record Level(String name, Scenario scenario, List<RecordedRun> runs) {
@@ -74,21 +74,21 @@
   public static Experiment.Report run(JsonNode file, Path directory)
       throws IOException, SpecException, InterruptedException {
     VirtualExperiment experiment = new VirtualExperiment(file);
-    RunJournal log = RunJournal.open(directory, file);
-    experiment.play(log);
-    log.rewrite(experiment.levels.stream().flatMap(level -> level.runs().stream()).toList());
+    RunJournal journal = RunJournal.open(directory, file);
+    experiment.runAll(journal);
+    journal.rewrite(experiment.levels.stream().flatMap(level -> level.runs().stream()).toList());
     return experiment.finish(directory);
   }
 
   /** Reports on the runs of a directory, and rewrites its summary and charts. */
   public static Experiment.Report report(Path directory) throws IOException, SpecException {
     JsonNode file =
-        TenantSpecCodec.JSON.readTree(directory.resolve(RunJournal.EXPERIMENT).toFile());
+        TenantSpecCodec.JSON.readTree(directory.resolve(RunJournal.EXPERIMENT_FILE).toFile());
     VirtualExperiment experiment = new VirtualExperiment(file);
-    RunJournal log = RunJournal.read(directory, file);
+    RunJournal journal = RunJournal.read(directory, file);
     for (Level level : experiment.plannedLevels()) {
       for (int seed = 1; seed <= experiment.seedCount(); seed++) {
-        RecordedRun run = log.get(level.name(), seed);
+        RecordedRun run = journal.get(level.name(), seed);
         if (run != null) {
           level.runs().add(run);
         }
@@ -128,7 +128,7 @@
     return planned;
   }
 
-  private void play(RunJournal log) throws SpecException, InterruptedException, IOException {
+  private void runAll(RunJournal journal) throws SpecException, InterruptedException, IOException {
     ExecutorService pool = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
     try {
       Map<Level, List<Future<RecordedRun>>> out = new LinkedHashMap<>();
@@ -142,12 +142,12 @@
           runs.add(
               pool.submit(
                   () -> {
-                    RecordedRun run = log.get(level.name(), number);
+                    RecordedRun run = journal.get(level.name(), number);
                     if (run == null) {
                       run = RecordedRun.of(level.name(), number, FleetSimulation.run(one));
-                      log.add(run);
+                      journal.add(run);
                     }
-                    progress.one();
+                    progress.runFinished();
                     return run;
                   }));
         }
@@ -206,14 +206,14 @@
             scenarioNode.path("shipUs").asLong(20_000),
             scenarioNode.path("applyUs").asLong(400),
             0.21,
-            18 * SECOND,
+            18 * MICROS_PER_SECOND,
             micros(scenarioNode, "electionSeconds", 1),
             micros(scenarioNode, "handOverSeconds", 0.5),
-            2 * SECOND,
+            2 * MICROS_PER_SECOND,
             check,
             50_000,
             4,
-            2 * SECOND,
+            2 * MICROS_PER_SECOND,
             scenarioNode.path("losesTail").asBoolean(false));
     return new Scenario(
         0,
@@ -247,7 +247,7 @@
   }
 
   private static long micros(JsonNode object, String name, double absent) {
-    return (long) (object.path(name).asDouble(absent) * SECOND);
+    return (long) (object.path(name).asDouble(absent) * MICROS_PER_SECOND);
   }
 
   private Level level(String name) {
@@ -325,9 +325,9 @@
     }
   }
 
-  private void recordClaim(boolean isKept, String text) {
-    claimsHold &= isKept;
-    claims.add((isKept ? "kept: " : "NOT kept: ") + text);
+  private void recordClaim(boolean holds, String text) {
+    claimsHold &= holds;
+    claims.add((holds ? "kept: " : "NOT kept: ") + text);
   }
 
   private void save(Path directory, Experiment.Report report) throws IOException {
@@ -377,13 +377,14 @@
 
   /** Compares the common levels of two stored experiments; returns one line per level. */
   public static List<String> compare(Path a, Path b) throws IOException {
-    Map<String, List<Double>> first = worth(a);
-    Map<String, List<Double>> second = worth(b);
+    Map<String, List<Double>> first = servedValueFractions(a);
+    Map<String, List<Double>> second = servedValueFractions(b);
     List<String> lines = new ArrayList<>();
     for (var each : first.entrySet()) {
       if (second.containsKey(each.getKey())) {
         BootstrapInterval.Interval difference =
-            BootstrapInterval.difference(array(second.get(each.getKey())), array(each.getValue()));
+            BootstrapInterval.difference(
+                toArray(second.get(each.getKey())), toArray(each.getValue()));
         lines.add(
             String.format(
                 Locale.ROOT,
@@ -400,11 +401,11 @@
     return lines;
   }
 
-  private static double[] array(List<Double> list) {
+  private static double[] toArray(List<Double> list) {
     return list.stream().mapToDouble(value -> value).toArray();
   }
 
-  private static Map<String, List<Double>> worth(Path directory) throws IOException {
+  private static Map<String, List<Double>> servedValueFractions(Path directory) throws IOException {
     Map<String, List<Double>> all = new LinkedHashMap<>();
     for (String line : Files.readAllLines(directory.resolve("runs.jsonl"))) {
       JsonNode run = TenantSpecCodec.JSON.readTree(line);
--- a/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
@@ -173,7 +173,7 @@
                 + "\"retries\":2,\"roam\":0.125,\"hangUp\":0.0625,\"mix\":[3,0,1]}");
     assertEquals(
         new ClientBehavior(ArrivalSchedule.Pattern.POISSON, 77, 1.5, 0.25, 2, 0.125, 0.0625),
-        LoadCodec.habits(load, "/load"));
+        LoadCodec.behavior(load, "/load"));
     JsonNode classes =
         JSON.readTree(
             "[{\"name\":\"a\",\"read\":\"any\",\"aimMs\":400,\"giveUpMs\":900,\"worth\":2},"
@@ -203,7 +203,7 @@
                 ArrivalSchedule.Pattern.BURSTS)
             .entrySet()) {
       JsonNode load = JSON.createObjectNode().put("arrivals", word.getKey());
-      assertEquals(word.getValue(), LoadCodec.habits(load, "/load").arrivals(), word.getKey());
+      assertEquals(word.getValue(), LoadCodec.behavior(load, "/load").arrivals(), word.getKey());
     }
   }
 }
--- a/lab/src/test/java/shelffront/lab/experiment/KeptRunCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/KeptRunCompatibilityTest.java
@@ -25,7 +25,7 @@
 /** Reads and resumes an experiment that version 0.2.0 stored: two levels with two seeds each. */
 class KeptRunCompatibilityTest {
 
-  private static final String PROGRAM = "program.crc";
+  private static final String PROGRAM_CHECKSUM_FILE = "program.crc";
 
   @TempDir private Path directory;
 
@@ -35,21 +35,25 @@
 
   @BeforeEach
   void copyKeptRun() throws Exception {
-    for (String name : List.of(RunJournal.EXPERIMENT, PROGRAM, RunJournal.RUNS)) {
+    for (String name :
+        List.of(RunJournal.EXPERIMENT_FILE, PROGRAM_CHECKSUM_FILE, RunJournal.RUNS_FILE)) {
       kept = StoredResource.copy("kept-run/" + name, directory).getParent();
     }
-    experiment = TenantSpecCodec.JSON.readTree(kept.resolve(RunJournal.EXPERIMENT).toFile());
-    lines = Files.readAllLines(kept.resolve(RunJournal.RUNS));
+    experiment = TenantSpecCodec.JSON.readTree(kept.resolve(RunJournal.EXPERIMENT_FILE).toFile());
+    lines = Files.readAllLines(kept.resolve(RunJournal.RUNS_FILE));
   }
 
   /**
    * Replaces the stored checksum by that of this build, because a journal is resumed only by the
    * program that wrote it. All other files stay as version 0.2.0 wrote them.
    */
-  private void claimByThisProgram() throws Exception {
+  private void storeChecksumOfThisProgram() throws Exception {
     Path other = directory.resolve("other");
     RunJournal.open(other, experiment);
-    Files.copy(other.resolve(PROGRAM), kept.resolve(PROGRAM), StandardCopyOption.REPLACE_EXISTING);
+    Files.copy(
+        other.resolve(PROGRAM_CHECKSUM_FILE),
+        kept.resolve(PROGRAM_CHECKSUM_FILE),
+        StandardCopyOption.REPLACE_EXISTING);
   }
 
   private static void assertRun(
@@ -153,13 +157,13 @@
   /** A stored run that ran again would have its real number of requests, not the marked number. */
   @Test
   void resumesInterruptedExperiment() throws Exception {
-    claimByThisProgram();
+    storeChecksumOfThisProgram();
     String marked = lines.get(0).replaceFirst("\"requests\":251,", "\"requests\":777777,");
     Files.writeString(
-        kept.resolve(RunJournal.RUNS),
+        kept.resolve(RunJournal.RUNS_FILE),
         marked + "\n" + lines.get(1) + "\n" + lines.get(2) + "\n" + lines.get(3).substring(0, 300));
     VirtualExperiment.run(experiment, kept);
-    List<String> resumed = Files.readAllLines(kept.resolve(RunJournal.RUNS));
+    List<String> resumed = Files.readAllLines(kept.resolve(RunJournal.RUNS_FILE));
     assertEquals(4, resumed.size());
     assertEquals(marked, resumed.get(0));
     assertEquals(lines.subList(1, 3), resumed.subList(1, 3));
@@ -170,14 +174,14 @@
 
   @Test
   void reusesAllRunsOfSameExperiment() throws Exception {
-    claimByThisProgram();
+    storeChecksumOfThisProgram();
     assertAllRuns(RunJournal.open(kept, experiment));
-    assertEquals(lines.size(), Files.readAllLines(kept.resolve(RunJournal.RUNS)).size());
+    assertEquals(lines.size(), Files.readAllLines(kept.resolve(RunJournal.RUNS_FILE)).size());
   }
 
   @Test
   void ignoresRunsOfAnotherProgram() throws Exception {
-    Files.writeString(kept.resolve(PROGRAM), "14835f98 of another\n");
+    Files.writeString(kept.resolve(PROGRAM_CHECKSUM_FILE), "14835f98 of another\n");
     RunJournal log = RunJournal.open(kept, experiment);
     assertNull(log.get("calm", 1));
     assertNull(log.get("restart", 2));
@@ -225,11 +229,11 @@
   void storesRunsWithSameFields() throws Exception {
     Path again = directory.resolve("again");
     VirtualExperiment.run(experiment, again);
-    List<String> written = Files.readAllLines(again.resolve(RunJournal.RUNS));
+    List<String> written = Files.readAllLines(again.resolve(RunJournal.RUNS_FILE));
     assertEquals(fields(lines), fields(written));
     assertEquals(
-        Files.readString(kept.resolve(RunJournal.EXPERIMENT)),
-        Files.readString(again.resolve(RunJournal.EXPERIMENT)));
+        Files.readString(kept.resolve(RunJournal.EXPERIMENT_FILE)),
+        Files.readString(again.resolve(RunJournal.EXPERIMENT_FILE)));
     List<String> levels = new ArrayList<>();
     VirtualExperiment.compare(kept, again)
         .forEach(line -> levels.add(line.substring(0, line.indexOf(':'))));
