--- a/lab/src/main/java/shelffront/lab/Explore.java
+++ b/lab/src/main/java/shelffront/lab/Explore.java
@@ -53,7 +53,7 @@
   @Option(names = "--no-shrink", description = "print failing seeds without reducing them")
   private boolean noShrink;
 
-  private record Failed(long seed, FleetSimulation.Result result) {}
+  private record FailedSeed(long seed, FleetSimulation.Result result) {}
 
   @Override
   public Integer call() throws Exception {
@@ -61,37 +61,37 @@
     ExecutorService pool = Executors.newFixedThreadPool(workers);
     AtomicLong requests = new AtomicLong();
     AtomicLong events = new AtomicLong();
-    AtomicLong simulated = new AtomicLong();
-    AtomicLong played = new AtomicLong();
-    long begun = System.nanoTime();
-    List<Future<Failed>> runs = new ArrayList<>();
+    AtomicLong simulatedMicros = new AtomicLong();
+    AtomicLong simulatedSeeds = new AtomicLong();
+    long startNanos = System.nanoTime();
+    List<Future<FailedSeed>> runs = new ArrayList<>();
     for (int i = 0; i < seeds; i++) {
       long seed = from + i;
       runs.add(
           pool.submit(
               () -> {
-                if (System.nanoTime() - begun > minutes * 60e9) {
+                if (System.nanoTime() - startNanos > minutes * 60e9) {
                   return null;
                 }
                 Scenario scenario = Scenario.draw(seed);
                 FleetSimulation.Result result = FleetSimulation.run(scenario);
                 requests.addAndGet(result.requests());
                 events.addAndGet(result.events());
-                simulated.addAndGet(scenario.length());
-                played.incrementAndGet();
-                return result.violationCount() > 0 ? new Failed(seed, result) : null;
+                simulatedMicros.addAndGet(scenario.length());
+                simulatedSeeds.incrementAndGet();
+                return result.violationCount() > 0 ? new FailedSeed(seed, result) : null;
               }));
     }
-    List<Failed> failures = new ArrayList<>();
-    for (Future<Failed> run : runs) {
-      Failed failed = run.get();
+    List<FailedSeed> failures = new ArrayList<>();
+    for (Future<FailedSeed> run : runs) {
+      FailedSeed failed = run.get();
       if (failed != null) {
         failures.add(failed);
       }
     }
-    double tookSeconds = (System.nanoTime() - begun) / 1e9;
+    double tookSeconds = (System.nanoTime() - startNanos) / 1e9;
     Map<String, Integer> rules = new TreeMap<>();
-    for (Failed failure : failures) {
+    for (FailedSeed failure : failures) {
       failure.result().violations().stream()
           .map(violation -> violation.rule().name())
           .distinct()
@@ -101,15 +101,15 @@
         Locale.ROOT,
         "%d seeds, %d requests, %.0f simulated seconds in %.1f s on %d threads: %.1f"
             + " simulated seconds and %.0f requests per second and core%n",
-        played.get(),
+        simulatedSeeds.get(),
         requests.get(),
-        simulated.get() / 1e6,
+        simulatedMicros.get() / 1e6,
         tookSeconds,
         workers,
-        simulated.get() / 1e6 / tookSeconds / workers,
+        simulatedMicros.get() / 1e6 / tookSeconds / workers,
         requests.get() / tookSeconds / workers);
     System.out.println(failures.size() + " seeds violated an invariant: " + rules);
-    for (Failed failure : failures.subList(0, Math.min(10, failures.size()))) {
+    for (FailedSeed failure : failures.subList(0, Math.min(10, failures.size()))) {
       Cut cut =
           noShrink
               ? ScenarioShrinker.whole(failure.seed())
--- a/lab/src/main/java/shelffront/lab/Idle.java
+++ b/lab/src/main/java/shelffront/lab/Idle.java
@@ -35,7 +35,7 @@
         "Measures the heap of an idle client connection at the gateway and at a transparent proxy.")
 final class Idle implements Callable<Integer> {
 
-  private static final int MISSING_S = 30;
+  private static final int ARRIVAL_TIMEOUT_S = 30;
 
   @Option(
       names = "--connections",
@@ -47,15 +47,15 @@
    * A server that only accepts connections. The heap of its connections and their clients is the
    * baseline that is subtracted from the other measurements.
    */
-  private static final class Sink implements AutoCloseable {
+  private static final class AcceptingServer implements AutoCloseable {
 
     private final ServerSocketChannel listener =
         ServerSocketChannel.open()
             .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
-    private final List<SocketChannel> taken = new CopyOnWriteArrayList<>();
-    private final Semaphore arrived = new Semaphore(0);
+    private final List<SocketChannel> accepted = new CopyOnWriteArrayList<>();
+    private final Semaphore acceptedCount = new Semaphore(0);
 
-    private Sink() throws IOException {
+    private AcceptingServer() throws IOException {
       Thread thread = new Thread(this::accept, "sink");
       thread.setDaemon(true);
       thread.start();
@@ -64,8 +64,8 @@
     private void accept() {
       try {
         while (true) {
-          taken.add(listener.accept());
-          arrived.release();
+          accepted.add(listener.accept());
+          acceptedCount.release();
         }
       } catch (ClosedChannelException e) {
         return; // closed by close()
@@ -79,14 +79,14 @@
     }
 
     private void await(int connections) throws InterruptedException {
-      if (!arrived.tryAcquire(connections, MISSING_S, TimeUnit.SECONDS)) {
+      if (!acceptedCount.tryAcquire(connections, ARRIVAL_TIMEOUT_S, TimeUnit.SECONDS)) {
         throw new IllegalStateException(
             "the server accepted "
-                + taken.size()
+                + accepted.size()
                 + " of "
                 + connections
                 + " connections within "
-                + MISSING_S
+                + ARRIVAL_TIMEOUT_S
                 + " s");
       }
     }
@@ -94,7 +94,7 @@
     @Override
     public void close() throws IOException {
       listener.close();
-      for (SocketChannel each : taken) {
+      for (SocketChannel each : accepted) {
         each.close();
       }
     }
@@ -111,14 +111,17 @@
   }
 
   private static String measure(int connections) throws Exception {
-    double pair;
-    try (Sink sink = new Sink()) {
-      pair = each(sink.address(), connections, false, () -> sink.await(connections));
+    double baseline;
+    try (AcceptingServer sink = new AcceptingServer()) {
+      baseline =
+          heapBytesPerConnection(sink.address(), connections, false, () -> sink.await(connections));
     }
     double relayed;
-    try (Sink sink = new Sink();
+    try (AcceptingServer sink = new AcceptingServer();
         TransparentProxy proxy = new TransparentProxy(sink.address())) {
-      relayed = each(proxy.address(), connections, false, () -> sink.await(connections)) - pair;
+      relayed =
+          heapBytesPerConnection(proxy.address(), connections, false, () -> sink.await(connections))
+              - baseline;
     }
     ObjectNode config =
         TenantSpecCodec.JSON
@@ -131,13 +134,13 @@
     MultiTenantGateway gateway = new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
     Thread eventLoopThread = gateway.start();
     double served =
-        each(
+        heapBytesPerConnection(
                 new InetSocketAddress(
                     InetAddress.getLoopbackAddress(), gateway.address().getPort()),
                 connections,
                 true,
                 () -> {})
-            - pair / 2;
+            - baseline / 2;
     gateway.drain();
     eventLoopThread.join();
     return String.format(
@@ -152,26 +155,26 @@
   /**
    * Returns the heap in bytes per connection, counting both ends.
    *
-   * @param welcomed whether each client starts a session and sends an empty query
+   * @param startsSession whether each client starts a session and sends an empty query
    * @param arrival waits until the other end has accepted all connections
    */
-  private static double each(
-      InetSocketAddress address, int connections, boolean welcomed, Arrival arrival)
+  private static double heapBytesPerConnection(
+      InetSocketAddress address, int connections, boolean startsSession, Arrival arrival)
       throws Exception {
     List<SocketChannel> clients = new ArrayList<>(connections);
     byte[] startup = Message.startup("api", "t0");
     // The gateway closes a connection whose first query does not arrive within its timeout.
     byte[] empty = Message.query(";".getBytes(US_ASCII));
     ByteBuffer buffer = ByteBuffer.allocateDirect(1024);
-    long before = Scale.heap();
+    long before = Scale.usedHeapBytes();
     try {
       for (int i = 0; i < connections; i++) {
         SocketChannel client = SocketChannel.open(address);
         clients.add(client);
-        if (welcomed) {
+        if (startsSession) {
           client.write(buffer.clear().put(startup).put(empty).flip());
           buffer.clear();
-          while (!ready(buffer)) {
+          while (!endsWithReadyForQuery(buffer)) {
             if (client.read(buffer) < 0) {
               throw new IllegalStateException(
                   "the gateway closed connection " + i + " before it was ready for queries");
@@ -180,7 +183,7 @@
         }
       }
       arrival.await();
-      return (Scale.heap() - before) / (double) connections;
+      return (Scale.usedHeapBytes() - before) / (double) connections;
     } finally {
       for (SocketChannel each : clients) {
         each.close();
@@ -188,7 +191,7 @@
     }
   }
 
-  private static boolean ready(ByteBuffer read) {
+  private static boolean endsWithReadyForQuery(ByteBuffer read) {
     byte[] bytes = new byte[read.position()];
     read.duplicate().flip().get(bytes);
     return new String(bytes, US_ASCII).endsWith("I\0\0\0\4Z\0\0\0\5I");
--- a/lab/src/main/java/shelffront/lab/Scale.java
+++ b/lab/src/main/java/shelffront/lab/Scale.java
@@ -28,7 +28,7 @@
         "Measures start time, memory per tenant and the time of a change with many idle tenants.")
 final class Scale implements Callable<Integer> {
 
-  private static final int CHANGES = 200;
+  private static final int CHANGE_COUNT = 200;
 
   @Option(
       names = "--tenants",
@@ -38,17 +38,17 @@
 
   @Override
   public Integer call() throws Exception {
-    one(20); // compiles the code before measuring
+    measure(20); // compiles the code before measuring
     System.out.println(
         "| tenants | start from the store s | heap for each KB | change in force, median ms "
             + "| p99 ms |");
     System.out.println("|---|---|---|---|---|");
-    System.out.println(one(1));
-    System.out.println(one(count));
+    System.out.println(measure(1));
+    System.out.println(measure(count));
     return 0;
   }
 
-  private static String one(int tenants) throws Exception {
+  private static String measure(int tenants) throws Exception {
     Path file = Files.createTempFile("scale", ".store");
     Files.delete(file);
     try {
@@ -65,13 +65,13 @@
       stop(new MultiTenantGateway(seeded, line -> {}));
       config.remove("tenants");
       MultiTenantConfig bare = MultiTenantConfig.read(config);
-      long before = heap();
+      long before = usedHeapBytes();
       long from = System.nanoTime();
       MultiTenantGateway gateway = new MultiTenantGateway(bare, line -> {});
       Thread eventLoopThread = gateway.start();
       gateway.heldResources().get(60, TimeUnit.SECONDS);
       double start = (System.nanoTime() - from) / 1e9;
-      double each = (heap() - before) / 1024.0 / tenants;
+      double each = (usedHeapBytes() - before) / 1024.0 / tenants;
       double[] took = changes(gateway, tenants);
       gateway.drain();
       eventLoopThread.join();
@@ -81,8 +81,8 @@
           tenants,
           start,
           each,
-          took[CHANGES / 2],
-          took[CHANGES * 99 / 100]);
+          took[CHANGE_COUNT / 2],
+          took[CHANGE_COUNT * 99 / 100]);
     } finally {
       Files.deleteIfExists(file);
     }
@@ -93,8 +93,8 @@
    * ascending order.
    */
   private static double[] changes(MultiTenantGateway gateway, int tenants) throws Exception {
-    double[] took = new double[CHANGES];
-    for (int i = 0; i < CHANGES; i++) {
+    double[] took = new double[CHANGE_COUNT];
+    for (int i = 0; i < CHANGE_COUNT; i++) {
       String id = "t" + i % tenants;
       long revision = gateway.store().get(Kind.TENANT, id).revision();
       CompletableFuture<Long> inForce = new CompletableFuture<>();
@@ -155,7 +155,7 @@
     eventLoopThread.join();
   }
 
-  static long heap() {
+  static long usedHeapBytes() {
     for (int i = 0; i < 3; i++) {
       System.gc();
     }
--- a/lab/src/main/java/shelffront/lab/ServeFleet.java
+++ b/lab/src/main/java/shelffront/lab/ServeFleet.java
@@ -29,7 +29,7 @@
     })
 final class ServeFleet implements Callable<Integer> {
 
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   @Option(names = "--sets", defaultValue = "1", description = "replica sets (${DEFAULT-VALUE})")
   private int setCount;
@@ -38,7 +38,7 @@
       names = "--boxes",
       defaultValue = "3",
       description = "hosts per replica set, the first is the primary (${DEFAULT-VALUE})")
-  private int boxCount;
+  private int hostsPerSet;
 
   @Option(names = "--cores", defaultValue = "8", description = "cores per host (${DEFAULT-VALUE})")
   private int cores;
@@ -68,8 +68,8 @@
   private double seconds;
 
   private final List<EmulatedReplicaSet> sets = new ArrayList<>();
-  private DiscoveryEmulator catalogue;
-  private SocketTransport carrier;
+  private DiscoveryEmulator discovery;
+  private SocketTransport transport;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
@@ -86,33 +86,34 @@
             20_000,
             300,
             0.21,
-            18 * SECOND,
-            SECOND,
-            SECOND / 2,
-            2 * SECOND,
+            18 * MICROS_PER_SECOND,
+            MICROS_PER_SECOND,
+            MICROS_PER_SECOND / 2,
+            2 * MICROS_PER_SECOND,
             ReplicaSetParameters.Check.WAIT,
             50_000,
             4,
-            2 * SECOND,
+            2 * MICROS_PER_SECOND,
             false);
     try (SocketTransport own = new SocketTransport("fleet")) {
-      carrier = own;
+      transport = own;
       for (int i = 1; i <= setCount; i++) {
-        sets.add(new EmulatedReplicaSet(carrier, "s" + i, boxCount, parameters, this::tell));
+        sets.add(
+            new EmulatedReplicaSet(transport, "s" + i, hostsPerSet, parameters, this::publish));
       }
       InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-      catalogue = new DiscoveryEmulator(carrier, address, (connection, some, complete) -> {});
-      carrier.post(() -> sets.forEach(this::tell));
+      discovery = new DiscoveryEmulator(transport, address, (connection, some, complete) -> {});
+      transport.post(() -> sets.forEach(this::publish));
       System.out.println("list of boxes: http://127.0.0.1:" + port);
       sets.forEach(replicaSet -> replicaSet.hosts().forEach(this::print));
-      Thread timer = new Thread(this::stopInTime, "timer");
+      Thread timer = new Thread(this::exitAfterTimeLimit, "timer");
       timer.setDaemon(true);
       timer.start();
       BufferedReader input = new BufferedReader(new InputStreamReader(System.in));
       for (String line = input.readLine();
           line != null && !line.equals("stop");
           line = input.readLine()) {
-        if (!line.isBlank() && !command(line.trim().split(" +"))) {
+        if (!line.isBlank() && !execute(line.trim().split(" +"))) {
           System.out.println("unknown or invalid command: " + line + " (see --help)");
         }
       }
@@ -120,7 +121,7 @@
     }
   }
 
-  private void stopInTime() {
+  private void exitAfterTimeLimit() {
     try {
       Thread.sleep((long) (seconds * 1000));
     } catch (InterruptedException e) {
@@ -136,14 +137,14 @@
   }
 
   /** Publishes the endpoints of a replica set to discovery, which lists them after its delay. */
-  private void tell(EmulatedReplicaSet replicaSet) {
+  private void publish(EmulatedReplicaSet replicaSet) {
     int group = sets.indexOf(replicaSet) + 1;
     long delay = listDelayMs * 1000;
     replicaSet
         .hosts()
         .forEach(
             host ->
-                catalogue.publish(
+                discovery.publish(
                     new DiscoveryEmulator.EndpointLine(
                         host.id(),
                         host.address(),
@@ -155,29 +156,29 @@
   }
 
   /** Executes a command; returns false if it is unknown or invalid. */
-  boolean command(String[] words) {
+  boolean execute(String[] words) {
     switch (words[0]) {
       case "list" -> sets.forEach(replicaSet -> replicaSet.hosts().forEach(this::print));
-      case "break-watches" -> carrier.post(catalogue::breakWatches);
+      case "break-watches" -> transport.post(discovery::breakWatches);
       case "discovery" -> {
         if (words.length != 2 || !words[1].matches("up|down")) {
           return false;
         }
-        carrier.post(() -> catalogue.setDown(words[1].equals("down")));
+        transport.post(() -> discovery.setDown(words[1].equals("down")));
       }
       default -> {
-        return onBox(words);
+        return applyToHost(words);
       }
     }
     return true;
   }
 
-  private boolean onBox(String[] words) {
+  private boolean applyToHost(String[] words) {
     for (EmulatedReplicaSet replicaSet : sets) {
       for (EmulatedReplicaSet.Host host : replicaSet.hosts()) {
         if (words.length > 1 && host.id().equals(words[1])) {
-          boolean known = onBox(host, words);
-          carrier.post(() -> tell(replicaSet));
+          boolean known = applyToHost(host, words);
+          transport.post(() -> publish(replicaSet));
           return known;
         }
       }
@@ -185,7 +186,7 @@
     return false;
   }
 
-  private static boolean onBox(EmulatedReplicaSet.Host host, String[] words) {
+  private static boolean applyToHost(EmulatedReplicaSet.Host host, String[] words) {
     switch (words[0]) {
       case "kill" -> host.kill();
       case "restart" -> host.restart();
