--- a/lab/src/main/java/shelffront/lab/experiment/Charts.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Charts.java
@@ -39,27 +39,34 @@
   /**
    * Adds a line to each chart.
    *
-   * @param window length of a window in microseconds
-   * @param wanted value of the requests due in each window
-   * @param kept value served on time in each window
-   * @param served latencies of the served requests in microseconds
+   * @param windowMicros length of a window in microseconds
+   * @param dueValue value of the requests due in each window
+   * @param onTimeValue value served on time in each window
+   * @param servedLatencies latencies of the served requests in microseconds
    */
-  void add(String name, long window, double[] wanted, double[] kept, Histogram served) {
-    double[] seconds = new double[wanted.length];
-    double[] part = new double[wanted.length];
-    for (int w = 0; w < wanted.length; w++) {
-      seconds[w] = w * window / 1e6;
-      part[w] = wanted[w] == 0 ? 1 : kept[w] / wanted[w];
+  void add(
+      String name,
+      long windowMicros,
+      double[] dueValue,
+      double[] onTimeValue,
+      Histogram servedLatencies) {
+    double[] seconds = new double[dueValue.length];
+    double[] fractions = new double[dueValue.length];
+    for (int w = 0; w < dueValue.length; w++) {
+      seconds[w] = w * windowMicros / 1e6;
+      fractions[w] = dueValue[w] == 0 ? 1 : onTimeValue[w] / dueValue[w];
     }
-    if (wanted.length > 0) {
-      servedValue.addSeries(name, seconds, part).setMarker(SeriesMarkers.NONE);
+    if (dueValue.length > 0) {
+      servedValue.addSeries(name, seconds, fractions).setMarker(SeriesMarkers.NONE);
     }
     double[] nines = new double[31];
     double[] millis = new double[31];
     for (int i = 0; i < nines.length; i++) {
       nines[i] = i / 10.0;
       millis[i] =
-          Math.max(0.01, served.getValueAtPercentile(100 * (1 - Math.pow(10, -nines[i]))) / 1e3);
+          Math.max(
+              0.01,
+              servedLatencies.getValueAtPercentile(100 * (1 - Math.pow(10, -nines[i]))) / 1e3);
     }
     latency.addSeries(name, nines, millis).setMarker(SeriesMarkers.NONE);
   }
--- a/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
@@ -352,16 +352,16 @@
     Files.writeString(directory.resolve("runs.csv"), csv);
     Charts charts = new Charts();
     for (Level level : levels) {
-      double[] wanted = new double[level.runs().get(0).requestedValue().length];
-      double[] served = new double[wanted.length];
+      double[] requested = new double[level.runs().get(0).requestedValue().length];
+      double[] served = new double[requested.length];
       for (RecordedRun run : level.runs()) {
-        for (int window = 0; window < wanted.length; window++) {
-          wanted[window] += run.requestedValue()[window];
+        for (int window = 0; window < requested.length; window++) {
+          requested[window] += run.requestedValue()[window];
           served[window] += run.servedValue()[window];
         }
       }
       charts.add(
-          level.name(), FleetSimulation.WINDOW_MICROS, wanted, served, level.latencyMicros());
+          level.name(), FleetSimulation.WINDOW_MICROS, requested, served, level.latencyMicros());
     }
     Set<String> drawn = new HashSet<>();
     for (Level level : levels) {
@@ -388,7 +388,7 @@
         lines.add(
             String.format(
                 Locale.ROOT,
-                "%s: worth kept differs by %+.4f (%+.4f to %+.4f), %s",
+                "%s: served value differs by %+.4f (%+.4f to %+.4f), %s",
                 each.getKey(),
                 difference.mean(),
                 difference.low(),
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -47,7 +47,7 @@
         for (Message message = next(bytes); message != null; message = next(bytes)) {
           if (message.type() == 'Q') {
             String id = message.text(0).replaceAll(".*id=([^,]+),.*", "$1");
-            clock.after(responseDelayMicros, () -> answer(id));
+            clock.after(responseDelayMicros, () -> respond(id));
           }
         }
       } catch (ProtocolException e) {
@@ -64,7 +64,7 @@
       return started ? Message.next(bytes, "QX", Message.MAX_BYTES) : null;
     }
 
-    private void answer(String id) {
+    private void respond(String id) {
       if (code != null) {
         send(Message.error(false, code, "no", "100"));
       } else {
@@ -83,7 +83,7 @@
 
   private LoadResult run(ClientBehavior behavior, double perSecond, int connections) {
     net.listen(net.machine("server"), address, Server::new);
-    boolean[] over = new boolean[1];
+    boolean[] ended = new boolean[1];
     OpenLoopLoad load =
         new OpenLoopLoad(
             net.transportOn(net.machine("clients")),
@@ -97,12 +97,12 @@
             perSecond,
             connections,
             11);
-    load.start(4 * SECOND, () -> over[0] = true);
-    while (!over[0] && clock.nextMicros() < Long.MAX_VALUE) {
+    load.start(4 * SECOND, () -> ended[0] = true);
+    while (!ended[0] && clock.nextMicros() < Long.MAX_VALUE) {
       clock.advanceTo(clock.nextMicros());
       clock.runNext();
     }
-    assertTrue(over[0], "the load did not end");
+    assertTrue(ended[0], "the load did not end");
     RequestOutcomes all = load.result().total;
     assertEquals(
         all.due,
