--- a/lab/src/main/java/shelffront/lab/Explore.java
+++ b/lab/src/main/java/shelffront/lab/Explore.java
@@ -156,14 +156,15 @@
     @Override
     public Integer call() {
       Cut whole = ScenarioShrinker.whole(seed);
-      List<Integer> kept = new ArrayList<>();
+      List<Integer> selectedFaults = new ArrayList<>();
       if (faults != null && !faults.equals("none")) {
         for (String each : faults.split(",")) {
-          kept.add(Integer.parseInt(each));
+          selectedFaults.add(Integer.parseInt(each));
         }
       }
       Scenario scenario =
-          new Cut(faults == null ? whole.faults() : kept, rate, (long) (seconds * 1e6)).of(seed);
+          new Cut(faults == null ? whole.faults() : selectedFaults, rate, (long) (seconds * 1e6))
+              .of(seed);
       FleetSimulation.Result result =
           FleetSimulation.run(
               scenario,
@@ -174,7 +175,7 @@
                 }
               });
       System.out.println(scenario);
-      result.byClass().forEach((name, worth) -> System.out.println(name + " " + worth));
+      result.byClass().forEach((name, outcomes) -> System.out.println(name + " " + outcomes));
       System.out.printf(
           Locale.ROOT,
           "served value %.3f, %d requests, %d events, hash %s%n",
--- a/lab/src/main/java/shelffront/lab/LabMain.java
+++ b/lab/src/main/java/shelffront/lab/LabMain.java
@@ -131,13 +131,13 @@
         names = "--keep",
         paramLabel = "FILE",
         description = "also write the table to this file, as Markdown")
-    private Path keep;
+    private Path tableFile;
 
     @Option(
         names = "--out",
         paramLabel = "DIRECTORY",
         description = "store runs, tables and charts in this directory")
-    private Path out;
+    private Path outputDirectory;
 
     @Option(names = "--short", description = "run the short form that the file defines")
     private boolean isShort;
@@ -150,13 +150,13 @@
       }
       Experiment.Report report =
           experiment.path("virtual").asBoolean(false)
-              ? VirtualExperiment.run(experiment, out)
-              : Experiment.run(experiment, out);
+              ? VirtualExperiment.run(experiment, outputDirectory)
+              : Experiment.run(experiment, outputDirectory);
       List<String> lines = report.lines();
       lines.forEach(System.out::println);
-      if (keep != null) {
+      if (tableFile != null) {
         lines.add(0, "# " + file.getFileName() + "\n");
-        Files.write(keep, lines);
+        Files.write(tableFile, lines);
       }
       return report.isVoid() ? 2 : report.claimsHold() ? 0 : 1;
     }
--- a/lab/src/main/java/shelffront/lab/Scale.java
+++ b/lab/src/main/java/shelffront/lab/Scale.java
@@ -72,7 +72,7 @@
       gateway.heldResources().get(60, TimeUnit.SECONDS);
       double start = (System.nanoTime() - from) / 1e9;
       double each = (usedHeapBytes() - before) / 1024.0 / tenants;
-      double[] took = changes(gateway, tenants);
+      double[] tookMillis = changes(gateway, tenants);
       gateway.drain();
       eventLoopThread.join();
       return String.format(
@@ -81,8 +81,8 @@
           tenants,
           start,
           each,
-          took[CHANGE_COUNT / 2],
-          took[CHANGE_COUNT * 99 / 100]);
+          tookMillis[CHANGE_COUNT / 2],
+          tookMillis[CHANGE_COUNT * 99 / 100]);
     } finally {
       Files.deleteIfExists(file);
     }
@@ -93,12 +93,12 @@
    * ascending order.
    */
   private static double[] changes(MultiTenantGateway gateway, int tenants) throws Exception {
-    double[] took = new double[CHANGE_COUNT];
+    double[] tookMillis = new double[CHANGE_COUNT];
     for (int i = 0; i < CHANGE_COUNT; i++) {
       String id = "t" + i % tenants;
       long revision = gateway.store().get(Kind.TENANT, id).revision();
       CompletableFuture<Long> inForce = new CompletableFuture<>();
-      TenantAdministration tenancy =
+      TenantAdministration administration =
           new TenantAdministration(
               gateway.store(),
               new TenantAdministration.TenantControl() {
@@ -119,12 +119,12 @@
               },
               System::currentTimeMillis);
       long from = System.nanoTime();
-      tenancy.put(id, revision, tenant(id, 2 + i), "scale", "change");
+      administration.put(id, revision, tenant(id, 2 + i), "scale", "change");
       inForce.get(60, TimeUnit.SECONDS);
-      took[i] = (System.nanoTime() - from) / 1e6;
+      tookMillis[i] = (System.nanoTime() - from) / 1e6;
     }
-    Arrays.sort(took);
-    return took;
+    Arrays.sort(tookMillis);
+    return tookMillis;
   }
 
   static ObjectNode tenant(String id, int weight) {
--- a/lab/src/main/java/shelffront/lab/ServeFleet.java
+++ b/lab/src/main/java/shelffront/lab/ServeFleet.java
@@ -104,7 +104,7 @@
       InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
       discovery = new DiscoveryEmulator(transport, address, (connection, some, complete) -> {});
       transport.post(() -> sets.forEach(this::publish));
-      System.out.println("list of boxes: http://127.0.0.1:" + port);
+      System.out.println("discovery: http://127.0.0.1:" + port);
       sets.forEach(replicaSet -> replicaSet.hosts().forEach(this::print));
       Thread timer = new Thread(this::exitAfterTimeLimit, "timer");
       timer.setDaemon(true);
@@ -132,7 +132,7 @@
 
   private void print(EmulatedReplicaSet.Host host) {
     System.out.printf(
-        "%s %s %s, %d begun%n",
+        "%s %s %s, %d queries started%n",
         host.id(), host.address(), host.isPrimary() ? "primary" : "replica", host.startedCount());
   }
 
