--- a/lab/src/main/java/shelffront/lab/Scale.java
+++ b/lab/src/main/java/shelffront/lab/Scale.java
@@ -20,32 +20,35 @@
 import shelffront.tenant.TenantSpec;
 import shelffront.tenant.TenantSpecCodec;
 
-/** What tenants that rest cost: the start, the memory of each, and a change among them. */
+/** Measures what idle tenants cost: start time, memory per tenant, and the time of a change. */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
     description =
-        "Measures start time, memory for each and the cost of a change with many tenants at rest.")
+        "Measures start time, memory per tenant and the time of a change with many idle tenants.")
 final class Scale implements Callable<Integer> {
 
-  private static final int CHANGES = 200;
+  private static final int CHANGE_COUNT = 200;
 
-  @Option(names = "--tenants", defaultValue = "2000", description = "how many (${DEFAULT-VALUE})")
+  @Option(
+      names = "--tenants",
+      defaultValue = "2000",
+      description = "number of tenants (${DEFAULT-VALUE})")
   private int count;
 
   @Override
   public Integer call() throws Exception {
-    one(20); // code is compiled before anything counts
+    measure(20); // compiles the code before measuring
     System.out.println(
         "| tenants | start from the store s | heap for each KB | change in force, median ms "
             + "| p99 ms |");
     System.out.println("|---|---|---|---|---|");
-    System.out.println(one(1));
-    System.out.println(one(count));
+    System.out.println(measure(1));
+    System.out.println(measure(count));
     return 0;
   }
 
-  private static String one(int tenants) throws Exception {
+  private static String measure(int tenants) throws Exception {
     Path file = Files.createTempFile("scale", ".store");
     Files.delete(file);
     try {
@@ -62,14 +65,14 @@
       stop(new MultiTenantGateway(seeded, line -> {}));
       config.remove("tenants");
       MultiTenantConfig bare = MultiTenantConfig.read(config);
-      long before = heap();
+      long before = usedHeapBytes();
       long from = System.nanoTime();
       MultiTenantGateway gateway = new MultiTenantGateway(bare, line -> {});
       Thread eventLoopThread = gateway.start();
       gateway.heldResources().get(60, TimeUnit.SECONDS);
       double start = (System.nanoTime() - from) / 1e9;
-      double each = (heap() - before) / 1024.0 / tenants;
-      double[] took = changes(gateway, tenants);
+      double each = (usedHeapBytes() - before) / 1024.0 / tenants;
+      double[] tookMillis = changes(gateway, tenants);
       gateway.drain();
       eventLoopThread.join();
       return String.format(
@@ -78,21 +81,24 @@
           tenants,
           start,
           each,
-          took[CHANGES / 2],
-          took[CHANGES * 99 / 100]);
+          tookMillis[CHANGE_COUNT / 2],
+          tookMillis[CHANGE_COUNT * 99 / 100]);
     } finally {
       Files.deleteIfExists(file);
     }
   }
 
-  /** Milliseconds from the call to the change being on disk and in force, in order. */
+  /**
+   * Returns the times from the call until the change is on disk and in force, in milliseconds and
+   * ascending order.
+   */
   private static double[] changes(MultiTenantGateway gateway, int tenants) throws Exception {
-    double[] took = new double[CHANGES];
-    for (int i = 0; i < CHANGES; i++) {
+    double[] tookMillis = new double[CHANGE_COUNT];
+    for (int i = 0; i < CHANGE_COUNT; i++) {
       String id = "t" + i % tenants;
       long revision = gateway.store().get(Kind.TENANT, id).revision();
       CompletableFuture<Long> inForce = new CompletableFuture<>();
-      TenantAdministration tenancy =
+      TenantAdministration administration =
           new TenantAdministration(
               gateway.store(),
               new TenantAdministration.TenantControl() {
@@ -113,12 +119,12 @@
               },
               System::currentTimeMillis);
       long from = System.nanoTime();
-      tenancy.put(id, revision, tenant(id, 2 + i), "scale", "change");
+      administration.put(id, revision, tenant(id, 2 + i), "scale", "change");
       inForce.get(60, TimeUnit.SECONDS);
-      took[i] = (System.nanoTime() - from) / 1e6;
+      tookMillis[i] = (System.nanoTime() - from) / 1e6;
     }
-    Arrays.sort(took);
-    return took;
+    Arrays.sort(tookMillis);
+    return tookMillis;
   }
 
   static ObjectNode tenant(String id, int weight) {
@@ -149,7 +155,7 @@
     eventLoopThread.join();
   }
 
-  static long heap() {
+  static long usedHeapBytes() {
     for (int i = 0; i < 3; i++) {
       System.gc();
     }
--- a/lab/src/main/java/shelffront/lab/ServeFleet.java
+++ b/lab/src/main/java/shelffront/lab/ServeFleet.java
@@ -15,58 +15,61 @@
 import shelffront.lab.model.ReplicaSetParameters;
 import shelffront.lab.transport.SocketTransport;
 
-/** Stand-in sets with their list of boxes on loopback, to point a gateway at and break by hand. */
+/** Serves emulated replica sets and discovery on loopback, with faults injected by commands. */
 @Command(
     name = "serve-fleet",
     mixinStandardHelpOptions = true,
     description = {
-      "Serves stand-in boxes and their list (discovery) on loopback until the time is over or its"
-          + " input ends.",
-      "Commands on its input, a line each:",
+      "Serves emulated hosts and their endpoint list (discovery) on loopback until the time is over"
+          + " or its input ends.",
+      "Commands on its input, one per line:",
       "  list | kill BOX | restart BOX | drain BOX | slow BOX TIMES SECONDS | silence BOX | spoil"
           + " BOX | well BOX",
       "  break-watches | discovery down | discovery up | stop"
     })
 final class ServeFleet implements Callable<Integer> {
 
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
-  @Option(names = "--sets", defaultValue = "1", description = "(${DEFAULT-VALUE})")
+  @Option(names = "--sets", defaultValue = "1", description = "replica sets (${DEFAULT-VALUE})")
   private int setCount;
 
   @Option(
       names = "--boxes",
       defaultValue = "3",
-      description = "of each set, the first is primary (${DEFAULT-VALUE})")
-  private int boxCount;
+      description = "hosts per replica set, the first is the primary (${DEFAULT-VALUE})")
+  private int hostsPerSet;
 
-  @Option(names = "--cores", defaultValue = "8", description = "of each box (${DEFAULT-VALUE})")
+  @Option(names = "--cores", defaultValue = "8", description = "cores per host (${DEFAULT-VALUE})")
   private int cores;
 
   @Option(
       names = "--work-ms",
       defaultValue = "5",
-      description = "median work of a read (${DEFAULT-VALUE})")
+      description = "median processing time of a read (${DEFAULT-VALUE})")
   private double workMs;
 
-  @Option(names = "--list-delay-ms", defaultValue = "1000", description = "(${DEFAULT-VALUE})")
+  @Option(
+      names = "--list-delay-ms",
+      defaultValue = "1000",
+      description = "delay of endpoint updates (${DEFAULT-VALUE})")
   private long listDelayMs;
 
   @Option(
       names = "--port",
       defaultValue = "8700",
-      description = "of the list, 0 for any (${DEFAULT-VALUE})")
+      description = "port of discovery, 0 for any free port (${DEFAULT-VALUE})")
   private int port;
 
   @Option(
       names = "--seconds",
       defaultValue = "3600",
-      description = "how long it runs (${DEFAULT-VALUE})")
+      description = "time until it stops (${DEFAULT-VALUE})")
   private double seconds;
 
   private final List<EmulatedReplicaSet> sets = new ArrayList<>();
-  private DiscoveryEmulator catalogue;
-  private SocketTransport carrier;
+  private DiscoveryEmulator discovery;
+  private SocketTransport transport;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
@@ -83,41 +86,42 @@
             20_000,
             300,
             0.21,
-            18 * SECOND,
-            SECOND,
-            SECOND / 2,
-            2 * SECOND,
+            18 * MICROS_PER_SECOND,
+            MICROS_PER_SECOND,
+            MICROS_PER_SECOND / 2,
+            2 * MICROS_PER_SECOND,
             ReplicaSetParameters.Check.WAIT,
             50_000,
             4,
-            2 * SECOND,
+            2 * MICROS_PER_SECOND,
             false);
     try (SocketTransport own = new SocketTransport("fleet")) {
-      carrier = own;
+      transport = own;
       for (int i = 1; i <= setCount; i++) {
-        sets.add(new EmulatedReplicaSet(carrier, "s" + i, boxCount, parameters, this::tell));
+        sets.add(
+            new EmulatedReplicaSet(transport, "s" + i, hostsPerSet, parameters, this::publish));
       }
       InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-      catalogue = new DiscoveryEmulator(carrier, address, (connection, some, complete) -> {});
-      carrier.post(() -> sets.forEach(this::tell));
-      System.out.println("list of boxes: http://127.0.0.1:" + port);
+      discovery = new DiscoveryEmulator(transport, address, (connection, some, complete) -> {});
+      transport.post(() -> sets.forEach(this::publish));
+      System.out.println("discovery: http://127.0.0.1:" + port);
       sets.forEach(replicaSet -> replicaSet.hosts().forEach(this::print));
-      Thread timer = new Thread(this::stopInTime, "timer");
+      Thread timer = new Thread(this::exitAfterTimeLimit, "timer");
       timer.setDaemon(true);
       timer.start();
       BufferedReader input = new BufferedReader(new InputStreamReader(System.in));
       for (String line = input.readLine();
           line != null && !line.equals("stop");
           line = input.readLine()) {
-        if (!line.isBlank() && !command(line.trim().split(" +"))) {
-          System.out.println("not understood: " + line + " (see --help)");
+        if (!line.isBlank() && !execute(line.trim().split(" +"))) {
+          System.out.println("unknown or invalid command: " + line + " (see --help)");
         }
       }
       return 0;
     }
   }
 
-  private void stopInTime() {
+  private void exitAfterTimeLimit() {
     try {
       Thread.sleep((long) (seconds * 1000));
     } catch (InterruptedException e) {
@@ -128,19 +132,19 @@
 
   private void print(EmulatedReplicaSet.Host host) {
     System.out.printf(
-        "%s %s %s, %d begun%n",
+        "%s %s %s, %d queries started%n",
         host.id(), host.address(), host.isPrimary() ? "primary" : "replica", host.startedCount());
   }
 
-  /** What the list says of a set, after its delay. */
-  private void tell(EmulatedReplicaSet replicaSet) {
+  /** Publishes the endpoints of a replica set to discovery, which lists them after its delay. */
+  private void publish(EmulatedReplicaSet replicaSet) {
     int group = sets.indexOf(replicaSet) + 1;
     long delay = listDelayMs * 1000;
     replicaSet
         .hosts()
         .forEach(
             host ->
-                catalogue.publish(
+                discovery.publish(
                     new DiscoveryEmulator.EndpointLine(
                         host.id(),
                         host.address(),
@@ -151,30 +155,30 @@
                     delay));
   }
 
-  /** Takes a command; false where it is none. */
-  boolean command(String[] words) {
+  /** Executes a command; returns false if it is unknown or invalid. */
+  boolean execute(String[] words) {
     switch (words[0]) {
       case "list" -> sets.forEach(replicaSet -> replicaSet.hosts().forEach(this::print));
-      case "break-watches" -> carrier.post(catalogue::breakWatches);
+      case "break-watches" -> transport.post(discovery::breakWatches);
       case "discovery" -> {
         if (words.length != 2 || !words[1].matches("up|down")) {
           return false;
         }
-        carrier.post(() -> catalogue.setDown(words[1].equals("down")));
+        transport.post(() -> discovery.setDown(words[1].equals("down")));
       }
       default -> {
-        return onBox(words);
+        return applyToHost(words);
       }
     }
     return true;
   }
 
-  private boolean onBox(String[] words) {
+  private boolean applyToHost(String[] words) {
     for (EmulatedReplicaSet replicaSet : sets) {
       for (EmulatedReplicaSet.Host host : replicaSet.hosts()) {
         if (words.length > 1 && host.id().equals(words[1])) {
-          boolean known = onBox(host, words);
-          carrier.post(() -> tell(replicaSet));
+          boolean known = applyToHost(host, words);
+          transport.post(() -> publish(replicaSet));
           return known;
         }
       }
@@ -182,7 +186,7 @@
     return false;
   }
 
-  private static boolean onBox(EmulatedReplicaSet.Host host, String[] words) {
+  private static boolean applyToHost(EmulatedReplicaSet.Host host, String[] words) {
     switch (words[0]) {
       case "kill" -> host.kill();
       case "restart" -> host.restart();
--- a/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
+++ b/lab/src/main/java/shelffront/lab/experiment/BootstrapInterval.java
@@ -5,40 +5,42 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Intervals by resampling (Efron, 1979): 95 % of the means of samples drawn with replacement. The
- * seed is fixed.
+ * Bootstrap confidence intervals (Efron, 1979): the interval covers 95 % of the means of samples
+ * drawn with replacement. The seed is fixed, so the same figures give the same interval.
  */
 final class BootstrapInterval {
 
-  private static final int SAMPLES = 2_000;
+  private static final int RESAMPLE_COUNT = 2_000;
 
-  /** A mean and where it lies. */
+  /** A mean, or a difference of means, with the bounds of its 95 % interval. */
   record Interval(double low, double mean, double high) {}
 
   private BootstrapInterval() {}
 
-  /** Of the mean of some figures, at least one. */
+  /** Returns the interval of the mean of at least one figure. */
   static Interval mean(double[] figures) {
     return interval(figures, new double[] {0});
   }
 
-  /** Of the difference of two means. */
+  /** Returns the interval of the mean of the first figures minus the mean of the second. */
   static Interval difference(double[] first, double[] second) {
     return interval(first, second);
   }
 
   private static Interval interval(double[] first, double[] second) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(20L);
-    double[] means = new double[SAMPLES];
-    for (int i = 0; i < SAMPLES; i++) {
-      means[i] = resampled(first, random) - resampled(second, random);
+    double[] means = new double[RESAMPLE_COUNT];
+    for (int i = 0; i < RESAMPLE_COUNT; i++) {
+      means[i] = resampledMean(first, random) - resampledMean(second, random);
     }
     Arrays.sort(means);
     return new Interval(
-        means[SAMPLES / 40], average(first) - average(second), means[SAMPLES - 1 - SAMPLES / 40]);
+        means[RESAMPLE_COUNT / 40],
+        average(first) - average(second),
+        means[RESAMPLE_COUNT - 1 - RESAMPLE_COUNT / 40]);
   }
 
-  private static double resampled(double[] figures, UniformRandomProvider random) {
+  private static double resampledMean(double[] figures, UniformRandomProvider random) {
     double sum = 0;
     for (int i = 0; i < figures.length; i++) {
       sum += figures[random.nextInt(figures.length)];
--- a/lab/src/main/java/shelffront/lab/experiment/Charts.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Charts.java
@@ -12,13 +12,13 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * The charts of an experiment, whatever carried it: worth over time with the faults marked, latency
- * by percentile.
+ * The charts of an experiment, on sockets or in virtual time: served value over time with the
+ * faults marked, and latency by percentile.
  */
 final class Charts {
 
-  private final XYChart worth =
-      chart("Worth answered within its aim, over time", "second", "part of what was asked");
+  private final XYChart servedValue =
+      chart("Value served within the latency objective", "second", "fraction of the value due");
   private final XYChart latency =
       chart("Latency of served requests", "percentile (number of nines)", "ms");
 
@@ -37,46 +37,57 @@
   }
 
   /**
-   * A line of each chart: worth wanted and kept in windows of so many microseconds, and the served
-   * ones' latency.
+   * Adds a line to each chart.
+   *
+   * @param windowMicros length of a window in microseconds
+   * @param dueValue value of the requests due in each window
+   * @param onTimeValue value served on time in each window
+   * @param servedLatencies latencies of the served requests in microseconds
    */
-  void add(String name, long window, double[] wanted, double[] kept, Histogram served) {
-    double[] seconds = new double[wanted.length];
-    double[] part = new double[wanted.length];
-    for (int w = 0; w < wanted.length; w++) {
-      seconds[w] = w * window / 1e6;
-      part[w] = wanted[w] == 0 ? 1 : kept[w] / wanted[w];
+  void add(
+      String name,
+      long windowMicros,
+      double[] dueValue,
+      double[] onTimeValue,
+      Histogram servedLatencies) {
+    double[] seconds = new double[dueValue.length];
+    double[] fractions = new double[dueValue.length];
+    for (int w = 0; w < dueValue.length; w++) {
+      seconds[w] = w * windowMicros / 1e6;
+      fractions[w] = dueValue[w] == 0 ? 1 : onTimeValue[w] / dueValue[w];
     }
-    if (wanted.length > 0) {
-      worth.addSeries(name, seconds, part).setMarker(SeriesMarkers.NONE);
+    if (dueValue.length > 0) {
+      servedValue.addSeries(name, seconds, fractions).setMarker(SeriesMarkers.NONE);
     }
     double[] nines = new double[31];
     double[] millis = new double[31];
     for (int i = 0; i < nines.length; i++) {
       nines[i] = i / 10.0;
       millis[i] =
-          Math.max(0.01, served.getValueAtPercentile(100 * (1 - Math.pow(10, -nines[i]))) / 1e3);
+          Math.max(
+              0.01,
+              servedLatencies.getValueAtPercentile(100 * (1 - Math.pow(10, -nines[i]))) / 1e3);
     }
     latency.addSeries(name, nines, millis).setMarker(SeriesMarkers.NONE);
   }
 
-  /** A moment, as a line from bottom to top. */
+  /** Marks a time with a vertical line. */
   void mark(String name, double second) {
-    worth
+    servedValue
         .addSeries(name, new double[] {second, second}, new double[] {0, 1})
         .setMarker(SeriesMarkers.NONE);
   }
 
-  /** Writes the charts, and the summary that shows them. */
+  /** Writes the charts, and the summary that embeds them. */
   void save(Path directory, Experiment.Report report) throws IOException {
     List<String> lines = report.lines();
     lines.addAll(List.of("", "![worth over time](worth.svg)", "", "![latency](latency.svg)"));
     Files.write(directory.resolve("summary.md"), lines);
-    save(worth, directory.resolve("worth"));
+    save(servedValue, directory.resolve("worth"));
     save(latency, directory.resolve("latency"));
   }
 
-  /** The encoder adds the file's ending. */
+  /** Writes a chart to a path without its extension, which the encoder adds. */
   private static void save(XYChart chart, Path file) throws IOException {
     VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(), VectorGraphicsFormat.SVG);
   }
--- a/lab/src/main/java/shelffront/lab/experiment/Experiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/Experiment.java
@@ -30,31 +30,39 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * Phases of open-loop load on a hosted gateway in this process, each tenant with stand-in boxes of
- * its own on loopback, and claims about what they show. The file says all of it; see {@code
- * lab/experiments}.
+ * Runs phases of open-loop load on a multi-tenant gateway in this process, with emulated replica
+ * sets on loopback, and checks claims about the results. The experiment file defines phases,
+ * tenants and claims; see {@code lab/experiments}.
  */
 public final class Experiment {
 
-  /** How an experiment ended: its table, and whether each claim was kept. */
+  /**
+   * The result of an experiment.
+   *
+   * @param table lines of a Markdown table
+   * @param claims each claim with its verdict
+   * @param claimsHold whether all claims hold
+   * @param isVoid whether the load generator or an emulated replica set lagged too far behind for a
+   *     valid result
+   */
   public record Report(
       List<String> table, List<String> claims, boolean claimsHold, boolean isVoid) {
 
-    /** Table and claims, as Markdown. */
+    /** Returns table and claims as Markdown. */
     public List<String> lines() {
       List<String> lines = new ArrayList<>(table);
       lines.add("");
       claims.forEach(claim -> lines.add("- " + claim));
       if (isVoid) {
-        lines.add("- void: the load itself was late, so the machine was too slow to tell");
+        lines.add("- void: load generator or emulated hosts lagged too far behind on this machine");
       }
       return lines;
     }
   }
 
   /**
-   * Where even one request in a hundred was sent this late, the machine was too slow to tell
-   * anything.
+   * Largest 99th percentile of the load generator's lag, and largest lateness of an emulated
+   * replica set, in a valid result. Beyond this the figures describe the machine.
    */
   private static final long MAX_LAG_MICROS = 50_000;
 
@@ -72,13 +80,14 @@
   }
 
   /**
-   * Plays it; the directory keeps the experiment, its runs, table and charts, and is null for
-   * nothing kept.
+   * Runs an experiment.
+   *
+   * @param directory receives the experiment, its runs, table and charts; null to write nothing
    */
   public static Report run(JsonNode file, Path directory)
       throws IOException, SpecException, InterruptedException {
     Experiment experiment = new Experiment(file);
-    experiment.play();
+    experiment.runPhases();
     Report report =
         new Report(
             List.copyOf(experiment.table),
@@ -91,7 +100,7 @@
     return report;
   }
 
-  private void play() throws IOException, SpecException, InterruptedException {
+  private void runPhases() throws IOException, SpecException, InterruptedException {
     table.add(
         "| phase | tenant | weight | due/s | on time/s | worth kept | worst window | refused | late"
             + " | failed | unanswered | p50 ms | p99 ms | p99.9 ms | load lag p99 ms | gateway CPU"
@@ -104,13 +113,13 @@
       check(claim);
     }
     if (!malformedResponses.isEmpty()) {
-      recordClaim(false, "wrong answers, the first of them: " + malformedResponses.get(0));
+      recordClaim(false, "malformed responses, first one: " + malformedResponses.get(0));
     }
   }
 
   private void save(Path directory, Report report) throws IOException {
     Files.createDirectories(directory);
-    Files.writeString(directory.resolve(RunJournal.EXPERIMENT), file.toPrettyString() + "\n");
+    Files.writeString(directory.resolve(RunJournal.EXPERIMENT_FILE), file.toPrettyString() + "\n");
     Charts charts = new Charts();
     StringBuilder runs = new StringBuilder();
     StringBuilder csv =
@@ -162,7 +171,7 @@
                   line.set("kept", TenantSpecCodec.JSON.valueToTree(served));
                   runs.append(line).append('\n');
                 }));
-    Files.writeString(directory.resolve(RunJournal.RUNS), runs);
+    Files.writeString(directory.resolve(RunJournal.RUNS_FILE), runs);
     Files.writeString(directory.resolve("runs.csv"), csv);
     charts.save(directory, report);
   }
@@ -200,7 +209,8 @@
       MultiTenantGateway gateway =
           new MultiTenantGateway(MultiTenantConfig.read(config), line -> {});
       Thread eventLoopThread = gateway.start();
-      try (TransparentProxy proxy = phase.path("relay").asBoolean(false) ? relay(sets) : null) {
+      try (TransparentProxy proxy =
+          phase.path("relay").asBoolean(false) ? proxyToFirstReplica(sets) : null) {
         measure(phase, gateway, eventLoopThread, tenants, proxy, sets.values());
       }
       gateway.drain();
@@ -210,10 +220,11 @@
     }
   }
 
-  /** To the first replica of the first set, or its primary where it has no replica. */
-  private static TransparentProxy relay(Map<String, EmulatedReplicaSet> sets) throws IOException {
-    List<EmulatedReplicaSet.Host> boxes = sets.values().iterator().next().hosts();
-    String[] hostAndPort = boxes.get(Math.min(1, boxes.size() - 1)).address().split(":");
+  /** Returns a proxy to the first replica of the first set, or to its primary if it has none. */
+  private static TransparentProxy proxyToFirstReplica(Map<String, EmulatedReplicaSet> sets)
+      throws IOException {
+    List<EmulatedReplicaSet.Host> hosts = sets.values().iterator().next().hosts();
+    String[] hostAndPort = hosts.get(Math.min(1, hosts.size() - 1)).address().split(":");
     return new TransparentProxy(
         new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
   }
@@ -233,8 +244,8 @@
   }
 
   /**
-   * Nanoseconds of CPU that the gateway's own threads have used: the loop thread and the
-   * completions'.
+   * Returns the CPU time in nanoseconds of the gateway's threads: event loops and the threads that
+   * complete socket operations. The threads are recognized by their names.
    */
   private static long cpuNanos(Thread eventLoopThread) {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
@@ -261,9 +272,10 @@
             : new InetSocketAddress(InetAddress.getLoopbackAddress(), hosted.address().getPort());
     double warm = file.path("warmSeconds").asDouble(2);
     double seconds = file.path("seconds").asDouble(5);
-    run(phase, gateway, warm); // compiled code and known boxes before anything counts
-    // A change in the midst of the same load: what was before it is over, and what is measured
-    // comes after.
+    run(
+        phase, gateway,
+        warm); // compiles the code and lets the gateway learn about its endpoints before measuring
+    // The change applies between two runs of the same load, so that only its effect is measured.
     for (Iterator<String> each = phase.path("change").fieldNames(); each.hasNext(); ) {
       String id = each.next();
       for (JsonNode tenant : tenants) {
@@ -318,14 +330,14 @@
   private Map<String, LoadResult> run(JsonNode phase, InetSocketAddress gateway, double seconds)
       throws InterruptedException, IOException, SpecException {
     Map<String, LoadResult> all = new LinkedHashMap<>();
-    List<SocketTransport> carriers = new ArrayList<>();
+    List<SocketTransport> transports = new ArrayList<>();
     CountDownLatch over = new CountDownLatch(phase.path("load").size());
     try {
       for (Iterator<String> each = phase.path("load").fieldNames(); each.hasNext(); ) {
         String tenant = each.next();
         JsonNode loadNode = phase.path("load").path(tenant);
         SocketTransport transport = new SocketTransport("load " + tenant);
-        carriers.add(transport);
+        transports.add(transport);
         OpenLoopLoad load =
             new OpenLoopLoad(
                 transport,
@@ -333,18 +345,18 @@
                 tenant,
                 null,
                 LoadCodec.kinds(loadNode, file.path("tenants").path(tenant).path("classes")),
-                LoadCodec.habits(loadNode, "/phases/load/" + tenant),
+                LoadCodec.behavior(loadNode, "/phases/load/" + tenant),
                 loadNode.path("perSecond").asDouble(),
                 loadNode.path("connections").asInt(64),
                 tenant.hashCode());
         all.put(tenant, load.result());
         transport.post(() -> load.start((long) (seconds * 1e6), over::countDown));
       }
-      for (SocketTransport transport : carriers) {
+      for (SocketTransport transport : transports) {
         transport.await(over);
       }
     } finally {
-      carriers.forEach(SocketTransport::close);
+      transports.forEach(SocketTransport::close);
     }
     return all;
   }
@@ -354,7 +366,7 @@
     Map<String, LoadResult> phase = results.get(claim.path("phase").asText());
     if (claim.has("medianAgainst")) {
       String tenant = claim.path("tenant").asText();
-      double bare =
+      double reference =
           results
               .get(claim.path("medianAgainst").asText())
               .get(tenant)
@@ -362,14 +374,14 @@
               .getValueAtPercentile(50);
       double now = phase.get(tenant).latencyMicros.getValueAtPercentile(50);
       recordClaim(
-          now - bare <= claim.path("micros").asDouble(),
+          now - reference <= claim.path("micros").asDouble(),
           String.format(
               Locale.ROOT,
-              "phase %s adds %.0f us to the median of phase %s, %.0f us: at most %.0f",
+              "phase %s adds %.0f us to the median of phase %s, %.0f us: at most %.0f us allowed",
               claim.path("phase").asText(),
-              now - bare,
+              now - reference,
               claim.path("medianAgainst").asText(),
-              bare,
+              reference,
               claim.path("micros").asDouble()));
       return;
     }
@@ -380,8 +392,8 @@
           now <= alone * (1 + within),
           String.format(
               Locale.ROOT,
-              "a request costs the gateway %.1f us of CPU in phase %s, in phase %s %.1f: at most"
-                  + " %.0f %% more",
+              "a request costs the gateway %.1f us of CPU in phase %s, in phase %s %.1f us: at most"
+                  + " %.0f %% more allowed",
               now,
               claim.path("phase").asText(),
               claim.path("costAgainst").asText(),
@@ -397,7 +409,8 @@
           now >= alone * (1 - within),
           String.format(
               Locale.ROOT,
-              "%s keeps %.3f of its worth in phase %s, alone %.3f: within %.0f %%",
+              "%s has %.3f of its value served in phase %s, in the reference phase %.3f: at most"
+                  + " %.0f %% less allowed",
               tenant,
               now,
               claim.path("phase").asText(),
@@ -418,7 +431,7 @@
           Math.abs(share - due) <= within * due,
           String.format(
               Locale.ROOT,
-              "%s is served %.3f of all in phase %s, by weight %.3f: within %.0f %%",
+              "%s gets a share of %.3f in phase %s, by weight %.3f: at most %.0f %% off allowed",
               each.getKey(),
               share,
               claim.path("phase").asText(),
@@ -437,8 +450,8 @@
     return file.path("tenants").path(tenant).path("weight").asDouble(1);
   }
 
-  private void recordClaim(boolean isKept, String text) {
-    claimsHold &= isKept;
-    claims.add((isKept ? "kept: " : "NOT kept: ") + text);
+  private void recordClaim(boolean holds, String text) {
+    claimsHold &= holds;
+    claims.add((holds ? "kept: " : "NOT kept: ") + text);
   }
 }
--- a/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
+++ b/lab/src/main/java/shelffront/lab/experiment/ProgressBar.java
@@ -4,36 +4,37 @@
 import java.util.Locale;
 
 /**
- * A bar on standard error that grows with each run, where that is a terminal; nothing elsewhere.
+ * Shows the progress of an experiment's runs on standard error, if the process has a terminal.
+ * Thread-safe.
  */
 final class ProgressBar {
 
-  private static final int WIDTH = 40;
+  private static final int WIDTH_CHARACTERS = 40;
 
   private final PrintStream out = System.console() == null ? null : System.err;
-  private final int all;
-  private final long begun = System.nanoTime();
+  private final int total;
+  private final long startNanos = System.nanoTime();
   private int done;
 
-  ProgressBar(int all) {
-    this.all = all;
+  ProgressBar(int total) {
+    this.total = total;
   }
 
-  /** One more has ended. Any thread may call. */
-  synchronized void one() {
+  /** Counts a finished run and redraws the bar. */
+  synchronized void runFinished() {
     done++;
     if (out != null) {
-      double tookSeconds = (System.nanoTime() - begun) / 1e9;
-      int filled = WIDTH * done / all;
+      double tookSeconds = (System.nanoTime() - startNanos) / 1e9;
+      int filled = WIDTH_CHARACTERS * done / total;
       out.printf(
           Locale.ROOT,
           "\r[%s%s] %d of %d runs, %.0f s left %s",
           "#".repeat(filled),
-          ".".repeat(WIDTH - filled),
+          ".".repeat(WIDTH_CHARACTERS - filled),
           done,
-          all,
-          tookSeconds / done * (all - done),
-          done == all ? "\n" : "");
+          total,
+          tookSeconds / done * (total - done),
+          done == total ? "\n" : "");
       out.flush();
     }
   }
--- a/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
+++ b/lab/src/main/java/shelffront/lab/experiment/RunJournal.java
@@ -16,39 +16,46 @@
 import shelffront.routing.Router;
 
 /**
- * The runs of an experiment as they end, a line each, so that one that was stopped goes on where it
- * was. What another experiment left in the directory counts for nothing. May be used by several
- * threads.
+ * Journal of the finished runs of an experiment, one line per run, from which an interrupted
+ * experiment resumes. Runs that another experiment or another program wrote to the directory are
+ * ignored. Thread-safe.
  */
 final class RunJournal {
 
-  static final String EXPERIMENT = "experiment.json";
-  private static final String PROGRAM = "program.crc";
-  static final String RUNS = "runs.jsonl";
+  static final String EXPERIMENT_FILE = "experiment.json";
+  private static final String PROGRAM_CHECKSUM_FILE = "program.crc";
+  static final String RUNS_FILE = "runs.jsonl";
 
-  private final Path runs; // null where nothing is kept
-  private final Map<String, RecordedRun> known = new HashMap<>();
+  private final Path runs; // null if nothing is stored
+  private final Map<String, RecordedRun> runsByLevelAndSeed = new HashMap<>();
 
   private RunJournal(Path runs) {
     this.runs = runs;
   }
 
-  /** To go on in a directory, which is made where there is none; null for none. */
+  /**
+   * Opens the journal of a directory to resume the experiment, and creates the directory if needed.
+   *
+   * @param directory null for a journal in memory only
+   */
   static RunJournal open(Path directory, JsonNode experiment) throws IOException {
     return open(directory, experiment, false);
   }
 
-  /** To look at what a directory has, by whatever program it was played. */
+  /** Opens the journal of a directory for reading, whichever program wrote its runs. */
   static RunJournal read(Path directory, JsonNode experiment) throws IOException {
     return open(directory, experiment, true);
   }
 
-  private static boolean has(Path file, String text) throws IOException {
+  private static boolean hasContent(Path file, String text) throws IOException {
     return Files.exists(file) && Files.readString(file).equals(text);
   }
 
-  /** A digest of the jars that a run is played by: a changed gateway's runs are others. */
-  private static String program() throws IOException {
+  /**
+   * Returns a checksum of the jars that a run depends on. Runs of a changed gateway are not
+   * comparable, so they are not resumed.
+   */
+  private static String programChecksum() throws IOException {
     CRC32 sum = new CRC32();
     for (Class<?> each : List.of(FleetSimulation.class, Gateway.class, Router.class)) {
       URL location = each.getProtectionDomain().getCodeSource().getLocation();
@@ -60,35 +67,35 @@
     return Long.toHexString(sum.getValue()) + "\n";
   }
 
-  private static RunJournal open(Path directory, JsonNode experiment, boolean reading)
+  private static RunJournal open(Path directory, JsonNode experiment, boolean readOnly)
       throws IOException {
     if (directory == null) {
       return new RunJournal(null);
     }
     Files.createDirectories(directory);
-    RunJournal log = new RunJournal(directory.resolve(RUNS));
-    Path file = directory.resolve(EXPERIMENT);
+    RunJournal journal = new RunJournal(directory.resolve(RUNS_FILE));
+    Path file = directory.resolve(EXPERIMENT_FILE);
     String text = experiment.toPrettyString() + "\n";
-    if (Files.exists(log.runs)
-        && has(file, text)
-        && (reading || has(directory.resolve(PROGRAM), program()))) {
-      for (String line : Files.readAllLines(log.runs)) {
+    if (Files.exists(journal.runs)
+        && hasContent(file, text)
+        && (readOnly || hasContent(directory.resolve(PROGRAM_CHECKSUM_FILE), programChecksum()))) {
+      for (String line : Files.readAllLines(journal.runs)) {
         RecordedRun run = RecordedRun.read(line);
         if (run != null) {
-          log.known.put(run.level() + "/" + run.seed(), run);
+          journal.runsByLevelAndSeed.put(run.level() + "/" + run.seed(), run);
         }
       }
     }
-    if (reading) {
-      return log;
+    if (readOnly) {
+      return journal;
     }
     Files.writeString(file, text);
-    Files.writeString(directory.resolve(PROGRAM), program());
-    log.rewrite(log.known.values());
-    return log;
+    Files.writeString(directory.resolve(PROGRAM_CHECKSUM_FILE), programChecksum());
+    journal.rewrite(journal.runsByLevelAndSeed.values());
+    return journal;
   }
 
-  /** Writes all runs anew in this order, whichever ended first. */
+  /** Rewrites the file with all runs in this order instead of the order in which they ended. */
   synchronized void rewrite(Collection<RecordedRun> all) throws IOException {
     if (runs != null) {
       StringBuilder whole = new StringBuilder();
@@ -98,11 +105,11 @@
   }
 
   synchronized RecordedRun get(String level, int seed) {
-    return known.get(level + "/" + seed);
+    return runsByLevelAndSeed.get(level + "/" + seed);
   }
 
   synchronized void add(RecordedRun run) throws IOException {
-    known.put(run.level() + "/" + run.seed(), run);
+    runsByLevelAndSeed.put(run.level() + "/" + run.seed(), run);
     if (runs != null) {
       Files.writeString(runs, run.line() + "\n", StandardOpenOption.APPEND);
     }
--- a/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
+++ b/lab/src/main/java/shelffront/lab/experiment/VirtualExperiment.java
@@ -29,15 +29,15 @@
 import shelffront.tenant.TenantSpecCodec.SpecException;
 
 /**
- * An experiment on the virtual fleet: a base scenario, levels that change it, seeds, claims. Each
- * level is played with each seed, spread over the cores; the result is a directory with everything
- * in it.
+ * An experiment in simulation: a base scenario, levels that override parts of it, a number of
+ * seeds, and claims about the results. Each level runs with each seed; the runs are distributed
+ * over the cores. The directory of the experiment holds its runs, table and charts.
  */
 public final class VirtualExperiment {
 
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** A level's runs, in the order of the seeds. */
+  /** A level of the experiment with its runs in the order of their seeds. */
   private record Level(String name, Scenario scenario, List<RecordedRun> runs) {
 
     double[] servedValueFractions() {
@@ -66,27 +66,29 @@
   }
 
   /**
-   * Plays it; the directory is null where nothing is to be kept. Runs that a directory has of the
-   * very same experiment are taken from there: whoever stopped it goes on where it was.
+   * Runs an experiment. Runs that the directory already holds of the same experiment and program
+   * are reused, so an interrupted experiment resumes.
+   *
+   * @param directory null to store nothing
    */
   public static Experiment.Report run(JsonNode file, Path directory)
       throws IOException, SpecException, InterruptedException {
     VirtualExperiment experiment = new VirtualExperiment(file);
-    RunJournal log = RunJournal.open(directory, file);
-    experiment.play(log);
-    log.rewrite(experiment.levels.stream().flatMap(level -> level.runs().stream()).toList());
+    RunJournal journal = RunJournal.open(directory, file);
+    experiment.runAll(journal);
+    journal.rewrite(experiment.levels.stream().flatMap(level -> level.runs().stream()).toList());
     return experiment.finish(directory);
   }
 
-  /** What a directory's runs come to, with the summary and the charts made anew. */
+  /** Reports on the runs of a directory, and rewrites its summary and charts. */
   public static Experiment.Report report(Path directory) throws IOException, SpecException {
     JsonNode file =
-        TenantSpecCodec.JSON.readTree(directory.resolve(RunJournal.EXPERIMENT).toFile());
+        TenantSpecCodec.JSON.readTree(directory.resolve(RunJournal.EXPERIMENT_FILE).toFile());
     VirtualExperiment experiment = new VirtualExperiment(file);
-    RunJournal log = RunJournal.read(directory, file);
+    RunJournal journal = RunJournal.read(directory, file);
     for (Level level : experiment.plannedLevels()) {
       for (int seed = 1; seed <= experiment.seedCount(); seed++) {
-        RecordedRun run = log.get(level.name(), seed);
+        RecordedRun run = journal.get(level.name(), seed);
         if (run != null) {
           level.runs().add(run);
         }
@@ -126,7 +128,7 @@
     return planned;
   }
 
-  private void play(RunJournal log) throws SpecException, InterruptedException, IOException {
+  private void runAll(RunJournal journal) throws SpecException, InterruptedException, IOException {
     ExecutorService pool = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
     try {
       Map<Level, List<Future<RecordedRun>>> out = new LinkedHashMap<>();
@@ -140,12 +142,12 @@
           runs.add(
               pool.submit(
                   () -> {
-                    RecordedRun run = log.get(level.name(), number);
+                    RecordedRun run = journal.get(level.name(), number);
                     if (run == null) {
                       run = RecordedRun.of(level.name(), number, FleetSimulation.run(one));
-                      log.add(run);
+                      journal.add(run);
                     }
-                    progress.one();
+                    progress.runFinished();
                     return run;
                   }));
         }
@@ -158,13 +160,13 @@
         levels.add(each.getKey());
       }
     } catch (ExecutionException e) {
-      throw new IllegalStateException("a run has failed", e.getCause());
+      throw new IllegalStateException("a run of the experiment failed", e.getCause());
     } finally {
       pool.shutdownNow();
     }
   }
 
-  /** Figures that a file leaves out are those of a calm fleet of small boxes. */
+  /** Reads a scenario. The defaults describe a small fleet without faults. */
   static Scenario scenario(JsonNode scenarioNode, String pointer) throws SpecException {
     List<Fault> faults = new ArrayList<>();
     for (JsonNode faultNode : scenarioNode.path("faults")) {
@@ -178,7 +180,7 @@
       } catch (IllegalArgumentException e) {
         throw new SpecException(
             pointer + "/faults/" + faults.size() + "/kind",
-            "is none of " + List.of(FaultKind.values()));
+            "is " + faultNode.path("kind") + ", expected one of " + List.of(FaultKind.values()));
       }
     }
     ReplicaSetParameters.Check check;
@@ -187,7 +189,9 @@
           ReplicaSetParameters.Check.valueOf(
               scenarioNode.path("check").asText("wait").toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
-      throw new SpecException(pointer + "/check", "is none of silent, refuse, wait");
+      throw new SpecException(
+          pointer + "/check",
+          "is " + scenarioNode.path("check") + ", expected one of silent, refuse, wait");
     }
     long work = scenarioNode.path("workUs").asLong(6_000);
     ReplicaSetParameters parameters =
@@ -202,14 +206,14 @@
             scenarioNode.path("shipUs").asLong(20_000),
             scenarioNode.path("applyUs").asLong(400),
             0.21,
-            18 * SECOND,
+            18 * MICROS_PER_SECOND,
             micros(scenarioNode, "electionSeconds", 1),
             micros(scenarioNode, "handOverSeconds", 0.5),
-            2 * SECOND,
+            2 * MICROS_PER_SECOND,
             check,
             50_000,
             4,
-            2 * SECOND,
+            2 * MICROS_PER_SECOND,
             scenarioNode.path("losesTail").asBoolean(false));
     return new Scenario(
         0,
@@ -243,7 +247,7 @@
   }
 
   private static long micros(JsonNode object, String name, double absent) {
-    return (long) (object.path(name).asDouble(absent) * SECOND);
+    return (long) (object.path(name).asDouble(absent) * MICROS_PER_SECOND);
   }
 
   private Level level(String name) {
@@ -253,7 +257,9 @@
         .orElseThrow(
             () ->
                 new IllegalArgumentException(
-                    "a claim names the level " + name + ", which is none"));
+                    "a claim names the level \""
+                        + name
+                        + "\", which is not in the file or has no runs"));
   }
 
   private void summarize() {
@@ -319,14 +325,11 @@
     }
   }
 
-  private void recordClaim(boolean isKept, String text) {
-    claimsHold &= isKept;
-    claims.add((isKept ? "kept: " : "NOT kept: ") + text);
+  private void recordClaim(boolean holds, String text) {
+    claimsHold &= holds;
+    claims.add((holds ? "kept: " : "NOT kept: ") + text);
   }
 
-  // ---- What is kept
-  // --------------------------------------------------------------------------------
-
   private void save(Path directory, Experiment.Report report) throws IOException {
     StringBuilder csv =
         new StringBuilder("level,seed,requests,worth_kept,p50_ms,p99_ms,broken,hash\n");
@@ -349,16 +352,16 @@
     Files.writeString(directory.resolve("runs.csv"), csv);
     Charts charts = new Charts();
     for (Level level : levels) {
-      double[] wanted = new double[level.runs().get(0).requestedValue().length];
-      double[] served = new double[wanted.length];
+      double[] requested = new double[level.runs().get(0).requestedValue().length];
+      double[] served = new double[requested.length];
       for (RecordedRun run : level.runs()) {
-        for (int window = 0; window < wanted.length; window++) {
-          wanted[window] += run.requestedValue()[window];
+        for (int window = 0; window < requested.length; window++) {
+          requested[window] += run.requestedValue()[window];
           served[window] += run.servedValue()[window];
         }
       }
       charts.add(
-          level.name(), FleetSimulation.WINDOW_MICROS, wanted, served, level.latencyMicros());
+          level.name(), FleetSimulation.WINDOW_MICROS, requested, served, level.latencyMicros());
     }
     Set<String> drawn = new HashSet<>();
     for (Level level : levels) {
@@ -372,19 +375,20 @@
     charts.save(directory, report);
   }
 
-  /** Which levels of two kept experiments differ beyond chance; a line each. */
+  /** Compares the common levels of two stored experiments; returns one line per level. */
   public static List<String> compare(Path a, Path b) throws IOException {
-    Map<String, List<Double>> first = worth(a);
-    Map<String, List<Double>> second = worth(b);
+    Map<String, List<Double>> first = servedValueFractions(a);
+    Map<String, List<Double>> second = servedValueFractions(b);
     List<String> lines = new ArrayList<>();
     for (var each : first.entrySet()) {
       if (second.containsKey(each.getKey())) {
         BootstrapInterval.Interval difference =
-            BootstrapInterval.difference(array(second.get(each.getKey())), array(each.getValue()));
+            BootstrapInterval.difference(
+                toArray(second.get(each.getKey())), toArray(each.getValue()));
         lines.add(
             String.format(
                 Locale.ROOT,
-                "%s: worth kept differs by %+.4f (%+.4f to %+.4f), %s",
+                "%s: served value differs by %+.4f (%+.4f to %+.4f), %s",
                 each.getKey(),
                 difference.mean(),
                 difference.low(),
@@ -397,11 +401,11 @@
     return lines;
   }
 
-  private static double[] array(List<Double> list) {
+  private static double[] toArray(List<Double> list) {
     return list.stream().mapToDouble(value -> value).toArray();
   }
 
-  private static Map<String, List<Double>> worth(Path directory) throws IOException {
+  private static Map<String, List<Double>> servedValueFractions(Path directory) throws IOException {
     Map<String, List<Double>> all = new LinkedHashMap<>();
     for (String line : Files.readAllLines(directory.resolve("runs.jsonl"))) {
       JsonNode run = TenantSpecCodec.JSON.readTree(line);
--- a/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
+++ b/lab/src/test/java/shelffront/lab/experiment/ExperimentSettingsCompatibilityTest.java
@@ -24,12 +24,12 @@
 import shelffront.lab.simulation.Scenario.Means;
 import shelffront.lab.virtual.VirtualNetwork.Weather;
 
-/** Files of experiments, as version 0.2.0 reads them. */
+/** Guards the settings of experiment files, which must read as in version 0.2.0. */
 class ExperimentSettingsCompatibilityTest {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** In the order of the file. */
+  /** Kinds of the faults in the order of the file. */
   private static final List<FaultKind> KINDS =
       List.of(
           FaultKind.KILL_BOX,
@@ -150,7 +150,7 @@
   }
 
   @Test
-  void readsEveryWordOfChecks() throws Exception {
+  void readsEveryCheckValue() throws Exception {
     for (Map.Entry<String, ReplicaSetParameters.Check> word :
         Map.of(
                 "silent",
@@ -173,7 +173,7 @@
                 + "\"retries\":2,\"roam\":0.125,\"hangUp\":0.0625,\"mix\":[3,0,1]}");
     assertEquals(
         new ClientBehavior(ArrivalSchedule.Pattern.POISSON, 77, 1.5, 0.25, 2, 0.125, 0.0625),
-        LoadCodec.habits(load, "/load"));
+        LoadCodec.behavior(load, "/load"));
     JsonNode classes =
         JSON.readTree(
             "[{\"name\":\"a\",\"read\":\"any\",\"aimMs\":400,\"giveUpMs\":900,\"worth\":2},"
@@ -190,7 +190,7 @@
   }
 
   @Test
-  void readsEveryWordOfArrivals() throws Exception {
+  void readsEveryArrivalsValue() throws Exception {
     for (Map.Entry<String, ArrivalSchedule.Pattern> word :
         Map.of(
                 "even",
@@ -203,7 +203,7 @@
                 ArrivalSchedule.Pattern.BURSTS)
             .entrySet()) {
       JsonNode load = JSON.createObjectNode().put("arrivals", word.getKey());
-      assertEquals(word.getValue(), LoadCodec.habits(load, "/load").arrivals(), word.getKey());
+      assertEquals(word.getValue(), LoadCodec.behavior(load, "/load").arrivals(), word.getKey());
     }
   }
 }
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -17,7 +17,7 @@
 import shelffront.pg.Message;
 import shelffront.pg.ProtocolException;
 
-/** The load by itself, on the virtual network, before a server that does as it is told. */
+/** Tests the load generator on the virtual network against a scripted server. */
 class OpenLoopLoadTest {
 
   private static final long SECOND = 1_000_000;
@@ -29,10 +29,10 @@
           RandomSource.XO_RO_SHI_RO_128_PP.create(3),
           new VirtualNetwork.Weather(200, 300, 0.3));
   private final InetSocketAddress address = net.newAddress();
-  private long serverTakes = 2_000;
+  private long responseDelayMicros = 2_000;
   private String code;
 
-  /** Takes each query for a while, then answers with its id, or the error that is set. */
+  /** Responds to each query after a delay with the id of the request, or with the error set. */
   private final class Server extends ConnectionHandler {
 
     private boolean started;
@@ -47,7 +47,7 @@
         for (Message message = next(bytes); message != null; message = next(bytes)) {
           if (message.type() == 'Q') {
             String id = message.text(0).replaceAll(".*id=([^,]+),.*", "$1");
-            clock.after(serverTakes, () -> answer(id));
+            clock.after(responseDelayMicros, () -> respond(id));
           }
         }
       } catch (ProtocolException e) {
@@ -64,7 +64,7 @@
       return started ? Message.next(bytes, "QX", Message.MAX_BYTES) : null;
     }
 
-    private void answer(String id) {
+    private void respond(String id) {
       if (code != null) {
         send(Message.error(false, code, "no", "100"));
       } else {
@@ -81,9 +81,9 @@
     protected void ended(boolean reset) {}
   }
 
-  private LoadResult play(ClientBehavior behavior, double perSecond, int connections) {
+  private LoadResult run(ClientBehavior behavior, double perSecond, int connections) {
     net.listen(net.machine("server"), address, Server::new);
-    boolean[] over = new boolean[1];
+    boolean[] ended = new boolean[1];
     OpenLoopLoad load =
         new OpenLoopLoad(
             net.transportOn(net.machine("clients")),
@@ -97,35 +97,38 @@
             perSecond,
             connections,
             11);
-    load.start(4 * SECOND, () -> over[0] = true);
-    while (!over[0] && clock.nextMicros() < Long.MAX_VALUE) {
+    load.start(4 * SECOND, () -> ended[0] = true);
+    while (!ended[0] && clock.nextMicros() < Long.MAX_VALUE) {
       clock.advanceTo(clock.nextMicros());
       clock.runNext();
     }
-    assertTrue(over[0], "it never ended");
+    assertTrue(ended[0], "the load did not end");
     RequestOutcomes all = load.result().total;
     assertEquals(
         all.due,
         all.onTime + all.late + all.rejected + all.failed + all.unanswered,
-        "each has one end");
+        "each due request has exactly one outcome");
     assertEquals(List.of(), load.result().malformedResponses);
     return load.result();
   }
 
-  private static ClientBehavior habits(
-      ArrivalSchedule.Pattern pattern, int retries, double roam, double hangUp) {
-    return new ClientBehavior(pattern, 100, 2, 0.5, retries, roam, hangUp);
+  private static ClientBehavior behavior(
+      ArrivalSchedule.Pattern pattern,
+      int retries,
+      double reconnectFraction,
+      double hangUpFraction) {
+    return new ClientBehavior(pattern, 100, 2, 0.5, retries, reconnectFraction, hangUpFraction);
   }
 
   @ParameterizedTest
   @EnumSource(ArrivalSchedule.Pattern.class)
-  void keepsMeanRateAndOrderOfEveryPattern(ArrivalSchedule.Pattern pattern) {
+  void everyPatternHasMeanRateAndAscendingTimes(ArrivalSchedule.Pattern pattern) {
     ArrivalSchedule arrivals =
         new ArrivalSchedule(pattern, 500, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
     long last = 0;
     int count = 0;
     for (long at = arrivals.nextMicros(); at < 40 * SECOND; at = arrivals.nextMicros()) {
-      assertTrue(at >= last);
+      assertTrue(at >= last, at + " us is due after " + last + " us");
       last = at;
       count++;
     }
@@ -133,7 +136,7 @@
   }
 
   @Test
-  void bringsHalfOfRequestsInBursts() {
+  void halfOfRequestsAreDueInBursts() {
     ArrivalSchedule arrivals =
         new ArrivalSchedule(
             ArrivalSchedule.Pattern.BURSTS, 1000, RandomSource.XO_RO_SHI_RO_128_PP.create(5));
@@ -147,33 +150,41 @@
   }
 
   @Test
-  void servesAllWithinCapacityWhateverClientsDo() {
-    LoadResult result = play(habits(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
+  void servesLoadWithinCapacityWhenClientsReconnectAndDisconnect() {
+    LoadResult result = run(behavior(ArrivalSchedule.Pattern.POISSON, 0, 0.1, 0.4), 300, 20);
     assertTrue(
-        result.total.due > 1_000 && result.total.hungUp > 10,
-        result.total.due + " due, " + result.total.hungUp + " hung up");
-    assertTrue(result.servedValueFraction() > 0.98, "worth kept " + result.servedValueFraction());
-    assertEquals(0, result.lagMicros.getMaxValue(), "virtual time is never late");
+        result.total.due > 1_000 && result.total.disconnectedByClient > 10,
+        result.total.due
+            + " due, "
+            + result.total.disconnectedByClient
+            + " disconnected by their clients");
+    assertTrue(
+        result.servedValueFraction() > 0.98,
+        "served value fraction " + result.servedValueFraction());
+    assertEquals(
+        0, result.lagMicros.getMaxValue(), "the load generator has no lag in virtual time");
   }
 
   /**
-   * Twice what the connections can carry: time counts from when a request was due, so most are late
-   * or lost.
+   * The load is twice the capacity of the connections. Latency counts from the due time, so most
+   * requests are late or unanswered.
    */
   @Test
   void countsWaitForConnectionAsLatency() {
-    serverTakes = 20_000;
-    LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
-    assertTrue(result.waitedCount > 500, "waited " + result.waitedCount);
-    assertTrue(result.servedValueFraction() < 0.5, "worth kept " + result.servedValueFraction());
-    assertTrue(result.total.unanswered > 100, "unanswered " + result.total.unanswered);
+    responseDelayMicros = 20_000;
+    LoadResult result = run(behavior(ArrivalSchedule.Pattern.EVEN, 0, 0, 0), 400, 4);
+    assertTrue(result.waitedCount > 500, "requests that waited: " + result.waitedCount);
+    assertTrue(
+        result.servedValueFraction() < 0.5,
+        "served value fraction " + result.servedValueFraction());
+    assertTrue(result.total.unanswered > 100, "unanswered requests: " + result.total.unanswered);
     assertTrue(result.worstWindow() == 0 && result.worstKind() <= result.servedValueFraction());
   }
 
   @Test
   void retriesRejectedRequestsAfterRetryAfter() {
     code = "53300";
-    LoadResult never = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
+    LoadResult never = run(behavior(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(never.total.due, never.total.rejected);
     assertEquals(0, never.latencyMicros.getTotalCount());
   }
@@ -181,7 +192,7 @@
   @Test
   void countsOtherErrorsAsFailures() {
     code = "40003";
-    LoadResult result = play(habits(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
+    LoadResult result = run(behavior(ArrivalSchedule.Pattern.EVEN, 2, 0, 0), 50, 20);
     assertEquals(result.total.due, result.total.failed);
   }
 }
