--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -290,10 +290,7 @@
     onConnectionFree(connection);
   }
 
-  /**
-   * Gives a free connection the next waiting call, or keeps it idle for less than the hosts' idle
-   * timeout.
-   */
+  /** Gives a connection the next waiting call, or keeps it idle until before the host's timeout. */
   void onConnectionFree(BackendConnection connection) {
     BackendHost host = connection.host;
     if (connection.isClosed()) {
--- a/gateway/src/main/java/shelffront/controlplane/Subscriber.java
+++ b/gateway/src/main/java/shelffront/controlplane/Subscriber.java
@@ -36,16 +36,10 @@
   /** Maximum number of names in one call; waiting names are sent together. */
   private static final int MAX_NAMES_PER_CALL = 1000;
 
-  /**
-   * Delay before names are requested again from a distributor that was behind the view of this
-   * subscriber.
-   */
+  /** Delay before names are requested again from a distributor that is behind this subscriber. */
   private static final long RETRY_ADD_MILLIS = 50;
 
-  /**
-   * Receives the updates of the subscription. Called under the subscriber's lock, never
-   * concurrently.
-   */
+  /** Receives updates. Called under the subscriber's lock, hence never concurrently. */
   interface Listener {
 
     /** The request for a new subscription, with the current names and their edition. */
@@ -323,10 +317,7 @@
     }
   }
 
-  /**
-   * Whether to keep following a distributor whose view has this age, rather than select another
-   * one.
-   */
+  /** Whether to keep following a distributor whose view has this age. */
   private boolean shouldKeep(DistributorEndpoint endpoint, long viewAgeMicros) {
     long nowMicros = clock.getAsLong();
     long followedMicros = nowMicros - followingSinceMicros;
--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -100,9 +100,7 @@
     return hasNothingOutstanding() && activity.isQuiet(nowMicros());
   }
 
-  /**
-   * Like {@link #isEvictable()}, with a shorter wait, for when no other connection can be evicted.
-   */
+  /** Like {@link #isEvictable()}, with a shorter wait; used if no connection is evictable. */
   boolean isEvictableUnderPressure() {
     return hasNothingOutstanding() && activity.isBrieflyQuiet(nowMicros());
   }
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -43,29 +43,11 @@
  */
 final class EventLoopGroup implements TenantLookup {
 
-  /**
-   * Time without clients after which a tenant provided by distribution is no longer served here.
-   */
+  /** Time without clients after which a tenant provided by distribution is evicted. */
   private static final long UNUSED_TENANT_TIMEOUT_MICROS = 600_000_000;
 
   private record LoopMember(Network network, TenantRegistry tenants) {}
 
-  /** The assignment of a tenant to an event loop. */
-  private static final class LoopAssignment {
-
-    private TenantSpec spec;
-    private int loopIndex;
-    private int clientConnections; // open connections handed over to that loop
-
-    /** Time of the last check that found clients, or of the first check; 0 before any check. */
-    private long lastUsedAtMicros;
-
-    private LoopAssignment(TenantSpec spec, int loopIndex) {
-      this.spec = spec;
-      this.loopIndex = loopIndex;
-    }
-  }
-
   private final List<LoopMember> members = new ArrayList<>();
   private final List<FrontendConnections> frontends = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
@@ -118,9 +100,7 @@
     return members.stream().map(LoopMember::network).toList();
   }
 
-  /**
-   * Sets the listener's connections as those of the first loop, and creates those of the others.
-   */
+  /** Assigns the frontend that has the listener to the first loop; creates one for each other. */
   void addFrontends(FrontendConnections firstFrontend) {
     frontends.add(firstFrontend);
     for (LoopMember member : members.subList(1, members.size())) {
@@ -164,7 +144,6 @@
   }
 
   // ---- Tenants
-  // --------------------------------------------------------------------------------
 
   void apply(TenantSpec spec, LongConsumer onInForce) {
     LoopAssignment assignment = assignments.get(spec.id());
@@ -188,10 +167,7 @@
     runOn(assignment.loopIndex, () -> registry.remove(id, onRemoved));
   }
 
-  /**
-   * Passes the usage of a tenant to the callback, on the tenant's loop; null if there is no such
-   * tenant.
-   */
+  /** Passes the usage of a tenant to the callback, on its loop; null if the tenant is unknown. */
   void usage(String id, Consumer<Tenant.Usage> callback) {
     LoopAssignment assignment = assignments.get(id);
     if (assignment == null) {
@@ -323,8 +299,9 @@
   @Override
   public void onConnectionClosed(Map<String, String> startup, FrontendConnections there) {
     LoopAssignment assignment = assignments.get(TenantRegistry.requestedTenantId(startup));
-    // A tenant that was removed and added again has a new count, which does not include this
-    // connection: the count of another loop is left alone, and no count falls below 0.
+    // The tenant may have been removed and added again since, with a new assignment that does not
+    // count this connection. The count is therefore decremented only if the loop matches and the
+    // count is positive.
     if (assignment != null
         && frontends.get(assignment.loopIndex) == there
         && assignment.clientConnections > 0) {
@@ -332,9 +309,7 @@
     }
   }
 
-  /**
-   * Assigns a loop to a tenant whose first client connects, and migrates the tenant if it changes.
-   */
+  /** Selects the loop of a tenant whose first client connects; migrates the tenant if needed. */
   private void reassignResumed(LoopAssignment assignment) {
     long[] busyMicros = new long[members.size()];
     for (int i = 0; i < busyMicros.length; i++) {
@@ -385,7 +360,6 @@
   }
 
   // ---- Stopping
-  // --------------------------------------------------------------------------------
 
   /**
    * Requests every other loop to drain. Returns whether the first loop has no open request and the
