--- a/core/src/main/java/shelffront/decision/AttemptOutcomes.java
+++ b/core/src/main/java/shelffront/decision/AttemptOutcomes.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Ignores overtaken attempts: their connections were lost, which is no evidence about the
-   * endpoint.
+   * Ignores overtaken attempts (the endpoint has completed one that was sent later): their
+   * connection has probably been lost, which says nothing about the endpoint.
    */
   private void recordUnanswered(Attempt attempt) {
     if (attempt.isOvertaken()) {
--- a/core/src/main/java/shelffront/decision/ConnectionFailures.java
+++ b/core/src/main/java/shelffront/decision/ConnectionFailures.java
@@ -9,9 +9,9 @@
  * Health-checks and ejects endpoints whose connections fail. One or two consecutive failures are
  * tolerated, because healthy endpoints lose connections too.
  *
- * <p>Invariant: each failure triggers a health check, if the site permits it and none is pending.
- * An endpoint is ejected briefly from the third consecutive failure on, or as soon as establishing
- * a connection takes more than half of the connect timeout.
+ * <p>Invariant: each failure triggers a health check, if the settings permit it and none is
+ * pending. An endpoint is ejected briefly from the third consecutive failure on, or as soon as
+ * establishing a connection takes more than half of the connect timeout.
  */
 record ConnectionFailures(
     RoutingState state, EndpointEjection ejection, HealthChecker healthChecker) {
--- a/core/src/main/java/shelffront/decision/EndpointState.java
+++ b/core/src/main/java/shelffront/decision/EndpointState.java
@@ -64,7 +64,10 @@
   /** Connections that broke or could not be established since the endpoint was last readmitted. */
   int consecutiveConnectionFailures;
 
-  /** Time until which idle connections are closed, because other gateways may need a connection. */
+  /**
+   * Until this time, connections to the endpoint are closed when they become idle, because other
+   * gateways may need them.
+   */
   long connectionsScarceUntilMicros = UNKNOWN;
 
   long ejectedUntilMicros = UNKNOWN;
--- a/core/src/main/java/shelffront/decision/HealthChecker.java
+++ b/core/src/main/java/shelffront/decision/HealthChecker.java
@@ -1,6 +1,6 @@
 package shelffront.decision;
 
-/** Sends health checks if the site permits them. */
+/** Sends health checks if the settings permit them. */
 record HealthChecker(RoutingState state) {
 
   /** Requests the endpoint's load report if the endpoint is assignable. */
--- a/core/src/main/java/shelffront/decision/LoadShedder.java
+++ b/core/src/main/java/shelffront/decision/LoadShedder.java
@@ -68,7 +68,7 @@
         || request.requestClass.isDeduplicatedWithin(DeduplicationScope.ALL);
   }
 
-  /** Expected duration of the election or overload, within the site's limit. */
+  /** Expected duration of the election or overload, within the configured limit. */
   private long retryAfterMicros(ReplicaSet replicaSet) {
     return state
         .settings
--- a/core/src/main/java/shelffront/decision/ReplicaSelector.java
+++ b/core/src/main/java/shelffront/decision/ReplicaSelector.java
@@ -57,7 +57,10 @@
         && positions.covers(endpoint, requiredPositionMicros);
   }
 
-  /** Expected response time relative to other replicas. Draws one random number. */
+  /**
+   * Cost of sending the read to the replica: its expected response time in arbitrary units,
+   * weighted by preference, connection state and zone. Draws one random number.
+   */
   private double cost(EndpointState endpoint, boolean preferred) {
     return slowdownEstimator.expected(endpoint)
         * (endpoint.outstandingAttempts.size() + 1)
--- a/core/src/main/java/shelffront/decision/RequestCompletion.java
+++ b/core/src/main/java/shelffront/decision/RequestCompletion.java
@@ -12,8 +12,8 @@
   private static final int TIMERS_PER_COMPLETED_REQUEST = 8;
 
   /**
-   * Removes the request, and cancels its outstanding attempts if it is idempotent and the site
-   * permits cancellation.
+   * Removes the request, and cancels its outstanding attempts if it is idempotent and the settings
+   * permit cancellation.
    */
   void complete(PendingRequest request) {
     request.open = false;
--- a/core/src/main/java/shelffront/decision/RetryPolicy.java
+++ b/core/src/main/java/shelffront/decision/RetryPolicy.java
@@ -11,7 +11,7 @@
  */
 record RetryPolicy(RoutingState state) {
 
-  /** Whether the request has had fewer attempts than the site permits. */
+  /** Whether the request has had fewer attempts than the settings permit. */
   boolean hasAttemptsLeft(PendingRequest request) {
     return request.attempts.size() < state.settings.limits().maxAttempts();
   }
@@ -19,8 +19,8 @@
   /**
    * Whether previous attempts allow the request to be sent again: always if none of them may have
    * been executed, otherwise depending on the class. With an idempotency key, the retry must fall
-   * into the deduplication window less one tick, because the attempt arrives later than it is
-   * decided.
+   * into the deduplication window less one tick, because the attempt reaches the host up to one
+   * tick after this decision.
    */
   boolean mayRetry(PendingRequest request) {
     Attempt executed = request.firstPossiblyExecuted();
--- a/core/src/main/java/shelffront/decision/SilenceDetector.java
+++ b/core/src/main/java/shelffront/decision/SilenceDetector.java
@@ -18,8 +18,8 @@
   /**
    * Whether the waiting times of all outstanding attempts add up to too many typical service times.
    * Each is measured from the send time or the endpoint's last response, whichever is later.
-   * Overtaken attempts do not count: their connections were lost, which is no evidence about the
-   * endpoint.
+   * Overtaken attempts (the endpoint has completed one that was sent later) do not count: their
+   * connection has probably been lost, which says nothing about the endpoint.
    */
   boolean isSilent(EndpointState endpoint) {
     double serviceTimesWaited = 0;
--- a/core/src/main/java/shelffront/distribution/DistributionTimings.java
+++ b/core/src/main/java/shelffront/distribution/DistributionTimings.java
@@ -51,7 +51,7 @@
 
   /**
    * Returns the maximum time from the coordination store's response to the write until the change
-   * is in force, if the given number of hops failed just before.
+   * is in force, if the given number of hops fail, each just before the change reaches it.
    */
   public long propagationBoundMicros(int failedHops) {
     return failedHops * failedHopMicros() + HOPS * HOP_DELAY_MICROS + applyMicros;
--- a/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
+++ b/core/src/main/java/shelffront/fleet/HealthCheckBudget.java
@@ -20,7 +20,7 @@
   /** Minimum burst of one gateway in a fleet of any size. */
   static final double MIN_BURST = 2;
 
-  /** Maximum cost of health checks per request, in service points. */
+  /** Maximum cost of health checks per request, in the unit of {@code healthCheckCost}. */
   static final double MAX_COST_PER_REQUEST = 0.01;
 
   private final double checksPerRequest;
@@ -30,8 +30,7 @@
   /**
    * Creates a budget with a full burst available.
    *
-   * @param healthCheckCost cost, in service points, of one health check per request; 0 if health
-   *     checks are free
+   * @param healthCheckCost cost of one health check per request; 0 if health checks are free
    */
   public HealthCheckBudget(double healthCheckCost, int gatewayCount) {
     checksPerRequest = Math.min(1, MAX_COST_PER_REQUEST / healthCheckCost);
--- a/core/src/main/java/shelffront/quota/RateDivision.java
+++ b/core/src/main/java/shelffront/quota/RateDivision.java
@@ -10,7 +10,7 @@
  */
 final class RateDivision {
 
-  /** Burst of a rate limit, in windows of its rate. */
+  /** Burst of a rate limit, as the number of windows whose requests it admits at once. */
   private static final double BURST_WINDOWS = 2;
 
   private static final double MICROS_PER_SECOND = 1e6;
--- a/core/src/main/java/shelffront/quota/TenantQuotas.java
+++ b/core/src/main/java/shelffront/quota/TenantQuotas.java
@@ -162,7 +162,7 @@
     return Math.max(quota.rateLimit().waitMicros(nowMicros), classWaitMicros);
   }
 
-  /** Bound on the slots taken by all tenants below which this tenant may take one more. */
+  /** This tenant may take another slot while all tenants together hold fewer slots than this. */
   private double maxSlotsFor(Quota quota) {
     int slots = capacity.maxOpenRequests();
     return quota.openRequests() >= ownSlots(quota) ? slots * LENDABLE_FRACTION : slots;
--- a/core/src/main/java/shelffront/rollout/Member.java
+++ b/core/src/main/java/shelffront/rollout/Member.java
@@ -1,7 +1,8 @@
 package shelffront.rollout;
 
 /**
- * The entry in the coordination store of a gateway that may act on a subject.
+ * A gateway's entry in the coordination store for one subject (a change that is rolled out in
+ * stages). A gateway may apply a stage of the subject only while it has such an entry.
  *
  * @param epoch the last acknowledged epoch, or 0 if none; the gateway has no operation open under
  *     an older epoch
--- a/core/src/main/java/shelffront/rollout/package-info.java
+++ b/core/src/main/java/shelffront/rollout/package-info.java
@@ -4,12 +4,12 @@
  * or restarted falls back to a safe stage without help.
  *
  * <p>The coordination store (a key-value store with check-and-set) holds two kinds of keys: the
- * {@link shelffront.rollout.RolloutState} of a subject, and a {@link shelffront.rollout.Member} for
- * each gateway that may act on it. {@link shelffront.rollout.LeaseHolder} is the state machine of a
- * gateway, and {@link shelffront.rollout.RolloutLeader} decides when a subject advances. Both are
- * immutable values: an event returns the next value. This package does no I/O and reads no clock.
- * Times are microseconds of the caller's own monotonic clock; the clocks of different callers are
- * never compared.
+ * {@link shelffront.rollout.RolloutState} of a subject (a change that is rolled out in stages), and
+ * a {@link shelffront.rollout.Member} for each gateway that may act on it. {@link
+ * shelffront.rollout.LeaseHolder} is the state machine of a gateway, and {@link
+ * shelffront.rollout.RolloutLeader} decides when a subject advances. Both are immutable values: an
+ * event returns the next value. This package does no I/O and reads no clock. Times are microseconds
+ * of the caller's own monotonic clock; the clocks of different callers are never compared.
  *
  * <p>Safety argument. A gateway acts on a state only while it is a member with a valid lease. The
  * lease starts when the gateway sent the renewing write, hence before the store applied that write.
--- a/core/src/main/java/shelffront/routing/RoutingSettings.java
+++ b/core/src/main/java/shelffront/routing/RoutingSettings.java
@@ -15,7 +15,7 @@
  * @param safetyRules limits that every attempt must observe
  * @param limits operations that the operator permits
  * @param crossZoneCost cost of one cross-zone attempt per first attempt
- * @param healthCheckCost cost of one health check per first attempt
+ * @param healthCheckCost cost of one health check per first attempt; 0 if health checks are free
  */
 public record RoutingSettings(
     GatewayIdentity gateway,
--- a/gateway/src/main/java/shelffront/Main.java
+++ b/gateway/src/main/java/shelffront/Main.java
@@ -26,8 +26,9 @@
 
 /**
  * Entry point. Without options, {@code serve} runs a single-tenant gateway, {@code benchlink} runs
- * the simulator adapter, and {@code rehearse} runs the training run that ends the build. All other
- * command lines go to {@link Cli}.
+ * the simulator adapter, and {@code rehearse} runs {@link TrainingRun}, the last build step, which
+ * loads the classes that the JVM archives for a faster start. All other command lines go to {@link
+ * Cli}.
  */
 public final class Main {
 
--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -69,7 +69,7 @@
   /** Open calls in start order, so that {@link #closeAll} is deterministic. */
   private final Map<BackendAttempt, BackendCall> calls = new LinkedHashMap<>();
 
-  /** Another tenant waits for a connection, and none was idle here when it was demanded. */
+  /** Whether the next connection that becomes idle must be closed for another tenant. */
   private boolean connectionReclaimed;
 
   /** Each open connection counts against a quota, shared by weight and capped per tenant. */
@@ -192,7 +192,8 @@
     }
     BackendConnection connection = host.idleConnections.pollLast();
     while (connection != null && connection.hasUnprocessedInput()) {
-      // The unprocessed input is the host's end or surplus bytes. A request written to this
+      // The unprocessed input is surplus bytes or the end of stream from the host. A request
+      // written to this
       // connection would be reported as sent although the host never reads it.
       connection = host.idleConnections.pollLast();
     }
--- a/gateway/src/main/java/shelffront/controlplane/DistributionException.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributionException.java
@@ -13,24 +13,24 @@
   }
 
   /**
-   * The engine is behind a version that it served before, or its history does not contain that
-   * version.
+   * The coordination store is behind a version that it served before, or its history does not
+   * contain that version.
    */
   public static final class EngineSteppedBack extends DistributionException {
 
     private static final long serialVersionUID = 1L;
 
-    EngineSteppedBack(Version engine, Version known) {
+    EngineSteppedBack(Version stored, Version known) {
       super(
           "engine-stepped-back",
-          "the engine is at version "
-              + format(engine)
+          "the coordination store is at version "
+              + format(stored)
               + ", whose history does not continue from version "
               + format(known)
               + " that it served before",
-          "The engine was restored from older data. All processes keep serving the records that"
-              + " they have, and changes are rejected. Check the records in the engine; once they"
-              + " are the intended ones, start a new incarnation with POST"
+          "The coordination store was restored from older data. All processes keep serving the"
+              + " records that they have, and changes are rejected. Check the records in the store;"
+              + " once they are the intended ones, start a new incarnation with POST"
               + " /v1/distribution/incarnation.",
           null);
     }
@@ -50,8 +50,8 @@
               + ", the limit is "
               + boundMillis
               + " ms",
-          "Check the distributors of this zone and region, then the engine. The gateway keeps"
-              + " serving the records that it has.",
+          "Check the distributors of this zone and region, then the coordination store. The"
+              + " gateway keeps serving the records that it has.",
           null);
     }
   }
@@ -71,7 +71,7 @@
     }
   }
 
-  /** A document exceeds the maximum length that the engine can store. */
+  /** A document exceeds the maximum length that the coordination store accepts. */
   public static final class RecordTooLarge extends DistributionException {
 
     private static final long serialVersionUID = 1L;
@@ -90,7 +90,7 @@
     }
   }
 
-  /** This gateway has no engine configured and cannot make changes. */
+  /** This gateway has no coordination store configured and cannot make changes. */
   public static final class NoEngine extends DistributionException {
 
     private static final long serialVersionUID = 1L;
@@ -99,8 +99,8 @@
     public NoEngine() {
       super(
           "no-engine",
-          "this gateway has no engine in its settings",
-          "Send the change to a gateway with an engine in its settings.",
+          "this gateway has no coordination store in its settings (\"engine\")",
+          "Send the change to a gateway that has the setting \"engine\".",
           null);
     }
   }
--- a/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/ConsulCoordinationStore.java
@@ -84,7 +84,7 @@
     } catch (RuntimeException e) {
       // The client throws its own exceptions if a required field is missing in a response.
       throw new EngineGarbled(
-          "the response of the engine at " + address + " is malformed: " + e, e);
+          "the response of the coordination store at " + address + " is malformed: " + e, e);
     }
   }
 
@@ -94,7 +94,10 @@
     }
     return exception.getCause() instanceof JacksonException
         ? new EngineGarbled(
-            "the response of the engine at " + address + " is malformed: " + exception.getCause(),
+            "the response of the coordination store at "
+                + address
+                + " is malformed: "
+                + exception.getCause(),
             exception)
         : new EngineUnreachable(address, exception);
   }
--- a/gateway/src/main/java/shelffront/coordination/CoordinationException.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationException.java
@@ -21,9 +21,9 @@
     public EngineUnreachable(String address, Throwable cause) {
       super(
           "engine-unreachable",
-          "the engine at " + address + " does not respond: " + cause.getMessage(),
-          "Check the engine's agent and the network path to it. Gateways fall back to the safe"
-              + " stage when their leases expire, and recover without intervention.",
+          "the coordination store at " + address + " does not respond: " + cause.getMessage(),
+          "Check the agent of the coordination store and the network path to it. Gateways fall back"
+              + " to the safe stage when their leases expire, and recover without intervention.",
           cause);
     }
   }
@@ -42,9 +42,9 @@
     public EngineRefused(String address, int status) {
       super(
           "engine-refused",
-          "the engine at " + address + " responded with HTTP status " + status,
-          "Check the engine's servers; without a leader they accept no writes. Nothing is lost;"
-              + " rollouts wait until the engine accepts writes again.",
+          "the coordination store at " + address + " responded with HTTP status " + status,
+          "Check the servers of the coordination store; without a leader they accept no writes."
+              + " Nothing is lost; rollouts wait until the store accepts writes again.",
           null);
       this.status = status;
     }
--- a/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
+++ b/gateway/src/main/java/shelffront/coordination/CoordinationStore.java
@@ -33,7 +33,7 @@
    */
   record Write(String key, long index, String newText) {
 
-    /** The index of an unconditional write. */
+    /** Value of {@code index} that makes the write unconditional. */
     public static final long ANY_INDEX = -1;
   }
 
--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -255,7 +255,7 @@
 
   /**
    * Starts queued commands while no request is in progress and all responses have been written. No
-   * command is started once the client's end has been read, even if a write is still outstanding.
+   * command is started once the client has closed its side, even if a write is outstanding.
    */
   private void processCommands() {
     while (!isEnding() && current == null && isOutputEmpty() && !queuedCommands.isEmpty()) {
--- a/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
+++ b/gateway/src/main/java/shelffront/frontend/FrontendConnections.java
@@ -41,7 +41,7 @@
       listener; // null if connections arrive only from another loop's listener
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Connections whose output is shut down; each closes on the client's end or after a timeout. */
+  /** Connections with output shut down; closed when the client closes its side or on timeout. */
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   /** Number of connections accepted here that moved to another loop, by their new owner. */
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -50,7 +50,10 @@
         config.engineAddress() == null ? null : DistributorProcess.openChangeStore(config);
   }
 
-  /** Sets the listener for the sequence number up to which every change is in force here. */
+  /**
+   * Sets the listener that receives the highest sequence number up to which this gateway has
+   * applied every change.
+   */
   void setInForceListener(LongConsumer listener) {
     inForceListener = listener;
   }
--- a/gateway/src/main/java/shelffront/net/CloseReason.java
+++ b/gateway/src/main/java/shelffront/net/CloseReason.java
@@ -21,7 +21,7 @@
   STARTUP_TIMEOUT,
   /** The connection was unused, or a command remained incomplete, for too long. */
   IDLE,
-  /** Its place or socket was needed for another connection. */
+  /** The connection's slot or socket was needed for another connection. */
   EVICTED,
   /** The peer did not accept the output within the write timeout. */
   WRITE_STALLED,
@@ -37,9 +37,9 @@
   CANCELLED,
   /** The deadline of the attempt or health check passed. */
   TIMED_OUT,
-  /** Its socket was released for another tenant, or its host needs the connection slot. */
+  /** The connection's socket was released for another tenant, or the host needs the slot. */
   GIVEN_BACK,
-  /** Its endpoint left the endpoint list or moved to another address. */
+  /** The connection's endpoint left the endpoint list or moved to another address. */
   LEFT_LIST,
   /** The discovery call is complete. */
   ANSWERED,
@@ -59,9 +59,9 @@
   NO_PLACE,
   /** The client named no tenant, or none that it may use. */
   NO_TENANT,
-  /** Its tenant has reached its connection limit. */
+  /** The connection's tenant has reached its connection limit. */
   TENANT_FULL,
-  /** Its tenant was removed or replaced. */
+  /** The connection's tenant was removed or replaced. */
   TENANT_GONE;
 
   /** The code in the log line: the name in lower case with hyphens. */
--- a/gateway/src/main/java/shelffront/net/InputBuffer.java
+++ b/gateway/src/main/java/shelffront/net/InputBuffer.java
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Returns the time at which the byte before the position of these bytes was read. They are those
-   * of {@link #beginConsuming}.
+   * Returns when the last byte consumed from {@code bytes} was read from the socket. {@code bytes}
+   * must be the buffer that {@link #beginConsuming} returned.
    */
   long arrivalMicros(ByteBuffer bytes) {
     return arrivals.readTimeMicros(consumedBytes + bytes.position());
--- a/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
@@ -53,7 +53,10 @@
   private static final long MICROS_PER_MILLI = 1000;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A reply's stand is {@code positionMillis * STAND_ROLE_RADIX + roleCode}. */
+  /**
+   * The field {@code stand} of an attempt outcome encodes position and role as {@code
+   * positionMillis * STAND_ROLE_RADIX + roleCode}.
+   */
   private static final int STAND_ROLE_RADIX = 4;
 
   private static final int STAND_PRIMARY = 1;
--- a/gateway/src/main/java/shelffront/simulator/SimulatorRowReader.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorRowReader.java
@@ -39,7 +39,7 @@
     return value;
   }
 
-  /** Returns the next field, or null if it is null, absent or a number. */
+  /** Returns the next field if it is a string; null, a number or no field at all reads as null. */
   String optionalText(String name) throws MalformedInputException {
     Object value = nextField();
     if (value == null || value instanceof String) {
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -198,12 +198,12 @@
     }
   }
 
-  /** Discovery answers elsewhere from now on. */
+  /** Changes the address of the discovery service. */
   public void moveDiscovery(InetSocketAddress address) {
     routing.endpoints().changeDiscoveryAddress(address);
   }
 
-  /** Gives back every connection to hosts and discovery, and the timers. */
+  /** Closes all connections to hosts and discovery, and cancels the timers. */
   public void close(CloseReason reason) {
     if (routing != null) {
       routing.close(reason);
--- a/gateway/src/main/java/shelffront/tenant/TenantEndpoints.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantEndpoints.java
@@ -59,7 +59,10 @@
     context.network().post(() -> updateRouter(EndpointUpdateKind.CACHED, list));
   }
 
-  /** Obtains the list again after the tenant was suspended. */
+  /**
+   * After a suspension: opens the watch from the start or, without discovery, passes the list of
+   * the specification to the router.
+   */
   void resume() {
     if (discovery != null) {
       discovery.watchFromStart();
