--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -70,13 +70,13 @@
   private final Map<BackendAttempt, BackendCall> calls = new LinkedHashMap<>();
 
   /** Whether the next connection that becomes idle must be closed for another tenant. */
-  private boolean connectionReclaimed;
+  private boolean reclaimPending;
 
   /** Each open connection counts against a quota, shared by weight and capped per tenant. */
   public BackendConnections(
       Network network,
       OperatingLimits limits,
-      ConnectionQuotas sockets,
+      ConnectionQuotas connectionQuotas,
       double weight,
       int maxConnections,
       Login login,
@@ -84,10 +84,10 @@
     this.network = network;
     this.limits = limits;
     this.connectionQuota =
-        sockets.register(
+        connectionQuotas.register(
             weight,
             maxConnections,
-            () -> network.post(this::onConnectionDemanded),
+            () -> network.post(this::onReclaimRequested),
             () -> network.post(this::onConnectionAvailable));
     this.login = login;
     this.listener = listener;
@@ -241,8 +241,8 @@
   }
 
   /** Another tenant waits for a connection: closes an idle one, or the next one to become idle. */
-  private void onConnectionDemanded() {
-    connectionReclaimed = connectionQuota.excess() > 0 && !evictIdle();
+  private void onReclaimRequested() {
+    reclaimPending = connectionQuota.excess() > 0 && !evictIdle();
   }
 
   private void onConnectionAvailable() {
@@ -311,8 +311,8 @@
     }
     if (next != null) {
       sendOn(connection, next);
-    } else if (connectionReclaimed && connectionQuota.excess() > 0) {
-      connectionReclaimed = false;
+    } else if (reclaimPending && connectionQuota.excess() > 0) {
+      reclaimPending = false;
       connection.close(CloseReason.GIVEN_BACK);
     } else if (hosts.get(host.id) != host) {
       connection.close(CloseReason.LEFT_LIST);
