--- a/gateway/src/main/java/shelffront/gateway/Gateway.java
+++ b/gateway/src/main/java/shelffront/gateway/Gateway.java
@@ -169,7 +169,7 @@
    * in the file.
    */
   public void reload(GatewayConfig next) {
-    singleTenant.moveDiscovery(next.discoveryAddress());
+    singleTenant.changeDiscoveryAddress(next.discoveryAddress());
     network
         .log()
         .println(
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -199,7 +199,7 @@
   }
 
   /** Changes the address of the discovery service. */
-  public void moveDiscovery(InetSocketAddress address) {
+  public void changeDiscoveryAddress(InetSocketAddress address) {
     routing.endpoints().changeDiscoveryAddress(address);
   }
 
@@ -252,7 +252,7 @@
       return;
     }
     context.setState(TenantState.REMOVED);
-    requests.copy().forEach(this::endUnanswered);
+    requests.copy().forEach(this::abortOpenRequest);
     List.copyOf(clients)
         .forEach(client -> client.endWithError(removalError(), CloseReason.TENANT_GONE));
     close(CloseReason.TENANT_GONE);
@@ -260,7 +260,7 @@
     completeRemoval();
   }
 
-  private void endUnanswered(ClientRequest request) {
+  private void abortOpenRequest(ClientRequest request) {
     if (request.completed) {
       return;
     }
