--- a/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
+++ b/gateway/src/main/java/shelffront/simulator/SimulatorEventDecoder.java
@@ -55,12 +55,12 @@
 
   /**
    * The field {@code stand} of an attempt outcome encodes position and role as {@code
-   * positionMillis * STAND_ROLE_RADIX + roleCode}.
+   * positionMillis * POSITION_ROLE_RADIX + roleCode}.
    */
-  private static final int STAND_ROLE_RADIX = 4;
+  private static final int POSITION_ROLE_RADIX = 4;
 
-  private static final int STAND_PRIMARY = 1;
-  private static final int STAND_REPLICA = 2;
+  private static final int ROLE_CODE_PRIMARY = 1;
+  private static final int ROLE_CODE_REPLICA = 2;
 
   /** Numeric flags are true from this value on. */
   private static final double FLAG_THRESHOLD = 0.5;
@@ -172,12 +172,12 @@
     boolean finished = row.flag("doneFlag");
     int attempt = (int) row.integer("seqNo");
     long elapsedMicros = row.integer("took", 0);
-    long stand = row.integer("stand", 0);
+    long encodedPosition = row.integer("stand", 0);
     String endpointId = row.text("member");
     LoadReport loadReport = loadReport(row.object("usage"), positionZeroMicros);
     long positionMicros =
-        stand >= STAND_ROLE_RADIX
-            ? positionZeroMicros + stand / STAND_ROLE_RADIX * MICROS_PER_MILLI
+        encodedPosition >= POSITION_ROLE_RADIX
+            ? positionZeroMicros + encodedPosition / POSITION_ROLE_RADIX * MICROS_PER_MILLI
             : Router.UNKNOWN;
     return new SimulatorEvent.AttemptEnded(
         new AttemptOutcome(
@@ -187,15 +187,15 @@
             status,
             finished,
             elapsedMicros,
-            roleOfStand(stand),
+            roleOf(encodedPosition),
             positionMicros,
             loadReport));
   }
 
-  private static Role roleOfStand(long stand) {
-    return switch ((int) (stand % STAND_ROLE_RADIX)) {
-      case STAND_PRIMARY -> Role.PRIMARY;
-      case STAND_REPLICA -> Role.REPLICA;
+  private static Role roleOf(long encodedPosition) {
+    return switch ((int) (encodedPosition % POSITION_ROLE_RADIX)) {
+      case ROLE_CODE_PRIMARY -> Role.PRIMARY;
+      case ROLE_CODE_REPLICA -> Role.REPLICA;
       default -> Role.UNKNOWN;
     };
   }
