--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -69,7 +69,7 @@
     if (!json.isObject()) {
       throw new SpecException(pointer, "is not an object");
     }
-    TenantSpecCodec.onlyFields(json, pointer, FIELDS);
+    TenantSpecCodec.rejectUnknownFields(json, pointer, FIELDS);
     List<DistributorEndpoint> distributors =
         distributors(json.path("distributors"), pointer + "/distributors");
     InetSocketAddress engineAddress =
@@ -107,7 +107,7 @@
     List<DistributorEndpoint> distributors = new ArrayList<>();
     for (JsonNode json : list) {
       String endpointPointer = pointer + "/" + distributors.size();
-      TenantSpecCodec.onlyFields(json, endpointPointer, ENDPOINT_FIELDS);
+      TenantSpecCodec.rejectUnknownFields(json, endpointPointer, ENDPOINT_FIELDS);
       address(json, endpointPointer + "/address", "address");
       distributors.add(
           new DistributorEndpoint(
--- a/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
+++ b/gateway/src/main/java/shelffront/multitenant/MultiTenantConfig.java
@@ -84,9 +84,9 @@
     if (!document.isObject()) {
       throw new SpecException("", "expected a JSON object");
     }
-    TenantSpecCodec.onlyFields(document, "", FIELDS);
+    TenantSpecCodec.rejectUnknownFields(document, "", FIELDS);
     JsonNode capacity = document.path("capacity");
-    TenantSpecCodec.onlyFields(capacity, "/capacity", CAPACITY_FIELDS);
+    TenantSpecCodec.rejectUnknownFields(capacity, "/capacity", CAPACITY_FIELDS);
     List<JsonNode> tenants = new ArrayList<>();
     List<String> ids = new ArrayList<>();
     for (JsonNode tenant : document.path("tenants")) {
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
@@ -73,7 +73,7 @@
     if (!json.isObject()) {
       throw new SpecException(pointer, "is not an object");
     }
-    TenantSpecCodec.onlyFields(json, pointer, FIELDS);
+    TenantSpecCodec.rejectUnknownFields(json, pointer, FIELDS);
     String engine = json.path("engine").asText();
     if (!engine.matches(ADDRESS_PATTERN)) {
       throw new SpecException(pointer + "/engine", "is not an address of the form host:port");
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -126,7 +126,7 @@
    * @param names the permitted field names
    * @throws SpecException with the pointer to the first field that has none of these names
    */
-  public static void onlyFields(JsonNode object, String pointer, Set<String> names)
+  public static void rejectUnknownFields(JsonNode object, String pointer, Set<String> names)
       throws SpecException {
     for (Iterator<String> fieldNames = object.fieldNames(); fieldNames.hasNext(); ) {
       String name = fieldNames.next();
