--- a/gateway/src/main/java/shelffront/admin/AdminServer.java
+++ b/gateway/src/main/java/shelffront/admin/AdminServer.java
@@ -150,7 +150,7 @@
     List<String> segments = Arrays.asList(rawPath.split("/", -1));
     for (String segment : segments.subList(1, segments.size())) {
       // Rejects encoded slashes and dots, so that a path cannot be read in two ways.
-      if (!segment.matches(TenantSpecCodec.NAME)) {
+      if (!segment.matches(TenantSpecCodec.NAME_PATTERN)) {
         throw ProblemException.notFound();
       }
     }
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -126,7 +126,7 @@
   private static String requiredName(JsonNode json, String pointer, String field)
       throws SpecException {
     JsonNode value = json.path(field);
-    if (!value.asText().matches(TenantSpecCodec.NAME)) {
+    if (!value.asText().matches(TenantSpecCodec.NAME_PATTERN)) {
       throw new SpecException(
           pointer + "/" + field,
           "is not a name of up to 64 letters, digits, dots, dashes and underscores: " + value);
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -91,7 +91,7 @@
    * loop may call.
    */
   CompletableFuture<Boolean> lookUp(String id) {
-    return id.matches(TenantSpecCodec.NAME)
+    return id.matches(TenantSpecCodec.NAME_PATTERN)
         ? CompletableFuture.supplyAsync(
                 () -> records.lookUp(FleetTenantDocuments.RECORD_NAME_PREFIX + id), executor)
             .thenCompose(found -> found)
--- a/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
+++ b/gateway/src/main/java/shelffront/tenant/TenantSpecCodec.java
@@ -71,7 +71,7 @@
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
   /** Regular expression for the names of tenants, gateways and fleets. */
-  public static final String NAME = "[a-zA-Z0-9][a-zA-Z0-9_.-]{0,63}";
+  public static final String NAME_PATTERN = "[a-zA-Z0-9][a-zA-Z0-9_.-]{0,63}";
 
   private static final JsonSchema SCHEMA = schema();
   private static final long MICROS_PER_MILLI = 1000;
