--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -114,12 +114,12 @@
    * discarded unexecuted, so the client can send it on another connection.
    */
   boolean closeIfIdle(CloseReason reason) {
-    return isEvictableUnderPressure() && tryCloseInOrder(reason);
+    return isEvictableUnderPressure() && tryCloseGracefully(reason);
   }
 
   /** Closes the connection, or checks again later if it is busy or has unprocessed input. */
   private void closeOnTimeout(CloseReason reason) {
-    if (!isIdle() || !tryCloseInOrder(reason)) {
+    if (!isIdle() || !tryCloseGracefully(reason)) {
       scheduleTimeout(nowMicros() + TIMEOUT_RECHECK_MICROS, reason);
     }
   }
--- a/gateway/src/main/java/shelffront/net/Connection.java
+++ b/gateway/src/main/java/shelffront/net/Connection.java
@@ -297,7 +297,7 @@
    * @return false, with nothing done, if the connection is moving or ending, or if input was read
    *     that waits for its turn on the loop, because it may contain a request
    */
-  protected final boolean tryCloseInOrder(CloseReason reason) {
+  protected final boolean tryCloseGracefully(CloseReason reason) {
     if (unprocessedInput || pendingMove != null || isEnding()) {
       return false;
     }
