--- a/gateway/src/main/java/shelffront/admin/TenantAdministration.java
+++ b/gateway/src/main/java/shelffront/admin/TenantAdministration.java
@@ -76,7 +76,7 @@
   public void start() throws SpecException, OperatorException {
     startRevision = documents.revision();
     startedAtMillis = clock.getAsLong();
-    if (documents.isPutInForceByCaller()) {
+    if (documents.isAppliedByCaller()) {
       for (Entry entry : documents.all()) {
         control.apply(TenantSpecCodec.read(entry.document()), atMicros -> {});
       }
@@ -108,7 +108,7 @@
     }
     synchronized (this) { // applies changes in the order of revisions
       long revision = documents.put(id, expected, document, actor, action, clock.getAsLong());
-      if (documents.isPutInForceByCaller()) {
+      if (documents.isAppliedByCaller()) {
         control.apply(spec, atMicros -> recordInForce(revision, atMicros));
       }
       return revision;
@@ -119,7 +119,7 @@
       throws ConflictException, OperatorException {
     synchronized (this) {
       long revision = documents.put(id, expected, null, actor, "remove", clock.getAsLong());
-      if (documents.isPutInForceByCaller()) {
+      if (documents.isAppliedByCaller()) {
         control.remove(id, atMicros -> recordInForce(revision, atMicros));
       }
       return revision;
--- a/gateway/src/main/java/shelffront/admin/TenantDocuments.java
+++ b/gateway/src/main/java/shelffront/admin/TenantDocuments.java
@@ -37,7 +37,7 @@
    * Whether the caller of {@link #put} must also apply the change to the running gateway. If false,
    * the change arrives through distribution, as those of other gateways do.
    */
-  boolean isPutInForceByCaller();
+  boolean isAppliedByCaller();
 
   /** Returns the documents of a single gateway, kept in its store. */
   static TenantDocuments in(DocumentStore store) {
@@ -70,7 +70,7 @@
       }
 
       @Override
-      public boolean isPutInForceByCaller() {
+      public boolean isAppliedByCaller() {
         return true;
       }
     };
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenantDocuments.java
@@ -114,7 +114,7 @@
   }
 
   @Override
-  public boolean isPutInForceByCaller() {
+  public boolean isAppliedByCaller() {
     return false;
   }
 }
