--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -38,7 +38,7 @@
   private DistributorProcess(InetSocketAddress listen, SubscribedRecordsConfig config, EventLog log)
       throws IOException {
     LongSupplier clock = () -> System.nanoTime() / NANOS_PER_MICRO;
-    timer = newTimer(TIMER_THREADS, "distributor-timer");
+    timer = newDaemonScheduler(TIMER_THREADS, "distributor-timer");
     responseExecutor =
         Executors.newFixedThreadPool(RESPONSE_THREADS, daemonThreads("distributor-answer"));
     Distributor distributor = new Distributor(timer, responseExecutor, clock);
@@ -92,7 +92,7 @@
   }
 
   /** Creates a scheduler with daemon threads. */
-  public static ScheduledThreadPoolExecutor newTimer(int threads, String name) {
+  public static ScheduledThreadPoolExecutor newDaemonScheduler(int threads, String name) {
     ScheduledThreadPoolExecutor timer =
         new ScheduledThreadPoolExecutor(threads, daemonThreads(name));
     timer.setRemoveOnCancelPolicy(true);
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -29,7 +29,7 @@
 
   private final TenantAdministration.TenantControl control;
   private final ScheduledThreadPoolExecutor executor =
-      DistributorProcess.newTimer(1, "fleet-records");
+      DistributorProcess.newDaemonScheduler(1, "fleet-records");
   private final SubscribedRecords records;
   private final ChangeStore changeStore; // null if this gateway cannot change tenants
   private volatile LongConsumer inForceListener = sequence -> {};
