--- a/gateway/src/main/java/shelffront/backend/BackendConnection.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnection.java
@@ -147,7 +147,7 @@
 
   /** Processes a message up to the first ReadyForQuery; false if no complete one is available. */
   private boolean processStartupMessage(ByteBuffer bytes) throws ProtocolException {
-    Message message = Message.next(bytes, "RSKNZE", MAX_STARTUP_MESSAGE_BYTES);
+    Message message = Message.readNext(bytes, "RSKNZE", MAX_STARTUP_MESSAGE_BYTES);
     if (message == null) {
       return false;
     }
--- a/gateway/src/main/java/shelffront/backend/QueryResponse.java
+++ b/gateway/src/main/java/shelffront/backend/QueryResponse.java
@@ -59,7 +59,7 @@
           case READY -> "ZSN";
           case DONE -> "";
         };
-    return Message.next(
+    return Message.readNext(
         in,
         types,
         in.hasRemaining() && in.get(in.position()) == 'D'
@@ -71,22 +71,22 @@
   void apply(Message message) throws ProtocolException {
     switch (message.type()) {
       case 'S' -> {
-        String[] nameAndValue = message.texts(2);
+        String[] nameAndValue = message.readStrings(2);
         if (REPORTED_PARAMETERS.contains(nameAndValue[0])) {
           parameters.put(nameAndValue[0], nameAndValue[1]);
         }
       }
       case 'N' -> message.errorFields();
       case 'T' -> {
-        message.requireOneColumnDescribed();
+        message.requireSingleColumnDescription();
         keep(message, Stage.ROW);
       }
       case 'D' -> {
-        value = message.onlyColumn();
+        value = message.singleColumnValue();
         keep(message, Stage.COMPLETION);
       }
       case 'C' -> {
-        if (!message.texts(1)[0].matches("SHOW|[A-Z]+( [0-9]+)? 1")) {
+        if (!message.readStrings(1)[0].matches("SHOW|[A-Z]+( [0-9]+)? 1")) {
           throw new ProtocolException(
               SqlState.PROTOCOL_VIOLATION,
               "CommandComplete tag of "
--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -173,7 +173,7 @@
 
   private void readCommands(ByteBuffer bytes) throws ProtocolException {
     while (handshake.isComplete() && wantsInput()) {
-      Message message = Message.next(bytes, COMMAND_TYPES, Message.MAX_BYTES);
+      Message message = Message.readNext(bytes, COMMAND_TYPES, Message.MAX_BYTES);
       if (message == null) {
         return;
       }
--- a/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
+++ b/gateway/src/main/java/shelffront/frontend/StartupHandshake.java
@@ -62,7 +62,7 @@
   }
 
   private boolean processStartupMessage(ByteBuffer bytes) throws ProtocolException {
-    Message message = Message.nextStartup(bytes);
+    Message message = Message.readStartup(bytes);
     if (message == null || connection.isClosed()) {
       return false;
     }
@@ -124,7 +124,7 @@
   }
 
   private boolean processPassword(ByteBuffer bytes) throws ProtocolException {
-    Message message = Message.next(bytes, "p", MAX_PASSWORD_LENGTH);
+    Message message = Message.readNext(bytes, "p", MAX_PASSWORD_LENGTH);
     if (message == null || connection.isClosed()) {
       return false;
     }
--- a/gateway/src/main/java/shelffront/pg/Message.java
+++ b/gateway/src/main/java/shelffront/pg/Message.java
@@ -48,7 +48,8 @@
    * Reads the next complete message, or returns null if more bytes are needed. Type and length are
    * checked as soon as they arrive, so that invalid input is rejected without waiting for its body.
    */
-  public static Message next(ByteBuffer in, String types, int maxLength) throws ProtocolException {
+  public static Message readNext(ByteBuffer in, String types, int maxLength)
+      throws ProtocolException {
     if (in.hasRemaining() && types.indexOf(in.get(in.position()) & BYTE_MASK) < 0) {
       throw new ProtocolException(
           SqlState.PROTOCOL_VIOLATION,
@@ -74,7 +75,7 @@
    * Reads the first message of a connection, which has no type but starts with a version or request
    * code. Returns null if more bytes are needed.
    */
-  public static Message nextStartup(ByteBuffer in) throws ProtocolException {
+  public static Message readStartup(ByteBuffer in) throws ProtocolException {
     if (in.remaining() < LENGTH_BYTES) {
       return null;
     }
@@ -112,7 +113,7 @@
   }
 
   /** The zero-terminated text at this offset; an unterminated text ends with the body. */
-  public String text(int offset) {
+  public String stringAt(int offset) {
     int end = offset;
     while (end < body.length && body[end] != 0) {
       end++;
@@ -127,8 +128,8 @@
   public Map<String, String> startupParameters() {
     Map<String, String> parameters = new HashMap<>();
     for (int offset = Integer.BYTES; offset < body.length && body[offset] != 0; ) {
-      String name = text(offset);
-      String value = text(offset + name.length() + 1);
+      String name = stringAt(offset);
+      String value = stringAt(offset + name.length() + 1);
       parameters.putIfAbsent(name, value);
       offset += name.length() + value.length() + 2;
     }
@@ -136,11 +137,11 @@
   }
 
   /** Reads a body that consists of exactly this number of zero-terminated texts. */
-  public String[] texts(int count) throws ProtocolException {
+  public String[] readStrings(int count) throws ProtocolException {
     String[] texts = new String[count];
     int offset = 0;
     for (int i = 0; i < count; i++) {
-      texts[i] = text(offset);
+      texts[i] = stringAt(offset);
       offset += texts[i].length() + 1;
     }
     requireValidBody(offset == body.length);
@@ -152,7 +153,7 @@
     Map<Character, String> fields = new HashMap<>();
     int offset = 0;
     while (offset < body.length && body[offset] != 0) {
-      String value = text(offset + 1);
+      String value = stringAt(offset + 1);
       fields.put((char) (body[offset] & BYTE_MASK), value);
       offset += 2 + value.length();
     }
@@ -161,16 +162,19 @@
   }
 
   /** Checks for a RowDescription with one column: its name, then 18 bytes on table and type. */
-  public void requireOneColumnDescribed() throws ProtocolException {
+  public void requireSingleColumnDescription() throws ProtocolException {
     requireValidBody(
         body.length > COLUMN_COUNT_BYTES
             && ByteBuffer.wrap(body).getShort() == 1
-            && COLUMN_COUNT_BYTES + text(COLUMN_COUNT_BYTES).length() + 1 + COLUMN_DESCRIPTION_BYTES
+            && COLUMN_COUNT_BYTES
+                    + stringAt(COLUMN_COUNT_BYTES).length()
+                    + 1
+                    + COLUMN_DESCRIPTION_BYTES
                 == body.length);
   }
 
   /** The single column of a DataRow as text; null if its value is null. */
-  public String onlyColumn() throws ProtocolException {
+  public String singleColumnValue() throws ProtocolException {
     requireValidBody(body.length >= COLUMN_VALUE_OFFSET && ByteBuffer.wrap(body).getShort() == 1);
     int length = ByteBuffer.wrap(body).getInt(COLUMN_COUNT_BYTES);
     requireValidBody(Math.max(length, 0) == body.length - COLUMN_VALUE_OFFSET && length >= -1);
--- a/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
+++ b/gateway/src/test/java/shelffront/controlplane/DistributionTest.java
@@ -46,7 +46,8 @@
 
   private final InMemoryCoordinationStore engine = new InMemoryCoordinationStore();
   private final ChangeStore store = new ChangeStore(engine, "f");
-  private final ScheduledThreadPoolExecutor timer = DistributorProcess.newDaemonScheduler(4, "test-timer");
+  private final ScheduledThreadPoolExecutor timer =
+      DistributorProcess.newDaemonScheduler(4, "test-timer");
   private final ExecutorService responseExecutor = Executors.newFixedThreadPool(8);
   private final HttpClient http = SubscribedRecords.httpClient(SHORT_TIMINGS);
   private final List<AutoCloseable> open = new ArrayList<>();
--- a/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
+++ b/lab/src/main/java/shelffront/lab/emulator/EmulatedHostConnection.java
@@ -43,7 +43,7 @@
     try {
       while (true) {
         Message message =
-            started ? Message.next(bytes, "QX", Message.MAX_BYTES) : Message.nextStartup(bytes);
+            started ? Message.readNext(bytes, "QX", Message.MAX_BYTES) : Message.readStartup(bytes);
         if (message == null) {
           return;
         }
@@ -52,7 +52,7 @@
           host.handshake();
           environment.clock().after(environment.handshakeMicros(), this::completeStartup);
         } else if (message.type() == 'Q') {
-          query(message.text(0));
+          query(message.stringAt(0));
         } else {
           close();
           return;
--- a/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
+++ b/lab/src/main/java/shelffront/lab/load/ClientConnectionHandler.java
@@ -130,7 +130,7 @@
   }
 
   private static Message next(ByteBuffer bytes) throws ProtocolException {
-    return Message.next(bytes, "RSKZTDCEIN", Message.MAX_BYTES);
+    return Message.readNext(bytes, "RSKZTDCEIN", Message.MAX_BYTES);
   }
 
   private void handle(Message message) throws ProtocolException {
@@ -140,7 +140,7 @@
           send(new Message('p', (password + "\0").getBytes(ISO_8859_1)).bytes());
         }
       }
-      case 'D' -> value = message.onlyColumn();
+      case 'D' -> value = message.singleColumnValue();
       case 'E' -> {
         var fields = message.errorFields();
         code = fields.get('C');
--- a/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
+++ b/lab/src/main/java/shelffront/lab/scale/HollowGateways.java
@@ -157,7 +157,8 @@
                 historyFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     appendHistory("life", "begins", null);
     Map<String, Table> tables = new HashMap<>();
-    ScheduledThreadPoolExecutor timer = DistributorProcess.newDaemonScheduler(TIMER_THREADS, "hollow-timer");
+    ScheduledThreadPoolExecutor timer =
+        DistributorProcess.newDaemonScheduler(TIMER_THREADS, "hollow-timer");
     HttpClient http = SubscribedRecords.httpClient(DistributionTimings.STANDARD);
     List<Lookup> lookups = new ArrayList<>();
     for (JsonNode each : config.path("gateways")) {
--- a/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
+++ b/lab/src/test/java/shelffront/lab/load/OpenLoopLoadTest.java
@@ -46,7 +46,7 @@
       try {
         for (Message message = next(bytes); message != null; message = next(bytes)) {
           if (message.type() == 'Q') {
-            String id = message.text(0).replaceAll(".*id=([^,]+),.*", "$1");
+            String id = message.stringAt(0).replaceAll(".*id=([^,]+),.*", "$1");
             clock.after(serverTakes, () -> answer(id));
           }
         }
@@ -57,11 +57,11 @@
 
     private Message next(ByteBuffer bytes) throws ProtocolException {
       if (!started) {
-        Message startup = Message.nextStartup(bytes);
+        Message startup = Message.readStartup(bytes);
         started = startup != null;
         send(started ? Message.readyForQuery() : new byte[0]);
       }
-      return started ? Message.next(bytes, "QX", Message.MAX_BYTES) : null;
+      return started ? Message.readNext(bytes, "QX", Message.MAX_BYTES) : null;
     }
 
     private void answer(String id) {
