--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
@@ -25,7 +25,7 @@
  *
  * <p>Threads: one for each shard of subjects ({@link LeaseManager}), one that watches rollout
  * states ({@link StateWatcher}), and one that campaigns for leadership ({@link LeadershipLoop}).
- * {@link #inForce} and {@link #beginOperation} read a snapshot without a lock; use the latter for
+ * {@link #stateInForce} and {@link #beginOperation} read a snapshot without a lock; use the latter for
  * an operation that takes time. {@link #status} and {@link #requestStage} call the coordination
  * store and block for a bounded time.
  */
@@ -109,7 +109,7 @@
   }
 
   /** Returns the state in force, or null in the safe stage. Does not block. */
-  public RolloutState inForce(String subjectName) throws UnknownSubject {
+  public RolloutState stateInForce(String subjectName) throws UnknownSubject {
     return subject(subjectName).stateInForce();
   }
 
--- a/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
+++ b/gateway/src/test/java/shelffront/compatibility/StagesCompatibilityTest.java
@@ -86,9 +86,9 @@
   void joinsAtTheStageInForce() throws Exception {
     try (RolloutCoordinator stages = stages("g9", "z9")) {
       stages.start();
-      awaitTrue(() -> stages.inForce("drill") != null && stages.inForce("valve") != null);
-      assertEquals(new RolloutState(2, 1, 2), stages.inForce("drill"));
-      assertEquals(new RolloutState(2, 1, 1), stages.inForce("valve"));
+      awaitTrue(() -> stages.stateInForce("drill") != null && stages.stateInForce("valve") != null);
+      assertEquals(new RolloutState(2, 1, 2), stages.stateInForce("drill"));
+      assertEquals(new RolloutState(2, 1, 1), stages.stateInForce("valve"));
       Value member = engine.read(FLEET + "members/valve/g9-z9.1");
       assertTrue(
           member.text().startsWith("{\"epoch\":2,\"revoked\":false,\"nonce\":"), member.text());
@@ -117,7 +117,7 @@
   void doesNotTakeLeadershipThatAnotherGatewayHolds() throws Exception {
     try (RolloutCoordinator stages = stages("g9", "z9")) {
       stages.start();
-      awaitTrue(() -> stages.inForce("drill") != null);
+      awaitTrue(() -> stages.stateInForce("drill") != null);
       assertFalse(stages.status("drill").get(0).isLeader());
       assertEquals("g1-a1 38", engine.read(FLEET + "owner").text());
     }
--- a/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
+++ b/gateway/src/test/java/shelffront/rolloutcontrol/RolloutCoordinatorTest.java
@@ -63,7 +63,7 @@
             "1",
             RolloutHistory.appendingTo(null),
             line -> log.add(String.valueOf(line)))) {
-      assertNull(coordinator.inForce("s"), "safe stage before the gateway has joined");
+      assertNull(coordinator.stateInForce("s"), "safe stage before the gateway has joined");
       assertNull(coordinator.beginOperation("s"));
       coordinator.start();
       awaitLine(log, "rollout s: stage one in force, epoch ");
@@ -85,7 +85,7 @@
       awaitLine(log, "rollout s: stage three in force, epoch ");
       assertThrows(
           RolloutException.UnknownStage.class, () -> coordinator.requestStage("s", "nine"));
-      assertThrows(RolloutException.UnknownSubject.class, () -> coordinator.inForce("t"));
+      assertThrows(RolloutException.UnknownSubject.class, () -> coordinator.stateInForce("t"));
       assertThrows(RolloutException.UnknownSubject.class, () -> coordinator.status("t"));
       assertEquals(1, coordinator.status(null).size());
     }
@@ -109,7 +109,7 @@
             line -> log.add(String.valueOf(line)))) {
       coordinator.start();
       awaitLine(log, "engine-garbled");
-      assertNull(coordinator.inForce("s"));
+      assertNull(coordinator.stateInForce("s"));
     }
   }
 
