--- a/gateway/src/main/java/shelffront/admin/AdminRouter.java
+++ b/gateway/src/main/java/shelffront/admin/AdminRouter.java
@@ -52,7 +52,7 @@
       throw ProblemException.invalid(e);
     } catch (ConflictException e) {
       throw ProblemException.preconditionFailed(
-          "the document is no longer at the revision that the request expects", e.present());
+          "the document is no longer at the revision that the request expects", e.currentEntry());
     }
   }
 
--- a/gateway/src/main/java/shelffront/store/DocumentStore.java
+++ b/gateway/src/main/java/shelffront/store/DocumentStore.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns the present document; null if it does not exist. */
-    public Entry present() {
+    public Entry currentEntry() {
       return present;
     }
   }
--- a/gateway/src/test/java/shelffront/store/DocumentStoreTest.java
+++ b/gateway/src/test/java/shelffront/store/DocumentStoreTest.java
@@ -116,7 +116,7 @@
           assertThrows(
               ConflictException.class,
               () -> store.put(Kind.TENANT, "a", 0, document(2), "y", "create", 6));
-      assertEquals(document(1), conflict.present().document());
+      assertEquals(document(1), conflict.currentEntry().document());
       assertEquals(2, store.put(Kind.TENANT, "a", 1, null, "x", "remove", 7));
       assertNull(store.get(Kind.TENANT, "a"));
       assertThrows(
