--- a/gateway/src/main/java/shelffront/frontend/TenantLookup.java
+++ b/gateway/src/main/java/shelffront/frontend/TenantLookup.java
@@ -11,13 +11,13 @@
 public interface TenantLookup {
 
   /**
-   * Starts an asynchronous tenant lookup if one is needed. {@code then} runs later on the loop of
-   * {@code here}, with null or with the error for the client.
+   * Starts an asynchronous tenant lookup if one is needed. {@code callback} runs later on the loop
+   * of {@code here}, with null or with the error for the client.
    *
-   * @return false if the tenant is already known; {@code then} does not run in that case
+   * @return false if the tenant is already known; {@code callback} does not run in that case
    */
   default boolean lookUp(
-      Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
+      Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> callback) {
     return false;
   }
 
--- a/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
+++ b/gateway/src/main/java/shelffront/multitenant/EventLoopGroup.java
@@ -258,7 +258,7 @@
 
   @Override
   public boolean lookUp(
-      Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> then) {
+      Map<String, String> startup, FrontendConnections here, Consumer<ProtocolException> callback) {
     String name = TenantRegistry.requestedTenantId(startup);
     if (tenantFinder == null || assignments.containsKey(name)) {
       return false;
@@ -267,7 +267,7 @@
         .apply(name)
         .whenComplete(
             (found, failure) ->
-                firstNetwork.loop().post(() -> then.accept(lookUpFailure(failure))));
+                firstNetwork.loop().post(() -> callback.accept(lookUpFailure(failure))));
     return true;
   }
 
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutCoordinator.java
@@ -25,8 +25,8 @@
  *
  * <p>Threads: one for each shard of subjects ({@link LeaseManager}), one that watches rollout
  * states ({@link StateWatcher}), and one that campaigns for leadership ({@link LeadershipLoop}).
- * {@link #stateInForce} and {@link #beginOperation} read a snapshot without a lock; use the latter for
- * an operation that takes time. {@link #status} and {@link #requestStage} call the coordination
+ * {@link #stateInForce} and {@link #beginOperation} read a snapshot without a lock; use the latter
+ * for an operation that takes time. {@link #status} and {@link #requestStage} call the coordination
  * store and block for a bounded time.
  */
 public final class RolloutCoordinator implements AutoCloseable {
