--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -69,7 +69,7 @@
   public static DistributorProcess fromSettings(JsonNode settings, EventLog log)
       throws SpecException, IOException {
     if (!settings.isObject()) {
-      throw new SpecException("", "not a JSON object");
+      throw new SpecException("", "expected a JSON object");
     }
     ObjectNode rest = settings.deepCopy();
     JsonNode listen = rest.remove("listen");
@@ -77,7 +77,9 @@
       InetSocketAddress address = GatewayConfig.parseAddress(listen == null ? "" : listen.asText());
       return new DistributorProcess(address, SubscribedRecordsConfig.read(rest, ""), log);
     } catch (MalformedInputException | IllegalArgumentException e) {
-      throw new SpecException("/listen", "is not an address of the form host:port: " + listen);
+      throw new SpecException(
+          "/listen",
+          "expected an IP address and port such as 127.0.0.1:5432, but found \"" + listen + "\"");
     }
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -157,7 +157,10 @@
       return GatewayConfig.parseAddress(json.path(field).asText());
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException(
-          pointer, "is not an address of the form host:port: " + json.path(field));
+          pointer,
+          "expected an IP address and port such as 127.0.0.1:5432, but found \""
+              + json.path(field).asText()
+              + "\"");
     }
   }
 }
--- a/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
+++ b/gateway/src/main/java/shelffront/rolloutcontrol/RolloutConfig.java
@@ -71,12 +71,14 @@
    */
   public static RolloutConfig read(JsonNode json, String pointer) throws SpecException {
     if (!json.isObject()) {
-      throw new SpecException(pointer, "is not an object");
+      throw new SpecException(pointer, "expected a JSON object");
     }
     TenantSpecCodec.rejectUnknownFields(json, pointer, FIELDS);
     String engine = json.path("engine").asText();
     if (!engine.matches(ADDRESS_PATTERN)) {
-      throw new SpecException(pointer + "/engine", "is not an address of the form host:port");
+      throw new SpecException(
+          pointer + "/engine",
+          "expected a host and port such as 127.0.0.1:8500, but found \"" + engine + "\"");
     }
     int colon = engine.lastIndexOf(':');
     LeaseTimings leaseTimings = leaseTimings(json, pointer);
