--- a/gateway/src/main/java/shelffront/backend/BackendConnections.java
+++ b/gateway/src/main/java/shelffront/backend/BackendConnections.java
@@ -69,14 +69,14 @@
   /** Open calls in start order, so that {@link #closeAll} is deterministic. */
   private final Map<BackendAttempt, BackendCall> calls = new LinkedHashMap<>();
 
-  /** Another tenant waits for a connection, and none was idle here when it was demanded. */
-  private boolean connectionReclaimed;
+  /** Whether the next connection that becomes idle must be closed for another tenant. */
+  private boolean reclaimPending;
 
   /** Each open connection counts against a quota, shared by weight and capped per tenant. */
   public BackendConnections(
       Network network,
       OperatingLimits limits,
-      ConnectionQuotas sockets,
+      ConnectionQuotas connectionQuotas,
       double weight,
       int maxConnections,
       Login login,
@@ -84,10 +84,10 @@
     this.network = network;
     this.limits = limits;
     this.connectionQuota =
-        sockets.register(
+        connectionQuotas.register(
             weight,
             maxConnections,
-            () -> network.post(this::onConnectionDemanded),
+            () -> network.post(this::onReclaimRequested),
             () -> network.post(this::onConnectionAvailable));
     this.login = login;
     this.listener = listener;
@@ -192,7 +192,8 @@
     }
     BackendConnection connection = host.idleConnections.pollLast();
     while (connection != null && connection.hasUnprocessedInput()) {
-      // The unprocessed input is the host's end or surplus bytes. A request written to this
+      // The unprocessed input is surplus bytes or the end of stream from the host. A request
+      // written to this
       // connection would be reported as sent although the host never reads it.
       connection = host.idleConnections.pollLast();
     }
@@ -240,8 +241,8 @@
   }
 
   /** Another tenant waits for a connection: closes an idle one, or the next one to become idle. */
-  private void onConnectionDemanded() {
-    connectionReclaimed = connectionQuota.excess() > 0 && !evictIdle();
+  private void onReclaimRequested() {
+    reclaimPending = connectionQuota.excess() > 0 && !evictIdle();
   }
 
   private void onConnectionAvailable() {
@@ -290,10 +291,7 @@
     onConnectionFree(connection);
   }
 
-  /**
-   * Gives a free connection the next waiting call, or keeps it idle for less than the hosts' idle
-   * timeout.
-   */
+  /** Gives a connection the next waiting call, or keeps it idle until before the host's timeout. */
   void onConnectionFree(BackendConnection connection) {
     BackendHost host = connection.host;
     if (connection.isClosed()) {
@@ -313,8 +311,8 @@
     }
     if (next != null) {
       sendOn(connection, next);
-    } else if (connectionReclaimed && connectionQuota.excess() > 0) {
-      connectionReclaimed = false;
+    } else if (reclaimPending && connectionQuota.excess() > 0) {
+      reclaimPending = false;
       connection.close(CloseReason.GIVEN_BACK);
     } else if (hosts.get(host.id) != host) {
       connection.close(CloseReason.LEFT_LIST);
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -69,7 +69,7 @@
     if (!json.isObject()) {
       throw new SpecException(pointer, "is not an object");
     }
-    TenantSpecCodec.onlyFields(json, pointer, FIELDS);
+    TenantSpecCodec.rejectUnknownFields(json, pointer, FIELDS);
     List<DistributorEndpoint> distributors =
         distributors(json.path("distributors"), pointer + "/distributors");
     InetSocketAddress engineAddress =
@@ -107,7 +107,7 @@
     List<DistributorEndpoint> distributors = new ArrayList<>();
     for (JsonNode json : list) {
       String endpointPointer = pointer + "/" + distributors.size();
-      TenantSpecCodec.onlyFields(json, endpointPointer, ENDPOINT_FIELDS);
+      TenantSpecCodec.rejectUnknownFields(json, endpointPointer, ENDPOINT_FIELDS);
       address(json, endpointPointer + "/address", "address");
       distributors.add(
           new DistributorEndpoint(
@@ -126,7 +126,7 @@
   private static String requiredName(JsonNode json, String pointer, String field)
       throws SpecException {
     JsonNode value = json.path(field);
-    if (!value.asText().matches(TenantSpecCodec.NAME)) {
+    if (!value.asText().matches(TenantSpecCodec.NAME_PATTERN)) {
       throw new SpecException(
           pointer + "/" + field,
           "is not a name of up to 64 letters, digits, dots, dashes and underscores: " + value);
@@ -157,7 +157,10 @@
       return GatewayConfig.parseAddress(json.path(field).asText());
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException(
-          pointer, "is not an address of the form host:port: " + json.path(field));
+          pointer,
+          "expected an IP address and port such as 127.0.0.1:5432, but found \""
+              + json.path(field).asText()
+              + "\"");
     }
   }
 }
--- a/gateway/src/main/java/shelffront/frontend/ClientConnection.java
+++ b/gateway/src/main/java/shelffront/frontend/ClientConnection.java
@@ -100,9 +100,7 @@
     return hasNothingOutstanding() && activity.isQuiet(nowMicros());
   }
 
-  /**
-   * Like {@link #isEvictable()}, with a shorter wait, for when no other connection can be evicted.
-   */
+  /** Like {@link #isEvictable()}, with a shorter wait; used if no connection is evictable. */
   boolean isEvictableUnderPressure() {
     return hasNothingOutstanding() && activity.isBrieflyQuiet(nowMicros());
   }
@@ -116,12 +114,12 @@
    * discarded unexecuted, so the client can send it on another connection.
    */
   boolean closeIfIdle(CloseReason reason) {
-    return isEvictableUnderPressure() && tryCloseInOrder(reason);
+    return isEvictableUnderPressure() && tryCloseGracefully(reason);
   }
 
   /** Closes the connection, or checks again later if it is busy or has unprocessed input. */
   private void closeOnTimeout(CloseReason reason) {
-    if (!isIdle() || !tryCloseInOrder(reason)) {
+    if (!isIdle() || !tryCloseGracefully(reason)) {
       scheduleTimeout(nowMicros() + TIMEOUT_RECHECK_MICROS, reason);
     }
   }
@@ -175,7 +173,7 @@
 
   private void readCommands(ByteBuffer bytes) throws ProtocolException {
     while (handshake.isComplete() && wantsInput()) {
-      Message message = Message.next(bytes, COMMAND_TYPES, Message.MAX_BYTES);
+      Message message = Message.readNext(bytes, COMMAND_TYPES, Message.MAX_BYTES);
       if (message == null) {
         return;
       }
@@ -257,7 +255,7 @@
 
   /**
    * Starts queued commands while no request is in progress and all responses have been written. No
-   * command is started once the client's end has been read, even if a write is still outstanding.
+   * command is started once the client has closed its side, even if a write is outstanding.
    */
   private void processCommands() {
     while (!isEnding() && current == null && isOutputEmpty() && !queuedCommands.isEmpty()) {
--- a/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
+++ b/gateway/src/main/java/shelffront/multitenant/FleetTenants.java
@@ -29,7 +29,7 @@
 
   private final TenantAdministration.TenantControl control;
   private final ScheduledThreadPoolExecutor executor =
-      DistributorProcess.newTimer(1, "fleet-records");
+      DistributorProcess.newDaemonScheduler(1, "fleet-records");
   private final SubscribedRecords records;
   private final ChangeStore changeStore; // null if this gateway cannot change tenants
   private volatile LongConsumer inForceListener = sequence -> {};
@@ -50,7 +50,10 @@
         config.engineAddress() == null ? null : DistributorProcess.openChangeStore(config);
   }
 
-  /** Sets the listener for the sequence number up to which every change is in force here. */
+  /**
+   * Sets the listener that receives the highest sequence number up to which this gateway has
+   * applied every change.
+   */
   void setInForceListener(LongConsumer listener) {
     inForceListener = listener;
   }
@@ -88,7 +91,7 @@
    * loop may call.
    */
   CompletableFuture<Boolean> lookUp(String id) {
-    return id.matches(TenantSpecCodec.NAME)
+    return id.matches(TenantSpecCodec.NAME_PATTERN)
         ? CompletableFuture.supplyAsync(
                 () -> records.lookUp(FleetTenantDocuments.RECORD_NAME_PREFIX + id), executor)
             .thenCompose(found -> found)
--- a/gateway/src/main/java/shelffront/tenant/Tenant.java
+++ b/gateway/src/main/java/shelffront/tenant/Tenant.java
@@ -198,12 +198,12 @@
     }
   }
 
-  /** Discovery answers elsewhere from now on. */
-  public void moveDiscovery(InetSocketAddress address) {
+  /** Changes the address of the discovery service. */
+  public void changeDiscoveryAddress(InetSocketAddress address) {
     routing.endpoints().changeDiscoveryAddress(address);
   }
 
-  /** Gives back every connection to hosts and discovery, and the timers. */
+  /** Closes all connections to hosts and discovery, and cancels the timers. */
   public void close(CloseReason reason) {
     if (routing != null) {
       routing.close(reason);
@@ -252,7 +252,7 @@
       return;
     }
     context.setState(TenantState.REMOVED);
-    requests.copy().forEach(this::endUnanswered);
+    requests.copy().forEach(this::abortOpenRequest);
     List.copyOf(clients)
         .forEach(client -> client.endWithError(removalError(), CloseReason.TENANT_GONE));
     close(CloseReason.TENANT_GONE);
@@ -260,7 +260,7 @@
     completeRemoval();
   }
 
-  private void endUnanswered(ClientRequest request) {
+  private void abortOpenRequest(ClientRequest request) {
     if (request.completed) {
       return;
     }
