--- a/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
+++ b/gateway/src/main/java/shelffront/controlplane/DistributorProcess.java
@@ -78,8 +78,7 @@
       return new DistributorProcess(address, SubscribedRecordsConfig.read(rest, ""), log);
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException(
-          "/listen",
-          "expected an IP address and port such as 127.0.0.1:5432, but found \"" + listen + "\"");
+          "/listen", "expected an IP address and port such as 127.0.0.1:5432, but found " + listen);
     }
   }
 
--- a/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
+++ b/gateway/src/main/java/shelffront/controlplane/SubscribedRecordsConfig.java
@@ -67,7 +67,7 @@
    */
   public static SubscribedRecordsConfig read(JsonNode json, String pointer) throws SpecException {
     if (!json.isObject()) {
-      throw new SpecException(pointer, "is not an object");
+      throw new SpecException(pointer, "expected a JSON object");
     }
     TenantSpecCodec.rejectUnknownFields(json, pointer, FIELDS);
     List<DistributorEndpoint> distributors =
@@ -158,9 +158,7 @@
     } catch (MalformedInputException | IllegalArgumentException e) {
       throw new SpecException(
           pointer,
-          "expected an IP address and port such as 127.0.0.1:5432, but found \""
-              + json.path(field).asText()
-              + "\"");
+          "expected an IP address and port such as 127.0.0.1:5432, but found " + json.path(field));
     }
   }
 }
