--- a/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ClientPopulation.java
@@ -6,7 +6,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import shelffront.lab.invariants.CheckedRequest;
-import shelffront.lab.invariants.InvariantChecker.Rule;
+import shelffront.lab.invariants.Rule;
 import shelffront.lab.load.ClientConnectionHandler;
 import shelffront.lab.virtual.SimulatedMachine;
 import shelffront.routing.Consistency;
--- a/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
+++ b/lab/src/main/java/shelffront/lab/simulation/ReplicaSetObserver.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import shelffront.lab.invariants.Attempt;
-import shelffront.lab.invariants.InvariantChecker.Rule;
+import shelffront.lab.invariants.Rule;
 import shelffront.lab.model.ReplicaSetModel;
 import shelffront.lab.model.ReplicaSetModel.Effect;
 import shelffront.lab.model.ReplicaSetModel.Host;
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedGateway.java
@@ -10,7 +10,7 @@
 import shelffront.backend.BackendConnections.Login;
 import shelffront.config.GatewayConfig;
 import shelffront.gateway.Gateway;
-import shelffront.lab.invariants.InvariantChecker.Rule;
+import shelffront.lab.invariants.Rule;
 import shelffront.lab.simulation.Scenario.Means;
 import shelffront.lab.virtual.SimulatedMachine;
 import shelffront.lab.virtual.VirtualChannels;
--- a/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
+++ b/lab/src/main/java/shelffront/lab/simulation/SimulatedHostEnvironment.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import shelffront.lab.emulator.HostEnvironment;
 import shelffront.lab.invariants.Attempt;
-import shelffront.lab.invariants.InvariantChecker.Rule;
+import shelffront.lab.invariants.Rule;
 import shelffront.lab.model.Clock;
 import shelffront.lab.model.ReplicaSetModel.Answer;
 import shelffront.lab.model.ReplicaSetModel.AnswerKind;
