--- a/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
+++ b/lab/src/test/java/shelffront/lab/faultinjection/RolloutFaultInjectionTest.java
@@ -77,7 +77,9 @@
       harness.injectStoreFault("leader=no");
       harness.await(
           "both gateways fall back to the safe stage",
-          () -> one.hasLogged("is the safe one") && two.hasLogged("is the safe one"));
+          () ->
+              one.hasLogged("rollout drill: safe stage in force")
+                  && two.hasLogged("rollout drill: safe stage in force"));
       assertEquals(
           503, one.requestStage("three"), "the request is rejected while the store has no leader");
       harness.injectStoreFault("garble");
